--- /dev/null
+++ b/protocol/tests/golden.rs
@@ -0,0 +1,440 @@
+//! The bytes of each message between processes stay as they are stored in `golden/`: in both directions, whole and framed.
+//!
+//! A new message is added by `UPDATE_GOLDEN=1 cargo test -p ivyhatch-protocol --test golden`; a line that is there never changes.
+
+mod golden_files;
+
+use std::collections::BTreeMap;
+use std::fmt::Debug;
+use std::net::Ipv4Addr;
+
+use golden_files::{GoldenLine, compare};
+use googletest::prelude::*;
+use ivyhatch_protocol::configuration::{Change, Document, Item};
+use ivyhatch_protocol::feed::{
+    Evacuations, FromFollower, Position, Router, RouterState, Server, Servers, Shared, ToFollower,
+};
+use ivyhatch_protocol::frame::{Decoder, encode, encode_fragments};
+use ivyhatch_protocol::ids::{Epoch, NodeId, Part, ReplicaId, mix};
+use ivyhatch_protocol::peer::{
+    AcceptedValue, AcceptorState, AdminRequest, AdminResponse, ConsensusMessage, Heartbeat, Membership, Peer,
+    ReplicaStatus, Voter,
+};
+use speedy::{LittleEndian, Readable, Writable};
+
+fn node(last: u8) -> NodeId {
+    NodeId::from(Ipv4Addr::new(10, 20, 30, last))
+}
+
+fn epoch(counter: u64) -> Epoch {
+    Epoch { counter, node: node(7), life: 0x0102_0304_0506_0708 }
+}
+
+fn replica(last: u8) -> ReplicaId {
+    ReplicaId { node: node(last), disk: 0x1112_1314_1516_1700 + u64::from(last) }
+}
+
+fn voter(last: u8, zone: &str, joined: u64) -> Voter {
+    Voter { replica: replica(last), zone: zone.to_owned(), joined }
+}
+
+fn membership() -> Membership {
+    Membership {
+        generation: 4,
+        voters: vec![voter(1, "north-a", 1), voter(2, "north-b", 4), voter(3, "south-a", 1)],
+        previous: vec![voter(1, "north-a", 1), voter(3, "south-a", 1), voter(9, "north-b", 2)],
+    }
+}
+
+fn accepted_value() -> AcceptedValue {
+    AcceptedValue { epoch: epoch(5), sequence: 300, value: b"value \x00\xff".to_vec() }
+}
+
+fn router(state: RouterState) -> Router {
+    Router {
+        node: node(40),
+        front: "10.20.30.40:8443".to_owned(),
+        zone: "north-a".to_owned(),
+        region: "north".to_owned(),
+        state,
+    }
+}
+
+fn server() -> Server {
+    Server {
+        id: "chat-17#3".to_owned(),
+        service: "chat".to_owned(),
+        address: "10.20.31.17:9000".to_owned(),
+        zone: "north-b".to_owned(),
+        slots: 12,
+        draining: true,
+        cold_left_ms: 2500,
+        remaining_ms: Some(90_000),
+    }
+}
+
+fn whole_server_list() -> Servers {
+    let lasting = Server {
+        id: "chat-18#1".to_owned(),
+        draining: false,
+        cold_left_ms: 0,
+        remaining_ms: None,
+        ..server()
+    };
+    Servers { epoch: epoch(6), from: None, to: 21, upsert: vec![server(), lasting], gone: Vec::new() }
+}
+
+fn server_list_change() -> Servers {
+    Servers {
+        epoch: epoch(6),
+        from: Some(21),
+        to: 23,
+        upsert: vec![server()],
+        gone: vec!["chat-2#1".to_owned(), "chat-9#4".to_owned()],
+    }
+}
+
+fn position() -> Position {
+    Position { configuration: 12, evacuations: vec![(Part(1), 3), (Part(8), 40)], servers: (epoch(6), 21) }
+}
+
+fn item(name: &str, json: &str) -> Item {
+    Item { name: name.to_owned(), json: json.to_owned() }
+}
+
+fn document() -> Document {
+    let routes = vec![
+        item("chat", r#"{"name":"chat","host":"chat.example","path_prefix":"/v1/"}"#),
+        item("embed", r#"{"name":"embed","host":"chat.example","path_prefix":"/embed/"}"#),
+    ];
+    Document {
+        revision: 31,
+        sections: BTreeMap::from([("routes".to_owned(), routes), ("tenants".to_owned(), Vec::new())]),
+        rest: BTreeMap::from([("limits".to_owned(), r#"{"max_body_bytes":9000}"#.to_owned())]),
+    }
+}
+
+fn change() -> Change {
+    Change {
+        revision: 32,
+        upsert: BTreeMap::from([("services".to_owned(), vec![item("chat", r#"{"name":"chat"}"#)])]),
+        remove: BTreeMap::from([("routes".to_owned(), vec!["embed".to_owned(), "old".to_owned()])]),
+        rest: BTreeMap::from([
+            ("limits".to_owned(), None),
+            ("owner".to_owned(), Some(r#""platform""#.to_owned())),
+        ]),
+    }
+}
+
+fn heartbeat(status: ReplicaStatus) -> Heartbeat {
+    Heartbeat {
+        incarnation: 0x2122_2324_2526_2728,
+        number: 77,
+        disk: Some(replica(1).disk),
+        zone: "north-a".to_owned(),
+        status,
+        generation: 4,
+        leaving: true,
+        reachable: vec![node(2), node(3)],
+        has_quorum: true,
+        reads_list: true,
+        committed: vec![12, 0, 3, 0, 0, 0, 0, 0, 40],
+        servers: (epoch(6), 21),
+    }
+}
+
+fn consensus(message: ConsensusMessage) -> Peer {
+    Peer::Consensus { generation: 4, part: Part(3), message }
+}
+
+fn forward(request: AdminRequest) -> Peer {
+    Peer::Forward { number: 900, heard: 76, request }
+}
+
+fn forwarded(response: AdminResponse) -> Peer {
+    Peer::Forwarded { number: 900, response }
+}
+
+fn state_transfer() -> Peer {
+    let accepted = AcceptorState { promised: epoch(8), accepted: Some(accepted_value()) };
+    let only_promised = AcceptorState { promised: epoch(9), accepted: None };
+    Peer::StateTransfer {
+        incarnation: 0x2122_2324_2526_2728,
+        generation: 4,
+        disk: replica(3).disk,
+        partitions: vec![(Part::CONFIGURATION, accepted), (Part(5), only_promised)],
+    }
+}
+
+fn consensus_messages() -> Vec<(&'static str, ConsensusMessage)> {
+    vec![
+        ("prepare", ConsensusMessage::Prepare { epoch: epoch(5) }),
+        ("promise_without_value", ConsensusMessage::Promise { epoch: epoch(5), accepted: None }),
+        (
+            "promise_with_value",
+            ConsensusMessage::Promise { epoch: epoch(6), accepted: Some(accepted_value()) },
+        ),
+        ("accept", ConsensusMessage::Accept(accepted_value())),
+        ("accepted", ConsensusMessage::Accepted { epoch: epoch(5), sequence: 300 }),
+        ("reject", ConsensusMessage::Reject { promised: epoch(9) }),
+        ("commit", ConsensusMessage::Commit { epoch: epoch(5), sequence: 300 }),
+        ("fetch", ConsensusMessage::Fetch { after: 299 }),
+        ("committed", ConsensusMessage::Committed(accepted_value())),
+        ("confirm", ConsensusMessage::Confirm { epoch: epoch(5), number: 18 }),
+        ("confirmed", ConsensusMessage::Confirmed { epoch: epoch(5), number: 18 }),
+    ]
+}
+
+fn admin_requests() -> Vec<(&'static str, AdminRequest)> {
+    let evacuate = |active: bool| AdminRequest::Evacuate { zone: "south-a".to_owned(), active, changes: 2 };
+    vec![
+        ("put", AdminRequest::Put { base: 30, body: br#"{"revision":31}"#.to_vec() }),
+        ("patch", AdminRequest::Patch { base: 31, body: br#"{"revision":32,"remove":{}}"#.to_vec() }),
+        ("read", AdminRequest::Read),
+        ("evacuate_on", evacuate(true)),
+        ("evacuate_off", evacuate(false)),
+    ]
+}
+
+fn admin_responses() -> Vec<(&'static str, AdminResponse)> {
+    vec![
+        ("taken", AdminResponse::Taken { revision: 31 }),
+        ("document", AdminResponse::Document(r#"{"revision":31}"#.to_owned())),
+        ("nothing", AdminResponse::Nothing),
+        ("conflict", AdminResponse::Conflict { revision: 33 }),
+        ("invalid", AdminResponse::Invalid("a field is wrong".to_owned())),
+        ("unavailable", AdminResponse::Unavailable("send it again".to_owned())),
+    ]
+}
+
+fn heartbeats() -> Vec<(&'static str, Heartbeat)> {
+    vec![
+        ("default", Heartbeat::default()),
+        ("uninitialized", heartbeat(ReplicaStatus::Uninitialized)),
+        ("learner", heartbeat(ReplicaStatus::Learner)),
+        ("voter", heartbeat(ReplicaStatus::Voter)),
+        ("removed", heartbeat(ReplicaStatus::Removed)),
+    ]
+}
+
+/// Values under names that begin with a prefix.
+fn prefixed<T, M>(
+    prefix: &str,
+    values: Vec<(&'static str, T)>,
+    message: impl Fn(T) -> M,
+) -> Vec<(String, M)> {
+    values.into_iter().map(|(name, value)| (format!("{prefix}/{name}"), message(value))).collect()
+}
+
+fn peer_messages() -> Vec<(String, Peer)> {
+    let transfer_request = Peer::StateTransferRequest { incarnation: 0x3132_3334_3536_3738, generation: 4 };
+    let routers =
+        vec![router(RouterState::Starting), router(RouterState::Ready), router(RouterState::Leaving)];
+    let single = |name: &str, message: Peer| vec![(name.to_owned(), message)];
+    [
+        prefixed("heartbeat", heartbeats(), Peer::Heartbeat),
+        single("membership/empty", Peer::Membership(Membership::default())),
+        single("membership/full", Peer::Membership(membership())),
+        single("state_transfer_request", transfer_request),
+        single("state_transfer", state_transfer()),
+        prefixed("consensus", consensus_messages(), consensus),
+        prefixed("forward", admin_requests(), forward),
+        prefixed("forwarded", admin_responses(), forwarded),
+        single("sessions", Peer::Sessions(routers)),
+        single("servers/whole", Peer::Servers(whole_server_list())),
+        single("servers/change", Peer::Servers(server_list_change())),
+        single("want_servers", Peer::WantServers),
+    ]
+    .into_iter()
+    .flatten()
+    .collect()
+}
+
+fn from_follower_messages() -> Vec<(String, FromFollower)> {
+    let follow = |state: RouterState, primary: bool, position: Position| FromFollower::Follow {
+        router: router(state),
+        primary,
+        position,
+    };
+    let messages = vec![
+        ("follow/new", follow(RouterState::Starting, false, Position::default())),
+        ("follow/primary", follow(RouterState::Ready, true, position())),
+        ("beat/starting", FromFollower::Beat { state: RouterState::Starting }),
+        ("beat/ready", FromFollower::Beat { state: RouterState::Ready }),
+        ("beat/leaving", FromFollower::Beat { state: RouterState::Leaving }),
+        ("want/new", FromFollower::Want { position: Position::default() }),
+        ("want/behind", FromFollower::Want { position: position() }),
+    ];
+    messages.into_iter().map(|(name, message)| (name.to_owned(), message)).collect()
+}
+
+fn to_follower_messages() -> Vec<(String, ToFollower)> {
+    let heads = ToFollower::Heads {
+        position: position(),
+        in_touch: true,
+        routers: 9,
+        place: 4,
+        controls: vec![node(1), node(2), node(3)],
+    };
+    let empty_heads = ToFollower::Heads {
+        position: Position::default(),
+        in_touch: false,
+        routers: 0,
+        place: 0,
+        controls: Vec::new(),
+    };
+    let evacuations = Evacuations {
+        part: Part(4),
+        sequence: 40,
+        zones: vec![("north-a".to_owned(), false, 2), ("south-a".to_owned(), true, 3)],
+    };
+    let messages = vec![
+        ("heads/empty", empty_heads),
+        ("heads/full", heads),
+        ("whole/empty", ToFollower::Whole { sequence: 0, document: Shared::default() }),
+        ("whole/full", ToFollower::Whole { sequence: 12, document: document().into() }),
+        ("change", ToFollower::Change { from: 12, to: 13, change: change().into() }),
+        ("evacuations", ToFollower::Evacuations(evacuations)),
+        ("servers/whole", ToFollower::Servers(whole_server_list())),
+        ("servers/change", ToFollower::Servers(server_list_change())),
+    ];
+    messages.into_iter().map(|(name, message)| (name.to_owned(), message)).collect()
+}
+
+/// Text of this many characters that hardly repeats itself.
+fn varied_text(length: u64) -> String {
+    (0..length).map(|at| char::from(b'#' + (mix(at) % 90) as u8).to_string().replace('\\', "!")).collect()
+}
+
+fn document_of(items: Vec<Item>) -> ToFollower {
+    let document = Document {
+        revision: 31,
+        sections: BTreeMap::from([("routes".to_owned(), items)]),
+        rest: BTreeMap::new(),
+    };
+    ToFollower::Whole { sequence: 12, document: document.into() }
+}
+
+/// Over 2 KiB of items that resemble each other.
+fn repetitive_message() -> ToFollower {
+    let route = |number: u64| {
+        let name = format!("route-{number}");
+        let json =
+            format!("{{\"name\":\"{name}\",\"host\":\"chat.example\",\"path_prefix\":\"/{number}/\"}}");
+        item(&name, &json)
+    };
+    document_of((0..40).map(route).collect())
+}
+
+/// Over 16 KiB that compression would lengthen.
+fn varied_message() -> ToFollower {
+    document_of(vec![item("varied", &varied_text(18_000))])
+}
+
+/// Over 16 KiB also once it is compressed.
+fn half_repetitive_message() -> ToFollower {
+    let text = varied_text(18_000);
+    document_of(vec![item("first", &text), item("second", &text)])
+}
+
+fn decode_all<M: for<'a> Readable<'a, LittleEndian>>(bytes: &[u8]) -> Vec<M> {
+    let mut decoder = Decoder::default();
+    decoder.feed(bytes);
+    std::iter::from_fn(|| decoder.message().expect("sound frames")).collect()
+}
+
+/// Compares the frame of each message with the golden file, and each golden frame's message with the one that made it.
+fn check_messages<M>(file: &str, messages: &[(String, M)])
+where
+    M: for<'a> Readable<'a, LittleEndian> + Writable<LittleEndian> + PartialEq + Debug,
+{
+    let lines: Vec<GoldenLine> =
+        messages.iter().map(|(name, message)| GoldenLine::new(name, encode(message))).collect();
+    let golden = compare(file, &lines);
+    for ((name, message), golden_line) in messages.iter().zip(&golden) {
+        let decoded: Vec<M> = decode_all(&golden_line.bytes);
+        assert!(decoded.iter().eq([message]), "{file}: {name}: the golden frame is another message");
+    }
+}
+
+/// The same for values that are not sent by themselves.
+fn check_values<V>(file: &str, values: &[(&str, V)])
+where
+    V: for<'a> Readable<'a, LittleEndian> + Writable<LittleEndian> + PartialEq + Debug,
+{
+    let bytes = |value: &V| value.write_to_vec().expect("writing to memory");
+    let lines: Vec<GoldenLine> =
+        values.iter().map(|(name, value)| GoldenLine::new(name, bytes(value))).collect();
+    let golden = compare(file, &lines);
+    for ((name, value), golden_line) in values.iter().zip(&golden) {
+        let decoded = V::read_from_buffer(&golden_line.bytes).expect("a golden value that can be read");
+        assert!(decoded == *value, "{file}: {name}: the golden bytes are another value");
+    }
+}
+
+/// Compares the fragments of a message, each a line, and the message that all of them together decode to.
+fn check_fragments(file: &str, message: &ToFollower) -> Vec<GoldenLine> {
+    let fragments = encode_fragments(message);
+    let line = |(index, bytes)| GoldenLine::new(&format!("fragment_{index}"), bytes);
+    let lines: Vec<GoldenLine> = fragments.into_iter().enumerate().map(line).collect();
+    let golden = compare(file, &lines);
+    let stream: Vec<u8> = golden.iter().flat_map(|line| line.bytes.clone()).collect();
+    let decoded: Vec<ToFollower> = decode_all(&stream);
+    assert!(decoded == [message.clone()], "{file}: the golden fragments are another message");
+    golden
+}
+
+/// The bits of a frame's length field that are no length.
+fn flags(frame: &[u8]) -> u8 {
+    frame[7] & 0xe0
+}
+
+#[gtest]
+fn messages_between_control_nodes_have_the_golden_bytes() {
+    check_messages("peer.txt", &peer_messages());
+}
+
+#[gtest]
+fn messages_from_routers_have_the_golden_bytes() {
+    check_messages("from_follower.txt", &from_follower_messages());
+}
+
+#[gtest]
+fn messages_to_routers_have_the_golden_bytes() {
+    check_messages("to_follower.txt", &to_follower_messages());
+}
+
+#[gtest]
+fn admin_requests_have_the_golden_bytes() {
+    check_values("admin_request.txt", &admin_requests());
+}
+
+#[gtest]
+fn admin_responses_have_the_golden_bytes() {
+    check_values("admin_response.txt", &admin_responses());
+}
+
+#[gtest]
+fn compressed_frame_has_the_golden_bytes() {
+    let message = repetitive_message();
+    let golden = check_fragments("compressed.txt", &message);
+    expect_that!(golden.len(), eq(1));
+    expect_that!(flags(&golden[0].bytes), eq(0x20), "compressed");
+    expect_that!(encode(&message), eq(&golden[0].bytes));
+}
+
+#[gtest]
+fn fragments_of_an_incompressible_message_have_the_golden_bytes() {
+    let golden = check_fragments("fragmented.txt", &varied_message());
+    expect_that!(golden.len(), eq(2));
+    expect_that!(flags(&golden[0].bytes), eq(0x80), "a fragment");
+    expect_that!(flags(&golden[1].bytes), eq(0xc0), "the last fragment");
+}
+
+#[gtest]
+fn fragments_of_a_compressed_message_have_the_golden_bytes() {
+    let golden = check_fragments("compressed_fragmented.txt", &half_repetitive_message());
+    expect_that!(golden.len(), eq(2));
+    expect_that!(flags(&golden[0].bytes), eq(0xa0), "a compressed fragment");
+    expect_that!(flags(&golden[1].bytes), eq(0xe0), "the last compressed fragment");
+}
