--- /dev/null
+++ b/settings/tests/golden.rs
@@ -0,0 +1,168 @@
+//! The settings object's field names, default values and error texts stay as they are: whole files are kept in `golden/`.
+
+use brookfield::{Discovery, Effect, Group, Reports, Weights, ZoneId};
+use brookfield_settings::{Site, read};
+use serde_json::{Value, json};
+
+const EVERY_FIELD: &str = include_str!("golden/every-field.json");
+const REQUIRED_FIELDS: &str = include_str!("golden/required-fields.json");
+
+fn parse(text: &str) -> Value {
+    serde_json::from_str(text).expect("a golden file of JSON")
+}
+
+fn site(text: &str) -> Site {
+    let read = read(&parse(text));
+    assert!(read.is_ok(), "{}", read.err().map(|error| error.to_string()).unwrap_or_default());
+    read.ok().expect("settings that can be read")
+}
+
+/// The error text for the file with every field, where the value at a path is another one.
+fn error_with(pointer: &str, value: Value) -> String {
+    let mut settings = parse(EVERY_FIELD);
+    *settings.pointer_mut(pointer).expect("a field of the file") = value;
+    read(&settings).err().expect("settings that are refused").to_string()
+}
+
+#[test]
+fn classes_and_tenants_of_a_file_with_every_field_are_read() {
+    let site = site(EVERY_FIELD);
+    let keyed = |group: Group, window: u64| Effect::Keyed { group, window };
+    let effects = [
+        Effect::Repeatable,
+        Effect::Once,
+        keyed(Group::All, 6_000_000_000),
+        keyed(Group::Zone, 7_000_000_000),
+        keyed(Group::Cell, 8_000_000_000),
+    ];
+    let times = [(150_000_000, 900_000_000), (700_000_000, 3_000_000_000), (1, 2), (3, 4), (5, 6)];
+    let worths = [(2.5, 0.5), (1.0, 0.0), (1.0, 0.0), (1.0, 0.0), (1.0, 0.0)];
+    let classes = &site.settings.classes;
+    assert_eq!(classes.iter().map(|class| class.effect).collect::<Vec<_>>(), effects);
+    assert_eq!(classes.iter().map(|class| (class.aim, class.deadline)).collect::<Vec<_>>(), times);
+    assert_eq!(classes.iter().map(|class| (class.worth, class.late_share)).collect::<Vec<_>>(), worths);
+    for class in classes {
+        assert_eq!(class.attempts, None);
+        assert_eq!(class.patience, None);
+        assert!(!class.again_late);
+    }
+    assert_eq!(site.settings.tenants, [40.5, 12.0]);
+}
+
+#[test]
+fn other_settings_of_a_file_with_every_field_are_read() {
+    let settings = site(EVERY_FIELD).settings;
+    assert_eq!(settings.home, ZoneId(1));
+    assert_eq!(settings.zones, 3);
+    assert_eq!(settings.nodes, 5);
+    assert_eq!(settings.over_share_worth, 0.25);
+    assert_eq!(settings.discovery, Discovery::Asked);
+    assert_eq!(settings.weights, Weights::Live);
+    assert_eq!(settings.reports, Reports::Pull);
+    assert_eq!(settings.probe_price, 0.125);
+    assert_eq!(settings.worst_class_goal, 0.375);
+    assert!(settings.repeats_marked);
+    assert!(settings.worth_by_work);
+    assert_eq!(settings.quantum, 2_500_000);
+}
+
+#[test]
+fn limits_and_rules_of_a_file_with_every_field_are_read() {
+    let site = site(EVERY_FIELD);
+    let limits = &site.settings.limits;
+    assert_eq!(limits.attempts, 4);
+    assert!(limits.second_copies);
+    assert!(limits.probes);
+    assert!(limits.cancel);
+    assert_eq!(limits.retry_after, 1_250_000_000);
+    let rules = &site.settings.rules;
+    assert_eq!(rules.answer_slack, 31_000_000);
+    assert_eq!(rules.ask_within, 9_500_000_000);
+    assert_eq!(rules.drain_grace, 620_000_000);
+    assert_eq!(rules.start_capacity, 0.2);
+    assert_eq!(rules.warm_after, 17_000_000_000);
+    assert_eq!(rules.tip_multiple, 1.75);
+    assert_eq!(rules.fall_span, 1_900_000_000);
+    assert_eq!(site.links.idle, 21_000_000_000);
+    assert_eq!(site.links.connect_timeout, 350_000_000);
+}
+
+#[test]
+fn names_of_a_file_with_every_field_have_their_numbers() {
+    let mut words = site(EVERY_FIELD).words;
+    let classes = ["lookup", "order", "sync", "sync-zone", "sync-cell", "unknown"];
+    let numbers = [Some(0), Some(1), Some(2), Some(3), Some(4), None];
+    assert_eq!(classes.map(|name| words.class(name)), numbers);
+    assert_eq!(["cell-a", "cell-b", "cell-c", "new"].map(|name| words.zone(name)), [0, 1, 2, 3].map(ZoneId));
+    assert_eq!(words.zone_name(ZoneId(2)), Some("cell-c"));
+    assert_eq!(["small", "large", "new"].map(|name| words.kind(name)), [0, 1, 2]);
+    assert_eq!(
+        [Some("red"), Some("blue"), Some("green"), None].map(|name| words.tenant(name)),
+        [Some(0), Some(1), None, None]
+    );
+}
+
+#[test]
+fn fields_that_a_file_lacks_have_their_default_values() {
+    let site = site(REQUIRED_FIELDS);
+    let settings = &site.settings;
+    assert_eq!((settings.home, settings.zones, settings.nodes), (ZoneId(0), 1, 1));
+    assert_eq!((settings.classes[0].worth, settings.classes[0].late_share), (1.0, 0.0));
+    assert!(settings.tenants.is_empty());
+    assert_eq!(settings.over_share_worth, 1.0);
+    assert_eq!(settings.discovery, Discovery::Pushed);
+    assert_eq!(settings.weights, Weights::Size);
+    assert_eq!(settings.reports, Reports::Silent);
+    assert_eq!(settings.probe_price, 0.0);
+    assert_eq!(settings.worst_class_goal, 0.0);
+    assert!(!settings.repeats_marked);
+    assert!(!settings.worth_by_work);
+    assert_eq!(settings.quantum, 1_000_000);
+    let limits = &settings.limits;
+    assert_eq!((limits.attempts, limits.retry_after), (2, 0));
+    assert!(!limits.second_copies && !limits.probes && !limits.cancel);
+    assert_eq!(settings.rules.ask_within, u64::MAX);
+    assert_eq!((site.links.idle, site.links.connect_timeout), (15_000_000_000, 250_000_000));
+}
+
+#[test]
+fn words_that_choose_among_values_choose_the_same_ones() {
+    let with = |pointer: &str, value: &str| {
+        let mut settings = parse(EVERY_FIELD);
+        *settings.pointer_mut(pointer).expect("a field of the file") = value.into();
+        site(&settings.to_string()).settings
+    };
+    assert_eq!(with("/discovery", "pushed").discovery, Discovery::Pushed);
+    assert_eq!(with("/weights", "size").weights, Weights::Size);
+    assert_eq!(with("/report/how", "piggyback").reports, Reports::Piggyback);
+    assert_eq!(with("/report/how", "none").reports, Reports::Silent);
+    assert!(!with("/worth-by", "request").worth_by_work);
+}
+
+#[test]
+fn wrong_fields_are_refused_with_the_same_texts() {
+    let wrong = |field: &str| format!("{field} is missing or of the wrong type");
+    assert_eq!(error_with("/az", json!("cell-z")), wrong("settings: field az"));
+    assert_eq!(error_with("/discovery", json!("guessed")), wrong("settings: field discovery"));
+    assert_eq!(error_with("/n-instances", json!("five")), wrong("settings: field n-instances"));
+    assert_eq!(error_with("/classes/0", json!(7)), "settings: classes: not objects");
+    assert_eq!(error_with("/classes/1/effect", json!("twice")), wrong("settings: classes: field effect"));
+    assert_eq!(
+        error_with("/classes/2/key-scope", json!("rack")),
+        wrong("settings: classes: field key-scope")
+    );
+    assert_eq!(error_with("/classes/3/window-ns", json!(null)), wrong("settings: classes: field window-ns"));
+    assert_eq!(error_with("/projects/0", json!([])), "settings: projects: not objects");
+    assert_eq!(
+        error_with("/projects/1/quota-rps", json!("much")),
+        wrong("settings: projects: field quota-rps")
+    );
+    assert_eq!(
+        error_with("/policy-limits/attempts-cap", json!(1.5)),
+        wrong("policy-limits: field attempts-cap")
+    );
+    assert_eq!(error_with("/rules/fall-ns", json!(null)), wrong("rules: field fall-ns"));
+    assert_eq!(error_with("/goal", json!(null)), wrong("settings: field goal"));
+    assert_eq!(error_with("/prices/probe", json!("free")), "prices: field probe is of the wrong type");
+    assert_eq!(read(&json!([])).err().expect("refused").to_string(), "settings: not an object");
+}
