--- /dev/null
+++ b/protocol/tests/golden_configuration.rs
@@ -0,0 +1,222 @@
+//! How a configuration and a patch are read, kept and given back stays as it is, as do the texts for invalid ones: whole documents
+//! and texts are kept in `golden/`.
+
+mod golden_files;
+
+use golden_files::compare_text;
+use googletest::prelude::*;
+use ivyhatch_protocol::configuration::{
+    Change, Configuration, ConfigurationError, Document, Engine, Limits, Route, RouteKind, Service, Split,
+};
+
+const CONFIGURATION: &str = include_str!("golden/configuration.json");
+const PATCH: &str = include_str!("golden/patch.json");
+/// The version that is in force before the golden configuration.
+const CURRENT_REVISION: u64 = 40;
+
+fn document() -> Document {
+    Document::read(CONFIGURATION.as_bytes()).expect("a golden configuration that can be read")
+}
+
+fn patch() -> Change {
+    Change::read(PATCH.as_bytes()).expect("a golden patch that can be read")
+}
+
+fn split(service: &str, weight: f64) -> Split {
+    Split { service: service.to_owned(), weight }
+}
+
+/// A route that names only the required fields.
+fn plain_route(
+    name: &str,
+    place: (&str, &str),
+    route_kind: RouteKind,
+    timeout_ms: f64,
+    service: &str,
+) -> Route {
+    Route {
+        name: name.to_owned(),
+        host: place.0.to_owned(),
+        path_prefix: place.1.to_owned(),
+        route_kind,
+        timeout_ms,
+        target_ms: 0.0,
+        priority: 0,
+        service: Some(service.to_owned()),
+        split: Vec::new(),
+        max_tries: 1,
+        sticky: false,
+        resumable: false,
+        gap_aim_ms: 0.0,
+        home_regions: Vec::new(),
+    }
+}
+
+fn chat_route() -> Route {
+    Route {
+        target_ms: 700.0,
+        priority: 1,
+        service: None,
+        split: vec![split("chat-large", 3.0), split("chat-small", 0.5)],
+        max_tries: 3,
+        sticky: true,
+        resumable: true,
+        gap_aim_ms: 250.0,
+        home_regions: vec!["lima".to_owned(), "santiago".to_owned()],
+        ..plain_route("chat", ("Chat.Example", "/v1/chat/"), RouteKind::Streaming, 45_000.5, "")
+    }
+}
+
+fn services() -> Vec<Service> {
+    let large = Service {
+        name: "chat-large".to_owned(),
+        health_path: "/alive".to_owned(),
+        max_conns: 480.0,
+        cold_s: 4.5,
+        cold_per_s: 11.0,
+        engine: Some(Engine { slots: 24.0, cache_tokens: 98_000.0 }),
+    };
+    let small = Service {
+        name: "chat-small".to_owned(),
+        health_path: String::new(),
+        max_conns: 1000.0,
+        cold_s: 0.0,
+        cold_per_s: 0.0,
+        engine: None,
+    };
+    vec![large, small]
+}
+
+fn configuration() -> Configuration {
+    let routes = vec![
+        chat_route(),
+        plain_route("embed", ("chat.example", "/v1/embed/"), RouteKind::Safe, 900.0, "chat-small"),
+        plain_route("order", ("shop.example", "/"), RouteKind::Unsafe, 1200.0, "chat-large"),
+    ];
+    let limits = Limits {
+        max_header_bytes: 9000.0,
+        max_body_bytes: 70_000.0,
+        header_timeout_ms: 2100.0,
+        idle_timeout_ms: 8200.0,
+    };
+    Configuration { revision: 41, routes, services: services(), limits }
+}
+
+/// The outcome for the golden configuration with one text replaced by another.
+fn checked_with(from: &str, to: &str) -> std::result::Result<Configuration, ConfigurationError> {
+    assert!(CONFIGURATION.contains(from), "{from} does not stand there");
+    Document::read(CONFIGURATION.replacen(from, to, 1).as_bytes())?.checked(CURRENT_REVISION)
+}
+
+fn error_with(from: &str, to: &str) -> String {
+    checked_with(from, to).expect_err("a configuration that is refused").to_string()
+}
+
+fn patch_error(text: &str) -> String {
+    Change::read(text.as_bytes()).expect_err("a patch that is refused").to_string()
+}
+
+fn compare_errors(file: &str, errors: &[(&str, String)]) {
+    let text: String = errors.iter().map(|(name, text)| format!("{name}: {text}\n")).collect();
+    compare_text(file, &text);
+}
+
+#[gtest]
+fn golden_configuration_is_read_with_all_of_its_fields() {
+    expect_that!(document().checked(CURRENT_REVISION), ok(eq(&configuration())));
+    let kinds = [RouteKind::Safe, RouteKind::Unsafe, RouteKind::Streaming].map(|kind| kind.to_string());
+    expect_that!(kinds.join(" ").as_str(), eq("safe unsafe streaming"));
+}
+
+#[gtest]
+fn fields_that_a_configuration_lacks_have_their_default_values() {
+    let document = Document::read(br#"{"revision":1}"#).expect("a readable configuration");
+    let limits = Limits {
+        max_header_bytes: 16_384.0,
+        max_body_bytes: 4_194_304.0,
+        header_timeout_ms: 3000.0,
+        idle_timeout_ms: 15_000.0,
+    };
+    let expected = Configuration { revision: 1, routes: Vec::new(), services: Vec::new(), limits };
+    expect_that!(document.checked(0), ok(eq(&expected)));
+}
+
+#[gtest]
+fn golden_configuration_is_given_back_as_the_golden_text() {
+    let document = document();
+    compare_text("configuration-text.json", &document.text());
+    let sections: Vec<&str> = document.sections.keys().map(String::as_str).collect();
+    expect_that!(sections.join(" ").as_str(), eq("routes services tenants"));
+    let rest: Vec<&str> = document.rest.keys().map(String::as_str).collect();
+    expect_that!(rest.join(" ").as_str(), eq("limits owner"));
+}
+
+#[gtest]
+fn golden_patch_is_applied_to_the_golden_text() {
+    let patched = document().with(&patch());
+    expect_that!(patched.checked(41), ok(anything()));
+    compare_text("patched-text.json", &patched.text());
+}
+
+#[gtest]
+fn change_between_the_golden_documents_leads_from_one_to_the_other() {
+    let patched = document().with(&patch());
+    expect_that!(document().with(&document().change_to(&patched)), eq(&patched));
+    let back = patched.with(&patched.change_to(&document()));
+    compare_text("reverted-text.json", &back.text());
+}
+
+#[gtest]
+fn configurations_that_cannot_be_read_are_refused_with_the_same_texts() {
+    let errors = [
+        ("not_json", error_with("\"revision\": 41,", "\"revision\" 41,")),
+        ("not_an_object", Document::read(b"[]").expect_err("refused").to_string()),
+        ("cut_short", Document::read(b"{\"revision\":41,\"routes\":[").expect_err("refused").to_string()),
+        ("revision_missing", error_with("\"revision\": 41,", "")),
+        ("revision_not_whole", error_with("\"revision\": 41,", "\"revision\": 41.5,")),
+        ("revision_text", error_with("\"revision\": 41,", "\"revision\": \"41\",")),
+        ("item_twice", error_with("\"name\": \"order\"", "\"name\": \"embed\"")),
+        ("route_field_missing", error_with("\"route_kind\": \"safe\", ", "")),
+        ("route_kind_unknown", error_with("\"route_kind\": \"safe\"", "\"route_kind\": \"careful\"")),
+        ("route_number_is_text", error_with("\"timeout_ms\": 900", "\"timeout_ms\": \"long\"")),
+        ("service_flag_is_number", error_with("\"sticky\": true", "\"sticky\": 1")),
+        ("engine_field_missing", error_with("{\"slots\": 24, ", "{")),
+        ("limit_is_text", error_with("\"max_body_bytes\": 70000", "\"max_body_bytes\": \"many\"")),
+        ("nested_too_deep", error_with("\"platform\"", &format!("{}{}", "[".repeat(127), "]".repeat(127)))),
+    ];
+    compare_errors("configuration-unreadable.txt", &errors);
+}
+
+#[gtest]
+fn configurations_that_make_no_sense_are_refused_with_the_same_texts() {
+    let weights =
+        "[{\"service\": \"chat-large\", \"weight\": 3}, {\"service\": \"chat-small\", \"weight\": 0.5}]";
+    let order = "\"host\": \"shop.example\", \"path_prefix\": \"/\"";
+    let errors = [
+        ("revision_not_above", error_with("\"revision\": 41,", "\"revision\": 40,")),
+        ("service_unknown", error_with("\"service\": \"chat-small\"},\n", "\"service\": \"chat-none\"},\n")),
+        ("split_service_unknown", error_with("{\"service\": \"chat-small\"", "{\"service\": \"chat-none\"")),
+        (
+            "service_missing",
+            error_with("\"timeout_ms\": 1200,\n     \"service\": \"chat-large\"", "\"timeout_ms\": 1200"),
+        ),
+        ("no_weight", error_with(weights, "[{\"service\": \"chat-large\", \"weight\": 0}]")),
+        ("negative_weight", error_with("\"weight\": 0.5", "\"weight\": -0.5")),
+        ("no_timeout", error_with("\"timeout_ms\": 1200", "\"timeout_ms\": 0")),
+        ("same_place", error_with(order, "\"host\": \"CHAT.example\", \"path_prefix\": \"/v1/embed/\"")),
+    ];
+    compare_errors("configuration-invalid.txt", &errors);
+}
+
+#[gtest]
+fn patches_that_cannot_be_read_are_refused_with_the_same_texts() {
+    let errors = [
+        ("cut_short", patch_error(r#"{"revision":42,"upsert":{"routes":[{"name":"#)),
+        ("revision_missing", patch_error(r#"{"upsert":{}}"#)),
+        ("upsert_not_an_object", patch_error(r#"{"revision":42,"upsert":[]}"#)),
+        ("upsert_without_name", patch_error(r#"{"revision":42,"upsert":{"routes":[{"host":"a"}]}}"#)),
+        ("upsert_twice", patch_error(r#"{"revision":42,"upsert":{"routes":[{"name":"a"},{"name":"a"}]}}"#)),
+        ("remove_not_lists", patch_error(r#"{"revision":42,"remove":{"routes":"embed"}}"#)),
+    ];
+    compare_errors("patch-unreadable.txt", &errors);
+}
--- a/protocol/tests/golden_files/mod.rs
+++ b/protocol/tests/golden_files/mod.rs
@@ -1,6 +1,7 @@
-//! Golden files of bytes: one `name: hex` line for each encoded value.
+//! Golden files: of bytes, one `name: hex` line for each encoded value, or of text.
+#![allow(dead_code)]
 
-use std::fmt::Write;
+use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
 
 /// Set to `1` in the environment, this writes the golden files anew instead of comparing with them.
@@ -27,14 +28,34 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file)
 }
 
+/// Whether the golden files are to be written anew.
+fn is_update() -> bool {
+    std::env::var(UPDATE_VARIABLE).is_ok_and(|value| value == "1")
+}
+
+fn write(file: &str, text: &str) {
+    std::fs::write(path(file), text).expect("a folder that can be written to");
+}
+
+fn read(file: &str) -> String {
+    std::fs::read_to_string(path(file)).expect("a golden file that can be read")
+}
+
+/// Compares a text with the golden file. Where the environment asks for an update, the file is written first.
+pub fn compare_text(file: &str, text: &str) {
+    if is_update() {
+        write(file, text);
+    }
+    assert_eq!(text, read(file), "{file}");
+}
+
 /// Compares the lines with those of the golden file, which has to hold the same names in the same order, and returns those of the
 /// file. Where the environment asks for an update, the file is written first.
 pub fn compare(file: &str, lines: &[GoldenLine]) -> Vec<GoldenLine> {
-    let is_update = std::env::var(UPDATE_VARIABLE).is_ok_and(|value| value == "1");
-    if is_update {
-        std::fs::write(path(file), to_text(lines)).expect("a folder that can be written to");
+    if is_update() {
+        write(file, &to_text(lines));
     }
-    let text = std::fs::read_to_string(path(file)).expect("a golden file that can be read");
+    let text = read(file);
     let golden: Vec<GoldenLine> = text.lines().map(parse_line).collect();
     let golden_names: Vec<&str> = golden.iter().map(|line| line.name.as_str()).collect();
     let names: Vec<&str> = lines.iter().map(|line| line.name.as_str()).collect();
--- a/settings/tests/golden.rs
+++ b/settings/tests/golden.rs
@@ -12,9 +12,7 @@
 }
 
 fn site(text: &str) -> Site {
-    let read = read(&parse(text));
-    assert!(read.is_ok(), "{}", read.err().map(|error| error.to_string()).unwrap_or_default());
-    read.ok().expect("settings that can be read")
+    read(&parse(text)).expect("settings that can be read")
 }
 
 /// The error text for the file with every field, where the value at a path is another one.
