--- a/agent/src/agent.rs
+++ b/agent/src/agent.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
+use ivyhatch_admin_protocol::{Bounds, ask, listen, serve};
 use ivyhatch_config::{Config, Instance as Told};
-use ivyhatch_wire::{Bounds, ask, listen, serve};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
--- a/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -1,6 +1,6 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
-#![doc = include_str!("../README.md")]
+#![doc = include_str!("../../README.md")]
 
 mod advice;
 pub mod api;
--- a/src/policy/probes.rs
+++ b/balancer/src/policy/probes.rs
@@ -1,7 +1,7 @@
 //! Probes for load reports: what they may cost, what a fresh figure would change, and what one tells. Whose
 //! turn comes when is the scheduler's, in `probing/`.
 
-use brookfield_probing::{Candidate, End, Interest, Limits as Bounds, Scheduler};
+use ivyhatch_load_probing::{Candidate, End, Interest, Limits as Bounds, Scheduler};
 
 use super::figures::*;
 use crate::api::*;
--- a/src/state.rs
+++ b/balancer/src/state.rs
@@ -4,7 +4,7 @@
 use std::cell::Cell;
 use std::collections::{BTreeMap, VecDeque};
 
-use brookfield_probing::Scheduler;
+use ivyhatch_load_probing::Scheduler;
 
 use crate::advice::Advice;
 use crate::api::*;
--- a/tests/advice.rs
+++ b/balancer/tests/advice.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use brookfield::*;
 use common::*;
+use ivyhatch_balancer::*;
 
 /// An embedder's word on single requests and backends.
 #[derive(Clone, Default)]
--- a/tests/any_sequence.rs
+++ b/balancer/tests/any_sequence.rs
@@ -2,8 +2,8 @@
 //! Nothing is modelled: outcomes are drawn, not computed.
 
 mod common;
-use brookfield::*;
 use common::*;
+use ivyhatch_balancer::*;
 use std::collections::BTreeMap;
 
 struct Draw(u64);
--- a/tests/choice.rs
+++ b/balancer/tests/choice.rs
@@ -1,8 +1,8 @@
 //! The design: home under the threshold, one best overflow zone, home when none qualifies.
 
 mod common;
-use brookfield::*;
 use common::*;
+use ivyhatch_balancer::*;
 
 fn zones() -> Vec<Member> {
     (0..6).map(|backend| member(backend, backend / 2)).collect()
--- a/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A node under test and the words for feeding it.
 #![allow(dead_code)]
 
-use brookfield::*;
+use ivyhatch_balancer::*;
 
 pub const MS: Nanos = 1_000_000;
 pub const SECOND: Nanos = 1000 * MS;
--- a/tests/common/world.rs
+++ b/balancer/tests/common/world.rs
@@ -6,7 +6,7 @@
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant};
 
-use brookfield::*;
+use ivyhatch_balancer::*;
 
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1000 * MS;
--- a/tests/contract.rs
+++ b/balancer/tests/contract.rs
@@ -1,8 +1,8 @@
 //! The four rules, one by one.
 
 mod common;
-use brookfield::*;
 use common::*;
+use ivyhatch_balancer::*;
 
 const RAN: [Outcome; 5] =
     [Outcome::Error, Outcome::Spoilt, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled];
--- a/tests/many.rs
+++ b/balancer/tests/many.rs
@@ -1,8 +1,8 @@
 //! Failures found where nodes are many: each sees little, shares nothing, and must not act as one.
 
 mod common;
-use brookfield::*;
 use common::*;
+use ivyhatch_balancer::*;
 
 const NODES: u32 = 300;
 
--- a/tests/probing.rs
+++ b/balancer/tests/probing.rs
@@ -1,8 +1,8 @@
 //! Load reports by probe: what they may cost, and what a figure that lies, is old or does not come may not do.
 
 mod common;
-use brookfield::*;
 use common::*;
+use ivyhatch_balancer::*;
 
 fn pulled() -> Settings {
     let mut given = settings(Effect::Repeatable);
--- a/tests/recorded.rs
+++ b/balancer/tests/recorded.rs
@@ -9,7 +9,7 @@
 
 use std::fmt::Write;
 
-use brookfield::Weights;
+use ivyhatch_balancer::Weights;
 use world::{Shape, World};
 
 const MS: u64 = 1_000_000;
--- a/tests/troubles.rs
+++ b/balancer/tests/troubles.rs
@@ -1,8 +1,8 @@
 //! Each failure met so far, as small as it can be shown.
 
 mod common;
-use brookfield::*;
 use common::*;
+use ivyhatch_balancer::*;
 
 fn fleet(count: u32) -> Vec<Member> {
     (0..count).map(|backend| member(backend, 0)).collect()
--- a/cli/src/config.rs
+++ b/cli/src/config.rs
@@ -152,14 +152,14 @@
 }
 
 pub fn node(node: Node) -> ExitCode {
-    let (Some(file), Some(name)) = (node.config, node.instance) else { return badgerpost::run() };
+    let (Some(file), Some(name)) = (node.config, node.instance) else { return ivyhatch_node::run() };
     let seed = rand::random();
     let log = match told(&file, &name, seed) {
         Ok((read, _)) => read.config.log,
         Err(error) => return unusable(&error),
     };
     let instance = Some(name.clone());
-    badgerpost::run_as(badgerpost::Start {
+    ivyhatch_node::run_as(ivyhatch_node::Start {
         configuration: Box::new(move || Ok(told(&file, &name, seed)?.1)),
         level: log.level.parse().expect("checked"),
         json: log.format == "json",
--- a/cli/src/fleet/command.rs
+++ b/cli/src/fleet/command.rs
@@ -3,8 +3,8 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+use ivyhatch_admin_protocol::{WireError, ask};
 use ivyhatch_agent::{Outcome, Phase, Refusal, Shown, Wanted};
-use ivyhatch_wire::{WireError, ask};
 use serde_json::json;
 use tokio::time::sleep;
 
--- a/cli/src/fleet/query.rs
+++ b/cli/src/fleet/query.rs
@@ -4,8 +4,8 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
+use ivyhatch_admin_protocol::ask;
 use ivyhatch_agent::{Phase, Shown, Status};
-use ivyhatch_wire::ask;
 use serde_json::json;
 use tokio::task::JoinSet;
 
--- a/cli/src/fleet/show.rs
+++ b/cli/src/fleet/show.rs
@@ -4,8 +4,8 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
+use ivyhatch_admin_protocol::ask;
 use ivyhatch_agent::Shown;
-use ivyhatch_wire::ask;
 use serde_json::{Value, json};
 
 use super::arguments::{Logs, Show, Top};
--- a/cli/src/sockets.rs
+++ b/cli/src/sockets.rs
@@ -6,7 +6,7 @@
 
 use clap::Args;
 use ivyhatch_lab::{Report, World, play};
-use ivyhatch_rig::{Command, RigError, Snapshot};
+use ivyhatch_socket_lab::{Command, RigError, Snapshot};
 
 use crate::unusable;
 
@@ -27,7 +27,7 @@
     let runtime = runtime.map_err(|error| format!("can't start: {error}"))?;
     runtime.block_on(async {
         tokio::select! {
-            report = ivyhatch_rig::play(world, seed, &node, watch) => report.map(Some).map_err(|error: RigError| error.to_string()),
+            report = ivyhatch_socket_lab::play(world, seed, &node, watch) => report.map(Some).map_err(|error: RigError| error.to_string()),
             _ = tokio::signal::ctrl_c() => Ok(None),
         }
     })
--- a/cli/src/system.rs
+++ b/cli/src/system.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 use bpaf::{OptionParser, Parser, construct, long, pure};
-use ivyhatch_world::hunt::{self, Found};
+use ivyhatch_simulation::hunt::{self, Found};
 
 /// A role, or the hunt.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -129,7 +129,7 @@
 fn replay(file: &std::path::Path) -> ExitCode {
     match Found::read(file) {
         Ok(found) => {
-            let outcome = ivyhatch_world::run::play_traced(&found.plan, found.planted);
+            let outcome = ivyhatch_simulation::run::play_traced(&found.plan, found.planted);
             outcome.trace.iter().for_each(|line| println!("{line}"));
             match outcome.violation {
                 Some(violation) => {
--- a/cli/tests/common/mod.rs
+++ b/cli/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)]
 
-use ivyhatch_rig::scripted::Backend;
+use ivyhatch_socket_lab::scripted::Backend;
 use serde_json::{Value, json};
 
 /// A process that ends with the test, whatever becomes of that.
--- a/cli/tests/config.rs
+++ b/cli/tests/config.rs
@@ -7,7 +7,7 @@
 use std::process::{Command, Output, Stdio};
 
 use common::{Ends, fleet, listed};
-use ivyhatch_rig::scripted::{Backend, Client, Discovery, Does, ok};
+use ivyhatch_socket_lab::scripted::{Backend, Client, Discovery, Does, ok};
 use serde_json::{Value, json};
 
 fn ivyhatch(arguments: &[&str]) -> Output {
--- a/cli/tests/control.rs
+++ b/cli/tests/control.rs
@@ -9,7 +9,7 @@
 use std::process::{Command, Stdio};
 
 use common::{Ends, fleet, listed};
-use ivyhatch_rig::scripted::{Backend, Client, Discovery, Does, PATIENCE, ok, until};
+use ivyhatch_socket_lab::scripted::{Backend, Client, Discovery, Does, PATIENCE, ok, until};
 use serde_json::{Value, json};
 
 struct Socket(BufReader<UnixStream>);
--- a/cli/tests/fleet.rs
+++ b/cli/tests/fleet.rs
@@ -13,7 +13,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use common::listed;
-use ivyhatch_rig::scripted::{Backend, Client, Discovery, Does, ok, status, until};
+use ivyhatch_socket_lab::scripted::{Backend, Client, Discovery, Does, ok, status, until};
 use serde_json::{Value, json};
 
 /// An agent with its nodes; all of them end with the test.
--- a/cli/tests/system_common/platform.rs
+++ b/cli/tests/system_common/platform.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-use ivyhatch_rig::scripted::read_message;
+use ivyhatch_socket_lab::scripted::read_message;
 use serde_json::{Value, json};
 
 const PAGE: usize = 2;
--- a/cli/tests/system_records.rs
+++ b/cli/tests/system_records.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 
 use googletest::prelude::*;
-use ivyhatch_records::Log;
+use ivyhatch_wal::Log;
 use serde_json::json;
 use system_common::{CORE, Process, Site, configuration};
 
--- a/lab/src/play/clients.rs
+++ b/lab/src/play/clients.rs
@@ -5,7 +5,7 @@
 use crate::arrivals::Asks;
 use crate::oracle::SLACK;
 use crate::world::BACK;
-use brookfield::{Arrival, ClassId, Event, RequestId};
+use ivyhatch_balancer::{Arrival, ClassId, Event, RequestId};
 
 impl Play<'_> {
     /// Closed clients come within the first tenth of a second, dealt out by the zones' shares.
--- a/lab/src/play/links.rs
+++ b/lab/src/play/links.rs
@@ -3,7 +3,7 @@
 use super::{MS, Next, Play, usual};
 use crate::Nanos;
 use crate::world::millis;
-use brookfield::Outcome;
+use ivyhatch_balancer::Outcome;
 
 /// A message that is lost is sent again after this time.
 const AGAIN: Nanos = 200 * MS;
--- a/lab/src/play/mod.rs
+++ b/lab/src/play/mod.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::rc::Rc;
 
-use brookfield::{Action, Event, Member, Settings};
+use ivyhatch_balancer::{Action, Event, Member, Settings};
 
 pub use decider::Decider;
 use state::{Attempt, Client, Next, Node, Open, Probe, Try, Who, Work};
--- a/lab/src/play/servers.rs
+++ b/lab/src/play/servers.rs
@@ -4,7 +4,7 @@
 use super::{Attempt, MS, Next, Open, Play, Probe, Try, Work};
 use crate::Nanos;
 use crate::server::{Job, State, Taken};
-use brookfield::{BackendId, Event, Outcome, Report as Figures, RequestId, Settlement};
+use ivyhatch_balancer::{BackendId, Event, Outcome, Report as Figures, RequestId, Settlement};
 
 /// A connection over a cut is given up after this time, a probe after that.
 const CONNECT: Nanos = 250 * MS;
--- a/lab/src/play/setup.rs
+++ b/lab/src/play/setup.rs
@@ -2,7 +2,9 @@
 
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
-use brookfield::{Balancer, ClassSettings, Discovery, Effect, Event, Reports, RuleFigures, Settings, ZoneId};
+use ivyhatch_balancer::{
+    Balancer, ClassSettings, Discovery, Effect, Event, Reports, RuleFigures, Settings, ZoneId,
+};
 
 use super::{Decider, MS, Next, Node, Play, START, Who};
 use crate::arrivals::Arrivals;
@@ -137,7 +139,7 @@
             play.tell(node, Event::Start);
             let list = play.list();
             let members = play.lists_made[list].to_vec();
-            play.tell(node, Event::Fleet { scope: brookfield::ListScope::Cached, members });
+            play.tell(node, Event::Fleet { scope: ivyhatch_balancer::ListScope::Cached, members });
         }
         if world.discovery.whole_every > 0.0 {
             play.at(START + seconds(world.discovery.whole_every), Next::Whole);
--- a/lab/src/play/state.rs
+++ b/lab/src/play/state.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use brookfield::Balancer;
+use ivyhatch_balancer::Balancer;
 
 use super::links;
 use crate::Nanos;
--- a/lab/src/play/troubles.rs
+++ b/lab/src/play/troubles.rs
@@ -5,7 +5,7 @@
 use crate::Nanos;
 use crate::server::State;
 use crate::world::{Kind, seconds};
-use brookfield::{BackendId, Event, ListScope, Member, Stage, ZoneId};
+use ivyhatch_balancer::{BackendId, Event, ListScope, Member, Stage, ZoneId};
 
 /// A call for the list that finds nobody fails after this time.
 const CALL: Nanos = 250 * MS;
--- a/lab/src/reference.rs
+++ b/lab/src/reference.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use brookfield::{Action, Arrival, BackendId, Event, ListScope, RequestId, Settlement, Stage};
+use ivyhatch_balancer::{Action, Arrival, BackendId, Event, ListScope, RequestId, Settlement, Stage};
 use serde::{Deserialize, Serialize};
 
 use crate::Nanos;
--- a/probing/benches/turns.rs
+++ b/load-probing/benches/turns.rs
@@ -1,8 +1,8 @@
-//! What a probe's turn costs: `cargo bench -p brookfield-probing`. One iteration is ten arrivals, the turns they
+//! What a probe's turn costs: `cargo bench -p ivyhatch-load-probing`. One iteration is ten arrivals, the turns they
 //! pay for, and the ends of these.
 
-use brookfield_probing::{Candidate, End, Limits, Scheduler};
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
+use ivyhatch_load_probing::{Candidate, End, Limits, Scheduler};
 
 const MS: u64 = 1_000_000;
 
--- a/probing/tests/scheduler.rs
+++ b/load-probing/tests/scheduler.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use brookfield_probing::{Candidate, End, Id, Interest, Limits, LimitsError, Nanos, Scheduler};
+use ivyhatch_load_probing::{Candidate, End, Id, Interest, Limits, LimitsError, Nanos, Scheduler};
 use proptest::prelude::*;
 
 const MS: Nanos = 1_000_000;
--- a/settings/src/lib.rs
+++ b/node-settings/src/lib.rs
@@ -1,11 +1,11 @@
-//! The operators' settings object, from its words to the module's. Every program that embeds brookfield
+//! The operators' settings object, from its words to the module's. Every program that embeds ivyhatch-balancer
 //! reads it here.
 
 mod fields;
 
 use std::collections::HashMap;
 
-use brookfield::{
+use ivyhatch_balancer::{
     ClassSettings, Discovery, Effect, Group, Limits, Nanos, Reports, RuleFigures, Settings, Weights, ZoneId,
 };
 use serde_json::Value;
--- a/node/src/control.rs
+++ b/node/src/control.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ivyhatch_wire::Bounds;
+use ivyhatch_admin_protocol::Bounds;
 use serde::Deserialize;
 use serde_json::{Value, json};
 use tokio::net::UnixListener;
@@ -49,7 +49,7 @@
 }
 
 pub async fn run(listener: UnixListener, control: Rc<Control>) {
-    ivyhatch_wire::serve(listener, BOUNDS, move |ask| control.answer(ask)).await;
+    ivyhatch_admin_protocol::serve(listener, BOUNDS, move |ask| control.answer(ask)).await;
 }
 
 impl Control {
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -3,13 +3,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use brookfield::{ListScope, Stage};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1::{SendRequest, handshake};
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
+use ivyhatch_balancer::{ListScope, Stage};
 use serde::Deserialize;
 use tokio::net::TcpStream;
 use tokio::sync::watch;
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -1,6 +1,6 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
-//! badgerpost, a load-balancing node: the decisions of `brookfield` on real sockets. This file reads the
+//! ivyhatch-node, a load-balancing node: the decisions of `ivyhatch-balancer` on real sockets. This file reads the
 //! configuration, starts the parts, heeds signals and ends the program.
 
 mod control;
@@ -125,7 +125,7 @@
     match ended {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("badgerpost: {error}");
+            eprintln!("ivyhatch-node: {error}");
             ExitCode::FAILURE
         }
     }
@@ -156,7 +156,7 @@
 ) -> Result<(), StartError> {
     // Heeded before anything else: unheeded, it would end the program.
     let hangup = signal(SignalKind::hangup())?;
-    let site = brookfield_settings::read(&config.settings).map_err(StartError::Settings)?;
+    let site = ivyhatch_node_settings::read(&config.settings).map_err(StartError::Settings)?;
     let seed = u64::from_str_radix(&config.seed, 16).map_err(|_| StartError::Seed(config.seed.clone()))?;
     // Beside the node's own, half the descriptors are for clients and three eighths for backends, of which a ninth are connections
     // that have been given up and are not closed yet; the rest is for probes, and slack.
@@ -194,7 +194,7 @@
     });
     if let Some(at) = &control_at {
         let told = |source| StartError::Control { at: at.clone(), source };
-        spawn_local(control::run(ivyhatch_wire::listen(at).map_err(told)?, control.clone()));
+        spawn_local(control::run(ivyhatch_admin_protocol::listen(at).map_err(told)?, control.clone()));
     }
     tracing::info!("{} serves at {at}", config.name);
     tracing::info!("{told}");
@@ -239,13 +239,13 @@
 
 fn reread(configuration: &Configuration) -> Result<SocketAddr, StartError> {
     let config = parse(configuration())?;
-    brookfield_settings::read(&config.settings).map_err(StartError::Settings)?;
+    ivyhatch_node_settings::read(&config.settings).map_err(StartError::Settings)?;
     Ok(config.discovery)
 }
 
 /// What the settings say that the log's other lines are read by.
-fn what_is_told(settings: &brookfield::Settings) -> String {
-    let ms = |nanos: brookfield::Nanos| nanos / 1_000_000;
+fn what_is_told(settings: &ivyhatch_balancer::Settings) -> String {
+    let ms = |nanos: ivyhatch_balancer::Nanos| nanos / 1_000_000;
     let classes: Vec<String> = settings
         .classes
         .iter()
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -2,5 +2,5 @@
 //! One node in the foreground.
 
 fn main() -> std::process::ExitCode {
-    badgerpost::run()
+    ivyhatch_node::run()
 }
--- a/node/src/pace.rs
+++ b/node/src/pace.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use brookfield::mix;
+use ivyhatch_balancer::mix;
 
 /// What each node adds to the span: a call takes a single service some hundredths of a second, and it takes all nodes' in
 /// turn. Three nodes hardly wait; a hundred that start together spread their calls over five seconds.
--- a/node/src/prober.rs
+++ b/node/src/prober.rs
@@ -7,13 +7,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use brookfield::{BackendId, Nanos, Outcome, Report};
-use brookfield_settings::Links;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::header::{HOST, HeaderValue};
 use hyper::{Request, Response, StatusCode, Uri};
+use ivyhatch_balancer::{BackendId, Nanos, Outcome, Report};
+use ivyhatch_node_settings::Links;
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 use tokio::time::sleep;
--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -2,12 +2,12 @@
 
 use std::rc::Rc;
 
-use brookfield::{Effect, Nanos};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode};
+use ivyhatch_balancer::{Effect, Nanos};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout_at};
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -7,8 +7,6 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use brookfield::{BackendId, Nanos, Outcome, Report};
-use brookfield_settings::Links;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -16,6 +14,8 @@
 use hyper::header::{HOST, HeaderMap, HeaderValue, TRANSFER_ENCODING};
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
+use ivyhatch_balancer::{BackendId, Nanos, Outcome, Report};
+use ivyhatch_node_settings::Links;
 use serde::Deserialize;
 use tokio::net::TcpStream;
 use tokio::task::{spawn_local, yield_now};
--- a/routing/src/lib.rs
+++ b/routing/src/lib.rs
@@ -1,6 +1,6 @@
 //! What a router of the system knows and decides beside the design: decides, and does no I/O.
 //!
-//! The design itself, home under the threshold and the best-scored region beyond it, is `brookfield`'s; here a region is its zone,
+//! The design itself, home under the threshold and the best-scored region beyond it, is `ivyhatch-balancer`'s; here a region is its zone,
 //! and a service's servers are its backends. This crate tells it what it can't know by itself.
 //!
 //! - [`follow`]: which control nodes are followed, and what they have told
--- a/routing/src/placement.rs
+++ b/routing/src/placement.rs
@@ -5,7 +5,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-use brookfield::{Advice, BackendId, RequestId};
+use ivyhatch_balancer::{Advice, BackendId, RequestId};
 use ivyhatch_protocol::ids::mix;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
--- a/routing/tests/placement.rs
+++ b/routing/tests/placement.rs
@@ -3,8 +3,8 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use brookfield::{Advice, BackendId, RequestId};
 use googletest::prelude::*;
+use ivyhatch_balancer::{Advice, BackendId, RequestId};
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 use ivyhatch_routing::engine::Load;
 use ivyhatch_routing::placement::{Cold, Placement, Regions, Shared};
--- a/world/tests/disk.rs
+++ b/simulation/tests/disk.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 use ivyhatch_control::Record;
 use ivyhatch_protocol::ids::{Epoch, NodeId, Part};
-use ivyhatch_world::disk::Disk;
+use ivyhatch_simulation::disk::Disk;
 
 fn promised(counter: u64) -> Vec<Record> {
     vec![Record::Promised(Part(1), Epoch { counter, node: NodeId(1), life: 1 })]
--- a/world/tests/found.rs
+++ b/simulation/tests/found.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use googletest::prelude::*;
-use ivyhatch_world::hunt::Found;
+use ivyhatch_simulation::hunt::Found;
 
 #[gtest]
 fn every_world_that_was_found_holds_now() {
--- a/world/tests/hunt.rs
+++ b/simulation/tests/hunt.rs
@@ -1,10 +1,10 @@
 //! Worlds as a whole: they play alike, hold what is promised, and show the faults that are put in.
 
 use googletest::prelude::*;
-use ivyhatch_world::hunt::{Found, broken, find, mutations, plans};
-use ivyhatch_world::plan::{Fault, Trouble, When};
-use ivyhatch_world::run::play_traced;
-use ivyhatch_world::{Plan, Planted, Rule, play};
+use ivyhatch_simulation::hunt::{Found, broken, find, mutations, plans};
+use ivyhatch_simulation::plan::{Fault, Trouble, When};
+use ivyhatch_simulation::run::play_traced;
+use ivyhatch_simulation::{Plan, Planted, Rule, play};
 
 /// How many worlds until one shows this fault, and what it shows, made short.
 fn found_within(planted: Planted, worlds: usize) -> Option<(usize, Found)> {
--- a/world/tests/oracle.rs
+++ b/simulation/tests/oracle.rs
@@ -7,10 +7,10 @@
 use ivyhatch_protocol::configuration::Document;
 use ivyhatch_protocol::ids::{NodeId, Part, ReplicaId};
 use ivyhatch_protocol::peer::{AdminRequest, AdminResponse, Membership, Voter};
-use ivyhatch_world::Rule;
-use ivyhatch_world::demand::{Demand, Kind, Operators, digest};
-use ivyhatch_world::oracle::{FollowerView, Oracle};
-use ivyhatch_world::plan::Undertaking;
+use ivyhatch_simulation::Rule;
+use ivyhatch_simulation::demand::{Demand, Kind, Operators, digest};
+use ivyhatch_simulation::oracle::{FollowerView, Oracle};
+use ivyhatch_simulation::plan::Undertaking;
 
 const WHO: (u32, u64) = (1, 1);
 
--- a/world/tests/search.rs
+++ b/simulation/tests/search.rs
@@ -1,7 +1,7 @@
 //! All interleavings of one partition among its voters, to a stated depth.
 
 use googletest::prelude::*;
-use ivyhatch_world::search::{Budget, Core, Fault, Step, search};
+use ivyhatch_simulation::search::{Budget, Core, Fault, Step, search};
 
 #[gtest]
 fn no_interleaving_breaks_a_partition_of_three() {
--- a/wirehost/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
 #![forbid(unsafe_code)]
-//! Puts brookfield on the simulator's wire: reads batches from standard input, writes replies to standard
+//! Puts ivyhatch-balancer on the simulator's wire: reads batches from standard input, writes replies to standard
 //! output. It translates and decides nothing.
 
 mod wire;
@@ -8,10 +8,10 @@
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
-use brookfield::{
+use ivyhatch_balancer::{
     Action, Arrival, BackendId, Balancer, ClassId, Event, ListScope, Member, Nanos, RequestId, Settlement,
 };
-use brookfield_settings::{Fields, Words};
+use ivyhatch_node_settings::{Fields, Words};
 use serde_json::{Value, json};
 use wire::Line;
 
@@ -168,7 +168,7 @@
     fn open(&mut self, fields: &Fields) -> Result<(), String> {
         let who = fields.integer("who")?;
         let seed = fields.whole("nonce64")?;
-        let made = brookfield_settings::read(fields.get("config")?).and_then(|site| {
+        let made = ivyhatch_node_settings::read(fields.get("config")?).and_then(|site| {
             let node = Balancer::new(site.settings, seed, self.now).map_err(|e| e.to_string())?;
             Ok((node, site.words))
         });
@@ -308,7 +308,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
-            eprintln!("brookfield-wirehost: {problem}");
+            eprintln!("ivyhatch-simulator-adapter: {problem}");
             ExitCode::FAILURE
         }
     }
--- a/wirehost/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! The wire's lines, read with plain errors.
 
-use brookfield::{Nanos, Outcome, Report, Stage};
-use brookfield_settings::Fields;
+use ivyhatch_balancer::{Nanos, Outcome, Report, Stage};
+use ivyhatch_node_settings::Fields;
 use serde_json::Value;
 
 /// A line of input: an object with one key, its name.
--- a/system/src/disk.rs
+++ b/system/src/disk.rs
@@ -8,7 +8,7 @@
 
 use ivyhatch_control::stored::Stored;
 use ivyhatch_control::{Record, Token};
-use ivyhatch_records::{CompactingLog, Log, RecordsError};
+use ivyhatch_wal::{CompactingLog, Log, RecordsError};
 use speedy::{Readable, Writable};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
--- a/system/src/router/answer.rs
+++ b/system/src/router/answer.rs
@@ -5,11 +5,11 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-use badgerpost::seats::Seat;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::header::HeaderMap;
 use hyper::{Response, StatusCode};
+use ivyhatch_node::seats::Seat;
 use ivyhatch_protocol::Nanos;
 use tokio::sync::mpsc;
 
--- a/system/src/router/clients.rs
+++ b/system/src/router/clients.rs
@@ -3,13 +3,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use badgerpost::front::{Answers, Phase, end_to_end};
-use badgerpost::seats::{Seat, Seats};
 use bytes::Bytes;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Request, Response, StatusCode};
+use ivyhatch_node::front::{Answers, Phase, end_to_end};
+use ivyhatch_node::seats::{Seat, Seats};
 use ivyhatch_protocol::configuration::Route;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 use ivyhatch_routing::prompt::Prompt;
--- a/system/src/router/dispatch/answers.rs
+++ b/system/src/router/dispatch/answers.rs
@@ -1,6 +1,6 @@
 //! What servers answer: the start of a stream, the figures of their load, and the end of an attempt.
 
-use brookfield::{Event, Outcome, Report, Settlement};
+use ivyhatch_balancer::{Event, Outcome, Report, Settlement};
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 use ivyhatch_routing::engine::Load;
 
--- a/system/src/router/dispatch/attempt.rs
+++ b/system/src/router/dispatch/attempt.rs
@@ -4,10 +4,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use brookfield::{BackendId, Outcome, RequestId};
 use bytes::Bytes;
 use hyper::http::uri::PathAndQuery;
 use hyper::{HeaderMap, Method};
+use ivyhatch_balancer::{BackendId, Outcome, RequestId};
 use ivyhatch_protocol::Nanos;
 use ivyhatch_protocol::configuration::Route;
 use ivyhatch_routing::engine::Load;
--- a/system/src/router/dispatch/events.rs
+++ b/system/src/router/dispatch/events.rs
@@ -1,7 +1,7 @@
 //! Carries events to the balancers and their actions out; the timers of both.
 
-use brookfield::{Action, Event, RequestId};
 use hyper::StatusCode;
+use ivyhatch_balancer::{Action, Event, RequestId};
 use ivyhatch_protocol::Nanos;
 
 use super::attempt::Service;
--- a/system/src/router/dispatch/mod.rs
+++ b/system/src/router/dispatch/mod.rs
@@ -14,8 +14,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use badgerpost::seats::{Seats, Times};
-use brookfield::{Outcome, RequestId, Stage};
+use ivyhatch_balancer::{Outcome, RequestId, Stage};
+use ivyhatch_node::seats::{Seats, Times};
 use ivyhatch_protocol::configuration::{Limits, Route};
 use ivyhatch_protocol::feed::Server;
 use ivyhatch_protocol::settings::Settings;
--- a/system/src/router/dispatch/requests.rs
+++ b/system/src/router/dispatch/requests.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use brookfield::{Arrival, BackendId, Event, RequestId};
 use hyper::StatusCode;
+use ivyhatch_balancer::{Arrival, BackendId, Event, RequestId};
 use ivyhatch_protocol::configuration::{Route, RouteKind};
 use ivyhatch_protocol::ids::{hash, mix};
 use ivyhatch_protocol::{MILLISECOND, Nanos};
--- a/system/src/router/dispatch/server_list.rs
+++ b/system/src/router/dispatch/server_list.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use brookfield::{BackendId, Event, ListScope, Member, Stage, ZoneId};
+use ivyhatch_balancer::{BackendId, Event, ListScope, Member, Stage, ZoneId};
 use ivyhatch_protocol::feed::Server;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
--- a/system/src/router/dispatch/services.rs
+++ b/system/src/router/dispatch/services.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use brookfield::{Balancer, ClassId, ClassSettings, Discovery, Effect, Event, Reports, ZoneId};
+use ivyhatch_balancer::{Balancer, ClassId, ClassSettings, Discovery, Effect, Event, Reports, ZoneId};
 use ivyhatch_protocol::configuration::Route;
 use ivyhatch_protocol::ids::hash;
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
@@ -93,7 +93,7 @@
         }
         let (id, name) = (Service(self.names.len() as u32), Rc::<str>::from(name));
         let regions = self.regions.len() as u32;
-        let mut settings = brookfield::Settings::new(ZoneId(self.home), regions);
+        let mut settings = ivyhatch_balancer::Settings::new(ZoneId(self.home), regions);
         settings.nodes = self.nodes();
         settings.classes = vec![ClassSettings { late_share: LATE_SHARE, ..ClassSettings::default() }];
         settings.discovery = Discovery::Pushed;
--- a/system/src/router/dispatch/state.rs
+++ b/system/src/router/dispatch/state.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use brookfield::{BackendId, Balancer, ClassId, RequestId, Stage};
 use bytes::Bytes;
+use ivyhatch_balancer::{BackendId, Balancer, ClassId, RequestId, Stage};
 use ivyhatch_protocol::Nanos;
 use ivyhatch_protocol::configuration::Route;
 use ivyhatch_protocol::feed::Server;
--- a/system/src/router/mod.rs
+++ b/system/src/router/mod.rs
@@ -9,9 +9,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use badgerpost::front::{self, Phase};
-use badgerpost::seats::{Seats, Times};
 use hyper::{Method, StatusCode};
+use ivyhatch_node::front::{self, Phase};
+use ivyhatch_node::seats::{Seats, Times};
 use ivyhatch_protocol::feed::{Router, RouterState};
 use ivyhatch_protocol::settings::Settings;
 use tokio::signal::unix::{SignalKind, signal};
--- a/system/src/router/upstream/mod.rs
+++ b/system/src/router/upstream/mod.rs
@@ -9,14 +9,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use badgerpost::front::end_to_end;
-use brookfield::{BackendId, Outcome};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::client::conn::http1::SendRequest;
 use hyper::header::{HOST, HeaderValue};
 use hyper::{Request, Response, Uri};
+use ivyhatch_balancer::{BackendId, Outcome};
+use ivyhatch_node::front::end_to_end;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 use ivyhatch_routing::engine::Load;
 use ivyhatch_routing::events::Events;
--- a/system/src/router/upstream/pool.rs
+++ b/system/src/router/upstream/pool.rs
@@ -5,11 +5,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use brookfield::BackendId;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::client::conn::http1::{Builder, SendRequest};
 use hyper_util::rt::TokioIo;
+use ivyhatch_balancer::BackendId;
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 use tokio::net::TcpStream;
 use tokio::sync::OnceCell;
--- a/system/src/router/upstream/response.rs
+++ b/system/src/router/upstream/response.rs
@@ -1,11 +1,11 @@
 //! What the head of a server's answer says: whether it belongs to the request, whether the request ran, and how its body goes on.
 
-use brookfield::Outcome;
 use hyper::StatusCode;
 use hyper::header::{
     AsHeaderName, CONTENT_ENCODING, CONTENT_LENGTH, HeaderMap, HeaderName, TRANSFER_ENCODING,
 };
 use hyper::http::response::Parts;
+use ivyhatch_balancer::Outcome;
 use ivyhatch_protocol::{Nanos, SECOND};
 use ivyhatch_routing::engine::Load;
 
--- a/records/tests/compaction.rs
+++ b/wal/tests/compaction.rs
@@ -1,12 +1,12 @@
 //! How long a file gets over many writes, on a real disk.
 //!
-//! Figures: `cargo test --release -p ivyhatch-records --test compaction -- --nocapture`.
+//! Figures: `cargo test --release -p ivyhatch-wal --test compaction -- --nocapture`.
 
 use std::fs;
 use std::time::{Duration, Instant};
 
 use googletest::prelude::*;
-use ivyhatch_records::{CompactingLog, Log, MAX_COMPACTION_LENGTH, MIN_COMPACTION_LENGTH};
+use ivyhatch_wal::{CompactingLog, Log, MAX_COMPACTION_LENGTH, MIN_COMPACTION_LENGTH};
 
 const NAME: &str = "log";
 const DOCUMENT_LENGTH: usize = 50_000;
--- a/records/tests/log.rs
+++ b/wal/tests/log.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use googletest::prelude::*;
-use ivyhatch_records::{Log, RecordsError};
+use ivyhatch_wal::{Log, RecordsError};
 
 const FILE_HEADER: usize = 16;
 const BLOCK_HEADER: usize = 16;
--- a/records/tests/model/mod.rs
+++ b/wal/tests/model/mod.rs
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-use ivyhatch_records::Storage;
+use ivyhatch_wal::Storage;
 
 /// A change of a file that is not synced yet.
 #[derive(Clone, Debug)]
--- a/records/tests/power_loss.rs
+++ b/wal/tests/power_loss.rs
@@ -6,7 +6,7 @@
 use std::io::ErrorKind;
 
 use googletest::prelude::*;
-use ivyhatch_records::{CompactingLog, Log, RecordsError};
+use ivyhatch_wal::{CompactingLog, Log, RecordsError};
 use model::{ModelDisk, Trouble};
 
 const NAME: &str = "log";
@@ -245,7 +245,7 @@
     let (mut log, _) = Log::open_in(disk.clone(), NAME).expect("opened");
     log.append(&records(0..2)).expect("written");
     {
-        use ivyhatch_records::Storage;
+        use ivyhatch_wal::Storage;
         let mut stale = disk.create("log.new").expect("made");
         disk.write(&mut stale, 0, b"half").expect("written");
         disk.sync(&mut stale).expect("synced");
--- a/records/tests/properties.rs
+++ b/wal/tests/properties.rs
@@ -1,12 +1,12 @@
 //! Any records come back, and any bytes in their place give a typed error or records that were written.
 //!
-//! A longer run: `PROPTEST_CASES=100000 cargo test --release -p ivyhatch-records --test properties`.
+//! A longer run: `PROPTEST_CASES=100000 cargo test --release -p ivyhatch-wal --test properties`.
 
 use std::fs;
 use std::path::Path;
 
 use googletest::prelude::*;
-use ivyhatch_records::{Log, RecordsError};
+use ivyhatch_wal::{Log, RecordsError};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::sample::Index;
