--- a/control/tests/golden_records.rs
+++ b/control/tests/golden_records.rs
@@ -16,7 +16,7 @@
 use ivyhatch_protocol::configuration::Document;
 use ivyhatch_protocol::ids::{Epoch, NodeId, Part, ReplicaId};
 use ivyhatch_protocol::peer::{AcceptedValue, AcceptorState, Membership, Voter};
-use ivyhatch_records::{CompactingLog, Log, MIN_COMPACTION_LENGTH};
+use ivyhatch_wal::{CompactingLog, Log, MIN_COMPACTION_LENGTH};
 use speedy::{Readable, Writable};
 use tempfile::TempDir;
 
--- a/settings/tests/golden.rs
+++ b/node-settings/tests/golden.rs
@@ -1,7 +1,7 @@
 //! The settings object's field names, default values and error texts stay as they are: whole files are kept in `golden/`.
 
-use brookfield::{Discovery, Effect, Group, Reports, Weights, ZoneId};
-use brookfield_settings::{Site, read};
+use ivyhatch_balancer::{Discovery, Effect, Group, Reports, Weights, ZoneId};
+use ivyhatch_node_settings::{Site, read};
 use serde_json::{Value, json};
 
 const EVERY_FIELD: &str = include_str!("golden/every-field.json");
