--- a/balancer/src/policy/mod.rs
+++ b/balancer/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! Every decision of ivyhatch-balancer, a file for each concern. The interface (settings, events, actions, ids) is
+//! Every decision of the balancer, a file for each concern. The interface (settings, events, actions, ids) is
 //! in `api.rs`, what a node keeps in `state.rs`, its view of the backends in `view.rs`, what it learns from
 //! answers in `learning.rs`.
 //!
--- a/control/src/admin.rs
+++ b/control/src/admin.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use ivyhatch_protocol::ids::{NodeId, Part};
-use ivyhatch_protocol::peer::{AdminRequest, AdminResponse, Peer};
+use ivyhatch_protocol::ids::{NodeId, PartitionId};
+use ivyhatch_protocol::peer::{AdminRequest, AdminResponse, PeerMessage};
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
 use crate::control_plane::ControlPlane;
@@ -95,7 +95,7 @@
     fn with_known_changes(&self, request: AdminRequest) -> AdminRequest {
         match request {
             AdminRequest::Evacuate { zone, active, .. } => {
-                let state = self.states.get(&Part::of(&zone));
+                let state = self.states.get(&PartitionId::of(&zone));
                 let changes = state.map_or(0, |state| state.zone_changes(&zone));
                 AdminRequest::Evacuate { zone, active, changes }
             }
@@ -135,7 +135,7 @@
         if pending.forwarded.is_none_or(due) {
             pending.forwarded = Some((leader, now));
             let (number, request) = (pending.number, pending.request.clone());
-            out.push(Output::Send(leader, Peer::Forward { number, heard: heartbeat, request }));
+            out.push(Output::Send(leader, PeerMessage::ForwardRequest { number, heard: heartbeat, request }));
         }
     }
 
@@ -166,7 +166,7 @@
         }
     }
 
-    fn enqueue(&mut self, part: Part, queued: QueuedRequest, out: &mut Vec<Output>) {
+    fn enqueue(&mut self, part: PartitionId, queued: QueuedRequest, out: &mut Vec<Output>) {
         let Some(queue) = self.queues.get_mut(&part) else { return };
         if queue.holds(queued.waiter) {
             return;
@@ -184,7 +184,7 @@
     }
 
     /// Does what is before the leader of a partition, one change at a time.
-    pub(crate) fn drive(&mut self, part: Part, out: &mut Vec<Output>) {
+    pub(crate) fn drive(&mut self, part: PartitionId, out: &mut Vec<Output>) {
         loop {
             let is_ready = self.partitions.get(&part).is_some_and(|partition| partition.ready().is_some());
             let queue = self.queues.get_mut(&part).filter(|_| is_ready);
@@ -195,7 +195,7 @@
         }
     }
 
-    fn decide(&mut self, part: Part, queued: QueuedRequest, out: &mut Vec<Output>) {
+    fn decide(&mut self, part: PartitionId, queued: QueuedRequest, out: &mut Vec<Output>) {
         let (Some(partition), Some(queue), Some(state)) =
             (self.partitions.get_mut(&part), self.queues.get_mut(&part), self.states.get(&part))
         else {
@@ -220,18 +220,18 @@
         self.carry_out(part, effects, out);
     }
 
-    pub(crate) fn quorum_confirmed(&mut self, part: Part, number: u64, out: &mut Vec<Output>) {
+    pub(crate) fn quorum_confirmed(&mut self, part: PartitionId, number: u64, out: &mut Vec<Output>) {
         let unconfirmed = self.queues.get_mut(&part).and_then(|queue| queue.unconfirmed.remove(&number));
         let Some(unconfirmed) = unconfirmed else { return };
         let response = unconfirmed.response.unwrap_or_else(|| match self.feed.document() {
-            document if document.revision == 0 => AdminResponse::Nothing,
+            document if document.revision == 0 => AdminResponse::NotConfigured,
             document => AdminResponse::Document(document.text()),
         });
         self.respond(unconfirmed.waiter, response, out);
     }
 
     /// The change that was proposed is committed: whoever waits for it is answered.
-    pub(crate) fn answer_proposal(&mut self, part: Part, out: &mut Vec<Output>) {
+    pub(crate) fn answer_proposal(&mut self, part: PartitionId, out: &mut Vec<Output>) {
         let Some(open) = self.queues.get_mut(&part).and_then(|queue| queue.open.take()) else { return };
         for waiter in open.waiters {
             self.respond(waiter, open.response.clone(), out);
@@ -246,7 +246,7 @@
                 }
             }
             Waiter::Remote(to, number) => {
-                out.push(Output::Send(to, Peer::Forwarded { number, response }));
+                out.push(Output::Send(to, PeerMessage::ForwardResponse { number, response }));
             }
         }
     }
--- a/control/src/feed.rs
+++ b/control/src/change_feed.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use ivyhatch_protocol::configuration::{Change, Document};
-use ivyhatch_protocol::feed::{Evacuations, Position, Shared, ToFollower};
-use ivyhatch_protocol::ids::Part;
+use ivyhatch_protocol::ids::PartitionId;
+use ivyhatch_protocol::watch::{EvacuationUpdate, Position, Shared, WatchResponse};
 
 use crate::state::State;
 
@@ -15,23 +15,23 @@
 
 /// What is decided, for those who follow.
 #[derive(Debug, Default)]
-pub struct Feed {
+pub struct ChangeFeed {
     sequence: u64,
     document: Shared<Document>,
     changes: VecDeque<(u64, u64, Shared<Change>)>,
-    evacuations: BTreeMap<Part, Evacuations>,
+    evacuations: BTreeMap<PartitionId, EvacuationUpdate>,
 }
 
-impl Feed {
+impl ChangeFeed {
     /// Takes a decision in.
-    pub fn committed(&mut self, part: Part, sequence: u64, state: &State) {
+    pub fn committed(&mut self, part: PartitionId, sequence: u64, state: &State) {
         match state {
             State::Configured(configured) => self.configured(sequence, configured.document.clone()),
             State::Evacuated(evacuated) => {
                 let zone =
                     |(zone, (active, changes)): (&String, &(bool, u64))| (zone.clone(), *active, *changes);
                 let zones = evacuated.zones.iter().map(zone).collect();
-                self.evacuations.insert(part, Evacuations { part, sequence, zones });
+                self.evacuations.insert(part, EvacuationUpdate { part, sequence, zones });
             }
         }
     }
@@ -62,7 +62,7 @@
     }
 
     /// What is newer than a follower's position.
-    pub fn since(&self, position: &Position) -> Vec<ToFollower> {
+    pub fn since(&self, position: &Position) -> Vec<WatchResponse> {
         let mut news = Vec::new();
         if self.sequence > position.configuration {
             let first = self.changes.iter().position(|(from, ..)| *from == position.configuration);
@@ -72,18 +72,19 @@
             match changes.filter(|all_changes| {
                 all_changes.clone().map(|(_, _, change)| items(change)).sum::<usize>() * WHOLE_SHARE <= all
             }) {
-                Some(changes) => news.extend(changes.map(|(from, to, change)| ToFollower::Change {
+                Some(changes) => news.extend(changes.map(|(from, to, change)| WatchResponse::Change {
                     from: *from,
                     to: *to,
                     change: change.clone(),
                 })),
-                None => {
-                    news.push(ToFollower::Whole { sequence: self.sequence, document: self.document.clone() })
-                }
+                None => news.push(WatchResponse::Snapshot {
+                    sequence: self.sequence,
+                    document: self.document.clone(),
+                }),
             }
         }
-        let newer = |part: &&Evacuations| part.sequence > position.evacuations_of(part.part);
-        news.extend(self.evacuations.values().filter(newer).cloned().map(ToFollower::Evacuations));
+        let newer = |part: &&EvacuationUpdate| part.sequence > position.evacuations_of(part.part);
+        news.extend(self.evacuations.values().filter(newer).cloned().map(WatchResponse::Evacuations));
         news
     }
 }
--- a/control/src/control_plane.rs
+++ b/control/src/control_plane.rs
@@ -3,14 +3,14 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use ivyhatch_protocol::Nanos;
-use ivyhatch_protocol::feed::Position;
-use ivyhatch_protocol::ids::{Epoch, NodeId, Part, ReplicaId, mix};
-use ivyhatch_protocol::peer::{ConsensusMessage, Membership, Peer, ReplicaStatus};
-use ivyhatch_protocol::servers::List;
+use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId, mix};
+use ivyhatch_protocol::peer::{ConsensusMessage, Membership, PeerMessage, ReplicaStatus};
+use ivyhatch_protocol::server_list::ServerList;
+use ivyhatch_protocol::watch::Position;
 
 use crate::Record;
 use crate::admin::{PartitionQueue, PendingRequest};
-use crate::feed::Feed;
+use crate::change_feed::ChangeFeed;
 use crate::heartbeats::PeerState;
 use crate::interface::{Identity, Input, Output, RequestId, SessionId, Token};
 use crate::membership::StateCollection;
@@ -47,28 +47,28 @@
     pub(crate) leaving_since: Option<Nanos>,
     pub(crate) peers: BTreeMap<NodeId, PeerState>,
     pub(crate) links: Vec<NodeId>,
-    pub(crate) partitions: BTreeMap<Part, PartitionReplica>,
-    pub(crate) states: BTreeMap<Part, State>,
-    pub(crate) queues: BTreeMap<Part, PartitionQueue>,
+    pub(crate) partitions: BTreeMap<PartitionId, PartitionReplica>,
+    pub(crate) states: BTreeMap<PartitionId, State>,
+    pub(crate) queues: BTreeMap<PartitionId, PartitionQueue>,
     /// Until when this node, once it has stepped down, does not start an election.
-    pub(crate) backoff_until: BTreeMap<Part, Nanos>,
-    pub(crate) fetched_at: BTreeMap<Part, Nanos>,
+    pub(crate) backoff_until: BTreeMap<PartitionId, Nanos>,
+    pub(crate) fetched_at: BTreeMap<PartitionId, Nanos>,
     pub(crate) servers_asked: Nanos,
-    pub(crate) feed: Feed,
-    pub(crate) list: List,
+    pub(crate) feed: ChangeFeed,
+    pub(crate) list: ServerList,
     pub(crate) list_reader: ListReader,
     pub(crate) routers: Routers,
     pub(crate) sessions: BTreeMap<SessionId, WatchSession>,
     pub(crate) sessions_sent: Nanos,
     pub(crate) pending: BTreeMap<RequestId, PendingRequest>,
-    writes: BTreeMap<Token, Vec<(NodeId, Peer)>>,
+    writes: BTreeMap<Token, Vec<(NodeId, PeerMessage)>>,
     next_token: Token,
     pub(crate) next_number: u64,
     pub(crate) heartbeats: VecDeque<(u64, Nanos)>,
     pub(crate) heartbeat_at: Nanos,
     /// Since when this node has been in contact with a quorum.
     pub(crate) quorum_since: Option<Nanos>,
-    inbox: VecDeque<(NodeId, Peer)>,
+    inbox: VecDeque<(NodeId, PeerMessage)>,
 }
 
 impl ControlPlane {
@@ -83,12 +83,12 @@
         let reason = if foreign { "another_machines_disk" } else { "empty_disk" };
         let unformatted = (identity.has_disk && stored.replica.is_none()).then_some((format, reason));
         unformatted.iter().for_each(|(record, _)| stored.apply(record.clone()));
-        let mut partition = |part: Part| {
+        let mut partition = |part: PartitionId| {
             let state = stored.partitions.remove(&part).unwrap_or_default();
             (part, PartitionReplica::new(identity.node, identity.incarnation, state))
         };
-        let membership_partition = partition(Part::MEMBERSHIP).1;
-        let partitions = Part::all().map(&mut partition).collect();
+        let membership_partition = partition(PartitionId::MEMBERSHIP).1;
+        let partitions = PartitionId::all().map(&mut partition).collect();
         let mut plane = Self {
             now,
             started: now,
@@ -107,13 +107,13 @@
             peers: BTreeMap::new(),
             links: Vec::new(),
             partitions,
-            states: Part::all().map(|part| (part, State::empty(part))).collect(),
-            queues: Part::all().map(|part| (part, PartitionQueue::default())).collect(),
+            states: PartitionId::all().map(|part| (part, State::empty(part))).collect(),
+            queues: PartitionId::all().map(|part| (part, PartitionQueue::default())).collect(),
             backoff_until: BTreeMap::new(),
             fetched_at: BTreeMap::new(),
             servers_asked: 0,
-            feed: Feed::default(),
-            list: List::default(),
+            feed: ChangeFeed::default(),
+            list: ServerList::default(),
             list_reader: ListReader::new(identity.list_every),
             routers: Routers::default(),
             sessions: BTreeMap::new(),
@@ -137,10 +137,10 @@
 
     /// What is known to be committed is handed out right after a start: followers need not wait until there is a quorum. They are
     /// told that it may not be the newest.
-    fn hand_out_committed(&mut self, committed: BTreeMap<Part, (Epoch, u64)>) {
-        for (part, (epoch, sequence)) in committed {
+    fn hand_out_committed(&mut self, committed: BTreeMap<PartitionId, (Ballot, u64)>) {
+        for (part, (ballot, sequence)) in committed {
             let partition = self.partitions.get_mut(&part);
-            let known = partition.and_then(|partition| partition.mark_committed(epoch, sequence));
+            let known = partition.and_then(|partition| partition.mark_committed(ballot, sequence));
             if let Some(state) = known.and_then(|committed| State::read(part, &committed.value)) {
                 self.feed.committed(part, sequence, &state);
                 self.states.insert(part, state);
@@ -191,27 +191,29 @@
         self.end_if_left(out);
     }
 
-    fn peer_message(&mut self, from: NodeId, message: Peer, out: &mut Vec<Output>) {
+    fn peer_message(&mut self, from: NodeId, message: PeerMessage, out: &mut Vec<Output>) {
         self.note_heard(from, out);
         match message {
-            Peer::Heartbeat(heartbeat) => self.on_heartbeat(from, heartbeat, out),
-            Peer::Membership(membership) => self.adopt(membership, out),
-            Peer::StateTransferRequest { incarnation, generation } => {
+            PeerMessage::Heartbeat(heartbeat) => self.on_heartbeat(from, heartbeat, out),
+            PeerMessage::Membership(membership) => self.adopt(membership, out),
+            PeerMessage::StateTransferRequest { incarnation, generation } => {
                 self.hand_out_state(from, incarnation, generation, out);
             }
-            Peer::StateTransfer { incarnation, generation, disk, partitions } => {
+            PeerMessage::StateTransfer { incarnation, generation, disk, partitions } => {
                 if incarnation == self.identity.incarnation {
                     self.state_arrived(ReplicaId { node: from, disk }, generation, partitions, out);
                 }
             }
-            Peer::Consensus { generation, part, message } => {
+            PeerMessage::Consensus { generation, part, message } => {
                 self.on_consensus(from, generation, part, message, out);
             }
-            Peer::Forward { number, heard, request } => self.on_forward(from, number, heard, request, out),
-            Peer::Forwarded { number, response } => self.on_forwarded(number, response, out),
-            Peer::Sessions(routers) => self.routers.tell(self.now, from, routers),
-            Peer::Servers(news) => self.on_server_news(from, news, out),
-            Peer::WantServers => self.send_server_list(from, out),
+            PeerMessage::ForwardRequest { number, heard, request } => {
+                self.on_forward(from, number, heard, request, out)
+            }
+            PeerMessage::ForwardResponse { number, response } => self.on_forwarded(number, response, out),
+            PeerMessage::RouterSessions(routers) => self.routers.tell(self.now, from, routers),
+            PeerMessage::ServerList(news) => self.on_server_news(from, news, out),
+            PeerMessage::ServerListRequest => self.send_server_list(from, out),
         }
     }
 
@@ -219,7 +221,7 @@
         &mut self,
         from: NodeId,
         generation: u64,
-        part: Part,
+        part: PartitionId,
         message: ConsensusMessage,
         out: &mut Vec<Output>,
     ) {
@@ -239,33 +241,33 @@
         let mut effects = Vec::new();
         partition.handle(now, from, message, votes, &mut effects);
         self.carry_out(part, effects, out);
-        if part == Part::MEMBERSHIP {
+        if part == PartitionId::MEMBERSHIP {
             self.replace_voters(out);
         }
         self.drive(part, out);
     }
 
-    fn partition_mut(&mut self, part: Part) -> Option<&mut PartitionReplica> {
+    fn partition_mut(&mut self, part: PartitionId) -> Option<&mut PartitionReplica> {
         match part {
-            Part::MEMBERSHIP => Some(&mut self.membership_partition),
+            PartitionId::MEMBERSHIP => Some(&mut self.membership_partition),
             _ => self.partitions.get_mut(&part),
         }
     }
 
     /// Carries out what a partition wants done.
-    pub(crate) fn carry_out(&mut self, part: Part, effects: Vec<Effect>, out: &mut Vec<Output>) {
+    pub(crate) fn carry_out(&mut self, part: PartitionId, effects: Vec<Effect>, out: &mut Vec<Output>) {
         let generation = self.generation();
-        let consensus = |message| Peer::Consensus { generation, part, message };
+        let consensus = |message| PeerMessage::Consensus { generation, part, message };
         for effect in effects {
             match effect {
                 Effect::Send(to, message) => self.send(to, consensus(message), out),
-                Effect::Promise(epoch, to, message) => {
-                    self.store(vec![Record::Promised(part, epoch)], vec![(to, consensus(message))], out);
+                Effect::Promise(ballot, to, message) => {
+                    self.store(vec![Record::Promised(part, ballot)], vec![(to, consensus(message))], out);
                 }
                 Effect::Accept(value, to, message) => {
                     self.store(vec![Record::Accepted(part, value)], vec![(to, consensus(message))], out);
                 }
-                Effect::Committed(value) if part == Part::MEMBERSHIP => {
+                Effect::Committed(value) if part == PartitionId::MEMBERSHIP => {
                     self.membership_decided(&value, out);
                 }
                 Effect::Committed(value) => self.committed(part, value, out),
@@ -275,7 +277,7 @@
         }
     }
 
-    pub(crate) fn send(&mut self, to: NodeId, message: Peer, out: &mut Vec<Output>) {
+    pub(crate) fn send(&mut self, to: NodeId, message: PeerMessage, out: &mut Vec<Output>) {
         if to == self.identity.node {
             self.inbox.push_back((to, message));
         } else {
@@ -283,7 +285,7 @@
         }
     }
 
-    pub(crate) fn send_to_all(&self, message: &Peer, out: &mut Vec<Output>) {
+    pub(crate) fn send_to_all(&self, message: &PeerMessage, out: &mut Vec<Output>) {
         out.extend(self.peers.keys().map(|to| Output::Send(*to, message.clone())));
     }
 
@@ -291,7 +293,7 @@
     pub(crate) fn store(
         &mut self,
         records: Vec<Record>,
-        then: Vec<(NodeId, Peer)>,
+        then: Vec<(NodeId, PeerMessage)>,
         out: &mut Vec<Output>,
     ) -> Token {
         self.next_token += 1;
@@ -338,17 +340,17 @@
     }
 
     /// What is known to be committed of a partition: its number, and what it holds.
-    pub fn committed_state(&self, part: Part) -> (u64, Option<&State>) {
+    pub fn committed_state(&self, part: PartitionId) -> (u64, Option<&State>) {
         (self.partitions.get(&part).map_or(0, PartitionReplica::sequence), self.states.get(&part))
     }
 
-    /// The epoch under which this node leads a partition now, if it does.
-    pub fn leads(&self, part: Part) -> Option<Epoch> {
+    /// The ballot under which this node leads a partition now, if it does.
+    pub fn leads(&self, part: PartitionId) -> Option<Ballot> {
         self.partitions.get(&part).and_then(PartitionReplica::leads)
     }
 
     /// The list of servers as it is known here.
-    pub fn list(&self) -> &List {
+    pub fn list(&self) -> &ServerList {
         &self.list
     }
 
--- a/control/src/heartbeats.rs
+++ b/control/src/heartbeats.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeSet;
 
-use ivyhatch_protocol::ids::{NodeId, Part, ReplicaId};
-use ivyhatch_protocol::peer::{ConsensusMessage, Heartbeat, Peer, ReplicaStatus};
+use ivyhatch_protocol::ids::{NodeId, PartitionId, ReplicaId};
+use ivyhatch_protocol::peer::{ConsensusMessage, Heartbeat, PeerMessage, ReplicaStatus};
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
 use crate::admin::FORWARD_MAX_AGE;
@@ -105,7 +105,7 @@
     pub(crate) fn connected(&mut self, node: NodeId, out: &mut Vec<Output>) {
         self.peers.entry(node).or_default();
         self.heartbeat(out);
-        out.push(Output::Send(node, Peer::Sessions(self.routers.own())));
+        out.push(Output::Send(node, PeerMessage::RouterSessions(self.routers.own())));
     }
 
     pub(crate) fn note_heard(&mut self, from: NodeId, out: &mut Vec<Output>) {
@@ -147,7 +147,7 @@
             committed: self.partitions.values().map(PartitionReplica::sequence).collect(),
             servers: self.list.position(),
         };
-        self.send_to_all(&Peer::Heartbeat(heartbeat), out);
+        self.send_to_all(&PeerMessage::Heartbeat(heartbeat), out);
     }
 
     pub(crate) fn on_heartbeat(&mut self, from: NodeId, heartbeat: Heartbeat, out: &mut Vec<Output>) {
@@ -182,17 +182,17 @@
 
     /// Asks for what another node has committed and this one has not heard of.
     fn fetch_missing(&mut self, from: NodeId, heartbeat: &Heartbeat, out: &mut Vec<Output>) {
-        for (part, sequence) in Part::all().zip(&heartbeat.committed) {
+        for (part, sequence) in PartitionId::all().zip(&heartbeat.committed) {
             let after = self.partitions.get(&part).map_or(0, PartitionReplica::sequence);
             if after < *sequence && self.fetched_at.get(&part).is_none_or(|at| self.now >= at + ASK_AGAIN) {
                 self.fetched_at.insert(part, self.now);
                 let (generation, message) = (self.generation(), ConsensusMessage::Fetch { after });
-                out.push(Output::Send(from, Peer::Consensus { generation, part, message }));
+                out.push(Output::Send(from, PeerMessage::Consensus { generation, part, message }));
             }
         }
         if heartbeat.servers > self.list.position() && self.now >= self.servers_asked + ASK_AGAIN {
             self.servers_asked = self.now;
-            out.push(Output::Send(from, Peer::WantServers));
+            out.push(Output::Send(from, PeerMessage::ServerListRequest));
         }
     }
 }
--- a/control/src/interface.rs
+++ b/control/src/interface.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeSet;
 
 use ivyhatch_protocol::Nanos;
-use ivyhatch_protocol::feed::{FromFollower, Server, ToFollower};
 use ivyhatch_protocol::ids::NodeId;
-use ivyhatch_protocol::peer::{AdminRequest, AdminResponse, Peer};
+use ivyhatch_protocol::peer::{AdminRequest, AdminResponse, PeerMessage};
+use ivyhatch_protocol::watch::{Server, WatchRequest, WatchResponse};
 
 use crate::Record;
 use crate::server_list::ReadId;
@@ -48,7 +48,7 @@
     /// The link to another control node is open.
     Connected(NodeId),
     /// Another control node has sent a message.
-    Peer(NodeId, Peer),
+    Peer(NodeId, PeerMessage),
     /// A write, and all before it, is on the disk.
     Stored(Token),
     /// An operator's request.
@@ -56,7 +56,7 @@
     /// The operator has given a request up: it is not begun any more.
     AdminCancelled(RequestId),
     /// A follower has sent a message on its session.
-    Follower(SessionId, FromFollower),
+    Follower(SessionId, WatchRequest),
     /// A session has ended.
     Closed(SessionId),
     /// The platform has handed out the whole list of servers.
@@ -73,7 +73,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a message to another control node.
-    Send(NodeId, Peer),
+    Send(NodeId, PeerMessage),
     /// Keep links open to these, and to no others.
     Links(Vec<NodeId>),
     /// Store these records, behind all earlier ones.
@@ -81,7 +81,7 @@
     /// Answer the operator.
     Respond(RequestId, AdminResponse),
     /// Send a message to a follower.
-    Follower(SessionId, ToFollower),
+    Follower(SessionId, WatchResponse),
     /// Close a session.
     Close(SessionId),
     /// Ask the platform for the whole list of servers. Whatever reading is still under way is given up.
--- a/control/src/leadership.rs
+++ b/control/src/leadership.rs
@@ -1,7 +1,7 @@
 //! Who leads which partition.
 
-use ivyhatch_protocol::ids::{NodeId, Part};
-use ivyhatch_protocol::peer::{AcceptedValue, ConsensusMessage, Heartbeat, Peer, ReplicaStatus};
+use ivyhatch_protocol::ids::{NodeId, PartitionId};
+use ivyhatch_protocol::peer::{AcceptedValue, ConsensusMessage, Heartbeat, PeerMessage, ReplicaStatus};
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
 use crate::Record;
@@ -12,13 +12,13 @@
 use crate::server_list_duty;
 use crate::state::State;
 
-/// A leader that a higher epoch has made step down waits for so long before its next election, times its place in the order.
+/// A leader that a higher ballot has made step down waits for so long before its next election, times its place in the order.
 const ELECTION_BACKOFF: Nanos = 300 * MILLISECOND;
 
 impl ControlPlane {
     /// The leader of a partition: the first voter in the agreed order that is there and in contact with a quorum. Voters that are
     /// leaving, or that can't read the list of servers where that is their duty, lead only where there is no other.
-    pub(crate) fn leader(&self, part: Part) -> Option<NodeId> {
+    pub(crate) fn leader(&self, part: PartitionId) -> Option<NodeId> {
         let membership = self.membership.as_ref()?;
         let reads_list = part == server_list_duty::partition();
         let rank = |reads: bool, leaving: bool| (reads_list && !reads, leaving);
@@ -39,7 +39,7 @@
 
     /// Starts elections for the partitions that this node should lead, and gives up the others.
     pub(crate) fn contend(&mut self, out: &mut Vec<Output>) {
-        for part in Part::all() {
+        for part in PartitionId::all() {
             let leads = self.leader(part) == Some(self.identity.node);
             let backs_off = self.backoff_until.get(&part).is_some_and(|until| self.now < *until);
             let Some(partition) = self.partitions.get_mut(&part) else { continue };
@@ -60,7 +60,7 @@
 
     /// A partition's leadership has ended. Requests that came to this node go to the new leader; those of others are forwarded
     /// anew by them.
-    pub(crate) fn stepped_down(&mut self, part: Part, out: &mut Vec<Output>) {
+    pub(crate) fn stepped_down(&mut self, part: PartitionId, out: &mut Vec<Output>) {
         out.push(Output::Log("stepped_down", format!("part={}", part.0)));
         if let Some(queue) = self.queues.get_mut(&part) {
             *queue = PartitionQueue::default();
@@ -76,8 +76,8 @@
     }
 
     /// A value of a partition is committed: it is stored as such, sent on, and handed out.
-    pub(crate) fn committed(&mut self, part: Part, value: AcceptedValue, out: &mut Vec<Output>) {
-        let (epoch, sequence) = (value.epoch, value.sequence);
+    pub(crate) fn committed(&mut self, part: PartitionId, value: AcceptedValue, out: &mut Vec<Output>) {
+        let (ballot, sequence) = (value.ballot, value.sequence);
         let Some(state) = State::read(part, &value.value) else {
             out.push(Output::Log(
                 "foreign_state",
@@ -87,21 +87,21 @@
         };
         if let State::Configured(configured) = &state {
             let revision = configured.document.revision;
-            let pairs = format!("revision={revision} sequence={sequence} epoch={epoch}");
+            let pairs = format!("revision={revision} sequence={sequence} ballot={ballot}");
             out.push(Output::Log("configuration", pairs));
         }
         self.feed.committed(part, sequence, &state);
         self.states.insert(part, state);
         let partition = self.partitions.get(&part);
         let accepted = partition.and_then(|partition| partition.state().accepted.as_ref());
-        if accepted.is_some_and(|accepted| (accepted.epoch, accepted.sequence) == (epoch, sequence)) {
-            self.store(vec![Record::Committed(part, epoch, sequence)], Vec::new(), out);
+        if accepted.is_some_and(|accepted| (accepted.ballot, accepted.sequence) == (ballot, sequence)) {
+            self.store(vec![Record::Committed(part, ballot, sequence)], Vec::new(), out);
         }
-        if self.leads(part) != Some(epoch) {
+        if self.leads(part) != Some(ballot) {
             return;
         }
-        let (generation, message) = (self.generation(), ConsensusMessage::Commit { epoch, sequence });
-        self.send_to_all(&Peer::Consensus { generation, part, message }, out);
+        let (generation, message) = (self.generation(), ConsensusMessage::Commit { ballot, sequence });
+        self.send_to_all(&PeerMessage::Consensus { generation, part, message }, out);
         self.answer_proposal(part, out);
         self.drive(part, out);
     }
--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -5,13 +5,13 @@
 //!
 //! Reading order: [`partition`] agrees on one partition among the voters, [`membership`] tells who votes and how a replica takes
 //! another's seat, [`state`] says what a request does to a partition, [`server_list`] when to read the
-//! platform's list, [`routers`] keeps the routers' sessions, [`feed`] what
+//! platform's list, [`routers`] keeps the routers' sessions, [`change_feed`] what
 //! followers are sent, [`interface`] what goes in and comes out, and [`ControlPlane`] holds all of it together, one module for each
 //! concern.
 
 mod admin;
+pub mod change_feed;
 mod control_plane;
-pub mod feed;
 mod heartbeats;
 pub mod interface;
 mod leadership;
@@ -29,7 +29,7 @@
 pub use control_plane::ControlPlane;
 pub use interface::{Identity, Input, Output, RequestId, SessionId, Token};
 
-use ivyhatch_protocol::ids::{Epoch, Part, ReplicaId};
+use ivyhatch_protocol::ids::{Ballot, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{AcceptedValue, Membership};
 use speedy::{Readable, Writable};
 
@@ -47,11 +47,11 @@
     Membership(Membership),
     /// The replica holds the state with which it may vote, as the voter that joined in this generation.
     Joined(u64),
-    /// Lower epochs of the partition are rejected.
-    Promised(Part, Epoch),
-    /// The value that was accepted for the partition; lower epochs are rejected.
-    Accepted(Part, AcceptedValue),
-    /// What was accepted under this epoch, as the change of this number, is committed: it may be handed out to followers without
+    /// Lower ballots of the partition are rejected.
+    Promised(PartitionId, Ballot),
+    /// The value that was accepted for the partition; lower ballots are rejected.
+    Accepted(PartitionId, AcceptedValue),
+    /// What was accepted under this ballot, as the change of this number, is committed: it may be handed out to followers without
     /// asking anybody.
-    Committed(Part, Epoch, u64),
+    Committed(PartitionId, Ballot, u64),
 }
--- a/control/src/partition.rs
+++ b/control/src/partition.rs
@@ -1,14 +1,14 @@
 //! One partition of the control state as one replica sees it: what it has promised and accepted, what is known to be committed,
 //! and, while the replica is the partition's candidate or leader, how far the others have followed it.
 //!
-//! A candidate begins with an epoch that a quorum of voters promises and stores (`Prepare`). The values that were accepted before
-//! come with the promises, and the newest of them is proposed once more under the new epoch. From then on each change is one round
-//! (`Accept`), committed once a quorum has stored it. A voter rejects every epoch below the one that it has promised, so that of
+//! A candidate begins with a ballot that a quorum of voters promises and stores (`Prepare`). The values that were accepted before
+//! come with the promises, and the newest of them is proposed once more under the new ballot. From then on each change is one round
+//! (`Accept`), committed once a quorum has stored it. A voter rejects every ballot below the one that it has promised, so that of
 //! two leaders one fails. There is no log: a partition is the value that was committed last, and its changes are numbered.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use ivyhatch_protocol::ids::{Epoch, NodeId};
+use ivyhatch_protocol::ids::{Ballot, NodeId};
 use ivyhatch_protocol::peer::{AcceptedValue, AcceptorState, ConsensusMessage, majority};
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
@@ -21,12 +21,12 @@
     /// Send to a voter, which may be this replica.
     Send(NodeId, ConsensusMessage),
     /// Store the promise, then send.
-    Promise(Epoch, NodeId, ConsensusMessage),
+    Promise(Ballot, NodeId, ConsensusMessage),
     /// Store the accepted value, then send.
     Accept(AcceptedValue, NodeId, ConsensusMessage),
     /// The value is committed.
     Committed(AcceptedValue),
-    /// A quorum has confirmed that this replica's epoch is still the highest.
+    /// A quorum has confirmed that this replica's ballot is still the highest.
     QuorumConfirmed(u64),
     /// This replica no longer leads. Whether an open proposal will be committed is not known.
     SteppedDown,
@@ -46,17 +46,17 @@
     #[default]
     Follower,
     /// It has asked the voters for their promises.
-    Candidate { epoch: Epoch, promises: BTreeMap<NodeId, Option<AcceptedValue>>, sent: Nanos },
-    /// A quorum has promised its epoch.
-    Leader { epoch: Epoch, proposal: Option<Proposal>, confirmations: BTreeMap<u64, BTreeSet<NodeId>> },
+    Candidate { ballot: Ballot, promises: BTreeMap<NodeId, Option<AcceptedValue>>, sent: Nanos },
+    /// A quorum has promised its ballot.
+    Leader { ballot: Ballot, proposal: Option<Proposal>, confirmations: BTreeMap<u64, BTreeSet<NodeId>> },
 }
 
 impl Role {
-    /// The epoch under which the replica contends for or holds the leadership.
-    fn epoch(&self) -> Option<Epoch> {
+    /// The ballot under which the replica contends for or holds the leadership.
+    fn ballot(&self) -> Option<Ballot> {
         match self {
             Self::Follower => None,
-            Self::Candidate { epoch, .. } | Self::Leader { epoch, .. } => Some(*epoch),
+            Self::Candidate { ballot, .. } | Self::Leader { ballot, .. } => Some(*ballot),
         }
     }
 }
@@ -70,7 +70,7 @@
     state: AcceptorState,
     committed: Option<AcceptedValue>,
     role: Role,
-    /// The highest counter of any epoch that was seen.
+    /// The highest counter of any ballot that was seen.
     counter: u64,
 }
 
@@ -87,14 +87,14 @@
         self.voters = voters.to_vec();
     }
 
-    /// The accepted value is known to be committed, if it was accepted under this epoch, as the change of this number.
-    pub fn mark_committed(&mut self, epoch: Epoch, sequence: u64) -> Option<AcceptedValue> {
-        self.committed = self.accepted_as(epoch, sequence);
+    /// The accepted value is known to be committed, if it was accepted under this ballot, as the change of this number.
+    pub fn mark_committed(&mut self, ballot: Ballot, sequence: u64) -> Option<AcceptedValue> {
+        self.committed = self.accepted_as(ballot, sequence);
         self.committed.clone()
     }
 
-    fn accepted_as(&self, epoch: Epoch, sequence: u64) -> Option<AcceptedValue> {
-        self.state.accepted.clone().filter(|value| value.epoch == epoch && value.sequence == sequence)
+    fn accepted_as(&self, ballot: Ballot, sequence: u64) -> Option<AcceptedValue> {
+        self.state.accepted.clone().filter(|value| value.ballot == ballot && value.sequence == sequence)
     }
 
     /// What is promised and accepted.
@@ -120,21 +120,21 @@
 
     /// Whether this replica is a candidate or the leader.
     pub fn is_contending(&self) -> bool {
-        self.role.epoch().is_some()
+        self.role.ballot().is_some()
     }
 
-    /// The leader's epoch, once it knows the partition's value and no proposal is open.
-    pub fn ready(&self) -> Option<Epoch> {
+    /// The leader's ballot, once it knows the partition's value and no proposal is open.
+    pub fn ready(&self) -> Option<Ballot> {
         match &self.role {
-            Role::Leader { epoch, proposal: None, .. } => Some(*epoch),
+            Role::Leader { ballot, proposal: None, .. } => Some(*ballot),
             _ => None,
         }
     }
 
-    /// The leader's epoch, once a quorum has promised it.
-    pub fn leads(&self) -> Option<Epoch> {
+    /// The leader's ballot, once a quorum has promised it.
+    pub fn leads(&self) -> Option<Ballot> {
         match &self.role {
-            Role::Leader { epoch, .. } => Some(*epoch),
+            Role::Leader { ballot, .. } => Some(*ballot),
             _ => None,
         }
     }
@@ -147,12 +147,12 @@
         out.extend(self.voters.iter().map(|voter| Effect::Send(*voter, message.clone())));
     }
 
-    /// Contends for the leadership under a new epoch.
+    /// Contends for the leadership under a new ballot.
     pub fn start_election(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         self.counter += 1;
-        let epoch = Epoch { counter: self.counter, node: self.node, life: self.incarnation };
-        self.role = Role::Candidate { epoch, promises: BTreeMap::new(), sent: now };
-        self.send_to_voters(&ConsensusMessage::Prepare { epoch }, out);
+        let ballot = Ballot { counter: self.counter, node: self.node, incarnation: self.incarnation };
+        self.role = Role::Candidate { ballot, promises: BTreeMap::new(), sent: now };
+        self.send_to_voters(&ConsensusMessage::Prepare { ballot }, out);
     }
 
     /// Gives up the leadership, or the election.
@@ -163,18 +163,18 @@
         }
     }
 
-    /// Another replica has this epoch: a lower one of this replica's has ended, and its next one is higher.
-    pub fn outdated(&mut self, epoch: Epoch, out: &mut Vec<Effect>) {
-        self.counter = self.counter.max(epoch.counter);
-        if self.role.epoch().is_some_and(|own| own < epoch) {
+    /// Another replica has this ballot: a lower one of this replica's has ended, and its next one is higher.
+    pub fn outdated(&mut self, ballot: Ballot, out: &mut Vec<Effect>) {
+        self.counter = self.counter.max(ballot.counter);
+        if self.role.ballot().is_some_and(|own| own < ballot) {
             self.step_down(out);
         }
     }
 
     /// Proposes a value. Only while [`PartitionReplica::ready`].
     pub fn propose(&mut self, now: Nanos, value: Vec<u8>, out: &mut Vec<Effect>) {
-        let Some(epoch) = self.ready() else { return };
-        self.send_proposal(now, AcceptedValue { epoch, sequence: self.sequence() + 1, value }, out);
+        let Some(ballot) = self.ready() else { return };
+        self.send_proposal(now, AcceptedValue { ballot, sequence: self.sequence() + 1, value }, out);
     }
 
     fn send_proposal(&mut self, now: Nanos, value: AcceptedValue, out: &mut Vec<Effect>) {
@@ -183,12 +183,12 @@
         self.send_to_voters(&ConsensusMessage::Accept(value), out);
     }
 
-    /// Asks the voters whether the leader's epoch is still the highest; `number` comes back with [`Effect::QuorumConfirmed`].
+    /// Asks the voters whether the leader's ballot is still the highest; `number` comes back with [`Effect::QuorumConfirmed`].
     pub fn confirm(&mut self, number: u64, out: &mut Vec<Effect>) {
-        let Role::Leader { epoch, confirmations, .. } = &mut self.role else { return };
-        let epoch = *epoch;
+        let Role::Leader { ballot, confirmations, .. } = &mut self.role else { return };
+        let ballot = *ballot;
         confirmations.insert(number, BTreeSet::new());
-        self.send_to_voters(&ConsensusMessage::Confirm { epoch, number }, out);
+        self.send_to_voters(&ConsensusMessage::Confirm { ballot, number }, out);
     }
 
     /// Forgets a confirmation that nobody waits for any longer.
@@ -201,9 +201,9 @@
     /// Sends again what was not answered.
     pub fn tick(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         let (message, answered): (ConsensusMessage, BTreeSet<NodeId>) = match &mut self.role {
-            Role::Candidate { epoch, promises, sent } if now >= *sent + RETRY_AFTER => {
+            Role::Candidate { ballot, promises, sent } if now >= *sent + RETRY_AFTER => {
                 *sent = now;
-                (ConsensusMessage::Prepare { epoch: *epoch }, promises.keys().copied().collect())
+                (ConsensusMessage::Prepare { ballot: *ballot }, promises.keys().copied().collect())
             }
             Role::Leader { proposal: Some(proposal), .. } if now >= proposal.sent + RETRY_AFTER => {
                 proposal.sent = now;
@@ -226,21 +226,21 @@
         out: &mut Vec<Effect>,
     ) {
         match message {
-            ConsensusMessage::Prepare { epoch } if votes => self.on_prepare(from, epoch, out),
+            ConsensusMessage::Prepare { ballot } if votes => self.on_prepare(from, ballot, out),
             ConsensusMessage::Accept(value) if votes => self.on_accept(from, value, out),
-            ConsensusMessage::Confirm { epoch, number } if votes => {
-                self.on_confirm(from, epoch, number, out);
+            ConsensusMessage::Confirm { ballot, number } if votes => {
+                self.on_confirm(from, ballot, number, out);
             }
             ConsensusMessage::Prepare { .. }
             | ConsensusMessage::Accept(_)
             | ConsensusMessage::Confirm { .. } => {}
-            ConsensusMessage::Promise { epoch, accepted } => {
-                self.on_promise(now, from, epoch, accepted, out);
+            ConsensusMessage::Promise { ballot, accepted } => {
+                self.on_promise(now, from, ballot, accepted, out);
             }
-            ConsensusMessage::Accepted { epoch, sequence } => self.on_accepted(from, epoch, sequence, out),
-            ConsensusMessage::Confirmed { epoch, number } => self.on_confirmed(from, epoch, number, out),
+            ConsensusMessage::Accepted { ballot, sequence } => self.on_accepted(from, ballot, sequence, out),
+            ConsensusMessage::Confirmed { ballot, number } => self.on_confirmed(from, ballot, number, out),
             ConsensusMessage::Reject { promised } => self.outdated(promised, out),
-            ConsensusMessage::Commit { epoch, sequence } => self.on_commit(from, epoch, sequence, out),
+            ConsensusMessage::Commit { ballot, sequence } => self.on_commit(from, ballot, sequence, out),
             ConsensusMessage::Fetch { after } => {
                 if let Some(committed) = self.committed.clone().filter(|value| value.sequence > after) {
                     out.push(Effect::Send(from, ConsensusMessage::Committed(committed)));
@@ -255,39 +255,39 @@
         out.push(Effect::Send(to, ConsensusMessage::Reject { promised }));
     }
 
-    fn on_prepare(&mut self, from: NodeId, epoch: Epoch, out: &mut Vec<Effect>) {
-        if epoch < self.state.promised {
+    fn on_prepare(&mut self, from: NodeId, ballot: Ballot, out: &mut Vec<Effect>) {
+        if ballot < self.state.promised {
             return self.reject(from, out);
         }
-        self.promise(epoch, out);
+        self.promise(ballot, out);
         let accepted = self.state.accepted.clone();
-        out.push(Effect::Promise(epoch, from, ConsensusMessage::Promise { epoch, accepted }));
+        out.push(Effect::Promise(ballot, from, ConsensusMessage::Promise { ballot, accepted }));
     }
 
     fn on_accept(&mut self, from: NodeId, value: AcceptedValue, out: &mut Vec<Effect>) {
-        if value.epoch < self.state.promised {
+        if value.ballot < self.state.promised {
             return self.reject(from, out);
         }
-        let (epoch, sequence) = (value.epoch, value.sequence);
+        let (ballot, sequence) = (value.ballot, value.sequence);
         // A message that was held up on its way, while its successor has come.
-        let overtaken = |accepted: &AcceptedValue| accepted.epoch == epoch && accepted.sequence > sequence;
+        let overtaken = |accepted: &AcceptedValue| accepted.ballot == ballot && accepted.sequence > sequence;
         if self.state.accepted.as_ref().is_some_and(overtaken) {
             return;
         }
-        self.promise(epoch, out);
+        self.promise(ballot, out);
         self.state.accepted = Some(value.clone());
-        out.push(Effect::Accept(value, from, ConsensusMessage::Accepted { epoch, sequence }));
+        out.push(Effect::Accept(value, from, ConsensusMessage::Accepted { ballot, sequence }));
     }
 
-    fn on_confirm(&mut self, from: NodeId, epoch: Epoch, number: u64, out: &mut Vec<Effect>) {
-        if epoch != self.state.promised {
+    fn on_confirm(&mut self, from: NodeId, ballot: Ballot, number: u64, out: &mut Vec<Effect>) {
+        if ballot != self.state.promised {
             return self.reject(from, out);
         }
-        out.push(Effect::Send(from, ConsensusMessage::Confirmed { epoch, number }));
+        out.push(Effect::Send(from, ConsensusMessage::Confirmed { ballot, number }));
     }
 
-    fn on_commit(&mut self, from: NodeId, epoch: Epoch, sequence: u64, out: &mut Vec<Effect>) {
-        match self.accepted_as(epoch, sequence) {
+    fn on_commit(&mut self, from: NodeId, ballot: Ballot, sequence: u64, out: &mut Vec<Effect>) {
+        match self.accepted_as(ballot, sequence) {
             Some(value) => self.commit(value, out),
             None if sequence > self.sequence() => {
                 let after = self.sequence();
@@ -297,42 +297,42 @@
         }
     }
 
-    /// Promises an epoch. Leadership under a lower one ends.
-    fn promise(&mut self, epoch: Epoch, out: &mut Vec<Effect>) {
-        self.state.promised = self.state.promised.max(epoch);
-        self.outdated(epoch, out);
+    /// Promises a ballot. Leadership under a lower one ends.
+    fn promise(&mut self, ballot: Ballot, out: &mut Vec<Effect>) {
+        self.state.promised = self.state.promised.max(ballot);
+        self.outdated(ballot, out);
     }
 
     fn on_promise(
         &mut self,
         now: Nanos,
         from: NodeId,
-        epoch: Epoch,
+        ballot: Ballot,
         accepted: Option<AcceptedValue>,
         out: &mut Vec<Effect>,
     ) {
         let quorum_size = self.quorum_size();
-        let Role::Candidate { epoch: own, promises, .. } = &mut self.role else { return };
-        if *own != epoch || !self.voters.contains(&from) {
+        let Role::Candidate { ballot: own, promises, .. } = &mut self.role else { return };
+        if *own != ballot || !self.voters.contains(&from) {
             return;
         }
         promises.insert(from, accepted);
         if promises.len() < quorum_size {
             return;
         }
-        let newest = promises.values().flatten().max_by_key(|value| (value.epoch, value.sequence)).cloned();
-        self.role = Role::Leader { epoch, proposal: None, confirmations: BTreeMap::new() };
-        // It may or may not have been committed: from here on it is, under this epoch.
+        let newest = promises.values().flatten().max_by_key(|value| (value.ballot, value.sequence)).cloned();
+        self.role = Role::Leader { ballot, proposal: None, confirmations: BTreeMap::new() };
+        // It may or may not have been committed: from here on it is, under this ballot.
         if let Some(newest) = newest {
-            self.send_proposal(now, AcceptedValue { epoch, ..newest }, out);
+            self.send_proposal(now, AcceptedValue { ballot, ..newest }, out);
         }
     }
 
-    fn on_accepted(&mut self, from: NodeId, of: Epoch, sequence: u64, out: &mut Vec<Effect>) {
+    fn on_accepted(&mut self, from: NodeId, of: Ballot, sequence: u64, out: &mut Vec<Effect>) {
         let quorum_size = self.quorum_size();
-        let Role::Leader { epoch, proposal, .. } = &mut self.role else { return };
+        let Role::Leader { ballot, proposal, .. } = &mut self.role else { return };
         let Some(open) = proposal.as_mut().filter(|open| open.value.sequence == sequence) else { return };
-        if *epoch != of || !self.voters.contains(&from) {
+        if *ballot != of || !self.voters.contains(&from) {
             return;
         }
         open.accepted_by.insert(from);
@@ -344,10 +344,10 @@
         self.commit(value, out);
     }
 
-    fn on_confirmed(&mut self, from: NodeId, of: Epoch, number: u64, out: &mut Vec<Effect>) {
+    fn on_confirmed(&mut self, from: NodeId, of: Ballot, number: u64, out: &mut Vec<Effect>) {
         let quorum_size = self.quorum_size();
-        let Role::Leader { epoch, confirmations, .. } = &mut self.role else { return };
-        let Some(confirmed_by) = confirmations.get_mut(&number).filter(|_| *epoch == of) else { return };
+        let Role::Leader { ballot, confirmations, .. } = &mut self.role else { return };
+        let Some(confirmed_by) = confirmations.get_mut(&number).filter(|_| *ballot == of) else { return };
         if self.voters.contains(&from) {
             confirmed_by.insert(from);
         }
@@ -357,11 +357,11 @@
         }
     }
 
-    /// Notes what is committed; an older value changes nothing. One under a higher epoch than this leader's tells that a quorum has
-    /// promised that epoch: what is open here may have been committed by another leader, and would never be answered.
+    /// Notes what is committed; an older value changes nothing. One under a higher ballot than this leader's tells that a quorum has
+    /// promised that ballot: what is open here may have been committed by another leader, and would never be answered.
     fn commit(&mut self, value: AcceptedValue, out: &mut Vec<Effect>) {
-        self.outdated(value.epoch, out);
-        let newer = |known: &AcceptedValue| (value.sequence, value.epoch) > (known.sequence, known.epoch);
+        self.outdated(value.ballot, out);
+        let newer = |known: &AcceptedValue| (value.sequence, value.ballot) > (known.sequence, known.ballot);
         if self.committed.as_ref().is_none_or(newer) {
             self.committed = Some(value.clone());
             out.push(Effect::Committed(value));
--- a/control/src/reconfiguration.rs
+++ b/control/src/reconfiguration.rs
@@ -1,8 +1,8 @@
 //! How the membership begins and changes, and how a replica becomes a voter, learns that it is none any longer, and leaves.
 
-use ivyhatch_protocol::ids::{NodeId, Part, ReplicaId};
+use ivyhatch_protocol::ids::{NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{
-    AcceptedValue, AcceptorState, Heartbeat, Membership, Peer, ReplicaStatus, Voter,
+    AcceptedValue, AcceptorState, Heartbeat, Membership, PeerMessage, ReplicaStatus, Voter,
 };
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 use speedy::{Readable, Writable};
@@ -62,7 +62,7 @@
     /// Tells the partitions who votes.
     pub(crate) fn set_voters(&mut self, out: &mut Vec<Output>) {
         let nodes: Vec<NodeId> = self.membership.iter().flat_map(Membership::nodes).collect();
-        for part in Part::all() {
+        for part in PartitionId::all() {
             let mut effects = Vec::new();
             let partition = self.partitions.get_mut(&part);
             partition.into_iter().for_each(|partition| partition.set_voters(&nodes, &mut effects));
@@ -124,13 +124,13 @@
         let peer = self.peers.entry(to).or_default();
         if peer.membership_sent.is_none_or(|at| self.now >= at + ASK_AGAIN) {
             peer.membership_sent = Some(self.now);
-            out.push(Output::Send(to, Peer::Membership(membership.clone())));
+            out.push(Output::Send(to, PeerMessage::Membership(membership.clone())));
         }
     }
 
     /// The leader of the membership has the next one decided where a voter's seat should go to another replica.
     pub(crate) fn replace_voters(&mut self, out: &mut Vec<Output>) {
-        let leads = self.leader(Part::MEMBERSHIP) == Some(self.identity.node);
+        let leads = self.leader(PartitionId::MEMBERSHIP) == Some(self.identity.node);
         let next = if leads { self.next_membership() } else { None };
         let now = self.now;
         let partition = &mut self.membership_partition;
@@ -144,7 +144,7 @@
             }
             Some(_) => partition.tick(now, &mut effects),
         }
-        self.carry_out(Part::MEMBERSHIP, effects, out);
+        self.carry_out(PartitionId::MEMBERSHIP, effects, out);
     }
 
     fn next_membership(&self) -> Option<Membership> {
@@ -190,7 +190,7 @@
         match Membership::read_from_buffer(&value.value) {
             Ok(membership) => {
                 self.adopt(membership.clone(), out);
-                self.send_to_all(&Peer::Membership(membership), out);
+                self.send_to_all(&PeerMessage::Membership(membership), out);
             }
             Err(error) => {
                 let pairs = format!("error={error:?} remedy=bring_all_to_one_release");
@@ -221,9 +221,9 @@
             .filter(|node| *node != self.identity.node)
             .collect();
         out.extend(
-            sources
-                .into_iter()
-                .map(|node| Output::Send(node, Peer::StateTransferRequest { incarnation, generation })),
+            sources.into_iter().map(|node| {
+                Output::Send(node, PeerMessage::StateTransferRequest { incarnation, generation })
+            }),
         );
     }
 
@@ -240,9 +240,9 @@
         if generation != membership.generation || !voter.is_some_and(|voter| self.holds_state_of(voter)) {
             return;
         }
-        let state = |(part, partition): (&Part, &PartitionReplica)| (*part, partition.state().clone());
+        let state = |(part, partition): (&PartitionId, &PartitionReplica)| (*part, partition.state().clone());
         let partitions = self.partitions.iter().map(state).collect();
-        let message = Peer::StateTransfer { incarnation, generation, disk: replica.disk, partitions };
+        let message = PeerMessage::StateTransfer { incarnation, generation, disk: replica.disk, partitions };
         self.store(Vec::new(), vec![(to, message)], out);
     }
 
@@ -250,7 +250,7 @@
         &mut self,
         source: ReplicaId,
         generation: u64,
-        partitions: Vec<(Part, AcceptorState)>,
+        partitions: Vec<(PartitionId, AcceptorState)>,
         out: &mut Vec<Output>,
     ) {
         let Some(joined) = self.joining().filter(|_| self.state_write.is_none()) else { return };
--- a/control/src/report.rs
+++ b/control/src/report.rs
@@ -1,6 +1,6 @@
 //! What an operator may ask a control node for: who votes, who leads, and who is behind, as this node knows it.
 
-use ivyhatch_protocol::ids::{NodeId, Part, ReplicaId};
+use ivyhatch_protocol::ids::{NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{Heartbeat, Membership, ReplicaStatus, Voter};
 
 use crate::control_plane::ControlPlane;
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PartitionReport {
     /// The partition.
-    pub part: Part,
+    pub part: PartitionId,
     /// The number of its last committed change.
     pub committed: u64,
     /// The node that leads it, or would start the next election.
@@ -59,11 +59,11 @@
             has_quorum: self.has_quorum(),
             generation: self.generation(),
             replicas,
-            partitions: Part::all().map(|part| self.report_partition(part)).collect(),
+            partitions: PartitionId::all().map(|part| self.report_partition(part)).collect(),
         }
     }
 
-    fn report_partition(&self, part: Part) -> PartitionReport {
+    fn report_partition(&self, part: PartitionId) -> PartitionReport {
         PartitionReport { part, committed: self.committed_state(part).0, leader: self.leader(part) }
     }
 
--- a/control/src/routers.rs
+++ b/control/src/routers.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use ivyhatch_protocol::feed::{Router, RouterState};
 use ivyhatch_protocol::ids::NodeId;
+use ivyhatch_protocol::watch::{Router, RouterState};
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
 /// A router that has said nothing for so long is not where clients are sent: three of its beats.
--- a/control/src/server_list.rs
+++ b/control/src/server_list.rs
@@ -1,12 +1,12 @@
-//! Reading the platform's list of servers: when the replica that has the duty asks, which answers count, when it renews its epoch,
+//! Reading the platform's list of servers: when the replica that has the duty asks, which answers count, when it renews its ballot,
 //! and when it leaves the duty to another replica. `docs/design/list-reader.md` adds up how long nobody may read.
 //!
 //! The duty lies with the owner of one part of the control state. Owning a part is not a lease: an owner learns that it has been
-//! deposed only when it asks the other members something, and reading the list asks them nothing. So the epochs under which
+//! deposed only when it asks the other members something, and reading the list asks them nothing. So the ballots under which
 //! lists are told are watched here. A higher one than this replica's own means that another replica has led meanwhile: nobody
-//! accepts this one's lists any longer, and it has to begin a new epoch.
+//! accepts this one's lists any longer, and it has to begin a new ballot.
 
-use ivyhatch_protocol::ids::Epoch;
+use ivyhatch_protocol::ids::Ballot;
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
 /// An answer that comes later than this is dropped, and the platform is asked again. Longer than the embedder's own limit, so
@@ -22,7 +22,7 @@
 pub const SHORTEST_LEAVE: Nanos = 5 * SECOND;
 /// The duty is not left for longer.
 pub const LONGEST_LEAVE: Nanos = 40 * SECOND;
-/// A deposed reader waits for so long before it renews its epoch where it can't see its successor: that one may be reading for all
+/// A deposed reader waits for so long before it renews its ballot where it can't see its successor: that one may be reading for all
 /// behind a partial cut, and the two must not depose each other without pause.
 pub const RENEW_AFTER: Nanos = 1500 * MILLISECOND;
 
@@ -33,11 +33,11 @@
 /// What the replica knows of the duty at this moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Duty {
-    /// The epoch under which it has the duty, if it has it.
-    pub owned: Option<Epoch>,
-    /// The highest epoch under which a list has been told, as far as is known here.
-    pub newest: Epoch,
-    /// Whether the replica that began this epoch is there and hears this one.
+    /// The ballot under which it has the duty, if it has it.
+    pub owned: Option<Ballot>,
+    /// The highest ballot under which a list has been told, as far as is known here.
+    pub newest: Ballot,
+    /// Whether the replica that began this ballot is there and hears this one.
     pub newest_in_touch: bool,
     /// Whether any list is known here.
     pub has_list: bool,
@@ -59,10 +59,10 @@
 pub enum Output {
     /// Ask the platform. Whatever reading is still under way is given up.
     Read(ReadId),
-    /// The list that has just come counts, under this epoch.
-    Publish(Epoch),
-    /// Another replica has read under this higher epoch: begin a new one.
-    Renew(Epoch),
+    /// The list that has just come counts, under this ballot.
+    Publish(Ballot),
+    /// Another replica has read under this higher ballot: begin a new one.
+    Renew(Ballot),
     /// So many calls in a row have failed.
     Failing(u32),
     /// Another replica should read: tell the others at once.
@@ -73,7 +73,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Call {
     None,
-    UnderWay { read: ReadId, epoch: Epoch, asked: Nanos },
+    UnderWay { read: ReadId, ballot: Ballot, asked: Nanos },
 }
 
 /// The reader of the platform's list, in each replica.
@@ -82,8 +82,8 @@
     every: Nanos,
     call: Call,
     last_read: ReadId,
-    /// The epoch that the next call counts under; it is made at once where this changes.
-    epoch: Option<Epoch>,
+    /// The ballot that the next call counts under; it is made at once where this changes.
+    ballot: Option<Ballot>,
     next: Nanos,
     failures: u32,
     left_until: Nanos,
@@ -98,7 +98,7 @@
             every,
             call: Call::None,
             last_read: ReadId::default(),
-            epoch: None,
+            ballot: None,
             next: 0,
             failures: 0,
             left_until: 0,
@@ -121,9 +121,9 @@
         now >= self.left_until
     }
 
-    /// The epoch under which it reads now, if it does.
-    pub fn reads_under(&self) -> Option<Epoch> {
-        self.epoch
+    /// The ballot under which it reads now, if it does.
+    pub fn reads_under(&self) -> Option<Ballot> {
+        self.ballot
     }
 
     fn check(&mut self, now: Nanos, duty: Duty, out: &mut Vec<Output>) {
@@ -137,7 +137,7 @@
         self.ask_in_time(now, out);
     }
 
-    /// Whether another replica has led since this one began its epoch.
+    /// Whether another replica has led since this one began its ballot.
     fn is_outdated(&self, duty: Duty) -> bool {
         duty.owned.is_some_and(|owned| owned < duty.newest)
     }
@@ -151,12 +151,12 @@
         }
     }
 
-    /// Sets the epoch that calls count under. What was asked under another one is not waited for.
-    fn read_under(&mut self, epoch: Option<Epoch>) {
-        if epoch == self.epoch {
+    /// Sets the ballot that calls count under. What was asked under another one is not waited for.
+    fn read_under(&mut self, ballot: Option<Ballot>) {
+        if ballot == self.ballot {
             return;
         }
-        self.epoch = epoch;
+        self.ballot = ballot;
         self.call = Call::None;
         self.next = 0;
         self.failures = 0;
@@ -171,19 +171,19 @@
     }
 
     fn ask_in_time(&mut self, now: Nanos, out: &mut Vec<Output>) {
-        let Some(epoch) = self.epoch else { return };
+        let Some(ballot) = self.ballot else { return };
         if self.call != Call::None || now < self.next {
             return;
         }
         self.last_read = ReadId(self.last_read.0 + 1);
-        self.call = Call::UnderWay { read: self.last_read, epoch, asked: now };
-        let every = if epoch == Epoch::default() { FIRST_LIST_EVERY } else { self.every };
+        self.call = Call::UnderWay { read: self.last_read, ballot, asked: now };
+        let every = if ballot == Ballot::default() { FIRST_LIST_EVERY } else { self.every };
         self.next = now + every;
         out.push(Output::Read(self.last_read));
     }
 
     fn answered(&mut self, now: Nanos, answered: ReadId, duty: Duty, out: &mut Vec<Output>) {
-        let Call::UnderWay { read, epoch, asked } = self.call else { return };
+        let Call::UnderWay { read, ballot, asked } = self.call else { return };
         if read != answered {
             return;
         }
@@ -197,8 +197,8 @@
         self.failures = 0;
         self.left_until = 0;
         self.leave_for = SHORTEST_LEAVE;
-        if !self.is_outdated(duty) && epoch_of(duty) == Some(epoch) {
-            out.push(Output::Publish(epoch));
+        if !self.is_outdated(duty) && epoch_of(duty) == Some(ballot) {
+            out.push(Output::Publish(ballot));
         }
     }
 
@@ -211,7 +211,7 @@
         self.failures += 1;
         self.next = self.next.min(now + RETRY);
         out.push(Output::Failing(self.failures));
-        if self.failures >= MOST_FAILURES && self.epoch != Some(Epoch::default()) {
+        if self.failures >= MOST_FAILURES && self.ballot != Some(Ballot::default()) {
             self.leave(now, out);
         }
     }
@@ -224,8 +224,8 @@
     }
 }
 
-/// The epoch that a list read now would count under: the owner's; else, where there is no list at all, the lowest of all, whose
+/// The ballot that a list read now would count under: the owner's; else, where there is no list at all, the lowest of all, whose
 /// place the first owner's list takes.
-fn epoch_of(duty: Duty) -> Option<Epoch> {
-    duty.owned.or((!duty.has_list).then(Epoch::default))
+fn epoch_of(duty: Duty) -> Option<Ballot> {
+    duty.owned.or((!duty.has_list).then(Ballot::default))
 }
--- a/control/src/server_list_duty.rs
+++ b/control/src/server_list_duty.rs
@@ -1,9 +1,9 @@
 //! The duty to read the platform's list of servers for all: it lies with the leader of one partition.
 
-use ivyhatch_protocol::feed::{Server, Servers};
-use ivyhatch_protocol::ids::{Epoch, NodeId, Part};
-use ivyhatch_protocol::peer::Peer;
-use ivyhatch_protocol::servers::List;
+use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId};
+use ivyhatch_protocol::peer::PeerMessage;
+use ivyhatch_protocol::server_list::ServerList;
+use ivyhatch_protocol::watch::{Server, ServerListUpdate};
 
 use crate::control_plane::ControlPlane;
 use crate::interface::Output;
@@ -13,8 +13,8 @@
 const DUTY: &str = "platform-list";
 
 /// The partition whose leader has the duty.
-pub(crate) fn partition() -> Part {
-    Part::of(DUTY)
+pub(crate) fn partition() -> PartitionId {
+    PartitionId::of(DUTY)
 }
 
 impl ControlPlane {
@@ -23,7 +23,7 @@
     }
 
     fn has_list(&self) -> bool {
-        self.list.position() != List::default().position()
+        self.list.position() != ServerList::default().position()
     }
 
     /// What this node knows of the duty.
@@ -65,14 +65,14 @@
         let after = self.list_reader.reads_under();
         if after != before {
             let pairs =
-                after.map_or_else(|| "reads=false".into(), |epoch| format!("reads=true epoch={epoch}"));
+                after.map_or_else(|| "reads=false".into(), |ballot| format!("reads=true ballot={ballot}"));
             out.push(Output::Log("list_duty", pairs));
         }
         for output in outputs {
             match output {
                 server_list::Output::Read(read) => out.push(Output::ReadServerList(read)),
-                server_list::Output::Publish(epoch) => {
-                    self.publish_list(epoch, servers.take().unwrap_or_default(), out);
+                server_list::Output::Publish(ballot) => {
+                    self.publish_list(ballot, servers.take().unwrap_or_default(), out);
                 }
                 server_list::Output::Renew(newest) => self.renew_list_duty(newest, out),
                 server_list::Output::Failing(failures) => {
@@ -85,7 +85,7 @@
     }
 
     /// Another node has led the duty's partition since: this one steps down, and starts an election at its next tick.
-    fn renew_list_duty(&mut self, newest: Epoch, out: &mut Vec<Output>) {
+    fn renew_list_duty(&mut self, newest: Ballot, out: &mut Vec<Output>) {
         out.push(Output::Log("list_duty", format!("reads=false deposed_by={newest}")));
         let Some(duty) = self.partitions.get_mut(&partition()) else { return };
         let mut effects = Vec::new();
@@ -93,27 +93,27 @@
         self.carry_out(partition(), effects, out);
     }
 
-    /// The platform has handed its list to this node, the reader under this epoch.
-    fn publish_list(&mut self, epoch: Epoch, servers: Vec<Server>, out: &mut Vec<Output>) {
-        if epoch == Epoch::default() {
+    /// The platform has handed its list to this node, the reader under this ballot.
+    fn publish_list(&mut self, ballot: Ballot, servers: Vec<Server>, out: &mut Vec<Output>) {
+        if ballot == Ballot::default() {
             // For those who follow this node: until there is a quorum nobody has the duty.
             if !servers.is_empty() {
-                self.list.read(self.now, epoch, servers);
+                self.list.read(self.now, ballot, servers);
                 self.log_list("first", out);
             }
             return;
         }
-        let Some(news) = self.list.read(self.now, epoch, servers) else { return };
+        let Some(news) = self.list.read(self.now, ballot, servers) else { return };
         self.log_list("read", out);
         let changed = news.upsert.iter().filter(|_| news.from.is_some());
         out.extend(changed.map(|server| Output::Log("server", describe(server))));
-        self.send_to_all(&Peer::Servers(news), out);
+        self.send_to_all(&PeerMessage::ServerList(news), out);
     }
 
-    pub(crate) fn on_server_news(&mut self, from: NodeId, news: Servers, out: &mut Vec<Output>) {
+    pub(crate) fn on_server_news(&mut self, from: NodeId, news: ServerListUpdate, out: &mut Vec<Output>) {
         let before = self.list.position();
         if !self.list.follow(self.now, news) {
-            out.push(Output::Send(from, Peer::WantServers));
+            out.push(Output::Send(from, PeerMessage::ServerListRequest));
         } else if before != self.list.position() {
             self.log_list("followed", out);
         }
@@ -121,13 +121,13 @@
 
     pub(crate) fn send_server_list(&mut self, to: NodeId, out: &mut Vec<Output>) {
         if self.has_list() {
-            out.push(Output::Send(to, Peer::Servers(self.list.whole(self.now))));
+            out.push(Output::Send(to, PeerMessage::ServerList(self.list.whole(self.now))));
         }
     }
 
     fn log_list(&self, how: &str, out: &mut Vec<Output>) {
-        let (epoch, number) = self.list.position();
-        let pairs = format!("how={how} epoch={epoch} number={number} servers={}", self.list.len());
+        let (ballot, number) = self.list.position();
+        let pairs = format!("how={how} ballot={ballot} number={number} servers={}", self.list.len());
         out.push(Output::Log("servers", pairs));
     }
 }
--- a/control/src/state.rs
+++ b/control/src/state.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use ivyhatch_protocol::configuration::{Change, ConfigurationError, Document};
-use ivyhatch_protocol::ids::{Part, hash};
+use ivyhatch_protocol::ids::{PartitionId, hash};
 use ivyhatch_protocol::peer::{AdminRequest, AdminResponse};
 use speedy::{Readable, Writable};
 
@@ -59,17 +59,17 @@
 
 impl State {
     /// What a part holds at first.
-    pub fn empty(part: Part) -> Self {
+    pub fn empty(part: PartitionId) -> Self {
         match part {
-            Part::CONFIGURATION => Self::Configured(Configured::default()),
+            PartitionId::CONFIGURATION => Self::Configured(Configured::default()),
             _ => Self::Evacuated(Evacuated::default()),
         }
     }
 
     /// Reads what a part was set to. None for what no version of this program has written.
-    pub fn read(part: Part, value: &[u8]) -> Option<Self> {
+    pub fn read(part: PartitionId, value: &[u8]) -> Option<Self> {
         match part {
-            Part::CONFIGURATION => Configured::read_from_buffer(value).ok().map(Self::Configured),
+            PartitionId::CONFIGURATION => Configured::read_from_buffer(value).ok().map(Self::Configured),
             _ => Evacuated::read_from_buffer(value).ok().map(Self::Evacuated),
         }
     }
@@ -109,7 +109,7 @@
     ) -> Verdict {
         let revision = self.document.revision;
         if self.taken.contains(&digest) {
-            return Verdict::Answer(AdminResponse::Taken { revision });
+            return Verdict::Answer(AdminResponse::Applied { revision });
         }
         if base != revision {
             return Verdict::Answer(AdminResponse::Conflict { revision });
@@ -121,7 +121,7 @@
         if let Err(error) = document.checked(revision) {
             return Verdict::Answer(AdminResponse::Invalid(error.to_string()));
         }
-        let answer = AdminResponse::Taken { revision: document.revision };
+        let answer = AdminResponse::Applied { revision: document.revision };
         let mut taken = self.taken.clone();
         taken.push(digest);
         let surplus = taken.len().saturating_sub(REMEMBERED);
@@ -132,7 +132,7 @@
 
 impl Evacuated {
     fn decide(&self, zone: &str, active: bool, known_changes: u64) -> Verdict {
-        let answer = AdminResponse::Taken { revision: 0 };
+        let answer = AdminResponse::Applied { revision: 0 };
         let (is, changes) = self.zones.get(zone).copied().unwrap_or_default();
         if is == active {
             return Verdict::Answer(answer);
--- a/control/src/stored.rs
+++ b/control/src/stored.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use ivyhatch_protocol::ids::{Epoch, Part, ReplicaId};
+use ivyhatch_protocol::ids::{Ballot, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{AcceptorState, Membership};
 
 use crate::Record;
@@ -17,9 +17,9 @@
     /// The generation in which the replica became a voter, once it holds the state with which it may vote.
     pub joined: Option<u64>,
     /// What is promised and accepted, by partition.
-    pub partitions: BTreeMap<Part, AcceptorState>,
-    /// By partition, the epoch and number of the last change that is known to be committed.
-    pub committed: BTreeMap<Part, (Epoch, u64)>,
+    pub partitions: BTreeMap<PartitionId, AcceptorState>,
+    /// By partition, the ballot and number of the last change that is known to be committed.
+    pub committed: BTreeMap<PartitionId, (Ballot, u64)>,
 }
 
 impl Stored {
@@ -31,21 +31,21 @@
             }
             Record::Membership(membership) => {
                 // Each generation decides on the next one anew.
-                self.partitions.remove(&Part::MEMBERSHIP);
+                self.partitions.remove(&PartitionId::MEMBERSHIP);
                 self.membership = Some(membership);
             }
             Record::Joined(generation) => self.joined = Some(generation),
-            Record::Promised(part, epoch) => {
+            Record::Promised(part, ballot) => {
                 let state = self.partitions.entry(part).or_default();
-                state.promised = state.promised.max(epoch);
+                state.promised = state.promised.max(ballot);
             }
             Record::Accepted(part, value) => {
                 let state = self.partitions.entry(part).or_default();
-                state.promised = state.promised.max(value.epoch);
+                state.promised = state.promised.max(value.ballot);
                 state.accepted = Some(value);
             }
-            Record::Committed(part, epoch, sequence) => {
-                self.committed.insert(part, (epoch, sequence));
+            Record::Committed(part, ballot, sequence) => {
+                self.committed.insert(part, (ballot, sequence));
             }
         }
     }
@@ -55,10 +55,10 @@
         let formatted = self.replica.map(|(replica, first_start)| Record::Formatted { replica, first_start });
         let membership = self.membership.clone().map(Record::Membership);
         let joined = self.joined.map(Record::Joined);
-        let partition = |(part, state): (&Part, &AcceptorState)| {
+        let partition = |(part, state): (&PartitionId, &AcceptorState)| {
             let accepted = state.accepted.clone().map(|value| Record::Accepted(*part, value));
             let committed = self.committed.get(part);
-            let committed = committed.map(|(epoch, sequence)| Record::Committed(*part, *epoch, *sequence));
+            let committed = committed.map(|(ballot, sequence)| Record::Committed(*part, *ballot, *sequence));
             accepted.into_iter().chain([Record::Promised(*part, state.promised)]).chain(committed)
         };
         let head = formatted.into_iter().chain(membership).chain(joined);
--- a/control/src/watch.rs
+++ b/control/src/watch.rs
@@ -1,8 +1,8 @@
 //! Sessions of routers that follow what is committed: what each is sent, and how far it is.
 
-use ivyhatch_protocol::feed::{FromFollower, Position, Router, ToFollower};
 use ivyhatch_protocol::ids::NodeId;
-use ivyhatch_protocol::peer::Peer;
+use ivyhatch_protocol::peer::PeerMessage;
+use ivyhatch_protocol::watch::{Position, Router, WatchRequest, WatchResponse};
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
 use crate::control_plane::ControlPlane;
@@ -39,7 +39,7 @@
         }
     }
 
-    pub(crate) fn follower_message(&mut self, id: SessionId, message: FromFollower, out: &mut Vec<Output>) {
+    pub(crate) fn follower_message(&mut self, id: SessionId, message: WatchRequest, out: &mut Vec<Output>) {
         let now = self.now;
         let session = self.sessions.entry(id).or_insert_with(|| WatchSession {
             router: None,
@@ -51,7 +51,7 @@
         });
         session.heard = now;
         match message {
-            FromFollower::Follow { router, primary, position } => {
+            WatchRequest::Subscribe { router, primary, position } => {
                 (session.router, session.is_primary) = (Some(router.node), primary);
                 session.position = position;
                 session.sent_at = 0;
@@ -59,7 +59,7 @@
                     self.send_sessions(out);
                 }
             }
-            FromFollower::Beat { state } => {
+            WatchRequest::Heartbeat { state } => {
                 let node = session.router;
                 let known = self.routers.own().into_iter().find(|router| Some(router.node) == node);
                 if let Some(router) = known
@@ -68,7 +68,7 @@
                     self.send_sessions(out);
                 }
             }
-            FromFollower::Want { position } => {
+            WatchRequest::Fetch { position } => {
                 let news = self.since(&position);
                 out.extend(news.into_iter().map(|news| Output::Follower(id, news)));
             }
@@ -94,13 +94,13 @@
 
     fn send_sessions(&mut self, out: &mut Vec<Output>) {
         self.sessions_sent = self.now;
-        self.send_to_all(&Peer::Sessions(self.routers.own()), out);
+        self.send_to_all(&PeerMessage::RouterSessions(self.routers.own()), out);
     }
 
-    fn since(&self, position: &Position) -> Vec<ToFollower> {
+    fn since(&self, position: &Position) -> Vec<WatchResponse> {
         let mut news = self.feed.since(position);
         if self.list.position() > position.servers {
-            news.push(ToFollower::Servers(self.list.since(self.now, position.servers)));
+            news.push(WatchResponse::ServerList(self.list.since(self.now, position.servers)));
         }
         news
     }
@@ -108,7 +108,7 @@
     /// Tells followers what is new: the is_primary ones the news, the others that there is some.
     pub(crate) fn publish(&mut self, out: &mut Vec<Output>) {
         let position = self.position();
-        let (now, in_touch) = (self.now, self.has_quorum());
+        let (now, has_quorum) = (self.now, self.has_quorum());
         let due: Vec<SessionId> = self
             .sessions
             .iter()
@@ -123,18 +123,24 @@
         }
         // One that has just come, or is cut off, knows few of the routers: shares that follow from their number would be too large.
         let settled = self.quorum_since.is_some_and(|since| now >= since + SETTLED_AFTER);
-        let mut controls: Vec<NodeId> = self.peers.keys().copied().chain([self.identity.node]).collect();
-        controls.sort_unstable();
+        let mut control_nodes: Vec<NodeId> = self.peers.keys().copied().chain([self.identity.node]).collect();
+        control_nodes.sort_unstable();
         for id in due {
             let Some(session) = self.sessions.get(&id) else { continue };
             if session.is_primary && session.position != position {
                 let news = self.since(&session.position);
                 out.extend(news.into_iter().map(|news| Output::Follower(id, news)));
             }
-            let controls = controls.clone();
+            let control_nodes = control_nodes.clone();
             let (place, routers) = session.router.map_or((0, 0), |node| self.routers.place(node));
             let (place, routers) = (place as u32, if settled { routers as u32 } else { 0 });
-            let heads = ToFollower::Heads { position: position.clone(), in_touch, routers, place, controls };
+            let heads = WatchResponse::Progress {
+                position: position.clone(),
+                has_quorum,
+                router_count: routers,
+                router_index: place,
+                control_nodes,
+            };
             out.push(Output::Follower(id, heads));
             if let Some(session) = self.sessions.get_mut(&id) {
                 if session.is_primary {
--- a/control/tests/bootstrap.rs
+++ b/control/tests/bootstrap.rs
@@ -7,11 +7,19 @@
 use ivyhatch_control::stored::Stored;
 use ivyhatch_control::{ControlPlane, Output, Record};
 use ivyhatch_protocol::ids::NodeId;
-use ivyhatch_protocol::peer::{Heartbeat, Peer, ReplicaStatus};
+use ivyhatch_protocol::peer::{Heartbeat, PeerMessage, ReplicaStatus};
 
-fn fresh(node: u32, number: u64) -> (u32, Peer) {
+fn fresh(node: u32, number: u64) -> (u32, PeerMessage) {
     let status = ReplicaStatus::Uninitialized;
-    (node, Peer::Heartbeat(Heartbeat { status, generation: 0, has_quorum: false, ..heartbeat(node, number) }))
+    (
+        node,
+        PeerMessage::Heartbeat(Heartbeat {
+            status,
+            generation: 0,
+            has_quorum: false,
+            ..heartbeat(node, number)
+        }),
+    )
 }
 
 fn founder() -> ControlPlane {
@@ -20,7 +28,7 @@
 
 fn memberships_sent(out: &[Output]) -> Vec<NodeId> {
     let sent = |output: &Output| match output {
-        Output::Send(to, Peer::Membership(_)) => Some(*to),
+        Output::Send(to, PeerMessage::Membership(_)) => Some(*to),
         _ => None,
     };
     out.iter().filter_map(sent).collect()
@@ -61,14 +69,14 @@
     let founded = founder.membership().cloned().expect("it is founded");
     let own_disk = Record::Formatted { replica: replica(2), first_start: true };
     let mut other = ControlPlane::new(identity(2, true), [own_disk].into_iter().collect(), 0);
-    hear(&mut other, 2_000, &[(1, Peer::Membership(founded))]);
+    hear(&mut other, 2_000, &[(1, PeerMessage::Membership(founded))]);
     expect_that!(other.status(), eq(ReplicaStatus::Voter));
 }
 
 #[gtest]
 fn one_whose_disk_was_lost_is_no_voter_of_the_membership_that_names_its_address() {
     let mut wiped = ControlPlane::new(identity(2, false), Stored::default(), 0);
-    hear(&mut wiped, 100, &[(1, Peer::Membership(membership()))]);
+    hear(&mut wiped, 100, &[(1, PeerMessage::Membership(membership()))]);
     expect_that!(wiped.status(), eq(ReplicaStatus::Learner));
 }
 
@@ -83,7 +91,7 @@
 #[gtest]
 fn a_seed_that_knows_a_membership_keeps_the_lowest_from_founding_another() {
     let mut founder = founder();
-    let known = (3, Peer::Heartbeat(heartbeat(3, 1)));
+    let known = (3, PeerMessage::Heartbeat(heartbeat(3, 1)));
     hear(&mut founder, 100, &[fresh(2, 1), known.clone()]);
     hear(&mut founder, 1_600, &[fresh(2, 2), known]);
     expect_that!(founder.membership(), none());
--- a/control/tests/common/cluster.rs
+++ b/control/tests/common/cluster.rs
@@ -5,7 +5,7 @@
 use ivyhatch_control::stored::Stored;
 use ivyhatch_control::{ControlPlane, Identity, Input, Output, Record, RequestId, Token};
 use ivyhatch_protocol::ids::NodeId;
-use ivyhatch_protocol::peer::{AdminRequest, AdminResponse, Peer, ReplicaStatus};
+use ivyhatch_protocol::peer::{AdminRequest, AdminResponse, PeerMessage, ReplicaStatus};
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 use speedy::Writable;
 
@@ -15,7 +15,7 @@
 
 enum Event {
     Tick(u64),
-    Arrives(NodeId, Peer),
+    Arrives(NodeId, PeerMessage),
     Stored(u64, Token, Vec<Record>),
 }
 
--- a/control/tests/common/mod.rs
+++ b/control/tests/common/mod.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeSet;
 
 use ivyhatch_control::{ControlPlane, Identity, Input, Output, Record};
-use ivyhatch_protocol::ids::{NodeId, Part, ReplicaId};
-use ivyhatch_protocol::peer::{ConsensusMessage, Heartbeat, Membership, Peer, ReplicaStatus, Voter};
+use ivyhatch_protocol::ids::{NodeId, PartitionId, ReplicaId};
+use ivyhatch_protocol::peer::{ConsensusMessage, Heartbeat, Membership, PeerMessage, ReplicaStatus, Voter};
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
 pub const NODES: [NodeId; 3] = [NodeId(1), NodeId(2), NodeId(3)];
@@ -67,7 +67,7 @@
 }
 
 /// Has a node hear these, and then that time has passed.
-pub fn hear(plane: &mut ControlPlane, at_ms: u64, messages: &[(u32, Peer)]) -> Vec<Output> {
+pub fn hear(plane: &mut ControlPlane, at_ms: u64, messages: &[(u32, PeerMessage)]) -> Vec<Output> {
     let (at, mut out) = (at_ms * MILLISECOND, Vec::new());
     for (from, message) in messages {
         plane.handle(at, Input::Peer(NodeId(*from), message.clone()), &mut out);
@@ -77,7 +77,7 @@
 }
 
 /// The same, and everything that it has stored is on its disk then.
-pub fn hear_and_store(plane: &mut ControlPlane, at_ms: u64, messages: &[(u32, Peer)]) -> Vec<Output> {
+pub fn hear_and_store(plane: &mut ControlPlane, at_ms: u64, messages: &[(u32, PeerMessage)]) -> Vec<Output> {
     let mut out = hear(plane, at_ms, messages);
     let writes: Vec<u64> = out
         .iter()
@@ -93,7 +93,7 @@
 }
 
 /// What was sent to a node.
-pub fn sent_to(out: &[Output], node: u32) -> Vec<&Peer> {
+pub fn sent_to(out: &[Output], node: u32) -> Vec<&PeerMessage> {
     let message = |output| match output {
         &Output::Send(to, ref message) if to == NodeId(node) => Some(message),
         _ => None,
@@ -110,11 +110,12 @@
 }
 
 /// Whether an election for this partition is started.
-pub fn starts_election(out: &[Output], part: Part) -> bool {
+pub fn starts_election(out: &[Output], part: PartitionId) -> bool {
     out.iter().any(|output| match output {
-        Output::Send(_, Peer::Consensus { part: of, message: ConsensusMessage::Prepare { .. }, .. }) => {
-            *of == part
-        }
+        Output::Send(
+            _,
+            PeerMessage::Consensus { part: of, message: ConsensusMessage::Prepare { .. }, .. },
+        ) => *of == part,
         _ => false,
     })
 }
--- a/control/tests/list_duty.rs
+++ b/control/tests/list_duty.rs
@@ -1,14 +1,14 @@
 //! Who reads the platform's list among three control nodes, as one of them sees it. On a hunted day nobody read it for seconds:
-//! an owner whom another had deposed behind a link that was down went on reading under its old epoch, and what it read was refused.
+//! an owner whom another had deposed behind a link that was down went on reading under its old ballot, and what it read was refused.
 
 mod common;
 
 use common::{heartbeat, membership, voter};
 use googletest::prelude::*;
 use ivyhatch_control::{ControlPlane, Input, Output};
-use ivyhatch_protocol::feed::{Server, Servers};
-use ivyhatch_protocol::ids::{Epoch, NodeId, Part};
-use ivyhatch_protocol::peer::{ConsensusMessage, Heartbeat, Peer};
+use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId};
+use ivyhatch_protocol::peer::{ConsensusMessage, Heartbeat, PeerMessage};
+use ivyhatch_protocol::watch::{Server, ServerListUpdate};
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
 /// Names are hashed: this duty falls to a part whose order begins with this member.
@@ -16,8 +16,8 @@
 const TICK: Nanos = 100 * MILLISECOND;
 const MEMBERS: [NodeId; 3] = [NodeId(1), NodeId(2), NodeId(3)];
 
-fn part() -> Part {
-    Part::of(LIST_DUTY)
+fn part() -> PartitionId {
+    PartitionId::of(LIST_DUTY)
 }
 
 /// The members in the order in which they own the part.
@@ -58,15 +58,15 @@
     }
 
     /// A beat of another member's, which has such a list.
-    fn beat(&mut self, from: NodeId, hears: &[NodeId], servers: (Epoch, u64)) {
+    fn beat(&mut self, from: NodeId, hears: &[NodeId], servers: (Ballot, u64)) {
         self.beats += 1;
         let reachable = hears.to_vec();
         let heartbeat = Heartbeat { reachable, servers, ..heartbeat(from.0, self.beats) };
-        self.hear(Input::Peer(from, Peer::Heartbeat(heartbeat)));
+        self.hear(Input::Peer(from, PeerMessage::Heartbeat(heartbeat)));
     }
 
     /// One tick later, after a beat of each of these, which hear all and have this list.
-    fn tick(&mut self, there: &[NodeId], servers: (Epoch, u64)) {
+    fn tick(&mut self, there: &[NodeId], servers: (Ballot, u64)) {
         self.now += TICK;
         for from in there {
             self.beat(*from, &MEMBERS, servers);
@@ -74,33 +74,33 @@
         self.hear(Input::Tick);
     }
 
-    /// The epoch that it asks the others to promise, if it does.
-    fn prepares(&mut self) -> Option<Epoch> {
+    /// The ballot that it asks the others to promise, if it does.
+    fn prepares(&mut self) -> Option<Ballot> {
         let prepare = |action: &Output| match action {
             Output::Send(
                 _,
-                Peer::Consensus { part: of, message: ConsensusMessage::Prepare { epoch }, .. },
-            ) if *of == part() => Some(*epoch),
+                PeerMessage::Consensus { part: of, message: ConsensusMessage::Prepare { ballot }, .. },
+            ) if *of == part() => Some(*ballot),
             _ => None,
         };
-        let epoch = self.out.iter().filter_map(prepare).max();
+        let ballot = self.out.iter().filter_map(prepare).max();
         self.out.clear();
-        epoch
+        ballot
     }
 
-    fn promise(&mut self, from: NodeId, epoch: Epoch) {
-        let message = ConsensusMessage::Promise { epoch, accepted: None };
-        self.hear(Input::Peer(from, Peer::Consensus { generation: 1, part: part(), message }));
+    fn promise(&mut self, from: NodeId, ballot: Ballot) {
+        let message = ConsensusMessage::Promise { ballot, accepted: None };
+        self.hear(Input::Peer(from, PeerMessage::Consensus { generation: 1, part: part(), message }));
     }
 
     /// It leads the part, with the last member's promise, and hears both others.
     fn leads() -> Self {
         let mut first = Self::new();
-        let none = (Epoch::default(), 0);
+        let none = (Ballot::default(), 0);
         first.tick(&order()[1..], none);
-        let epoch = first.prepares().expect("it begins an epoch");
-        first.promise(order()[2], epoch);
-        assert_eq!(first.node.leads(part()), Some(epoch));
+        let ballot = first.prepares().expect("it begins a ballot");
+        first.promise(order()[2], ballot);
+        assert_eq!(first.node.leads(part()), Some(ballot));
         first
     }
 }
@@ -119,8 +119,14 @@
 }
 
 /// The whole list, as another reader has told it.
-fn told(epoch: Epoch) -> Peer {
-    Peer::Servers(Servers { epoch, from: None, to: 1, upsert: vec![server("i-1", false)], gone: Vec::new() })
+fn told(ballot: Ballot) -> PeerMessage {
+    PeerMessage::ServerList(ServerListUpdate {
+        ballot,
+        from: None,
+        to: 1,
+        upsert: vec![server("i-1", false)],
+        gone: Vec::new(),
+    })
 }
 
 #[gtest]
@@ -128,7 +134,7 @@
     let mut first = First::leads();
     let own = first.node.leads(part()).expect("it leads");
     // The second could not reach this one, led with the third's promise, read the list, and stood back when it heard this one.
-    let other = Epoch { counter: own.counter + 1, node: order()[1], life: 22 };
+    let other = Ballot { counter: own.counter + 1, node: order()[1], incarnation: 22 };
     first.hear(Input::Peer(order()[2], told(other)));
     first.out.clear();
     let mut begun = None;
@@ -136,7 +142,7 @@
         first.tick(&order()[1..], (other, 1));
         begun = begun.max(first.prepares());
     }
-    let begun = begun.expect("it notices, and begins a new epoch");
+    let begun = begun.expect("it notices, and begins a new ballot");
     expect_that!(begun, gt(other));
     first.promise(order()[2], begun);
     expect_that!(first.node.leads(part()), some(eq(begun)));
@@ -146,7 +152,7 @@
 fn it_notices_by_the_others_beats_too() {
     let mut first = First::leads();
     let own = first.node.leads(part()).expect("it leads");
-    let other = Epoch { counter: own.counter + 1, node: order()[1], life: 22 };
+    let other = Ballot { counter: own.counter + 1, node: order()[1], incarnation: 22 };
     first.out.clear();
     first.tick(&order()[1..], (other, 1));
     first.tick(&order()[1..], (other, 1));
--- a/control/tests/list_gap.rs
+++ b/control/tests/list_gap.rs
@@ -7,9 +7,9 @@
 use ivyhatch_control::server_list::{ANSWER_LIMIT, MOST_FAILURES, RETRY, ReadId};
 use ivyhatch_control::stored::Stored;
 use ivyhatch_control::{ControlPlane, Identity, Input, Output, Record, Token};
-use ivyhatch_protocol::feed::Server;
-use ivyhatch_protocol::ids::{NodeId, Part, ReplicaId};
-use ivyhatch_protocol::peer::{Membership, Peer, Voter};
+use ivyhatch_protocol::ids::{NodeId, PartitionId, ReplicaId};
+use ivyhatch_protocol::peer::{Membership, PeerMessage, Voter};
+use ivyhatch_protocol::watch::Server;
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
 /// Control nodes: one in each zone of a small deployment, and of a grown one.
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 enum Happening {
     Tick(usize, u64),
-    Arrives { from: usize, to: usize, life: u64, message: Peer },
+    Arrives { from: usize, to: usize, life: u64, message: PeerMessage },
     Synced(usize, u64, Token, Vec<Record>),
     Read(usize, u64, ReadId),
     ReadFailed(usize, u64, ReadId),
@@ -93,7 +93,7 @@
 
 /// The first owner of the duty's part.
 fn first_reader(size: usize) -> usize {
-    usize::from(Part::of("platform-list").0) % size
+    usize::from(PartitionId::of("platform-list").0) % size
 }
 
 /// All but the first owner, in their order.
--- a/control/tests/long_histories.rs
+++ b/control/tests/long_histories.rs
@@ -7,7 +7,7 @@
 use cluster::Cluster;
 use googletest::prelude::*;
 use ivyhatch_control::stored::Stored;
-use ivyhatch_protocol::ids::Part;
+use ivyhatch_protocol::ids::PartitionId;
 use ivyhatch_protocol::peer::{AdminRequest, AdminResponse};
 use ivyhatch_protocol::{Nanos, SECOND};
 use speedy::Writable;
@@ -43,13 +43,13 @@
     for revision in 1..=changes {
         let request = AdminRequest::Put { base: revision - 1, body: body(revision) };
         let response = cluster.request(1 + (revision % 3) as u32, request);
-        assert_eq!(response, AdminResponse::Taken { revision });
+        assert_eq!(response, AdminResponse::Applied { revision });
     }
     cluster
 }
 
 fn sequence(cluster: &Cluster, node: u32) -> u64 {
-    cluster.plane(node).committed_state(Part::CONFIGURATION).0
+    cluster.plane(node).committed_state(PartitionId::CONFIGURATION).0
 }
 
 /// How long a node takes until it votes and knows all changes, and how many bytes it is sent.
@@ -78,7 +78,7 @@
         expect_that!(time, le(limit), "{changes}");
         expect_that!(bytes, le(MOST_COPIES * state), "{changes}");
         let next = AdminRequest::Put { base: changes, body: body(changes + 1) };
-        expect_that!(cluster.request(node, next), eq(&AdminResponse::Taken { revision: changes + 1 }));
+        expect_that!(cluster.request(node, next), eq(&AdminResponse::Applied { revision: changes + 1 }));
     }
 }
 
@@ -126,7 +126,7 @@
 fn order_that_was_taken_hundreds_of_changes_ago_is_acknowledged_again_and_its_rival_is_not() {
     let mut cluster = after_changes(300);
     let again = AdminRequest::Put { base: 4, body: body(5) };
-    expect_that!(cluster.request(2, again), eq(&AdminResponse::Taken { revision: 300 }));
+    expect_that!(cluster.request(2, again), eq(&AdminResponse::Applied { revision: 300 }));
     let rival = AdminRequest::Put { base: 4, body: body(6) };
     expect_that!(cluster.request(2, rival), eq(&AdminResponse::Conflict { revision: 300 }));
 }
--- a/control/tests/reconfiguration.rs
+++ b/control/tests/reconfiguration.rs
@@ -7,9 +7,9 @@
 use ivyhatch_control::stored::Stored;
 use ivyhatch_control::{ControlPlane, Input, Output, Record};
 use ivyhatch_protocol::MILLISECOND;
-use ivyhatch_protocol::ids::{Epoch, NodeId, Part, ReplicaId};
+use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{
-    AcceptedValue, AcceptorState, ConsensusMessage, Heartbeat, Membership, Peer, ReplicaStatus,
+    AcceptedValue, AcceptorState, ConsensusMessage, Heartbeat, Membership, PeerMessage, ReplicaStatus,
 };
 use speedy::Readable;
 
@@ -20,8 +20,8 @@
     membership().with_replacement(replica(3), replica(SUCCESSOR), &zone(3))
 }
 
-fn beat(heartbeat: Heartbeat) -> (u32, Peer) {
-    (heartbeat.incarnation as u32, Peer::Heartbeat(heartbeat))
+fn beat(heartbeat: Heartbeat) -> (u32, PeerMessage) {
+    (heartbeat.incarnation as u32, PeerMessage::Heartbeat(heartbeat))
 }
 
 /// The heartbeat of a replica that follows and has no seat.
@@ -34,21 +34,25 @@
     Heartbeat { reachable, ..heartbeat }
 }
 
-/// The membership that this node proposes, once the second node has promised its epoch.
+/// The membership that this node proposes, once the second node has promised its ballot.
 fn proposed(node: &mut ControlPlane, at_ms: u64, out: &[Output]) -> Option<Membership> {
-    let epoch = sent_to(out, 2).into_iter().find_map(|message| match message {
-        Peer::Consensus { part: Part::MEMBERSHIP, message: ConsensusMessage::Prepare { epoch }, .. } => {
-            Some(*epoch)
-        }
+    let ballot = sent_to(out, 2).into_iter().find_map(|message| match message {
+        PeerMessage::Consensus {
+            part: PartitionId::MEMBERSHIP,
+            message: ConsensusMessage::Prepare { ballot },
+            ..
+        } => Some(*ballot),
         _ => None,
     })?;
-    let message = ConsensusMessage::Promise { epoch, accepted: None };
-    let promise = Peer::Consensus { generation: 1, part: Part::MEMBERSHIP, message };
+    let message = ConsensusMessage::Promise { ballot, accepted: None };
+    let promise = PeerMessage::Consensus { generation: 1, part: PartitionId::MEMBERSHIP, message };
     let out = hear_and_store(node, at_ms, &[(2, promise)]);
     sent_to(&out, 2).into_iter().find_map(|message| match message {
-        Peer::Consensus { part: Part::MEMBERSHIP, message: ConsensusMessage::Accept(value), .. } => {
-            Membership::read_from_buffer(&value.value).ok()
-        }
+        PeerMessage::Consensus {
+            part: PartitionId::MEMBERSHIP,
+            message: ConsensusMessage::Accept(value),
+            ..
+        } => Membership::read_from_buffer(&value.value).ok(),
         _ => None,
     })
 }
@@ -58,7 +62,7 @@
     let mut node = voter(1, membership());
     (1..=60).find_map(|step| {
         let at_ms = step * 100;
-        let heard: Vec<(u32, Peer)> = heard(at_ms).into_iter().map(beat).collect();
+        let heard: Vec<(u32, PeerMessage)> = heard(at_ms).into_iter().map(beat).collect();
         let out = hear_and_store(&mut node, at_ms, &heard);
         proposed(&mut node, at_ms, &out).map(|membership| (at_ms, membership))
     })
@@ -125,15 +129,22 @@
     expect_that!(proposal(heard), none());
 }
 
-fn prepare(from: u32, generation: u64) -> (u32, Peer) {
-    let epoch = Epoch { counter: generation, node: NodeId(from), life: 7 };
-    (from, Peer::Consensus { generation, part: Part(0), message: ConsensusMessage::Prepare { epoch } })
+fn prepare(from: u32, generation: u64) -> (u32, PeerMessage) {
+    let ballot = Ballot { counter: generation, node: NodeId(from), incarnation: 7 };
+    (
+        from,
+        PeerMessage::Consensus {
+            generation,
+            part: PartitionId(0),
+            message: ConsensusMessage::Prepare { ballot },
+        },
+    )
 }
 
 fn promises(out: &[Output], to: u32) -> bool {
-    sent_to(out, to)
-        .into_iter()
-        .any(|message| matches!(message, Peer::Consensus { message: ConsensusMessage::Promise { .. }, .. }))
+    sent_to(out, to).into_iter().any(|message| {
+        matches!(message, PeerMessage::Consensus { message: ConsensusMessage::Promise { .. }, .. })
+    })
 }
 
 #[gtest]
@@ -141,10 +152,10 @@
     let mut node = voter(1, membership());
     let out = hear_and_store(&mut node, 100, &[prepare(3, 1)]);
     expect_true!(promises(&out, 3));
-    hear_and_store(&mut node, 200, &[(2, Peer::Membership(replaced()))]);
+    hear_and_store(&mut node, 200, &[(2, PeerMessage::Membership(replaced()))]);
     let out = hear_and_store(&mut node, 700, &[prepare(3, 1)]);
     expect_false!(promises(&out, 3));
-    expect_that!(sent_to(&out, 3), contains(eq(&&Peer::Membership(replaced()))));
+    expect_that!(sent_to(&out, 3), contains(eq(&&PeerMessage::Membership(replaced()))));
     let out = hear_and_store(&mut node, 800, &[prepare(2, 2)]);
     expect_true!(promises(&out, 2));
 }
@@ -153,41 +164,42 @@
 fn a_voter_that_has_lost_its_seat_votes_no_more_and_hands_its_state_out() {
     let mut node = voter(3, membership());
     expect_that!(node.status(), eq(ReplicaStatus::Voter));
-    hear_and_store(&mut node, 100, &[(2, Peer::Membership(replaced()))]);
+    hear_and_store(&mut node, 100, &[(2, PeerMessage::Membership(replaced()))]);
     expect_that!(node.status(), eq(ReplicaStatus::Removed));
     let out = hear_and_store(&mut node, 200, &[prepare(2, 2)]);
     expect_false!(promises(&out, 2));
-    let request = Peer::StateTransferRequest { incarnation: 4, generation: 2 };
+    let request = PeerMessage::StateTransferRequest { incarnation: 4, generation: 2 };
     let out = hear_and_store(&mut node, 300, &[(SUCCESSOR, request)]);
-    let hands_out = |message: &&&Peer| matches!(message, Peer::StateTransfer { generation: 2, .. });
+    let hands_out =
+        |message: &&&PeerMessage| matches!(message, PeerMessage::StateTransfer { generation: 2, .. });
     expect_that!(sent_to(&out, SUCCESSOR).iter().filter(hands_out).count(), eq(1));
 }
 
 #[gtest]
 fn a_voter_hands_out_no_state_under_another_membership_than_the_one_asked_for() {
     let mut node = voter(2, membership());
-    let request = Peer::StateTransferRequest { incarnation: 4, generation: 2 };
+    let request = PeerMessage::StateTransferRequest { incarnation: 4, generation: 2 };
     let out = hear_and_store(&mut node, 100, &[(SUCCESSOR, request)]);
-    let hands_out = |message: &&&Peer| matches!(message, Peer::StateTransfer { .. });
+    let hands_out = |message: &&&PeerMessage| matches!(message, PeerMessage::StateTransfer { .. });
     expect_that!(sent_to(&out, SUCCESSOR).iter().filter(hands_out).count(), eq(0));
 }
 
-fn state(counter: u64, sequence: u64, promised: u64) -> Vec<(Part, AcceptorState)> {
-    let epoch = |counter| Epoch { counter, node: NodeId(1), life: 1 };
-    let accepted = AcceptedValue { epoch: epoch(counter), sequence, value: vec![counter as u8] };
-    vec![(Part(0), AcceptorState { promised: epoch(promised), accepted: Some(accepted) })]
+fn state(counter: u64, sequence: u64, promised: u64) -> Vec<(PartitionId, AcceptorState)> {
+    let ballot = |counter| Ballot { counter, node: NodeId(1), incarnation: 1 };
+    let accepted = AcceptedValue { ballot: ballot(counter), sequence, value: vec![counter as u8] };
+    vec![(PartitionId(0), AcceptorState { promised: ballot(promised), accepted: Some(accepted) })]
 }
 
-fn transfer(from: u32, generation: u64, partitions: Vec<(Part, AcceptorState)>) -> (u32, Peer) {
+fn transfer(from: u32, generation: u64, partitions: Vec<(PartitionId, AcceptorState)>) -> (u32, PeerMessage) {
     let disk = replica(from).disk;
-    (from, Peer::StateTransfer { incarnation: 11, generation, disk, partitions })
+    (from, PeerMessage::StateTransfer { incarnation: 11, generation, disk, partitions })
 }
 
 /// A successor that has learned that it has a seat.
 fn successor() -> ControlPlane {
     let own_disk = Record::Formatted { replica: replica(SUCCESSOR), first_start: false };
     let mut node = ControlPlane::new(identity(SUCCESSOR, false), [own_disk].into_iter().collect(), 0);
-    hear_and_store(&mut node, 100, &[(2, Peer::Membership(replaced()))]);
+    hear_and_store(&mut node, 100, &[(2, PeerMessage::Membership(replaced()))]);
     node
 }
 
@@ -207,11 +219,11 @@
         })
         .flatten()
         .collect();
-    let epoch = |counter| Epoch { counter, node: NodeId(1), life: 1 };
+    let ballot = |counter| Ballot { counter, node: NodeId(1), incarnation: 1 };
     // The newest accepted value of the one, and the highest promise of the other.
-    expect_that!(stored, contains(eq(&Record::Promised(Part(0), epoch(9)))));
-    let value = AcceptedValue { epoch: epoch(3), sequence: 5, value: vec![3] };
-    expect_that!(stored, contains(eq(&Record::Accepted(Part(0), value))));
+    expect_that!(stored, contains(eq(&Record::Promised(PartitionId(0), ballot(9)))));
+    let value = AcceptedValue { ballot: ballot(3), sequence: 5, value: vec![3] };
+    expect_that!(stored, contains(eq(&Record::Accepted(PartitionId(0), value))));
     expect_that!(stored, contains(eq(&Record::Joined(2))));
     for output in out {
         if let Output::Store(token, _) = output {
@@ -233,7 +245,7 @@
 fn state_of_a_replica_that_had_no_seat_does_not_count() {
     let mut node = successor();
     let of_another_disk =
-        Peer::StateTransfer { incarnation: 11, generation: 2, disk: 999, partitions: state(3, 5, 3) };
+        PeerMessage::StateTransfer { incarnation: 11, generation: 2, disk: 999, partitions: state(3, 5, 3) };
     hear_and_store(&mut node, 200, &[(2, of_another_disk), transfer(1, 2, state(3, 5, 3))]);
     expect_that!(node.status(), eq(ReplicaStatus::Learner));
 }
@@ -251,7 +263,7 @@
     let of_earlier = |from| {
         let disk = replica(from).disk;
         let partitions = state(3, 5, 3);
-        (from, Peer::StateTransfer { incarnation: 10, generation: 2, disk, partitions })
+        (from, PeerMessage::StateTransfer { incarnation: 10, generation: 2, disk, partitions })
     };
     hear_and_store(&mut node, 200, &[of_earlier(1), of_earlier(2)]);
     expect_that!(node.status(), eq(ReplicaStatus::Learner));
@@ -268,7 +280,8 @@
     let mut node = ControlPlane::new(identity(SUCCESSOR, false), records.into_iter().collect(), 0);
     expect_that!(node.status(), eq(ReplicaStatus::Learner));
     let out = hear(&mut node, 100, &[]);
-    let asks = |message: &&&Peer| matches!(message, Peer::StateTransferRequest { generation: 2, .. });
+    let asks =
+        |message: &&&PeerMessage| matches!(message, PeerMessage::StateTransferRequest { generation: 2, .. });
     expect_that!(sent_to(&out, 1).iter().filter(asks).count(), eq(1));
     expect_that!(sent_to(&out, 3).iter().filter(asks).count(), eq(1));
 }
@@ -277,7 +290,7 @@
 fn a_former_voter_that_comes_back_in_a_later_generation_has_to_collect_the_state_anew() {
     let mut node = voter(3, membership());
     let back = replaced().with_replacement(replica(SUCCESSOR), replica(3), &zone(3));
-    hear_and_store(&mut node, 100, &[(2, Peer::Membership(back))]);
+    hear_and_store(&mut node, 100, &[(2, PeerMessage::Membership(back))]);
     expect_that!(node.status(), eq(ReplicaStatus::Learner));
 }
 
@@ -321,7 +334,7 @@
     leave(&mut node, 200);
     let out = hear_and_store(&mut node, 1_000, &[others(1, 2).to_vec(), vec![candidate(2)]].concat());
     expect_false!(left(&out));
-    hear_and_store(&mut node, 1_100, &[(2, Peer::Membership(replaced()))]);
+    hear_and_store(&mut node, 1_100, &[(2, PeerMessage::Membership(replaced()))]);
     // It has a seat, and does not hold the state yet.
     let joining = beat(Heartbeat { generation: 2, ..learner(SUCCESSOR, 3, 3) });
     let out = hear_and_store(&mut node, 1_200, &[others(2, 3).to_vec(), vec![joining]].concat());
--- a/control/tests/routers.rs
+++ b/control/tests/routers.rs
@@ -3,8 +3,8 @@
 
 use googletest::prelude::*;
 use ivyhatch_control::routers::Routers;
-use ivyhatch_protocol::feed::{Router, RouterState};
 use ivyhatch_protocol::ids::NodeId;
+use ivyhatch_protocol::watch::{Router, RouterState};
 use ivyhatch_protocol::{MILLISECOND, SECOND};
 
 fn router(node: u32, region: &str, state: RouterState) -> Router {
--- a/control/tests/server_list.rs
+++ b/control/tests/server_list.rs
@@ -1,4 +1,4 @@
-//! The reader of the platform's list by itself, in virtual time: from which moment on, under which epoch and for how long it asks,
+//! The reader of the platform's list by itself, in virtual time: from which moment on, under which ballot and for how long it asks,
 //! and which answers count.
 
 use googletest::prelude::*;
@@ -6,28 +6,28 @@
     ANSWER_LIMIT, Duty, FIRST_LIST_EVERY, Input, LONGEST_LEAVE, ListReader, MOST_FAILURES, Output,
     RENEW_AFTER, RETRY, ReadId, SHORTEST_LEAVE,
 };
-use ivyhatch_protocol::ids::{Epoch, NodeId};
+use ivyhatch_protocol::ids::{Ballot, NodeId};
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
 const EVERY: Nanos = 500 * MILLISECOND;
 
-fn epoch(counter: u64) -> Epoch {
-    Epoch { counter, node: NodeId(1), life: 7 }
+fn ballot(counter: u64) -> Ballot {
+    Ballot { counter, node: NodeId(1), incarnation: 7 }
 }
 
-/// The duty is this replica's, under the newest epoch.
+/// The duty is this replica's, under the newest ballot.
 fn owner(counter: u64) -> Duty {
-    Duty { owned: Some(epoch(counter)), newest: epoch(counter), newest_in_touch: true, has_list: true }
+    Duty { owned: Some(ballot(counter)), newest: ballot(counter), newest_in_touch: true, has_list: true }
 }
 
 /// The duty is another replica's.
 fn follower() -> Duty {
-    Duty { owned: None, newest: epoch(9), newest_in_touch: true, has_list: true }
+    Duty { owned: None, newest: ballot(9), newest_in_touch: true, has_list: true }
 }
 
-/// This replica takes itself for the owner, and another one has read under a higher epoch.
+/// This replica takes itself for the owner, and another one has read under a higher ballot.
 fn deposed(newest_in_touch: bool) -> Duty {
-    Duty { newest: epoch(9), newest_in_touch, ..owner(3) }
+    Duty { newest: ballot(9), newest_in_touch, ..owner(3) }
 }
 
 fn reader() -> ListReader {
@@ -69,7 +69,7 @@
     let mut reader = reader();
     let read = asks(&mut reader, SECOND, owner(3));
     let out = hear(&mut reader, SECOND + 5, Input::Answered(read, owner(3)));
-    expect_that!(out, elements_are![eq(&Output::Publish(epoch(3)))]);
+    expect_that!(out, elements_are![eq(&Output::Publish(ballot(3)))]);
     expect_that!(check(&mut reader, SECOND + EVERY - 1, owner(3)), is_empty());
     expect_that!(check(&mut reader, SECOND + EVERY, owner(3)), elements_are![eq(&Output::Read(ReadId(2)))]);
 }
@@ -86,11 +86,11 @@
     let mut reader = reader();
     let old = asks(&mut reader, SECOND, owner(3));
     expect_that!(check(&mut reader, SECOND + 1, owner(4)), elements_are![eq(&Output::Read(ReadId(2)))]);
-    // The answer of the earlier call is no list of this epoch, and does not end the call of this epoch either.
+    // The answer of the earlier call is no list of this ballot, and does not end the call of this ballot either.
     expect_that!(hear(&mut reader, SECOND + 2, Input::Answered(old, owner(4))), is_empty());
     expect_that!(hear(&mut reader, SECOND + 2, Input::Failed(old)), is_empty());
     let out = hear(&mut reader, SECOND + 3, Input::Answered(ReadId(2), owner(4)));
-    expect_that!(out, elements_are![eq(&Output::Publish(epoch(4)))]);
+    expect_that!(out, elements_are![eq(&Output::Publish(ballot(4)))]);
 }
 
 #[gtest]
@@ -135,7 +135,7 @@
     let mut reader = reader();
     asks(&mut reader, SECOND, owner(3));
     let out = check(&mut reader, SECOND + 1, deposed(true));
-    expect_that!(out, elements_are![eq(&Output::Renew(epoch(9)))]);
+    expect_that!(out, elements_are![eq(&Output::Renew(ballot(9)))]);
     expect_that!(check(&mut reader, SECOND + 2, owner(10)), elements_are![eq(&Output::Read(ReadId(2)))]);
 }
 
@@ -146,7 +146,7 @@
     expect_that!(check(&mut reader, 2 * SECOND, deposed(false)), is_empty());
     expect_that!(check(&mut reader, 2 * SECOND + RENEW_AFTER - 1, deposed(false)), is_empty());
     let out = check(&mut reader, 2 * SECOND + RENEW_AFTER, deposed(false));
-    expect_that!(out, elements_are![eq(&Output::Renew(epoch(9)))]);
+    expect_that!(out, elements_are![eq(&Output::Renew(ballot(9)))]);
 }
 
 #[gtest]
@@ -235,7 +235,7 @@
     expect_true!(reader.can_read(SECOND + RETRY));
     let third = asks(&mut reader, SECOND + 2 * RETRY, alone);
     let out = hear(&mut reader, SECOND + 2 * RETRY, Input::Answered(third, alone));
-    expect_that!(out, elements_are![eq(&Output::Publish(Epoch::default()))]);
+    expect_that!(out, elements_are![eq(&Output::Publish(Ballot::default()))]);
     // An empty list was no list: it asks again, without haste.
     expect_that!(check(&mut reader, SECOND + 3 * RETRY, alone), is_empty());
     asks(&mut reader, SECOND + 2 * RETRY + FIRST_LIST_EVERY, alone);
--- a/protocol/src/ids.rs
+++ b/protocol/src/ids.rs
@@ -1,4 +1,4 @@
-//! The names of nodes, epochs and parts.
+//! The names of nodes, ballots and parts.
 
 use std::fmt;
 use std::net::Ipv4Addr;
@@ -47,42 +47,42 @@
 /// The time of one owner of a part. Who has promised one refuses all that are lower. No two owners, and no two lives of one
 /// owner, ever share one: the life's number is drawn by chance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
-pub struct Epoch {
+pub struct Ballot {
     /// Rises with each owner.
     pub counter: u64,
     /// Whose it is.
     pub node: NodeId,
     /// The number of that node's life.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
-impl fmt::Display for Epoch {
+impl fmt::Display for Ballot {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}@{}", self.counter, self.node)
     }
 }
 
 /// Parts that keys fall into by their hash, beside the one for the configuration.
-pub const HASHED_PARTS: u8 = 8;
+pub const HASHED_PARTITIONS: u8 = 8;
 
 /// A part of the control state: decided on, stored and owned by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
-pub struct Part(pub u8);
+pub struct PartitionId(pub u8);
 
-impl Part {
+impl PartitionId {
     /// Holds the configuration.
     pub const CONFIGURATION: Self = Self(0);
-    /// Decides on the next membership. It holds no state beyond that, and is none of [`Part::all`].
-    pub const MEMBERSHIP: Self = Self(HASHED_PARTS + 1);
+    /// Decides on the next membership. It holds no state beyond that, and is none of [`PartitionId::all`].
+    pub const MEMBERSHIP: Self = Self(HASHED_PARTITIONS + 1);
 
     /// All parts that hold state.
     pub fn all() -> impl Iterator<Item = Self> {
-        (0..=HASHED_PARTS).map(Self)
+        (0..=HASHED_PARTITIONS).map(Self)
     }
 
     /// The part of a key: of a service, a zone, or a duty.
     pub fn of(key: &str) -> Self {
-        Self(1 + (hash(key.as_bytes()) % u64::from(HASHED_PARTS)) as u8)
+        Self(1 + (hash(key.as_bytes()) % u64::from(HASHED_PARTITIONS)) as u8)
     }
 }
 
--- a/protocol/src/peer.rs
+++ b/protocol/src/peer.rs
@@ -2,8 +2,8 @@
 
 use speedy::{Readable, Writable};
 
-use crate::feed::{Router, Servers};
-use crate::ids::{Epoch, NodeId, Part, ReplicaId};
+use crate::ids::{Ballot, NodeId, PartitionId, ReplicaId};
+use crate::watch::{Router, ServerListUpdate};
 
 /// A control node's seat in the membership: the replica that votes from it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Readable, Writable)]
@@ -90,8 +90,8 @@
 /// The value that a replica has accepted for a partition.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Readable, Writable)]
 pub struct AcceptedValue {
-    /// The epoch of the leader that proposed it.
-    pub epoch: Epoch,
+    /// The ballot of the leader that proposed it.
+    pub ballot: Ballot,
     /// Counts the changes of the partition.
     pub sequence: u64,
     /// The value.
@@ -101,8 +101,8 @@
 /// What a replica has promised and accepted for a partition.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Readable, Writable)]
 pub struct AcceptorState {
-    /// Lower epochs are rejected.
-    pub promised: Epoch,
+    /// Lower ballots are rejected.
+    pub promised: Ballot,
     /// The value that was accepted last.
     pub accepted: Option<AcceptedValue>,
 }
@@ -110,7 +110,7 @@
 impl AcceptorState {
     /// Takes over what another replica has promised and accepted, where that is newer.
     pub fn merge(&mut self, other: &Self) {
-        let age = |state: &Self| state.accepted.as_ref().map(|value| (value.epoch, value.sequence));
+        let age = |state: &Self| state.accepted.as_ref().map(|value| (value.ballot, value.sequence));
         self.promised = self.promised.max(other.promised);
         if age(other) > age(self) {
             self.accepted.clone_from(&other.accepted);
@@ -121,15 +121,15 @@
 /// A message of the agreement on one partition.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Readable, Writable)]
 pub enum ConsensusMessage {
-    /// A candidate asks for promises for its epoch.
+    /// A candidate asks for promises for its ballot.
     Prepare {
-        /// Its epoch.
-        epoch: Epoch,
+        /// Its ballot.
+        ballot: Ballot,
     },
-    /// The epoch is promised, and the promise is on the disk.
+    /// The ballot is promised, and the promise is on the disk.
     Promise {
-        /// The epoch.
-        epoch: Epoch,
+        /// The ballot.
+        ballot: Ballot,
         /// What the replica has accepted before.
         accepted: Option<AcceptedValue>,
     },
@@ -137,20 +137,20 @@
     Accept(AcceptedValue),
     /// The value is accepted, and on the disk.
     Accepted {
-        /// The leader's epoch.
-        epoch: Epoch,
+        /// The leader's ballot.
+        ballot: Ballot,
         /// The change.
         sequence: u64,
     },
-    /// A higher epoch has been promised.
+    /// A higher ballot has been promised.
     Reject {
-        /// That epoch.
-        promised: Epoch,
+        /// That ballot.
+        promised: Ballot,
     },
     /// A quorum has accepted this change.
     Commit {
-        /// The leader's epoch.
-        epoch: Epoch,
+        /// The leader's ballot.
+        ballot: Ballot,
         /// The change.
         sequence: u64,
     },
@@ -161,17 +161,17 @@
     },
     /// The newest committed value.
     Committed(AcceptedValue),
-    /// The leader asks whether its epoch is still the highest that was promised.
+    /// The leader asks whether its ballot is still the highest that was promised.
     Confirm {
-        /// The epoch.
-        epoch: Epoch,
+        /// The ballot.
+        ballot: Ballot,
         /// Comes back with the answer.
         number: u64,
     },
     /// It is.
     Confirmed {
-        /// The epoch.
-        epoch: Epoch,
+        /// The ballot.
+        ballot: Ballot,
         /// As it was asked.
         number: u64,
     },
@@ -210,10 +210,10 @@
 
 impl AdminRequest {
     /// The partition that decides on it.
-    pub fn part(&self) -> Part {
+    pub fn part(&self) -> PartitionId {
         match self {
-            Self::Put { .. } | Self::Patch { .. } | Self::Read => Part::CONFIGURATION,
-            Self::Evacuate { zone, .. } => Part::of(zone),
+            Self::Put { .. } | Self::Patch { .. } | Self::Read => PartitionId::CONFIGURATION,
+            Self::Evacuate { zone, .. } => PartitionId::of(zone),
         }
     }
 }
@@ -222,14 +222,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum AdminResponse {
     /// It is done, and on the disks of a quorum.
-    Taken {
+    Applied {
         /// The version that is current with it.
         revision: u64,
     },
     /// The configuration, as text.
     Document(String),
     /// Nothing has been configured yet.
-    Nothing,
+    NotConfigured,
     /// Another version is current.
     Conflict {
         /// That version.
@@ -243,7 +243,7 @@
 
 /// A message from one control node to another.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
-pub enum Peer {
+pub enum PeerMessage {
     /// A sign of life, and how far the sender is.
     Heartbeat(Heartbeat),
     /// A membership that has been decided.
@@ -264,19 +264,19 @@
         /// The sender's disk.
         disk: u64,
         /// What it has promised and accepted, by partition.
-        partitions: Vec<(Part, AcceptorState)>,
+        partitions: Vec<(PartitionId, AcceptorState)>,
     },
     /// Agreement on one partition, under one membership.
     Consensus {
         /// The sender's membership.
         generation: u64,
         /// The partition.
-        part: Part,
+        part: PartitionId,
         /// The message.
         message: ConsensusMessage,
     },
     /// An operator's request, for the leader of its partition.
-    Forward {
+    ForwardRequest {
         /// Comes back with the response.
         number: u64,
         /// The number of the leader's heartbeat that the sender has heard last: by it the leader knows how old this may be.
@@ -285,18 +285,18 @@
         request: AdminRequest,
     },
     /// The response to a forwarded request.
-    Forwarded {
+    ForwardResponse {
         /// As it was forwarded.
         number: u64,
         /// The response.
         response: AdminResponse,
     },
     /// The routers whose sessions stand with the sender; all of them.
-    Sessions(Vec<Router>),
+    RouterSessions(Vec<Router>),
     /// News of the list of servers.
-    Servers(Servers),
+    ServerList(ServerListUpdate),
     /// The whole list of servers is wanted.
-    WantServers,
+    ServerListRequest,
 }
 
 /// A sign of life.
@@ -325,5 +325,5 @@
     /// For each partition, its last committed change as far as the sender knows.
     pub committed: Vec<u64>,
     /// The list of servers that it has.
-    pub servers: (Epoch, u64),
+    pub servers: (Ballot, u64),
 }
--- a/protocol/src/servers.rs
+++ b/protocol/src/server_list.rs
@@ -1,12 +1,12 @@
 //! The platform's list of servers: as its reader makes it up, and as all others follow it.
 //!
-//! It is read by one control node at a time and numbered by it, under that one's epoch; what a lower epoch says is refused, as
+//! It is read by one control node at a time and numbered by it, under that one's ballot; what a lower ballot says is refused, as
 //! its reader has been replaced.
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::feed::{Server, Servers};
-use crate::ids::Epoch;
+use crate::ids::Ballot;
+use crate::watch::{Server, ServerListUpdate};
 use crate::{MILLISECOND, Nanos};
 
 /// Changes that are kept for those who are a little behind.
@@ -57,17 +57,17 @@
 
 /// The list.
 #[derive(Debug, Default)]
-pub struct List {
-    epoch: Epoch,
+pub struct ServerList {
+    ballot: Ballot,
     number: u64,
     lines: BTreeMap<String, Line>,
     steps: VecDeque<Step>,
 }
 
-impl List {
+impl ServerList {
     /// How far it is.
-    pub fn position(&self) -> (Epoch, u64) {
-        (self.epoch, self.number)
+    pub fn position(&self) -> (Ballot, u64) {
+        (self.ballot, self.number)
     }
 
     /// The servers, with their times as they are now.
@@ -85,16 +85,16 @@
         self.lines.is_empty()
     }
 
-    /// Takes in what the platform has told this node, the reader under this epoch. Returns what is new, if anything.
-    pub fn read(&mut self, now: Nanos, epoch: Epoch, servers: Vec<Server>) -> Option<Servers> {
+    /// Takes in what the platform has told this node, the reader under this ballot. Returns what is new, if anything.
+    pub fn read(&mut self, now: Nanos, ballot: Ballot, servers: Vec<Server>) -> Option<ServerListUpdate> {
         // Another reader has taken over meanwhile.
-        if epoch < self.epoch {
+        if ballot < self.ballot {
             return None;
         }
         let mut lines: BTreeMap<String, Line> =
             servers.into_iter().map(|server| (server.id.clone(), Line::new(server, now))).collect();
-        if epoch != self.epoch || self.number == 0 {
-            self.epoch = epoch;
+        if ballot != self.ballot || self.number == 0 {
+            self.ballot = ballot;
             (self.number, self.lines) = (1, lines);
             self.steps.clear();
             return Some(self.whole(now));
@@ -115,7 +115,7 @@
         self.lines.retain(|id, _| !gone.contains(id));
         let from = self.number;
         self.step(Step { from, upsert, gone });
-        Some(self.since(now, (epoch, from)))
+        Some(self.since(now, (ballot, from)))
     }
 
     fn step(&mut self, step: Step) {
@@ -127,19 +127,19 @@
     }
 
     /// Takes in what another node tells. False where it does not follow on what is known here: the whole list is needed.
-    pub fn follow(&mut self, now: Nanos, news: Servers) -> bool {
-        if (news.epoch, news.to) <= (self.epoch, self.number) {
+    pub fn follow(&mut self, now: Nanos, news: ServerListUpdate) -> bool {
+        if (news.ballot, news.to) <= (self.ballot, self.number) {
             return true;
         }
         let lines = news.upsert.into_iter().map(|server| (server.id.clone(), Line::new(server, now)));
         match news.from {
             None => {
                 self.lines = lines.collect();
-                (self.epoch, self.number) = (news.epoch, news.to);
+                (self.ballot, self.number) = (news.ballot, news.to);
                 self.steps.clear();
                 true
             }
-            Some(from) if news.epoch == self.epoch && from == self.number => {
+            Some(from) if news.ballot == self.ballot && from == self.number => {
                 let upsert: Vec<String> = lines
                     .map(|(id, line)| {
                         self.lines.insert(id.clone(), line);
@@ -156,15 +156,15 @@
     }
 
     /// The whole list.
-    pub fn whole(&self, now: Nanos) -> Servers {
+    pub fn whole(&self, now: Nanos) -> ServerListUpdate {
         let upsert = self.lines.values().map(|line| line.told(now)).collect();
-        Servers { epoch: self.epoch, from: None, to: self.number, upsert, gone: Vec::new() }
+        ServerListUpdate { ballot: self.ballot, from: None, to: self.number, upsert, gone: Vec::new() }
     }
 
     /// What is newer than this position: changes where they are kept, else the whole list.
-    pub fn since(&self, now: Nanos, (epoch, number): (Epoch, u64)) -> Servers {
+    pub fn since(&self, now: Nanos, (ballot, number): (Ballot, u64)) -> ServerListUpdate {
         let steps = self.steps.iter().filter(|step| step.from >= number);
-        let kept = epoch == self.epoch && self.steps.front().is_some_and(|first| first.from <= number);
+        let kept = ballot == self.ballot && self.steps.front().is_some_and(|first| first.from <= number);
         if !kept {
             return self.whole(now);
         }
@@ -178,6 +178,6 @@
             gone.extend(step.gone.iter().filter(|id| !self.lines.contains_key(*id)).cloned());
         }
         let upsert = upsert.into_values().collect();
-        Servers { epoch, from: Some(number), to: self.number, upsert, gone }
+        ServerListUpdate { ballot, from: Some(number), to: self.number, upsert, gone }
     }
 }
--- a/protocol/src/feed.rs
+++ b/protocol/src/watch.rs
@@ -10,7 +10,7 @@
 use speedy::{Context, Readable, Reader, Writable, Writer};
 
 use crate::configuration::{Change, Document};
-use crate::ids::{Epoch, NodeId, Part};
+use crate::ids::{Ballot, NodeId, PartitionId};
 
 /// How far a follower is. The default is that of one who has nothing.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
@@ -18,14 +18,14 @@
     /// The number of the configuration's last change.
     pub configuration: u64,
     /// For each part with evacuations, the number of its last change.
-    pub evacuations: Vec<(Part, u64)>,
-    /// The list of servers: its reader's epoch, and its number in that.
-    pub servers: (Epoch, u64),
+    pub evacuations: Vec<(PartitionId, u64)>,
+    /// The list of servers: its reader's ballot, and its number in that.
+    pub servers: (Ballot, u64),
 }
 
 impl Position {
     /// The number of a part's last change of evacuations.
-    pub fn evacuations_of(&self, part: Part) -> u64 {
+    pub fn evacuations_of(&self, part: PartitionId) -> u64 {
         self.evacuations.iter().find(|(of, _)| *of == part).map_or(0, |(_, sequence)| *sequence)
     }
 }
@@ -80,9 +80,9 @@
 
 /// News of the list of servers.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct Servers {
-    /// The reader's epoch.
-    pub epoch: Epoch,
+pub struct ServerListUpdate {
+    /// The reader's ballot.
+    pub ballot: Ballot,
     /// The number that this leads from; none for a whole list.
     pub from: Option<u64>,
     /// The number that it leads to.
@@ -95,9 +95,9 @@
 
 /// News of one part's evacuations: all of them.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct Evacuations {
+pub struct EvacuationUpdate {
     /// The part.
-    pub part: Part,
+    pub part: PartitionId,
     /// The number of its last change.
     pub sequence: u64,
     /// Each zone that was ever evacuated, whether it is now, and how often that has changed.
@@ -106,9 +106,9 @@
 
 /// From a follower.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
-pub enum FromFollower {
+pub enum WatchRequest {
     /// First of all, and whenever what it wants has changed.
-    Follow {
+    Subscribe {
         /// Who follows.
         router: Router,
         /// Whether changes are to be sent as they come, or only told of.
@@ -117,12 +117,12 @@
         position: Position,
     },
     /// It is there.
-    Beat {
+    Heartbeat {
         /// How far it is with its own life.
         state: RouterState,
     },
     /// It wants what is newer than this, once.
-    Want {
+    Fetch {
         /// How far it is.
         position: Position,
     },
@@ -194,22 +194,22 @@
 
 /// To a follower.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
-pub enum ToFollower {
+pub enum WatchResponse {
     /// How far the control node is. Comes on each change, and as a sign of life.
-    Heads {
+    Progress {
         /// How far.
         position: Position,
         /// Whether it is in touch with most of its group: what it tells is fresh then.
-        in_touch: bool,
+        has_quorum: bool,
         /// Routers that it knows of, directly or from others; 0 where it can't know of all.
-        routers: u32,
+        router_count: u32,
         /// The follower's place among these, from 0: what all may do together is dealt out by it.
-        place: u32,
+        router_index: u32,
         /// The control nodes that it knows.
-        controls: Vec<NodeId>,
+        control_nodes: Vec<NodeId>,
     },
     /// The whole configuration.
-    Whole {
+    Snapshot {
         /// Its number.
         sequence: u64,
         /// The configuration.
@@ -225,7 +225,7 @@
         change: Shared<Change>,
     },
     /// Evacuations.
-    Evacuations(Evacuations),
+    Evacuations(EvacuationUpdate),
     /// Servers.
-    Servers(Servers),
+    ServerList(ServerListUpdate),
 }
--- a/protocol/tests/frame.rs
+++ b/protocol/tests/frame.rs
@@ -1,14 +1,14 @@
 //! Messages in a stream of bytes: pieces of any size, other versions, garbage, damage.
 
 use googletest::prelude::*;
-use ivyhatch_protocol::feed::FromFollower;
 use ivyhatch_protocol::frame::{
     Decoder, FRAGMENT_BYTES, FrameError, LONGEST, VERSION, checksum, encode, encode_fragments,
 };
 use ivyhatch_protocol::ids::mix;
+use ivyhatch_protocol::watch::WatchRequest;
 
-fn want() -> FromFollower {
-    FromFollower::Want { position: Default::default() }
+fn want() -> WatchRequest {
+    WatchRequest::Fetch { position: Default::default() }
 }
 
 /// A message that does not shrink, as it never repeats itself.
@@ -16,7 +16,7 @@
     (0..length as u64).map(|at| mix(at) as u8).collect()
 }
 
-fn decoded(bytes: &[u8]) -> std::result::Result<Option<FromFollower>, FrameError> {
+fn decoded(bytes: &[u8]) -> std::result::Result<Option<WatchRequest>, FrameError> {
     let mut decoder = Decoder::default();
     decoder.feed(bytes);
     decoder.message()
@@ -29,7 +29,7 @@
         let (mut decoder, mut came) = (Decoder::default(), 0);
         for piece in bytes.chunks(size) {
             decoder.feed(piece);
-            while let Some(message) = decoder.message::<FromFollower>().expect("sound") {
+            while let Some(message) = decoder.message::<WatchRequest>().expect("sound") {
                 expect_that!(message, eq(&want()));
                 came += 1;
             }
--- a/protocol/tests/properties.rs
+++ b/protocol/tests/properties.rs
@@ -7,13 +7,13 @@
 
 use googletest::prelude::*;
 use ivyhatch_protocol::configuration::{Change, Document, Item};
-use ivyhatch_protocol::feed::{
-    Evacuations, FromFollower, Position, Router, RouterState, Server, Servers, ToFollower,
-};
 use ivyhatch_protocol::frame::{Decoder, FrameError, LONGEST, VERSION, checksum, encode};
-use ivyhatch_protocol::ids::{Epoch, NodeId, Part};
-use ivyhatch_protocol::peer::Peer;
+use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId};
+use ivyhatch_protocol::peer::PeerMessage;
 use ivyhatch_protocol::settings::{Settings, SettingsError};
+use ivyhatch_protocol::watch::{
+    EvacuationUpdate, Position, Router, RouterState, Server, ServerListUpdate, WatchRequest, WatchResponse,
+};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::sample::Index;
@@ -55,16 +55,16 @@
 }
 
 fn check_all_messages(body: &[u8]) -> std::result::Result<(), TestCaseError> {
-    check_body::<Peer>(body)?;
-    check_body::<FromFollower>(body)?;
-    check_body::<ToFollower>(body)?;
+    check_body::<PeerMessage>(body)?;
+    check_body::<WatchRequest>(body)?;
+    check_body::<WatchResponse>(body)?;
     check_body::<Document>(body)?;
     check_body::<Change>(body)
 }
 
 /// Bodies of messages of each kind, without their frames.
 fn sample_bodies() -> Vec<Vec<u8>> {
-    let epoch = Epoch { counter: 3, node: NodeId(0x7f00_0001), life: 99 };
+    let ballot = Ballot { counter: 3, node: NodeId(0x7f00_0001), incarnation: 99 };
     let router = Router {
         node: NodeId(7),
         front: "10.0.0.7:8161".to_owned(),
@@ -82,21 +82,30 @@
         cold_left_ms: 100,
         remaining_ms: Some(5),
     };
-    let servers = Servers { epoch, from: Some(1), to: 2, upsert: vec![server], gone: vec!["s-0".to_owned()] };
+    let servers =
+        ServerListUpdate { ballot, from: Some(1), to: 2, upsert: vec![server], gone: vec!["s-0".to_owned()] };
     let document = Document::read(CONFIGURATION.as_bytes()).expect("a sound configuration");
     let change = Document::default().change_to(&document);
-    let position =
-        Position { configuration: 4, evacuations: vec![(Part(2), 5), (Part(3), 6)], servers: (epoch, 7) };
-    let evacuations = Evacuations { part: Part(1), sequence: 2, zones: vec![("za".to_owned(), true, 3)] };
+    let position = Position {
+        configuration: 4,
+        evacuations: vec![(PartitionId(2), 5), (PartitionId(3), 6)],
+        servers: (ballot, 7),
+    };
+    let evacuations =
+        EvacuationUpdate { part: PartitionId(1), sequence: 2, zones: vec![("za".to_owned(), true, 3)] };
     let frames = [
-        encode(&FromFollower::Follow { router: router.clone(), primary: true, position: position.clone() }),
-        encode(&FromFollower::Want { position }),
-        encode(&ToFollower::Whole { sequence: 4, document: document.clone().into() }),
-        encode(&ToFollower::Change { from: 3, to: 4, change: change.clone().into() }),
-        encode(&ToFollower::Evacuations(evacuations)),
-        encode(&ToFollower::Servers(servers.clone())),
-        encode(&Peer::Sessions(vec![router])),
-        encode(&Peer::Servers(servers)),
+        encode(&WatchRequest::Subscribe {
+            router: router.clone(),
+            primary: true,
+            position: position.clone(),
+        }),
+        encode(&WatchRequest::Fetch { position }),
+        encode(&WatchResponse::Snapshot { sequence: 4, document: document.clone().into() }),
+        encode(&WatchResponse::Change { from: 3, to: 4, change: change.clone().into() }),
+        encode(&WatchResponse::Evacuations(evacuations)),
+        encode(&WatchResponse::ServerList(servers.clone())),
+        encode(&PeerMessage::RouterSessions(vec![router])),
+        encode(&PeerMessage::ServerList(servers)),
         encode(&document),
         encode(&change),
     ];
@@ -201,9 +210,9 @@
         piece in 1..50_usize,
     ) {
         let stream = if is_marked { [&0x6976_u16.to_le_bytes()[..], &stream].concat() } else { stream };
-        drain::<Peer>(&stream, piece);
-        drain::<FromFollower>(&stream, piece);
-        drain::<ToFollower>(&stream, piece);
+        drain::<PeerMessage>(&stream, piece);
+        drain::<WatchRequest>(&stream, piece);
+        drain::<WatchResponse>(&stream, piece);
     }
 
     #[test]
@@ -215,7 +224,7 @@
         let bodies = sample_bodies();
         let frame = framed(&bodies[which.index(bodies.len())]);
         let longest = harmed([frame.clone(), frame.clone(), frame].concat(), &harms);
-        let count = drain::<Peer>(&longest, piece).max(drain::<ToFollower>(&longest, piece));
+        let count = drain::<PeerMessage>(&longest, piece).max(drain::<WatchResponse>(&longest, piece));
         // Each duplication may add what the stream had before it.
         prop_assert!(count <= 3 << harms.len(), "{count} messages");
     }
@@ -327,9 +336,9 @@
 fn the_samples_are_sound() {
     for body in sample_bodies() {
         let frame = framed(&body);
-        let is_known = matches!(decoded::<Peer>(&frame), Ok(Some(_)))
-            || matches!(decoded::<FromFollower>(&frame), Ok(Some(_)))
-            || matches!(decoded::<ToFollower>(&frame), Ok(Some(_)))
+        let is_known = matches!(decoded::<PeerMessage>(&frame), Ok(Some(_)))
+            || matches!(decoded::<WatchRequest>(&frame), Ok(Some(_)))
+            || matches!(decoded::<WatchResponse>(&frame), Ok(Some(_)))
             || matches!(decoded::<Document>(&frame), Ok(Some(_)))
             || matches!(decoded::<Change>(&frame), Ok(Some(_)));
         expect_true!(is_known);
@@ -341,11 +350,11 @@
 
 #[gtest]
 fn a_message_with_bytes_behind_it_is_no_message() {
-    let want = FromFollower::Want { position: Position::default() };
+    let want = WatchRequest::Fetch { position: Position::default() };
     let mut body = encode(&want)[FRAME_HEADER..].to_vec();
-    expect_that!(decoded::<FromFollower>(&framed(&body)), ok(some(eq(&want))));
+    expect_that!(decoded::<WatchRequest>(&framed(&body)), ok(some(eq(&want))));
     body.push(0);
-    expect_that!(decoded::<FromFollower>(&framed(&body)), err(matches_pattern!(FrameError::Unreadable(_))));
+    expect_that!(decoded::<WatchRequest>(&framed(&body)), err(matches_pattern!(FrameError::Unreadable(_))));
 }
 
 #[gtest]
@@ -395,7 +404,7 @@
                 // The length of the frame itself: it waits for bytes that never come, or is refused.
                 let mut frame = framed(&lying);
                 frame[4..8].copy_from_slice(&length.to_le_bytes());
-                let read = decoded::<Peer>(&frame);
+                let read = decoded::<PeerMessage>(&frame);
                 expect_that!(matches!(read, Ok(None) | Err(FrameError::TooLong { .. })), is_true());
             }
         }
--- a/routing/src/follow.rs
+++ b/routing/src/watch_client.rs
@@ -7,9 +7,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use ivyhatch_protocol::configuration::{Change, Document};
-use ivyhatch_protocol::feed::{Evacuations, FromFollower, Position, Router, RouterState, ToFollower};
-use ivyhatch_protocol::ids::{NodeId, Part, hash, mix};
-use ivyhatch_protocol::servers::List;
+use ivyhatch_protocol::ids::{NodeId, PartitionId, hash, mix};
+use ivyhatch_protocol::server_list::ServerList;
+use ivyhatch_protocol::watch::{
+    EvacuationUpdate, Position, Router, RouterState, WatchRequest, WatchResponse,
+};
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
 /// Control nodes that are followed at once.
@@ -38,7 +40,7 @@
 
 /// What the follower hears.
 #[derive(Debug)]
-pub enum Heard {
+pub enum Input {
     /// Time has passed. Comes every 100 ms or so.
     Tick,
     /// A session with a control node is open; connecting took so long.
@@ -46,7 +48,7 @@
     /// It has ended, or could not be opened.
     Lost(NodeId),
     /// A control node has said something.
-    Message(NodeId, ToFollower),
+    Message(NodeId, WatchResponse),
     /// A part of a large message has come from a control node; the rest is on its way.
     Fragment(NodeId),
     /// The settings name these control nodes.
@@ -57,11 +59,11 @@
 
 /// What is to be done.
 #[derive(Debug, PartialEq)]
-pub enum Done {
+pub enum Output {
     /// Keep sessions with these, and no others.
     Links(Vec<NodeId>),
     /// Tell a control node.
-    Tell(NodeId, FromFollower),
+    Tell(NodeId, WatchRequest),
     /// The configuration has changed so.
     Configuration(Change),
     /// Servers or evacuations have changed.
@@ -81,7 +83,7 @@
     lost_at: Nanos,
     took: Nanos,
     heard: Nanos,
-    in_touch: bool,
+    has_quorum: bool,
     position: Position,
     wanted: Nanos,
     ahead_since: Option<Nanos>,
@@ -91,7 +93,7 @@
 
 /// What a router follows.
 #[derive(Debug)]
-pub struct Follower {
+pub struct WatchClient {
     router: Router,
     now: Nanos,
     known: BTreeSet<NodeId>,
@@ -102,8 +104,8 @@
     beat_at: Nanos,
     sequence: u64,
     document: Document,
-    evacuations: BTreeMap<Part, Evacuations>,
-    list: List,
+    evacuations: BTreeMap<PartitionId, EvacuationUpdate>,
+    list: ServerList,
     routers: u32,
     place: u32,
     routers_at: Nanos,
@@ -113,7 +115,7 @@
     catching_up_until: Nanos,
 }
 
-impl Follower {
+impl WatchClient {
     /// A router that knows nothing but its seeds.
     pub fn new(router: Router, seeds: &[NodeId], now: Nanos) -> Self {
         Self {
@@ -127,7 +129,7 @@
             sequence: 0,
             document: Document::default(),
             evacuations: BTreeMap::new(),
-            list: List::default(),
+            list: ServerList::default(),
             routers: 0,
             place: 0,
             routers_at: now,
@@ -138,21 +140,21 @@
     }
 
     /// Takes one event in and adds what is to be done.
-    pub fn handle(&mut self, now: Nanos, heard: Heard, out: &mut Vec<Done>) {
+    pub fn handle(&mut self, now: Nanos, heard: Input, out: &mut Vec<Output>) {
         if now >= self.now + OWN_STALL && !self.links.is_empty() {
             self.catching_up_until = now + CATCH_UP;
         }
         self.now = self.now.max(now);
         match heard {
-            Heard::Tick => {}
-            Heard::Linked(node, took) => {
+            Input::Tick => {}
+            Input::Linked(node, took) => {
                 let now = self.now;
                 if let Some(link) = self.links.get_mut(&node) {
                     *link = Link { open: Some(now), took, heard: now, ..Link::default() };
                     self.follow(node, out);
                 }
             }
-            Heard::Lost(node) => {
+            Input::Lost(node) => {
                 let now = self.now;
                 if let Some(link) = self.links.get_mut(&node)
                     && (link.open.take().is_some() || link.lost_at == 0)
@@ -160,15 +162,15 @@
                     link.lost_at = now;
                 }
             }
-            Heard::Message(from, message) => self.message(from, message, out),
-            Heard::Fragment(from) => {
+            Input::Message(from, message) => self.message(from, message, out),
+            Input::Fragment(from) => {
                 let now = self.now;
                 if let Some(link) = self.links.get_mut(&from) {
                     (link.heard, link.fragment_at) = (now, now);
                 }
             }
-            Heard::Seeds(seeds) => self.known.extend(seeds),
-            Heard::State(state) => {
+            Input::Seeds(seeds) => self.known.extend(seeds),
+            Input::State(state) => {
                 if std::mem::replace(&mut self.router.state, state) != state {
                     self.beat(out);
                 }
@@ -186,7 +188,7 @@
     }
 
     /// Whether any control node that is in contact with a quorum is heard.
-    pub fn in_touch(&self) -> bool {
+    pub fn control_plane_reachable(&self) -> bool {
         self.touch
     }
 
@@ -201,13 +203,13 @@
     }
 
     /// The list of servers.
-    pub fn list(&self) -> &List {
+    pub fn list(&self) -> &ServerList {
         &self.list
     }
 
     /// Whether a zone is evacuated, and how often that has changed.
     pub fn evacuation(&self, zone: &str) -> (bool, u64) {
-        let zones = self.evacuations.get(&Part::of(zone)).into_iter().flat_map(|part| &part.zones);
+        let zones = self.evacuations.get(&PartitionId::of(zone)).into_iter().flat_map(|part| &part.zones);
         zones
             .into_iter()
             .find(|(of, ..)| of == zone)
@@ -216,7 +218,7 @@
 
     /// Whether a configuration and a list of servers are known.
     pub fn is_ready(&self) -> bool {
-        self.sequence > 0 && self.list.position() != List::default().position()
+        self.sequence > 0 && self.list.position() != ServerList::default().position()
     }
 
     fn position(&self) -> Position {
@@ -225,7 +227,7 @@
     }
 
     fn is_behind(&self, position: &Position) -> bool {
-        let evacuated = |(part, sequence): &(Part, u64)| {
+        let evacuated = |(part, sequence): &(PartitionId, u64)| {
             self.evacuations.get(part).is_none_or(|known| known.sequence < *sequence)
         };
         position.configuration > self.sequence
@@ -233,75 +235,82 @@
             || position.evacuations.iter().any(evacuated)
     }
 
-    fn message(&mut self, from: NodeId, message: ToFollower, out: &mut Vec<Done>) {
+    fn message(&mut self, from: NodeId, message: WatchResponse, out: &mut Vec<Output>) {
         let now = self.now;
         let Some(link) = self.links.get_mut(&from) else { return };
         link.heard = now;
         match message {
-            ToFollower::Heads { position, in_touch, routers, place, controls } => {
-                (link.position, link.in_touch) = (position, in_touch);
-                self.known.extend(controls);
+            WatchResponse::Progress {
+                position,
+                has_quorum,
+                router_count: routers,
+                router_index: place,
+                control_nodes,
+            } => {
+                (link.position, link.has_quorum) = (position, has_quorum);
+                self.known.extend(control_nodes);
                 if routers >= self.routers {
                     self.routers_at = now;
                 }
                 let fewer = routers < self.routers && now < self.routers_at + COUNTED;
                 if routers > 0 && !fewer && (routers, place) != (self.routers, self.place) {
                     (self.routers, self.place, self.routers_at) = (routers, place, now);
-                    out.push(Done::Routers(routers, place));
+                    out.push(Output::Routers(routers, place));
                 }
             }
-            ToFollower::Whole { sequence, document } => {
+            WatchResponse::Snapshot { sequence, document } => {
                 if sequence > self.sequence {
                     let change = self.document.change_to(&document);
                     (self.sequence, self.document) = (sequence, document.into_inner());
                     self.tell_configuration(change, out);
                 }
             }
-            ToFollower::Change { from: of, to, change } => {
+            WatchResponse::Change { from: of, to, change } => {
                 if of == self.sequence && to > of {
                     self.document.apply(&change);
                     self.sequence = to;
                     self.tell_configuration(change.into_inner(), out);
                 }
             }
-            ToFollower::Evacuations(part) => {
+            WatchResponse::Evacuations(part) => {
                 if self.evacuations.get(&part.part).is_none_or(|known| known.sequence < part.sequence) {
                     self.evacuations.insert(part.part, part);
-                    out.push(Done::Servers);
+                    out.push(Output::Servers);
                 }
             }
-            ToFollower::Servers(news) => {
+            WatchResponse::ServerList(news) => {
                 let before = self.list.position();
                 // Where they do not follow on what is known here, the whole list is asked for as any other news.
                 if self.list.follow(now, news) && before != self.list.position() {
-                    out.push(Done::Servers);
+                    out.push(Output::Servers);
                 }
             }
         }
     }
 
-    fn tell_configuration(&self, change: Change, out: &mut Vec<Done>) {
+    fn tell_configuration(&self, change: Change, out: &mut Vec<Output>) {
         let pairs = format!("revision={} sequence={}", self.document.revision, self.sequence);
-        out.push(Done::Log("configuration", pairs));
-        out.push(Done::Configuration(change));
+        out.push(Output::Log("configuration", pairs));
+        out.push(Output::Configuration(change));
     }
 
-    fn beat(&mut self, out: &mut Vec<Done>) {
+    fn beat(&mut self, out: &mut Vec<Output>) {
         self.beat_at = self.now;
         let state = self.router.state;
         let open = self.links.iter().filter(|(_, link)| link.open.is_some());
-        out.extend(open.map(|(node, _)| Done::Tell(*node, FromFollower::Beat { state })));
+        out.extend(open.map(|(node, _)| Output::Tell(*node, WatchRequest::Heartbeat { state })));
     }
 
-    fn follow(&self, node: NodeId, out: &mut Vec<Done>) {
+    fn follow(&self, node: NodeId, out: &mut Vec<Output>) {
         let primary = self.primary == Some(node);
-        let follow = FromFollower::Follow { router: self.router.clone(), primary, position: self.position() };
-        out.push(Done::Tell(node, follow));
+        let follow =
+            WatchRequest::Subscribe { router: self.router.clone(), primary, position: self.position() };
+        out.push(Output::Tell(node, follow));
     }
 
     /// Which control nodes to follow: each router draws its own three lots, so that followers are spread, and passes over those
     /// that can't be reached as long as there are others.
-    fn choose_links(&mut self, out: &mut Vec<Done>) {
+    fn choose_links(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
         let unreached = self
             .links
@@ -323,22 +332,22 @@
         for node in &chosen {
             self.links.entry(*node).or_default();
         }
-        out.push(Done::Links(chosen.into_iter().collect()));
+        out.push(Output::Links(chosen.into_iter().collect()));
     }
 
     /// The one that sends all changes: in touch with its group, and near.
-    fn choose_primary(&mut self, out: &mut Vec<Done>) {
+    fn choose_primary(&mut self, out: &mut Vec<Output>) {
         let sound = |link: &Link| link.open.is_some() && self.now < link.heard + SILENT;
-        let good = |link: &Link| sound(link) && link.in_touch;
+        let good = |link: &Link| sound(link) && link.has_quorum;
         let keeps = self.primary.and_then(|node| self.links.get(&node)).is_some_and(good);
         if keeps {
             return;
         }
         let candidates = self.links.iter().filter(|(_, link)| sound(link));
-        let best = candidates.min_by_key(|(_, link)| (!link.in_touch, link.took)).map(|(node, _)| *node);
+        let best = candidates.min_by_key(|(_, link)| (!link.has_quorum, link.took)).map(|(node, _)| *node);
         if best != self.primary && best.is_some() {
             let before = std::mem::replace(&mut self.primary, best);
-            out.push(Done::Log(
+            out.push(Output::Log(
                 "follows",
                 format!("primary={}", best.map_or_else(String::new, |n| n.to_string())),
             ));
@@ -352,22 +361,22 @@
     }
 
     /// Whether the router can know what is ordered now.
-    fn note_touch(&mut self, out: &mut Vec<Done>) {
+    fn note_touch(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
-        let good = |link: &Link| link.open.is_some() && link.in_touch && now < link.heard + 2 * BEAT;
+        let good = |link: &Link| link.open.is_some() && link.has_quorum && now < link.heard + 2 * BEAT;
         if self.links.values().any(good) {
             self.touched = now;
         }
         let touch = now < self.touched + OUT_OF_TOUCH;
         if std::mem::replace(&mut self.touch, touch) != touch {
-            out.push(Done::Log("touch", format!("with_control={touch}")));
-            out.push(Done::Touch(touch));
+            out.push(Output::Log("touch", format!("with_control={touch}")));
+            out.push(Output::Touch(touch));
         }
     }
 
     /// Asks others for what the primary one does not bring in time. Not while a large message is on its way: a second copy beside it
     /// would hold both up.
-    fn ask_for_more(&mut self, out: &mut Vec<Done>) {
+    fn ask_for_more(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
         let receives = |link: &Link| link.open.is_some() && now < link.fragment_at + LATE;
         if self.links.values().any(receives) {
@@ -388,7 +397,7 @@
             let since = *link.ahead_since.get_or_insert(now);
             if now >= since + LATE && now >= link.wanted + 2 * LATE {
                 link.wanted = now;
-                out.push(Done::Tell(*node, FromFollower::Want { position: position.clone() }));
+                out.push(Output::Tell(*node, WatchRequest::Fetch { position: position.clone() }));
             }
         }
     }
--- a/routing/tests/follow.rs
+++ b/routing/tests/watch_client.rs
@@ -2,18 +2,18 @@
 
 use googletest::prelude::*;
 use ivyhatch_protocol::configuration::{Document, Item};
-use ivyhatch_protocol::feed::{
-    Evacuations, FromFollower, Position, Router, RouterState, Server, Servers, ToFollower,
+use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId};
+use ivyhatch_protocol::watch::{
+    EvacuationUpdate, Position, Router, RouterState, Server, ServerListUpdate, WatchRequest, WatchResponse,
 };
-use ivyhatch_protocol::ids::{Epoch, NodeId, Part};
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
-use ivyhatch_routing::follow::{Done, Follower, Heard};
+use ivyhatch_routing::watch_client::{Input, Output, WatchClient};
 
 const START: Nanos = SECOND;
 const TICK: Nanos = 100 * MILLISECOND;
 
 struct Routed {
-    follower: Follower,
+    follower: WatchClient,
     now: Nanos,
     /// The sessions that it wants.
     links: Vec<NodeId>,
@@ -55,29 +55,41 @@
     }
 }
 
-fn epoch(counter: u64) -> Epoch {
-    Epoch { counter, node: NodeId(1), life: 1 }
+fn ballot(counter: u64) -> Ballot {
+    Ballot { counter, node: NodeId(1), incarnation: 1 }
 }
 
-fn list(counter: u64, from: Option<u64>, to: u64, ids: &[&str]) -> ToFollower {
+fn list(counter: u64, from: Option<u64>, to: u64, ids: &[&str]) -> WatchResponse {
     let upsert = ids.iter().map(|id| server(id)).collect();
-    ToFollower::Servers(Servers { epoch: epoch(counter), from, to, upsert, gone: Vec::new() })
-}
-
-fn heads(position: Position, in_touch: bool, routers: u32) -> ToFollower {
-    placed(position, in_touch, routers, 0)
-}
-
-fn placed(position: Position, in_touch: bool, routers: u32, place: u32) -> ToFollower {
-    ToFollower::Heads { position, in_touch, routers, place, controls: Vec::new() }
+    WatchResponse::ServerList(ServerListUpdate {
+        ballot: ballot(counter),
+        from,
+        to,
+        upsert,
+        gone: Vec::new(),
+    })
+}
+
+fn heads(position: Position, has_quorum: bool, routers: u32) -> WatchResponse {
+    placed(position, has_quorum, routers, 0)
+}
+
+fn placed(position: Position, has_quorum: bool, routers: u32, place: u32) -> WatchResponse {
+    WatchResponse::Progress {
+        position,
+        has_quorum,
+        router_count: routers,
+        router_index: place,
+        control_nodes: Vec::new(),
+    }
 }
 
 impl Routed {
     /// Knows this many control nodes, and has heard one tick.
     fn new(count: u32) -> Self {
-        let follower = Follower::new(router(), &nodes(count), START);
+        let follower = WatchClient::new(router(), &nodes(count), START);
         let mut routed = Self { follower, now: START, links: Vec::new(), alive: Vec::new() };
-        routed.hear(Heard::Tick);
+        routed.hear(Input::Tick);
         routed
     }
 
@@ -85,7 +97,7 @@
     fn linked() -> Self {
         let mut routed = Self::new(3);
         for (node, took) in nodes(3).into_iter().zip(1..) {
-            routed.hear(Heard::Linked(node, took * MILLISECOND));
+            routed.hear(Input::Linked(node, took * MILLISECOND));
             routed.alive.push((node, Position::default(), true));
         }
         routed.pass(2 * TICK);
@@ -93,30 +105,30 @@
     }
 
     /// Takes one event; tells what is to be done.
-    fn hear(&mut self, heard: Heard) -> Vec<Done> {
+    fn hear(&mut self, heard: Input) -> Vec<Output> {
         let mut done = Vec::new();
         self.follower.handle(self.now, heard, &mut done);
         for what in &done {
-            if let Done::Links(to) = what {
+            if let Output::Links(to) = what {
                 self.links.clone_from(to);
             }
         }
         done
     }
 
-    fn say(&mut self, from: u32, message: ToFollower) -> Vec<Done> {
-        self.hear(Heard::Message(NodeId(from), message))
+    fn say(&mut self, from: u32, message: WatchResponse) -> Vec<Output> {
+        self.hear(Input::Message(NodeId(from), message))
     }
 
     /// Lets time pass, with a tick and a sign of life of each in every tenth of a second.
-    fn pass(&mut self, span: Nanos) -> Vec<Done> {
+    fn pass(&mut self, span: Nanos) -> Vec<Output> {
         let end = self.now + span;
         let mut done = Vec::new();
         while self.now < end {
             self.now = (self.now + TICK).min(end);
-            done.extend(self.hear(Heard::Tick));
-            for (node, position, in_touch) in self.alive.clone() {
-                done.extend(self.hear(Heard::Message(node, heads(position, in_touch, 0))));
+            done.extend(self.hear(Input::Tick));
+            for (node, position, has_quorum) in self.alive.clone() {
+                done.extend(self.hear(Input::Message(node, heads(position, has_quorum, 0))));
             }
         }
         done
@@ -125,7 +137,7 @@
     /// From now on this one says so of itself; silent without.
     fn says(&mut self, node: u32, says: Option<(Position, bool)>) {
         self.alive.retain(|(of, ..)| *of != NodeId(node));
-        self.alive.extend(says.map(|(position, in_touch)| (NodeId(node), position, in_touch)));
+        self.alive.extend(says.map(|(position, has_quorum)| (NodeId(node), position, has_quorum)));
     }
 
     fn configured(&self) -> (u64, u64) {
@@ -134,29 +146,29 @@
 }
 
 /// Who was told who is the primary one.
-fn follows(done: &[Done]) -> Vec<(NodeId, bool)> {
-    let told = |done: &Done| match done {
-        Done::Tell(to, FromFollower::Follow { primary, .. }) => Some((*to, *primary)),
+fn follows(done: &[Output]) -> Vec<(NodeId, bool)> {
+    let told = |done: &Output| match done {
+        Output::Tell(to, WatchRequest::Subscribe { primary, .. }) => Some((*to, *primary)),
         _ => None,
     };
     done.iter().filter_map(told).collect()
 }
 
-fn wants(done: &[Done]) -> Vec<(NodeId, Position)> {
-    let told = |done: &Done| match done {
-        Done::Tell(to, FromFollower::Want { position }) => Some((*to, position.clone())),
+fn wants(done: &[Output]) -> Vec<(NodeId, Position)> {
+    let told = |done: &Output| match done {
+        Output::Tell(to, WatchRequest::Fetch { position }) => Some((*to, position.clone())),
         _ => None,
     };
     done.iter().filter_map(told).collect()
 }
 
-fn routers(done: &[Done]) -> Vec<u32> {
-    let told = |done: &Done| if let Done::Routers(routers, _) = done { Some(*routers) } else { None };
+fn routers(done: &[Output]) -> Vec<u32> {
+    let told = |done: &Output| if let Output::Routers(routers, _) = done { Some(*routers) } else { None };
     done.iter().filter_map(told).collect()
 }
 
-fn configurations(done: &[Done]) -> usize {
-    done.iter().filter(|done| matches!(done, Done::Configuration(_))).count()
+fn configurations(done: &[Output]) -> usize {
+    done.iter().filter(|done| matches!(done, Output::Configuration(_))).count()
 }
 
 #[gtest]
@@ -165,10 +177,10 @@
         let routed = Routed::new(known);
         expect_that!(routed.links, len(eq(kept)));
         let unchanged = Routed::new(known).pass(SECOND);
-        expect_that!(unchanged.iter().any(|done| matches!(done, Done::Links(_))), eq(false));
+        expect_that!(unchanged.iter().any(|done| matches!(done, Output::Links(_))), eq(false));
     }
     let mut routed = Routed::new(1);
-    routed.hear(Heard::Seeds(nodes(7)));
+    routed.hear(Input::Seeds(nodes(7)));
     expect_that!(routed.links, len(eq(3)));
 }
 
@@ -177,10 +189,10 @@
     let mut chosen = std::collections::BTreeSet::new();
     for number in 0..30 {
         let router = Router { front: format!("10.0.0.{number}:8000"), ..router() };
-        let (mut follower, mut done) = (Follower::new(router, &nodes(9), START), Vec::new());
-        follower.handle(START, Heard::Tick, &mut done);
+        let (mut follower, mut done) = (WatchClient::new(router, &nodes(9), START), Vec::new());
+        follower.handle(START, Input::Tick, &mut done);
         for what in done {
-            if let Done::Links(to) = what {
+            if let Output::Links(to) = what {
                 chosen.extend(to);
             }
         }
@@ -191,13 +203,13 @@
 #[gtest]
 fn control_nodes_that_are_told_of_are_known() {
     let mut routed = Routed::new(1);
-    routed.hear(Heard::Linked(NodeId(1), MILLISECOND));
-    let message = ToFollower::Heads {
+    routed.hear(Input::Linked(NodeId(1), MILLISECOND));
+    let message = WatchResponse::Progress {
         position: Position::default(),
-        in_touch: true,
-        routers: 1,
-        place: 0,
-        controls: nodes(3),
+        has_quorum: true,
+        router_count: 1,
+        router_index: 0,
+        control_nodes: nodes(3),
     };
     routed.say(1, message);
     expect_that!(routed.links, eq(&nodes(3)));
@@ -210,7 +222,7 @@
         let mut routed = Routed::new(6);
         for _ in 0..300 {
             let links = routed.links.clone();
-            links.into_iter().for_each(|node| drop(routed.hear(Heard::Lost(node))));
+            links.into_iter().for_each(|node| drop(routed.hear(Input::Lost(node))));
             routed.pass(TICK);
         }
         let mut tried_after = None;
@@ -219,7 +231,7 @@
                 tried_after.get_or_insert(tick);
             }
             let links = routed.links.clone();
-            links.into_iter().for_each(|node| drop(routed.hear(Heard::Lost(node))));
+            links.into_iter().for_each(|node| drop(routed.hear(Input::Lost(node))));
             routed.pass(TICK);
         }
         expect_that!(tried_after, some(le(45)), "{wanted}");
@@ -230,18 +242,18 @@
 fn one_that_cannot_be_reached_makes_room_for_another() {
     let mut routed = Routed::new(4);
     let first = routed.links.clone();
-    routed.hear(Heard::Lost(first[0]));
+    routed.hear(Input::Lost(first[0]));
     routed.pass(SECOND);
     expect_that!(routed.links, eq(&first), "it may come back");
     for _ in 0..20 {
-        routed.hear(Heard::Lost(first[0]));
+        routed.hear(Input::Lost(first[0]));
         routed.pass(TICK);
     }
     expect_that!(routed.links, not(contains(eq(&first[0]))));
     expect_that!(routed.links, len(eq(3)));
     // Where there is no other it is kept.
     let mut only = Routed::new(3);
-    only.hear(Heard::Lost(NodeId(1)));
+    only.hear(Input::Lost(NodeId(1)));
     only.pass(5 * SECOND);
     expect_that!(only.links, eq(&nodes(3)));
 }
@@ -257,15 +269,15 @@
         ((6, false), (3, false), 3),
     ] {
         let mut routed = Routed::new(3);
-        routed.hear(Heard::Linked(NodeId(1), MILLISECOND));
+        routed.hear(Input::Linked(NodeId(1), MILLISECOND));
         routed.says(1, Some((Position::default(), true)));
         routed.pass(TICK);
-        for (node, (took, in_touch)) in [(2, two), (3, three)] {
-            routed.hear(Heard::Linked(NodeId(node), took * MILLISECOND));
-            routed.says(node, Some((Position::default(), in_touch)));
+        for (node, (took, has_quorum)) in [(2, two), (3, three)] {
+            routed.hear(Input::Linked(NodeId(node), took * MILLISECOND));
+            routed.says(node, Some((Position::default(), has_quorum)));
         }
         routed.pass(SECOND);
-        let done = routed.hear(Heard::Lost(NodeId(1)));
+        let done = routed.hear(Input::Lost(NodeId(1)));
         expect_that!(follows(&done), elements_are![eq(&(NodeId(next), true))], "{two:?} {three:?}");
     }
 }
@@ -273,10 +285,10 @@
 #[gtest]
 fn a_primary_one_that_is_sound_is_kept_though_a_nearer_one_comes() {
     let mut routed = Routed::new(3);
-    routed.hear(Heard::Linked(NodeId(3), 9 * MILLISECOND));
+    routed.hear(Input::Linked(NodeId(3), 9 * MILLISECOND));
     routed.says(3, Some((Position::default(), true)));
     routed.pass(SECOND);
-    routed.hear(Heard::Linked(NodeId(1), MILLISECOND));
+    routed.hear(Input::Linked(NodeId(1), MILLISECOND));
     routed.says(1, Some((Position::default(), true)));
     let done = routed.pass(3 * SECOND);
     expect_that!(follows(&done).iter().any(|(_, primary)| *primary), eq(false));
@@ -294,7 +306,7 @@
 #[gtest]
 fn a_primary_one_that_ends_is_left_at_once() {
     let mut routed = Routed::linked();
-    let done = routed.hear(Heard::Lost(NodeId(1)));
+    let done = routed.hear(Input::Lost(NodeId(1)));
     expect_that!(follows(&done), elements_are![eq(&(NodeId(2), true))]);
 }
 
@@ -307,25 +319,25 @@
     let mut routed = Routed::linked();
     (1..=3).for_each(|node| routed.says(node, Some((Position::default(), false))));
     routed.pass(SECOND);
-    let told = routed.say(1, ToFollower::Whole { sequence: 1, document: document(1, &[]).into() });
+    let told = routed.say(1, WatchResponse::Snapshot { sequence: 1, document: document(1, &[]).into() });
     expect_that!(configurations(&told), eq(1));
 }
 
 #[gtest]
 fn signs_of_life_go_to_each_and_a_new_state_at_once() {
     let mut routed = Routed::linked();
-    let beats = |done: &[Done], of: RouterState| {
-        let to = |done: &Done| match done {
-            Done::Tell(to, FromFollower::Beat { state }) if *state == of => Some(*to),
+    let beats = |done: &[Output], of: RouterState| {
+        let to = |done: &Output| match done {
+            Output::Tell(to, WatchRequest::Heartbeat { state }) if *state == of => Some(*to),
             _ => None,
         };
         done.iter().filter_map(to).collect::<Vec<_>>()
     };
     let done = routed.pass(SECOND);
     expect_that!(beats(&done, RouterState::Starting).len(), all![ge(3), le(9)]);
-    let done = routed.hear(Heard::State(RouterState::Ready));
+    let done = routed.hear(Input::State(RouterState::Ready));
     expect_that!(beats(&done, RouterState::Ready), eq(&nodes(3)));
-    expect_that!(routed.hear(Heard::State(RouterState::Ready)), is_empty(), "it is nothing new");
+    expect_that!(routed.hear(Input::State(RouterState::Ready)), is_empty(), "it is nothing new");
 }
 
 #[gtest]
@@ -339,7 +351,7 @@
     expect_that!(wants(&done), contains(eq(&(NodeId(2), Position::default()))));
     expect_that!(wants(&done).iter().all(|(to, _)| *to == NodeId(2)), eq(true));
     expect_that!(wants(&done).len(), le(3), "not at every tick");
-    routed.say(2, ToFollower::Whole { sequence: 4, document: document(8, &["a"]).into() });
+    routed.say(2, WatchResponse::Snapshot { sequence: 4, document: document(8, &["a"]).into() });
     expect_that!(wants(&routed.pass(SECOND)), is_empty());
 }
 
@@ -347,8 +359,8 @@
 fn each_thing_that_is_behind_is_wanted() {
     let behind = [
         Position { configuration: 1, ..Position::default() },
-        Position { evacuations: vec![(Part(3), 1)], ..Position::default() },
-        Position { servers: (epoch(1), 1), ..Position::default() },
+        Position { evacuations: vec![(PartitionId(3), 1)], ..Position::default() },
+        Position { servers: (ballot(1), 1), ..Position::default() },
     ];
     for position in behind {
         let mut routed = Routed::linked();
@@ -360,20 +372,20 @@
 #[gtest]
 fn no_older_configuration_is_taken() {
     let mut routed = Routed::linked();
-    let told = routed.say(1, ToFollower::Whole { sequence: 5, document: document(50, &["a"]).into() });
+    let told = routed.say(1, WatchResponse::Snapshot { sequence: 5, document: document(50, &["a"]).into() });
     expect_that!(configurations(&told), eq(1));
     for (from, sequence) in [(1, 5), (2, 5), (2, 4), (3, 1), (1, 0)] {
-        let told =
-            routed.say(from, ToFollower::Whole { sequence, document: document(sequence * 7, &["b"]).into() });
+        let told = routed
+            .say(from, WatchResponse::Snapshot { sequence, document: document(sequence * 7, &["b"]).into() });
         expect_that!(configurations(&told), eq(0), "{sequence} from {from}");
         expect_that!(routed.configured(), eq((5, 50)));
     }
     // A session that begins anew changes nothing in that.
-    routed.hear(Heard::Lost(NodeId(1)));
-    routed.hear(Heard::Linked(NodeId(1), MILLISECOND));
-    routed.say(1, ToFollower::Whole { sequence: 4, document: document(40, &["b"]).into() });
+    routed.hear(Input::Lost(NodeId(1)));
+    routed.hear(Input::Linked(NodeId(1), MILLISECOND));
+    routed.say(1, WatchResponse::Snapshot { sequence: 4, document: document(40, &["b"]).into() });
     expect_that!(routed.configured(), eq((5, 50)));
-    routed.say(3, ToFollower::Whole { sequence: 6, document: document(60, &["b"]).into() });
+    routed.say(3, WatchResponse::Snapshot { sequence: 6, document: document(60, &["b"]).into() });
     expect_that!(routed.configured(), eq((6, 60)), "from whomever it comes");
 }
 
@@ -385,12 +397,12 @@
         [(5, 6, true), (5, 9, true), (4, 6, false), (6, 7, false), (0, 6, false), (5, 5, false)]
     {
         let mut routed = Routed::linked();
-        routed.say(1, ToFollower::Whole { sequence: 5, document: old.clone().into() });
-        let told = routed.say(2, ToFollower::Change { from, to, change: change.clone().into() });
+        routed.say(1, WatchResponse::Snapshot { sequence: 5, document: old.clone().into() });
+        let told = routed.say(2, WatchResponse::Change { from, to, change: change.clone().into() });
         expect_that!(configurations(&told), eq(usize::from(taken)), "{from} to {to}");
         let expected = if taken { (to, 60) } else { (5, 50) };
         expect_that!(routed.configured(), eq(expected));
-        let again = routed.say(1, ToFollower::Change { from, to, change: change.clone().into() });
+        let again = routed.say(1, WatchResponse::Change { from, to, change: change.clone().into() });
         expect_that!(configurations(&again), eq(0), "a second time it does not follow on");
     }
 }
@@ -398,11 +410,12 @@
 #[gtest]
 fn what_a_change_says_is_what_has_changed() {
     let mut routed = Routed::linked();
-    routed.say(1, ToFollower::Whole { sequence: 5, document: document(50, &["a", "b"]).into() });
-    let told = routed.say(1, ToFollower::Whole { sequence: 9, document: document(90, &["b", "c"]).into() });
+    routed.say(1, WatchResponse::Snapshot { sequence: 5, document: document(50, &["a", "b"]).into() });
+    let told =
+        routed.say(1, WatchResponse::Snapshot { sequence: 9, document: document(90, &["b", "c"]).into() });
     let change = told
         .into_iter()
-        .find_map(|done| if let Done::Configuration(change) = done { Some(change) } else { None });
+        .find_map(|done| if let Output::Configuration(change) = done { Some(change) } else { None });
     let change = change.expect("a change");
     expect_that!(change.remove["routes"], elements_are![eq("a")]);
     expect_that!(
@@ -423,21 +436,21 @@
         [(4, None, 99), (4, Some(3), 4), (5, None, 2), (5, None, 3), (5, Some(2), 4), (5, Some(4), 5)]
     {
         let told = routed.say(2, list(counter, from, to, &["y"]));
-        expect_that!(told.contains(&Done::Servers), eq(false), "{counter} {from:?} {to}");
+        expect_that!(told.contains(&Output::Servers), eq(false), "{counter} {from:?} {to}");
         expect_that!(ids(&routed), elements_are![eq("x")]);
     }
     routed.say(2, list(5, Some(3), 4, &["y"]));
     expect_that!(ids(&routed), elements_are![eq("x"), eq("y")]);
     let told = routed.say(3, list(6, None, 1, &["z"]));
-    expect_that!(told.contains(&Done::Servers), eq(true), "a new reader begins anew");
+    expect_that!(told.contains(&Output::Servers), eq(true), "a new reader begins anew");
     expect_that!(ids(&routed), elements_are![eq("z")]);
 }
 
 #[gtest]
 fn evacuations_go_forward_only() {
-    let part = Part::of("a");
+    let part = PartitionId::of("a");
     let told = |sequence, active, changes| {
-        ToFollower::Evacuations(Evacuations {
+        WatchResponse::Evacuations(EvacuationUpdate {
             part,
             sequence,
             zones: vec![("a".to_owned(), active, changes)],
@@ -445,11 +458,11 @@
     };
     let mut routed = Routed::linked();
     expect_that!(routed.follower.evacuation("a"), eq((false, 0)));
-    expect_that!(routed.say(1, told(2, true, 1)), contains(eq(&Done::Servers)));
+    expect_that!(routed.say(1, told(2, true, 1)), contains(eq(&Output::Servers)));
     expect_that!(routed.follower.evacuation("a"), eq((true, 1)));
     expect_that!(routed.follower.evacuation("b"), eq((false, 0)));
     for sequence in [0, 1, 2] {
-        expect_that!(routed.say(2, told(sequence, false, 0)).contains(&Done::Servers), eq(false));
+        expect_that!(routed.say(2, told(sequence, false, 0)).contains(&Output::Servers), eq(false));
         expect_that!(routed.follower.evacuation("a"), eq((true, 1)));
     }
     routed.say(2, told(3, false, 2));
@@ -462,10 +475,10 @@
     expect_that!(routed.follower.is_ready(), eq(false));
     routed.say(1, list(1, None, 1, &[]));
     expect_that!(routed.follower.is_ready(), eq(false));
-    routed.say(1, ToFollower::Whole { sequence: 1, document: document(1, &[]).into() });
+    routed.say(1, WatchResponse::Snapshot { sequence: 1, document: document(1, &[]).into() });
     expect_that!(routed.follower.is_ready(), eq(true), "an empty list is a list");
     let mut other = Routed::linked();
-    other.say(1, ToFollower::Whole { sequence: 1, document: document(1, &[]).into() });
+    other.say(1, WatchResponse::Snapshot { sequence: 1, document: document(1, &[]).into() });
     expect_that!(other.follower.is_ready(), eq(false));
 }
 
@@ -492,7 +505,7 @@
     let told = |routed: &mut Routed, routers, place| {
         let done = routed.say(1, placed(Position::default(), true, routers, place));
         done.iter().find_map(|done| {
-            if let Done::Routers(routers, place) = done { Some((*routers, *place)) } else { None }
+            if let Output::Routers(routers, place) = done { Some((*routers, *place)) } else { None }
         })
     };
     expect_that!(told(&mut routed, 6, 2), some(eq((6, 2))));
@@ -518,15 +531,15 @@
 #[gtest]
 fn one_that_is_not_followed_is_not_heard() {
     let mut routed = Routed::linked();
-    let told = routed.say(42, ToFollower::Whole { sequence: 1, document: document(1, &[]).into() });
+    let told = routed.say(42, WatchResponse::Snapshot { sequence: 1, document: document(1, &[]).into() });
     expect_that!(told, is_empty());
     expect_that!(routed.configured().0, eq(0));
 }
 
 #[gtest]
 fn that_no_control_node_is_in_touch_is_told_once_and_its_end_as_well() {
-    let touch = |done: &[Done]| {
-        let told = |done: &Done| if let Done::Touch(touch) = done { Some(*touch) } else { None };
+    let touch = |done: &[Output]| {
+        let told = |done: &Output| if let Output::Touch(touch) = done { Some(*touch) } else { None };
         done.iter().filter_map(told).collect::<Vec<_>>()
     };
     let mut routed = Routed::linked();
@@ -545,7 +558,7 @@
     let ahead = Position { configuration: 4, ..Position::default() };
     (1..=3).for_each(|node| routed.says(node, Some((ahead.clone(), true))));
     for _ in 0..20 {
-        routed.hear(Heard::Fragment(NodeId(1)));
+        routed.hear(Input::Fragment(NodeId(1)));
         expect_that!(wants(&routed.pass(TICK)), is_empty(), "it is on its way");
     }
     expect_that!(wants(&routed.pass(SECOND)), not(is_empty()), "it has stopped coming");
@@ -556,7 +569,7 @@
     let mut routed = Routed::linked();
     routed.says(1, None);
     for _ in 0..30 {
-        routed.hear(Heard::Fragment(NodeId(1)));
+        routed.hear(Input::Fragment(NodeId(1)));
         expect_that!(follows(&routed.pass(TICK)), is_empty());
     }
     expect_that!(follows(&routed.pass(2 * SECOND)), contains(eq(&(NodeId(2), true))));
@@ -567,25 +580,25 @@
     for stall in [2 * SECOND, 20 * SECOND] {
         let mut routed = Routed::linked();
         routed.now += stall;
-        let mut done = routed.hear(Heard::Tick);
+        let mut done = routed.hear(Input::Tick);
         done.extend(routed.say(3, heads(Position::default(), true, 0)));
         done.extend(routed.say(1, heads(Position::default(), true, 0)));
         done.extend(routed.pass(SECOND));
         expect_that!(follows(&done), is_empty(), "the primary one stays");
-        expect_that!(done.iter().any(|done| matches!(done, Done::Touch(_))), eq(false));
+        expect_that!(done.iter().any(|done| matches!(done, Output::Touch(_))), eq(false));
         // One that says nothing then is silent all the same.
         routed.alive.clear();
         routed.now += stall;
-        routed.hear(Heard::Tick);
+        routed.hear(Input::Tick);
         let done = routed.pass(SECOND);
-        expect_that!(done.contains(&Done::Touch(false)), eq(true));
+        expect_that!(done.contains(&Output::Touch(false)), eq(true));
     }
 }
 
 #[gtest]
 fn a_first_event_that_comes_late_is_no_stall() {
-    let mut follower = Follower::new(router(), &nodes(3), START);
+    let mut follower = WatchClient::new(router(), &nodes(3), START);
     let mut done = Vec::new();
-    follower.handle(START + 10 * SECOND, Heard::Tick, &mut done);
-    expect_that!(done.contains(&Done::Links(nodes(3))), eq(true), "there is nothing to catch up with");
+    follower.handle(START + 10 * SECOND, Input::Tick, &mut done);
+    expect_that!(done.contains(&Output::Links(nodes(3))), eq(true), "there is nothing to catch up with");
 }
--- a/simulation/src/oracle.rs
+++ b/simulation/src/oracle.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use ivyhatch_protocol::ids::{Part, ReplicaId};
+use ivyhatch_protocol::ids::{PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{AdminResponse, Membership};
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 use serde::{Deserialize, Serialize};
@@ -115,10 +115,10 @@
     /// Versions by the undertaking that asked for them.
     asked: BTreeMap<u64, usize>,
     /// The value of each number of each part.
-    values: BTreeMap<(Part, u64), u64>,
+    values: BTreeMap<(PartitionId, u64), u64>,
     /// The version that each number of the configuration stands for.
     versions: BTreeMap<u64, u64>,
-    places: BTreeMap<(Life, Part), u64>,
+    places: BTreeMap<(Life, PartitionId), u64>,
     lists: BTreeMap<(u64, u64, u64), u64>,
     memberships: BTreeMap<u64, Membership>,
     newest: Option<(u64, Nanos)>,
@@ -184,11 +184,11 @@
         undertaken.open = false;
         let (kind, newest_before) = (undertaken.kind.clone(), undertaken.newest_before);
         match (kind, answer) {
-            (Kind::Set { base, revision, valid, .. }, AdminResponse::Taken { .. }) => {
+            (Kind::Set { base, revision, valid, .. }, AdminResponse::Applied { .. }) => {
                 undertaken.taken = Some(self.now);
                 self.acknowledged(number, base, revision, valid);
             }
-            (Kind::Evacuate { zone, active }, AdminResponse::Taken { .. }) => {
+            (Kind::Evacuate { zone, active }, AdminResponse::Applied { .. }) => {
                 undertaken.taken = Some(self.now);
                 self.zones.insert(zone, (active, self.now));
             }
@@ -212,7 +212,7 @@
                 let revision = read.map_or(0, |document| document.revision);
                 self.read(revision, newest_before);
             }
-            (Kind::Read, AdminResponse::Nothing) => self.read(0, newest_before),
+            (Kind::Read, AdminResponse::NotConfigured) => self.read(0, newest_before),
             (kind, answer) => self.broken(Rule::AsSent, format!("{kind:?} was answered by {answer:?}")),
         }
         true
@@ -222,7 +222,7 @@
     pub fn answer_lost(&mut self, number: usize, answer: &AdminResponse) {
         let Some(undertaken) = self.undertaken.get_mut(&number) else { return };
         undertaken.began = self.now;
-        if let (Kind::Set { base, revision, valid, .. }, AdminResponse::Taken { .. }) =
+        if let (Kind::Set { base, revision, valid, .. }, AdminResponse::Applied { .. }) =
             (&undertaken.kind, answer)
         {
             let (base, revision, valid) = (*base, *revision, *valid);
@@ -264,7 +264,7 @@
     }
 
     /// A node or a follower has a part at this place, with a value of this digest.
-    pub fn seen(&mut self, who: Life, part: Part, sequence: u64, digest: u64) {
+    pub fn seen(&mut self, who: Life, part: PartitionId, sequence: u64, digest: u64) {
         if sequence == 0 {
             return;
         }
--- a/simulation/src/planted.rs
+++ b/simulation/src/planted.rs
@@ -13,9 +13,9 @@
     AcknowledgesBeforeSync,
     /// A node whose disk was lost takes its empty one for all that it has promised, and votes.
     VotesAfterWipe,
-    /// An owner takes it for granted that all confirm its epoch.
+    /// An owner takes it for granted that all confirm its ballot.
     SkipsConfirmation,
-    /// A member takes what a lower epoch sets.
+    /// A member takes what a lower ballot sets.
     AcceptsLowerEpoch,
     /// A follower applies a change that does not follow on what it has.
     AppliesOverGap,
@@ -27,7 +27,7 @@
     OldGenerationCounts,
     /// The membership is changed without the agreement of a quorum, so that two changes may be made at once.
     ChangesMembershipAlone,
-    /// A node takes it for granted that all promise its epoch, and have accepted nothing.
+    /// A node takes it for granted that all promise its ballot, and have accepted nothing.
     LeadsWithoutElection,
     /// An order that is sent again is not known again.
     TakesResentForNew,
--- a/simulation/src/run.rs
+++ b/simulation/src/run.rs
@@ -2,20 +2,20 @@
 
 mod alterations;
 mod describe;
-mod followers;
 mod links;
 mod machines;
 mod observation;
 mod operators;
+mod routers;
 mod troubles;
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use ivyhatch_control::server_list::ReadId;
 use ivyhatch_control::{Input, RequestId, SessionId};
-use ivyhatch_protocol::feed::{FromFollower, ToFollower};
 use ivyhatch_protocol::ids::NodeId;
-use ivyhatch_protocol::peer::{AdminRequest, AdminResponse, Peer};
+use ivyhatch_protocol::peer::{AdminRequest, AdminResponse, PeerMessage};
+use ivyhatch_protocol::watch::{WatchRequest, WatchResponse};
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
 use crate::chance::draw;
@@ -23,10 +23,10 @@
 use crate::plan::{Plan, When};
 use crate::planted::Planted;
 
-use followers::Router;
 use links::Links;
 use machines::Machine;
 use operators::Desk;
+use routers::Router;
 
 const TICK: Nanos = 100 * MILLISECOND;
 const SAMPLE: Nanos = 250 * MILLISECOND;
@@ -51,9 +51,9 @@
 /// What comes on a link.
 #[derive(Clone, Debug)]
 enum Said {
-    Peer(Peer),
-    Follower(SessionId, FromFollower),
-    Told(SessionId, ToFollower),
+    Peer(PeerMessage),
+    Follower(SessionId, WatchRequest),
+    Told(SessionId, WatchResponse),
 }
 
 #[derive(Clone, Debug)]
--- a/simulation/src/run/alterations.rs
+++ b/simulation/src/run/alterations.rs
@@ -1,8 +1,8 @@
 //! Planted faults in what a control node sends: a message is altered, answered on the spot or left out.
 
 use ivyhatch_control::{ControlPlane, Input};
-use ivyhatch_protocol::ids::{NodeId, Part};
-use ivyhatch_protocol::peer::{ConsensusMessage, Peer};
+use ivyhatch_protocol::ids::{NodeId, PartitionId};
+use ivyhatch_protocol::peer::{ConsensusMessage, PeerMessage};
 
 use super::{World, place};
 use crate::planted::Planted;
@@ -13,66 +13,70 @@
         &mut self,
         machine: usize,
         to: NodeId,
-        message: Peer,
+        message: PeerMessage,
         events: &mut Vec<Input>,
-    ) -> Option<Peer> {
+    ) -> Option<PeerMessage> {
         let Some(planted) = self.planted else { return Some(message) };
         match (planted, message) {
             (
                 Planted::SkipsConfirmation,
-                Peer::Consensus { generation, part, message: ConsensusMessage::Confirm { epoch, number } },
+                PeerMessage::Consensus {
+                    generation,
+                    part,
+                    message: ConsensusMessage::Confirm { ballot, number },
+                },
             ) => {
-                let message = ConsensusMessage::Confirmed { epoch, number };
-                events.push(Input::Peer(to, Peer::Consensus { generation, part, message }));
+                let message = ConsensusMessage::Confirmed { ballot, number };
+                events.push(Input::Peer(to, PeerMessage::Consensus { generation, part, message }));
                 None
             }
             (
                 Planted::AcceptsLowerEpoch,
-                Peer::Consensus { generation, part, message: ConsensusMessage::Reject { promised } },
+                PeerMessage::Consensus { generation, part, message: ConsensusMessage::Reject { promised } },
             ) => {
-                let lower = self.machines[machine].lower.take().filter(|(epoch, _)| epoch.node == to);
-                let message = lower.map_or(ConsensusMessage::Reject { promised }, |(epoch, sequence)| {
-                    ConsensusMessage::Accepted { epoch, sequence }
+                let lower = self.machines[machine].lower.take().filter(|(ballot, _)| ballot.node == to);
+                let message = lower.map_or(ConsensusMessage::Reject { promised }, |(ballot, sequence)| {
+                    ConsensusMessage::Accepted { ballot, sequence }
                 });
-                Some(Peer::Consensus { generation, part, message })
+                Some(PeerMessage::Consensus { generation, part, message })
             }
             (
                 Planted::LeadsWithoutElection,
-                Peer::Consensus { generation, part, message: ConsensusMessage::Prepare { epoch } },
-            ) if part != Part::MEMBERSHIP => {
-                let message = ConsensusMessage::Promise { epoch, accepted: None };
-                events.push(Input::Peer(to, Peer::Consensus { generation, part, message }));
+                PeerMessage::Consensus { generation, part, message: ConsensusMessage::Prepare { ballot } },
+            ) if part != PartitionId::MEMBERSHIP => {
+                let message = ConsensusMessage::Promise { ballot, accepted: None };
+                events.push(Input::Peer(to, PeerMessage::Consensus { generation, part, message }));
                 None
             }
             (
                 Planted::ChangesMembershipAlone,
-                Peer::Consensus { generation, part: part @ Part::MEMBERSHIP, message },
+                PeerMessage::Consensus { generation, part: part @ PartitionId::MEMBERSHIP, message },
             ) => {
                 let message = match message {
-                    ConsensusMessage::Prepare { epoch } => {
-                        ConsensusMessage::Promise { epoch, accepted: None }
+                    ConsensusMessage::Prepare { ballot } => {
+                        ConsensusMessage::Promise { ballot, accepted: None }
                     }
                     ConsensusMessage::Accept(value) => {
-                        ConsensusMessage::Accepted { epoch: value.epoch, sequence: value.sequence }
+                        ConsensusMessage::Accepted { ballot: value.ballot, sequence: value.sequence }
                     }
-                    message => return Some(Peer::Consensus { generation, part, message }),
+                    message => return Some(PeerMessage::Consensus { generation, part, message }),
                 };
-                events.push(Input::Peer(to, Peer::Consensus { generation, part, message }));
+                events.push(Input::Peer(to, PeerMessage::Consensus { generation, part, message }));
                 None
             }
-            (Planted::CountsBeforeState, Peer::StateTransferRequest { incarnation, generation }) => {
+            (Planted::CountsBeforeState, PeerMessage::StateTransferRequest { incarnation, generation }) => {
                 let node = self.machines[place(to)].node.as_ref();
                 let disk = node.and_then(ControlPlane::replica)?.disk;
                 let partitions = Vec::new();
-                let empty = Peer::StateTransfer { incarnation, generation, disk, partitions };
+                let empty = PeerMessage::StateTransfer { incarnation, generation, disk, partitions };
                 events.push(Input::Peer(to, empty));
                 None
             }
-            (Planted::OldGenerationCounts, Peer::Consensus { part, message, generation }) => {
+            (Planted::OldGenerationCounts, PeerMessage::Consensus { part, message, generation }) => {
                 let receiver = self.machines.get(place(to)).and_then(|machine| machine.node.as_ref());
                 let newer = receiver.and_then(ControlPlane::membership).map(|known| known.generation);
                 let generation = newer.unwrap_or(generation);
-                Some(Peer::Consensus { generation, part, message })
+                Some(PeerMessage::Consensus { generation, part, message })
             }
             (_, message) => Some(message),
         }
--- a/simulation/src/run/machines.rs
+++ b/simulation/src/run/machines.rs
@@ -5,9 +5,9 @@
 use ivyhatch_control::server_list::ReadId;
 use ivyhatch_control::state::State;
 use ivyhatch_control::{ControlPlane, Identity, Input, Output};
-use ivyhatch_protocol::feed::Server;
-use ivyhatch_protocol::ids::{Epoch, NodeId, Part, ReplicaId};
-use ivyhatch_protocol::peer::{ConsensusMessage, Membership, Peer};
+use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId};
+use ivyhatch_protocol::peer::{ConsensusMessage, Membership, PeerMessage};
+use ivyhatch_protocol::watch::Server;
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
 use super::describe::peer_message;
@@ -18,7 +18,7 @@
 use crate::oracle::Rule;
 use crate::planted::Planted;
 
-const PARTS: usize = ivyhatch_protocol::ids::HASHED_PARTS as usize + 1;
+const PARTS: usize = ivyhatch_protocol::ids::HASHED_PARTITIONS as usize + 1;
 /// A sync takes so long at the least and at the most.
 const SYNC: (Nanos, Nanos) = (2 * MILLISECOND, 6 * MILLISECOND);
 /// A write that a disk has refused is tried again after this.
@@ -61,8 +61,8 @@
     /// What it was before it lost its disk, for the fault that it goes on as that.
     before_wipe: Option<(ReplicaId, Option<Membership>, Option<u64>)>,
     pub(super) seen: [u64; PARTS],
-    pub(super) list: (Epoch, u64),
-    pub(super) lower: Option<(Epoch, u64)>,
+    pub(super) list: (Ballot, u64),
+    pub(super) lower: Option<(Ballot, u64)>,
 }
 
 impl Machine {
@@ -100,12 +100,12 @@
     }
 
     pub(super) fn places(&self) -> Vec<u64> {
-        let place = |part: Part| self.node.as_ref().map_or(0, |node| node.committed_state(part).0);
-        Part::all().map(place).collect()
+        let place = |part: PartitionId| self.node.as_ref().map_or(0, |node| node.committed_state(part).0);
+        PartitionId::all().map(place).collect()
     }
 
     pub(super) fn revision(&self) -> u64 {
-        match self.node.as_ref().and_then(|node| node.committed_state(Part::CONFIGURATION).1) {
+        match self.node.as_ref().and_then(|node| node.committed_state(PartitionId::CONFIGURATION).1) {
             Some(State::Configured(configured)) => configured.document.revision,
             _ => 0,
         }
@@ -114,18 +114,21 @@
     /// What it has in force, as a follower's.
     pub(super) fn summary(&self) -> Vec<u64> {
         let Some(node) = &self.node else { return Vec::new() };
-        let zones = (0..3).map(zone).flat_map(|zone| match node.committed_state(Part::of(&zone)).1 {
+        let zones = (0..3).map(zone).flat_map(|zone| match node.committed_state(PartitionId::of(&zone)).1 {
             Some(State::Evacuated(evacuated)) => {
                 let (active, changes) = evacuated.zones.get(&zone).copied().unwrap_or_default();
                 [u64::from(active), changes]
             }
             _ => [0, 0],
         });
-        [self.revision(), node.committed_state(Part::CONFIGURATION).0].into_iter().chain(zones).collect()
+        [self.revision(), node.committed_state(PartitionId::CONFIGURATION).0]
+            .into_iter()
+            .chain(zones)
+            .collect()
     }
 
     pub(super) fn reads_list(&self) -> bool {
-        self.node.as_ref().is_some_and(|node| node.leads(Part::of("platform-list")).is_some())
+        self.node.as_ref().is_some_and(|node| node.leads(PartitionId::of("platform-list")).is_some())
     }
 }
 
@@ -170,7 +173,7 @@
             grace: GRACE,
         };
         this.node = Some(ControlPlane::new(identity, stored, now));
-        (this.seen, this.list) = ([0; PARTS], (Epoch::default(), 0));
+        (this.seen, this.list) = ([0; PARTS], (Ballot::default(), 0));
         (this.wants, this.frozen_until, this.lower, this.generation) = (Vec::new(), 0, None, 0);
         this.linked.clear();
         this.held.clear();
@@ -314,14 +317,14 @@
         }
     }
 
-    fn heard_by(&mut self, machine: usize, from: usize, message: &Peer) {
+    fn heard_by(&mut self, machine: usize, from: usize, message: &PeerMessage) {
         self.note(|| format!("{from} -> {machine} {}", peer_message(message)));
         let seed = self.plan.seed;
         let members = self.plan.members;
         let this = &mut self.machines[machine];
         match message {
             // Any so many others know whatever a quorum has helped to acknowledge.
-            Peer::StateTransfer { incarnation, .. }
+            PeerMessage::StateTransfer { incarnation, .. }
                 if *incarnation == draw(seed, [5, machine as u64, this.life, 0]) =>
             {
                 if let Some(told) = &mut this.wiped {
@@ -331,8 +334,8 @@
                     }
                 }
             }
-            Peer::Consensus { message: ConsensusMessage::Accept(accepted), .. } => {
-                this.lower = Some((accepted.epoch, accepted.sequence));
+            PeerMessage::Consensus { message: ConsensusMessage::Accept(accepted), .. } => {
+                this.lower = Some((accepted.ballot, accepted.sequence));
             }
             _ => {}
         }
@@ -460,11 +463,11 @@
         }
     }
 
-    fn tell(&mut self, machine: usize, to: usize, message: Peer) {
+    fn tell(&mut self, machine: usize, to: usize, message: PeerMessage) {
         let votes = matches!(
             message,
-            Peer::StateTransfer { .. }
-                | Peer::Consensus {
+            PeerMessage::StateTransfer { .. }
+                | PeerMessage::Consensus {
                     message: ConsensusMessage::Promise { .. }
                         | ConsensusMessage::Accepted { .. }
                         | ConsensusMessage::Confirmed { .. },
--- a/simulation/src/run/observation.rs
+++ b/simulation/src/run/observation.rs
@@ -2,8 +2,8 @@
 
 use ivyhatch_control::ControlPlane;
 use ivyhatch_control::state::State;
-use ivyhatch_protocol::ids::{Epoch, Part, hash, mix};
-use ivyhatch_protocol::peer::{ConsensusMessage, Peer};
+use ivyhatch_protocol::ids::{Ballot, PartitionId, hash, mix};
+use ivyhatch_protocol::peer::{ConsensusMessage, PeerMessage};
 use speedy::Writable;
 
 use super::{World, address};
@@ -11,8 +11,8 @@
 
 impl World<'_> {
     /// Shows the judge a vote: who gives it, and under which membership.
-    pub(super) fn judge_vote(&mut self, machine: usize, message: &Peer) {
-        let Peer::Consensus { generation, message: vote, .. } = message else { return };
+    pub(super) fn judge_vote(&mut self, machine: usize, message: &PeerMessage) {
+        let PeerMessage::Consensus { generation, message: vote, .. } = message else { return };
         let votes = matches!(
             vote,
             ConsensusMessage::Promise { .. }
@@ -34,7 +34,7 @@
             this.generation = membership.generation;
             self.oracle.membership(membership);
         }
-        for part in Part::all() {
+        for part in PartitionId::all() {
             let (sequence, state) = node.committed_state(part);
             let seen = &mut this.seen[usize::from(part.0)];
             if sequence == *seen {
@@ -58,13 +58,13 @@
         let position = node.list().position();
         if position != this.list {
             this.list = position;
-            let (epoch, number) = position;
-            if epoch != Epoch::default() {
+            let (ballot, number) = position;
+            if ballot != Ballot::default() {
                 let told = node.list().servers(self.now);
                 let digest =
                     told.fold(0, |sum, one| mix(sum ^ hash(one.id.as_bytes()) ^ u64::from(one.draining)));
-                let reader = mix(epoch.life ^ mix(u64::from(epoch.node.0)));
-                self.oracle.list((epoch.counter, reader, number), digest);
+                let reader = mix(ballot.incarnation ^ mix(u64::from(ballot.node.0)));
+                self.oracle.list((ballot.counter, reader, number), digest);
             }
         }
     }
