--- a/simulation/src/run/operators.rs
+++ b/simulation/src/run/operators.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use ivyhatch_control::{Input, RequestId};
-use ivyhatch_protocol::ids::Part;
+use ivyhatch_protocol::ids::PartitionId;
 use ivyhatch_protocol::peer::{AdminRequest, AdminResponse};
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
@@ -149,13 +149,13 @@
     pub(super) fn answer_arrives(&mut self, id: RequestId, answer: &AdminResponse) {
         let Some((operator, current)) = self.desk.of(id) else { return };
         let number = current.number;
-        let configures = current.demand.order.part() == Part::CONFIGURATION;
+        let configures = current.demand.order.part() == PartitionId::CONFIGURATION;
         if !self.oracle.answered(number, answer) {
             let after = (50 + self.below(300)) * MILLISECOND;
             return self.after(after, Happening::Silence(id));
         }
         match answer {
-            AdminResponse::Taken { revision } | AdminResponse::Conflict { revision } if configures => {
+            AdminResponse::Applied { revision } | AdminResponse::Conflict { revision } if configures => {
                 self.desk.known.heard(*revision);
             }
             _ => {}
--- a/simulation/src/run/followers.rs
+++ b/simulation/src/run/routers.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use ivyhatch_control::{Input, SessionId};
-use ivyhatch_protocol::feed::{Router as Named, RouterState, ToFollower};
-use ivyhatch_protocol::ids::Part;
+use ivyhatch_control::SessionId;
+use ivyhatch_protocol::ids::PartitionId;
+use ivyhatch_protocol::watch::{Router as Named, RouterState, WatchResponse};
 use ivyhatch_protocol::{MILLISECOND, Nanos};
-use ivyhatch_routing::follow::{Done, Follower, Heard};
+use ivyhatch_routing::watch_client::{Input, Output, WatchClient};
 
 use super::describe::follower_message;
 use super::{CONTACT, Happening, Said, TICK, World, address, place};
@@ -31,7 +31,7 @@
 /// A router.
 #[derive(Debug, Default)]
 pub(super) struct Router {
-    follower: Option<Follower>,
+    follower: Option<WatchClient>,
     pub(super) life: u64,
     wants: Vec<usize>,
     sessions: BTreeMap<usize, Session>,
@@ -94,7 +94,7 @@
         }
         this.life += 1;
         this.event = self.now;
-        this.follower = Some(Follower::new(router, &seeds, self.now));
+        this.follower = Some(WatchClient::new(router, &seeds, self.now));
         (this.seen, this.wants) = (0, Vec::new());
         this.sessions.clear();
         let life = this.life;
@@ -104,7 +104,7 @@
     /// A follower reads its settings anew.
     pub(super) fn settings_read(&mut self, follower: usize) {
         let seeds = self.slots.iter().map(|machine| address(*machine)).collect();
-        self.follower_hears(follower, Heard::Seeds(seeds));
+        self.follower_hears(follower, Input::Seeds(seeds));
     }
 
     pub(super) fn follower_stop(&mut self, follower: usize) {
@@ -129,7 +129,7 @@
         for (machine, id) in silent {
             self.session_lost(follower, machine, id);
         }
-        self.follower_hears(follower, Heard::Tick);
+        self.follower_hears(follower, Input::Tick);
         let wanted: Vec<usize> = self.routers[follower].wants.clone();
         let own = self.place_of(follower);
         for machine in wanted {
@@ -144,7 +144,7 @@
                 let after = (10 + self.below(20)) * MILLISECOND;
                 self.after(after, Happening::Session(follower, life, machine, id));
             } else {
-                self.follower_hears(follower, Heard::Lost(address(machine)));
+                self.follower_hears(follower, Input::Lost(address(machine)));
             }
         }
         let late = self.below(3) * MILLISECOND;
@@ -154,7 +154,7 @@
     pub(super) fn session(&mut self, follower: usize, life: u64, machine: usize, id: SessionId) {
         let this = &self.routers[follower];
         if this.life == life && this.sessions.get(&machine).is_some_and(|session| session.id == id) {
-            self.follower_hears(follower, Heard::Linked(address(machine), 20 * MILLISECOND));
+            self.follower_hears(follower, Input::Linked(address(machine), 20 * MILLISECOND));
         }
     }
 
@@ -163,7 +163,7 @@
         let this = &mut self.routers[follower];
         if this.sessions.get(&machine).is_some_and(|session| session.id == id) {
             let session = this.sessions.remove(&machine);
-            self.follower_hears(follower, Heard::Lost(address(machine)));
+            self.follower_hears(follower, Input::Lost(address(machine)));
             if let Some(session) = session {
                 self.after(20 * MILLISECOND, Happening::SessionClosed(machine, session.life, id));
             }
@@ -172,7 +172,7 @@
 
     pub(super) fn session_closed(&mut self, machine: usize, life: u64, id: SessionId) {
         if self.runs(machine, Some(life), || Happening::SessionClosed(machine, life, id)) {
-            self.hear(machine, Input::Closed(id));
+            self.hear(machine, ivyhatch_control::Input::Closed(id));
         }
     }
 
@@ -212,14 +212,21 @@
         }
     }
 
-    pub(super) fn tell_follower(&mut self, machine: usize, id: SessionId, message: ToFollower) {
+    pub(super) fn tell_follower(&mut self, machine: usize, id: SessionId, message: WatchResponse) {
         if let Some(follower) = self.holder(machine, id) {
             let life = self.routers[follower].life;
             self.send(machine, self.place_of(follower), life, Said::Told(id, message));
         }
     }
 
-    pub(super) fn told(&mut self, machine: usize, to: usize, life: u64, id: SessionId, message: ToFollower) {
+    pub(super) fn told(
+        &mut self,
+        machine: usize,
+        to: usize,
+        life: u64,
+        id: SessionId,
+        message: WatchResponse,
+    ) {
         let follower = to - self.plan.machines();
         let this = &mut self.routers[follower];
         let session = this.sessions.get_mut(&machine).filter(|session| session.id == id);
@@ -227,26 +234,26 @@
         session.heard = self.now;
         self.note(|| format!("{machine} -> follower {follower} {}", follower_message(&message)));
         let message = match (self.planted, message, &self.routers[follower].follower) {
-            (Some(Planted::AppliesOverGap), ToFollower::Change { to, change, .. }, Some(known)) => {
-                ToFollower::Change { from: known.sequence(), to, change }
+            (Some(Planted::AppliesOverGap), WatchResponse::Change { to, change, .. }, Some(known)) => {
+                WatchResponse::Change { from: known.sequence(), to, change }
             }
             (_, message, _) => message,
         };
-        self.follower_hears(follower, Heard::Message(address(machine), message));
+        self.follower_hears(follower, Input::Message(address(machine), message));
     }
 
-    fn follower_hears(&mut self, follower: usize, heard: Heard) {
+    fn follower_hears(&mut self, follower: usize, heard: Input) {
         let now = self.now + 1_000 * ivyhatch_protocol::SECOND;
         let Some(follows) = &mut self.routers[follower].follower else { return };
         let mut done = Vec::new();
         follows.handle(now, heard, &mut done);
         if follows.is_ready() {
-            follows.handle(now, Heard::State(RouterState::Ready), &mut done);
+            follows.handle(now, Input::State(RouterState::Ready), &mut done);
         }
         let own = self.place_of(follower);
         for done in done {
             match done {
-                Done::Links(to) => {
+                Output::Links(to) => {
                     let wants: Vec<usize> = to.into_iter().map(place).collect();
                     let this = &mut self.routers[follower];
                     let left = this.sessions.extract_if(.., |machine, _| !wants.contains(machine));
@@ -259,13 +266,15 @@
                         );
                     }
                 }
-                Done::Tell(to, message) => {
+                Output::Tell(to, message) => {
                     let machine = place(to);
                     if let Some(session) = self.routers[follower].sessions.get(&machine).copied() {
                         self.send(own, machine, session.life, Said::Follower(session.id, message));
                     }
                 }
-                Done::Log(event, pairs) => self.note(|| format!("follower {follower} event={event} {pairs}")),
+                Output::Log(event, pairs) => {
+                    self.note(|| format!("follower {follower} event={event} {pairs}"))
+                }
                 _ => {}
             }
         }
@@ -282,7 +291,7 @@
         }
         this.seen = sequence;
         let digest = digest(follows.document());
-        self.oracle.seen(who, Part::CONFIGURATION, sequence, digest);
+        self.oracle.seen(who, PartitionId::CONFIGURATION, sequence, digest);
         self.oracle.in_force(sequence, follows.document().revision, digest);
     }
 }
--- a/simulation/src/search.rs
+++ b/simulation/src/search.rs
@@ -16,12 +16,12 @@
 use ivyhatch_control::membership::StateCollection;
 use ivyhatch_control::partition::PartitionReplica;
 use ivyhatch_control::stored::Stored;
-use ivyhatch_protocol::ids::{NodeId, Part, ReplicaId};
+use ivyhatch_protocol::ids::{NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{AcceptorState, ConsensusMessage, Membership, Voter};
 
 use member::Member;
 
-const PART: Part = Part::CONFIGURATION;
+const PART: PartitionId = PartitionId::CONFIGURATION;
 const FIRST_GENERATION: u64 = 1;
 
 /// A step.
@@ -194,14 +194,14 @@
             let older = *generation < member.membership.generation && fault != Fault::IgnoresGeneration;
             match message {
                 ConsensusMessage::Reject { .. } => false,
-                ConsensusMessage::Promise { epoch, .. } => {
-                    !older && partition.is_contending() && partition.leads() != Some(*epoch)
+                ConsensusMessage::Promise { ballot, .. } => {
+                    !older && partition.is_contending() && partition.leads() != Some(*ballot)
                 }
-                ConsensusMessage::Accepted { epoch, .. } => {
-                    !older && partition.leads() == Some(*epoch) && partition.ready().is_none()
+                ConsensusMessage::Accepted { ballot, .. } => {
+                    !older && partition.leads() == Some(*ballot) && partition.ready().is_none()
                 }
-                ConsensusMessage::Prepare { epoch } => !older && *epoch >= promised,
-                ConsensusMessage::Accept(value) => !older && value.epoch >= promised,
+                ConsensusMessage::Prepare { ballot } => !older && *ballot >= promised,
+                ConsensusMessage::Accept(value) => !older && value.ballot >= promised,
                 _ => true,
             }
         });
@@ -280,13 +280,13 @@
         broken
     }
 
-    /// Whether no member has promised a higher epoch than this leader's, under a newer membership or its own.
+    /// Whether no member has promised a higher ballot than this leader's, under a newer membership or its own.
     fn is_highest(&self, number: usize) -> bool {
         let member = &self.members[number];
-        let Some(epoch) = member.partition.leads() else { return false };
+        let Some(ballot) = member.partition.leads() else { return false };
         let newest = self.members.iter().map(|member| member.membership.generation).max();
         newest == Some(member.membership.generation)
-            && self.members.iter().all(|member| member.partition.state().promised <= epoch)
+            && self.members.iter().all(|member| member.partition.state().promised <= ballot)
     }
 
     fn mark(&self) -> u64 {
--- a/simulation/src/search/transitions.rs
+++ b/simulation/src/search/transitions.rs
@@ -128,7 +128,7 @@
         let (from, mut state) =
             (self.members[source].replica, self.members[source].partition.state().clone());
         if self.fault == Fault::IgnoresPromises {
-            state.promised = state.accepted.as_ref().map_or_else(Default::default, |value| value.epoch);
+            state.promised = state.accepted.as_ref().map_or_else(Default::default, |value| value.ballot);
         }
         let member = &mut self.members[number];
         member.collection.add(from, vec![(PART, state)]);
@@ -172,8 +172,8 @@
             let writes = &mut self.members[number].writes;
             let broken = match effect {
                 Effect::Send(to, message) => self.send(number, to, (generation, message)),
-                Effect::Promise(epoch, to, message) => {
-                    let records = vec![Record::Promised(PART, epoch)];
+                Effect::Promise(ballot, to, message) => {
+                    let records = vec![Record::Promised(PART, ballot)];
                     writes.push_back(Write { records, then: Some((to, (generation, message))) });
                     None
                 }
--- a/simulation/tests/disk.rs
+++ b/simulation/tests/disk.rs
@@ -2,15 +2,15 @@
 
 use googletest::prelude::*;
 use ivyhatch_control::Record;
-use ivyhatch_protocol::ids::{Epoch, NodeId, Part};
+use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId};
 use ivyhatch_simulation::disk::Disk;
 
 fn promised(counter: u64) -> Vec<Record> {
-    vec![Record::Promised(Part(1), Epoch { counter, node: NodeId(1), life: 1 })]
+    vec![Record::Promised(PartitionId(1), Ballot { counter, node: NodeId(1), incarnation: 1 })]
 }
 
 fn counter(disk: &Disk) -> u64 {
-    disk.stored().partitions.get(&Part(1)).map_or(0, |state| state.promised.counter)
+    disk.stored().partitions.get(&PartitionId(1)).map_or(0, |state| state.promised.counter)
 }
 
 #[gtest]
--- a/simulation/tests/oracle.rs
+++ b/simulation/tests/oracle.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 use ivyhatch_protocol::SECOND;
 use ivyhatch_protocol::configuration::Document;
-use ivyhatch_protocol::ids::{NodeId, Part, ReplicaId};
+use ivyhatch_protocol::ids::{NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{AdminRequest, AdminResponse, Membership, Voter};
 use ivyhatch_simulation::Rule;
 use ivyhatch_simulation::demand::{Demand, Kind, Operators, digest};
@@ -20,7 +20,7 @@
 }
 
 fn taken(revision: u64) -> AdminResponse {
-    AdminResponse::Taken { revision }
+    AdminResponse::Applied { revision }
 }
 
 fn rule(oracle: &Oracle) -> Option<Rule> {
@@ -46,10 +46,10 @@
     let mut oracle = begun();
     oracle.began(2, &set(5, 7, true));
     oracle.began(3, &set(5, 8, true));
-    oracle.seen(WHO, Part::CONFIGURATION, 1, 5);
+    oracle.seen(WHO, PartitionId::CONFIGURATION, 1, 5);
     oracle.answered(2, &taken(7));
     oracle.answered(3, &AdminResponse::Conflict { revision: 7 });
-    oracle.seen(WHO, Part::CONFIGURATION, 2, 7);
+    oracle.seen(WHO, PartitionId::CONFIGURATION, 2, 7);
     oracle.in_force(2, 7, 7);
     oracle.end(&BTreeSet::from([vec![2]]), &BTreeSet::from([vec![7, 2]]), true);
     expect_that!(oracle.violation(), none());
@@ -106,15 +106,15 @@
 #[gtest]
 fn two_values_under_one_number_and_a_way_back() {
     let mut oracle = begun();
-    oracle.seen(WHO, Part(3), 4, 1);
-    oracle.seen((2, 1), Part(3), 4, 2);
+    oracle.seen(WHO, PartitionId(3), 4, 1);
+    oracle.seen((2, 1), PartitionId(3), 4, 2);
     expect_that!(rule(&oracle), some(eq(Rule::OneValueANumber)));
     let mut back = begun();
-    back.seen(WHO, Part(3), 4, 1);
+    back.seen(WHO, PartitionId(3), 4, 1);
     // Another life may begin anew.
-    back.seen((1, 2), Part(3), 3, 1);
+    back.seen((1, 2), PartitionId(3), 3, 1);
     expect_that!(back.violation(), none());
-    back.seen(WHO, Part(3), 3, 1);
+    back.seen(WHO, PartitionId(3), 3, 1);
     expect_that!(rule(&back), some(eq(Rule::NoWayBack)));
     let mut lists = begun();
     lists.list((1, 2, 3), 4);
@@ -137,7 +137,7 @@
     expect_that!(rule(&oracle), some(eq(Rule::FreshRead)));
     let mut nothing = begun();
     nothing.began(2, &read);
-    nothing.answered(2, &AdminResponse::Nothing);
+    nothing.answered(2, &AdminResponse::NotConfigured);
     expect_that!(rule(&nothing), some(eq(Rule::FreshRead)));
 }
 
--- a/simulation/tests/search.rs
+++ b/simulation/tests/search.rs
@@ -177,7 +177,7 @@
 }
 
 /// Of five, the second leads with the promise of the fifth, and its proposal reaches nobody else. The fifth loses its disk, and the
-/// first leads under a lower epoch, unless the fifth's successor knows of the promise. Then the second leads once more.
+/// first leads under a lower ballot, unless the fifth's successor knows of the promise. Then the second leads once more.
 fn successor_without_promises(fault: Fault) -> Option<String> {
     let budget = Budget { elections: 3, proposals: 2, harms: 1, replacements: 1 };
     let mut story = Story(Core::led(5, 0, budget).with_fault(fault), None);
--- a/system/src/bulk.rs
+++ b/system/src/bulk.rs
@@ -3,8 +3,8 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-use ivyhatch_protocol::feed::ToFollower;
 use ivyhatch_protocol::frame;
+use ivyhatch_protocol::watch::WatchResponse;
 
 /// Messages whose frames are kept: the followers that are told of one change are told at the same time, and few are further behind.
 const KEPT: usize = 4;
@@ -15,12 +15,12 @@
 /// The frames of the messages that were encoded last.
 #[derive(Default)]
 pub struct BulkFrames {
-    kept: VecDeque<(ToFollower, Fragments)>,
+    kept: VecDeque<(WatchResponse, Fragments)>,
 }
 
 impl BulkFrames {
     /// The frames of a message.
-    pub fn of(&mut self, message: &ToFollower) -> Fragments {
+    pub fn of(&mut self, message: &WatchResponse) -> Fragments {
         let known = self.kept.iter().find(|(of, _)| is_same(of, message));
         if let Some((_, fragments)) = known {
             return fragments.clone();
@@ -35,15 +35,15 @@
 }
 
 /// Whether two messages are clones of one. Looks at what they share, not at what it says.
-fn is_same(one: &ToFollower, other: &ToFollower) -> bool {
+fn is_same(one: &WatchResponse, other: &WatchResponse) -> bool {
     match (one, other) {
         (
-            ToFollower::Whole { sequence, document },
-            ToFollower::Whole { sequence: other_sequence, document: other_document },
+            WatchResponse::Snapshot { sequence, document },
+            WatchResponse::Snapshot { sequence: other_sequence, document: other_document },
         ) => sequence == other_sequence && document.is_same(other_document),
         (
-            ToFollower::Change { from, to, change },
-            ToFollower::Change { from: other_from, to: other_to, change: other_change },
+            WatchResponse::Change { from, to, change },
+            WatchResponse::Change { from: other_from, to: other_to, change: other_change },
         ) => (from, to) == (other_from, other_to) && change.is_same(other_change),
         _ => false,
     }
--- a/system/src/cloud.rs
+++ b/system/src/cloud.rs
@@ -13,7 +13,7 @@
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use ivyhatch_protocol::feed::Server;
+use ivyhatch_protocol::watch::Server;
 use serde::Deserialize;
 use tokio::task::spawn_local;
 use tokio::time::timeout;
--- a/system/src/control.rs
+++ b/system/src/control.rs
@@ -11,10 +11,10 @@
 use ivyhatch_control::server_list::ReadId;
 use ivyhatch_control::stored::Stored;
 use ivyhatch_control::{ControlPlane, Identity, Input, Output, RequestId, SessionId, Token};
-use ivyhatch_protocol::feed::{FromFollower, Server, ToFollower};
 use ivyhatch_protocol::ids::{NodeId, hash, mix};
-use ivyhatch_protocol::peer::{AdminRequest, AdminResponse, Peer};
+use ivyhatch_protocol::peer::{AdminRequest, AdminResponse, PeerMessage};
 use ivyhatch_protocol::settings::Settings;
+use ivyhatch_protocol::watch::{Server, WatchRequest, WatchResponse};
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpStream};
@@ -231,9 +231,9 @@
     }
 
     /// The configuration is bulk; all of it, so that its changes stay in their order.
-    fn tell_follower(&self, writer: &Writer, message: &ToFollower) -> bool {
+    fn tell_follower(&self, writer: &Writer, message: &WatchResponse) -> bool {
         match message {
-            ToFollower::Whole { .. } | ToFollower::Change { .. } => {
+            WatchResponse::Snapshot { .. } | WatchResponse::Change { .. } => {
                 writer.send_bulk(&self.bulk.borrow_mut().of(message))
             }
             _ => writer.send(message),
@@ -295,7 +295,7 @@
             let host = self.clone();
             spawn_local(async move {
                 let node = NodeId::from(from);
-                let take = |message: Peer| host.hear(Input::Peer(node, message));
+                let take = |message: PeerMessage| host.hear(Input::Peer(node, message));
                 if let Err(error @ link::LinkError::Frame(_)) =
                     link::read(&mut stream, PEER_SILENT, take).await
                 {
@@ -320,7 +320,7 @@
         let (writer, mut queue) = Writer::new();
         self.sessions.borrow_mut().insert(id, writer);
         let (mut reading, mut writing) = stream.split();
-        let take = |message: FromFollower| self.hear(Input::Follower(id, message));
+        let take = |message: WatchRequest| self.hear(Input::Follower(id, message));
         let ended = tokio::select! {
             ended = link::read(&mut reading, FOLLOWER_SILENT, take) => ended,
             ended = queue.write_to(&mut writing) => ended.map_err(link::LinkError::from),
@@ -460,11 +460,11 @@
 
 fn worded(answer: Option<AdminResponse>) -> http::Answer {
     match answer {
-        Some(AdminResponse::Taken { revision }) => {
+        Some(AdminResponse::Applied { revision }) => {
             http::json(StatusCode::OK, serde_json::json!({ "revision": revision }).to_string())
         }
         Some(AdminResponse::Document(text)) => http::json(StatusCode::OK, text),
-        Some(AdminResponse::Nothing) => {
+        Some(AdminResponse::NotConfigured) => {
             http::again("nothing has been configured yet: PUT /-/config with If-Match: 0")
         }
         Some(AdminResponse::Conflict { revision }) => {
--- a/system/src/router/dispatch/server_list.rs
+++ b/system/src/router/dispatch/server_list.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use ivyhatch_balancer::{BackendId, Event, ListScope, Member, Stage, ZoneId};
-use ivyhatch_protocol::feed::Server;
+use ivyhatch_protocol::watch::Server;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
 use super::COLD_MORE;
--- a/system/src/router/sessions.rs
+++ b/system/src/router/sessions.rs
@@ -7,12 +7,12 @@
 use std::time::Duration;
 
 use ivyhatch_protocol::configuration::Change;
-use ivyhatch_protocol::feed::{FromFollower, Router, RouterState, ToFollower};
 use ivyhatch_protocol::ids::NodeId;
 use ivyhatch_protocol::settings::Settings;
+use ivyhatch_protocol::watch::{Router, RouterState, WatchRequest, WatchResponse};
 use ivyhatch_protocol::{Nanos, SECOND};
-use ivyhatch_routing::follow::{Done, Follower, Heard};
 use ivyhatch_routing::table::PreparedChange;
+use ivyhatch_routing::watch_client::{Input, Output, WatchClient};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::task::{JoinHandle, spawn_local, yield_now};
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep};
@@ -34,7 +34,7 @@
 const ITEMS_A_TURN: usize = 50;
 
 struct Host {
-    follower: RefCell<Follower>,
+    follower: RefCell<WatchClient>,
     clock: Clock,
     writers: RefCell<BTreeMap<NodeId, Writer>>,
     dialling: RefCell<BTreeMap<NodeId, JoinHandle<()>>>,
@@ -54,7 +54,7 @@
     pub fn start(settings: &Settings, clock: Clock, router: Router, dispatcher: Dispatcher) -> Self {
         let (changes, decided) = unbounded_channel();
         let host = Rc::new(Host {
-            follower: RefCell::new(Follower::new(router, &settings.seed_nodes(), clock.now())),
+            follower: RefCell::new(WatchClient::new(router, &settings.seed_nodes(), clock.now())),
             clock,
             writers: RefCell::default(),
             dialling: RefCell::default(),
@@ -77,7 +77,7 @@
                     log::warn!("event=stalled ms={}", late.as_millis());
                 }
                 due = Instant::now() + TICK;
-                ticking.handle_input(Heard::Tick);
+                ticking.handle_input(Input::Tick);
                 ticking.reread_without_contact();
             }
         });
@@ -86,7 +86,7 @@
 
     /// The router is so far.
     pub fn state(&self, state: RouterState) {
-        self.0.handle_input(Heard::State(state));
+        self.0.handle_input(Input::State(state));
     }
 
     /// Takes the seeds of a settings file that has changed.
@@ -94,7 +94,7 @@
         match Settings::from_environment() {
             Ok(settings) => {
                 log::info!("event=settings_read_anew seeds={}", settings.seeds.len());
-                self.0.handle_input(Heard::Seeds(settings.seed_nodes()));
+                self.0.handle_input(Input::Seeds(settings.seed_nodes()));
             }
             Err(error) => log::warn!("event=old_settings_stay error={:?}", error.to_string()),
         }
@@ -105,38 +105,38 @@
     /// A settings file may change without a signal: a router that hears no control node looks whether it names others now.
     fn reread_without_contact(self: &Rc<Self>) {
         let now = self.clock.now();
-        if self.follower.borrow().in_touch() || now < self.reread_at.get() + REREAD_INTERVAL {
+        if self.follower.borrow().control_plane_reachable() || now < self.reread_at.get() + REREAD_INTERVAL {
             return;
         }
         self.reread_at.set(now);
         if let Ok(settings) = Settings::from_environment() {
-            self.handle_input(Heard::Seeds(settings.seed_nodes()));
+            self.handle_input(Input::Seeds(settings.seed_nodes()));
         }
     }
 
-    fn handle_input(self: &Rc<Self>, input: Heard) {
+    fn handle_input(self: &Rc<Self>, input: Input) {
         let mut outputs = Vec::new();
         self.follower.borrow_mut().handle(self.clock.now(), input, &mut outputs);
         let mut servers = false;
         for output in outputs {
             match output {
-                Done::Links(to) => self.dial(&to),
-                Done::Tell(to, message) => {
+                Output::Links(to) => self.dial(&to),
+                Output::Tell(to, message) => {
                     let sent =
-                        self.writers.borrow().get(&to).map(|writer| writer.send::<FromFollower>(&message));
+                        self.writers.borrow().get(&to).map(|writer| writer.send::<WatchRequest>(&message));
                     if sent == Some(false) {
                         self.writers.borrow_mut().remove(&to);
                     }
                 }
                 // Its receiver lives as long as the process.
-                Done::Configuration(change) => drop(self.changes.send(change)),
-                Done::Servers => servers = true,
-                Done::Touch(reachable) => {
+                Output::Configuration(change) => drop(self.changes.send(change)),
+                Output::Servers => servers = true,
+                Output::Touch(reachable) => {
                     self.dispatcher.set_quorum_reachable(reachable);
                     servers = true;
                 }
-                Done::Routers(routers, place) => self.dispatcher.set_routers(routers, place),
-                Done::Log(event, pairs) => log::info!("event={event} {pairs}"),
+                Output::Routers(routers, place) => self.dispatcher.set_routers(routers, place),
+                Output::Log(event, pairs) => log::info!("event={event} {pairs}"),
             }
         }
         if servers {
@@ -152,7 +152,7 @@
         let ready = follower.is_ready() && self.configured.get();
         drop(follower);
         if ready && self.dispatcher.become_ready() {
-            self.handle_input(Heard::State(RouterState::Ready));
+            self.handle_input(Input::State(RouterState::Ready));
         }
     }
 
@@ -194,12 +194,12 @@
                 tries = 0;
                 let (writer, mut queue) = Writer::new();
                 self.writers.borrow_mut().insert(node, writer);
-                self.handle_input(Heard::Linked(node, self.clock.now() - began));
+                self.handle_input(Input::Linked(node, self.clock.now() - began));
                 let (mut reading, mut writing) = stream.split();
-                let take = |received: Received<ToFollower>| {
+                let take = |received: Received<WatchResponse>| {
                     self.handle_input(match received {
-                        Received::Message(message) => Heard::Message(node, message),
-                        Received::Fragment => Heard::Fragment(node),
+                        Received::Message(message) => Input::Message(node, message),
+                        Received::Fragment => Input::Fragment(node),
                     });
                 };
                 let ended = tokio::select! {
@@ -213,7 +213,7 @@
             } else {
                 tries += 1;
             }
-            self.handle_input(Heard::Lost(node));
+            self.handle_input(Input::Lost(node));
             sleep(AGAIN).await;
         }
     }
--- a/system/tests/cloud.rs
+++ b/system/tests/cloud.rs
@@ -28,7 +28,7 @@
     /// Too many calls.
     TooMany,
     /// A part of a page, and nothing more.
-    Part,
+    PartitionId,
 }
 
 /// A platform, with what it was asked: the number of the connection, and the path.
@@ -84,7 +84,7 @@
             }
             Reply::Close => return,
             Reply::TooMany => ("429 Too Many Requests", String::new()),
-            Reply::Part => {
+            Reply::PartitionId => {
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"inst").await;
                 let _ = stream.read(&mut [0; 64]).await;
                 return;
@@ -207,7 +207,7 @@
 
 #[gtest]
 fn a_platform_that_says_nothing_or_half_a_page_is_late() {
-    for reply in [Reply::Silence, Reply::Part] {
+    for reply in [Reply::Silence, Reply::PartitionId] {
         play(async move {
             let platform = Platform::start([reply; 4]).await;
             let mut cloud = Cloud::new(Ipv4Addr::LOCALHOST, platform.at);
--- a/system/tests/link.rs
+++ b/system/tests/link.rs
@@ -6,9 +6,9 @@
 
 use googletest::prelude::*;
 use ivyhatch_protocol::configuration::{Document, Item};
-use ivyhatch_protocol::feed::{Shared, ToFollower};
 use ivyhatch_protocol::frame::{Decoder, encode_fragments};
 use ivyhatch_protocol::ids::mix;
+use ivyhatch_protocol::watch::{Shared, WatchResponse};
 use ivyhatch_system::bulk::BulkFrames;
 use ivyhatch_system::link::{Received, Writer, read_fragments};
 use tokio::io::{AsyncReadExt, DuplexStream, duplex};
@@ -36,17 +36,23 @@
     Document { revision: 7, sections, ..Document::default() }
 }
 
-fn whole(document: &Shared<Document>) -> ToFollower {
-    ToFollower::Whole { sequence: 7, document: document.clone() }
+fn whole(document: &Shared<Document>) -> WatchResponse {
+    WatchResponse::Snapshot { sequence: 7, document: document.clone() }
 }
 
-fn heads() -> ToFollower {
+fn heads() -> WatchResponse {
     let position = Default::default();
-    ToFollower::Heads { position, in_touch: true, routers: 1, place: 0, controls: Vec::new() }
+    WatchResponse::Progress {
+        position,
+        has_quorum: true,
+        router_count: 1,
+        router_index: 0,
+        control_nodes: Vec::new(),
+    }
 }
 
 /// What comes out of a slow link, and when.
-async fn arrivals(mut from: DuplexStream, for_so_long: Duration) -> Vec<(Duration, ToFollower)> {
+async fn arrivals(mut from: DuplexStream, for_so_long: Duration) -> Vec<(Duration, WatchResponse)> {
     let began = Instant::now();
     let (mut decoder, mut came) = (Decoder::default(), Vec::new());
     let mut buffer = [0; BYTES_A_MILLISECOND];
@@ -82,7 +88,7 @@
     });
     let heads: Vec<Duration> = came
         .iter()
-        .filter(|(_, message)| matches!(message, ToFollower::Heads { .. }))
+        .filter(|(_, message)| matches!(message, WatchResponse::Progress { .. }))
         .map(|(at, _)| *at)
         .collect();
     expect_that!(heads.len(), eq(5));
@@ -91,7 +97,7 @@
     }
     let whole: Vec<Duration> = came
         .iter()
-        .filter(|(_, message)| matches!(message, ToFollower::Whole { .. }))
+        .filter(|(_, message)| matches!(message, WatchResponse::Snapshot { .. }))
         .map(|(at, _)| *at)
         .collect();
     expect_that!(whole, elements_are![le(&Duration::from_millis(1500))]);
@@ -106,7 +112,8 @@
         let mut frames = BulkFrames::default();
         writer.send_bulk(&frames.of(&whole(&document(500).into())));
         for sequence in 7..12 {
-            let change = ToFollower::Change { from: sequence, to: sequence + 1, change: Shared::default() };
+            let change =
+                WatchResponse::Change { from: sequence, to: sequence + 1, change: Shared::default() };
             writer.send_bulk(&frames.of(&change));
         }
         arrivals(from, Duration::from_secs(2)).await
@@ -114,8 +121,8 @@
     let sequences: Vec<u64> = came
         .iter()
         .filter_map(|(_, message)| match message {
-            ToFollower::Whole { sequence, .. } => Some(*sequence),
-            ToFollower::Change { to, .. } => Some(*to),
+            WatchResponse::Snapshot { sequence, .. } => Some(*sequence),
+            WatchResponse::Change { to, .. } => Some(*to),
             _ => None,
         })
         .collect();
@@ -137,26 +144,25 @@
 
 #[gtest]
 fn a_reader_tells_of_fragments_before_their_message_is_whole() {
-    let (fragments, messages) =
-        run(async {
-            let (mut to, mut from) = duplex(4 * 1024);
-            let (writer, mut queue) = Writer::new();
-            spawn_local(async move { queue.write_to(&mut to).await });
-            let mut frames = BulkFrames::default();
-            writer.send_bulk(&frames.of(&whole(&document(500).into())));
-            let (mut fragments, mut messages) = (0, 0);
-            // The link ends by its silence.
-            let _ = read_fragments(&mut from, Duration::from_secs(2), |received: Received<ToFollower>| {
-                match received {
-                    Received::Message(_) => messages += 1,
-                    Received::Fragment if messages == 0 => fragments += 1,
-                    Received::Fragment => {}
-                }
-            })
-            .await;
-            drop(writer);
-            (fragments, messages)
-        });
+    let (fragments, messages) = run(async {
+        let (mut to, mut from) = duplex(4 * 1024);
+        let (writer, mut queue) = Writer::new();
+        spawn_local(async move { queue.write_to(&mut to).await });
+        let mut frames = BulkFrames::default();
+        writer.send_bulk(&frames.of(&whole(&document(500).into())));
+        let (mut fragments, mut messages) = (0, 0);
+        // The link ends by its silence.
+        let _ = read_fragments(&mut from, Duration::from_secs(2), |received: Received<WatchResponse>| {
+            match received {
+                Received::Message(_) => messages += 1,
+                Received::Fragment if messages == 0 => fragments += 1,
+                Received::Fragment => {}
+            }
+        })
+        .await;
+        drop(writer);
+        (fragments, messages)
+    });
     expect_that!(messages, eq(1));
     expect_that!(fragments, ge(5));
 }
--- a/system/tests/stored_codecs.rs
+++ b/system/tests/stored_codecs.rs
@@ -6,7 +6,7 @@
 use ivyhatch_control::Record;
 use ivyhatch_control::state::{Configured, Evacuated, State};
 use ivyhatch_protocol::configuration::Document;
-use ivyhatch_protocol::ids::{Epoch, Part};
+use ivyhatch_protocol::ids::{Ballot, PartitionId};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::sample::Index;
@@ -26,9 +26,9 @@
     check::<Record>(bytes)?;
     check::<Configured>(bytes)?;
     check::<Evacuated>(bytes)?;
-    for part in [Part::CONFIGURATION, Part(1)] {
+    for part in [PartitionId::CONFIGURATION, PartitionId(1)] {
         let is_read = State::read(part, bytes).is_some();
-        let is_readable = if part == Part::CONFIGURATION {
+        let is_readable = if part == PartitionId::CONFIGURATION {
             check::<Configured>(bytes)?
         } else {
             check::<Evacuated>(bytes)?
@@ -47,7 +47,7 @@
     evacuated.zones.insert("za".to_owned(), (true, 3));
     evacuated.zones.insert("zb".to_owned(), (false, 2));
     vec![
-        Record::Promised(Part(1), Epoch::default()).write_to_vec().expect("bytes"),
+        Record::Promised(PartitionId(1), Ballot::default()).write_to_vec().expect("bytes"),
         configured.write_to_vec().expect("bytes"),
         evacuated.write_to_vec().expect("bytes"),
     ]
