--- a/control/tests/golden_records.rs
+++ b/control/tests/golden_records.rs
@@ -14,7 +14,7 @@
 use ivyhatch_control::state::{Configured, Evacuated, State};
 use ivyhatch_control::stored::Stored;
 use ivyhatch_protocol::configuration::Document;
-use ivyhatch_protocol::ids::{Epoch, NodeId, Part, ReplicaId};
+use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{AcceptedValue, AcceptorState, Membership, Voter};
 use ivyhatch_wal::{CompactingLog, Log, MIN_COMPACTION_LENGTH};
 use speedy::{Readable, Writable};
@@ -25,9 +25,9 @@
 /// Set to `1` in the environment, this writes the golden files anew instead of comparing with them.
 const UPDATE_VARIABLE: &str = "UPDATE_GOLDEN";
 /// Holds evacuations that change before the file is compacted.
-const EVACUATIONS: Part = Part(3);
+const EVACUATIONS: PartitionId = PartitionId(3);
 /// Holds a promise and nothing accepted.
-const ONLY_PROMISED: Part = Part(6);
+const ONLY_PROMISED: PartitionId = PartitionId(6);
 /// The first block of a file of the present format has this offset, in bytes.
 const FILE_HEADER_LENGTH: usize = 16;
 
@@ -35,8 +35,8 @@
     NodeId::from(Ipv4Addr::new(10, 20, 30, last))
 }
 
-fn epoch(counter: u64) -> Epoch {
-    Epoch { counter, node: node(2), life: 0x0102_0304_0506_0708 }
+fn ballot(counter: u64) -> Ballot {
+    Ballot { counter, node: node(2), incarnation: 0x0102_0304_0506_0708 }
 }
 
 fn replica(last: u8) -> ReplicaId {
@@ -69,7 +69,7 @@
 
 fn accepted(counter: u64, sequence: u64, value: &impl Writable<speedy::LittleEndian>) -> AcceptedValue {
     let value = value.write_to_vec().expect("writing to memory");
-    AcceptedValue { epoch: epoch(counter), sequence, value }
+    AcceptedValue { ballot: ballot(counter), sequence, value }
 }
 
 /// Writes in their order, each a block; among them every kind of record.
@@ -78,19 +78,22 @@
     vec![
         vec![Record::Formatted { replica: replica(1), first_start: true }],
         vec![Record::Membership(first_membership()), Record::Joined(1)],
-        vec![Record::Promised(Part::CONFIGURATION, epoch(3)), Record::Promised(ONLY_PROMISED, epoch(4))],
-        vec![Record::Accepted(Part::CONFIGURATION, accepted(3, 1, &Configured::default()))],
         vec![
-            Record::Committed(Part::CONFIGURATION, epoch(3), 1),
-            Record::Accepted(Part::CONFIGURATION, accepted(5, 2, &configured())),
+            Record::Promised(PartitionId::CONFIGURATION, ballot(3)),
+            Record::Promised(ONLY_PROMISED, ballot(4)),
+        ],
+        vec![Record::Accepted(PartitionId::CONFIGURATION, accepted(3, 1, &Configured::default()))],
+        vec![
+            Record::Committed(PartitionId::CONFIGURATION, ballot(3), 1),
+            Record::Accepted(PartitionId::CONFIGURATION, accepted(5, 2, &configured())),
             Record::Accepted(EVACUATIONS, accepted(4, 9, &evacuated())),
         ],
-        vec![Record::Accepted(Part::MEMBERSHIP, accepted(4, 2, &second_membership()))],
+        vec![Record::Accepted(PartitionId::MEMBERSHIP, accepted(4, 2, &second_membership()))],
         vec![Record::Membership(second_membership())],
         vec![
-            Record::Committed(EVACUATIONS, epoch(4), 9),
-            Record::Promised(EVACUATIONS, epoch(6)),
-            Record::Accepted(Part::MEMBERSHIP, accepted(6, 3, &proposed)),
+            Record::Committed(EVACUATIONS, ballot(4), 9),
+            Record::Promised(EVACUATIONS, ballot(6)),
+            Record::Accepted(PartitionId::MEMBERSHIP, accepted(6, 3, &proposed)),
         ],
     ]
 }
@@ -99,7 +102,7 @@
 fn expected_state() -> Stored {
     let proposed = second_membership().with_replacement(replica(1), replica(5), "north-c");
     let state = |promised: u64, accepted: Option<AcceptedValue>| AcceptorState {
-        promised: epoch(promised),
+        promised: ballot(promised),
         accepted,
     };
     Stored {
@@ -107,12 +110,15 @@
         membership: Some(second_membership()),
         joined: Some(1),
         partitions: BTreeMap::from([
-            (Part::CONFIGURATION, state(5, Some(accepted(5, 2, &configured())))),
+            (PartitionId::CONFIGURATION, state(5, Some(accepted(5, 2, &configured())))),
             (EVACUATIONS, state(6, Some(accepted(4, 9, &evacuated())))),
             (ONLY_PROMISED, state(4, None)),
-            (Part::MEMBERSHIP, state(6, Some(accepted(6, 3, &proposed)))),
+            (PartitionId::MEMBERSHIP, state(6, Some(accepted(6, 3, &proposed)))),
+        ]),
+        committed: BTreeMap::from([
+            (PartitionId::CONFIGURATION, (ballot(3), 1)),
+            (EVACUATIONS, (ballot(4), 9)),
         ]),
-        committed: BTreeMap::from([(Part::CONFIGURATION, (epoch(3), 1)), (EVACUATIONS, (epoch(4), 9))]),
     }
 }
 
@@ -120,7 +126,7 @@
 fn write_that_is_compacted() -> Vec<Record> {
     let overwritten = vec![0; MIN_COMPACTION_LENGTH as usize];
     vec![
-        Record::Accepted(EVACUATIONS, AcceptedValue { epoch: epoch(4), sequence: 8, value: overwritten }),
+        Record::Accepted(EVACUATIONS, AcceptedValue { ballot: ballot(4), sequence: 8, value: overwritten }),
         Record::Accepted(EVACUATIONS, accepted(4, 9, &evacuated())),
     ]
 }
@@ -209,7 +215,7 @@
 
 #[gtest]
 fn write_after_a_compaction_is_a_second_block_of_the_golden_file() {
-    let last = Record::Committed(Part::CONFIGURATION, epoch(5), 2);
+    let last = Record::Committed(PartitionId::CONFIGURATION, ballot(5), 2);
     let mut all = writes();
     all.extend([write_that_is_compacted(), vec![last.clone()]]);
     check_bytes("compacted_and_appended.records", &write_file(&all));
@@ -217,7 +223,7 @@
     let mut expected = expected_state();
     expected.apply(last);
     expect_that!(read_state(folder.path()), eq(&expected));
-    expect_that!(expected.committed[&Part::CONFIGURATION], eq((epoch(5), 2)));
+    expect_that!(expected.committed[&PartitionId::CONFIGURATION], eq((ballot(5), 2)));
 }
 
 #[gtest]
@@ -234,11 +240,12 @@
 fn accepted_values_of_the_golden_file_are_read_as_the_state_of_their_partitions() {
     let folder = folder_with("appended.records");
     let stored = read_state(folder.path());
-    let value = |part: Part| stored.partitions[&part].accepted.as_ref().expect("a value").value.clone();
-    let read = |part: Part| State::read(part, &value(part));
-    expect_that!(read(Part::CONFIGURATION), some(eq(&State::Configured(configured()))));
+    let value =
+        |part: PartitionId| stored.partitions[&part].accepted.as_ref().expect("a value").value.clone();
+    let read = |part: PartitionId| State::read(part, &value(part));
+    expect_that!(read(PartitionId::CONFIGURATION), some(eq(&State::Configured(configured()))));
     expect_that!(read(EVACUATIONS), some(eq(&State::Evacuated(evacuated()))));
-    let membership = Membership::read_from_buffer(&value(Part::MEMBERSHIP)).expect("a membership");
+    let membership = Membership::read_from_buffer(&value(PartitionId::MEMBERSHIP)).expect("a membership");
     expect_that!(membership.generation, eq(3));
     expect_that!(membership.previous, eq(&second_membership().voters));
 }
--- a/protocol/tests/golden.rs
+++ b/protocol/tests/golden.rs
@@ -11,14 +11,15 @@
 use golden_files::{GoldenLine, compare};
 use googletest::prelude::*;
 use ivyhatch_protocol::configuration::{Change, Document, Item};
-use ivyhatch_protocol::feed::{
-    Evacuations, FromFollower, Position, Router, RouterState, Server, Servers, Shared, ToFollower,
-};
 use ivyhatch_protocol::frame::{Decoder, encode, encode_fragments};
-use ivyhatch_protocol::ids::{Epoch, NodeId, Part, ReplicaId, mix};
+use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId, mix};
 use ivyhatch_protocol::peer::{
-    AcceptedValue, AcceptorState, AdminRequest, AdminResponse, ConsensusMessage, Heartbeat, Membership, Peer,
-    ReplicaStatus, Voter,
+    AcceptedValue, AcceptorState, AdminRequest, AdminResponse, ConsensusMessage, Heartbeat, Membership,
+    PeerMessage, ReplicaStatus, Voter,
+};
+use ivyhatch_protocol::watch::{
+    EvacuationUpdate, Position, Router, RouterState, Server, ServerListUpdate, Shared, WatchRequest,
+    WatchResponse,
 };
 use speedy::{LittleEndian, Readable, Writable};
 
@@ -26,8 +27,8 @@
     NodeId::from(Ipv4Addr::new(10, 20, 30, last))
 }
 
-fn epoch(counter: u64) -> Epoch {
-    Epoch { counter, node: node(7), life: 0x0102_0304_0506_0708 }
+fn ballot(counter: u64) -> Ballot {
+    Ballot { counter, node: node(7), incarnation: 0x0102_0304_0506_0708 }
 }
 
 fn replica(last: u8) -> ReplicaId {
@@ -47,7 +48,7 @@
 }
 
 fn accepted_value() -> AcceptedValue {
-    AcceptedValue { epoch: epoch(5), sequence: 300, value: b"value \x00\xff".to_vec() }
+    AcceptedValue { ballot: ballot(5), sequence: 300, value: b"value \x00\xff".to_vec() }
 }
 
 fn router(state: RouterState) -> Router {
@@ -73,7 +74,7 @@
     }
 }
 
-fn whole_server_list() -> Servers {
+fn whole_server_list() -> ServerListUpdate {
     let lasting = Server {
         id: "chat-18#1".to_owned(),
         draining: false,
@@ -81,12 +82,18 @@
         remaining_ms: None,
         ..server()
     };
-    Servers { epoch: epoch(6), from: None, to: 21, upsert: vec![server(), lasting], gone: Vec::new() }
+    ServerListUpdate {
+        ballot: ballot(6),
+        from: None,
+        to: 21,
+        upsert: vec![server(), lasting],
+        gone: Vec::new(),
+    }
 }
 
-fn server_list_change() -> Servers {
-    Servers {
-        epoch: epoch(6),
+fn server_list_change() -> ServerListUpdate {
+    ServerListUpdate {
+        ballot: ballot(6),
         from: Some(21),
         to: 23,
         upsert: vec![server()],
@@ -95,7 +102,11 @@
 }
 
 fn position() -> Position {
-    Position { configuration: 12, evacuations: vec![(Part(1), 3), (Part(8), 40)], servers: (epoch(6), 21) }
+    Position {
+        configuration: 12,
+        evacuations: vec![(PartitionId(1), 3), (PartitionId(8), 40)],
+        servers: (ballot(6), 21),
+    }
 }
 
 fn item(name: &str, json: &str) -> Item {
@@ -139,49 +150,49 @@
         has_quorum: true,
         reads_list: true,
         committed: vec![12, 0, 3, 0, 0, 0, 0, 0, 40],
-        servers: (epoch(6), 21),
+        servers: (ballot(6), 21),
     }
 }
 
-fn consensus(message: ConsensusMessage) -> Peer {
-    Peer::Consensus { generation: 4, part: Part(3), message }
+fn consensus(message: ConsensusMessage) -> PeerMessage {
+    PeerMessage::Consensus { generation: 4, part: PartitionId(3), message }
 }
 
-fn forward(request: AdminRequest) -> Peer {
-    Peer::Forward { number: 900, heard: 76, request }
+fn forward(request: AdminRequest) -> PeerMessage {
+    PeerMessage::ForwardRequest { number: 900, heard: 76, request }
 }
 
-fn forwarded(response: AdminResponse) -> Peer {
-    Peer::Forwarded { number: 900, response }
+fn forwarded(response: AdminResponse) -> PeerMessage {
+    PeerMessage::ForwardResponse { number: 900, response }
 }
 
-fn state_transfer() -> Peer {
-    let accepted = AcceptorState { promised: epoch(8), accepted: Some(accepted_value()) };
-    let only_promised = AcceptorState { promised: epoch(9), accepted: None };
-    Peer::StateTransfer {
+fn state_transfer() -> PeerMessage {
+    let accepted = AcceptorState { promised: ballot(8), accepted: Some(accepted_value()) };
+    let only_promised = AcceptorState { promised: ballot(9), accepted: None };
+    PeerMessage::StateTransfer {
         incarnation: 0x2122_2324_2526_2728,
         generation: 4,
         disk: replica(3).disk,
-        partitions: vec![(Part::CONFIGURATION, accepted), (Part(5), only_promised)],
+        partitions: vec![(PartitionId::CONFIGURATION, accepted), (PartitionId(5), only_promised)],
     }
 }
 
 fn consensus_messages() -> Vec<(&'static str, ConsensusMessage)> {
     vec![
-        ("prepare", ConsensusMessage::Prepare { epoch: epoch(5) }),
-        ("promise_without_value", ConsensusMessage::Promise { epoch: epoch(5), accepted: None }),
+        ("prepare", ConsensusMessage::Prepare { ballot: ballot(5) }),
+        ("promise_without_value", ConsensusMessage::Promise { ballot: ballot(5), accepted: None }),
         (
             "promise_with_value",
-            ConsensusMessage::Promise { epoch: epoch(6), accepted: Some(accepted_value()) },
+            ConsensusMessage::Promise { ballot: ballot(6), accepted: Some(accepted_value()) },
         ),
         ("accept", ConsensusMessage::Accept(accepted_value())),
-        ("accepted", ConsensusMessage::Accepted { epoch: epoch(5), sequence: 300 }),
-        ("reject", ConsensusMessage::Reject { promised: epoch(9) }),
-        ("commit", ConsensusMessage::Commit { epoch: epoch(5), sequence: 300 }),
+        ("accepted", ConsensusMessage::Accepted { ballot: ballot(5), sequence: 300 }),
+        ("reject", ConsensusMessage::Reject { promised: ballot(9) }),
+        ("commit", ConsensusMessage::Commit { ballot: ballot(5), sequence: 300 }),
         ("fetch", ConsensusMessage::Fetch { after: 299 }),
         ("committed", ConsensusMessage::Committed(accepted_value())),
-        ("confirm", ConsensusMessage::Confirm { epoch: epoch(5), number: 18 }),
-        ("confirmed", ConsensusMessage::Confirmed { epoch: epoch(5), number: 18 }),
+        ("confirm", ConsensusMessage::Confirm { ballot: ballot(5), number: 18 }),
+        ("confirmed", ConsensusMessage::Confirmed { ballot: ballot(5), number: 18 }),
     ]
 }
 
@@ -198,9 +209,9 @@
 
 fn admin_responses() -> Vec<(&'static str, AdminResponse)> {
     vec![
-        ("taken", AdminResponse::Taken { revision: 31 }),
+        ("applied", AdminResponse::Applied { revision: 31 }),
         ("document", AdminResponse::Document(r#"{"revision":31}"#.to_owned())),
-        ("nothing", AdminResponse::Nothing),
+        ("not_configured", AdminResponse::NotConfigured),
         ("conflict", AdminResponse::Conflict { revision: 33 }),
         ("invalid", AdminResponse::Invalid("a field is wrong".to_owned())),
         ("unavailable", AdminResponse::Unavailable("send it again".to_owned())),
@@ -226,77 +237,78 @@
     values.into_iter().map(|(name, value)| (format!("{prefix}/{name}"), message(value))).collect()
 }
 
-fn peer_messages() -> Vec<(String, Peer)> {
-    let transfer_request = Peer::StateTransferRequest { incarnation: 0x3132_3334_3536_3738, generation: 4 };
+fn peer_messages() -> Vec<(String, PeerMessage)> {
+    let transfer_request =
+        PeerMessage::StateTransferRequest { incarnation: 0x3132_3334_3536_3738, generation: 4 };
     let routers =
         vec![router(RouterState::Starting), router(RouterState::Ready), router(RouterState::Leaving)];
-    let single = |name: &str, message: Peer| vec![(name.to_owned(), message)];
+    let single = |name: &str, message: PeerMessage| vec![(name.to_owned(), message)];
     [
-        prefixed("heartbeat", heartbeats(), Peer::Heartbeat),
-        single("membership/empty", Peer::Membership(Membership::default())),
-        single("membership/full", Peer::Membership(membership())),
+        prefixed("heartbeat", heartbeats(), PeerMessage::Heartbeat),
+        single("membership/empty", PeerMessage::Membership(Membership::default())),
+        single("membership/full", PeerMessage::Membership(membership())),
         single("state_transfer_request", transfer_request),
         single("state_transfer", state_transfer()),
         prefixed("consensus", consensus_messages(), consensus),
-        prefixed("forward", admin_requests(), forward),
-        prefixed("forwarded", admin_responses(), forwarded),
-        single("sessions", Peer::Sessions(routers)),
-        single("servers/whole", Peer::Servers(whole_server_list())),
-        single("servers/change", Peer::Servers(server_list_change())),
-        single("want_servers", Peer::WantServers),
+        prefixed("forward_request", admin_requests(), forward),
+        prefixed("forward_response", admin_responses(), forwarded),
+        single("router_sessions", PeerMessage::RouterSessions(routers)),
+        single("server_list/whole", PeerMessage::ServerList(whole_server_list())),
+        single("server_list/change", PeerMessage::ServerList(server_list_change())),
+        single("server_list_request", PeerMessage::ServerListRequest),
     ]
     .into_iter()
     .flatten()
     .collect()
 }
 
-fn from_follower_messages() -> Vec<(String, FromFollower)> {
-    let follow = |state: RouterState, primary: bool, position: Position| FromFollower::Follow {
+fn watch_requests() -> Vec<(String, WatchRequest)> {
+    let subscribe = |state: RouterState, primary: bool, position: Position| WatchRequest::Subscribe {
         router: router(state),
         primary,
         position,
     };
     let messages = vec![
-        ("follow/new", follow(RouterState::Starting, false, Position::default())),
-        ("follow/primary", follow(RouterState::Ready, true, position())),
-        ("beat/starting", FromFollower::Beat { state: RouterState::Starting }),
-        ("beat/ready", FromFollower::Beat { state: RouterState::Ready }),
-        ("beat/leaving", FromFollower::Beat { state: RouterState::Leaving }),
-        ("want/new", FromFollower::Want { position: Position::default() }),
-        ("want/behind", FromFollower::Want { position: position() }),
+        ("subscribe/new", subscribe(RouterState::Starting, false, Position::default())),
+        ("subscribe/primary", subscribe(RouterState::Ready, true, position())),
+        ("heartbeat/starting", WatchRequest::Heartbeat { state: RouterState::Starting }),
+        ("heartbeat/ready", WatchRequest::Heartbeat { state: RouterState::Ready }),
+        ("heartbeat/leaving", WatchRequest::Heartbeat { state: RouterState::Leaving }),
+        ("fetch/new", WatchRequest::Fetch { position: Position::default() }),
+        ("fetch/behind", WatchRequest::Fetch { position: position() }),
     ];
     messages.into_iter().map(|(name, message)| (name.to_owned(), message)).collect()
 }
 
-fn to_follower_messages() -> Vec<(String, ToFollower)> {
-    let heads = ToFollower::Heads {
+fn watch_responses() -> Vec<(String, WatchResponse)> {
+    let progress = WatchResponse::Progress {
         position: position(),
-        in_touch: true,
-        routers: 9,
-        place: 4,
-        controls: vec![node(1), node(2), node(3)],
+        has_quorum: true,
+        router_count: 9,
+        router_index: 4,
+        control_nodes: vec![node(1), node(2), node(3)],
     };
-    let empty_heads = ToFollower::Heads {
+    let empty_progress = WatchResponse::Progress {
         position: Position::default(),
-        in_touch: false,
-        routers: 0,
-        place: 0,
-        controls: Vec::new(),
+        has_quorum: false,
+        router_count: 0,
+        router_index: 0,
+        control_nodes: Vec::new(),
     };
-    let evacuations = Evacuations {
-        part: Part(4),
+    let evacuations = EvacuationUpdate {
+        part: PartitionId(4),
         sequence: 40,
         zones: vec![("north-a".to_owned(), false, 2), ("south-a".to_owned(), true, 3)],
     };
     let messages = vec![
-        ("heads/empty", empty_heads),
-        ("heads/full", heads),
-        ("whole/empty", ToFollower::Whole { sequence: 0, document: Shared::default() }),
-        ("whole/full", ToFollower::Whole { sequence: 12, document: document().into() }),
-        ("change", ToFollower::Change { from: 12, to: 13, change: change().into() }),
-        ("evacuations", ToFollower::Evacuations(evacuations)),
-        ("servers/whole", ToFollower::Servers(whole_server_list())),
-        ("servers/change", ToFollower::Servers(server_list_change())),
+        ("progress/empty", empty_progress),
+        ("progress/full", progress),
+        ("snapshot/empty", WatchResponse::Snapshot { sequence: 0, document: Shared::default() }),
+        ("snapshot/full", WatchResponse::Snapshot { sequence: 12, document: document().into() }),
+        ("change", WatchResponse::Change { from: 12, to: 13, change: change().into() }),
+        ("evacuations", WatchResponse::Evacuations(evacuations)),
+        ("server_list/whole", WatchResponse::ServerList(whole_server_list())),
+        ("server_list/change", WatchResponse::ServerList(server_list_change())),
     ];
     messages.into_iter().map(|(name, message)| (name.to_owned(), message)).collect()
 }
@@ -306,17 +318,17 @@
     (0..length).map(|at| char::from(b'#' + (mix(at) % 90) as u8).to_string().replace('\\', "!")).collect()
 }
 
-fn document_of(items: Vec<Item>) -> ToFollower {
+fn document_of(items: Vec<Item>) -> WatchResponse {
     let document = Document {
         revision: 31,
         sections: BTreeMap::from([("routes".to_owned(), items)]),
         rest: BTreeMap::new(),
     };
-    ToFollower::Whole { sequence: 12, document: document.into() }
+    WatchResponse::Snapshot { sequence: 12, document: document.into() }
 }
 
 /// Over 2 KiB of items that resemble each other.
-fn repetitive_message() -> ToFollower {
+fn repetitive_message() -> WatchResponse {
     let route = |number: u64| {
         let name = format!("route-{number}");
         let json =
@@ -327,12 +339,12 @@
 }
 
 /// Over 16 KiB that compression would lengthen.
-fn varied_message() -> ToFollower {
+fn varied_message() -> WatchResponse {
     document_of(vec![item("varied", &varied_text(18_000))])
 }
 
 /// Over 16 KiB also once it is compressed.
-fn half_repetitive_message() -> ToFollower {
+fn half_repetitive_message() -> WatchResponse {
     let text = varied_text(18_000);
     document_of(vec![item("first", &text), item("second", &text)])
 }
@@ -373,13 +385,13 @@
 }
 
 /// Compares the fragments of a message, each a line, and the message that all of them together decode to.
-fn check_fragments(file: &str, message: &ToFollower) -> Vec<GoldenLine> {
+fn check_fragments(file: &str, message: &WatchResponse) -> Vec<GoldenLine> {
     let fragments = encode_fragments(message);
     let line = |(index, bytes)| GoldenLine::new(&format!("fragment_{index}"), bytes);
     let lines: Vec<GoldenLine> = fragments.into_iter().enumerate().map(line).collect();
     let golden = compare(file, &lines);
     let stream: Vec<u8> = golden.iter().flat_map(|line| line.bytes.clone()).collect();
-    let decoded: Vec<ToFollower> = decode_all(&stream);
+    let decoded: Vec<WatchResponse> = decode_all(&stream);
     assert!(decoded == [message.clone()], "{file}: the golden fragments are another message");
     golden
 }
@@ -396,12 +408,12 @@
 
 #[gtest]
 fn messages_from_routers_have_the_golden_bytes() {
-    check_messages("from_follower.txt", &from_follower_messages());
+    check_messages("watch_request.txt", &watch_requests());
 }
 
 #[gtest]
 fn messages_to_routers_have_the_golden_bytes() {
-    check_messages("to_follower.txt", &to_follower_messages());
+    check_messages("watch_response.txt", &watch_responses());
 }
 
 #[gtest]
