--- a/simulation/tests/hunt.rs
+++ b/simulation/tests/hunt.rs
@@ -61,7 +61,7 @@
     expect_that!(outcome.violation, none());
     let taken_at = |line: &String| {
         let at_ms: f64 = line.split_whitespace().next()?.parse().ok()?;
-        (line.contains(" answers ") && line.contains("Taken")).then_some(at_ms)
+        (line.contains(" answers ") && line.contains("Applied")).then_some(at_ms)
     };
     let taken: Vec<f64> = outcome.trace.iter().filter_map(taken_at).collect();
     // The first writes that are refused were under way, and the first ones after it are tried again every 200 ms.
@@ -78,7 +78,7 @@
     expect_that!(outcome.violation, none());
     expect_that!(outcome.taken, gt(4));
     expect_that!(outcome.messages, not(eq(heard.messages)));
-    let unheard = outcome.trace.iter().filter(|line| line.contains("does not hear Taken")).count();
+    let unheard = outcome.trace.iter().filter(|line| line.contains("does not hear Applied")).count();
     expect_that!(unheard, gt(0));
 }
 
