--- a/node-settings/tests/golden.rs
+++ b/node-settings/tests/golden.rs
@@ -137,6 +137,20 @@
     assert!(!with("/worth-by", "request").worth_by_work);
 }
 
+#[test]
+fn each_limit_that_is_switched_off_switches_off_that_one() {
+    let limits_without = |pointer: &str| {
+        let mut settings = parse(EVERY_FIELD);
+        *settings.pointer_mut(pointer).expect("a field of the file") = json!(false);
+        let limits = site(&settings.to_string()).settings.limits;
+        [limits.second_copies, limits.probes, limits.cancel, limits.retry_after > 0]
+    };
+    assert_eq!(limits_without("/policy-limits/second-copies"), [false, true, true, true]);
+    assert_eq!(limits_without("/policy-limits/probes"), [true, false, true, true]);
+    assert_eq!(limits_without("/policy-limits/may-cancel"), [true, true, false, true]);
+    assert_eq!(limits_without("/policy-limits/retry-after"), [true, true, true, false]);
+}
+
 #[test]
 fn wrong_fields_are_refused_with_the_same_texts() {
     let wrong = |field: &str| format!("{field} is missing or of the wrong type");
--- a/protocol/tests/golden.rs
+++ b/protocol/tests/golden.rs
@@ -225,6 +225,9 @@
         ("learner", heartbeat(ReplicaStatus::Learner)),
         ("voter", heartbeat(ReplicaStatus::Voter)),
         ("removed", heartbeat(ReplicaStatus::Removed)),
+        ("only_leaving", Heartbeat { leaving: true, ..Heartbeat::default() }),
+        ("only_has_quorum", Heartbeat { has_quorum: true, ..Heartbeat::default() }),
+        ("only_reads_list", Heartbeat { reads_list: true, ..Heartbeat::default() }),
     ]
 }
 
--- a/protocol/tests/golden_configuration.rs
+++ b/protocol/tests/golden_configuration.rs
@@ -141,6 +141,16 @@
     expect_that!(document.checked(0), ok(eq(&expected)));
 }
 
+#[gtest]
+fn each_flag_of_a_route_is_read_from_its_own_field() {
+    let flags_with = |from: &str, to: &str| {
+        let route = checked_with(from, to).expect("a sound configuration").routes.swap_remove(0);
+        (route.sticky, route.resumable)
+    };
+    expect_that!(flags_with("\"sticky\": true", "\"sticky\": false"), eq((false, true)));
+    expect_that!(flags_with("\"resumable\": true", "\"resumable\": false"), eq((true, false)));
+}
+
 #[gtest]
 fn golden_configuration_is_given_back_as_the_golden_text() {
     let document = document();
