--- /dev/null
+++ b/cli/tests/golden_command_line.rs
@@ -0,0 +1,167 @@
+//! What the command line prints without an agent, held fixed by golden files: the help of each command, what it says to wrong
+//! usage, and the operators' configuration as it is checked and shown.
+
+mod golden;
+
+use std::path::Path;
+use std::process::Command;
+
+use golden::{assert_golden, assert_golden_folder};
+
+/// Each command, as a shell would have it; the empty one is the program itself.
+const COMMANDS: [&str; 26] = [
+    "",
+    "demo",
+    "lab",
+    "lab experiment",
+    "lab hunt",
+    "node",
+    "agent",
+    "status",
+    "start",
+    "stop",
+    "drain",
+    "undrain",
+    "restart",
+    "rollout",
+    "top",
+    "logs",
+    "config",
+    "config check",
+    "config show",
+    "config fields",
+    "control",
+    "router",
+    "hunt",
+    "help lab",
+    "help config",
+    "--version",
+];
+
+/// The file of a command's help.
+fn file_name(command: &str) -> String {
+    let name = if command.is_empty() { "ivyhatch" } else { command };
+    format!("{}.txt", name.trim_start_matches('-').replace(' ', "-"))
+}
+
+/// What the program prints for these arguments in a folder, with nothing in its environment.
+fn output_in(folder: &Path, arguments: &[&str]) -> String {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_ivyhatch"));
+    let output = command.args(arguments).env_clear().current_dir(folder).output().expect("the program runs");
+    let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).expect("text");
+    format!(
+        "exit code {}\n\n## standard output\n{}\n## standard error\n{}",
+        output.status.code().expect("an exit code"),
+        text(&output.stdout),
+        text(&output.stderr),
+    )
+}
+
+/// What the program prints for these arguments.
+fn output(arguments: &[&str]) -> String {
+    output_in(Path::new(env!("CARGO_MANIFEST_DIR")), arguments)
+}
+
+#[test]
+fn each_command_has_its_help() {
+    for command in COMMANDS {
+        let mut arguments: Vec<&str> = command.split_whitespace().collect();
+        if !command.starts_with("help") && !command.starts_with('-') {
+            arguments.push("--help");
+        }
+        let text = output(&arguments).replace(env!("CARGO_PKG_VERSION"), "<version>");
+        assert_golden(&format!("help/{}", file_name(command)), &text);
+    }
+    assert_golden_folder("help", &COMMANDS.map(file_name));
+}
+
+#[test]
+fn wrong_usage_is_explained() {
+    let mut transcript = String::new();
+    for arguments in [
+        vec![],
+        vec!["nothing"],
+        vec!["start"],
+        vec!["start", "all", "--nothing"],
+        vec!["lab", "--seed", "x"],
+        vec!["control", "--nothing"],
+        vec!["router", "x"],
+        vec!["hunt", "--seed", "x"],
+        vec!["config"],
+        vec!["config", "nothing"],
+    ] {
+        let output = output(&arguments);
+        transcript += &format!("# ivyhatch {}\n{output}\n", arguments.join(" "));
+    }
+    assert_golden("wrong_usage.txt", &transcript);
+}
+
+#[test]
+fn configuration_fields_are_listed() {
+    assert_golden("config_fields.txt", &output(&["config", "fields"]));
+    assert_golden("config_fields_json.txt", &output(&["config", "fields", "--json"]));
+}
+
+/// A file of the operators with a value in each kind of table.
+const SOUND_FILE: &str = r#"
+version = 1
+[log]
+format = "json"
+[fleet]
+zones = ["a", "b"]
+discovery = "127.0.0.1:9000"
+[limits]
+sockets = 512
+[agent]
+state = "state"
+[[class]]
+name = "find"
+effect = "repeatable"
+aim_ms = 800
+deadline_ms = 3000
+[[instance]]
+name = "a-1"
+zone = "a"
+labels = { tier = "front" }
+[[instance]]
+name = "b-1"
+zone = "b"
+enabled = false
+"#;
+
+/// A file with several mistakes.
+const WRONG_FILE: &str = r#"
+version = 1
+[fleet]
+zones = ["a"]
+discovery = "nowhere"
+unknown = 1
+[limits]
+sockets = -1
+[[instance]]
+name = "a-1"
+zone = "z"
+"#;
+
+#[test]
+fn configuration_files_are_checked_and_shown() {
+    let folder = tempfile::tempdir().expect("a folder");
+    std::fs::write(folder.path().join("sound.toml"), SOUND_FILE).expect("written");
+    std::fs::write(folder.path().join("wrong.toml"), WRONG_FILE).expect("written");
+    let mut transcript = String::new();
+    for arguments in [
+        "config check sound.toml",
+        "config check sound.toml --json",
+        "config show sound.toml",
+        "config show sound.toml --origin",
+        "config show sound.toml --json",
+        "config check wrong.toml",
+        "config check wrong.toml --json",
+        "config check missing.toml",
+        "node --config sound.toml --instance nothing",
+    ] {
+        let split: Vec<&str> = arguments.split_whitespace().collect();
+        transcript += &format!("# ivyhatch {arguments}\n{}\n", output_in(folder.path(), &split));
+    }
+    assert_golden("config_files.txt", &transcript);
+}
--- a/cli/tests/system_common/mod.rs
+++ b/cli/tests/system_common/mod.rs
@@ -7,6 +7,7 @@
 pub mod faults;
 pub mod platform;
 pub mod server;
+pub mod transcript;
 
 use std::fs::File;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
