--- /dev/null
+++ b/simulation/src/run/alterations.rs
@@ -0,0 +1,84 @@
+//! Planted faults in what a control node sends: a message is altered, answered on the spot or left out.
+
+use ivyhatch_control::{ControlPlane, Input};
+use ivyhatch_protocol::ids::{NodeId, PartitionId};
+use ivyhatch_protocol::peer::{ConsensusMessage, PeerMessage};
+
+use super::{World, place};
+use crate::planted::Planted;
+
+impl World<'_> {
+    /// A message as it is sent with a known fault put in; none where it is not sent.
+    pub(super) fn altered(
+        &mut self,
+        machine: usize,
+        to: NodeId,
+        message: PeerMessage,
+        events: &mut Vec<Input>,
+    ) -> Option<PeerMessage> {
+        let Some(planted) = self.planted else { return Some(message) };
+        match (planted, message) {
+            (
+                Planted::SkipsConfirmation,
+                PeerMessage::Consensus {
+                    generation,
+                    part,
+                    message: ConsensusMessage::Confirm { ballot, number },
+                },
+            ) => {
+                let message = ConsensusMessage::Confirmed { ballot, number };
+                events.push(Input::Peer(to, PeerMessage::Consensus { generation, part, message }));
+                None
+            }
+            (
+                Planted::AcceptsLowerEpoch,
+                PeerMessage::Consensus { generation, part, message: ConsensusMessage::Reject { promised } },
+            ) => {
+                let lower = self.machines[machine].lower.take().filter(|(ballot, _)| ballot.node == to);
+                let message = lower.map_or(ConsensusMessage::Reject { promised }, |(ballot, sequence)| {
+                    ConsensusMessage::Accepted { ballot, sequence }
+                });
+                Some(PeerMessage::Consensus { generation, part, message })
+            }
+            (
+                Planted::LeadsWithoutElection,
+                PeerMessage::Consensus { generation, part, message: ConsensusMessage::Prepare { ballot } },
+            ) if part != PartitionId::MEMBERSHIP => {
+                let message = ConsensusMessage::Promise { ballot, accepted: None };
+                events.push(Input::Peer(to, PeerMessage::Consensus { generation, part, message }));
+                None
+            }
+            (
+                Planted::ChangesMembershipAlone,
+                PeerMessage::Consensus { generation, part: part @ PartitionId::MEMBERSHIP, message },
+            ) => {
+                let message = match message {
+                    ConsensusMessage::Prepare { ballot } => {
+                        ConsensusMessage::Promise { ballot, accepted: None }
+                    }
+                    ConsensusMessage::Accept(value) => {
+                        ConsensusMessage::Accepted { ballot: value.ballot, sequence: value.sequence }
+                    }
+                    message => return Some(PeerMessage::Consensus { generation, part, message }),
+                };
+                events.push(Input::Peer(to, PeerMessage::Consensus { generation, part, message }));
+                None
+            }
+            (Planted::CountsBeforeState, PeerMessage::StateTransferRequest { incarnation, generation }) => {
+                let node = self.machines[place(to)].node.as_ref();
+                let disk = node.and_then(ControlPlane::replica)?.disk;
+                let partitions = Vec::new();
+                let empty = PeerMessage::StateTransfer { incarnation, generation, disk, partitions };
+                events.push(Input::Peer(to, empty));
+                None
+            }
+            (Planted::OldGenerationCounts, PeerMessage::Consensus { part, message, generation }) => {
+                let receiver = self.machines.get(place(to)).and_then(|machine| machine.node.as_ref());
+                let newer = receiver.and_then(ControlPlane::membership).map(|known| known.generation);
+                let generation = newer.unwrap_or(generation);
+                Some(PeerMessage::Consensus { generation, part, message })
+            }
+            (_, message) => Some(message),
+        }
+    }
+}
--- a/system/src/router/dispatch/server_list.rs
+++ b/system/src/router/dispatch/server_list.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use brookfield::{BackendId, Event, ListScope, Member, Stage, ZoneId};
-use ivyhatch_protocol::feed::Server;
+use ivyhatch_balancer::{BackendId, Event, ListScope, Member, Stage, ZoneId};
+use ivyhatch_protocol::watch::Server;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
 use super::COLD_MORE;
--- a/system/src/router/dispatch/state.rs
+++ b/system/src/router/dispatch/state.rs
@@ -5,13 +5,13 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use brookfield::{BackendId, Balancer, ClassId, RequestId, Stage};
 use bytes::Bytes;
+use ivyhatch_balancer::{BackendId, Balancer, ClassId, RequestId, Stage};
 use ivyhatch_protocol::Nanos;
 use ivyhatch_protocol::configuration::Route;
-use ivyhatch_protocol::feed::Server;
 use ivyhatch_protocol::ids::{hash, mix};
 use ivyhatch_protocol::settings::{Bounds, Settings};
+use ivyhatch_protocol::watch::Server;
 use ivyhatch_routing::placement::Placement;
 use ivyhatch_routing::table::Table;
 use tokio::sync::oneshot;
