--- a/routing/src/events.rs
+++ b/routing/src/event_stream.rs
@@ -3,7 +3,7 @@
 
 /// A part of a stream that may be passed on: whole events, as they came.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Passed {
+pub struct CompleteEvents {
     /// The bytes.
     pub bytes: Vec<u8>,
     /// The id of the last event in them that has one.
@@ -14,16 +14,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StreamError {
     /// Its ids do not rise.
-    #[error("an event has id {id} behind {last}: the server is not to be trusted with this stream")]
-    Order {
+    #[error("an event has id {id} behind {previous}: the server is not to be trusted with this stream")]
+    IdNotIncreasing {
         /// The id that came.
         id: u64,
         /// The one before.
-        last: u64,
+        previous: u64,
     },
     /// An event that does not end.
     #[error("an event of over {LONGEST} bytes")]
-    TooLong,
+    EventTooLarge,
 }
 
 /// No event is longer, in bytes.
@@ -31,19 +31,19 @@
 
 /// Takes a stream in as it comes.
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct EventStreamParser {
     rest: Vec<u8>,
     last: Option<u64>,
 }
 
-impl Events {
+impl EventStreamParser {
     /// A stream that goes on behind an event.
-    pub fn behind(last: Option<u64>) -> Self {
+    pub fn resume_after(last: Option<u64>) -> Self {
         Self { rest: Vec::new(), last }
     }
 
     /// Whether nothing has come since the last whole event.
-    pub fn at_an_end(&self) -> bool {
+    pub fn is_at_event_boundary(&self) -> bool {
         self.rest.is_empty()
     }
 
@@ -51,27 +51,27 @@
     ///
     /// # Errors
     /// Where the stream can't be right.
-    pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<Passed>, StreamError> {
+    pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<CompleteEvents>, StreamError> {
         self.rest.extend_from_slice(bytes);
         let (mut done, mut last_id) = (0, None);
         while let Some(length) = event_length(&self.rest[done..]) {
             if let Some(id) = event_id(&self.rest[done..done + length]) {
                 if let Some(last) = self.last.filter(|last| id <= *last) {
-                    return Err(StreamError::Order { id, last });
+                    return Err(StreamError::IdNotIncreasing { id, previous: last });
                 }
                 (self.last, last_id) = (Some(id), Some(id));
             }
             done += length;
         }
         if self.rest.len() - done > LONGEST {
-            return Err(StreamError::TooLong);
+            return Err(StreamError::EventTooLarge);
         }
         if done == 0 {
             return Ok(None);
         }
         let rest = self.rest.split_off(done);
         let bytes = std::mem::replace(&mut self.rest, rest);
-        Ok(Some(Passed { bytes, last_id }))
+        Ok(Some(CompleteEvents { bytes, last_id }))
     }
 }
 
--- a/routing/src/lib.rs
+++ b/routing/src/lib.rs
@@ -4,15 +4,16 @@
 //! and a service's servers are its backends. This crate tells it what it can't know by itself.
 //!
 //! - [`watch_client`]: which control nodes are followed, and what they have told
-//! - [`table`]: routes by host and prefix
+//! - [`route_table`]: routes by host and prefix
 //! - [`placement`]: where a request may go (homes, cold servers), and what it would meet there
-//! - [`engine`]: the time to the first token at a model server
-//! - [`prompt`]: a prompt's parts, and where they are kept
-//! - [`events`]: a streamed answer, event by event
+//! - [`time_to_first_token`]: the time to the first token at a model server
+//! - [`prefix_cache`]: a prompt's parts, and where they are kept
+//! - [`event_stream`]: a streamed answer, event by event
 
-pub mod engine;
-pub mod events;
+pub mod event_stream;
 pub mod placement;
-pub mod prompt;
-pub mod table;
+pub mod prefix_cache;
+pub mod route_table;
+pub mod router_share;
+pub mod time_to_first_token;
 pub mod watch_client;
--- a/routing/src/placement.rs
+++ b/routing/src/placement.rs
@@ -9,8 +9,9 @@
 use ivyhatch_protocol::ids::mix;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
-use crate::engine::{Engine, Load, Speed};
-use crate::prompt::{Kept, Prompt};
+use crate::prefix_cache::{PrefixCache, Prompt};
+use crate::router_share::RouterShare;
+use crate::time_to_first_token::{LoadReport, PrefillModel, ServerQueue};
 
 /// The span in which a cold server's sends are counted: a second, and a tenth for sends that are held up on the way.
 const COLD_SPAN: Nanos = 1100 * MILLISECOND;
@@ -27,15 +28,38 @@
 const READ_AGAIN: f64 = 4.0;
 
 /// Regions as bits; the deployment's regions are numbered.
-pub type Regions = u64;
+pub type RegionSet = u64;
 
 /// What a service's servers bear while they are cold.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Cold {
+pub struct SlowStartLimit {
     /// Requests a second, over all routers; 0 where there is no bound.
-    pub per_s: f64,
+    pub requests_per_second: f64,
     /// A server may be cold for so long after an evacuation has been withdrawn.
-    pub span: Nanos,
+    pub duration: Nanos,
+}
+
+/// What the configuration says of a service.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct ServiceSettings {
+    /// Whether its servers run a language model, so that requests are placed by their time to the first token.
+    pub is_model: bool,
+    /// The limit on servers in slow start.
+    pub slow_start: SlowStartLimit,
+}
+
+/// A server as the server list has it.
+#[derive(Clone, Copy, Debug)]
+pub struct ListedServer<'a> {
+    /// Its id in the server list.
+    pub name: &'a str,
+    /// Index of its region.
+    pub region: u32,
+    /// End of its slow start; 0 where it is over.
+    pub slow_start_until: Nanos,
+    /// Its zone was evacuated when the router last had contact with a quorum: it is used, within the limits of slow start, only
+    /// where no other server can be reached.
+    pub is_last_resort: bool,
 }
 
 #[derive(Debug, Default)]
@@ -44,8 +68,8 @@
     lot: u64,
     cold_until: Nanos,
     sends: VecDeque<Nanos>,
-    engine: Engine,
-    kept: Kept,
+    engine: ServerQueue,
+    kept: PrefixCache,
     /// Times in a row that it could not be reached, and until when it is left alone for that.
     unreached: u32,
     left_until: Nanos,
@@ -54,7 +78,7 @@
 
 #[derive(Debug)]
 struct Asked {
-    homes: Regions,
+    homes: RegionSet,
     prompt: Prompt,
     aim: Nanos,
     /// In each region the server at which the prompt's shared part is looked for first.
@@ -68,17 +92,17 @@
     home: u32,
     regions: u32,
     is_model: bool,
-    cold: Cold,
+    cold: SlowStartLimit,
     /// Routers that share the servers, and the place among them; none as long as that is not known.
     routers: Option<(u64, u64)>,
-    speed: Speed,
+    speed: PrefillModel,
     servers: HashMap<BackendId, Server>,
     requests: HashMap<RequestId, Asked>,
 }
 
 /// A placement that the design and its embedder share.
 #[derive(Clone)]
-pub struct Shared(pub Rc<RefCell<Placement>>);
+pub struct SharedPlacement(pub Rc<RefCell<Placement>>);
 
 impl Placement {
     /// For a router in region `home` of so many.
@@ -87,51 +111,50 @@
             home,
             regions,
             is_model: false,
-            cold: Cold::default(),
+            cold: SlowStartLimit::default(),
             routers: None,
-            speed: Speed::new(regions),
+            speed: PrefillModel::new(regions),
             servers: HashMap::new(),
             requests: HashMap::new(),
         }
     }
 
     /// What the configuration says of the service.
-    pub fn configure(&mut self, is_model: bool, cold: Cold) {
-        (self.is_model, self.cold) = (is_model, cold);
+    pub fn configure(&mut self, settings: ServiceSettings) {
+        (self.is_model, self.cold) = (settings.is_model, settings.slow_start);
     }
 
     /// So many routers share what cold servers bear, and this is one's place among them.
-    pub fn set_routers(&mut self, routers: u32, place: u32) {
-        self.routers = Some((u64::from(routers.max(1)), u64::from(place)));
+    pub fn set_router_share(&mut self, share: RouterShare) {
+        self.routers = Some((u64::from(share.count.max(1)), u64::from(share.index)));
     }
 
-    /// A server is listed, and cold for so long. A `last_resort` stands in a zone that was evacuated when that could be known last:
-    /// it gets what no other server can be reached for, as if it were cold.
-    pub fn listed(&mut self, id: BackendId, name: &str, region: u32, cold_until: Nanos, last_resort: bool) {
+    /// Adds a server of the server list, or updates it. A slow start that is known of is not shortened.
+    pub fn upsert_server(&mut self, id: BackendId, listed: ListedServer<'_>) {
         let server = self.servers.entry(id).or_default();
-        server.region = region;
-        server.lot = ivyhatch_protocol::ids::hash(name.as_bytes());
-        server.cold_until = server.cold_until.max(cold_until);
-        server.last_resort = last_resort;
+        server.region = listed.region;
+        server.lot = ivyhatch_protocol::ids::hash(listed.name.as_bytes());
+        server.cold_until = server.cold_until.max(listed.slow_start_until);
+        server.last_resort = listed.is_last_resort;
     }
 
     /// A server may have turned cold just now.
-    pub fn may_be_cold(&mut self, now: Nanos, id: BackendId) {
-        let span = self.cold.span;
+    pub fn restart_slow_start(&mut self, now: Nanos, id: BackendId) {
+        let span = self.cold.duration;
         if let Some(server) = self.servers.get_mut(&id) {
             server.cold_until = server.cold_until.max(now + span);
         }
     }
 
     /// A server has gone.
-    pub fn gone(&mut self, id: BackendId) {
+    pub fn remove_server(&mut self, id: BackendId) {
         self.servers.remove(&id);
     }
 
     /// A request comes in.
-    pub fn asked(&mut self, request: RequestId, homes: Regions, prompt: Prompt, aim: Nanos) {
+    pub fn add_request(&mut self, request: RequestId, homes: RegionSet, prompt: Prompt, aim: Nanos) {
         let mut first = vec![None; self.regions as usize];
-        if let Some(shared) = prompt.shared() {
+        if let Some(shared) = prompt.affinity_key() {
             let mut best = vec![0; first.len()];
             for (id, server) in &self.servers {
                 let at = server.region as usize;
@@ -145,8 +168,8 @@
     }
 
     /// A request has ended.
-    pub fn ended(&mut self, request: RequestId) {
-        self.settled(request);
+    pub fn remove_request(&mut self, request: RequestId) {
+        self.end_attempt(request);
         self.requests.remove(&request);
     }
 
@@ -167,14 +190,14 @@
     }
 
     /// What a server says of itself with an answer.
-    pub fn told(&mut self, now: Nanos, from: BackendId, load: Load) {
+    pub fn record_load_report(&mut self, now: Nanos, from: BackendId, load: LoadReport) {
         if let Some(server) = self.servers.get_mut(&from) {
             server.engine.told(now, load);
         }
     }
 
     /// A request's answer has begun, this long after it was sent.
-    pub fn begun(&mut self, now: Nanos, request: RequestId, took: Nanos) {
+    pub fn record_first_token(&mut self, now: Nanos, request: RequestId, took: Nanos) {
         let Some(asked) = self.requests.get_mut(&request) else { return };
         let Some((to, unread, begun @ false)) = &mut asked.sent else { return };
         *begun = true;
@@ -186,7 +209,7 @@
     }
 
     /// A server could not be reached. It is left alone for a while, then tried by one request at a time.
-    pub fn unreached(&mut self, now: Nanos, of: BackendId) {
+    pub fn record_connect_failure(&mut self, now: Nanos, of: BackendId) {
         if let Some(server) = self.servers.get_mut(&of) {
             server.left_until = now + (UNREACHED << server.unreached.min(4));
             server.unreached += 1;
@@ -194,14 +217,14 @@
     }
 
     /// A server has answered.
-    pub fn reached(&mut self, of: BackendId) {
+    pub fn record_response(&mut self, of: BackendId) {
         if let Some(server) = self.servers.get_mut(&of) {
             (server.unreached, server.left_until) = (0, 0);
         }
     }
 
     /// A request's attempt has ended.
-    pub fn settled(&mut self, request: RequestId) {
+    pub fn end_attempt(&mut self, request: RequestId) {
         let Some(asked) = self.requests.get_mut(&request) else { return };
         let Some((to, unread, begun)) = asked.sent.take() else { return };
         if let Some(server) = self.servers.get_mut(&to) {
@@ -213,7 +236,7 @@
     }
 
     /// What was known of a request's server when it was sent there, for people.
-    pub fn explain(&self, request: RequestId) -> Option<String> {
+    pub fn describe_attempt(&self, request: RequestId) -> Option<String> {
         let asked = self.requests.get(&request)?;
         let (to, unread, _) = asked.sent?;
         let server = self.servers.get(&to)?;
@@ -237,7 +260,7 @@
     /// can't be divided goes to some of them, to others for each server. One that does not know how many there are sends nothing.
     fn cold_share(&self, server: &Server) -> usize {
         let Some((routers, place)) = self.routers else { return 0 };
-        let whole = (self.cold.per_s * COLD_PART) as u64;
+        let whole = (self.cold.requests_per_second * COLD_PART) as u64;
         let turn = (place + server.lot % routers) % routers;
         (whole / routers + u64::from(turn < whole % routers)) as usize
     }
@@ -253,7 +276,7 @@
     }
 }
 
-impl Advice for Shared {
+impl Advice for SharedPlacement {
     fn sent(&self, now: Nanos, request: RequestId, backend: BackendId) {
         self.0.borrow_mut().sent(now, request, backend);
     }
@@ -278,7 +301,7 @@
                 return false;
             }
         }
-        if (now < server.cold_until || server.last_resort) && placement.cold.per_s > 0.0 {
+        if (now < server.cold_until || server.last_resort) && placement.cold.requests_per_second > 0.0 {
             let recent = server.sends.iter().filter(|at| now < *at + COLD_SPAN).count();
             if recent >= placement.cold_share(server) {
                 return false;
--- a/routing/src/prompt.rs
+++ b/routing/src/prefix_cache.rs
@@ -25,7 +25,7 @@
 impl Prompt {
     /// Reads the headers: `prefix` as ID:TOKENS, comma-separated, with the ID in hex; `counts` as prompt,out. What can't be read
     /// is left out; it is advice.
-    pub fn read(model: &str, prefix: Option<&str>, counts: Option<&str>) -> Self {
+    pub fn from_headers(model: &str, prefix: Option<&str>, counts: Option<&str>) -> Self {
         let model = ivyhatch_protocol::ids::hash(model.as_bytes());
         let part = |text: &str| {
             let (id, tokens) = text.trim().split_once(':')?;
@@ -44,7 +44,7 @@
     }
 
     /// The part by which its requests are best kept together: the last one that others share.
-    pub fn shared(&self) -> Option<u64> {
+    pub fn affinity_key(&self) -> Option<u64> {
         let last = self.parts.len().checked_sub(2)?;
         self.parts.get(last).map(|(id, _)| *id)
     }
@@ -52,9 +52,9 @@
 
 /// What a server keeps, as far as it is known from own sends.
 #[derive(Debug, Default)]
-pub struct Kept(HashMap<u64, Nanos>);
+pub struct PrefixCache(HashMap<u64, Nanos>);
 
-impl Kept {
+impl PrefixCache {
     /// Tokens of a prompt that have to be read there.
     pub fn unread(&self, now: Nanos, prompt: &Prompt) -> u32 {
         let kept = prompt
--- a/routing/src/table.rs
+++ b/routing/src/route_table.rs
@@ -23,7 +23,7 @@
 
 /// The routes, services and limits in force.
 #[derive(Debug, Default)]
-pub struct Table {
+pub struct RouteTable {
     routes: HashMap<String, Rc<Route>>,
     places: HashMap<String, HashMap<String, Rc<Route>>>,
     services: HashMap<String, Service>,
@@ -63,8 +63,8 @@
     }
 
     /// Reads at most so many of the items. Whether all have been read.
-    pub fn read(&mut self, most: usize) -> bool {
-        for _ in 0..most {
+    pub fn parse_items(&mut self, max_items: usize) -> bool {
+        for _ in 0..max_items {
             if let Some(item) = self.unread_routes.next() {
                 let route = self.parse(ROUTES, &item.name, &item.json).map(Rc::new);
                 self.routes.extend(route);
@@ -90,7 +90,7 @@
     }
 }
 
-impl Table {
+impl RouteTable {
     /// Takes a change in. Items that can't be read are told, and left as they were.
     pub fn apply(&mut self, change: &Change) -> Vec<UnreadableItem> {
         self.commit(PreparedChange::new(change.clone()))
@@ -98,7 +98,7 @@
 
     /// Takes a change in, with whatever has not been read of it yet. Items that can't be read are told, and left as they were.
     pub fn commit(&mut self, mut change: PreparedChange) -> Vec<UnreadableItem> {
-        change.read(usize::MAX);
+        change.parse_items(usize::MAX);
         change.removed_routes.iter().for_each(|name| self.remove_route(name));
         change.removed_services.iter().for_each(|name| drop(self.services.remove(name)));
         // Two routes may change places: all of them leave theirs before any takes one.
@@ -167,7 +167,7 @@
 }
 
 /// The service to which a request of this route goes: by weight, `draw` from 0 to 1 deciding.
-pub fn target(route: &Route, draw: f64) -> Option<&str> {
+pub fn select_service(route: &Route, draw: f64) -> Option<&str> {
     if route.split.is_empty() {
         return route.service.as_deref();
     }
--- a/routing/src/engine.rs
+++ b/routing/src/time_to_first_token.rs
@@ -28,7 +28,7 @@
 
 /// What is known of a service's engines, all alike but for the way to them.
 #[derive(Clone, Debug)]
-pub struct Speed {
+pub struct PrefillModel {
     /// Prompt tokens that are read in a nanosecond.
     rate: f64,
     /// Mean tokens of a prompt that have to be read.
@@ -37,7 +37,7 @@
     floors: Vec<f64>,
 }
 
-impl Speed {
+impl PrefillModel {
     /// Nothing is known yet of the engines in so many regions.
     pub fn new(regions: u32) -> Self {
         Self { rate: RATE / MILLISECOND as f64, mean: 2000.0, floors: vec![FLOOR; regions as usize + 1] }
@@ -55,7 +55,7 @@
 
 /// What a server's answer says: requests that run, that wait, and places.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct LoadReport {
     /// Requests that run.
     pub running: f64,
     /// Requests that wait.
@@ -64,9 +64,9 @@
     pub slots: f64,
 }
 
-impl Load {
+impl LoadReport {
     /// Reads the header: running, waiting, slots.
-    pub fn read(text: &str) -> Option<Self> {
+    pub fn from_header(text: &str) -> Option<Self> {
         let mut numbers = text
             .split(',')
             .map(|text| text.trim().parse::<f64>().ok().filter(|n| *n >= 0.0 && n.is_finite()));
@@ -75,33 +75,33 @@
     }
 
     /// Share of its places that are taken or asked for.
-    pub fn share(&self) -> f64 {
+    pub fn utilisation(&self) -> f64 {
         (self.running + self.waiting) / self.slots.max(1.0)
     }
 }
 
 /// One server's engine, as a router sees it.
 #[derive(Clone, Copy, Debug)]
-pub struct Engine {
+pub struct ServerQueue {
     /// Tokens of own sends that have not begun to answer.
     unread: f64,
     /// Own sends that have not ended.
     own: u32,
     /// Mean time that a prompt waited for others.
     wait: f64,
-    told: Load,
+    told: LoadReport,
     told_at: Option<Nanos>,
 }
 
-impl Default for Engine {
+impl Default for ServerQueue {
     fn default() -> Self {
-        Self { unread: 0.0, own: 0, wait: 0.0, told: Load::default(), told_at: None }
+        Self { unread: 0.0, own: 0, wait: 0.0, told: LoadReport::default(), told_at: None }
     }
 }
 
-impl Engine {
+impl ServerQueue {
     /// Expected time to the first token of a prompt of which so many tokens have to be read there, in nanoseconds.
-    pub fn delay(&self, now: Nanos, speed: &Speed, region: u32, unread: u32) -> f64 {
+    pub fn delay(&self, now: Nanos, speed: &PrefillModel, region: u32, unread: u32) -> f64 {
         let fresh =
             self.told_at.map_or(0.0, |at| 1.0 - (now.saturating_sub(at) as f64 / TOLD as f64).min(1.0));
         let others = self.told.waiting * speed.mean * fresh;
@@ -133,12 +133,12 @@
     }
 
     /// What the server has said of itself.
-    pub fn told(&mut self, now: Nanos, load: Load) {
+    pub fn told(&mut self, now: Nanos, load: LoadReport) {
         (self.told, self.told_at) = (load, Some(now));
     }
 
     /// Learns from a first token that took this long, from a server in this region.
-    pub fn learn(&mut self, speed: &mut Speed, region: u32, unread: u32, took: Nanos) {
+    pub fn learn(&mut self, speed: &mut PrefillModel, region: u32, unread: u32, took: Nanos) {
         let took = took as f64;
         let tokens = f64::from(unread);
         let mut floor = speed.floor(region);
@@ -161,8 +161,8 @@
     }
 
     /// The server's utilisation, from 0 to 1: that of a queue in which one waits so long, or the share of its places.
-    pub fn utilisation(&self, speed: &Speed) -> f64 {
+    pub fn utilisation(&self, speed: &PrefillModel) -> f64 {
         let service = (speed.mean / speed.rate).max(1.0);
-        (self.wait / (self.wait + service)).max(self.told.share().min(1.2))
+        (self.wait / (self.wait + service)).max(self.told.utilisation().min(1.2))
     }
 }
--- a/routing/src/watch_client.rs
+++ b/routing/src/watch_client.rs
@@ -14,6 +14,8 @@
 };
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
+use crate::router_share::RouterShare;
+
 /// Control nodes that are followed at once.
 const MOST_LINKS: usize = 3;
 /// Pause between two signs of life.
@@ -44,9 +46,14 @@
     /// Time has passed. Comes every 100 ms or so.
     Tick,
     /// A session with a control node is open; connecting took so long.
-    Linked(NodeId, Nanos),
+    Connected {
+        /// The control node.
+        node: NodeId,
+        /// How long connecting took.
+        round_trip: Nanos,
+    },
     /// It has ended, or could not be opened.
-    Lost(NodeId),
+    Disconnected(NodeId),
     /// A control node has said something.
     Message(NodeId, WatchResponse),
     /// A part of a large message has come from a control node; the rest is on its way.
@@ -61,21 +68,39 @@
 #[derive(Debug, PartialEq)]
 pub enum Output {
     /// Keep sessions with these, and no others.
-    Links(Vec<NodeId>),
+    SetConnections(Vec<NodeId>),
     /// Tell a control node.
-    Tell(NodeId, WatchRequest),
+    Send(NodeId, WatchRequest),
     /// The configuration has changed so.
-    Configuration(Change),
+    ConfigurationChanged(Change),
     /// Servers or evacuations have changed.
-    Servers,
+    ServersChanged,
     /// So many routers are known of, and this is one's place among them.
-    Routers(u32, u32),
+    RouterShare(RouterShare),
     /// Whether any control node that is in touch with its group can be heard.
-    Touch(bool),
+    QuorumContact(QuorumContact),
     /// A line for the log: the event's name, and its key=value pairs.
     Log(&'static str, String),
 }
 
+/// Whether a control node that is in contact with a quorum can be reached.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum QuorumContact {
+    /// One can.
+    Established,
+    /// None can: evacuations may have changed without the router's knowledge.
+    Lost,
+}
+
+/// A zone's evacuation.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct EvacuationState {
+    /// Whether the zone is evacuated.
+    pub active: bool,
+    /// How often that has changed.
+    pub changes: u64,
+}
+
 #[derive(Debug, Default)]
 struct Link {
     /// Since when it is open; none while it is not.
@@ -147,14 +172,14 @@
         self.now = self.now.max(now);
         match heard {
             Input::Tick => {}
-            Input::Linked(node, took) => {
+            Input::Connected { node, round_trip: took } => {
                 let now = self.now;
                 if let Some(link) = self.links.get_mut(&node) {
                     *link = Link { open: Some(now), took, heard: now, ..Link::default() };
                     self.follow(node, out);
                 }
             }
-            Input::Lost(node) => {
+            Input::Disconnected(node) => {
                 let now = self.now;
                 if let Some(link) = self.links.get_mut(&node)
                     && (link.open.take().is_some() || link.lost_at == 0)
@@ -203,17 +228,18 @@
     }
 
     /// The list of servers.
-    pub fn list(&self) -> &ServerList {
+    pub fn server_list(&self) -> &ServerList {
         &self.list
     }
 
     /// Whether a zone is evacuated, and how often that has changed.
-    pub fn evacuation(&self, zone: &str) -> (bool, u64) {
+    pub fn evacuation(&self, zone: &str) -> EvacuationState {
         let zones = self.evacuations.get(&PartitionId::of(zone)).into_iter().flat_map(|part| &part.zones);
         zones
             .into_iter()
             .find(|(of, ..)| of == zone)
-            .map_or((false, 0), |(_, active, changes)| (*active, *changes))
+            .map(|(_, active, changes)| EvacuationState { active: *active, changes: *changes })
+            .unwrap_or_default()
     }
 
     /// Whether a configuration and a list of servers are known.
@@ -255,7 +281,7 @@
                 let fewer = routers < self.routers && now < self.routers_at + COUNTED;
                 if routers > 0 && !fewer && (routers, place) != (self.routers, self.place) {
                     (self.routers, self.place, self.routers_at) = (routers, place, now);
-                    out.push(Output::Routers(routers, place));
+                    out.push(Output::RouterShare(RouterShare { count: routers, index: place }));
                 }
             }
             WatchResponse::Snapshot { sequence, document } => {
@@ -275,14 +301,14 @@
             WatchResponse::Evacuations(part) => {
                 if self.evacuations.get(&part.part).is_none_or(|known| known.sequence < part.sequence) {
                     self.evacuations.insert(part.part, part);
-                    out.push(Output::Servers);
+                    out.push(Output::ServersChanged);
                 }
             }
             WatchResponse::ServerList(news) => {
                 let before = self.list.position();
                 // Where they do not follow on what is known here, the whole list is asked for as any other news.
                 if self.list.follow(now, news) && before != self.list.position() {
-                    out.push(Output::Servers);
+                    out.push(Output::ServersChanged);
                 }
             }
         }
@@ -291,21 +317,21 @@
     fn tell_configuration(&self, change: Change, out: &mut Vec<Output>) {
         let pairs = format!("revision={} sequence={}", self.document.revision, self.sequence);
         out.push(Output::Log("configuration", pairs));
-        out.push(Output::Configuration(change));
+        out.push(Output::ConfigurationChanged(change));
     }
 
     fn beat(&mut self, out: &mut Vec<Output>) {
         self.beat_at = self.now;
         let state = self.router.state;
         let open = self.links.iter().filter(|(_, link)| link.open.is_some());
-        out.extend(open.map(|(node, _)| Output::Tell(*node, WatchRequest::Heartbeat { state })));
+        out.extend(open.map(|(node, _)| Output::Send(*node, WatchRequest::Heartbeat { state })));
     }
 
     fn follow(&self, node: NodeId, out: &mut Vec<Output>) {
         let primary = self.primary == Some(node);
         let follow =
             WatchRequest::Subscribe { router: self.router.clone(), primary, position: self.position() };
-        out.push(Output::Tell(node, follow));
+        out.push(Output::Send(node, follow));
     }
 
     /// Which control nodes to follow: each router draws its own three lots, so that followers are spread, and passes over those
@@ -332,7 +358,7 @@
         for node in &chosen {
             self.links.entry(*node).or_default();
         }
-        out.push(Output::Links(chosen.into_iter().collect()));
+        out.push(Output::SetConnections(chosen.into_iter().collect()));
     }
 
     /// The one that sends all changes: in touch with its group, and near.
@@ -370,7 +396,11 @@
         let touch = now < self.touched + OUT_OF_TOUCH;
         if std::mem::replace(&mut self.touch, touch) != touch {
             out.push(Output::Log("touch", format!("with_control={touch}")));
-            out.push(Output::Touch(touch));
+            out.push(Output::QuorumContact(if touch {
+                QuorumContact::Established
+            } else {
+                QuorumContact::Lost
+            }));
         }
     }
 
@@ -397,7 +427,7 @@
             let since = *link.ahead_since.get_or_insert(now);
             if now >= since + LATE && now >= link.wanted + 2 * LATE {
                 link.wanted = now;
-                out.push(Output::Tell(*node, WatchRequest::Fetch { position: position.clone() }));
+                out.push(Output::Send(*node, WatchRequest::Fetch { position: position.clone() }));
             }
         }
     }
--- a/routing/tests/placement.rs
+++ b/routing/tests/placement.rs
@@ -6,11 +6,14 @@
 use googletest::prelude::*;
 use ivyhatch_balancer::{Advice, BackendId, RequestId};
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
-use ivyhatch_routing::engine::Load;
-use ivyhatch_routing::placement::{Cold, Placement, Regions, Shared};
-use ivyhatch_routing::prompt::Prompt;
-
-const EVERYWHERE: Regions = Regions::MAX;
+use ivyhatch_routing::placement::{
+    ListedServer, Placement, RegionSet, ServiceSettings, SharedPlacement, SlowStartLimit,
+};
+use ivyhatch_routing::prefix_cache::Prompt;
+use ivyhatch_routing::router_share::RouterShare;
+use ivyhatch_routing::time_to_first_token::LoadReport;
+
+const EVERYWHERE: RegionSet = RegionSet::MAX;
 const AIM: Nanos = SECOND;
 const NOW: Nanos = 10 * SECOND;
 const HOME: u32 = 0;
@@ -19,36 +22,42 @@
 
 /// A router of region 0 of three, and one service's servers.
 struct Router {
-    shared: Shared,
+    shared: SharedPlacement,
     next: u64,
 }
 
 impl Router {
-    fn new(is_model: bool, cold: Cold) -> Self {
+    fn new(is_model: bool, cold: SlowStartLimit) -> Self {
         let mut placement = Placement::new(HOME, 3);
-        placement.configure(is_model, cold);
-        Self { shared: Shared(Rc::new(RefCell::new(placement))), next: 0 }
+        placement.configure(ServiceSettings { is_model, slow_start: cold });
+        Self { shared: SharedPlacement(Rc::new(RefCell::new(placement))), next: 0 }
     }
 
     /// One with some servers at home that are warm.
-    fn with_servers(is_model: bool, cold: Cold, servers: u32) -> Self {
+    fn with_servers(is_model: bool, cold: SlowStartLimit, servers: u32) -> Self {
         let router = Self::new(is_model, cold);
         (1..=servers).for_each(|server| router.listed(BackendId(server), HOME, 0));
         router
     }
 
     fn listed(&self, id: BackendId, region: u32, cold_until: Nanos) {
-        self.tell(|placement| placement.listed(id, &format!("i-{}", id.0), region, cold_until, false));
+        self.tell(|placement| {
+            let name = &format!("i-{}", id.0);
+            placement.upsert_server(
+                id,
+                ListedServer { name, region, slow_start_until: cold_until, is_last_resort: false },
+            );
+        });
     }
 
     fn tell<T>(&self, call: impl FnOnce(&mut Placement) -> T) -> T {
         call(&mut self.shared.0.borrow_mut())
     }
 
-    fn ask_for(&mut self, homes: Regions, prompt: Prompt) -> RequestId {
+    fn ask_for(&mut self, homes: RegionSet, prompt: Prompt) -> RequestId {
         let request = RequestId(self.next);
         self.next += 1;
-        self.tell(|placement| placement.asked(request, homes, prompt, AIM));
+        self.tell(|placement| placement.add_request(request, homes, prompt, AIM));
         request
     }
 
@@ -76,17 +85,17 @@
     }
 }
 
-fn bound(per_s: f64) -> Cold {
-    Cold { per_s, span: 5 * SECOND }
+fn bound(requests_per_second: f64) -> SlowStartLimit {
+    SlowStartLimit { requests_per_second, duration: 5 * SECOND }
 }
 
 fn prompt(prefix: &str, counts: &str) -> Prompt {
-    Prompt::read("m", Some(prefix), Some(counts))
+    Prompt::from_headers("m", Some(prefix), Some(counts))
 }
 
 #[gtest]
 fn a_request_goes_to_its_homes_alone() {
-    let mut router = Router::new(false, Cold::default());
+    let mut router = Router::new(false, SlowStartLimit::default());
     let servers = [BackendId(1), BackendId(2), BackendId(3)];
     servers.iter().zip(0..).for_each(|(id, region)| router.listed(*id, region, 0));
     for (homes, stays, allowed) in [
@@ -106,11 +115,11 @@
 
 #[gtest]
 fn a_server_that_is_not_listed_or_has_gone_gets_nothing() {
-    let mut router = Router::with_servers(false, Cold::default(), 1);
+    let mut router = Router::with_servers(false, SlowStartLimit::default(), 1);
     let request = router.ask();
     expect_that!(router.allows(NOW, request, BackendId(9)), eq(false));
     expect_that!(router.allows(NOW, request, SERVER), eq(true));
-    router.tell(|placement| placement.gone(SERVER));
+    router.tell(|placement| placement.remove_server(SERVER));
     expect_that!(router.allows(NOW, request, SERVER), eq(false));
 }
 
@@ -121,7 +130,7 @@
         for place in 0..routers {
             let mut router = Router::new(false, bound(per_s));
             router.listed(SERVER, HOME, NOW + 60 * SECOND);
-            router.tell(|placement| placement.set_routers(routers, place));
+            router.tell(|placement| placement.set_router_share(RouterShare { count: routers, index: place }));
             total += router.sends_in_a_second(NOW, SERVER);
         }
         expect_that!(total, all![ge((per_s / 2.0) as usize), le(per_s as usize)], "{per_s} over {routers}");
@@ -131,7 +140,7 @@
 #[gtest]
 fn what_cannot_be_divided_falls_to_other_routers_for_other_servers() {
     let mut router = Router::new(false, bound(5.0));
-    router.tell(|placement| placement.set_routers(9, 4));
+    router.tell(|placement| placement.set_router_share(RouterShare { count: 9, index: 4 }));
     let servers = 1..=60;
     servers.clone().for_each(|server| router.listed(BackendId(server), HOME, NOW + 60 * SECOND));
     let shares: Vec<usize> = servers.map(|server| router.sends_in_a_second(NOW, BackendId(server))).collect();
@@ -144,7 +153,7 @@
 fn no_second_holds_more_than_the_share_of_a_cold_server() {
     let mut router = Router::new(false, bound(20.0));
     router.listed(SERVER, HOME, NOW + 60 * SECOND);
-    router.tell(|placement| placement.set_routers(2, 0));
+    router.tell(|placement| placement.set_router_share(RouterShare { count: 2, index: 0 }));
     let sends: Vec<Nanos> =
         (0..1000).map(|turn| NOW + turn * 7 * MILLISECOND).filter(|at| router.sends(*at, SERVER)).collect();
     expect_that!(sends.len(), ge(20), "it goes on being sent some");
@@ -158,12 +167,12 @@
     let mut router = Router::new(false, bound(100.0));
     router.listed(SERVER, HOME, NOW + 60 * SECOND);
     expect_that!(router.sends_in_a_second(NOW, SERVER), le(1));
-    router.tell(|placement| placement.set_routers(2, 0));
+    router.tell(|placement| placement.set_router_share(RouterShare { count: 2, index: 0 }));
     expect_that!(router.sends_in_a_second(NOW + 3 * SECOND, SERVER), all![gt(10), le(50)]);
-    router.tell(|placement| placement.set_routers(0, 0));
+    router.tell(|placement| placement.set_router_share(RouterShare { count: 0, index: 0 }));
     expect_that!(router.sends_in_a_second(NOW + 6 * SECOND, SERVER), le(100), "there is at least this one");
     // Two control nodes may differ on who there is: a place beyond the number does no harm.
-    router.tell(|placement| placement.set_routers(2, 7));
+    router.tell(|placement| placement.set_router_share(RouterShare { count: 2, index: 7 }));
     expect_that!(router.sends_in_a_second(NOW + 9 * SECOND, SERVER), all![gt(10), le(50)]);
 }
 
@@ -171,7 +180,7 @@
 fn a_server_is_warm_again_in_time_and_where_there_is_no_bound() {
     let mut router = Router::new(false, bound(5.0));
     router.listed(SERVER, HOME, NOW + 3 * SECOND);
-    router.tell(|placement| placement.set_routers(1, 0));
+    router.tell(|placement| placement.set_router_share(RouterShare { count: 1, index: 0 }));
     expect_that!(router.sends_in_a_second(NOW, SERVER), le(5));
     // An older word on its warmth takes nothing back.
     router.listed(SERVER, HOME, 0);
@@ -186,9 +195,9 @@
 fn a_server_whose_zone_was_taken_back_counts_as_cold() {
     let mut router = Router::with_servers(false, bound(10.0), 2);
     router.tell(|placement| {
-        placement.set_routers(1, 0);
-        placement.may_be_cold(NOW, SERVER);
-        placement.may_be_cold(NOW, BackendId(99));
+        placement.set_router_share(RouterShare { count: 1, index: 0 });
+        placement.restart_slow_start(NOW, SERVER);
+        placement.restart_slow_start(NOW, BackendId(99));
     });
     expect_that!(router.sends_in_a_second(NOW, SERVER), le(10));
     expect_that!(router.sends_in_a_second(NOW, BackendId(2)), eq(200), "the others are warm");
@@ -199,21 +208,21 @@
 #[gtest]
 fn sends_before_a_server_turned_cold_count_as_well() {
     let mut router = Router::with_servers(false, bound(10.0), 1);
-    router.tell(|placement| placement.set_routers(1, 0));
+    router.tell(|placement| placement.set_router_share(RouterShare { count: 1, index: 0 }));
     expect_that!((0..10).all(|_| router.sends(NOW, SERVER)), eq(true));
-    router.tell(|placement| placement.may_be_cold(NOW, SERVER));
+    router.tell(|placement| placement.restart_slow_start(NOW, SERVER));
     expect_that!(router.sends(NOW + SECOND / 2, SERVER), eq(false));
     expect_that!(router.sends(NOW + 2 * SECOND, SERVER), eq(true));
 }
 
 #[gtest]
 fn a_server_that_was_not_reached_is_left_alone_for_longer_each_time() {
-    let mut router = Router::with_servers(false, Cold::default(), 2);
+    let mut router = Router::with_servers(false, SlowStartLimit::default(), 2);
     let request = router.ask();
     let mut at = NOW;
     let mut pauses = Vec::new();
     for _ in 0..8 {
-        router.tell(|placement| placement.unreached(at, SERVER));
+        router.tell(|placement| placement.record_connect_failure(at, SERVER));
         expect_that!(router.allows(at, request, SERVER), eq(false));
         expect_that!(router.allows(at, request, BackendId(2)), eq(true), "the others go on");
         let pause =
@@ -229,20 +238,20 @@
 
 #[gtest]
 fn one_request_at_a_time_tries_a_server_that_was_not_reached() {
-    let mut router = Router::with_servers(false, Cold::default(), 1);
-    router.tell(|placement| placement.unreached(NOW, SERVER));
+    let mut router = Router::with_servers(false, SlowStartLimit::default(), 1);
+    router.tell(|placement| placement.record_connect_failure(NOW, SERVER));
     let later = NOW + SECOND;
     expect_that!(router.sends(later, SERVER), eq(true));
     expect_that!(router.sends(later, SERVER), eq(false), "one is on its way to it");
-    router.tell(|placement| placement.reached(SERVER));
+    router.tell(|placement| placement.record_response(SERVER));
     expect_that!((0..50).all(|_| router.sends(later, SERVER)), eq(true));
-    router.tell(|placement| placement.unreached(later, SERVER));
+    router.tell(|placement| placement.record_connect_failure(later, SERVER));
     expect_that!(router.sends(later + 300 * MILLISECOND, SERVER), eq(true), "the pauses begin anew");
 }
 
 #[gtest]
 fn what_serves_no_model_is_not_judged_by_prompts() {
-    let mut router = Router::with_servers(false, Cold::default(), 1);
+    let mut router = Router::with_servers(false, SlowStartLimit::default(), 1);
     let request = router.ask_for(EVERYWHERE, prompt("a:100000", "100000,9"));
     expect_that!(router.shared.delay(NOW, request, SERVER), none());
     expect_that!(router.tell(|placement| placement.utilisation(SERVER)), none());
@@ -251,7 +260,7 @@
 
 #[gtest]
 fn a_prompt_goes_where_it_can_begin_in_time() {
-    let mut router = Router::with_servers(true, Cold::default(), 1);
+    let mut router = Router::with_servers(true, SlowStartLimit::default(), 1);
     let large = || prompt("1:30000", "30000,9");
     // Whatever its size: one goes to a server that has none of this router's.
     let first = router.ask_for(EVERYWHERE, prompt("2:9000000", "9000000,9"));
@@ -270,7 +279,7 @@
     let small = router.ask_for(EVERYWHERE, prompt("3:10", "10,1"));
     let before = router.shared.delay(NOW, small, SERVER).expect("known");
     for request in &sent {
-        router.tell(|placement| placement.begun(NOW, *request, 300 * MILLISECOND));
+        router.tell(|placement| placement.record_first_token(NOW, *request, 300 * MILLISECOND));
     }
     let next = router.ask_for(EVERYWHERE, large());
     expect_that!(router.allows(NOW, next, SERVER), eq(true), "they have begun");
@@ -279,35 +288,35 @@
 
 #[gtest]
 fn an_attempt_that_ends_unbegun_gives_its_room_back() {
-    let mut router = Router::with_servers(true, Cold::default(), 1);
+    let mut router = Router::with_servers(true, SlowStartLimit::default(), 1);
     let probe = router.ask_for(EVERYWHERE, prompt("1:10", "10,1"));
     let idle = router.shared.delay(NOW, probe, SERVER).expect("known");
     let (one, other) = (router.ask_for(EVERYWHERE, prompt("2:9000", "9000,1")), router.ask());
     router.shared.sent(NOW, other, SERVER);
     router.shared.sent(NOW, one, SERVER);
     expect_that!(router.shared.delay(NOW, probe, SERVER), some(gt(idle)));
-    router.tell(|placement| placement.settled(one));
+    router.tell(|placement| placement.end_attempt(one));
     expect_that!(router.shared.delay(NOW, probe, SERVER), some(near(idle, 1000.0)));
     // Twice is once, and an end without an attempt is none.
     router.tell(|placement| {
-        placement.settled(one);
-        placement.ended(one);
-        placement.ended(other);
-        placement.ended(other);
+        placement.end_attempt(one);
+        placement.remove_request(one);
+        placement.remove_request(other);
+        placement.remove_request(other);
     });
     expect_that!(router.shared.delay(NOW, probe, SERVER), some(near(idle, 1000.0)));
 }
 
 #[gtest]
 fn a_server_that_keeps_a_prompt_s_parts_is_expected_to_answer_sooner() {
-    let mut router = Router::with_servers(true, Cold::default(), 2);
+    let mut router = Router::with_servers(true, SlowStartLimit::default(), 2);
     let asked = || prompt("a:5000,b:300", "5300,9");
     let first = router.ask_for(EVERYWHERE, asked());
     let (one, two) = (SERVER, BackendId(2));
     router.shared.sent(NOW, first, one);
     router.tell(|placement| {
-        placement.begun(NOW, first, 60 * MILLISECOND);
-        placement.ended(first);
+        placement.record_first_token(NOW, first, 60 * MILLISECOND);
+        placement.remove_request(first);
     });
     // One with the same shared part, and one that shares nothing.
     let like = router.ask_for(EVERYWHERE, prompt("a:5000,c:300", "5300,9"));
@@ -319,12 +328,12 @@
 
 #[gtest]
 fn a_server_s_word_on_its_queue_is_heeded() {
-    let mut router = Router::with_servers(true, Cold::default(), 1);
+    let mut router = Router::with_servers(true, SlowStartLimit::default(), 1);
     let request = router.ask_for(EVERYWHERE, prompt("1:10", "10,1"));
     let idle = router.shared.delay(NOW, request, SERVER).expect("known");
     router.tell(|placement| {
-        placement.told(NOW, SERVER, Load { running: 8.0, waiting: 8.0, slots: 8.0 });
-        placement.told(NOW, BackendId(99), Load::default());
+        placement.record_load_report(NOW, SERVER, LoadReport { running: 8.0, waiting: 8.0, slots: 8.0 });
+        placement.record_load_report(NOW, BackendId(99), LoadReport::default());
     });
     expect_that!(router.shared.delay(NOW, request, SERVER), some(gt(idle)));
     expect_that!(router.tell(|placement| placement.utilisation(SERVER)), some(ge(1.0)));
@@ -332,16 +341,21 @@
 
 #[gtest]
 fn a_last_resort_gets_what_no_other_server_can_be_reached_for() {
-    let mut router = Router::with_servers(false, Cold::default(), 1);
+    let mut router = Router::with_servers(false, SlowStartLimit::default(), 1);
     let last = BackendId(2);
-    router.tell(|placement| placement.listed(last, "i-2", OTHER, 0, true));
+    router.tell(|placement| {
+        placement.upsert_server(
+            last,
+            ListedServer { name: "i-2", region: OTHER, slow_start_until: 0, is_last_resort: true },
+        )
+    });
     let request = router.ask();
     expect_that!(router.allows(NOW, request, last), eq(false));
     let elsewhere = router.ask_for(1 << OTHER, Prompt::default());
     expect_that!(router.allows(NOW, elsewhere, last), eq(true), "the other is not in its homes");
-    router.tell(|placement| placement.unreached(NOW, SERVER));
+    router.tell(|placement| placement.record_connect_failure(NOW, SERVER));
     expect_that!(router.allows(NOW, request, last), eq(true));
-    router.tell(|placement| placement.reached(SERVER));
+    router.tell(|placement| placement.record_response(SERVER));
     expect_that!(router.allows(NOW, request, last), eq(false));
     router.listed(last, OTHER, 0);
     expect_that!(router.allows(NOW, request, last), eq(true), "its zone was taken back");
--- a/routing/tests/prompt.rs
+++ b/routing/tests/prefix_cache.rs
@@ -2,10 +2,10 @@
 
 use googletest::prelude::*;
 use ivyhatch_protocol::SECOND;
-use ivyhatch_routing::prompt::{Kept, Prompt};
+use ivyhatch_routing::prefix_cache::{PrefixCache, Prompt};
 
 fn prompt(prefix: &str, counts: &str) -> Prompt {
-    Prompt::read("m", Some(prefix), Some(counts))
+    Prompt::from_headers("m", Some(prefix), Some(counts))
 }
 
 fn sizes(prompt: &Prompt) -> Vec<u32> {
@@ -17,7 +17,7 @@
     let read = prompt("5c1e07a2:800,91bd3f06:410,e4402b7d:250", "1460,80");
     expect_that!(sizes(&read), elements_are![eq(&800), eq(&410), eq(&250)]);
     expect_that!((read.tokens, read.out), eq((1460, 80)));
-    expect_that!(read.shared(), some(eq(read.parts[1].0)), "the last part is the request's own");
+    expect_that!(read.affinity_key(), some(eq(read.parts[1].0)), "the last part is the request's own");
     let spaced = prompt(" 5c1e07a2:800 ,91bd3f06:410 , e4402b7d:250", " 1460 , 80 ");
     expect_that!(spaced, eq(&read));
     expect_that!(prompt("5C1E07A2:800,91BD3F06:410,E4402B7D:250", "1460,80"), eq(&read), "hex in any case");
@@ -25,23 +25,24 @@
 
 #[gtest]
 fn what_is_missing_is_made_up_from_the_rest() {
-    let nothing = Prompt::read("", None, None);
+    let nothing = Prompt::from_headers("", None, None);
     expect_that!(nothing, eq(&Prompt::default()));
-    expect_that!(nothing.shared(), none());
-    let listed = Prompt::read("m", Some("a:30,b:12"), None);
+    expect_that!(nothing.affinity_key(), none());
+    let listed = Prompt::from_headers("m", Some("a:30,b:12"), None);
     expect_that!((listed.tokens, listed.out), eq((42, 0)));
-    let counted = Prompt::read("m", None, Some("99"));
+    let counted = Prompt::from_headers("m", None, Some("99"));
     expect_that!((counted.parts.len(), counted.tokens, counted.out), eq((0, 99, 0)));
-    expect_that!(prompt("a:30", "1,2").shared(), none(), "its only part is its own");
+    expect_that!(prompt("a:30", "1,2").affinity_key(), none(), "its only part is its own");
     expect_that!(prompt("a:30,b:12", "x,7").tokens, eq(42));
     expect_that!(prompt("a:30,b:12", "x,7").out, eq(7));
 }
 
 #[gtest]
 fn parts_of_two_models_are_not_the_same() {
-    let (one, other) = (Prompt::read("m", Some("a:3"), None), Prompt::read("n", Some("a:3"), None));
+    let (one, other) =
+        (Prompt::from_headers("m", Some("a:3"), None), Prompt::from_headers("n", Some("a:3"), None));
     expect_that!(one.parts[0].0, not(eq(other.parts[0].0)));
-    expect_that!(one, eq(&Prompt::read("m", Some("a:3"), None)));
+    expect_that!(one, eq(&Prompt::from_headers("m", Some("a:3"), None)));
 }
 
 #[gtest]
@@ -62,14 +63,14 @@
     let huge = prompt(&format!("a:{most},b:{most},c:{most}"), "");
     expect_that!(huge.parts, len(eq(3)));
     expect_that!(huge.tokens, ge(most / 2), "it stays large");
-    let mut kept = Kept::default();
+    let mut kept = PrefixCache::default();
     kept.read(SECOND, &huge);
     expect_that!(kept.unread(SECOND, &huge), eq(0));
 }
 
 #[gtest]
 fn only_what_stands_behind_kept_parts_need_not_be_read() {
-    let mut kept = Kept::default();
+    let mut kept = PrefixCache::default();
     let read = prompt("a:800,b:400,c:200", "1500,9");
     expect_that!(kept.unread(SECOND, &read), eq(1500));
     kept.read(SECOND, &read);
@@ -91,7 +92,7 @@
 
 #[gtest]
 fn what_was_not_used_for_long_is_taken_for_forgotten() {
-    let (mut kept, read) = (Kept::default(), prompt("a:800,b:400", "1200,9"));
+    let (mut kept, read) = (PrefixCache::default(), prompt("a:800,b:400", "1200,9"));
     kept.read(SECOND, &read);
     expect_that!(kept.unread(60 * SECOND, &read), eq(0));
     expect_that!(kept.unread(600 * SECOND, &read), eq(1200));
@@ -101,7 +102,7 @@
 
 #[gtest]
 fn memory_is_bounded_and_the_newest_parts_stay() {
-    let mut kept = Kept::default();
+    let mut kept = PrefixCache::default();
     let numbered = |number: u32| prompt(&format!("{number:x}:10"), "10,1");
     const MANY: u32 = 50_000;
     for number in 0..MANY {
--- a/routing/tests/table.rs
+++ b/routing/tests/route_table.rs
@@ -4,7 +4,7 @@
 
 use googletest::prelude::*;
 use ivyhatch_protocol::configuration::{Change, Item, Route};
-use ivyhatch_routing::table::{PreparedChange, Table, target};
+use ivyhatch_routing::route_table::{PreparedChange, RouteTable, select_service};
 use serde_json::{Value, json};
 
 fn route(name: &str, host: &str, prefix: &str) -> Value {
@@ -25,13 +25,13 @@
     }
 }
 
-fn table(routes: &[Value]) -> Table {
-    let mut table = Table::default();
+fn table(routes: &[Value]) -> RouteTable {
+    let mut table = RouteTable::default();
     assert!(table.apply(&change("routes", routes, &[])).is_empty(), "all can be read");
     table
 }
 
-fn found(table: &Table, host: &str, path: &str) -> Option<String> {
+fn found(table: &RouteTable, host: &str, path: &str) -> Option<String> {
     table.find(host, path).map(|route| route.name.clone())
 }
 
@@ -131,7 +131,7 @@
 
 #[gtest]
 fn limits_change_and_fall_back_to_the_usual_ones() {
-    let mut table = Table::default();
+    let mut table = RouteTable::default();
     let usual = table.limits();
     let limits = |text: Option<&str>| Change {
         rest: BTreeMap::from([("limits".to_owned(), text.map(str::to_owned))]),
@@ -161,23 +161,23 @@
     let route = split(&[("none", 0.0), ("most", 90.0), ("nil", 0.0), ("few", 10.0), ("last", 0.0)]);
     let mut counts: BTreeMap<&str, u32> = BTreeMap::new();
     for draw in 0..DRAWS {
-        let to = target(&route, f64::from(draw) / f64::from(DRAWS)).expect("a service");
+        let to = select_service(&route, f64::from(draw) / f64::from(DRAWS)).expect("a service");
         *counts.entry(to).or_default() += 1;
     }
     expect_that!(counts.keys().copied().collect::<Vec<_>>(), elements_are![eq(&"few"), eq(&"most")]);
     expect_that!(counts["most"], all![ge(DRAWS * 899 / 1000), le(DRAWS * 901 / 1000)]);
     // The ends of the draws, also one past them.
     for (draw, to) in [(0.0, "most"), (0.899_999, "most"), (0.9, "few"), (1.0, "few"), (1.1, "few")] {
-        expect_that!(target(&route, draw), some(eq(to)), "{draw}");
+        expect_that!(select_service(&route, draw), some(eq(to)), "{draw}");
     }
-    expect_that!(target(&split(&[("a", 0.0)]), 0.5), none());
+    expect_that!(select_service(&split(&[("a", 0.0)]), 0.5), none());
 }
 
 #[gtest]
 fn a_route_without_a_split_leads_to_its_service() {
     let route: Route = serde_json::from_value(route("r", "h", "/")).expect("a sound route");
     for draw in [0.0, 0.5, 1.0] {
-        expect_that!(target(&route, draw), some(eq("s")));
+        expect_that!(select_service(&route, draw), some(eq("s")));
     }
 }
 
@@ -186,9 +186,9 @@
     let mut table = table(&[route("old", "h", "/old/"), route("r1", "h", "/elsewhere/")]);
     let many: Vec<Value> = (0..1000).map(|at| route(&format!("r{at}"), "h", &format!("/p{at}/"))).collect();
     let mut change = PreparedChange::new(self::change("routes", &many, &["old"]));
-    let turns = (1..).find(|_| change.read(30)).expect("it ends");
+    let turns = (1..).find(|_| change.parse_items(30)).expect("it ends");
     expect_that!(turns, eq(34));
-    expect_that!(change.read(1), eq(true), "nothing is left");
+    expect_that!(change.parse_items(1), eq(true), "nothing is left");
     expect_that!(found(&table, "h", "/old/x"), eq(&named("old")), "nothing has changed yet");
     expect_that!(table.commit(change), is_empty());
     expect_that!(table.routes().count(), eq(1000));
@@ -203,8 +203,8 @@
     let many: Vec<Value> = (0..10).map(|at| route(&format!("r{at}"), "h", &format!("/p{at}/"))).collect();
     for read in [0, 1, 9, 10] {
         let mut change = PreparedChange::new(self::change("routes", &many, &[]));
-        change.read(read);
-        let mut table = Table::default();
+        change.parse_items(read);
+        let mut table = RouteTable::default();
         expect_that!(table.commit(change), is_empty());
         expect_that!(table.routes().count(), eq(10), "{read} read before");
     }
--- a/routing/tests/engine.rs
+++ b/routing/tests/time_to_first_token.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
-use ivyhatch_routing::engine::{Engine, Load, Speed};
+use ivyhatch_routing::time_to_first_token::{LoadReport, PrefillModel, ServerQueue};
 
 const MS: f64 = MILLISECOND as f64;
 const NEAR: u32 = 0;
@@ -11,13 +11,13 @@
 /// An engine in a region, and what is known of all of its service.
 #[derive(Clone)]
 struct Known {
-    engine: Engine,
-    speed: Speed,
+    engine: ServerQueue,
+    speed: PrefillModel,
 }
 
 impl Known {
     fn nothing() -> Self {
-        Self { engine: Engine::default(), speed: Speed::new(2) }
+        Self { engine: ServerQueue::default(), speed: PrefillModel::new(2) }
     }
 
     /// First tokens of an engine that reads so many tokens in a millisecond and needs so long for the shortest prompt.
@@ -48,19 +48,19 @@
 
 #[gtest]
 fn loads_are_read_and_garbage_is_none() {
-    let load = Load { running: 3.0, waiting: 1.0, slots: 8.0 };
-    expect_that!(Load::read("3,1,8"), some(eq(load)));
-    expect_that!(Load::read(" 3 , 1 , 8 "), some(eq(load)));
-    expect_that!(load.share(), near(0.5, 1e-9));
+    let load = LoadReport { running: 3.0, waiting: 1.0, slots: 8.0 };
+    expect_that!(LoadReport::from_header("3,1,8"), some(eq(load)));
+    expect_that!(LoadReport::from_header(" 3 , 1 , 8 "), some(eq(load)));
+    expect_that!(load.utilisation(), near(0.5, 1e-9));
     for text in ["", "3", "3,1", "3,1,0", "-3,1,8", "3,-1,8", "a,b,c", "3;1;8", ",,", "NaN,1,8", "1,1,NaN"] {
-        expect_that!(Load::read(text), none(), "{text}");
+        expect_that!(LoadReport::from_header(text), none(), "{text}");
     }
 }
 
 #[gtest]
 fn no_server_holds_an_endless_number_of_requests() {
     for text in ["inf,0,8", "0,inf,8", "0,0,inf", "1e999,0,8"] {
-        expect_that!(Load::read(text), none(), "{text}");
+        expect_that!(LoadReport::from_header(text), none(), "{text}");
     }
 }
 
@@ -97,7 +97,7 @@
     for _ in 0..1000 {
         known.engine.learn(&mut known.speed, FAR, 100, (80.0 * MS) as Nanos);
     }
-    let other = Engine::default();
+    let other = ServerQueue::default();
     expect_that!(other.delay(SECOND, &known.speed, NEAR, 0) / MS, le(10.0));
     expect_that!(other.delay(SECOND, &known.speed, FAR, 0) / MS, near(80.0, 20.0));
     // A region that the settings do not name takes no harm.
@@ -152,7 +152,7 @@
 fn what_a_server_tells_of_its_queue_counts_while_it_is_fresh() {
     let mut known = Known::nothing();
     let idle = known.delay(0);
-    known.engine.told(SECOND, Load { running: 8.0, waiting: 4.0, slots: 8.0 });
+    known.engine.told(SECOND, LoadReport { running: 8.0, waiting: 4.0, slots: 8.0 });
     let told = known.delay(0);
     let aged = known.delay_at(SECOND + 300 * MILLISECOND, 0);
     expect_that!(told, gt(aged));
@@ -181,7 +181,7 @@
 fn utilisation_is_the_share_of_places_where_that_is_more() {
     for (running, share) in [(0.0, 0.0), (4.0, 0.5), (8.0, 1.0), (900.0, 1.2)] {
         let mut known = Known::nothing();
-        known.engine.told(SECOND, Load { running, waiting: 0.0, slots: 8.0 });
+        known.engine.told(SECOND, LoadReport { running, waiting: 0.0, slots: 8.0 });
         expect_that!(known.utilisation(), near(share, 1e-9));
     }
 }
--- a/routing/tests/watch_client.rs
+++ b/routing/tests/watch_client.rs
@@ -7,7 +7,7 @@
     EvacuationUpdate, Position, Router, RouterState, Server, ServerListUpdate, WatchRequest, WatchResponse,
 };
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
-use ivyhatch_routing::watch_client::{Input, Output, WatchClient};
+use ivyhatch_routing::watch_client::{EvacuationState, Input, Output, QuorumContact, WatchClient};
 
 const START: Nanos = SECOND;
 const TICK: Nanos = 100 * MILLISECOND;
@@ -97,7 +97,7 @@
     fn linked() -> Self {
         let mut routed = Self::new(3);
         for (node, took) in nodes(3).into_iter().zip(1..) {
-            routed.hear(Input::Linked(node, took * MILLISECOND));
+            routed.hear(Input::Connected { node, round_trip: took * MILLISECOND });
             routed.alive.push((node, Position::default(), true));
         }
         routed.pass(2 * TICK);
@@ -109,7 +109,7 @@
         let mut done = Vec::new();
         self.follower.handle(self.now, heard, &mut done);
         for what in &done {
-            if let Output::Links(to) = what {
+            if let Output::SetConnections(to) = what {
                 self.links.clone_from(to);
             }
         }
@@ -148,7 +148,7 @@
 /// Who was told who is the primary one.
 fn follows(done: &[Output]) -> Vec<(NodeId, bool)> {
     let told = |done: &Output| match done {
-        Output::Tell(to, WatchRequest::Subscribe { primary, .. }) => Some((*to, *primary)),
+        Output::Send(to, WatchRequest::Subscribe { primary, .. }) => Some((*to, *primary)),
         _ => None,
     };
     done.iter().filter_map(told).collect()
@@ -156,19 +156,19 @@
 
 fn wants(done: &[Output]) -> Vec<(NodeId, Position)> {
     let told = |done: &Output| match done {
-        Output::Tell(to, WatchRequest::Fetch { position }) => Some((*to, position.clone())),
+        Output::Send(to, WatchRequest::Fetch { position }) => Some((*to, position.clone())),
         _ => None,
     };
     done.iter().filter_map(told).collect()
 }
 
 fn routers(done: &[Output]) -> Vec<u32> {
-    let told = |done: &Output| if let Output::Routers(routers, _) = done { Some(*routers) } else { None };
+    let told = |done: &Output| if let Output::RouterShare(share) = done { Some(share.count) } else { None };
     done.iter().filter_map(told).collect()
 }
 
 fn configurations(done: &[Output]) -> usize {
-    done.iter().filter(|done| matches!(done, Output::Configuration(_))).count()
+    done.iter().filter(|done| matches!(done, Output::ConfigurationChanged(_))).count()
 }
 
 #[gtest]
@@ -177,7 +177,7 @@
         let routed = Routed::new(known);
         expect_that!(routed.links, len(eq(kept)));
         let unchanged = Routed::new(known).pass(SECOND);
-        expect_that!(unchanged.iter().any(|done| matches!(done, Output::Links(_))), eq(false));
+        expect_that!(unchanged.iter().any(|done| matches!(done, Output::SetConnections(_))), eq(false));
     }
     let mut routed = Routed::new(1);
     routed.hear(Input::Seeds(nodes(7)));
@@ -192,7 +192,7 @@
         let (mut follower, mut done) = (WatchClient::new(router, &nodes(9), START), Vec::new());
         follower.handle(START, Input::Tick, &mut done);
         for what in done {
-            if let Output::Links(to) = what {
+            if let Output::SetConnections(to) = what {
                 chosen.extend(to);
             }
         }
@@ -203,7 +203,7 @@
 #[gtest]
 fn control_nodes_that_are_told_of_are_known() {
     let mut routed = Routed::new(1);
-    routed.hear(Input::Linked(NodeId(1), MILLISECOND));
+    routed.hear(Input::Connected { node: NodeId(1), round_trip: MILLISECOND });
     let message = WatchResponse::Progress {
         position: Position::default(),
         has_quorum: true,
@@ -222,7 +222,7 @@
         let mut routed = Routed::new(6);
         for _ in 0..300 {
             let links = routed.links.clone();
-            links.into_iter().for_each(|node| drop(routed.hear(Input::Lost(node))));
+            links.into_iter().for_each(|node| drop(routed.hear(Input::Disconnected(node))));
             routed.pass(TICK);
         }
         let mut tried_after = None;
@@ -231,7 +231,7 @@
                 tried_after.get_or_insert(tick);
             }
             let links = routed.links.clone();
-            links.into_iter().for_each(|node| drop(routed.hear(Input::Lost(node))));
+            links.into_iter().for_each(|node| drop(routed.hear(Input::Disconnected(node))));
             routed.pass(TICK);
         }
         expect_that!(tried_after, some(le(45)), "{wanted}");
@@ -242,18 +242,18 @@
 fn one_that_cannot_be_reached_makes_room_for_another() {
     let mut routed = Routed::new(4);
     let first = routed.links.clone();
-    routed.hear(Input::Lost(first[0]));
+    routed.hear(Input::Disconnected(first[0]));
     routed.pass(SECOND);
     expect_that!(routed.links, eq(&first), "it may come back");
     for _ in 0..20 {
-        routed.hear(Input::Lost(first[0]));
+        routed.hear(Input::Disconnected(first[0]));
         routed.pass(TICK);
     }
     expect_that!(routed.links, not(contains(eq(&first[0]))));
     expect_that!(routed.links, len(eq(3)));
     // Where there is no other it is kept.
     let mut only = Routed::new(3);
-    only.hear(Input::Lost(NodeId(1)));
+    only.hear(Input::Disconnected(NodeId(1)));
     only.pass(5 * SECOND);
     expect_that!(only.links, eq(&nodes(3)));
 }
@@ -269,15 +269,15 @@
         ((6, false), (3, false), 3),
     ] {
         let mut routed = Routed::new(3);
-        routed.hear(Input::Linked(NodeId(1), MILLISECOND));
+        routed.hear(Input::Connected { node: NodeId(1), round_trip: MILLISECOND });
         routed.says(1, Some((Position::default(), true)));
         routed.pass(TICK);
         for (node, (took, has_quorum)) in [(2, two), (3, three)] {
-            routed.hear(Input::Linked(NodeId(node), took * MILLISECOND));
+            routed.hear(Input::Connected { node: NodeId(node), round_trip: took * MILLISECOND });
             routed.says(node, Some((Position::default(), has_quorum)));
         }
         routed.pass(SECOND);
-        let done = routed.hear(Input::Lost(NodeId(1)));
+        let done = routed.hear(Input::Disconnected(NodeId(1)));
         expect_that!(follows(&done), elements_are![eq(&(NodeId(next), true))], "{two:?} {three:?}");
     }
 }
@@ -285,10 +285,10 @@
 #[gtest]
 fn a_primary_one_that_is_sound_is_kept_though_a_nearer_one_comes() {
     let mut routed = Routed::new(3);
-    routed.hear(Input::Linked(NodeId(3), 9 * MILLISECOND));
+    routed.hear(Input::Connected { node: NodeId(3), round_trip: 9 * MILLISECOND });
     routed.says(3, Some((Position::default(), true)));
     routed.pass(SECOND);
-    routed.hear(Input::Linked(NodeId(1), MILLISECOND));
+    routed.hear(Input::Connected { node: NodeId(1), round_trip: MILLISECOND });
     routed.says(1, Some((Position::default(), true)));
     let done = routed.pass(3 * SECOND);
     expect_that!(follows(&done).iter().any(|(_, primary)| *primary), eq(false));
@@ -306,7 +306,7 @@
 #[gtest]
 fn a_primary_one_that_ends_is_left_at_once() {
     let mut routed = Routed::linked();
-    let done = routed.hear(Input::Lost(NodeId(1)));
+    let done = routed.hear(Input::Disconnected(NodeId(1)));
     expect_that!(follows(&done), elements_are![eq(&(NodeId(2), true))]);
 }
 
@@ -328,7 +328,7 @@
     let mut routed = Routed::linked();
     let beats = |done: &[Output], of: RouterState| {
         let to = |done: &Output| match done {
-            Output::Tell(to, WatchRequest::Heartbeat { state }) if *state == of => Some(*to),
+            Output::Send(to, WatchRequest::Heartbeat { state }) if *state == of => Some(*to),
             _ => None,
         };
         done.iter().filter_map(to).collect::<Vec<_>>()
@@ -381,8 +381,8 @@
         expect_that!(routed.configured(), eq((5, 50)));
     }
     // A session that begins anew changes nothing in that.
-    routed.hear(Input::Lost(NodeId(1)));
-    routed.hear(Input::Linked(NodeId(1), MILLISECOND));
+    routed.hear(Input::Disconnected(NodeId(1)));
+    routed.hear(Input::Connected { node: NodeId(1), round_trip: MILLISECOND });
     routed.say(1, WatchResponse::Snapshot { sequence: 4, document: document(40, &["b"]).into() });
     expect_that!(routed.configured(), eq((5, 50)));
     routed.say(3, WatchResponse::Snapshot { sequence: 6, document: document(60, &["b"]).into() });
@@ -415,7 +415,7 @@
         routed.say(1, WatchResponse::Snapshot { sequence: 9, document: document(90, &["b", "c"]).into() });
     let change = told
         .into_iter()
-        .find_map(|done| if let Output::Configuration(change) = done { Some(change) } else { None });
+        .find_map(|done| if let Output::ConfigurationChanged(change) = done { Some(change) } else { None });
     let change = change.expect("a change");
     expect_that!(change.remove["routes"], elements_are![eq("a")]);
     expect_that!(
@@ -427,7 +427,7 @@
 #[gtest]
 fn servers_of_a_lower_epoch_are_refused() {
     let ids = |routed: &Routed| {
-        routed.follower.list().servers(routed.now).map(|server| server.id).collect::<Vec<_>>()
+        routed.follower.server_list().servers(routed.now).map(|server| server.id).collect::<Vec<_>>()
     };
     let mut routed = Routed::linked();
     routed.say(1, list(5, None, 3, &["x"]));
@@ -436,13 +436,13 @@
         [(4, None, 99), (4, Some(3), 4), (5, None, 2), (5, None, 3), (5, Some(2), 4), (5, Some(4), 5)]
     {
         let told = routed.say(2, list(counter, from, to, &["y"]));
-        expect_that!(told.contains(&Output::Servers), eq(false), "{counter} {from:?} {to}");
+        expect_that!(told.contains(&Output::ServersChanged), eq(false), "{counter} {from:?} {to}");
         expect_that!(ids(&routed), elements_are![eq("x")]);
     }
     routed.say(2, list(5, Some(3), 4, &["y"]));
     expect_that!(ids(&routed), elements_are![eq("x"), eq("y")]);
     let told = routed.say(3, list(6, None, 1, &["z"]));
-    expect_that!(told.contains(&Output::Servers), eq(true), "a new reader begins anew");
+    expect_that!(told.contains(&Output::ServersChanged), eq(true), "a new reader begins anew");
     expect_that!(ids(&routed), elements_are![eq("z")]);
 }
 
@@ -457,16 +457,16 @@
         })
     };
     let mut routed = Routed::linked();
-    expect_that!(routed.follower.evacuation("a"), eq((false, 0)));
-    expect_that!(routed.say(1, told(2, true, 1)), contains(eq(&Output::Servers)));
-    expect_that!(routed.follower.evacuation("a"), eq((true, 1)));
-    expect_that!(routed.follower.evacuation("b"), eq((false, 0)));
+    expect_that!(routed.follower.evacuation("a"), eq(EvacuationState { active: false, changes: 0 }));
+    expect_that!(routed.say(1, told(2, true, 1)), contains(eq(&Output::ServersChanged)));
+    expect_that!(routed.follower.evacuation("a"), eq(EvacuationState { active: true, changes: 1 }));
+    expect_that!(routed.follower.evacuation("b"), eq(EvacuationState { active: false, changes: 0 }));
     for sequence in [0, 1, 2] {
-        expect_that!(routed.say(2, told(sequence, false, 0)).contains(&Output::Servers), eq(false));
-        expect_that!(routed.follower.evacuation("a"), eq((true, 1)));
+        expect_that!(routed.say(2, told(sequence, false, 0)).contains(&Output::ServersChanged), eq(false));
+        expect_that!(routed.follower.evacuation("a"), eq(EvacuationState { active: true, changes: 1 }));
     }
     routed.say(2, told(3, false, 2));
-    expect_that!(routed.follower.evacuation("a"), eq((false, 2)));
+    expect_that!(routed.follower.evacuation("a"), eq(EvacuationState { active: false, changes: 2 }));
 }
 
 #[gtest]
@@ -505,7 +505,7 @@
     let told = |routed: &mut Routed, routers, place| {
         let done = routed.say(1, placed(Position::default(), true, routers, place));
         done.iter().find_map(|done| {
-            if let Output::Routers(routers, place) = done { Some((*routers, *place)) } else { None }
+            if let Output::RouterShare(share) = done { Some((share.count, share.index)) } else { None }
         })
     };
     expect_that!(told(&mut routed, 6, 2), some(eq((6, 2))));
@@ -539,7 +539,13 @@
 #[gtest]
 fn that_no_control_node_is_in_touch_is_told_once_and_its_end_as_well() {
     let touch = |done: &[Output]| {
-        let told = |done: &Output| if let Output::Touch(touch) = done { Some(*touch) } else { None };
+        let told = |done: &Output| {
+            if let Output::QuorumContact(contact) = done {
+                Some(*contact == QuorumContact::Established)
+            } else {
+                None
+            }
+        };
         done.iter().filter_map(told).collect::<Vec<_>>()
     };
     let mut routed = Routed::linked();
@@ -585,13 +591,13 @@
         done.extend(routed.say(1, heads(Position::default(), true, 0)));
         done.extend(routed.pass(SECOND));
         expect_that!(follows(&done), is_empty(), "the primary one stays");
-        expect_that!(done.iter().any(|done| matches!(done, Output::Touch(_))), eq(false));
+        expect_that!(done.iter().any(|done| matches!(done, Output::QuorumContact(_))), eq(false));
         // One that says nothing then is silent all the same.
         routed.alive.clear();
         routed.now += stall;
         routed.hear(Input::Tick);
         let done = routed.pass(SECOND);
-        expect_that!(done.contains(&Output::Touch(false)), eq(true));
+        expect_that!(done.contains(&Output::QuorumContact(QuorumContact::Lost)), eq(true));
     }
 }
 
@@ -600,5 +606,9 @@
     let mut follower = WatchClient::new(router(), &nodes(3), START);
     let mut done = Vec::new();
     follower.handle(START + 10 * SECOND, Input::Tick, &mut done);
-    expect_that!(done.contains(&Output::Links(nodes(3))), eq(true), "there is nothing to catch up with");
+    expect_that!(
+        done.contains(&Output::SetConnections(nodes(3))),
+        eq(true),
+        "there is nothing to catch up with"
+    );
 }
--- a/simulation/src/run/routers.rs
+++ b/simulation/src/run/routers.rs
@@ -6,7 +6,7 @@
 use ivyhatch_protocol::ids::PartitionId;
 use ivyhatch_protocol::watch::{Router as Named, RouterState, WatchResponse};
 use ivyhatch_protocol::{MILLISECOND, Nanos};
-use ivyhatch_routing::watch_client::{Input, Output, WatchClient};
+use ivyhatch_routing::watch_client::{EvacuationState, Input, Output, WatchClient};
 
 use super::describe::follower_message;
 use super::{CONTACT, Happening, Said, TICK, World, address, place};
@@ -49,7 +49,7 @@
     pub(super) fn view(&self, number: usize, in_touch: bool) -> FollowerView {
         let zones = (0..3).map(zone);
         let evacuated =
-            |zone: String| self.follower.as_ref().is_some_and(|follower| follower.evacuation(&zone).0);
+            |zone: String| self.follower.as_ref().is_some_and(|follower| follower.evacuation(&zone).active);
         FollowerView {
             number,
             revision: self.revision(),
@@ -66,7 +66,7 @@
     pub(super) fn summary(&self) -> Vec<u64> {
         let Some(follower) = &self.follower else { return Vec::new() };
         let zones = (0..3).map(zone).flat_map(|zone| {
-            let (active, changes) = follower.evacuation(&zone);
+            let EvacuationState { active, changes } = follower.evacuation(&zone);
             [u64::from(active), changes]
         });
         [follower.document().revision, follower.sequence()].into_iter().chain(zones).collect()
@@ -144,7 +144,7 @@
                 let after = (10 + self.below(20)) * MILLISECOND;
                 self.after(after, Happening::Session(follower, life, machine, id));
             } else {
-                self.follower_hears(follower, Input::Lost(address(machine)));
+                self.follower_hears(follower, Input::Disconnected(address(machine)));
             }
         }
         let late = self.below(3) * MILLISECOND;
@@ -154,7 +154,10 @@
     pub(super) fn session(&mut self, follower: usize, life: u64, machine: usize, id: SessionId) {
         let this = &self.routers[follower];
         if this.life == life && this.sessions.get(&machine).is_some_and(|session| session.id == id) {
-            self.follower_hears(follower, Input::Linked(address(machine), 20 * MILLISECOND));
+            self.follower_hears(
+                follower,
+                Input::Connected { node: address(machine), round_trip: 20 * MILLISECOND },
+            );
         }
     }
 
@@ -163,7 +166,7 @@
         let this = &mut self.routers[follower];
         if this.sessions.get(&machine).is_some_and(|session| session.id == id) {
             let session = this.sessions.remove(&machine);
-            self.follower_hears(follower, Input::Lost(address(machine)));
+            self.follower_hears(follower, Input::Disconnected(address(machine)));
             if let Some(session) = session {
                 self.after(20 * MILLISECOND, Happening::SessionClosed(machine, session.life, id));
             }
@@ -253,7 +256,7 @@
         let own = self.place_of(follower);
         for done in done {
             match done {
-                Output::Links(to) => {
+                Output::SetConnections(to) => {
                     let wants: Vec<usize> = to.into_iter().map(place).collect();
                     let this = &mut self.routers[follower];
                     let left = this.sessions.extract_if(.., |machine, _| !wants.contains(machine));
@@ -266,7 +269,7 @@
                         );
                     }
                 }
-                Output::Tell(to, message) => {
+                Output::Send(to, message) => {
                     let machine = place(to);
                     if let Some(session) = self.routers[follower].sessions.get(&machine).copied() {
                         self.send(own, machine, session.life, Said::Follower(session.id, message));
--- a/system/src/router/clients.rs
+++ b/system/src/router/clients.rs
@@ -12,7 +12,7 @@
 use ivyhatch_node::seats::{Seat, Seats};
 use ivyhatch_protocol::configuration::Route;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
-use ivyhatch_routing::prompt::Prompt;
+use ivyhatch_routing::prefix_cache::Prompt;
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout_at};
 
@@ -123,7 +123,7 @@
         }
         let body = read(body, most, whole_by).await?;
         let text = |name| single(&head.headers, name);
-        let prompt = Prompt::read(text(MODEL).unwrap_or(""), text(PREFIX), text(TOKEN_COUNTS));
+        let prompt = Prompt::from_headers(text(MODEL).unwrap_or(""), text(PREFIX), text(TOKEN_COUNTS));
         let last_event = text(LAST_EVENT).and_then(|text| text.parse().ok());
         let wait = (wait_ms.min(route.timeout_ms) * MILLISECOND as f64) as Nanos;
         let call = Call {
--- a/system/src/router/dispatch/answers.rs
+++ b/system/src/router/dispatch/answers.rs
@@ -2,7 +2,7 @@
 
 use ivyhatch_balancer::{Event, Outcome, Report, Settlement};
 use ivyhatch_protocol::{MILLISECOND, Nanos};
-use ivyhatch_routing::engine::Load;
+use ivyhatch_routing::time_to_first_token::LoadReport;
 
 use super::attempt::{Ending, Ticket};
 use super::state::{DispatcherState, Outputs};
@@ -16,7 +16,7 @@
         &mut self,
         ticket: Ticket,
         head: Head,
-        load: Option<Load>,
+        load: Option<LoadReport>,
         outputs: &mut Outputs,
     ) -> Option<Sink> {
         let now = self.clock.now();
@@ -43,7 +43,7 @@
             let expected = self
                 .services
                 .get(&ticket.service)
-                .and_then(|balanced| balanced.placement.borrow().explain(ticket.request));
+                .and_then(|balanced| balanced.placement.borrow().describe_attempt(ticket.request));
             log::info!(
                 "event=late route={route} first_ms={} at_server_ms={} attempts={sent} {} load={load:?}",
                 ms(now - open.came),
@@ -60,7 +60,7 @@
     pub(super) fn record_load(
         &mut self,
         ticket: Ticket,
-        load: Option<Load>,
+        load: Option<LoadReport>,
         latency: Option<Nanos>,
         outputs: &mut Outputs,
     ) {
@@ -68,12 +68,12 @@
         let Some(balanced) = self.services.get(&ticket.service) else { return };
         let mut placement = balanced.placement.borrow_mut();
         if let Some(load) = load {
-            placement.told(now, ticket.backend, load);
+            placement.record_load_report(now, ticket.backend, load);
         }
         if let Some(latency) = latency {
-            placement.begun(now, ticket.request, latency);
+            placement.record_first_token(now, ticket.request, latency);
         }
-        let util = placement.utilisation(ticket.backend).or_else(|| load.map(|load| load.share()));
+        let util = placement.utilisation(ticket.backend).or_else(|| load.map(|load| load.utilisation()));
         drop(placement);
         let (backend, outcome, elapsed) = (ticket.backend, Outcome::Served, latency.unwrap_or(0));
         let in_flight = load.map(|load| load.running + load.waiting);
@@ -122,14 +122,14 @@
         if let Some(balanced) = self.services.get(&ticket.service) {
             let mut placement = balanced.placement.borrow_mut();
             if whole {
-                placement.begun(now, ticket.request, latency);
+                placement.record_first_token(now, ticket.request, latency);
             }
             match outcome {
-                Outcome::ConnectFailed => placement.unreached(now, ticket.backend),
-                Outcome::Served | Outcome::Full | Outcome::Error => placement.reached(ticket.backend),
+                Outcome::ConnectFailed => placement.record_connect_failure(now, ticket.backend),
+                Outcome::Served | Outcome::Full | Outcome::Error => placement.record_response(ticket.backend),
                 _ => {}
             }
-            placement.settled(ticket.request);
+            placement.end_attempt(ticket.request);
         }
         if whole {
             self.record_load(ticket, load, None, outputs);
--- a/system/src/router/dispatch/attempt.rs
+++ b/system/src/router/dispatch/attempt.rs
@@ -10,8 +10,8 @@
 use ivyhatch_balancer::{BackendId, Outcome, RequestId};
 use ivyhatch_protocol::Nanos;
 use ivyhatch_protocol::configuration::Route;
-use ivyhatch_routing::engine::Load;
-use ivyhatch_routing::prompt::Prompt;
+use ivyhatch_routing::prefix_cache::Prompt;
+use ivyhatch_routing::time_to_first_token::LoadReport;
 use tokio::sync::oneshot;
 
 use crate::router::answer::Head;
@@ -94,7 +94,7 @@
     /// What happened.
     pub outcome: Outcome,
     /// What the server said of its load.
-    pub load: Option<Load>,
+    pub load: Option<LoadReport>,
     /// A whole answer.
     pub answer: Option<(Head, Bytes)>,
 }
--- a/system/src/router/dispatch/mod.rs
+++ b/system/src/router/dispatch/mod.rs
@@ -20,8 +20,9 @@
 use ivyhatch_protocol::settings::Settings;
 use ivyhatch_protocol::watch::Server;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
-use ivyhatch_routing::engine::Load;
-use ivyhatch_routing::table::PreparedChange;
+use ivyhatch_routing::route_table::PreparedChange;
+use ivyhatch_routing::time_to_first_token::LoadReport;
+use ivyhatch_routing::watch_client::EvacuationState;
 use tokio::sync::{Notify, oneshot};
 
 use super::answer::{Head, Reply, Sink};
@@ -121,7 +122,7 @@
     }
 
     /// Takes the list of servers in; `evacuation` tells whether a zone is evacuated, and how often that has changed.
-    pub fn servers(&self, servers: Vec<Server>, evacuation: impl Fn(&str) -> (bool, u64)) {
+    pub fn servers(&self, servers: Vec<Server>, evacuation: impl Fn(&str) -> EvacuationState) {
         self.tell(|state, outputs| state.servers(servers, evacuation, outputs));
     }
 
@@ -154,7 +155,7 @@
     }
 
     /// A stream has begun to come. Returns the way to its client; none where that has gone.
-    pub fn begun(&self, ticket: Ticket, head: Head, load: Option<Load>) -> Option<Sink> {
+    pub fn begun(&self, ticket: Ticket, head: Head, load: Option<LoadReport>) -> Option<Sink> {
         self.tell(|state, outputs| state.begun(ticket, head, load, outputs))
     }
 
--- a/system/src/router/dispatch/requests.rs
+++ b/system/src/router/dispatch/requests.rs
@@ -8,7 +8,7 @@
 use ivyhatch_protocol::configuration::{Route, RouteKind};
 use ivyhatch_protocol::ids::{hash, mix};
 use ivyhatch_protocol::{MILLISECOND, Nanos};
-use ivyhatch_routing::table::target;
+use ivyhatch_routing::route_table::select_service;
 use tokio::sync::oneshot;
 
 use super::BACKSTOP;
@@ -38,14 +38,14 @@
         if !self.open_ids.insert(asked.id.clone()) {
             return None;
         }
-        let draw = match asked.prompt.shared().filter(|_| asked.route.sticky) {
+        let draw = match asked.prompt.affinity_key().filter(|_| asked.route.sticky) {
             // What servers keep of a session is of use only where the next request of it goes as well.
             Some(shared) => {
                 (mix(shared ^ hash(asked.route.name.as_bytes())) >> 11) as f64 / (1_u64 << 53) as f64
             }
             None => self.draw(),
         };
-        let service = target(&asked.route, draw).unwrap_or_default().to_owned();
+        let service = select_service(&asked.route, draw).unwrap_or_default().to_owned();
         let service = self.service(&service);
         let class = self.class(service, &asked.route).unwrap_or_default();
         let request = RequestId(self.next_request);
@@ -53,7 +53,7 @@
         let homes = self.homes(&asked.route);
         let aim = (asked.route.target_ms.max(1.0) * MILLISECOND as f64) as Nanos;
         if let Some(balanced) = self.services.get(&service) {
-            balanced.placement.borrow_mut().asked(request, homes, asked.prompt, aim);
+            balanced.placement.borrow_mut().add_request(request, homes, asked.prompt, aim);
         }
         let open = Open {
             service,
@@ -173,7 +173,7 @@
         self.open_ids.remove(&open.id);
         self.timers.remove(&(open.not_after + BACKSTOP, Due::Backstop(request)));
         if let Some(balanced) = self.services.get(&open.service) {
-            balanced.placement.borrow_mut().ended(request);
+            balanced.placement.borrow_mut().remove_request(request);
         }
     }
 }
--- a/system/src/router/dispatch/server_list.rs
+++ b/system/src/router/dispatch/server_list.rs
@@ -7,6 +7,8 @@
 use ivyhatch_balancer::{BackendId, Event, ListScope, Member, Stage, ZoneId};
 use ivyhatch_protocol::watch::Server;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
+use ivyhatch_routing::placement::ListedServer;
+use ivyhatch_routing::watch_client::EvacuationState;
 
 use super::COLD_MORE;
 use super::attempt::Service;
@@ -16,7 +18,7 @@
     pub(super) fn servers(
         &mut self,
         servers: Vec<Server>,
-        evacuation: impl Fn(&str) -> (bool, u64),
+        evacuation: impl Fn(&str) -> EvacuationState,
         outputs: &mut Outputs,
     ) {
         let (now, quorum_reachable) = (self.clock.now(), self.quorum_reachable);
@@ -44,7 +46,7 @@
         now: Nanos,
         servers: Vec<(Server, u32)>,
         quorum_reachable: bool,
-        evacuation: &impl Fn(&str) -> (bool, u64),
+        evacuation: &impl Fn(&str) -> EvacuationState,
     ) -> (Vec<Member>, Vec<BackendId>) {
         let (mut members, mut retired, mut there) = (Vec::new(), Vec::new(), HashSet::new());
         let mut placement = self.placement.borrow_mut();
@@ -58,7 +60,7 @@
                 BackendId(self.next_backend)
             });
             there.insert(id);
-            let (evacuated, evacuations) = evacuation(&server.zone);
+            let EvacuationState { active: evacuated, changes: evacuations } = evacuation(&server.zone);
             let leaves = server.draining || server.remaining_ms.is_some();
             // Out of touch nobody knows whether the zone is evacuated still.
             let last_resort = evacuated && !quorum_reachable;
@@ -66,11 +68,17 @@
             let stage = if leaves { Stage::Draining } else { Stage::InService };
             let cold_left = Nanos::from(server.cold_left_ms) * MILLISECOND;
             let cold_until = if cold_left > 0 { now + cold_left + COLD_MORE } else { 0 };
-            placement.listed(id, &server.id, region, cold_until, last_resort);
+            let listed = ListedServer {
+                name: &server.id,
+                region,
+                slow_start_until: cold_until,
+                is_last_resort: last_resort,
+            };
+            placement.upsert_server(id, listed);
             let known = self.backends.get(&id);
             // Its zone has just been taken back: its servers may have turned cold meanwhile.
             if known.is_some_and(|known| known.evacuations != evacuations) && !evacuated {
-                placement.may_be_cold(now, id);
+                placement.restart_slow_start(now, id);
             }
             let changed = known.is_none_or(|known| known.stage != stage || known.endpoint != endpoint);
             if changed {
@@ -93,7 +101,7 @@
             if let Some(known) = self.backends.remove(&id) {
                 self.ids.remove(&known.server.id);
             }
-            placement.gone(id);
+            placement.remove_server(id);
             retired.push(id);
             members.push(Member { backend: id, stage: Stage::Gone, ..Member::default() });
         }
--- a/system/src/router/dispatch/services.rs
+++ b/system/src/router/dispatch/services.rs
@@ -8,8 +8,9 @@
 use ivyhatch_protocol::configuration::Route;
 use ivyhatch_protocol::ids::hash;
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
-use ivyhatch_routing::placement::{Cold, Placement, Regions, Shared};
-use ivyhatch_routing::table::{PreparedChange, UnreadableItem};
+use ivyhatch_routing::placement::{Placement, RegionSet, ServiceSettings, SharedPlacement, SlowStartLimit};
+use ivyhatch_routing::route_table::{PreparedChange, UnreadableItem};
+use ivyhatch_routing::router_share::RouterShare;
 
 use super::COLD_MORE;
 use super::attempt::Service;
@@ -37,33 +38,35 @@
     }
 
     /// Regions in which a route's requests may be served.
-    pub(super) fn homes(&self, route: &Route) -> Regions {
+    pub(super) fn homes(&self, route: &Route) -> RegionSet {
         if route.home_regions.is_empty() {
-            return Regions::MAX;
+            return RegionSet::MAX;
         }
         let bit = |region: &String| {
             let at = self.regions.iter().position(|known| known == region);
             at.filter(|at| *at < 64).map_or(0, |at| 1 << at)
         };
-        route.home_regions.iter().map(bit).fold(0, |all: Regions, bit: Regions| all | bit)
+        route.home_regions.iter().map(bit).fold(0, |all: RegionSet, bit: RegionSet| all | bit)
     }
 
     pub(super) fn configure(&mut self, change: PreparedChange) -> Vec<UnreadableItem> {
         let unreadable = self.table.commit(change);
-        let services: Vec<(Rc<str>, bool, Cold)> = self
+        let services: Vec<(Rc<str>, ServiceSettings)> = self
             .table
             .services()
             .map(|service| {
                 let bound = service.cold_per_s * self.bounds.cold_excess + self.bounds.cold_slack;
-                let per_s = if service.cold_per_s > 0.0 { bound } else { 0.0 };
-                let span = (service.cold_s * SECOND as f64) as Nanos + COLD_MORE;
-                (Rc::from(service.name.as_str()), service.engine.is_some(), Cold { per_s, span })
+                let requests_per_second = if service.cold_per_s > 0.0 { bound } else { 0.0 };
+                let duration = (service.cold_s * SECOND as f64) as Nanos + COLD_MORE;
+                let slow_start = SlowStartLimit { requests_per_second, duration };
+                let settings = ServiceSettings { is_model: service.engine.is_some(), slow_start };
+                (Rc::from(service.name.as_str()), settings)
             })
             .collect();
-        for (name, is_model, cold) in services {
+        for (name, settings) in services {
             let id = self.service(&name);
             if let Some(service) = self.services.get(&id) {
-                service.placement.borrow_mut().configure(is_model, cold);
+                service.placement.borrow_mut().configure(settings);
             }
         }
         unreadable
@@ -82,7 +85,7 @@
         for service in self.services.values_mut() {
             service.balancer.set_nodes(nodes);
             service.balancer.set_retries_saved(saved);
-            service.placement.borrow_mut().set_routers(routers, place);
+            service.placement.borrow_mut().set_router_share(RouterShare { count: routers, index: place });
         }
     }
 
@@ -110,9 +113,9 @@
         balancer.handle(now, Event::Start, &mut Vec::new());
         let placement = Rc::new(RefCell::new(Placement::new(self.home, regions)));
         if let Some(routers) = self.routers {
-            placement.borrow_mut().set_routers(routers, self.place);
+            placement.borrow_mut().set_router_share(RouterShare { count: routers, index: self.place });
         }
-        balancer.advise(Box::new(Shared(placement.clone())));
+        balancer.advise(Box::new(SharedPlacement(placement.clone())));
         self.names.insert(name.clone(), id);
         let balanced = Balanced {
             name,
--- a/system/src/router/dispatch/state.rs
+++ b/system/src/router/dispatch/state.rs
@@ -13,7 +13,7 @@
 use ivyhatch_protocol::settings::{Bounds, Settings};
 use ivyhatch_protocol::watch::Server;
 use ivyhatch_routing::placement::Placement;
-use ivyhatch_routing::table::Table;
+use ivyhatch_routing::route_table::RouteTable;
 use tokio::sync::oneshot;
 
 use super::attempt::{Call, Launch, Service, Ticket};
@@ -77,7 +77,7 @@
     pub(super) regions: Vec<String>,
     pub(super) home: u32,
     pub(super) bounds: Bounds,
-    pub(super) table: Table,
+    pub(super) table: RouteTable,
     pub(super) ready: bool,
     pub(super) quorum_reachable: bool,
     /// None as long as it is not known.
@@ -115,7 +115,7 @@
             regions,
             home,
             bounds: settings.bounds,
-            table: Table::default(),
+            table: RouteTable::default(),
             ready: false,
             quorum_reachable: true,
             routers: None,
--- a/system/src/router/sessions.rs
+++ b/system/src/router/sessions.rs
@@ -11,8 +11,8 @@
 use ivyhatch_protocol::settings::Settings;
 use ivyhatch_protocol::watch::{Router, RouterState, WatchRequest, WatchResponse};
 use ivyhatch_protocol::{Nanos, SECOND};
-use ivyhatch_routing::table::PreparedChange;
-use ivyhatch_routing::watch_client::{Input, Output, WatchClient};
+use ivyhatch_routing::route_table::PreparedChange;
+use ivyhatch_routing::watch_client::{Input, Output, QuorumContact, WatchClient};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::task::{JoinHandle, spawn_local, yield_now};
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep};
@@ -120,8 +120,8 @@
         let mut servers = false;
         for output in outputs {
             match output {
-                Output::Links(to) => self.dial(&to),
-                Output::Tell(to, message) => {
+                Output::SetConnections(to) => self.dial(&to),
+                Output::Send(to, message) => {
                     let sent =
                         self.writers.borrow().get(&to).map(|writer| writer.send::<WatchRequest>(&message));
                     if sent == Some(false) {
@@ -129,13 +129,13 @@
                     }
                 }
                 // Its receiver lives as long as the process.
-                Output::Configuration(change) => drop(self.changes.send(change)),
-                Output::Servers => servers = true,
-                Output::Touch(reachable) => {
-                    self.dispatcher.set_quorum_reachable(reachable);
+                Output::ConfigurationChanged(change) => drop(self.changes.send(change)),
+                Output::ServersChanged => servers = true,
+                Output::QuorumContact(contact) => {
+                    self.dispatcher.set_quorum_reachable(contact == QuorumContact::Established);
                     servers = true;
                 }
-                Output::Routers(routers, place) => self.dispatcher.set_routers(routers, place),
+                Output::RouterShare(share) => self.dispatcher.set_routers(share.count, share.index),
                 Output::Log(event, pairs) => log::info!("event={event} {pairs}"),
             }
         }
@@ -148,7 +148,8 @@
     fn refresh_servers(self: &Rc<Self>) {
         let follower = self.follower.borrow();
         let now = self.clock.now();
-        self.dispatcher.servers(follower.list().servers(now).collect(), |zone| follower.evacuation(zone));
+        self.dispatcher
+            .servers(follower.server_list().servers(now).collect(), |zone| follower.evacuation(zone));
         let ready = follower.is_ready() && self.configured.get();
         drop(follower);
         if ready && self.dispatcher.become_ready() {
@@ -161,7 +162,7 @@
     async fn configure(self: Rc<Self>, mut decided: UnboundedReceiver<Change>) {
         while let Some(change) = decided.recv().await {
             let mut change = PreparedChange::new(change);
-            while !change.read(ITEMS_A_TURN) {
+            while !change.parse_items(ITEMS_A_TURN) {
                 yield_now().await;
             }
             self.dispatcher.configure(change);
@@ -194,7 +195,7 @@
                 tries = 0;
                 let (writer, mut queue) = Writer::new();
                 self.writers.borrow_mut().insert(node, writer);
-                self.handle_input(Input::Linked(node, self.clock.now() - began));
+                self.handle_input(Input::Connected { node, round_trip: self.clock.now() - began });
                 let (mut reading, mut writing) = stream.split();
                 let take = |received: Received<WatchResponse>| {
                     self.handle_input(match received {
@@ -213,7 +214,7 @@
             } else {
                 tries += 1;
             }
-            self.handle_input(Input::Lost(node));
+            self.handle_input(Input::Disconnected(node));
             sleep(AGAIN).await;
         }
     }
--- a/system/src/router/upstream/mod.rs
+++ b/system/src/router/upstream/mod.rs
@@ -18,8 +18,8 @@
 use ivyhatch_balancer::{BackendId, Outcome};
 use ivyhatch_node::front::end_to_end;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
-use ivyhatch_routing::engine::Load;
-use ivyhatch_routing::events::Events;
+use ivyhatch_routing::event_stream::EventStreamParser;
+use ivyhatch_routing::time_to_first_token::LoadReport;
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{sleep_until, timeout};
 
@@ -245,10 +245,10 @@
         launch: &Launch,
         head: Head,
         mut body: Incoming,
-        load: Option<Load>,
+        load: Option<LoadReport>,
         keep_alive: Nanos,
     ) -> Exchange {
-        let mut events = Events::behind(launch.last_event);
+        let mut events = EventStreamParser::resume_after(launch.last_event);
         let (mut sink, mut head) = (None, Some(head));
         loop {
             let mut frame = std::pin::pin!(body.frame());
@@ -263,7 +263,7 @@
                 },
                 Some(Err(error)) => return Exchange::broken(broken(&error)),
                 // An event that has not ended is none, whatever the framing says.
-                None if !events.at_an_end() => return Exchange::broken(Outcome::Spoilt),
+                None if !events.is_at_event_boundary() => return Exchange::broken(Outcome::Spoilt),
                 None => break,
             };
             let passed = match events.feed(&data) {
@@ -294,7 +294,7 @@
 }
 
 /// Reads the rest of an answer that is passed on whole.
-async fn read_whole(head: Head, body: Incoming, load: Option<Load>, keep_alive: Nanos) -> Exchange {
+async fn read_whole(head: Head, body: Incoming, load: Option<LoadReport>, keep_alive: Nanos) -> Exchange {
     let body = match Limited::new(body, MAX_ANSWER_BYTES).collect().await {
         Ok(whole) => whole.to_bytes(),
         Err(error) if error.is::<LengthLimitError>() => return Exchange::broken(Outcome::Spoilt),
--- a/system/src/router/upstream/response.rs
+++ b/system/src/router/upstream/response.rs
@@ -7,7 +7,7 @@
 use hyper::http::response::Parts;
 use ivyhatch_balancer::Outcome;
 use ivyhatch_protocol::{Nanos, SECOND};
-use ivyhatch_routing::engine::Load;
+use ivyhatch_routing::time_to_first_token::LoadReport;
 
 use super::pool::DEFAULT_KEEP_ALIVE;
 use crate::router::clients::ATTEMPT_ID;
@@ -93,8 +93,8 @@
 }
 
 /// The server's word on its load.
-pub fn load(headers: &HeaderMap) -> Option<Load> {
-    headers.get(LOAD).and_then(|text| text.to_str().ok()).and_then(Load::read)
+pub fn load(headers: &HeaderMap) -> Option<LoadReport> {
+    headers.get(LOAD).and_then(|text| text.to_str().ok()).and_then(LoadReport::from_header)
 }
 
 /// How long a server keeps an idle connection, by its own word.
