--- /dev/null
+++ b/cli/tests/golden_fleet.rs
@@ -0,0 +1,255 @@
+//! The commands that ask agents, held fixed by golden files: what they print, their exit codes, and the lines that they send. The
+//! agent is a stand-in, so that each answer of an agent can be had.
+
+mod golden;
+
+use std::io::{BufRead, BufReader, Write};
+use std::os::unix::net::{UnixListener, UnixStream};
+use std::path::Path;
+use std::process::{Command, Stdio};
+use std::sync::{Arc, Mutex};
+use std::thread;
+
+use golden::assert_golden;
+use serde_json::{Value, json};
+
+const SOCKET: &str = "agent.sock";
+const DONE: &str = r#"{"done":{"revision":5}}"#;
+const RESTARTED: &str = r#"{"done":{"starts":1,"pid":100}}"#;
+
+/// An instance as an agent shows it.
+fn instance(name: &str, phase: &str, wanted: &str) -> Value {
+    let zone = name.split('-').next().expect("a zone");
+    let said = json!({"name": name, "pid": 100, "phase": "serving", "open": 3,
+        "answers": {"served": 10, "refused": 1, "failed": 2}});
+    json!({"name": name, "zone": zone, "labels": {"tier": "front"}, "wanted": wanted, "phase": phase,
+        "reason": format!("reason of {phase}"), "since_ms": 61_234, "drained": false, "pid": 100, "starts": 2,
+        "said": [said, 12]})
+}
+
+fn with(mut instance: Value, field: &str, value: Value) -> Value {
+    instance[field] = value;
+    instance
+}
+
+/// One instance in each phase.
+fn all_phases() -> Vec<Value> {
+    let without_process = |instance: Value| with(with(instance, "pid", Value::Null), "said", Value::Null);
+    vec![
+        without_process(instance("a-1", "stopped", "stopped")),
+        instance("a-2", "starting", "running"),
+        instance("a-3", "ready", "running"),
+        instance("b-1", "draining", "drained"),
+        with(instance("b-2", "draining", "drained"), "drained", json!(true)),
+        instance("b-3", "stopping", "stopped"),
+        without_process(instance("c-1", "backing_off", "running")),
+        without_process(instance("c-2", "crashed", "running")),
+        instance("c-3", "unresponsive", "running"),
+    ]
+}
+
+/// What a stand-in for an agent answers.
+#[derive(Clone)]
+struct Script {
+    /// Its instances, before it gets a command and afterwards.
+    before: Vec<Value>,
+    after: Vec<Value>,
+    /// Its line in answer to a command.
+    outcome: String,
+}
+
+impl Script {
+    fn new(before: Vec<Value>, outcome: &str, after: Vec<Value>) -> Self {
+        Self { before, after, outcome: outcome.to_owned() }
+    }
+
+    /// An agent that gets no command.
+    fn shows(instances: Vec<Value>) -> Self {
+        Self::new(instances.clone(), "", instances)
+    }
+
+    /// An agent with one instance that is ready, which answers a command so and shows the instance so afterwards.
+    fn commanded(outcome: &str, after: Value) -> Self {
+        Self::new(vec![instance("a-1", "ready", "running")], outcome, vec![after])
+    }
+
+    /// One that answers whatever it is asked with this line.
+    fn always(line: &str) -> Self {
+        Self::new(Vec::new(), line, Vec::new())
+    }
+
+    fn answer(&self, request: &Value, is_commanded: &mut bool) -> String {
+        match request["op"].as_str() {
+            _ if self.before.is_empty() => self.outcome.clone(),
+            Some("status") => {
+                let all = if *is_commanded { &self.after } else { &self.before };
+                let named =
+                    |shown: &&Value| request["instance"].is_null() || request["instance"] == shown["name"];
+                let instances: Vec<&Value> = all.iter().filter(named).collect();
+                json!({"fleet": "golden", "pid": 99, "revision": 4, "instances": instances}).to_string()
+            }
+            Some("logs") => json!({"lines": ["first", "second"]}).to_string(),
+            _ => {
+                *is_commanded = true;
+                self.outcome.clone()
+            }
+        }
+    }
+
+    /// Answers on a socket; returns the requests as they come.
+    fn serve(self, socket: &Path) -> Arc<Mutex<Vec<String>>> {
+        let listener = UnixListener::bind(socket).expect("a socket");
+        let requests: Arc<Mutex<Vec<String>>> = Arc::default();
+        let (kept, is_commanded) = (requests.clone(), Arc::new(Mutex::new(false)));
+        thread::spawn(move || {
+            for stream in listener.incoming().flatten() {
+                let (script, kept, is_commanded) = (self.clone(), kept.clone(), is_commanded.clone());
+                thread::spawn(move || script.converse(stream, &kept, &is_commanded));
+            }
+        });
+        requests
+    }
+
+    fn converse(&self, stream: UnixStream, requests: &Mutex<Vec<String>>, is_commanded: &Mutex<bool>) {
+        let mut writer = stream.try_clone().expect("a socket");
+        for line in BufReader::new(stream).lines().map_while(Result::ok) {
+            let request = serde_json::from_str(&line).expect("JSON");
+            requests.lock().expect("no test has failed").push(line);
+            let answer = self.answer(&request, &mut is_commanded.lock().expect("no test has failed"));
+            // An empty answer ends the connection.
+            if answer.is_empty() || writer.write_all(format!("{answer}\n").as_bytes()).is_err() {
+                return;
+            }
+        }
+    }
+}
+
+/// Commands with what they print, and the requests that they send.
+#[derive(Default)]
+struct Transcript(String);
+
+impl Transcript {
+    /// Runs a command against a stand-in for an agent, or none.
+    fn run(&mut self, arguments: &str, script: Option<Script>) {
+        let folder = tempfile::tempdir().expect("a folder");
+        let requests = script.map(|script| script.serve(&folder.path().join(SOCKET))).unwrap_or_default();
+        let mut command = Command::new(env!("CARGO_BIN_EXE_ivyhatch"));
+        command.args(arguments.split_whitespace()).args(["--agent", SOCKET]);
+        let output = command.env_clear().current_dir(folder.path()).stdin(Stdio::null()).output();
+        let output = output.expect("the program runs");
+        // Those who wait ask again and again; how often depends on the machine.
+        let mut requests = requests.lock().expect("no test has failed").clone();
+        requests.dedup();
+        self.0 +=
+            &format!("# ivyhatch {arguments}\nexit code {}\n", output.status.code().expect("an exit code"));
+        self.0 += &format!("## standard output\n{}", String::from_utf8(output.stdout).expect("text"));
+        self.0 += &format!("## standard error\n{}", String::from_utf8(output.stderr).expect("text"));
+        self.0 += &format!(
+            "## requests\n{}\n",
+            requests.iter().map(|line| format!("{line}\n")).collect::<String>()
+        );
+    }
+}
+
+#[test]
+fn instances_are_shown() {
+    let mut transcript = Transcript::default();
+    let script = || Some(Script::shows(all_phases()));
+    transcript.run("status", script());
+    transcript.run("status --json", script());
+    transcript.run("status zone=b,*-1 tier=none a-3", script());
+    transcript.run("status nobody-*", script());
+    transcript.run("top --times 1", script());
+    transcript.run("logs a-1 b-1 --lines 2", script());
+    transcript.run("logs a-1 --json", script());
+    assert_golden("fleet/shown.txt", &transcript.0);
+}
+
+#[test]
+fn commands_that_are_done_say_so() {
+    let mut transcript = Transcript::default();
+    let ready = || instance("a-1", "ready", "running");
+    let drained = || with(instance("a-1", "draining", "drained"), "drained", json!(true));
+    let stopped = || instance("a-1", "stopped", "stopped");
+    for (arguments, before, outcome, after) in [
+        ("drain a-1", ready(), DONE, drained()),
+        ("drain a-1 --json", ready(), DONE, drained()),
+        ("undrain a-1", drained(), DONE, ready()),
+        ("stop a-1", ready(), DONE, stopped()),
+        ("start a-1", stopped(), DONE, ready()),
+        ("restart a-1", ready(), RESTARTED, with(ready(), "pid", json!(101))),
+        ("rollout a-1 --watch 0.1", ready(), RESTARTED, with(ready(), "pid", json!(101))),
+        ("rollout a-1 --watch 0.1 --json", stopped(), RESTARTED, stopped()),
+    ] {
+        let script = Script::new(vec![before], outcome, vec![after]);
+        transcript.run(&format!("{arguments} --yes --id c-1 --by ops-1"), Some(script));
+    }
+    assert_golden("fleet/done.txt", &transcript.0);
+}
+
+#[test]
+fn commands_that_are_not_done_say_why() {
+    let mut transcript = Transcript::default();
+    let ready = || instance("a-1", "ready", "running");
+    let conflict = r#"{"refused":{"conflict":{"instance":"a-1","other":{"wanted":"stopped","revision":4,"command":"c-0","by":"ops-2"}}}}"#;
+    let scripts = [
+        ("", Script::commanded(conflict, ready())),
+        ("", Script::commanded(r#"{"refused":{"ahead":{"revision":2}}}"#, ready())),
+        ("", Script::commanded(r#"{"refused":{"id_taken":{"by":"ops-2"}}}"#, ready())),
+        ("--json", Script::commanded(r#"{"refused":{"id_taken":{"by":"ops-2"}}}"#, ready())),
+        ("", Script::commanded(DONE, instance("a-1", "ready", "stopped"))),
+        ("", Script::commanded(r#"{"error":"there is no instance \"a-1\" here"}"#, ready())),
+        ("", Script::commanded(DONE, instance("a-1", "crashed", "drained"))),
+        ("--deadline 1", Script::commanded(DONE, instance("a-1", "ready", "drained"))),
+        ("--deadline 1 --json", Script::commanded(DONE, instance("a-1", "ready", "drained"))),
+        ("", Script::commanded("", ready())),
+        ("", Script::commanded("nothing", ready())),
+        ("", Script::new(vec![ready()], DONE, Vec::new())),
+    ];
+    for (more, script) in scripts {
+        transcript.run(format!("drain a-1 --yes --id c-1 --by ops-1 {more}").trim_end(), Some(script));
+    }
+    let crashed = Script::commanded(RESTARTED, instance("a-1", "crashed", "running"));
+    transcript.run("rollout a-1 --watch 0.1 --yes --by ops-1", Some(crashed));
+    assert_golden("fleet/not_done.txt", &transcript.0);
+}
+
+#[test]
+fn commands_that_take_away_much_ask_first() {
+    let mut transcript = Transcript::default();
+    let script = || Some(Script::shows(all_phases()));
+    for verb in ["start", "stop", "drain", "undrain", "restart", "rollout"] {
+        transcript.run(&format!("{verb} all --dry-run"), script());
+    }
+    transcript.run("drain a-3", script());
+    transcript.run("drain a-3 --json", script());
+    transcript.run("drain nobody-*", script());
+    assert_golden("fleet/dry_run.txt", &transcript.0);
+}
+
+#[test]
+fn agents_that_do_not_answer_are_named() {
+    let mut transcript = Transcript::default();
+    let commands =
+        ["status", "status --json", "drain all --yes --by ops-1", "drain all --yes --json", "logs"];
+    for command in commands {
+        transcript.run(command, None);
+    }
+    for line in ["", "nothing", r#"{"x":1}"#, r#"{"error":"no disk"}"#] {
+        transcript.run("status", Some(Script::always(line)));
+        transcript.run("stop all --yes --by ops-1", Some(Script::always(line)));
+    }
+    transcript.run("rollout all --watch 0.1 --yes --by ops-1", None);
+    assert_golden("fleet/no_answer.txt", &transcript.0);
+}
+
+#[test]
+fn values_out_of_range_are_rejected() {
+    let mut transcript = Transcript::default();
+    for arguments in
+        ["drain all --deadline 0", "top --every 0", "rollout all --watch 0", "rollout all --fall 2"]
+    {
+        transcript.run(arguments, None);
+    }
+    assert_golden("fleet/out_of_range.txt", &transcript.0);
+}
