--- /dev/null
+++ b/routing/src/watch_client/connections.rs
@@ -0,0 +1,155 @@
+//! The connections to control nodes, and the selection of the nodes to connect to: by rendezvous hashing, with a back-off for nodes
+//! that can't be reached.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use ivyhatch_protocol::ids::{NodeId, hash, mix};
+use ivyhatch_protocol::watch::Position;
+use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
+
+/// Time between two heartbeats to a control node, and between two of its own.
+pub(super) const HEARTBEAT_INTERVAL: Nanos = 500 * MILLISECOND;
+/// Control nodes that a router is connected to at once.
+const MAX_CONNECTIONS: usize = 3;
+/// A control node to which there was no connection for so long makes room for another, if there is one.
+const CONNECT_TIMEOUT: Nanos = 2 * SECOND;
+/// For so long other control nodes are preferred to one that could not be reached.
+const UNREACHABLE_BACKOFF: Nanos = 10 * SECOND;
+
+/// A connection to a control node that is to be open, and what the node has said on it.
+#[derive(Debug, Default)]
+pub(super) struct Connection {
+    pub(super) is_open: bool,
+    /// Since when there has been no connection; none before the first attempt has failed.
+    disconnected_at: Option<Nanos>,
+    pub(super) round_trip: Nanos,
+    pub(super) last_received_at: Nanos,
+    pub(super) has_quorum: bool,
+    pub(super) position: Position,
+    /// When updates that the router lacks were last fetched from this node.
+    pub(super) requested_at: Nanos,
+    /// Since when the node's position has been ahead of the router's.
+    pub(super) ahead_since: Option<Nanos>,
+    /// When a part of a large message came last.
+    pub(super) last_fragment_at: Nanos,
+}
+
+impl Connection {
+    fn opened(round_trip: Nanos, now: Nanos) -> Self {
+        Self { is_open: true, round_trip, last_received_at: now, ..Self::default() }
+    }
+
+    fn timed_out(&self, now: Nanos) -> bool {
+        !self.is_open && self.disconnected_at.is_some_and(|since| now >= since + CONNECT_TIMEOUT)
+    }
+}
+
+/// The connections to the selected control nodes, among all that are known.
+#[derive(Debug)]
+pub(super) struct Connections {
+    router_hash: u64,
+    known_control_nodes: BTreeSet<NodeId>,
+    by_node: BTreeMap<NodeId, Connection>,
+    /// Control nodes that could not be reached, and until when others are preferred to them.
+    unreachable_until: BTreeMap<NodeId, Nanos>,
+}
+
+impl Connections {
+    /// No connections yet, for the router with this address.
+    pub(super) fn new(router_address: &str, seeds: &[NodeId]) -> Self {
+        Self {
+            router_hash: hash(router_address.as_bytes()),
+            known_control_nodes: seeds.iter().copied().collect(),
+            by_node: BTreeMap::new(),
+            unreachable_until: BTreeMap::new(),
+        }
+    }
+
+    pub(super) fn add_known(&mut self, nodes: Vec<NodeId>) {
+        self.known_control_nodes.extend(nodes);
+    }
+
+    pub(super) fn is_empty(&self) -> bool {
+        self.by_node.is_empty()
+    }
+
+    pub(super) fn get(&self, node: NodeId) -> Option<&Connection> {
+        self.by_node.get(&node)
+    }
+
+    pub(super) fn get_mut(&mut self, node: NodeId) -> Option<&mut Connection> {
+        self.by_node.get_mut(&node)
+    }
+
+    pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = (NodeId, &mut Connection)> {
+        self.by_node.iter_mut().map(|(node, connection)| (*node, connection))
+    }
+
+    /// The connections that are open, by node.
+    pub(super) fn open(&self) -> impl Iterator<Item = (NodeId, &Connection)> {
+        let open = self.by_node.iter().filter(|(_, connection)| connection.is_open);
+        open.map(|(node, connection)| (*node, connection))
+    }
+
+    pub(super) fn is_open(&self, node: NodeId) -> bool {
+        self.get(node).is_some_and(|connection| connection.is_open)
+    }
+
+    /// Notes that a connection is open. Returns whether it is one of the selected ones.
+    pub(super) fn record_connected(&mut self, node: NodeId, round_trip: Nanos, now: Nanos) -> bool {
+        let Some(connection) = self.by_node.get_mut(&node) else { return false };
+        *connection = Connection::opened(round_trip, now);
+        true
+    }
+
+    /// Notes that a connection has ended or could not be opened. Further failed attempts do not move the time of the first.
+    pub(super) fn record_disconnected(&mut self, node: NodeId, now: Nanos) {
+        let Some(connection) = self.by_node.get_mut(&node) else { return };
+        let was_open = std::mem::replace(&mut connection.is_open, false);
+        if was_open || connection.disconnected_at.is_none() {
+            connection.disconnected_at = Some(now);
+        }
+    }
+
+    pub(super) fn record_fragment(&mut self, node: NodeId, now: Nanos) {
+        if let Some(connection) = self.by_node.get_mut(&node) {
+            (connection.last_received_at, connection.last_fragment_at) = (now, now);
+        }
+    }
+
+    /// Selects the control nodes to be connected to anew. Returns them where they have changed.
+    pub(super) fn reselect(&mut self, now: Nanos) -> Option<Vec<NodeId>> {
+        self.update_backoff(now);
+        let selected: BTreeSet<NodeId> = self.preferred().into_iter().take(MAX_CONNECTIONS).collect();
+        if selected.iter().eq(self.by_node.keys()) {
+            return None;
+        }
+        self.by_node.retain(|node, _| selected.contains(node));
+        for node in &selected {
+            self.by_node.entry(*node).or_default();
+        }
+        Some(selected.into_iter().collect())
+    }
+
+    fn update_backoff(&mut self, now: Nanos) {
+        let timed_out = self.by_node.iter().filter(|(_, connection)| connection.timed_out(now));
+        self.unreachable_until.extend(timed_out.map(|(node, _)| (*node, now + UNREACHABLE_BACKOFF)));
+        self.unreachable_until.retain(|_, until| now < *until);
+    }
+
+    /// All known control nodes, the most preferred first. Each router has an order of its own, so that routers are spread over the
+    /// control nodes. Where all are in back-off the one whose attempt is longest ago comes first: a network partition may have
+    /// healed.
+    fn preferred(&self) -> Vec<NodeId> {
+        let mut nodes: Vec<NodeId> = self.known_control_nodes.iter().copied().collect();
+        nodes.sort_unstable_by_key(|node| {
+            let backoff_until = self.unreachable_until.get(node).copied().unwrap_or_default();
+            (backoff_until, self.rendezvous_hash(*node), *node)
+        });
+        nodes
+    }
+
+    fn rendezvous_hash(&self, node: NodeId) -> u64 {
+        mix(self.router_hash ^ mix(u64::from(node.0)))
+    }
+}
--- /dev/null
+++ b/routing/src/watch_client/mod.rs
@@ -0,0 +1,268 @@
+//! A router's watch on the control plane: which control nodes it is connected to, and what it has replicated from them.
+//!
+//! A router is subscribed to up to three control nodes. The primary one sends every change, the others only their positions, so that
+//! a change is carried once and yet the loss of a control node, or a network partition around it, costs a fraction of a second.
+//! Nothing older than the state that the router has is applied: within one incarnation of the process no version goes back.
+//!
+//! The state machine does no I/O: [`WatchClient::handle`] takes the time and an [`Input`] and adds [`Output`]s for its host.
+
+mod connections;
+mod fetch;
+mod log_event;
+mod primary;
+mod quorum_contact;
+mod replicated_state;
+mod router_share_tracker;
+
+use ivyhatch_protocol::configuration::{Change, Document};
+use ivyhatch_protocol::ids::NodeId;
+use ivyhatch_protocol::server_list::ServerList;
+use ivyhatch_protocol::watch::{Router, RouterState, WatchRequest, WatchResponse};
+use ivyhatch_protocol::{MILLISECOND, Nanos};
+
+use crate::router_share::RouterShare;
+use connections::{Connections, HEARTBEAT_INTERVAL};
+use primary::Primary;
+use quorum_contact::QuorumContactMonitor;
+use replicated_state::{Applied, ReplicatedState};
+use router_share_tracker::RouterShareTracker;
+
+pub use log_event::LogEvent;
+pub use quorum_contact::QuorumContact;
+pub use replicated_state::EvacuationState;
+
+/// The host ticks every 100 ms. A gap of this length between two inputs means that the router itself did not run.
+const STALL_THRESHOLD: Nanos = 300 * MILLISECOND;
+/// Time that a router has after its own stall to read what arrived meanwhile, before it judges any control node by its silence.
+const STALL_RECOVERY_TIME: Nanos = 100 * MILLISECOND;
+
+/// What happens to a watch client.
+#[derive(Debug)]
+pub enum Input {
+    /// Time has passed. Comes every 100 ms or so.
+    Tick,
+    /// A connection to a control node is open.
+    Connected {
+        /// The control node.
+        node: NodeId,
+        /// How long connecting took.
+        round_trip: Nanos,
+    },
+    /// A connection to a control node has ended, or could not be opened.
+    Disconnected(NodeId),
+    /// A control node has sent a message.
+    Message(NodeId, WatchResponse),
+    /// A part of a large message has come from a control node; the rest is on its way.
+    Fragment(NodeId),
+    /// The settings name these control nodes.
+    Seeds(Vec<NodeId>),
+    /// The router has entered this state of its own lifecycle.
+    State(RouterState),
+}
+
+/// What the host of a watch client has to do.
+#[derive(Debug, PartialEq)]
+pub enum Output {
+    /// Keep connections to these control nodes, and to no others.
+    SetConnections(Vec<NodeId>),
+    /// Send a message to a control node.
+    Send(NodeId, WatchRequest),
+    /// Apply this change: the configuration has changed by it.
+    ConfigurationChanged(Change),
+    /// Read the server list and the evacuations anew: one of them has changed.
+    ServersChanged,
+    /// Divide shared limits by this from now on.
+    RouterShare(RouterShare),
+    /// Go by this: contact with a quorum of the control plane has been lost, or established again.
+    QuorumContact(QuorumContact),
+    /// Write an event to the log.
+    Log(LogEvent),
+}
+
+/// The watch of one router.
+#[derive(Debug)]
+pub struct WatchClient {
+    router: Router,
+    now: Nanos,
+    /// No control node is judged by its silence before this, after a stall of the router itself.
+    stall_recovery_until: Nanos,
+    heartbeat_sent_at: Nanos,
+    connections: Connections,
+    primary: Primary,
+    state: ReplicatedState,
+    router_share: RouterShareTracker,
+    contact: QuorumContactMonitor,
+}
+
+impl WatchClient {
+    /// A watch that knows no control nodes but `seeds`, and has replicated nothing yet.
+    pub fn new(router: Router, seeds: &[NodeId], now: Nanos) -> Self {
+        Self {
+            now,
+            stall_recovery_until: 0,
+            heartbeat_sent_at: 0,
+            connections: Connections::new(&router.front, seeds),
+            primary: Primary::default(),
+            state: ReplicatedState::default(),
+            router_share: RouterShareTracker::new(now),
+            contact: QuorumContactMonitor::new(now),
+            router,
+        }
+    }
+
+    /// Takes one input and adds what the host has to do to `outputs`. A time before that of an earlier input counts as that one's.
+    pub fn handle(&mut self, now: Nanos, input: Input, outputs: &mut Vec<Output>) {
+        if now >= self.now + STALL_THRESHOLD && !self.connections.is_empty() {
+            self.stall_recovery_until = now + STALL_RECOVERY_TIME;
+        }
+        self.now = self.now.max(now);
+        self.handle_input(input, outputs);
+        if self.now >= self.stall_recovery_until {
+            self.select_connections(outputs);
+            self.select_primary(outputs);
+            self.fetch_missing(outputs);
+            self.update_contact(outputs);
+        }
+        if self.now >= self.heartbeat_sent_at + HEARTBEAT_INTERVAL {
+            self.send_heartbeat(outputs);
+        }
+    }
+
+    /// Whether any control node that is in contact with a quorum can be reached.
+    pub fn control_plane_reachable(&self) -> bool {
+        self.contact.current() == QuorumContact::Established
+    }
+
+    /// The sequence number of the configuration's last change; 0 while there is no configuration.
+    pub fn sequence(&self) -> u64 {
+        self.state.sequence()
+    }
+
+    /// The configuration.
+    pub fn document(&self) -> &Document {
+        self.state.document()
+    }
+
+    /// The list of servers.
+    pub fn server_list(&self) -> &ServerList {
+        self.state.server_list()
+    }
+
+    /// The evacuation of a zone; one that never was evacuated has the default.
+    pub fn evacuation(&self, zone: &str) -> EvacuationState {
+        self.state.evacuation(zone)
+    }
+
+    /// Whether a configuration and a server list are known.
+    pub fn is_ready(&self) -> bool {
+        self.state.is_complete()
+    }
+
+    fn handle_input(&mut self, input: Input, outputs: &mut Vec<Output>) {
+        match input {
+            Input::Tick => {}
+            Input::Connected { node, round_trip } => {
+                if self.connections.record_connected(node, round_trip, self.now) {
+                    self.send_subscription(node, outputs);
+                }
+            }
+            Input::Disconnected(node) => self.connections.record_disconnected(node, self.now),
+            Input::Message(from, message) => self.handle_message(from, message, outputs),
+            Input::Fragment(from) => self.connections.record_fragment(from, self.now),
+            Input::Seeds(seeds) => self.connections.add_known(seeds),
+            Input::State(state) => {
+                if std::mem::replace(&mut self.router.state, state) != state {
+                    self.send_heartbeat(outputs);
+                }
+            }
+        }
+    }
+
+    /// Takes a message of a control node; one that the router is not connected to has nothing to say.
+    fn handle_message(&mut self, from: NodeId, message: WatchResponse, outputs: &mut Vec<Output>) {
+        let Some(connection) = self.connections.get_mut(from) else { return };
+        connection.last_received_at = self.now;
+        match message {
+            WatchResponse::Progress { position, has_quorum, router_count, router_index, control_nodes } => {
+                (connection.position, connection.has_quorum) = (position, has_quorum);
+                self.connections.add_known(control_nodes);
+                let reported = RouterShare { count: router_count, index: router_index };
+                let changed = self.router_share.observe(reported, self.now);
+                outputs.extend(changed.map(Output::RouterShare));
+            }
+            WatchResponse::Snapshot { sequence, document } => {
+                let change = self.state.apply_snapshot(sequence, document);
+                self.report_configuration(change, outputs);
+            }
+            WatchResponse::Change { from: base, to, change } => {
+                let change = self.state.apply_change(base, to, change);
+                self.report_configuration(change, outputs);
+            }
+            WatchResponse::Evacuations(update) => {
+                let applied = self.state.apply_evacuations(update);
+                report_servers(applied, outputs);
+            }
+            WatchResponse::ServerList(update) => {
+                let applied = self.state.apply_server_list(self.now, update);
+                report_servers(applied, outputs);
+            }
+        }
+    }
+
+    fn report_configuration(&self, change: Option<Change>, outputs: &mut Vec<Output>) {
+        let Some(change) = change else { return };
+        let (revision, sequence) = (self.state.document().revision, self.state.sequence());
+        outputs.push(Output::Log(LogEvent::ConfigurationApplied { revision, sequence }));
+        outputs.push(Output::ConfigurationChanged(change));
+    }
+
+    fn send_heartbeat(&mut self, outputs: &mut Vec<Output>) {
+        self.heartbeat_sent_at = self.now;
+        let state = self.router.state;
+        let to_each = |(node, _)| Output::Send(node, WatchRequest::Heartbeat { state });
+        outputs.extend(self.connections.open().map(to_each));
+    }
+
+    fn send_subscription(&self, node: NodeId, outputs: &mut Vec<Output>) {
+        let subscription = WatchRequest::Subscribe {
+            router: self.router.clone(),
+            primary: self.primary.is(node),
+            position: self.state.position(),
+        };
+        outputs.push(Output::Send(node, subscription));
+    }
+
+    fn select_connections(&mut self, outputs: &mut Vec<Output>) {
+        let selected = self.connections.reselect(self.now);
+        outputs.extend(selected.map(Output::SetConnections));
+    }
+
+    fn select_primary(&mut self, outputs: &mut Vec<Output>) {
+        let Some(change) = self.primary.reselect(&self.connections, self.now) else { return };
+        outputs.push(Output::Log(LogEvent::PrimaryChanged { primary: change.current }));
+        for node in change.previous.into_iter().chain([change.current]) {
+            if self.connections.is_open(node) {
+                self.send_subscription(node, outputs);
+            }
+        }
+    }
+
+    fn fetch_missing(&mut self, outputs: &mut Vec<Output>) {
+        for node in fetch::due_fetches(&mut self.connections, &self.state, self.now) {
+            let position = self.state.position();
+            outputs.push(Output::Send(node, WatchRequest::Fetch { position }));
+        }
+    }
+
+    fn update_contact(&mut self, outputs: &mut Vec<Output>) {
+        let Some(contact) = self.contact.update(&self.connections, self.now) else { return };
+        outputs.push(Output::Log(LogEvent::QuorumContactChanged(contact)));
+        outputs.push(Output::QuorumContact(contact));
+    }
+}
+
+fn report_servers(applied: Applied, outputs: &mut Vec<Output>) {
+    if applied == Applied::Changed {
+        outputs.push(Output::ServersChanged);
+    }
+}
--- /dev/null
+++ b/routing/src/watch_client/primary.rs
@@ -0,0 +1,46 @@
+//! The choice of the primary control node, the one that sends all changes.
+
+use ivyhatch_protocol::ids::NodeId;
+use ivyhatch_protocol::{MILLISECOND, Nanos};
+
+use super::connections::{Connection, Connections};
+
+/// A control node from which nothing came for so long is not relied on.
+const SILENCE_TIMEOUT: Nanos = 1300 * MILLISECOND;
+
+/// The primary control node, where there is one.
+#[derive(Debug, Default)]
+pub(super) struct Primary {
+    node: Option<NodeId>,
+}
+
+/// Another control node is the primary one from now on.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct PrimaryChange {
+    pub(super) previous: Option<NodeId>,
+    pub(super) current: NodeId,
+}
+
+impl Primary {
+    pub(super) fn is(&self, node: NodeId) -> bool {
+        self.node == Some(node)
+    }
+
+    /// Replaces a primary node that has fallen silent or has lost its quorum by the nearest one that has not. A primary node that
+    /// is good enough is kept though a nearer one appears, and the last one is kept where all connections are lost.
+    pub(super) fn reselect(&mut self, connections: &Connections, now: Nanos) -> Option<PrimaryChange> {
+        let current = self.node.and_then(|node| connections.get(node));
+        if current.is_some_and(|connection| is_responsive(connection, now) && connection.has_quorum) {
+            return None;
+        }
+        let candidates = connections.open().filter(|(_, connection)| is_responsive(connection, now));
+        let (best, _) =
+            candidates.min_by_key(|(_, connection)| (!connection.has_quorum, connection.round_trip))?;
+        let previous = self.node.replace(best);
+        (previous != Some(best)).then_some(PrimaryChange { previous, current: best })
+    }
+}
+
+fn is_responsive(connection: &Connection, now: Nanos) -> bool {
+    connection.is_open && now < connection.last_received_at + SILENCE_TIMEOUT
+}
--- /dev/null
+++ b/routing/src/watch_client/quorum_contact.rs
@@ -0,0 +1,48 @@
+//! Whether the router is in contact with a quorum of the control plane, through any control node.
+
+use ivyhatch_protocol::{MILLISECOND, Nanos};
+
+use super::connections::{Connections, HEARTBEAT_INTERVAL};
+
+/// A control node counts as in contact for so long after its last message: two of its heartbeats.
+const FRESHNESS: Nanos = 2 * HEARTBEAT_INTERVAL;
+/// A router without contact for so long can't know what has been ordered since.
+const CONTACT_TIMEOUT: Nanos = 400 * MILLISECOND;
+
+/// Whether a control node that is in contact with a quorum can be reached.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum QuorumContact {
+    /// One can be.
+    Established,
+    /// None can be: evacuations may have changed without the router's knowledge.
+    Lost,
+}
+
+/// Follows the contact with a quorum. A router begins as if in contact, to have time to connect.
+#[derive(Debug)]
+pub(super) struct QuorumContactMonitor {
+    last_contact_at: Nanos,
+    current: QuorumContact,
+}
+
+impl QuorumContactMonitor {
+    pub(super) fn new(now: Nanos) -> Self {
+        Self { last_contact_at: now, current: QuorumContact::Established }
+    }
+
+    pub(super) fn current(&self) -> QuorumContact {
+        self.current
+    }
+
+    /// Returns the contact where it has changed.
+    pub(super) fn update(&mut self, connections: &Connections, now: Nanos) -> Option<QuorumContact> {
+        let mut open = connections.open();
+        if open.any(|(_, node)| node.has_quorum && now < node.last_received_at + FRESHNESS) {
+            self.last_contact_at = now;
+        }
+        let in_time = now < self.last_contact_at + CONTACT_TIMEOUT;
+        let contact = if in_time { QuorumContact::Established } else { QuorumContact::Lost };
+        let previous = std::mem::replace(&mut self.current, contact);
+        (previous != contact).then_some(contact)
+    }
+}
--- a/simulation/src/run/routers.rs
+++ b/simulation/src/run/routers.rs
@@ -275,9 +275,7 @@
                         self.send(own, machine, session.life, Said::Follower(session.id, message));
                     }
                 }
-                Output::Log(event, pairs) => {
-                    self.note(|| format!("follower {follower} event={event} {pairs}"))
-                }
+                Output::Log(event) => self.note(|| format!("follower {follower} event={event}")),
                 _ => {}
             }
         }
--- a/system/src/router/sessions.rs
+++ b/system/src/router/sessions.rs
@@ -136,7 +136,7 @@
                     servers = true;
                 }
                 Output::RouterShare(share) => self.dispatcher.set_routers(share.count, share.index),
-                Output::Log(event, pairs) => log::info!("event={event} {pairs}"),
+                Output::Log(event) => log::info!("event={event}"),
             }
         }
         if servers {
