--- a/cli/tests/system_records.rs
+++ b/cli/tests/system_records.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 
 use googletest::prelude::*;
-use ivyhatch_wal::Log;
+use ivyhatch_wal::Wal;
 use serde_json::json;
 use system_common::{CORE, Process, Site, configuration};
 
@@ -73,7 +73,7 @@
     let site = Site::new();
     let mut core = stopped(&site);
     {
-        let (mut log, _) = Log::open(&site.data(REPLICA), NAME).expect("a sound file");
+        let (mut log, _) = Wal::open(&site.data(REPLICA), NAME).expect("a sound file");
         log.append(&[vec![0xee; 9]]).expect("written");
     }
     expect_recovery(&site, &mut core, false, "install the release that wrote it");
--- a/control/src/admin.rs
+++ b/control/src/admin.rs
@@ -95,9 +95,9 @@
     fn with_known_changes(&self, request: AdminRequest) -> AdminRequest {
         match request {
             AdminRequest::Evacuate { zone, active, .. } => {
-                let state = self.states.get(&PartitionId::of(&zone));
+                let state = self.states.get(&PartitionId::for_key(&zone));
                 let changes = state.map_or(0, |state| state.zone_changes(&zone));
-                AdminRequest::Evacuate { zone, active, changes }
+                AdminRequest::Evacuate { zone, active, change_count: changes }
             }
             request => request,
         }
@@ -106,7 +106,7 @@
     /// The operator has given a request up. What has not been begun is not begun any more.
     pub(crate) fn admin_cancelled(&mut self, id: RequestId) {
         let Some(pending) = self.pending.remove(&id) else { return };
-        if let Some(queue) = self.queues.get_mut(&pending.request.part()) {
+        if let Some(queue) = self.queues.get_mut(&pending.request.partition()) {
             queue.requests.retain(|queued| queued.waiter != Waiter::Local(id));
         }
     }
@@ -119,9 +119,9 @@
 
     /// Brings a request to the leader of its partition, as soon as there is one.
     fn route(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(part) = self.pending.get(&id).map(|pending| pending.request.part()) else { return };
+        let Some(part) = self.pending.get(&id).map(|pending| pending.request.partition()) else { return };
         let Some(leader) = self.leader(part) else { return };
-        let heartbeat = self.heartbeat_of(leader).map_or(0, |heartbeat| heartbeat.number);
+        let heartbeat = self.heartbeat_of(leader).map_or(0, |heartbeat| heartbeat.sequence);
         let now = self.now;
         let Some(pending) = self.pending.get_mut(&id) else { return };
         if leader == self.identity.node {
@@ -135,7 +135,10 @@
         if pending.forwarded.is_none_or(due) {
             pending.forwarded = Some((leader, now));
             let (number, request) = (pending.number, pending.request.clone());
-            out.push(Output::Send(leader, PeerMessage::ForwardRequest { number, heard: heartbeat, request }));
+            out.push(Output::Send(
+                leader,
+                PeerMessage::ForwardRequest { request_id: number, last_heartbeat: heartbeat, request },
+            ));
         }
     }
 
@@ -147,7 +150,7 @@
         request: AdminRequest,
         out: &mut Vec<Output>,
     ) {
-        let part = request.part();
+        let part = request.partition();
         let sent = self.heartbeats.iter().find(|(heartbeat, _)| *heartbeat == heard).map(|(_, at)| *at);
         let is_fresh = sent.is_some_and(|at| self.now <= at + FORWARD_MAX_AGE);
         if !is_fresh || self.leader(part) != Some(self.identity.node) {
@@ -225,7 +228,7 @@
         let Some(unconfirmed) = unconfirmed else { return };
         let response = unconfirmed.response.unwrap_or_else(|| match self.feed.document() {
             document if document.revision == 0 => AdminResponse::NotConfigured,
-            document => AdminResponse::Document(document.text()),
+            document => AdminResponse::Document(document.to_json()),
         });
         self.respond(unconfirmed.waiter, response, out);
     }
@@ -246,7 +249,7 @@
                 }
             }
             Waiter::Remote(to, number) => {
-                out.push(Output::Send(to, PeerMessage::ForwardResponse { number, response }));
+                out.push(Output::Send(to, PeerMessage::ForwardResponse { request_id: number, response }));
             }
         }
     }
--- a/control/src/change_feed.rs
+++ b/control/src/change_feed.rs
@@ -4,7 +4,7 @@
 
 use ivyhatch_protocol::configuration::{Change, Document};
 use ivyhatch_protocol::ids::PartitionId;
-use ivyhatch_protocol::watch::{EvacuationUpdate, Position, Shared, WatchResponse};
+use ivyhatch_protocol::watch::{EvacuationUpdate, Position, Shared, WatchResponse, ZoneEvacuation};
 
 use crate::state::State;
 
@@ -28,10 +28,13 @@
         match state {
             State::Configured(configured) => self.configured(sequence, configured.document.clone()),
             State::Evacuated(evacuated) => {
-                let zone =
-                    |(zone, (active, changes)): (&String, &(bool, u64))| (zone.clone(), *active, *changes);
+                let zone = |(zone, (active, change_count)): (&String, &(bool, u64))| ZoneEvacuation {
+                    zone: zone.clone(),
+                    active: *active,
+                    change_count: *change_count,
+                };
                 let zones = evacuated.zones.iter().map(zone).collect();
-                self.evacuations.insert(part, EvacuationUpdate { part, sequence, zones });
+                self.evacuations.insert(part, EvacuationUpdate { partition: part, sequence, zones });
             }
         }
     }
@@ -41,7 +44,7 @@
             return;
         }
         if self.sequence > 0 {
-            let change = self.document.change_to(&document);
+            let change = self.document.diff(&document);
             self.changes.push_back((self.sequence, sequence, change.into()));
         }
         while self.changes.len() > KEPT {
@@ -57,7 +60,7 @@
 
     /// How far it is; `servers` is filled in by others.
     pub fn position(&self) -> Position {
-        let evacuations = self.evacuations.values().map(|part| (part.part, part.sequence)).collect();
+        let evacuations = self.evacuations.values().map(EvacuationUpdate::position).collect();
         Position { configuration: self.sequence, evacuations, ..Position::default() }
     }
 
@@ -83,7 +86,7 @@
                 }),
             }
         }
-        let newer = |part: &&EvacuationUpdate| part.sequence > position.evacuations_of(part.part);
+        let newer = |part: &&EvacuationUpdate| part.sequence > position.evacuation_sequence(part.partition);
         news.extend(self.evacuations.values().filter(newer).cloned().map(WatchResponse::Evacuations));
         news
     }
--- a/control/src/control_plane.rs
+++ b/control/src/control_plane.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use ivyhatch_protocol::Nanos;
-use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId, mix};
+use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId, hash_mix};
 use ivyhatch_protocol::peer::{ConsensusMessage, Membership, PeerMessage, ReplicaStatus};
 use ivyhatch_protocol::server_list::ServerList;
 use ivyhatch_protocol::watch::Position;
@@ -78,7 +78,7 @@
         let foreign = stored.replica.is_some_and(|(replica, _)| !here(&replica));
         // A disk that was formatted on another machine is a copy, or was moved: what it promised was promised by another replica.
         let mut stored = if foreign { Stored::default() } else { stored };
-        let drawn = ReplicaId { node: identity.node, disk: mix(identity.incarnation) };
+        let drawn = ReplicaId { node: identity.node, disk: hash_mix(identity.incarnation) };
         let format = Record::Formatted { replica: drawn, first_start: identity.first_start };
         let reason = if foreign { "another_machines_disk" } else { "empty_disk" };
         let unformatted = (identity.has_disk && stored.replica.is_none()).then_some((format, reason));
@@ -204,13 +204,15 @@
                     self.state_arrived(ReplicaId { node: from, disk }, generation, partitions, out);
                 }
             }
-            PeerMessage::Consensus { generation, part, message } => {
+            PeerMessage::Consensus { generation, partition: part, message } => {
                 self.on_consensus(from, generation, part, message, out);
             }
-            PeerMessage::ForwardRequest { number, heard, request } => {
+            PeerMessage::ForwardRequest { request_id: number, last_heartbeat: heard, request } => {
                 self.on_forward(from, number, heard, request, out)
             }
-            PeerMessage::ForwardResponse { number, response } => self.on_forwarded(number, response, out),
+            PeerMessage::ForwardResponse { request_id: number, response } => {
+                self.on_forwarded(number, response, out)
+            }
             PeerMessage::RouterSessions(routers) => self.routers.tell(self.now, from, routers),
             PeerMessage::ServerList(news) => self.on_server_news(from, news, out),
             PeerMessage::ServerListRequest => self.send_server_list(from, out),
@@ -257,7 +259,7 @@
     /// Carries out what a partition wants done.
     pub(crate) fn carry_out(&mut self, part: PartitionId, effects: Vec<Effect>, out: &mut Vec<Output>) {
         let generation = self.generation();
-        let consensus = |message| PeerMessage::Consensus { generation, part, message };
+        let consensus = |message| PeerMessage::Consensus { generation, partition: part, message };
         for effect in effects {
             match effect {
                 Effect::Send(to, message) => self.send(to, consensus(message), out),
@@ -356,6 +358,6 @@
 
     /// How far this node is with all that is followed.
     pub(crate) fn position(&self) -> Position {
-        Position { servers: self.list.position(), ..self.feed.position() }
+        Position { server_list: self.list.position(), ..self.feed.position() }
     }
 }
--- a/control/src/heartbeats.rs
+++ b/control/src/heartbeats.rs
@@ -135,17 +135,17 @@
         let reachable = self.peers.iter().filter(|(_, peer)| peer.is_reachable(self.now));
         let heartbeat = Heartbeat {
             incarnation: self.identity.incarnation,
-            number,
+            sequence: number,
             disk: self.replica.map(|replica| replica.disk),
             zone: self.identity.zone.clone(),
             status: self.status,
             generation: self.generation(),
-            leaving: self.leaving_since.is_some(),
+            draining: self.leaving_since.is_some(),
             reachable: reachable.map(|(node, _)| *node).collect(),
             has_quorum: self.has_quorum(),
-            reads_list: self.can_read_server_list(),
+            can_read_server_list: self.can_read_server_list(),
             committed: self.partitions.values().map(PartitionReplica::sequence).collect(),
-            servers: self.list.position(),
+            server_list: self.list.position(),
         };
         self.send_to_all(&PeerMessage::Heartbeat(heartbeat), out);
     }
@@ -159,8 +159,9 @@
         }
         // What an earlier process has sent last must not take the place of what the present one sends.
         let peer = self.peers.entry(from).or_default();
-        let newer =
-            |known: &Heartbeat| known.incarnation != heartbeat.incarnation || known.number < heartbeat.number;
+        let newer = |known: &Heartbeat| {
+            known.incarnation != heartbeat.incarnation || known.sequence < heartbeat.sequence
+        };
         let wants_seat = heartbeat.status != ReplicaStatus::Voter;
         if peer.heartbeat.as_ref().is_none_or(newer) {
             peer.heartbeat = Some(heartbeat);
@@ -187,10 +188,10 @@
             if after < *sequence && self.fetched_at.get(&part).is_none_or(|at| self.now >= at + ASK_AGAIN) {
                 self.fetched_at.insert(part, self.now);
                 let (generation, message) = (self.generation(), ConsensusMessage::Fetch { after });
-                out.push(Output::Send(from, PeerMessage::Consensus { generation, part, message }));
+                out.push(Output::Send(from, PeerMessage::Consensus { generation, partition: part, message }));
             }
         }
-        if heartbeat.servers > self.list.position() && self.now >= self.servers_asked + ASK_AGAIN {
+        if heartbeat.server_list > self.list.position() && self.now >= self.servers_asked + ASK_AGAIN {
             self.servers_asked = self.now;
             out.push(Output::Send(from, PeerMessage::ServerListRequest));
         }
--- a/control/src/leadership.rs
+++ b/control/src/leadership.rs
@@ -30,7 +30,7 @@
             let can_lead =
                 |heartbeat: &&Heartbeat| heartbeat.status == ReplicaStatus::Voter && heartbeat.has_quorum;
             let heartbeat = self.heartbeat_of(node).filter(can_lead)?;
-            Some(rank(heartbeat.reads_list, heartbeat.leaving))
+            Some(rank(heartbeat.can_read_server_list, heartbeat.draining))
         };
         let ranked = membership::election_order(membership, part)
             .filter_map(|node| eligible(node).map(|rank| (rank, node)));
@@ -70,7 +70,7 @@
         let order = self.membership.as_ref().map(|membership| membership::election_order(membership, part));
         let place = order.and_then(|mut order| order.position(|node| node == self.identity.node));
         self.backoff_until.insert(part, self.now + ELECTION_BACKOFF * place.unwrap_or(0) as u64);
-        for pending in self.pending.values_mut().filter(|pending| pending.request.part() == part) {
+        for pending in self.pending.values_mut().filter(|pending| pending.request.partition() == part) {
             pending.queued = false;
         }
     }
@@ -101,7 +101,7 @@
             return;
         }
         let (generation, message) = (self.generation(), ConsensusMessage::Commit { ballot, sequence });
-        self.send_to_all(&PeerMessage::Consensus { generation, part, message }, out);
+        self.send_to_all(&PeerMessage::Consensus { generation, partition: part, message }, out);
         self.answer_proposal(part, out);
         self.drive(part, out);
     }
--- a/control/src/partition.rs
+++ b/control/src/partition.rs
@@ -188,7 +188,7 @@
         let Role::Leader { ballot, confirmations, .. } = &mut self.role else { return };
         let ballot = *ballot;
         confirmations.insert(number, BTreeSet::new());
-        self.send_to_voters(&ConsensusMessage::Confirm { ballot, number }, out);
+        self.send_to_voters(&ConsensusMessage::Confirm { ballot, request_id: number }, out);
     }
 
     /// Forgets a confirmation that nobody waits for any longer.
@@ -228,7 +228,7 @@
         match message {
             ConsensusMessage::Prepare { ballot } if votes => self.on_prepare(from, ballot, out),
             ConsensusMessage::Accept(value) if votes => self.on_accept(from, value, out),
-            ConsensusMessage::Confirm { ballot, number } if votes => {
+            ConsensusMessage::Confirm { ballot, request_id: number } if votes => {
                 self.on_confirm(from, ballot, number, out);
             }
             ConsensusMessage::Prepare { .. }
@@ -238,7 +238,9 @@
                 self.on_promise(now, from, ballot, accepted, out);
             }
             ConsensusMessage::Accepted { ballot, sequence } => self.on_accepted(from, ballot, sequence, out),
-            ConsensusMessage::Confirmed { ballot, number } => self.on_confirmed(from, ballot, number, out),
+            ConsensusMessage::Confirmed { ballot, request_id: number } => {
+                self.on_confirmed(from, ballot, number, out)
+            }
             ConsensusMessage::Reject { promised } => self.outdated(promised, out),
             ConsensusMessage::Commit { ballot, sequence } => self.on_commit(from, ballot, sequence, out),
             ConsensusMessage::Fetch { after } => {
@@ -283,7 +285,7 @@
         if ballot != self.state.promised {
             return self.reject(from, out);
         }
-        out.push(Effect::Send(from, ConsensusMessage::Confirmed { ballot, number }));
+        out.push(Effect::Send(from, ConsensusMessage::Confirmed { ballot, request_id: number }));
     }
 
     fn on_commit(&mut self, from: NodeId, ballot: Ballot, sequence: u64, out: &mut Vec<Effect>) {
--- a/control/src/reconfiguration.rs
+++ b/control/src/reconfiguration.rs
@@ -36,7 +36,7 @@
     /// Whether this replica holds the state with which this voter may vote. Those of the first generation begin with nothing, as
     /// nothing had been decided before.
     fn holds_state_of(&self, voter: &Voter) -> bool {
-        voter.joined == FIRST_GENERATION || self.joined == Some(voter.joined)
+        voter.joined_generation == FIRST_GENERATION || self.joined == Some(voter.joined_generation)
     }
 
     /// Where this replica stands towards the newest membership that is known here.
@@ -107,13 +107,17 @@
         }
         let voter = |(node, zone): (NodeId, String)| {
             let replica = self.replica_of(node)?;
-            Some(Voter { replica, zone, joined: FIRST_GENERATION })
+            Some(Voter { replica, zone, joined_generation: FIRST_GENERATION })
         };
         let others =
             self.peers.keys().filter_map(|node| Some((*node, self.heartbeat_of(*node)?.zone.clone())));
         let mut voters: Vec<Voter> = others.filter_map(voter).collect();
         let zone = self.identity.zone.clone();
-        voters.extend(self.replica.map(|replica| Voter { replica, zone, joined: FIRST_GENERATION }));
+        voters.extend(self.replica.map(|replica| Voter {
+            replica,
+            zone,
+            joined_generation: FIRST_GENERATION,
+        }));
         voters.sort_unstable_by_key(|voter| voter.replica);
         self.adopt(Membership { generation: FIRST_GENERATION, voters, previous: Vec::new() }, out);
     }
@@ -159,7 +163,7 @@
             let replica = self.replica_of(node)?;
             let follows = matches!(heartbeat.status, ReplicaStatus::Learner | ReplicaStatus::Removed);
             let is_voter = self.membership.as_ref().is_some_and(|known| known.voter(replica).is_some());
-            let wanted = follows && !heartbeat.leaving && !is_voter;
+            let wanted = follows && !heartbeat.draining && !is_voter;
             wanted.then(|| Candidate { replica, zone: heartbeat.zone.clone() })
         };
         self.peers.keys().filter_map(|node| candidate(*node)).collect()
@@ -172,7 +176,7 @@
         }
         let peer = self.peers.get(&node);
         if peer.is_some_and(|peer| peer.is_reachable(self.now)) {
-            let leaving = |heartbeat: &Heartbeat| heartbeat.leaving;
+            let leaving = |heartbeat: &Heartbeat| heartbeat.draining;
             let is_leaving = peer.and_then(|peer| peer.heartbeat.as_ref()).is_some_and(leaving);
             return if is_leaving { VoterHealth::Leaving } else { VoterHealth::Present };
         }
@@ -202,7 +206,7 @@
     /// The generation in which this replica joins, where it is a voter that does not hold its state yet.
     fn joining(&self) -> Option<u64> {
         let voter = self.membership.as_ref()?.voter(self.replica?)?;
-        (!self.holds_state_of(voter)).then_some(voter.joined)
+        (!self.holds_state_of(voter)).then_some(voter.joined_generation)
     }
 
     /// A new voter asks the voters of the previous generation for their state.
--- a/control/src/report.rs
+++ b/control/src/report.rs
@@ -113,7 +113,7 @@
             zone: zone.to_owned(),
             has_seat,
             status: heartbeat.map(|heartbeat| heartbeat.status),
-            is_leaving: heartbeat.is_some_and(|heartbeat| heartbeat.leaving),
+            is_leaving: heartbeat.is_some_and(|heartbeat| heartbeat.draining),
             changes_behind: heartbeat.map_or(0, behind),
         }
     }
--- a/control/src/routers.rs
+++ b/control/src/routers.rs
@@ -86,7 +86,7 @@
         let all = self.all();
         let there: Vec<(NodeId, RouterState)> =
             all.values().map(|router| (router.node, router.state)).collect();
-        let leaving = all.values().filter(|router| router.state == RouterState::Leaving);
+        let leaving = all.values().filter(|router| router.state == RouterState::Draining);
         let leaving: Vec<Router> = leaving.map(|router| (*router).clone()).collect();
         for (node, state) in there {
             self.seen.insert(node, now);
@@ -118,6 +118,6 @@
             true if leaving().next().is_some() => leaving().collect(),
             true => ready().collect(),
         };
-        chosen.into_iter().map(|router| router.front.clone()).take(MOST_ADDRESSES).collect()
+        chosen.into_iter().map(|router| router.client_address.clone()).take(MOST_ADDRESSES).collect()
     }
 }
--- a/control/src/server_list_duty.rs
+++ b/control/src/server_list_duty.rs
@@ -3,7 +3,7 @@
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId};
 use ivyhatch_protocol::peer::PeerMessage;
 use ivyhatch_protocol::server_list::ServerList;
-use ivyhatch_protocol::watch::{Server, ServerListUpdate};
+use ivyhatch_protocol::watch::{Server, ServerListPosition, ServerListUpdate};
 
 use crate::control_plane::ControlPlane;
 use crate::interface::Output;
@@ -14,7 +14,7 @@
 
 /// The partition whose leader has the duty.
 pub(crate) fn partition() -> PartitionId {
-    PartitionId::of(DUTY)
+    PartitionId::for_key(DUTY)
 }
 
 impl ControlPlane {
@@ -29,8 +29,9 @@
     /// What this node knows of the duty.
     fn list_duty(&self) -> Duty {
         let heartbeats = self.peers.values().filter_map(|peer| peer.heartbeat.as_ref());
-        let (known, number) = self.list.position();
-        let newest = heartbeats.map(|heartbeat| heartbeat.servers.0).chain([known]).max().unwrap_or_default();
+        let ServerListPosition { ballot: known, number } = self.list.position();
+        let newest =
+            heartbeats.map(|heartbeat| heartbeat.server_list.ballot).chain([known]).max().unwrap_or_default();
         Duty {
             owned: self.leads(partition()).filter(|_| self.has_quorum()),
             newest,
@@ -98,12 +99,12 @@
         if ballot == Ballot::default() {
             // For those who follow this node: until there is a quorum nobody has the duty.
             if !servers.is_empty() {
-                self.list.read(self.now, ballot, servers);
+                self.list.apply_platform_list(self.now, ballot, servers);
                 self.log_list("first", out);
             }
             return;
         }
-        let Some(news) = self.list.read(self.now, ballot, servers) else { return };
+        let Some(news) = self.list.apply_platform_list(self.now, ballot, servers) else { return };
         self.log_list("read", out);
         let changed = news.upsert.iter().filter(|_| news.from.is_some());
         out.extend(changed.map(|server| Output::Log("server", describe(server))));
@@ -112,7 +113,7 @@
 
     pub(crate) fn on_server_news(&mut self, from: NodeId, news: ServerListUpdate, out: &mut Vec<Output>) {
         let before = self.list.position();
-        if !self.list.follow(self.now, news) {
+        if !self.list.apply_update(self.now, news) {
             out.push(Output::Send(from, PeerMessage::ServerListRequest));
         } else if before != self.list.position() {
             self.log_list("followed", out);
@@ -121,19 +122,19 @@
 
     pub(crate) fn send_server_list(&mut self, to: NodeId, out: &mut Vec<Output>) {
         if self.has_list() {
-            out.push(Output::Send(to, PeerMessage::ServerList(self.list.whole(self.now))));
+            out.push(Output::Send(to, PeerMessage::ServerList(self.list.full_update(self.now))));
         }
     }
 
     fn log_list(&self, how: &str, out: &mut Vec<Output>) {
-        let (ballot, number) = self.list.position();
+        let ServerListPosition { ballot, number } = self.list.position();
         let pairs = format!("how={how} ballot={ballot} number={number} servers={}", self.list.len());
         out.push(Output::Log("servers", pairs));
     }
 }
 
 fn describe(server: &Server) -> String {
-    let Server { id, zone, draining, cold_left_ms, .. } = server;
-    let left = server.remaining_ms.map_or_else(String::new, |left| format!(" remaining_ms={left}"));
-    format!("id={id} zone={zone} draining={draining} cold_left_ms={cold_left_ms}{left}")
+    let Server { id, zone, draining, warm_up_remaining_ms, .. } = server;
+    let left = server.lifetime_remaining_ms.map_or_else(String::new, |left| format!(" remaining_ms={left}"));
+    format!("id={id} zone={zone} draining={draining} cold_left_ms={warm_up_remaining_ms}{left}")
 }
--- a/control/src/state.rs
+++ b/control/src/state.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use ivyhatch_protocol::configuration::{Change, ConfigurationError, Document};
-use ivyhatch_protocol::ids::{PartitionId, hash};
+use ivyhatch_protocol::ids::{PartitionId, fnv1a_hash};
 use ivyhatch_protocol::peer::{AdminRequest, AdminResponse};
 use speedy::{Readable, Writable};
 
@@ -50,10 +50,10 @@
 /// A digest by which an order is known again.
 pub fn digest(request: &AdminRequest) -> u64 {
     match request {
-        AdminRequest::Put { base, body } => hash(body) ^ base.rotate_left(17),
-        AdminRequest::Patch { base, body } => !(hash(body) ^ base.rotate_left(17)),
+        AdminRequest::Put { base, body } => fnv1a_hash(body) ^ base.rotate_left(17),
+        AdminRequest::Patch { base, body } => !(fnv1a_hash(body) ^ base.rotate_left(17)),
         AdminRequest::Read => 0,
-        AdminRequest::Evacuate { zone, active, .. } => hash(zone.as_bytes()) ^ u64::from(*active),
+        AdminRequest::Evacuate { zone, active, .. } => fnv1a_hash(zone.as_bytes()) ^ u64::from(*active),
     }
 }
 
@@ -86,13 +86,14 @@
     pub fn decide(&self, request: &AdminRequest) -> Verdict {
         match (self, request) {
             (Self::Configured(configured), AdminRequest::Put { base, body }) => {
-                configured.decide(*base, digest(request), |_| Document::read(body))
+                configured.decide(*base, digest(request), |_| Document::parse(body))
             }
             (Self::Configured(configured), AdminRequest::Patch { base, body }) => {
-                configured.decide(*base, digest(request), |current| Ok(current.with(&Change::read(body)?)))
+                configured
+                    .decide(*base, digest(request), |current| Ok(current.with_change(&Change::parse(body)?)))
             }
             (Self::Configured(_), AdminRequest::Read) => Verdict::Tell,
-            (Self::Evacuated(evacuated), AdminRequest::Evacuate { zone, active, changes }) => {
+            (Self::Evacuated(evacuated), AdminRequest::Evacuate { zone, active, change_count: changes }) => {
                 evacuated.decide(zone, *active, *changes)
             }
             _ => Verdict::Answer(AdminResponse::Invalid("this part does not hold that".to_owned())),
@@ -118,7 +119,7 @@
             Ok(document) => document,
             Err(error) => return Verdict::Answer(AdminResponse::Invalid(error.to_string())),
         };
-        if let Err(error) = document.checked(revision) {
+        if let Err(error) = document.validate(revision) {
             return Verdict::Answer(AdminResponse::Invalid(error.to_string()));
         }
         let answer = AdminResponse::Applied { revision: document.revision };
--- a/control/src/watch.rs
+++ b/control/src/watch.rs
@@ -99,8 +99,8 @@
 
     fn since(&self, position: &Position) -> Vec<WatchResponse> {
         let mut news = self.feed.since(position);
-        if self.list.position() > position.servers {
-            news.push(WatchResponse::ServerList(self.list.since(self.now, position.servers)));
+        if self.list.position() > position.server_list {
+            news.push(WatchResponse::ServerList(self.list.update_since(self.now, position.server_list)));
         }
         news
     }
--- a/control/tests/common/mod.rs
+++ b/control/tests/common/mod.rs
@@ -21,7 +21,7 @@
 
 /// The first membership of the three nodes, each in a zone of its own.
 pub fn membership() -> Membership {
-    let voter = |node| Voter { replica: replica(node), zone: zone(node), joined: 1 };
+    let voter = |node| Voter { replica: replica(node), zone: zone(node), joined_generation: 1 };
     Membership { generation: 1, voters: (1..=3).map(voter).collect(), previous: Vec::new() }
 }
 
@@ -54,14 +54,14 @@
 pub fn heartbeat(node: u32, number: u64) -> Heartbeat {
     Heartbeat {
         incarnation: u64::from(node),
-        number,
+        sequence: number,
         disk: Some(replica(node).disk),
         zone: zone(node),
         status: ReplicaStatus::Voter,
         generation: 1,
         reachable: (1..=9).map(NodeId).collect(),
         has_quorum: true,
-        reads_list: true,
+        can_read_server_list: true,
         ..Heartbeat::default()
     }
 }
@@ -114,7 +114,7 @@
     out.iter().any(|output| match output {
         Output::Send(
             _,
-            PeerMessage::Consensus { part: of, message: ConsensusMessage::Prepare { .. }, .. },
+            PeerMessage::Consensus { partition: of, message: ConsensusMessage::Prepare { .. }, .. },
         ) => *of == part,
         _ => false,
     })
--- a/control/tests/elections.rs
+++ b/control/tests/elections.rs
@@ -20,7 +20,7 @@
 fn reject(node: &mut ControlPlane, at_ms: u64, by: u32, part: PartitionId, counter: u64) {
     let promised = Ballot { counter, node: NodeId(by), incarnation: 22 };
     let message = ConsensusMessage::Reject { promised };
-    let rejection = PeerMessage::Consensus { generation: 1, part, message };
+    let rejection = PeerMessage::Consensus { generation: 1, partition: part, message };
     node.handle(at_ms * MILLISECOND, Input::Peer(NodeId(by), rejection), &mut Vec::new());
 }
 
@@ -50,7 +50,7 @@
 
 #[gtest]
 fn a_leader_that_is_leaving_is_followed_by_the_next_in_the_order() {
-    let leaving = |number| (1, PeerMessage::Heartbeat(Heartbeat { leaving: true, ..heartbeat(1, number) }));
+    let leaving = |number| (1, PeerMessage::Heartbeat(Heartbeat { draining: true, ..heartbeat(1, number) }));
     let third = |number| (3, PeerMessage::Heartbeat(heartbeat(3, number)));
     let mut node = voter(2, membership());
     let out = hear(&mut node, 100, &[(1, PeerMessage::Heartbeat(heartbeat(1, 1))), third(1)]);
--- a/control/tests/golden_records.rs
+++ b/control/tests/golden_records.rs
@@ -16,7 +16,7 @@
 use ivyhatch_protocol::configuration::Document;
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{AcceptedValue, AcceptorState, Membership, Voter};
-use ivyhatch_wal::{CompactingLog, Log, MIN_COMPACTION_LENGTH};
+use ivyhatch_wal::{CompactingWal, MIN_COMPACTION_BYTES, Wal};
 use speedy::{Readable, Writable};
 use tempfile::TempDir;
 
@@ -44,7 +44,7 @@
 }
 
 fn voter(last: u8, zone: &str) -> Voter {
-    Voter { replica: replica(last), zone: zone.to_owned(), joined: 1 }
+    Voter { replica: replica(last), zone: zone.to_owned(), joined_generation: 1 }
 }
 
 fn first_membership() -> Membership {
@@ -59,7 +59,7 @@
 fn configured() -> Configured {
     let text =
         br#"{"revision":7,"routes":[{"name":"chat","host":"chat.example"}],"tenants":[],"owner":"platform"}"#;
-    Configured { document: Document::read(text).expect("a readable configuration"), taken: vec![11, 0xffee] }
+    Configured { document: Document::parse(text).expect("a readable configuration"), taken: vec![11, 0xffee] }
 }
 
 fn evacuated() -> Evacuated {
@@ -124,7 +124,7 @@
 
 /// A write that makes the file long enough to be compacted, and leaves the state as it was before.
 fn write_that_is_compacted() -> Vec<Record> {
-    let overwritten = vec![0; MIN_COMPACTION_LENGTH as usize];
+    let overwritten = vec![0; MIN_COMPACTION_BYTES as usize];
     vec![
         Record::Accepted(EVACUATIONS, AcceptedValue { ballot: ballot(4), sequence: 8, value: overwritten }),
         Record::Accepted(EVACUATIONS, accepted(4, 9, &evacuated())),
@@ -144,9 +144,9 @@
 /// Writes to a new file as a control node's disk does, and returns the bytes of the file.
 fn write_file(writes: &[Vec<Record>]) -> Vec<u8> {
     let folder = tempfile::tempdir().expect("a folder");
-    let (log, found) = Log::open(folder.path(), FILE_NAME).expect("a new file");
+    let (log, found) = Wal::open(folder.path(), FILE_NAME).expect("a new file");
     assert!(found.is_empty());
-    let (mut log, mut stored) = (CompactingLog::new(log), Stored::default());
+    let (mut log, mut stored) = (CompactingWal::new(log), Stored::default());
     for records in writes {
         records.iter().for_each(|record| stored.apply(record.clone()));
         let written = log.write(&encode(records), || encode(&stored.records())).expect("a durable write");
@@ -172,7 +172,7 @@
 
 /// Opens the file in a data folder as a control node's disk does.
 fn read_records(folder: &Path) -> Vec<Record> {
-    let (_, records) = Log::open(folder, FILE_NAME).expect("a file that can be read");
+    let (_, records) = Wal::open(folder, FILE_NAME).expect("a file that can be read");
     records.iter().map(|bytes| decode(bytes)).collect()
 }
 
--- a/control/tests/list_duty.rs
+++ b/control/tests/list_duty.rs
@@ -8,7 +8,7 @@
 use ivyhatch_control::{ControlPlane, Input, Output};
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId};
 use ivyhatch_protocol::peer::{ConsensusMessage, Heartbeat, PeerMessage};
-use ivyhatch_protocol::watch::{Server, ServerListUpdate};
+use ivyhatch_protocol::watch::{Server, ServerListPosition, ServerListUpdate};
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
 /// Names are hashed: this duty falls to a part whose order begins with this member.
@@ -17,7 +17,7 @@
 const MEMBERS: [NodeId; 3] = [NodeId(1), NodeId(2), NodeId(3)];
 
 fn part() -> PartitionId {
-    PartitionId::of(LIST_DUTY)
+    PartitionId::for_key(LIST_DUTY)
 }
 
 /// The members in the order in which they own the part.
@@ -58,15 +58,15 @@
     }
 
     /// A beat of another member's, which has such a list.
-    fn beat(&mut self, from: NodeId, hears: &[NodeId], servers: (Ballot, u64)) {
+    fn beat(&mut self, from: NodeId, hears: &[NodeId], servers: ServerListPosition) {
         self.beats += 1;
         let reachable = hears.to_vec();
-        let heartbeat = Heartbeat { reachable, servers, ..heartbeat(from.0, self.beats) };
+        let heartbeat = Heartbeat { reachable, server_list: servers, ..heartbeat(from.0, self.beats) };
         self.hear(Input::Peer(from, PeerMessage::Heartbeat(heartbeat)));
     }
 
     /// One tick later, after a beat of each of these, which hear all and have this list.
-    fn tick(&mut self, there: &[NodeId], servers: (Ballot, u64)) {
+    fn tick(&mut self, there: &[NodeId], servers: ServerListPosition) {
         self.now += TICK;
         for from in there {
             self.beat(*from, &MEMBERS, servers);
@@ -79,7 +79,9 @@
         let prepare = |action: &Output| match action {
             Output::Send(
                 _,
-                PeerMessage::Consensus { part: of, message: ConsensusMessage::Prepare { ballot }, .. },
+                PeerMessage::Consensus {
+                    partition: of, message: ConsensusMessage::Prepare { ballot }, ..
+                },
             ) if *of == part() => Some(*ballot),
             _ => None,
         };
@@ -90,13 +92,13 @@
 
     fn promise(&mut self, from: NodeId, ballot: Ballot) {
         let message = ConsensusMessage::Promise { ballot, accepted: None };
-        self.hear(Input::Peer(from, PeerMessage::Consensus { generation: 1, part: part(), message }));
+        self.hear(Input::Peer(from, PeerMessage::Consensus { generation: 1, partition: part(), message }));
     }
 
     /// It leads the part, with the last member's promise, and hears both others.
     fn leads() -> Self {
         let mut first = Self::new();
-        let none = (Ballot::default(), 0);
+        let none = ServerListPosition::default();
         first.tick(&order()[1..], none);
         let ballot = first.prepares().expect("it begins a ballot");
         first.promise(order()[2], ballot);
@@ -113,8 +115,8 @@
         zone: "a".to_owned(),
         slots: 8,
         draining,
-        cold_left_ms: 0,
-        remaining_ms: None,
+        warm_up_remaining_ms: 0,
+        lifetime_remaining_ms: None,
     }
 }
 
@@ -125,7 +127,7 @@
         from: None,
         to: 1,
         upsert: vec![server("i-1", false)],
-        gone: Vec::new(),
+        removed: Vec::new(),
     })
 }
 
@@ -139,7 +141,7 @@
     first.out.clear();
     let mut begun = None;
     for _ in 0..3 {
-        first.tick(&order()[1..], (other, 1));
+        first.tick(&order()[1..], ServerListPosition { ballot: other, number: 1 });
         begun = begun.max(first.prepares());
     }
     let begun = begun.expect("it notices, and begins a new ballot");
@@ -154,7 +156,7 @@
     let own = first.node.leads(part()).expect("it leads");
     let other = Ballot { counter: own.counter + 1, node: order()[1], incarnation: 22 };
     first.out.clear();
-    first.tick(&order()[1..], (other, 1));
-    first.tick(&order()[1..], (other, 1));
+    first.tick(&order()[1..], ServerListPosition { ballot: other, number: 1 });
+    first.tick(&order()[1..], ServerListPosition { ballot: other, number: 1 });
     expect_that!(first.prepares(), some(gt(other)));
 }
--- a/control/tests/list_gap.rs
+++ b/control/tests/list_gap.rs
@@ -81,7 +81,7 @@
 
 /// The disk of a voter of the first membership.
 fn disk(machine: usize, size: usize) -> Vec<Record> {
-    let voter = |machine| Voter { replica: replica(machine), zone: String::new(), joined: 1 };
+    let voter = |machine| Voter { replica: replica(machine), zone: String::new(), joined_generation: 1 };
     let voters = (0..size).map(voter).collect();
     let membership = Membership { generation: 1, voters, previous: Vec::new() };
     vec![Record::Formatted { replica: replica(machine), first_start: true }, Record::Membership(membership)]
@@ -93,7 +93,7 @@
 
 /// The first owner of the duty's part.
 fn first_reader(size: usize) -> usize {
-    usize::from(PartitionId::of("platform-list").0) % size
+    usize::from(PartitionId::for_key("platform-list").0) % size
 }
 
 /// All but the first owner, in their order.
@@ -225,8 +225,8 @@
             zone: "a".to_owned(),
             slots: 8,
             draining: false,
-            cold_left_ms: 0,
-            remaining_ms: None,
+            warm_up_remaining_ms: 0,
+            lifetime_remaining_ms: None,
         }
     }
 
--- a/control/tests/reconfiguration.rs
+++ b/control/tests/reconfiguration.rs
@@ -38,18 +38,18 @@
 fn proposed(node: &mut ControlPlane, at_ms: u64, out: &[Output]) -> Option<Membership> {
     let ballot = sent_to(out, 2).into_iter().find_map(|message| match message {
         PeerMessage::Consensus {
-            part: PartitionId::MEMBERSHIP,
+            partition: PartitionId::MEMBERSHIP,
             message: ConsensusMessage::Prepare { ballot },
             ..
         } => Some(*ballot),
         _ => None,
     })?;
     let message = ConsensusMessage::Promise { ballot, accepted: None };
-    let promise = PeerMessage::Consensus { generation: 1, part: PartitionId::MEMBERSHIP, message };
+    let promise = PeerMessage::Consensus { generation: 1, partition: PartitionId::MEMBERSHIP, message };
     let out = hear_and_store(node, at_ms, &[(2, promise)]);
     sent_to(&out, 2).into_iter().find_map(|message| match message {
         PeerMessage::Consensus {
-            part: PartitionId::MEMBERSHIP,
+            partition: PartitionId::MEMBERSHIP,
             message: ConsensusMessage::Accept(value),
             ..
         } => Membership::read_from_buffer(&value.value).ok(),
@@ -103,7 +103,7 @@
 #[gtest]
 fn a_voter_that_is_leaving_gives_its_seat_up_at_once() {
     let heard = |at_ms| {
-        let leaving = Heartbeat { leaving: at_ms >= 1_000, ..heartbeat(3, at_ms) };
+        let leaving = Heartbeat { draining: at_ms >= 1_000, ..heartbeat(3, at_ms) };
         vec![heartbeat(2, at_ms), leaving, learner(SUCCESSOR, 3, at_ms)]
     };
     let (at_ms, next) = proposal(heard).expect("it is proposed");
@@ -135,7 +135,7 @@
         from,
         PeerMessage::Consensus {
             generation,
-            part: PartitionId(0),
+            partition: PartitionId(0),
             message: ConsensusMessage::Prepare { ballot },
         },
     )
--- a/control/tests/routers.rs
+++ b/control/tests/routers.rs
@@ -10,7 +10,7 @@
 fn router(node: u32, region: &str, state: RouterState) -> Router {
     Router {
         node: NodeId(node),
-        front: format!("10.0.0.{node}:8161"),
+        client_address: format!("10.0.0.{node}:8161"),
         zone: region.to_owned(),
         region: region.to_owned(),
         state,
@@ -29,19 +29,19 @@
 
 #[gtest]
 fn clients_are_sent_to_routers_of_their_region_that_are_ready() {
-    let routers = routers(RouterState::Leaving, RouterState::Ready);
+    let routers = routers(RouterState::Draining, RouterState::Ready);
     expect_that!(routers.near("here"), elements_are![eq("10.0.0.2:8161")]);
 }
 
 #[gtest]
 fn region_whose_routers_are_all_leaving_keeps_its_clients() {
-    let routers = routers(RouterState::Leaving, RouterState::Leaving);
+    let routers = routers(RouterState::Draining, RouterState::Draining);
     expect_that!(routers.near("here"), elements_are![eq("10.0.0.1:8161"), eq("10.0.0.2:8161")]);
 }
 
 #[gtest]
 fn region_whose_routers_are_being_restarted_keeps_its_clients_for_three_seconds() {
-    let mut routers = routers(RouterState::Leaving, RouterState::Leaving);
+    let mut routers = routers(RouterState::Draining, RouterState::Draining);
     routers.ended(NodeId(1));
     routers.ended(NodeId(2));
     routers.note(2_900 * MILLISECOND);
--- a/protocol/src/configuration/error.rs
+++ b/protocol/src/configuration/error.rs
@@ -11,7 +11,7 @@
     Field(String),
     /// Two items of one name.
     #[error("{section}: two items are named {name:?}: give each its own name")]
-    Twice {
+    DuplicateName {
         /// The section.
         section: String,
         /// The name.
@@ -21,7 +21,7 @@
     #[error(
         "revision: {sent} is not above the current {current}: read the configuration anew and count on from there"
     )]
-    Revision {
+    StaleRevision {
         /// The version that was sent.
         sent: u64,
         /// The current one.
@@ -39,7 +39,7 @@
     #[error(
         "routes: {one:?} and {other:?} share host {host:?} and path_prefix {prefix:?}: give each a place of its own"
     )]
-    SamePlace {
+    DuplicateMatch {
         /// A route.
         one: String,
         /// The other.
@@ -53,13 +53,13 @@
     #[error(
         "routes: {route:?}: the weights of its split sum to 0: give one of its services a weight, or a service by itself"
     )]
-    NoWeight {
+    ZeroWeight {
         /// The route.
         route: String,
     },
     /// A route leaves no time.
     #[error("routes: {route:?}: timeout_ms is 0: give its requests some time")]
-    NoTimeout {
+    ZeroTimeout {
         /// The route.
         route: String,
     },
--- a/protocol/src/configuration/mod.rs
+++ b/protocol/src/configuration/mod.rs
@@ -16,7 +16,7 @@
 mod schema;
 
 pub use error::ConfigurationError;
-pub use schema::{Configuration, Engine, Limits, Route, RouteKind, Service, Split};
+pub use schema::{Configuration, Engine, RequestLimits, Route, RouteKind, Service, WeightedService};
 
 /// A named item, as the operator wrote it.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
@@ -35,7 +35,7 @@
     /// Lists of named items.
     pub sections: BTreeMap<String, Vec<Item>>,
     /// All other fields, as JSON.
-    pub rest: BTreeMap<String, String>,
+    pub other_fields: BTreeMap<String, String>,
 }
 
 /// A change of a configuration: what an operator sends to `PATCH`, and what leads from one version to the next.
@@ -48,7 +48,7 @@
     /// Names of items to remove.
     pub remove: BTreeMap<String, Vec<String>>,
     /// Other fields that have changed; none for one that has gone.
-    pub rest: BTreeMap<String, Option<String>>,
+    pub other_fields: BTreeMap<String, Option<String>>,
 }
 
 /// A configuration that is nested deeper than this is refused: others that read it may not be able to.
@@ -89,7 +89,9 @@
 fn check_names(section: &str, items: &[Item]) -> Result<(), ConfigurationError> {
     let mut names = BTreeSet::new();
     match items.iter().find(|item| !names.insert(&item.name)) {
-        Some(item) => Err(ConfigurationError::Twice { section: section.to_owned(), name: item.name.clone() }),
+        Some(item) => {
+            Err(ConfigurationError::DuplicateName { section: section.to_owned(), name: item.name.clone() })
+        }
         None => Ok(()),
     }
 }
@@ -130,8 +132,8 @@
     /// Reads a whole configuration.
     ///
     /// # Errors
-    /// Where it can't be read whole. Whether it makes sense is told by [`Document::checked`].
-    pub fn read(body: &[u8]) -> Result<Self, ConfigurationError> {
+    /// Where it can't be read whole. Whether it makes sense is told by [`Document::validate`].
+    pub fn parse(body: &[u8]) -> Result<Self, ConfigurationError> {
         let mut fields = fields(body)?;
         let mut document = Self { revision: revision(&mut fields)?, ..Self::default() };
         for (name, raw) in fields {
@@ -141,7 +143,7 @@
                     document.sections.insert(name, items);
                 }
                 None => {
-                    document.rest.insert(name, raw.get().to_owned());
+                    document.other_fields.insert(name, raw.get().to_owned());
                 }
             }
         }
@@ -149,7 +151,7 @@
     }
 
     /// The whole of it, as JSON.
-    pub fn text(&self) -> String {
+    pub fn to_json(&self) -> String {
         let mut text = format!("{{\"revision\":{}", self.revision);
         let mut field = |name: &str, value: &str| {
             text.push_str(&format!(",{}:{value}", serde_json::Value::from(name)));
@@ -158,7 +160,7 @@
             let items: Vec<&str> = items.iter().map(|item| item.json.as_str()).collect();
             field(name, &format!("[{}]", items.join(",")));
         }
-        for (name, value) in &self.rest {
+        for (name, value) in &self.other_fields {
             field(name, value);
         }
         text.push('}');
@@ -169,8 +171,8 @@
     ///
     /// # Errors
     /// Where a field is missing or of the wrong kind; the error names it.
-    pub fn view(&self) -> Result<Configuration, ConfigurationError> {
-        let text = self.text();
+    pub fn routing_view(&self) -> Result<Configuration, ConfigurationError> {
+        let text = self.to_json();
         // Fields that nothing reads are passed over at any depth.
         if nesting(&text) > DEEPEST {
             return Err(ConfigurationError::Unreadable(format!("it is nested more than {DEEPEST} deep")));
@@ -192,11 +194,11 @@
     ///
     /// # Errors
     /// Where it can't; the error names the field.
-    pub fn checked(&self, current: u64) -> Result<Configuration, ConfigurationError> {
+    pub fn validate(&self, current: u64) -> Result<Configuration, ConfigurationError> {
         if self.revision <= current {
-            return Err(ConfigurationError::Revision { sent: self.revision, current });
+            return Err(ConfigurationError::StaleRevision { sent: self.revision, current });
         }
-        let view = self.view()?;
+        let view = self.routing_view()?;
         let services: BTreeSet<&str> = view.services.iter().map(|service| service.name.as_str()).collect();
         let mut places = BTreeMap::new();
         for route in &view.routes {
@@ -213,14 +215,14 @@
             if weights.iter().any(|(_, weight)| !weight.is_finite() || *weight < 0.0)
                 || weights.iter().map(|(_, weight)| weight).sum::<f64>() <= 0.0
             {
-                return Err(ConfigurationError::NoWeight { route: named() });
+                return Err(ConfigurationError::ZeroWeight { route: named() });
             }
             if route.timeout_ms.is_nan() || route.timeout_ms <= 0.0 {
-                return Err(ConfigurationError::NoTimeout { route: named() });
+                return Err(ConfigurationError::ZeroTimeout { route: named() });
             }
             let place = (route.host.to_ascii_lowercase(), route.path_prefix.as_str());
             if let Some(one) = places.insert(place, &route.name) {
-                return Err(ConfigurationError::SamePlace {
+                return Err(ConfigurationError::DuplicateMatch {
                     one: one.clone(),
                     other: named(),
                     host: route.host.clone(),
@@ -233,7 +235,7 @@
 
     /// This configuration with a change made to it.
     #[must_use]
-    pub fn with(&self, change: &Change) -> Self {
+    pub fn with_change(&self, change: &Change) -> Self {
         let mut changed = self.clone();
         changed.apply(change);
         changed
@@ -250,17 +252,17 @@
         for (section, upsert) in &change.upsert {
             upsert_items(self.sections.entry(section.clone()).or_default(), upsert);
         }
-        for (name, value) in &change.rest {
+        for (name, value) in &change.other_fields {
             match value {
-                Some(value) => self.rest.insert(name.clone(), value.clone()),
-                None => self.rest.remove(name),
+                Some(value) => self.other_fields.insert(name.clone(), value.clone()),
+                None => self.other_fields.remove(name),
             };
         }
     }
 
     /// What leads from this configuration to another one. Where items have changed their order without a change of their own,
     /// they keep the old one; nothing depends on it.
-    pub fn change_to(&self, other: &Self) -> Change {
+    pub fn diff(&self, other: &Self) -> Change {
         let mut change = Change { revision: other.revision, ..Change::default() };
         let empty = Vec::new();
         let names: BTreeSet<&String> = self.sections.keys().chain(other.sections.keys()).collect();
@@ -281,9 +283,9 @@
                 change.remove.insert(section.clone(), remove);
             }
         }
-        for name in self.rest.keys().chain(other.rest.keys()).collect::<BTreeSet<_>>() {
-            if self.rest.get(name) != other.rest.get(name) {
-                change.rest.insert(name.clone(), other.rest.get(name).cloned());
+        for name in self.other_fields.keys().chain(other.other_fields.keys()).collect::<BTreeSet<_>>() {
+            if self.other_fields.get(name) != other.other_fields.get(name) {
+                change.other_fields.insert(name.clone(), other.other_fields.get(name).cloned());
             }
         }
         change
@@ -295,7 +297,7 @@
     ///
     /// # Errors
     /// Where it can't be read whole.
-    pub fn read(body: &[u8]) -> Result<Self, ConfigurationError> {
+    pub fn parse(body: &[u8]) -> Result<Self, ConfigurationError> {
         let mut fields = fields(body)?;
         let mut change = Self { revision: revision(&mut fields)?, ..Self::default() };
         if let Some(raw) = fields.remove("upsert") {
@@ -313,7 +315,7 @@
                 .map_err(|error| ConfigurationError::Field(format!("remove: not lists of names: {error}")))?;
         }
         for (name, raw) in fields {
-            change.rest.insert(name, Some(raw.get().to_owned()));
+            change.other_fields.insert(name, Some(raw.get().to_owned()));
         }
         Ok(change)
     }
--- a/protocol/src/configuration/schema.rs
+++ b/protocol/src/configuration/schema.rs
@@ -17,7 +17,8 @@
 
 /// A service's part of a route.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Split {
+#[serde(expecting = "struct Split")]
+pub struct WeightedService {
     /// The service.
     pub service: String,
     /// Its weight against the others'.
@@ -38,8 +39,8 @@
     /// The longest that one is held, in milliseconds.
     pub timeout_ms: f64,
     /// An answer within this earns its full worth.
-    #[serde(default)]
-    pub target_ms: f64,
+    #[serde(rename = "target_ms", default)]
+    pub latency_target_ms: f64,
     /// Its rank; 0 goes first.
     #[serde(default)]
     pub priority: u32,
@@ -47,10 +48,10 @@
     pub service: Option<String>,
     /// The services, where there are several.
     #[serde(default)]
-    pub split: Vec<Split>,
+    pub split: Vec<WeightedService>,
     /// Servers that one try may be sent to.
-    #[serde(default = "one")]
-    pub max_tries: u32,
+    #[serde(rename = "max_tries", default = "one")]
+    pub max_attempts: u32,
     /// Servers keep something of its requests for the next ones.
     #[serde(default)]
     pub sticky: bool,
@@ -58,8 +59,8 @@
     #[serde(default)]
     pub resumable: bool,
     /// The longest pause between events at which an answer is in time.
-    #[serde(default)]
-    pub gap_aim_ms: f64,
+    #[serde(rename = "gap_aim_ms", default)]
+    pub event_gap_target_ms: f64,
     /// The regions in which its requests may be served; any where there are none.
     #[serde(default)]
     pub home_regions: Vec<String>,
@@ -71,7 +72,7 @@
 
 impl Route {
     /// Whether a request may run more than once.
-    pub fn is_repeatable(&self) -> bool {
+    pub fn is_idempotent(&self) -> bool {
         match self.route_kind {
             RouteKind::Safe => true,
             RouteKind::Unsafe => false,
@@ -106,14 +107,14 @@
     #[serde(default)]
     pub health_path: String,
     /// Connections that a server accepts from all callers together.
-    #[serde(default = "many")]
-    pub max_conns: f64,
+    #[serde(rename = "max_conns", default = "many")]
+    pub max_connections: f64,
     /// A server is cold for so many seconds after its start ...
-    #[serde(default)]
-    pub cold_s: f64,
+    #[serde(rename = "cold_s", default)]
+    pub warm_up_s: f64,
     /// ... and bears so many requests a second meanwhile.
-    #[serde(default)]
-    pub cold_per_s: f64,
+    #[serde(rename = "cold_per_s", default)]
+    pub warm_up_rate_per_s: f64,
     /// Its engines, where it is a model's.
     pub engine: Option<Engine>,
 }
@@ -124,8 +125,8 @@
 
 /// What clients may send, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
-#[serde(default)]
-pub struct Limits {
+#[serde(default, expecting = "struct Limits")]
+pub struct RequestLimits {
     /// The longest head, in bytes.
     pub max_header_bytes: f64,
     /// The longest body, in bytes.
@@ -136,7 +137,7 @@
     pub idle_timeout_ms: f64,
 }
 
-impl Default for Limits {
+impl Default for RequestLimits {
     fn default() -> Self {
         Self {
             max_header_bytes: 16384.0,
@@ -160,5 +161,5 @@
     pub services: Vec<Service>,
     /// Its limits.
     #[serde(default)]
-    pub limits: Limits,
+    pub limits: RequestLimits,
 }
--- a/protocol/src/frame.rs
+++ b/protocol/src/frame.rs
@@ -11,10 +11,10 @@
 use crate::compression::{CompressionError, compress, decompress};
 
 /// Marks a frame of ours.
-const MARK: u16 = 0x6976;
+const FRAME_MAGIC: u16 = 0x6976;
 /// The version of the messages. Another one is refused: there is no guessing at what it means.
-pub const VERSION: u16 = 2;
-const HEAD: usize = 2 + 2 + 4 + 4;
+pub const PROTOCOL_VERSION: u16 = 2;
+const HEADER_BYTES: usize = 2 + 2 + 4 + 4;
 /// Set in the length of a frame that carries a fragment of a message.
 const FRAGMENT: u32 = 1 << 31;
 /// Set beside it in the last fragment of a message.
@@ -30,34 +30,36 @@
 /// The payload of one fragment, in bytes: 13 ms of a link of 10 Mbit/s.
 pub const FRAGMENT_BYTES: usize = 16 * 1024;
 /// No message is longer, in bytes: a whole configuration with all of its history is far below.
-pub const LONGEST: usize = 24 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 24 << 20;
 
 /// Why bytes are no message.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     /// Not one of ours.
     #[error("what came on the inner port is no message of the system: see who else connects there")]
-    Foreign,
+    UnknownMagic,
     /// Another version's.
     #[error(
-        "a message of version {theirs}, where this program speaks version {VERSION}: bring all machines to one release"
+        "a message of version {theirs}, where this program speaks version {PROTOCOL_VERSION}: bring all machines to one release"
     )]
-    Version {
+    UnsupportedVersion {
         /// The version that came.
         theirs: u16,
     },
     /// Too long.
-    #[error("a message of {length} bytes, over the {LONGEST} that are taken: make the configuration smaller")]
-    TooLong {
+    #[error(
+        "a message of {length} bytes, over the {MAX_MESSAGE_BYTES} that are taken: make the configuration smaller"
+    )]
+    MessageTooLong {
         /// Its length.
         length: usize,
     },
-    /// Damaged on the way.
+    /// ChecksumMismatch on the way.
     #[error("a damaged message: the connection is opened anew; where it comes again, see to the network")]
-    Damaged,
+    ChecksumMismatch,
     /// Ours by its head, and not to be read.
     #[error("a message that can't be read ({0}): bring all machines to one release")]
-    Unreadable(String),
+    Undecodable(String),
 }
 
 /// A short checksum of a message or a record (FNV-1a over words, folded).
@@ -71,7 +73,7 @@
     for byte in words.remainder() {
         hash = (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
     }
-    let mixed = crate::ids::mix(hash);
+    let mixed = crate::ids::hash_mix(hash);
     (mixed ^ (mixed >> 32)) as u32
 }
 
@@ -108,9 +110,9 @@
 }
 
 fn frame(body: &[u8], flags: u32) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(HEAD + body.len());
-    bytes.extend_from_slice(&MARK.to_le_bytes());
-    bytes.extend_from_slice(&VERSION.to_le_bytes());
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
+    bytes.extend_from_slice(&FRAME_MAGIC.to_le_bytes());
+    bytes.extend_from_slice(&PROTOCOL_VERSION.to_le_bytes());
     bytes.extend_from_slice(&(body.len() as u32 | flags).to_le_bytes());
     bytes.extend_from_slice(&checksum(body).to_le_bytes());
     bytes.extend_from_slice(body);
@@ -127,19 +129,19 @@
         return read_message(flags & !COMPRESSED, &plain);
     }
     let (message, read) = M::read_with_length_from_buffer(body);
-    let message = message.map_err(|error| FrameError::Unreadable(error.to_string()))?;
+    let message = message.map_err(|error| FrameError::Undecodable(error.to_string()))?;
     if read < body.len() {
-        return Err(FrameError::Unreadable(format!("{} bytes too long", body.len() - read)));
+        return Err(FrameError::Undecodable(format!("{} bytes too long", body.len() - read)));
     }
     Ok((message, body.len()))
 }
 
 fn decompress_body(body: &[u8]) -> Result<Vec<u8>, FrameError> {
-    let unreadable = |error: CompressionError| FrameError::Unreadable(error.to_string());
+    let unreadable = |error: CompressionError| FrameError::Undecodable(error.to_string());
     let (length, compressed) = body.split_first_chunk().ok_or(unreadable(CompressionError::CutShort))?;
     let length = u32::from_le_bytes(*length) as usize;
-    if length > LONGEST {
-        return Err(FrameError::TooLong { length });
+    if length > MAX_MESSAGE_BYTES {
+        return Err(FrameError::MessageTooLong { length });
     }
     decompress(compressed, length).map_err(unreadable)
 }
@@ -151,8 +153,8 @@
     at: usize,
     /// The fragments of a message that has not come whole.
     fragments: Vec<u8>,
-    fragments_taken: u64,
-    last_length: usize,
+    fragments_received: u64,
+    last_message_bytes: usize,
 }
 
 impl Decoder {
@@ -166,36 +168,36 @@
     }
 
     /// How many fragments have come so far. While it grows, a message of many bytes is on its way.
-    pub fn fragments_taken(&self) -> u64 {
-        self.fragments_taken
+    pub fn fragments_received(&self) -> u64 {
+        self.fragments_received
     }
 
     /// The length of the last message, decompressed.
-    pub fn last_length(&self) -> usize {
-        self.last_length
+    pub fn last_message_bytes(&self) -> usize {
+        self.last_message_bytes
     }
 
     /// The next whole message, if it has come.
     ///
     /// # Errors
     /// Where the bytes are no message: the connection is of no further use.
-    pub fn message<M: for<'a> Readable<'a, LittleEndian>>(&mut self) -> Result<Option<M>, FrameError> {
+    pub fn next_message<M: for<'a> Readable<'a, LittleEndian>>(&mut self) -> Result<Option<M>, FrameError> {
         while let Some((flags, length)) = self.frame()? {
-            let body = &self.bytes[self.at + HEAD..][..length];
+            let body = &self.bytes[self.at + HEADER_BYTES..][..length];
             let message = if flags & FRAGMENT == 0 {
                 Some(read_message(flags, body)?)
             } else {
-                self.fragments_taken += 1;
-                if self.fragments.len() + length > LONGEST {
-                    return Err(FrameError::TooLong { length: self.fragments.len() + length });
+                self.fragments_received += 1;
+                if self.fragments.len() + length > MAX_MESSAGE_BYTES {
+                    return Err(FrameError::MessageTooLong { length: self.fragments.len() + length });
                 }
                 self.fragments.extend_from_slice(body);
                 let last = flags & LAST_FRAGMENT != 0;
                 last.then(|| read_message(flags, &std::mem::take(&mut self.fragments))).transpose()?
             };
-            self.skip(HEAD + length);
+            self.skip(HEADER_BYTES + length);
             if let Some((message, length)) = message {
-                self.last_length = length;
+                self.last_message_bytes = length;
                 return Ok(Some(message));
             }
         }
@@ -205,27 +207,27 @@
     /// Flags and length of the next frame, once it has come whole and is sound.
     fn frame(&self) -> Result<Option<(u32, usize)>, FrameError> {
         let rest = &self.bytes[self.at..];
-        if rest.len() < HEAD {
-            if rest.len() >= 2 && rest[..2] != MARK.to_le_bytes() {
-                return Err(FrameError::Foreign);
+        if rest.len() < HEADER_BYTES {
+            if rest.len() >= 2 && rest[..2] != FRAME_MAGIC.to_le_bytes() {
+                return Err(FrameError::UnknownMagic);
             }
             return Ok(None);
         }
         let word = |at: usize| u16::from_le_bytes([rest[at], rest[at + 1]]);
         let long = |at: usize| u32::from_le_bytes([rest[at], rest[at + 1], rest[at + 2], rest[at + 3]]);
-        if word(0) != MARK {
-            return Err(FrameError::Foreign);
+        if word(0) != FRAME_MAGIC {
+            return Err(FrameError::UnknownMagic);
         }
-        if word(2) != VERSION {
-            return Err(FrameError::Version { theirs: word(2) });
+        if word(2) != PROTOCOL_VERSION {
+            return Err(FrameError::UnsupportedVersion { theirs: word(2) });
         }
         let length = (long(4) & LENGTH_BITS) as usize;
-        if length > LONGEST {
-            return Err(FrameError::TooLong { length });
+        if length > MAX_MESSAGE_BYTES {
+            return Err(FrameError::MessageTooLong { length });
         }
-        let Some(body) = rest.get(HEAD..HEAD + length) else { return Ok(None) };
+        let Some(body) = rest.get(HEADER_BYTES..HEADER_BYTES + length) else { return Ok(None) };
         if checksum(body) != long(8) {
-            return Err(FrameError::Damaged);
+            return Err(FrameError::ChecksumMismatch);
         }
         Ok(Some((long(4) & !LENGTH_BITS, length)))
     }
--- a/protocol/src/ids.rs
+++ b/protocol/src/ids.rs
@@ -81,21 +81,21 @@
     }
 
     /// The part of a key: of a service, a zone, or a duty.
-    pub fn of(key: &str) -> Self {
-        Self(1 + (hash(key.as_bytes()) % u64::from(HASHED_PARTITIONS)) as u8)
+    pub fn for_key(key: &str) -> Self {
+        Self(1 + (fnv1a_hash(key.as_bytes()) % u64::from(HASHED_PARTITIONS)) as u8)
     }
 }
 
 /// A hash that is the same in every process and in every version (FNV-1a with a final mix, so that all bits count).
-pub fn hash(bytes: &[u8]) -> u64 {
+pub fn fnv1a_hash(bytes: &[u8]) -> u64 {
     let folded = bytes.iter().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
     });
-    mix(folded)
+    hash_mix(folded)
 }
 
 /// Spreads the bits of a number.
-pub fn mix(mut z: u64) -> u64 {
+pub fn hash_mix(mut z: u64) -> u64 {
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     z ^ (z >> 31)
--- a/protocol/src/peer.rs
+++ b/protocol/src/peer.rs
@@ -3,7 +3,7 @@
 use speedy::{Readable, Writable};
 
 use crate::ids::{Ballot, NodeId, PartitionId, ReplicaId};
-use crate::watch::{Router, ServerListUpdate};
+use crate::watch::{Router, ServerListPosition, ServerListUpdate};
 
 /// A control node's seat in the membership: the replica that votes from it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Readable, Writable)]
@@ -14,7 +14,7 @@
     pub zone: String,
     /// The generation that made it a voter. One that joined after the first generation counts only once it holds the state of a
     /// quorum of the generation before.
-    pub joined: u64,
+    pub joined_generation: u64,
 }
 
 /// The replicas that decide together. Each generation is decided by a quorum of the one before, and differs from it in one voter.
@@ -59,7 +59,7 @@
     pub fn with_replacement(&self, replaced: ReplicaId, successor: ReplicaId, zone: &str) -> Self {
         let generation = self.generation + 1;
         let seat = |voter: &Voter| match voter.replica == replaced {
-            true => Voter { replica: successor, zone: zone.to_owned(), joined: generation },
+            true => Voter { replica: successor, zone: zone.to_owned(), joined_generation: generation },
             false => voter.clone(),
         };
         let mut voters: Vec<Voter> = self.voters.iter().map(seat).collect();
@@ -166,14 +166,14 @@
         /// The ballot.
         ballot: Ballot,
         /// Comes back with the answer.
-        number: u64,
+        request_id: u64,
     },
     /// It is.
     Confirmed {
         /// The ballot.
         ballot: Ballot,
         /// As it was asked.
-        number: u64,
+        request_id: u64,
     },
 }
 
@@ -204,16 +204,16 @@
         active: bool,
         /// How often that had changed, as far as the replica knew to which the request came. One that is older than the zone's last
         /// change was given up by its sender, and is not carried out.
-        changes: u64,
+        change_count: u64,
     },
 }
 
 impl AdminRequest {
     /// The partition that decides on it.
-    pub fn part(&self) -> PartitionId {
+    pub fn partition(&self) -> PartitionId {
         match self {
             Self::Put { .. } | Self::Patch { .. } | Self::Read => PartitionId::CONFIGURATION,
-            Self::Evacuate { zone, .. } => PartitionId::of(zone),
+            Self::Evacuate { zone, .. } => PartitionId::for_key(zone),
         }
     }
 }
@@ -271,23 +271,23 @@
         /// The sender's membership.
         generation: u64,
         /// The partition.
-        part: PartitionId,
+        partition: PartitionId,
         /// The message.
         message: ConsensusMessage,
     },
     /// An operator's request, for the leader of its partition.
     ForwardRequest {
         /// Comes back with the response.
-        number: u64,
+        request_id: u64,
         /// The number of the leader's heartbeat that the sender has heard last: by it the leader knows how old this may be.
-        heard: u64,
+        last_heartbeat: u64,
         /// The request.
         request: AdminRequest,
     },
     /// The response to a forwarded request.
     ForwardResponse {
         /// As it was forwarded.
-        number: u64,
+        request_id: u64,
         /// The response.
         response: AdminResponse,
     },
@@ -305,7 +305,7 @@
     /// The sender's process.
     pub incarnation: u64,
     /// Counts the heartbeats of that process.
-    pub number: u64,
+    pub sequence: u64,
     /// The sender's disk; none where it has no disk, and so can't be a voter.
     pub disk: Option<u64>,
     /// The zone of its machine.
@@ -315,15 +315,15 @@
     /// The newest membership that it knows; 0 for none.
     pub generation: u64,
     /// It has been told to end.
-    pub leaving: bool,
+    pub draining: bool,
     /// From whom it has heard lately.
     pub reachable: Vec<NodeId>,
     /// It hears a quorum of the voters, and they hear it.
     pub has_quorum: bool,
     /// It can read the platform's list.
-    pub reads_list: bool,
+    pub can_read_server_list: bool,
     /// For each partition, its last committed change as far as the sender knows.
     pub committed: Vec<u64>,
     /// The list of servers that it has.
-    pub servers: (Ballot, u64),
+    pub server_list: ServerListPosition,
 }
--- a/protocol/src/server_list.rs
+++ b/protocol/src/server_list.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::ids::Ballot;
-use crate::watch::{Server, ServerListUpdate};
+use crate::watch::{Server, ServerListPosition, ServerListUpdate};
 use crate::{MILLISECOND, Nanos};
 
 /// Changes that are kept for those who are a little behind.
@@ -25,22 +25,30 @@
 impl Line {
     fn new(server: Server, now: Nanos) -> Self {
         let after = |ms: u32| now + Nanos::from(ms) * MILLISECOND;
-        Self { warm_at: after(server.cold_left_ms), gone_at: server.remaining_ms.map(after), server }
+        Self {
+            warm_at: after(server.warm_up_remaining_ms),
+            gone_at: server.lifetime_remaining_ms.map(after),
+            server,
+        }
     }
 
     /// The server as it is told now.
     fn told(&self, now: Nanos) -> Server {
         let left = |at: Nanos| (at.saturating_sub(now) / MILLISECOND) as u32;
         Server {
-            cold_left_ms: left(self.warm_at),
-            remaining_ms: self.gone_at.map(left),
+            warm_up_remaining_ms: left(self.warm_at),
+            lifetime_remaining_ms: self.gone_at.map(left),
             ..self.server.clone()
         }
     }
 
     fn says_the_same(&self, other: &Self, now: Nanos) -> bool {
         let near = |one: Nanos, two: Nanos| one.max(now).abs_diff(two.max(now)) <= SAME;
-        let plain = |line: &Self| Server { cold_left_ms: 0, remaining_ms: None, ..line.server.clone() };
+        let plain = |line: &Self| Server {
+            warm_up_remaining_ms: 0,
+            lifetime_remaining_ms: None,
+            ..line.server.clone()
+        };
         plain(self) == plain(other)
             && near(self.warm_at, other.warm_at)
             && self.gone_at.is_some() == other.gone_at.is_some()
@@ -52,7 +60,7 @@
 struct Step {
     from: u64,
     upsert: Vec<String>,
-    gone: Vec<String>,
+    removed: Vec<String>,
 }
 
 /// The list.
@@ -66,8 +74,8 @@
 
 impl ServerList {
     /// How far it is.
-    pub fn position(&self) -> (Ballot, u64) {
-        (self.ballot, self.number)
+    pub fn position(&self) -> ServerListPosition {
+        ServerListPosition { ballot: self.ballot, number: self.number }
     }
 
     /// The servers, with their times as they are now.
@@ -86,7 +94,12 @@
     }
 
     /// Takes in what the platform has told this node, the reader under this ballot. Returns what is new, if anything.
-    pub fn read(&mut self, now: Nanos, ballot: Ballot, servers: Vec<Server>) -> Option<ServerListUpdate> {
+    pub fn apply_platform_list(
+        &mut self,
+        now: Nanos,
+        ballot: Ballot,
+        servers: Vec<Server>,
+    ) -> Option<ServerListUpdate> {
         // Another reader has taken over meanwhile.
         if ballot < self.ballot {
             return None;
@@ -97,14 +110,14 @@
             self.ballot = ballot;
             (self.number, self.lines) = (1, lines);
             self.steps.clear();
-            return Some(self.whole(now));
+            return Some(self.full_update(now));
         }
         let known = &self.lines;
         let differs =
             |(id, line): &(&String, &Line)| known.get(*id).is_none_or(|old| !old.says_the_same(line, now));
         let upsert: Vec<String> = lines.iter().filter(differs).map(|(id, _)| id.clone()).collect();
-        let gone: Vec<String> = known.keys().filter(|id| !lines.contains_key(*id)).cloned().collect();
-        if upsert.is_empty() && gone.is_empty() {
+        let removed: Vec<String> = known.keys().filter(|id| !lines.contains_key(*id)).cloned().collect();
+        if upsert.is_empty() && removed.is_empty() {
             return None;
         }
         for id in &upsert {
@@ -112,10 +125,10 @@
                 self.lines.insert(id.clone(), line);
             }
         }
-        self.lines.retain(|id, _| !gone.contains(id));
+        self.lines.retain(|id, _| !removed.contains(id));
         let from = self.number;
-        self.step(Step { from, upsert, gone });
-        Some(self.since(now, (ballot, from)))
+        self.step(Step { from, upsert, removed });
+        Some(self.update_since(now, ServerListPosition { ballot, number: from }))
     }
 
     fn step(&mut self, step: Step) {
@@ -127,7 +140,7 @@
     }
 
     /// Takes in what another node tells. False where it does not follow on what is known here: the whole list is needed.
-    pub fn follow(&mut self, now: Nanos, news: ServerListUpdate) -> bool {
+    pub fn apply_update(&mut self, now: Nanos, news: ServerListUpdate) -> bool {
         if (news.ballot, news.to) <= (self.ballot, self.number) {
             return true;
         }
@@ -146,8 +159,8 @@
                         id
                     })
                     .collect();
-                self.lines.retain(|id, _| !news.gone.contains(id));
-                self.step(Step { from, upsert, gone: news.gone });
+                self.lines.retain(|id, _| !news.removed.contains(id));
+                self.step(Step { from, upsert, removed: news.removed });
                 self.number = news.to;
                 true
             }
@@ -156,28 +169,29 @@
     }
 
     /// The whole list.
-    pub fn whole(&self, now: Nanos) -> ServerListUpdate {
+    pub fn full_update(&self, now: Nanos) -> ServerListUpdate {
         let upsert = self.lines.values().map(|line| line.told(now)).collect();
-        ServerListUpdate { ballot: self.ballot, from: None, to: self.number, upsert, gone: Vec::new() }
+        ServerListUpdate { ballot: self.ballot, from: None, to: self.number, upsert, removed: Vec::new() }
     }
 
     /// What is newer than this position: changes where they are kept, else the whole list.
-    pub fn since(&self, now: Nanos, (ballot, number): (Ballot, u64)) -> ServerListUpdate {
+    pub fn update_since(&self, now: Nanos, position: ServerListPosition) -> ServerListUpdate {
+        let ServerListPosition { ballot, number } = position;
         let steps = self.steps.iter().filter(|step| step.from >= number);
         let kept = ballot == self.ballot && self.steps.front().is_some_and(|first| first.from <= number);
         if !kept {
-            return self.whole(now);
+            return self.full_update(now);
         }
-        let (mut upsert, mut gone) = (BTreeMap::new(), Vec::new());
+        let (mut upsert, mut removed) = (BTreeMap::new(), Vec::new());
         for step in steps {
             for id in &step.upsert {
                 if let Some(line) = self.lines.get(id) {
                     upsert.insert(id.clone(), line.told(now));
                 }
             }
-            gone.extend(step.gone.iter().filter(|id| !self.lines.contains_key(*id)).cloned());
+            removed.extend(step.removed.iter().filter(|id| !self.lines.contains_key(*id)).cloned());
         }
         let upsert = upsert.into_values().collect();
-        ServerListUpdate { ballot, from: Some(number), to: self.number, upsert, gone }
+        ServerListUpdate { ballot, from: Some(number), to: self.number, upsert, removed }
     }
 }
--- a/protocol/src/settings.rs
+++ b/protocol/src/settings.rs
@@ -11,17 +11,17 @@
 use crate::ids::NodeId;
 
 /// The variable that holds the file's path.
-pub const VARIABLE: &str = "IVYHATCH_SETTINGS";
+pub const SETTINGS_PATH_VARIABLE: &str = "IVYHATCH_SETTINGS";
 
 /// Why a process can't be started so.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The variable is not set.
-    #[error("{VARIABLE} is not set: let it hold the path of the settings file")]
+    #[error("{SETTINGS_PATH_VARIABLE} is not set: let it hold the path of the settings file")]
     Unset,
     /// The file can't be read.
     #[error("settings file {path}: {source}: check the path and who may read it")]
-    Unread {
+    Unreadable {
         /// The file.
         path: String,
         /// Why.
@@ -37,7 +37,7 @@
     },
     /// The role has no address for what it serves.
     #[error("settings file: listen.{field} is missing: give the role {role:?} an address for what it serves")]
-    Address {
+    MissingAddress {
         /// The field.
         field: &'static str,
         /// The role.
@@ -47,9 +47,11 @@
 
 /// Addresses for what the role serves.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct Listen {
+#[serde(expecting = "struct Listen")]
+pub struct ListenAddresses {
     /// Requests of clients.
-    pub front: Option<SocketAddrV4>,
+    #[serde(rename = "front")]
+    pub client: Option<SocketAddrV4>,
     /// Whether the process takes requests.
     pub readiness: Option<SocketAddrV4>,
     /// Calls of the operator.
@@ -60,8 +62,8 @@
 
 /// What the machine gives a process.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(default)]
-pub struct Limits {
+#[serde(default, expecting = "struct Limits")]
+pub struct ResourceLimits {
     /// Share of a core.
     pub cpu_share: f64,
     /// Memory over which it is killed, in megabytes.
@@ -72,7 +74,7 @@
     pub disk_mb: f64,
 }
 
-impl Default for Limits {
+impl Default for ResourceLimits {
     fn default() -> Self {
         Self { cpu_share: 1.0, memory_mb: 256.0, max_fds: 1024, disk_mb: 0.0 }
     }
@@ -80,13 +82,13 @@
 
 /// How much may be lost at once while all goes on.
 #[derive(Clone, Copy, Debug, Deserialize)]
-#[serde(default)]
-pub struct Tolerate {
+#[serde(default, expecting = "struct Tolerate")]
+pub struct FaultTolerance {
     /// Machines with a disk.
     pub machines: usize,
 }
 
-impl Default for Tolerate {
+impl Default for FaultTolerance {
     fn default() -> Self {
         Self { machines: 1 }
     }
@@ -97,34 +99,42 @@
 #[serde(default)]
 pub struct Bounds {
     /// Sends to a server that drains must have ended this long after the list showed it.
-    pub drain_ms: f64,
+    #[serde(rename = "drain_ms")]
+    pub drain_timeout_ms: f64,
     /// A process is killed this long after it was told to end, in seconds.
-    pub grace_s: f64,
+    #[serde(rename = "grace_s")]
+    pub shutdown_grace_s: f64,
     /// Share of the requests of a service that may be sent again ...
-    pub budget_ratio: f64,
+    #[serde(rename = "budget_ratio")]
+    pub retry_budget_ratio: f64,
     /// ... within so many seconds ...
-    pub budget_window_s: f64,
+    #[serde(rename = "budget_window_s")]
+    pub retry_budget_window_s: f64,
     /// ... and so many more, summed over all machines.
-    pub budget_slack: f64,
+    #[serde(rename = "budget_slack")]
+    pub retry_budget_slack: f64,
     /// A cold server may get so many times its rate ...
-    pub cold_excess: f64,
+    #[serde(rename = "cold_excess")]
+    pub warm_up_rate_factor: f64,
     /// ... and so many more requests a second, summed over all machines.
-    pub cold_slack: f64,
+    #[serde(rename = "cold_slack")]
+    pub warm_up_rate_slack: f64,
     /// Answers of the directory count for so many seconds at most.
-    pub ttl_max_s: f64,
+    #[serde(rename = "ttl_max_s")]
+    pub max_directory_ttl_s: f64,
 }
 
 impl Default for Bounds {
     fn default() -> Self {
         Self {
-            drain_ms: 2000.0,
-            grace_s: 8.0,
-            budget_ratio: 0.1,
-            budget_window_s: 10.0,
-            budget_slack: 0.0,
-            cold_excess: 1.0,
-            cold_slack: 0.0,
-            ttl_max_s: 5.0,
+            drain_timeout_ms: 2000.0,
+            shutdown_grace_s: 8.0,
+            retry_budget_ratio: 0.1,
+            retry_budget_window_s: 10.0,
+            retry_budget_slack: 0.0,
+            warm_up_rate_factor: 1.0,
+            warm_up_rate_slack: 0.0,
+            max_directory_ttl_s: 5.0,
         }
     }
 }
@@ -139,7 +149,8 @@
     pub rate_per_s: f64,
     /// How far it lags, in milliseconds.
     #[serde(default)]
-    pub lag_ms: f64,
+    #[serde(rename = "lag_ms")]
+    pub staleness_ms: f64,
 }
 
 fn one() -> f64 {
@@ -163,9 +174,10 @@
     /// All zones, with their regions.
     pub zones: BTreeMap<String, String>,
     /// Addresses for what the role serves.
-    pub listen: Listen,
+    pub listen: ListenAddresses,
     /// Ports for what nodes say to each other, from the first to the second.
-    pub inner_ports: (u16, u16),
+    #[serde(rename = "inner_ports")]
+    pub peer_ports: (u16, u16),
     /// Addresses of control nodes.
     #[serde(default)]
     pub seeds: Vec<SocketAddrV4>,
@@ -174,13 +186,13 @@
     pub first_start: bool,
     /// What the machine gives.
     #[serde(default)]
-    pub limits: Limits,
+    pub limits: ResourceLimits,
     /// The folder on the machine's disk, if it has one.
     #[serde(default)]
     pub data_dir: Option<PathBuf>,
     /// How much may be lost at once.
-    #[serde(default)]
-    pub tolerate: Tolerate,
+    #[serde(rename = "tolerate", default)]
+    pub fault_tolerance: FaultTolerance,
     /// The figures of the rules.
     #[serde(default)]
     pub bounds: Bounds,
@@ -199,7 +211,7 @@
     /// # Errors
     /// Where there is none, or one that can't be used.
     pub fn from_environment() -> Result<Self, SettingsError> {
-        let path = std::env::var(VARIABLE).map_err(|_| SettingsError::Unset)?;
+        let path = std::env::var(SETTINGS_PATH_VARIABLE).map_err(|_| SettingsError::Unset)?;
         Self::from_file(Path::new(&path))
     }
 
@@ -210,7 +222,7 @@
     pub fn from_file(path: &Path) -> Result<Self, SettingsError> {
         let shown = path.display().to_string();
         let text = std::fs::read_to_string(path)
-            .map_err(|source| SettingsError::Unread { path: shown.clone(), source })?;
+            .map_err(|source| SettingsError::Unreadable { path: shown.clone(), source })?;
         Self::from_text(&text, &shown)
     }
 
@@ -230,12 +242,12 @@
     ///
     /// # Errors
     /// Where the settings give none.
-    pub fn address(
+    pub fn listen_address(
         &self,
         field: &'static str,
-        of: impl Fn(&Listen) -> Option<SocketAddrV4>,
+        of: impl Fn(&ListenAddresses) -> Option<SocketAddrV4>,
     ) -> Result<SocketAddrV4, SettingsError> {
-        of(&self.listen).ok_or_else(|| SettingsError::Address { field, role: self.role.clone() })
+        of(&self.listen).ok_or_else(|| SettingsError::MissingAddress { field, role: self.role.clone() })
     }
 
     /// The region of a zone; the zone's own name for one that the settings do not list.
--- a/protocol/src/watch.rs
+++ b/protocol/src/watch.rs
@@ -12,21 +12,39 @@
 use crate::configuration::{Change, Document};
 use crate::ids::{Ballot, NodeId, PartitionId};
 
+/// A version of the server list. Positions are ordered by ballot, then by number.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
+pub struct ServerListPosition {
+    /// The ballot of the control node that read the list from the platform.
+    pub ballot: Ballot,
+    /// The number of the list's version under that ballot; 0 for none.
+    pub number: u64,
+}
+
+/// The last change of one partition's evacuations that a watcher has.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
+pub struct EvacuationPosition {
+    /// The partition.
+    pub partition: PartitionId,
+    /// The sequence number of its last change.
+    pub sequence: u64,
+}
+
 /// How far a follower is. The default is that of one who has nothing.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct Position {
     /// The number of the configuration's last change.
     pub configuration: u64,
     /// For each part with evacuations, the number of its last change.
-    pub evacuations: Vec<(PartitionId, u64)>,
+    pub evacuations: Vec<EvacuationPosition>,
     /// The list of servers: its reader's ballot, and its number in that.
-    pub servers: (Ballot, u64),
+    pub server_list: ServerListPosition,
 }
 
 impl Position {
     /// The number of a part's last change of evacuations.
-    pub fn evacuations_of(&self, part: PartitionId) -> u64 {
-        self.evacuations.iter().find(|(of, _)| *of == part).map_or(0, |(_, sequence)| *sequence)
+    pub fn evacuation_sequence(&self, partition: PartitionId) -> u64 {
+        self.evacuations.iter().find(|known| known.partition == partition).map_or(0, |known| known.sequence)
     }
 }
 
@@ -39,7 +57,7 @@
     /// It takes requests.
     Ready,
     /// It has been told to end.
-    Leaving,
+    Draining,
 }
 
 /// A router, for those who look for one.
@@ -48,7 +66,7 @@
     /// Its machine.
     pub node: NodeId,
     /// Where it takes requests, as `address:port`.
-    pub front: String,
+    pub client_address: String,
     /// Its zone.
     pub zone: String,
     /// Its region.
@@ -73,9 +91,9 @@
     /// Nothing new may be sent to it.
     pub draining: bool,
     /// For so many more milliseconds, counted from the writing of this message, it is cold.
-    pub cold_left_ms: u32,
+    pub warm_up_remaining_ms: u32,
     /// For so many more it is there, where it goes at short notice.
-    pub remaining_ms: Option<u32>,
+    pub lifetime_remaining_ms: Option<u32>,
 }
 
 /// News of the list of servers.
@@ -90,18 +108,36 @@
     /// Servers that are new or have changed; all of them in a whole list.
     pub upsert: Vec<Server>,
     /// Incarnations that are gone.
-    pub gone: Vec<String>,
+    pub removed: Vec<String>,
+}
+
+/// Whether a zone is evacuated.
+#[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
+pub struct ZoneEvacuation {
+    /// The zone's name.
+    pub zone: String,
+    /// Whether the zone is being evacuated now.
+    pub active: bool,
+    /// How many times `active` has changed.
+    pub change_count: u64,
 }
 
 /// News of one part's evacuations: all of them.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct EvacuationUpdate {
     /// The part.
-    pub part: PartitionId,
+    pub partition: PartitionId,
     /// The number of its last change.
     pub sequence: u64,
     /// Each zone that was ever evacuated, whether it is now, and how often that has changed.
-    pub zones: Vec<(String, bool, u64)>,
+    pub zones: Vec<ZoneEvacuation>,
+}
+
+impl EvacuationUpdate {
+    /// The position of a watcher that has applied this update.
+    pub fn position(&self) -> EvacuationPosition {
+        EvacuationPosition { partition: self.partition, sequence: self.sequence }
+    }
 }
 
 /// From a follower.
@@ -134,7 +170,7 @@
 
 impl<T> Shared<T> {
     /// Whether both are clones of one.
-    pub fn is_same(&self, other: &Self) -> bool {
+    pub fn ptr_eq(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.0, &other.0)
     }
 }
--- a/protocol/tests/compression.rs
+++ b/protocol/tests/compression.rs
@@ -2,16 +2,16 @@
 
 use googletest::prelude::*;
 use ivyhatch_protocol::compression::{CompressionError, compress, decompress};
-use ivyhatch_protocol::ids::mix;
+use ivyhatch_protocol::ids::hash_mix;
 
 /// Bytes that look like chance, from a seed, out of an alphabet of this size.
 fn bytes(seed: u64, length: usize, alphabet: u64) -> Vec<u8> {
-    (0..length as u64).map(|at| (mix(seed ^ mix(at)) % alphabet) as u8).collect()
+    (0..length as u64).map(|at| (hash_mix(seed ^ hash_mix(at)) % alphabet) as u8).collect()
 }
 
 fn routes(count: u64) -> Vec<u8> {
     let route = |at: u64| {
-        let (name, place) = (mix(at) % 0xfff_ffff, mix(at + 1) % 10_000);
+        let (name, place) = (hash_mix(at) % 0xfff_ffff, hash_mix(at + 1) % 10_000);
         format!(
             "{{\"name\":\"r-{name:07x}\",\"host\":\"host{}.example\",\"path_prefix\":\"/p{place}/\",\"route_kind\":\"safe\",\
              \"timeout_ms\":1500,\"target_ms\":150,\"priority\":2,\"service\":\"lobby\",\"max_tries\":2}}",
@@ -67,7 +67,7 @@
 #[gtest]
 fn any_bytes_give_at_most_the_announced_length() {
     for seed in 0..20_000 {
-        let mut bytes = bytes(seed, (seed % 97) as usize, 1 + mix(seed) % 256);
+        let mut bytes = bytes(seed, (seed % 97) as usize, 1 + hash_mix(seed) % 256);
         if seed % 2 == 0 {
             bytes = compress(&bytes);
             if let Some(byte) = bytes.get_mut((seed % 11) as usize) {
--- a/protocol/tests/configuration.rs
+++ b/protocol/tests/configuration.rs
@@ -13,31 +13,31 @@
   "limits":{"max_header_bytes":16384}}"#;
 
 fn whole() -> Document {
-    Document::read(WHOLE.as_bytes()).expect("a sound configuration")
+    Document::parse(WHOLE.as_bytes()).expect("a sound configuration")
 }
 
 /// The whole configuration with one text replaced by another, checked against version 5.
 fn checked_with(from: &str, to: &str) -> std::result::Result<(), ConfigurationError> {
     assert!(WHOLE.contains(from), "{from} does not stand there");
-    Document::read(WHOLE.replace(from, to).as_bytes())?.checked(5).map(drop)
+    Document::parse(WHOLE.replace(from, to).as_bytes())?.validate(5).map(drop)
 }
 
 #[gtest]
 fn a_sound_one_is_taken_and_given_back_with_all_that_was_sent() {
-    let view = whole().checked(5).expect("sound");
+    let view = whole().validate(5).expect("sound");
     expect_that!(view.routes.len(), eq(2));
     expect_that!(view.routes[0].targets(), elements_are![eq(&("s", 90.0)), eq(&("t", 10.0))]);
     expect_that!(view.routes[1].targets(), elements_are![eq(&("s", 1.0))]);
-    expect_that!(view.routes[1].max_tries, eq(1));
+    expect_that!(view.routes[1].max_attempts, eq(1));
     let sent: serde_json::Value = serde_json::from_str(WHOLE).expect("JSON");
-    let back: serde_json::Value = serde_json::from_str(&whole().text()).expect("JSON");
+    let back: serde_json::Value = serde_json::from_str(&whole().to_json()).expect("JSON");
     expect_that!(back, eq(&sent));
 }
 
 #[gtest]
 fn each_kind_of_invalid_one_is_refused_with_its_field() {
     use ConfigurationError as E;
-    let cut = Document::read(&WHOLE.as_bytes()[..WHOLE.len() - 40]);
+    let cut = Document::parse(&WHOLE.as_bytes()[..WHOLE.len() - 40]);
     expect_that!(cut, err(matches_pattern!(E::Unreadable(_))));
     expect_that!(
         checked_with(r#""service":"s"}"#, r#""service":"z"}"#),
@@ -47,23 +47,26 @@
         checked_with(r#""service":"t","weight":10"#, r#""service":"z","weight":0"#),
         err(matches_pattern!(E::UnknownService { .. }))
     );
-    expect_that!(checked_with("/a/b/", "/a/"), err(matches_pattern!(E::SamePlace { .. })));
+    expect_that!(checked_with("/a/b/", "/a/"), err(matches_pattern!(E::DuplicateMatch { .. })));
     expect_that!(
         checked_with(
             r#"[{"service":"s","weight":90},{"service":"t","weight":10}]"#,
             r#"[{"service":"s","weight":0}]"#
         ),
-        err(matches_pattern!(E::NoWeight { .. }))
+        err(matches_pattern!(E::ZeroWeight { .. }))
     );
     expect_that!(
         checked_with(r#""timeout_ms":3000"#, r#""timeout_ms":0"#),
-        err(matches_pattern!(E::NoTimeout { .. }))
+        err(matches_pattern!(E::ZeroTimeout { .. }))
     );
     expect_that!(
         checked_with(r#""revision":7"#, r#""revision":5"#),
-        err(eq(&E::Revision { sent: 5, current: 5 }))
+        err(eq(&E::StaleRevision { sent: 5, current: 5 }))
+    );
+    expect_that!(
+        checked_with(r#""name":"b""#, r#""name":"a""#),
+        err(matches_pattern!(E::DuplicateName { .. }))
     );
-    expect_that!(checked_with(r#""name":"b""#, r#""name":"a""#), err(matches_pattern!(E::Twice { .. })));
     expect_that!(
         checked_with(r#""timeout_ms":3000,"#, ""),
         err(displays_as(contains_substring("timeout_ms")))
@@ -82,25 +85,25 @@
 fn a_change_adds_replaces_and_removes_by_name() {
     let change = br#"{"revision":9,"upsert":{"routes":[{"name":"c","host":"h.example","path_prefix":"/c/","route_kind":"safe",
         "timeout_ms":1,"service":"s"}],"tenants":[{"name":"x","quota":4}]},"remove":{"routes":["b","not-there"]}}"#;
-    let changed = whole().with(&Change::read(change).expect("a sound change"));
-    let view = changed.checked(7).expect("sound");
+    let changed = whole().with_change(&Change::parse(change).expect("a sound change"));
+    let view = changed.validate(7).expect("sound");
     let names: Vec<&str> = view.routes.iter().map(|route| route.name.as_str()).collect();
     expect_that!(names, elements_are![eq(&"a"), eq(&"c")]);
-    expect_that!(changed.text(), contains_substring(r#""quota":4"#));
+    expect_that!(changed.to_json(), contains_substring(r#""quota":4"#));
     expect_that!(
-        Change::read(br#"{"revision":9,"upsert":{"routes":[{"host":"#),
+        Change::parse(br#"{"revision":9,"upsert":{"routes":[{"host":"#),
         err(matches_pattern!(ConfigurationError::Unreadable(_)))
     );
-    let missing = Change::read(br#"{"revision":9,"remove":{"services":["s"]}}"#).expect("readable");
+    let missing = Change::parse(br#"{"revision":9,"remove":{"services":["s"]}}"#).expect("readable");
     expect_that!(
-        whole().with(&missing).checked(7),
+        whole().with_change(&missing).validate(7),
         err(matches_pattern!(ConfigurationError::UnknownService { .. }))
     );
 }
 
 #[gtest]
 fn what_leads_from_one_version_to_another_leads_there() {
-    let other = Document::read(
+    let other = Document::parse(
         WHOLE
             .replace(r#""revision":7"#, r#""revision":8"#)
             .replace("/a/b/", "/b/")
@@ -110,7 +113,7 @@
     )
     .expect("sound");
     for (one, two) in [(whole(), other.clone()), (other, whole()), (Document::default(), whole())] {
-        let mut there = one.with(&one.change_to(&two));
+        let mut there = one.with_change(&one.diff(&two));
         there.sections.retain(|_, items| !items.is_empty());
         expect_that!(there, eq(&two));
     }
@@ -120,7 +123,7 @@
 fn only_nesting_counts_toward_the_depth_that_is_refused() {
     let with = |field: &str| {
         let text = WHOLE.replacen('{', &format!("{{\"unknown\":{field},"), 1);
-        Document::read(text.as_bytes()).and_then(|document| document.checked(5)).map(drop)
+        Document::parse(text.as_bytes()).and_then(|document| document.validate(5)).map(drop)
     };
     let nested = |depth: usize| format!("{}{}", "[".repeat(depth), "]".repeat(depth));
     expect_that!(with(&nested(126)), ok(anything()));
--- a/protocol/tests/frame.rs
+++ b/protocol/tests/frame.rs
@@ -2,9 +2,10 @@
 
 use googletest::prelude::*;
 use ivyhatch_protocol::frame::{
-    Decoder, FRAGMENT_BYTES, FrameError, LONGEST, VERSION, checksum, encode, encode_fragments,
+    Decoder, FRAGMENT_BYTES, FrameError, MAX_MESSAGE_BYTES, PROTOCOL_VERSION, checksum, encode,
+    encode_fragments,
 };
-use ivyhatch_protocol::ids::mix;
+use ivyhatch_protocol::ids::hash_mix;
 use ivyhatch_protocol::watch::WatchRequest;
 
 fn want() -> WatchRequest {
@@ -13,13 +14,13 @@
 
 /// A message that does not shrink, as it never repeats itself.
 fn incompressible(length: usize) -> Vec<u8> {
-    (0..length as u64).map(|at| mix(at) as u8).collect()
+    (0..length as u64).map(|at| hash_mix(at) as u8).collect()
 }
 
 fn decoded(bytes: &[u8]) -> std::result::Result<Option<WatchRequest>, FrameError> {
     let mut decoder = Decoder::default();
     decoder.feed(bytes);
-    decoder.message()
+    decoder.next_message()
 }
 
 #[gtest]
@@ -29,7 +30,7 @@
         let (mut decoder, mut came) = (Decoder::default(), 0);
         for piece in bytes.chunks(size) {
             decoder.feed(piece);
-            while let Some(message) = decoder.message::<WatchRequest>().expect("sound") {
+            while let Some(message) = decoder.next_message::<WatchRequest>().expect("sound") {
                 expect_that!(message, eq(&want()));
                 came += 1;
             }
@@ -46,14 +47,20 @@
         bytes[at] = byte;
         decoded(&bytes)
     };
-    expect_that!(decoded(b"GET / HTTP/1.1\r\n\r\n"), err(eq(&FrameError::Foreign)));
-    expect_that!(decoded(b"GE"), err(eq(&FrameError::Foreign)));
-    expect_that!(with(2, VERSION as u8 + 1), err(eq(&FrameError::Version { theirs: VERSION + 1 })));
-    expect_that!(with(7, 0xff), err(matches_pattern!(FrameError::TooLong { length: gt(&LONGEST) })));
-    expect_that!(with(good.len() - 1, good[good.len() - 1] ^ 1), err(eq(&FrameError::Damaged)));
+    expect_that!(decoded(b"GET / HTTP/1.1\r\n\r\n"), err(eq(&FrameError::UnknownMagic)));
+    expect_that!(decoded(b"GE"), err(eq(&FrameError::UnknownMagic)));
+    expect_that!(
+        with(2, PROTOCOL_VERSION as u8 + 1),
+        err(eq(&FrameError::UnsupportedVersion { theirs: PROTOCOL_VERSION + 1 }))
+    );
+    expect_that!(
+        with(7, 0xff),
+        err(matches_pattern!(FrameError::MessageTooLong { length: gt(&MAX_MESSAGE_BYTES) }))
+    );
+    expect_that!(with(good.len() - 1, good[good.len() - 1] ^ 1), err(eq(&FrameError::ChecksumMismatch)));
     expect_that!(decoded(&good[..good.len() - 1]), ok(none()));
     // Sound by its checksum, and no message.
-    expect_that!(decoded(&encode(&255_u32)), err(matches_pattern!(FrameError::Unreadable(_))));
+    expect_that!(decoded(&encode(&255_u32)), err(matches_pattern!(FrameError::Undecodable(_))));
 }
 
 #[gtest]
@@ -76,7 +83,7 @@
         let (mut decoder, mut came) = (Decoder::default(), Vec::new());
         for piece in bytes.chunks(cut) {
             decoder.feed(piece);
-            while let Some(message) = decoder.message::<Vec<u8>>().expect("sound") {
+            while let Some(message) = decoder.next_message::<Vec<u8>>().expect("sound") {
                 came.push(message);
             }
         }
@@ -84,7 +91,7 @@
         expect_that!(came[..5].iter().all(|message| *message == between), eq(true));
         expect_that!(came[5] == large, eq(true), "whole once its last fragment has come");
         expect_that!(came[6], eq(&between));
-        expect_that!(decoder.fragments_taken(), eq(6));
+        expect_that!(decoder.fragments_received(), eq(6));
     }
 }
 
@@ -96,13 +103,13 @@
     let mut decoder = Decoder::default();
     decoder.feed(&fragments[0]);
     decoder.feed(&damaged);
-    expect_that!(decoder.message::<Vec<u8>>(), err(eq(&FrameError::Damaged)));
+    expect_that!(decoder.next_message::<Vec<u8>>(), err(eq(&FrameError::ChecksumMismatch)));
     let mut decoder = Decoder::default();
-    let error = (0..=LONGEST / FRAGMENT_BYTES).find_map(|_| {
+    let error = (0..=MAX_MESSAGE_BYTES / FRAGMENT_BYTES).find_map(|_| {
         decoder.feed(&fragments[0]);
-        decoder.message::<Vec<u8>>().err()
+        decoder.next_message::<Vec<u8>>().err()
     });
-    expect_that!(error, some(eq(&FrameError::TooLong { length: LONGEST + FRAGMENT_BYTES })));
+    expect_that!(error, some(eq(&FrameError::MessageTooLong { length: MAX_MESSAGE_BYTES + FRAGMENT_BYTES })));
 }
 
 #[gtest]
@@ -113,7 +120,7 @@
     for bytes in [frame.clone(), encode_fragments(&long).concat()] {
         let mut decoder = Decoder::default();
         decoder.feed(&bytes);
-        expect_that!(decoder.message::<String>().expect("sound") == Some(long.clone()), eq(true));
+        expect_that!(decoder.next_message::<String>().expect("sound") == Some(long.clone()), eq(true));
     }
     // Sound by its checksum, and decompresses to nothing that was sent.
     let (head, body) = frame.split_at(12);
@@ -123,6 +130,6 @@
         let bytes = [&head[..8], &checksum(&body).to_le_bytes(), &body].concat();
         let mut decoder = Decoder::default();
         decoder.feed(&bytes);
-        expect_that!(decoder.message::<String>(), err(anything()));
+        expect_that!(decoder.next_message::<String>(), err(anything()));
     }
 }
--- a/protocol/tests/golden.rs
+++ b/protocol/tests/golden.rs
@@ -12,14 +12,14 @@
 use googletest::prelude::*;
 use ivyhatch_protocol::configuration::{Change, Document, Item};
 use ivyhatch_protocol::frame::{Decoder, encode, encode_fragments};
-use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId, mix};
+use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId, hash_mix};
 use ivyhatch_protocol::peer::{
     AcceptedValue, AcceptorState, AdminRequest, AdminResponse, ConsensusMessage, Heartbeat, Membership,
     PeerMessage, ReplicaStatus, Voter,
 };
 use ivyhatch_protocol::watch::{
-    EvacuationUpdate, Position, Router, RouterState, Server, ServerListUpdate, Shared, WatchRequest,
-    WatchResponse,
+    EvacuationPosition, EvacuationUpdate, Position, Router, RouterState, Server, ServerListPosition,
+    ServerListUpdate, Shared, WatchRequest, WatchResponse, ZoneEvacuation,
 };
 use speedy::{LittleEndian, Readable, Writable};
 
@@ -36,7 +36,7 @@
 }
 
 fn voter(last: u8, zone: &str, joined: u64) -> Voter {
-    Voter { replica: replica(last), zone: zone.to_owned(), joined }
+    Voter { replica: replica(last), zone: zone.to_owned(), joined_generation: joined }
 }
 
 fn membership() -> Membership {
@@ -54,7 +54,7 @@
 fn router(state: RouterState) -> Router {
     Router {
         node: node(40),
-        front: "10.20.30.40:8443".to_owned(),
+        client_address: "10.20.30.40:8443".to_owned(),
         zone: "north-a".to_owned(),
         region: "north".to_owned(),
         state,
@@ -69,8 +69,8 @@
         zone: "north-b".to_owned(),
         slots: 12,
         draining: true,
-        cold_left_ms: 2500,
-        remaining_ms: Some(90_000),
+        warm_up_remaining_ms: 2500,
+        lifetime_remaining_ms: Some(90_000),
     }
 }
 
@@ -78,8 +78,8 @@
     let lasting = Server {
         id: "chat-18#1".to_owned(),
         draining: false,
-        cold_left_ms: 0,
-        remaining_ms: None,
+        warm_up_remaining_ms: 0,
+        lifetime_remaining_ms: None,
         ..server()
     };
     ServerListUpdate {
@@ -87,7 +87,7 @@
         from: None,
         to: 21,
         upsert: vec![server(), lasting],
-        gone: Vec::new(),
+        removed: Vec::new(),
     }
 }
 
@@ -97,15 +97,18 @@
         from: Some(21),
         to: 23,
         upsert: vec![server()],
-        gone: vec!["chat-2#1".to_owned(), "chat-9#4".to_owned()],
+        removed: vec!["chat-2#1".to_owned(), "chat-9#4".to_owned()],
     }
 }
 
 fn position() -> Position {
     Position {
         configuration: 12,
-        evacuations: vec![(PartitionId(1), 3), (PartitionId(8), 40)],
-        servers: (ballot(6), 21),
+        evacuations: vec![
+            EvacuationPosition { partition: PartitionId(1), sequence: 3 },
+            EvacuationPosition { partition: PartitionId(8), sequence: 40 },
+        ],
+        server_list: ServerListPosition { ballot: ballot(6), number: 21 },
     }
 }
 
@@ -121,7 +124,7 @@
     Document {
         revision: 31,
         sections: BTreeMap::from([("routes".to_owned(), routes), ("tenants".to_owned(), Vec::new())]),
-        rest: BTreeMap::from([("limits".to_owned(), r#"{"max_body_bytes":9000}"#.to_owned())]),
+        other_fields: BTreeMap::from([("limits".to_owned(), r#"{"max_body_bytes":9000}"#.to_owned())]),
     }
 }
 
@@ -130,7 +133,7 @@
         revision: 32,
         upsert: BTreeMap::from([("services".to_owned(), vec![item("chat", r#"{"name":"chat"}"#)])]),
         remove: BTreeMap::from([("routes".to_owned(), vec!["embed".to_owned(), "old".to_owned()])]),
-        rest: BTreeMap::from([
+        other_fields: BTreeMap::from([
             ("limits".to_owned(), None),
             ("owner".to_owned(), Some(r#""platform""#.to_owned())),
         ]),
@@ -140,30 +143,30 @@
 fn heartbeat(status: ReplicaStatus) -> Heartbeat {
     Heartbeat {
         incarnation: 0x2122_2324_2526_2728,
-        number: 77,
+        sequence: 77,
         disk: Some(replica(1).disk),
         zone: "north-a".to_owned(),
         status,
         generation: 4,
-        leaving: true,
+        draining: true,
         reachable: vec![node(2), node(3)],
         has_quorum: true,
-        reads_list: true,
+        can_read_server_list: true,
         committed: vec![12, 0, 3, 0, 0, 0, 0, 0, 40],
-        servers: (ballot(6), 21),
+        server_list: ServerListPosition { ballot: ballot(6), number: 21 },
     }
 }
 
 fn consensus(message: ConsensusMessage) -> PeerMessage {
-    PeerMessage::Consensus { generation: 4, part: PartitionId(3), message }
+    PeerMessage::Consensus { generation: 4, partition: PartitionId(3), message }
 }
 
 fn forward(request: AdminRequest) -> PeerMessage {
-    PeerMessage::ForwardRequest { number: 900, heard: 76, request }
+    PeerMessage::ForwardRequest { request_id: 900, last_heartbeat: 76, request }
 }
 
 fn forwarded(response: AdminResponse) -> PeerMessage {
-    PeerMessage::ForwardResponse { number: 900, response }
+    PeerMessage::ForwardResponse { request_id: 900, response }
 }
 
 fn state_transfer() -> PeerMessage {
@@ -191,13 +194,14 @@
         ("commit", ConsensusMessage::Commit { ballot: ballot(5), sequence: 300 }),
         ("fetch", ConsensusMessage::Fetch { after: 299 }),
         ("committed", ConsensusMessage::Committed(accepted_value())),
-        ("confirm", ConsensusMessage::Confirm { ballot: ballot(5), number: 18 }),
-        ("confirmed", ConsensusMessage::Confirmed { ballot: ballot(5), number: 18 }),
+        ("confirm", ConsensusMessage::Confirm { ballot: ballot(5), request_id: 18 }),
+        ("confirmed", ConsensusMessage::Confirmed { ballot: ballot(5), request_id: 18 }),
     ]
 }
 
 fn admin_requests() -> Vec<(&'static str, AdminRequest)> {
-    let evacuate = |active: bool| AdminRequest::Evacuate { zone: "south-a".to_owned(), active, changes: 2 };
+    let evacuate =
+        |active: bool| AdminRequest::Evacuate { zone: "south-a".to_owned(), active, change_count: 2 };
     vec![
         ("put", AdminRequest::Put { base: 30, body: br#"{"revision":31}"#.to_vec() }),
         ("patch", AdminRequest::Patch { base: 31, body: br#"{"revision":32,"remove":{}}"#.to_vec() }),
@@ -225,9 +229,9 @@
         ("learner", heartbeat(ReplicaStatus::Learner)),
         ("voter", heartbeat(ReplicaStatus::Voter)),
         ("removed", heartbeat(ReplicaStatus::Removed)),
-        ("only_leaving", Heartbeat { leaving: true, ..Heartbeat::default() }),
+        ("only_leaving", Heartbeat { draining: true, ..Heartbeat::default() }),
         ("only_has_quorum", Heartbeat { has_quorum: true, ..Heartbeat::default() }),
-        ("only_reads_list", Heartbeat { reads_list: true, ..Heartbeat::default() }),
+        ("only_reads_list", Heartbeat { can_read_server_list: true, ..Heartbeat::default() }),
     ]
 }
 
@@ -244,7 +248,7 @@
     let transfer_request =
         PeerMessage::StateTransferRequest { incarnation: 0x3132_3334_3536_3738, generation: 4 };
     let routers =
-        vec![router(RouterState::Starting), router(RouterState::Ready), router(RouterState::Leaving)];
+        vec![router(RouterState::Starting), router(RouterState::Ready), router(RouterState::Draining)];
     let single = |name: &str, message: PeerMessage| vec![(name.to_owned(), message)];
     [
         prefixed("heartbeat", heartbeats(), PeerMessage::Heartbeat),
@@ -276,7 +280,7 @@
         ("subscribe/primary", subscribe(RouterState::Ready, true, position())),
         ("heartbeat/starting", WatchRequest::Heartbeat { state: RouterState::Starting }),
         ("heartbeat/ready", WatchRequest::Heartbeat { state: RouterState::Ready }),
-        ("heartbeat/leaving", WatchRequest::Heartbeat { state: RouterState::Leaving }),
+        ("heartbeat/leaving", WatchRequest::Heartbeat { state: RouterState::Draining }),
         ("fetch/new", WatchRequest::Fetch { position: Position::default() }),
         ("fetch/behind", WatchRequest::Fetch { position: position() }),
     ];
@@ -299,9 +303,12 @@
         control_nodes: Vec::new(),
     };
     let evacuations = EvacuationUpdate {
-        part: PartitionId(4),
+        partition: PartitionId(4),
         sequence: 40,
-        zones: vec![("north-a".to_owned(), false, 2), ("south-a".to_owned(), true, 3)],
+        zones: vec![
+            ZoneEvacuation { zone: "north-a".to_owned(), active: false, change_count: 2 },
+            ZoneEvacuation { zone: "south-a".to_owned(), active: true, change_count: 3 },
+        ],
     };
     let messages = vec![
         ("progress/empty", empty_progress),
@@ -318,14 +325,16 @@
 
 /// Text of this many characters that hardly repeats itself.
 fn varied_text(length: u64) -> String {
-    (0..length).map(|at| char::from(b'#' + (mix(at) % 90) as u8).to_string().replace('\\', "!")).collect()
+    (0..length)
+        .map(|at| char::from(b'#' + (hash_mix(at) % 90) as u8).to_string().replace('\\', "!"))
+        .collect()
 }
 
 fn document_of(items: Vec<Item>) -> WatchResponse {
     let document = Document {
         revision: 31,
         sections: BTreeMap::from([("routes".to_owned(), items)]),
-        rest: BTreeMap::new(),
+        other_fields: BTreeMap::new(),
     };
     WatchResponse::Snapshot { sequence: 12, document: document.into() }
 }
@@ -355,7 +364,7 @@
 fn decode_all<M: for<'a> Readable<'a, LittleEndian>>(bytes: &[u8]) -> Vec<M> {
     let mut decoder = Decoder::default();
     decoder.feed(bytes);
-    std::iter::from_fn(|| decoder.message().expect("sound frames")).collect()
+    std::iter::from_fn(|| decoder.next_message().expect("sound frames")).collect()
 }
 
 /// Compares the frame of each message with the golden file, and each golden frame's message with the one that made it.
--- a/protocol/tests/golden_configuration.rs
+++ b/protocol/tests/golden_configuration.rs
@@ -6,7 +6,8 @@
 use golden_files::compare_text;
 use googletest::prelude::*;
 use ivyhatch_protocol::configuration::{
-    Change, Configuration, ConfigurationError, Document, Engine, Limits, Route, RouteKind, Service, Split,
+    Change, Configuration, ConfigurationError, Document, Engine, RequestLimits, Route, RouteKind, Service,
+    WeightedService,
 };
 
 const CONFIGURATION: &str = include_str!("golden/configuration.json");
@@ -15,15 +16,15 @@
 const CURRENT_REVISION: u64 = 40;
 
 fn document() -> Document {
-    Document::read(CONFIGURATION.as_bytes()).expect("a golden configuration that can be read")
+    Document::parse(CONFIGURATION.as_bytes()).expect("a golden configuration that can be read")
 }
 
 fn patch() -> Change {
-    Change::read(PATCH.as_bytes()).expect("a golden patch that can be read")
+    Change::parse(PATCH.as_bytes()).expect("a golden patch that can be read")
 }
 
-fn split(service: &str, weight: f64) -> Split {
-    Split { service: service.to_owned(), weight }
+fn split(service: &str, weight: f64) -> WeightedService {
+    WeightedService { service: service.to_owned(), weight }
 }
 
 /// A route that names only the required fields.
@@ -40,28 +41,28 @@
         path_prefix: place.1.to_owned(),
         route_kind,
         timeout_ms,
-        target_ms: 0.0,
+        latency_target_ms: 0.0,
         priority: 0,
         service: Some(service.to_owned()),
         split: Vec::new(),
-        max_tries: 1,
+        max_attempts: 1,
         sticky: false,
         resumable: false,
-        gap_aim_ms: 0.0,
+        event_gap_target_ms: 0.0,
         home_regions: Vec::new(),
     }
 }
 
 fn chat_route() -> Route {
     Route {
-        target_ms: 700.0,
+        latency_target_ms: 700.0,
         priority: 1,
         service: None,
         split: vec![split("chat-large", 3.0), split("chat-small", 0.5)],
-        max_tries: 3,
+        max_attempts: 3,
         sticky: true,
         resumable: true,
-        gap_aim_ms: 250.0,
+        event_gap_target_ms: 250.0,
         home_regions: vec!["lima".to_owned(), "santiago".to_owned()],
         ..plain_route("chat", ("Chat.Example", "/v1/chat/"), RouteKind::Streaming, 45_000.5, "")
     }
@@ -71,17 +72,17 @@
     let large = Service {
         name: "chat-large".to_owned(),
         health_path: "/alive".to_owned(),
-        max_conns: 480.0,
-        cold_s: 4.5,
-        cold_per_s: 11.0,
+        max_connections: 480.0,
+        warm_up_s: 4.5,
+        warm_up_rate_per_s: 11.0,
         engine: Some(Engine { slots: 24.0, cache_tokens: 98_000.0 }),
     };
     let small = Service {
         name: "chat-small".to_owned(),
         health_path: String::new(),
-        max_conns: 1000.0,
-        cold_s: 0.0,
-        cold_per_s: 0.0,
+        max_connections: 1000.0,
+        warm_up_s: 0.0,
+        warm_up_rate_per_s: 0.0,
         engine: None,
     };
     vec![large, small]
@@ -93,7 +94,7 @@
         plain_route("embed", ("chat.example", "/v1/embed/"), RouteKind::Safe, 900.0, "chat-small"),
         plain_route("order", ("shop.example", "/"), RouteKind::Unsafe, 1200.0, "chat-large"),
     ];
-    let limits = Limits {
+    let limits = RequestLimits {
         max_header_bytes: 9000.0,
         max_body_bytes: 70_000.0,
         header_timeout_ms: 2100.0,
@@ -105,7 +106,7 @@
 /// The outcome for the golden configuration with one text replaced by another.
 fn checked_with(from: &str, to: &str) -> std::result::Result<Configuration, ConfigurationError> {
     assert!(CONFIGURATION.contains(from), "{from} does not stand there");
-    Document::read(CONFIGURATION.replacen(from, to, 1).as_bytes())?.checked(CURRENT_REVISION)
+    Document::parse(CONFIGURATION.replacen(from, to, 1).as_bytes())?.validate(CURRENT_REVISION)
 }
 
 fn error_with(from: &str, to: &str) -> String {
@@ -113,7 +114,7 @@
 }
 
 fn patch_error(text: &str) -> String {
-    Change::read(text.as_bytes()).expect_err("a patch that is refused").to_string()
+    Change::parse(text.as_bytes()).expect_err("a patch that is refused").to_string()
 }
 
 fn compare_errors(file: &str, errors: &[(&str, String)]) {
@@ -123,22 +124,22 @@
 
 #[gtest]
 fn golden_configuration_is_read_with_all_of_its_fields() {
-    expect_that!(document().checked(CURRENT_REVISION), ok(eq(&configuration())));
+    expect_that!(document().validate(CURRENT_REVISION), ok(eq(&configuration())));
     let kinds = [RouteKind::Safe, RouteKind::Unsafe, RouteKind::Streaming].map(|kind| kind.to_string());
     expect_that!(kinds.join(" ").as_str(), eq("safe unsafe streaming"));
 }
 
 #[gtest]
 fn fields_that_a_configuration_lacks_have_their_default_values() {
-    let document = Document::read(br#"{"revision":1}"#).expect("a readable configuration");
-    let limits = Limits {
+    let document = Document::parse(br#"{"revision":1}"#).expect("a readable configuration");
+    let limits = RequestLimits {
         max_header_bytes: 16_384.0,
         max_body_bytes: 4_194_304.0,
         header_timeout_ms: 3000.0,
         idle_timeout_ms: 15_000.0,
     };
     let expected = Configuration { revision: 1, routes: Vec::new(), services: Vec::new(), limits };
-    expect_that!(document.checked(0), ok(eq(&expected)));
+    expect_that!(document.validate(0), ok(eq(&expected)));
 }
 
 #[gtest]
@@ -154,34 +155,34 @@
 #[gtest]
 fn golden_configuration_is_given_back_as_the_golden_text() {
     let document = document();
-    compare_text("configuration-text.json", &document.text());
+    compare_text("configuration-text.json", &document.to_json());
     let sections: Vec<&str> = document.sections.keys().map(String::as_str).collect();
     expect_that!(sections.join(" ").as_str(), eq("routes services tenants"));
-    let rest: Vec<&str> = document.rest.keys().map(String::as_str).collect();
+    let rest: Vec<&str> = document.other_fields.keys().map(String::as_str).collect();
     expect_that!(rest.join(" ").as_str(), eq("limits owner"));
 }
 
 #[gtest]
 fn golden_patch_is_applied_to_the_golden_text() {
-    let patched = document().with(&patch());
-    expect_that!(patched.checked(41), ok(anything()));
-    compare_text("patched-text.json", &patched.text());
+    let patched = document().with_change(&patch());
+    expect_that!(patched.validate(41), ok(anything()));
+    compare_text("patched-text.json", &patched.to_json());
 }
 
 #[gtest]
 fn change_between_the_golden_documents_leads_from_one_to_the_other() {
-    let patched = document().with(&patch());
-    expect_that!(document().with(&document().change_to(&patched)), eq(&patched));
-    let back = patched.with(&patched.change_to(&document()));
-    compare_text("reverted-text.json", &back.text());
+    let patched = document().with_change(&patch());
+    expect_that!(document().with_change(&document().diff(&patched)), eq(&patched));
+    let back = patched.with_change(&patched.diff(&document()));
+    compare_text("reverted-text.json", &back.to_json());
 }
 
 #[gtest]
 fn configurations_that_cannot_be_read_are_refused_with_the_same_texts() {
     let errors = [
         ("not_json", error_with("\"revision\": 41,", "\"revision\" 41,")),
-        ("not_an_object", Document::read(b"[]").expect_err("refused").to_string()),
-        ("cut_short", Document::read(b"{\"revision\":41,\"routes\":[").expect_err("refused").to_string()),
+        ("not_an_object", Document::parse(b"[]").expect_err("refused").to_string()),
+        ("cut_short", Document::parse(b"{\"revision\":41,\"routes\":[").expect_err("refused").to_string()),
         ("revision_missing", error_with("\"revision\": 41,", "")),
         ("revision_not_whole", error_with("\"revision\": 41,", "\"revision\": 41.5,")),
         ("revision_text", error_with("\"revision\": 41,", "\"revision\": \"41\",")),
--- a/protocol/tests/golden_settings.rs
+++ b/protocol/tests/golden_settings.rs
@@ -8,7 +8,7 @@
 use golden_files::compare_text;
 use googletest::prelude::*;
 use ivyhatch_protocol::ids::NodeId;
-use ivyhatch_protocol::settings::{Settings, VARIABLE};
+use ivyhatch_protocol::settings::{SETTINGS_PATH_VARIABLE, Settings};
 
 const EVERY_FIELD: &str = include_str!("golden/settings-every-field.json");
 const REQUIRED_FIELDS: &str = include_str!("golden/settings-required-fields.json");
@@ -39,11 +39,11 @@
     let zones: Vec<(&str, &str)> =
         settings.zones.iter().map(|(zone, region)| (zone.as_str(), region.as_str())).collect();
     expect_that!(zones, eq(&vec![("lim-east", "lima"), ("lim-west", "lima"), ("scl-one", "santiago")]));
-    expect_that!(settings.listen.front, some(eq(address([10, 40, 1, 21], 9101))));
+    expect_that!(settings.listen.client, some(eq(address([10, 40, 1, 21], 9101))));
     expect_that!(settings.listen.readiness, some(eq(address([10, 40, 1, 21], 9102))));
     expect_that!(settings.listen.control, some(eq(address([10, 40, 1, 21], 9103))));
     expect_that!(settings.listen.directory, some(eq(address([10, 40, 1, 21], 9104))));
-    expect_that!(settings.inner_ports, eq((8800, 8807)));
+    expect_that!(settings.peer_ports, eq((8800, 8807)));
     let seeds = vec![address([10, 40, 1, 21], 9103), address([10, 41, 2, 22], 9113)];
     expect_that!(settings.seeds, eq(&seeds));
     let seed_nodes = vec![NodeId(0x0a28_0115), NodeId(0x0a29_0216)];
@@ -59,18 +59,18 @@
     expect_that!(settings.limits.memory_mb, eq(310.5));
     expect_that!(settings.limits.max_fds, eq(2900));
     expect_that!(settings.limits.disk_mb, eq(48.0));
-    expect_that!(settings.tolerate.machines, eq(2));
-    expect_that!(settings.bounds.drain_ms, eq(2750.0));
-    expect_that!(settings.bounds.grace_s, eq(6.5));
-    expect_that!(settings.bounds.budget_ratio, eq(0.15));
-    expect_that!(settings.bounds.budget_window_s, eq(12.0));
-    expect_that!(settings.bounds.budget_slack, eq(33.0));
-    expect_that!(settings.bounds.cold_excess, eq(1.25));
-    expect_that!(settings.bounds.cold_slack, eq(7.0));
-    expect_that!(settings.bounds.ttl_max_s, eq(4.0));
+    expect_that!(settings.fault_tolerance.machines, eq(2));
+    expect_that!(settings.bounds.drain_timeout_ms, eq(2750.0));
+    expect_that!(settings.bounds.shutdown_grace_s, eq(6.5));
+    expect_that!(settings.bounds.retry_budget_ratio, eq(0.15));
+    expect_that!(settings.bounds.retry_budget_window_s, eq(12.0));
+    expect_that!(settings.bounds.retry_budget_slack, eq(33.0));
+    expect_that!(settings.bounds.warm_up_rate_factor, eq(1.25));
+    expect_that!(settings.bounds.warm_up_rate_slack, eq(7.0));
+    expect_that!(settings.bounds.max_directory_ttl_s, eq(4.0));
     expect_that!(settings.cloud_api.address, eq(address([10, 250, 0, 5], 9200)));
     expect_that!(settings.cloud_api.rate_per_s, eq(25.5));
-    expect_that!(settings.cloud_api.lag_ms, eq(650.0));
+    expect_that!(settings.cloud_api.staleness_ms, eq(650.0));
 }
 
 #[gtest]
@@ -78,7 +78,7 @@
     let settings = read(REQUIRED_FIELDS);
     expect_that!(settings.role.as_str(), eq(""));
     expect_that!(settings.zones.len(), eq(0));
-    expect_that!(settings.listen.front, none());
+    expect_that!(settings.listen.client, none());
     expect_that!(settings.listen.readiness, none());
     expect_that!(settings.listen.control, none());
     expect_that!(settings.listen.directory, none());
@@ -89,17 +89,17 @@
     expect_that!(settings.limits.memory_mb, eq(256.0));
     expect_that!(settings.limits.max_fds, eq(1024));
     expect_that!(settings.limits.disk_mb, eq(0.0));
-    expect_that!(settings.tolerate.machines, eq(1));
-    expect_that!(settings.bounds.drain_ms, eq(2000.0));
-    expect_that!(settings.bounds.grace_s, eq(8.0));
-    expect_that!(settings.bounds.budget_ratio, eq(0.1));
-    expect_that!(settings.bounds.budget_window_s, eq(10.0));
-    expect_that!(settings.bounds.budget_slack, eq(0.0));
-    expect_that!(settings.bounds.cold_excess, eq(1.0));
-    expect_that!(settings.bounds.cold_slack, eq(0.0));
-    expect_that!(settings.bounds.ttl_max_s, eq(5.0));
+    expect_that!(settings.fault_tolerance.machines, eq(1));
+    expect_that!(settings.bounds.drain_timeout_ms, eq(2000.0));
+    expect_that!(settings.bounds.shutdown_grace_s, eq(8.0));
+    expect_that!(settings.bounds.retry_budget_ratio, eq(0.1));
+    expect_that!(settings.bounds.retry_budget_window_s, eq(10.0));
+    expect_that!(settings.bounds.retry_budget_slack, eq(0.0));
+    expect_that!(settings.bounds.warm_up_rate_factor, eq(1.0));
+    expect_that!(settings.bounds.warm_up_rate_slack, eq(0.0));
+    expect_that!(settings.bounds.max_directory_ttl_s, eq(5.0));
     expect_that!(settings.cloud_api.rate_per_s, eq(1.0));
-    expect_that!(settings.cloud_api.lag_ms, eq(0.0));
+    expect_that!(settings.cloud_api.staleness_ms, eq(0.0));
 }
 
 #[gtest]
@@ -125,10 +125,10 @@
     let unread = Settings::from_file(Path::new("/nonexistent/node.json")).expect_err("no such file");
     let text = "settings file /nonexistent/node.json: No such file or directory (os error 2): check the path and who may read it";
     expect_that!(unread.to_string().as_str(), eq(text));
-    expect_that!(VARIABLE, eq("IVYHATCH_SETTINGS"));
-    let no_address = read(REQUIRED_FIELDS).address("front", |listen| listen.front);
+    expect_that!(SETTINGS_PATH_VARIABLE, eq("IVYHATCH_SETTINGS"));
+    let no_address = read(REQUIRED_FIELDS).listen_address("front", |listen| listen.client);
     let text = "settings file: listen.front is missing: give the role \"\" an address for what it serves";
     expect_that!(no_address.expect_err("no address").to_string().as_str(), eq(text));
-    let front = read(EVERY_FIELD).address("front", |listen| listen.front);
+    let front = read(EVERY_FIELD).listen_address("front", |listen| listen.client);
     expect_that!(front.expect("an address"), eq(address([10, 40, 1, 21], 9101)));
 }
--- a/protocol/tests/properties.rs
+++ b/protocol/tests/properties.rs
@@ -7,12 +7,13 @@
 
 use googletest::prelude::*;
 use ivyhatch_protocol::configuration::{Change, Document, Item};
-use ivyhatch_protocol::frame::{Decoder, FrameError, LONGEST, VERSION, checksum, encode};
+use ivyhatch_protocol::frame::{Decoder, FrameError, MAX_MESSAGE_BYTES, PROTOCOL_VERSION, checksum, encode};
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId};
 use ivyhatch_protocol::peer::PeerMessage;
 use ivyhatch_protocol::settings::{Settings, SettingsError};
 use ivyhatch_protocol::watch::{
-    EvacuationUpdate, Position, Router, RouterState, Server, ServerListUpdate, WatchRequest, WatchResponse,
+    EvacuationPosition, EvacuationUpdate, Position, Router, RouterState, Server, ServerListPosition,
+    ServerListUpdate, WatchRequest, WatchResponse, ZoneEvacuation,
 };
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -24,7 +25,7 @@
 /// A frame around any body, sound by its header.
 fn framed(body: &[u8]) -> Vec<u8> {
     let mut bytes = 0x6976_u16.to_le_bytes().to_vec();
-    bytes.extend_from_slice(&VERSION.to_le_bytes());
+    bytes.extend_from_slice(&PROTOCOL_VERSION.to_le_bytes());
     bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
     bytes.extend_from_slice(&checksum(body).to_le_bytes());
     bytes.extend_from_slice(body);
@@ -34,7 +35,7 @@
 fn decoded<M: for<'a> Readable<'a, LittleEndian>>(bytes: &[u8]) -> Result<Option<M>, FrameError> {
     let mut decoder = Decoder::default();
     decoder.feed(bytes);
-    decoder.message()
+    decoder.next_message()
 }
 
 /// Whatever decodes is encoded and decoded again as the same message.
@@ -48,7 +49,7 @@
             prop_assert_eq!(again, Ok(Some(message)));
         }
         Ok(None) => prop_assert!(false, "a whole frame is no message and no error"),
-        Err(FrameError::Unreadable(_)) => {}
+        Err(FrameError::Undecodable(_)) => {}
         Err(error) => prop_assert!(false, "{error}"),
     }
     Ok(())
@@ -67,7 +68,7 @@
     let ballot = Ballot { counter: 3, node: NodeId(0x7f00_0001), incarnation: 99 };
     let router = Router {
         node: NodeId(7),
-        front: "10.0.0.7:8161".to_owned(),
+        client_address: "10.0.0.7:8161".to_owned(),
         zone: "za".to_owned(),
         region: "ra".to_owned(),
         state: RouterState::Ready,
@@ -79,20 +80,31 @@
         zone: "za".to_owned(),
         slots: 16,
         draining: false,
-        cold_left_ms: 100,
-        remaining_ms: Some(5),
+        warm_up_remaining_ms: 100,
+        lifetime_remaining_ms: Some(5),
     };
-    let servers =
-        ServerListUpdate { ballot, from: Some(1), to: 2, upsert: vec![server], gone: vec!["s-0".to_owned()] };
-    let document = Document::read(CONFIGURATION.as_bytes()).expect("a sound configuration");
-    let change = Document::default().change_to(&document);
+    let servers = ServerListUpdate {
+        ballot,
+        from: Some(1),
+        to: 2,
+        upsert: vec![server],
+        removed: vec!["s-0".to_owned()],
+    };
+    let document = Document::parse(CONFIGURATION.as_bytes()).expect("a sound configuration");
+    let change = Document::default().diff(&document);
     let position = Position {
         configuration: 4,
-        evacuations: vec![(PartitionId(2), 5), (PartitionId(3), 6)],
-        servers: (ballot, 7),
+        evacuations: vec![
+            EvacuationPosition { partition: PartitionId(2), sequence: 5 },
+            EvacuationPosition { partition: PartitionId(3), sequence: 6 },
+        ],
+        server_list: ServerListPosition { ballot, number: 7 },
+    };
+    let evacuations = EvacuationUpdate {
+        partition: PartitionId(1),
+        sequence: 2,
+        zones: vec![ZoneEvacuation { zone: "za".to_owned(), active: true, change_count: 3 }],
     };
-    let evacuations =
-        EvacuationUpdate { part: PartitionId(1), sequence: 2, zones: vec![("za".to_owned(), true, 3)] };
     let frames = [
         encode(&WatchRequest::Subscribe {
             router: router.clone(),
@@ -154,7 +166,13 @@
 
 fn any_harm() -> impl Strategy<Value = Harm> {
     let index = any::<Index>;
-    let word = prop_oneof![0..64_u32, Just(u32::MAX), Just(u32::MAX / 2), Just(LONGEST as u32), any::<u32>()];
+    let word = prop_oneof![
+        0..64_u32,
+        Just(u32::MAX),
+        Just(u32::MAX / 2),
+        Just(MAX_MESSAGE_BYTES as u32),
+        any::<u32>()
+    ];
     prop_oneof![
         index().prop_map(Harm::Truncate),
         (index(), any::<u8>()).prop_map(|(at, byte)| Harm::Byte(at, byte)),
@@ -181,7 +199,7 @@
     for piece in bytes.chunks(piece) {
         decoder.feed(piece);
         loop {
-            match decoder.message::<M>() {
+            match decoder.next_message::<M>() {
                 Ok(Some(_)) => count += 1,
                 Ok(None) => break,
                 Err(_) => return count,
@@ -278,20 +296,20 @@
 }
 
 fn check_configuration(body: &[u8]) -> std::result::Result<(), TestCaseError> {
-    if let Ok(document) = Document::read(body) {
-        prop_assert_eq!(Document::read(document.text().as_bytes()), Ok(document.clone()));
+    if let Ok(document) = Document::parse(body) {
+        prop_assert_eq!(Document::parse(document.to_json().as_bytes()), Ok(document.clone()));
         // Whether it makes sense is another question: it is told by a typed error.
-        let _ = document.checked(0);
-        let before = Document::read(CONFIGURATION.as_bytes()).expect("sound");
-        let mut there = before.with(&before.change_to(&document));
+        let _ = document.validate(0);
+        let before = Document::parse(CONFIGURATION.as_bytes()).expect("sound");
+        let mut there = before.with_change(&before.diff(&document));
         there.sections.retain(|name, items| !items.is_empty() || document.sections.contains_key(name));
         prop_assert_eq!(names(&there), names(&document));
-        prop_assert_eq!(there.rest, document.rest);
+        prop_assert_eq!(there.other_fields, document.other_fields);
     }
-    if let Ok(change) = Change::read(body) {
-        let changed = Document::read(CONFIGURATION.as_bytes()).expect("sound").with(&change);
+    if let Ok(change) = Change::parse(body) {
+        let changed = Document::parse(CONFIGURATION.as_bytes()).expect("sound").with_change(&change);
         prop_assert_eq!(changed.revision, change.revision);
-        let _ = changed.checked(0);
+        let _ = changed.validate(0);
     }
     Ok(())
 }
@@ -343,8 +361,8 @@
             || matches!(decoded::<Change>(&frame), Ok(Some(_)));
         expect_true!(is_known);
     }
-    expect_that!(Document::read(CONFIGURATION.as_bytes()).expect("sound").checked(0), ok(anything()));
-    expect_that!(Change::read(CHANGE.as_bytes()), ok(anything()));
+    expect_that!(Document::parse(CONFIGURATION.as_bytes()).expect("sound").validate(0), ok(anything()));
+    expect_that!(Change::parse(CHANGE.as_bytes()), ok(anything()));
     expect_that!(Settings::from_text(SETTINGS, "node.json"), ok(anything()));
 }
 
@@ -354,7 +372,7 @@
     let mut body = encode(&want)[FRAME_HEADER..].to_vec();
     expect_that!(decoded::<WatchRequest>(&framed(&body)), ok(some(eq(&want))));
     body.push(0);
-    expect_that!(decoded::<WatchRequest>(&framed(&body)), err(matches_pattern!(FrameError::Unreadable(_))));
+    expect_that!(decoded::<WatchRequest>(&framed(&body)), err(matches_pattern!(FrameError::Undecodable(_))));
 }
 
 #[gtest]
@@ -366,15 +384,15 @@
             [("", ""), (r#"{"revision":1,"x":"#, "}"), (r#"{"revision":1,"routes":[{"name":"a","x":"#, "}]}")]
         {
             let text = format!("{before}{nested}{after}");
-            if let Ok(document) = Document::read(text.as_bytes()) {
-                expect_that!(document.checked(0), err(anything()), "a document this deep is in force");
+            if let Ok(document) = Document::parse(text.as_bytes()) {
+                expect_that!(document.validate(0), err(anything()), "a document this deep is in force");
             }
-            if let Ok(change) = Change::read(text.as_bytes()) {
-                expect_that!(Document::default().with(&change).checked(0), err(anything()));
+            if let Ok(change) = Change::parse(text.as_bytes()) {
+                expect_that!(Document::default().with_change(&change).validate(0), err(anything()));
             }
             expect_that!(Settings::from_text(&text, "node.json"), err(anything()));
             expect_that!(
-                Document::read(format!("{before}{}", open.repeat(DEPTH)).as_bytes()),
+                Document::parse(format!("{before}{}", open.repeat(DEPTH)).as_bytes()),
                 err(anything())
             );
         }
@@ -396,7 +414,7 @@
     let before = peak_memory();
     for body in sample_bodies() {
         for at in 0..body.len() {
-            for length in [u32::MAX, u32::MAX / 2, 0x1000_0000, LONGEST as u32] {
+            for length in [u32::MAX, u32::MAX / 2, 0x1000_0000, MAX_MESSAGE_BYTES as u32] {
                 let mut lying = body.clone();
                 let end = lying.len().min(at + 4);
                 lying[at..end].copy_from_slice(&length.to_le_bytes()[..end - at]);
@@ -405,7 +423,7 @@
                 let mut frame = framed(&lying);
                 frame[4..8].copy_from_slice(&length.to_le_bytes());
                 let read = decoded::<PeerMessage>(&frame);
-                expect_that!(matches!(read, Ok(None) | Err(FrameError::TooLong { .. })), is_true());
+                expect_that!(matches!(read, Ok(None) | Err(FrameError::MessageTooLong { .. })), is_true());
             }
         }
     }
--- a/routing/src/placement.rs
+++ b/routing/src/placement.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use ivyhatch_balancer::{Advice, BackendId, RequestId};
-use ivyhatch_protocol::ids::mix;
+use ivyhatch_protocol::ids::hash_mix;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
 use crate::engine::{Engine, Load, Speed};
@@ -110,7 +110,7 @@
     pub fn listed(&mut self, id: BackendId, name: &str, region: u32, cold_until: Nanos, last_resort: bool) {
         let server = self.servers.entry(id).or_default();
         server.region = region;
-        server.lot = ivyhatch_protocol::ids::hash(name.as_bytes());
+        server.lot = ivyhatch_protocol::ids::fnv1a_hash(name.as_bytes());
         server.cold_until = server.cold_until.max(cold_until);
         server.last_resort = last_resort;
     }
@@ -135,7 +135,7 @@
             let mut best = vec![0; first.len()];
             for (id, server) in &self.servers {
                 let at = server.region as usize;
-                let lot = mix(server.lot ^ shared).max(1);
+                let lot = hash_mix(server.lot ^ shared).max(1);
                 if at < best.len() && lot > best[at] {
                     (best[at], first[at]) = (lot, Some(*id));
                 }
--- a/routing/src/prompt.rs
+++ b/routing/src/prompt.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashMap;
 
-use ivyhatch_protocol::ids::mix;
+use ivyhatch_protocol::ids::hash_mix;
 use ivyhatch_protocol::{Nanos, SECOND};
 
 /// Parts that are remembered of a server.
@@ -26,10 +26,10 @@
     /// Reads the headers: `prefix` as ID:TOKENS, comma-separated, with the ID in hex; `counts` as prompt,out. What can't be read
     /// is left out; it is advice.
     pub fn read(model: &str, prefix: Option<&str>, counts: Option<&str>) -> Self {
-        let model = ivyhatch_protocol::ids::hash(model.as_bytes());
+        let model = ivyhatch_protocol::ids::fnv1a_hash(model.as_bytes());
         let part = |text: &str| {
             let (id, tokens) = text.trim().split_once(':')?;
-            Some((mix(u64::from_str_radix(id, 16).ok()? ^ model), tokens.parse().ok()?))
+            Some((hash_mix(u64::from_str_radix(id, 16).ok()? ^ model), tokens.parse().ok()?))
         };
         let parts: Vec<(u64, u32)> = prefix.unwrap_or("").split(',').filter_map(part).collect();
         let mut counts = counts.unwrap_or("").split(',').map(|text| text.trim().parse::<u32>().ok());
--- a/routing/src/table.rs
+++ b/routing/src/table.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use ivyhatch_protocol::configuration::{Change, Item, Limits, Route, Service};
+use ivyhatch_protocol::configuration::{Change, Item, RequestLimits, Route, Service};
 use serde::de::DeserializeOwned;
 
 const ROUTES: &str = "routes";
@@ -27,7 +27,7 @@
     routes: HashMap<String, Rc<Route>>,
     places: HashMap<String, HashMap<String, Rc<Route>>>,
     services: HashMap<String, Service>,
-    limits: Limits,
+    limits: RequestLimits,
 }
 
 /// A change whose items are being read, some at a time.
@@ -39,7 +39,7 @@
     unread_services: std::vec::IntoIter<Item>,
     routes: Vec<Rc<Route>>,
     services: Vec<Service>,
-    limits: Option<Limits>,
+    limits: Option<RequestLimits>,
     unreadable: Vec<UnreadableItem>,
 }
 
@@ -56,7 +56,7 @@
             limits: None,
             unreadable: Vec::new(),
         };
-        if let Some(limits) = change.rest.remove(LIMITS) {
+        if let Some(limits) = change.other_fields.remove(LIMITS) {
             prepared.limits = prepared.parse(LIMITS, LIMITS, limits.as_deref().unwrap_or("{}"));
         }
         prepared
@@ -161,7 +161,7 @@
     }
 
     /// The limits.
-    pub fn limits(&self) -> Limits {
+    pub fn limits(&self) -> RequestLimits {
         self.limits
     }
 }
--- a/routing/src/watch_client.rs
+++ b/routing/src/watch_client.rs
@@ -7,10 +7,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use ivyhatch_protocol::configuration::{Change, Document};
-use ivyhatch_protocol::ids::{NodeId, PartitionId, hash, mix};
+use ivyhatch_protocol::ids::{NodeId, PartitionId, fnv1a_hash, hash_mix};
 use ivyhatch_protocol::server_list::ServerList;
 use ivyhatch_protocol::watch::{
-    EvacuationUpdate, Position, Router, RouterState, WatchRequest, WatchResponse,
+    EvacuationPosition, EvacuationUpdate, Position, Router, RouterState, WatchRequest, WatchResponse,
 };
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
@@ -209,11 +209,12 @@
 
     /// Whether a zone is evacuated, and how often that has changed.
     pub fn evacuation(&self, zone: &str) -> (bool, u64) {
-        let zones = self.evacuations.get(&PartitionId::of(zone)).into_iter().flat_map(|part| &part.zones);
+        let zones =
+            self.evacuations.get(&PartitionId::for_key(zone)).into_iter().flat_map(|part| &part.zones);
         zones
             .into_iter()
-            .find(|(of, ..)| of == zone)
-            .map_or((false, 0), |(_, active, changes)| (*active, *changes))
+            .find(|evacuation| evacuation.zone == zone)
+            .map_or((false, 0), |evacuation| (evacuation.active, evacuation.change_count))
     }
 
     /// Whether a configuration and a list of servers are known.
@@ -222,16 +223,16 @@
     }
 
     fn position(&self) -> Position {
-        let evacuations = self.evacuations.values().map(|part| (part.part, part.sequence)).collect();
-        Position { configuration: self.sequence, evacuations, servers: self.list.position() }
+        let evacuations = self.evacuations.values().map(EvacuationUpdate::position).collect();
+        Position { configuration: self.sequence, evacuations, server_list: self.list.position() }
     }
 
     fn is_behind(&self, position: &Position) -> bool {
-        let evacuated = |(part, sequence): &(PartitionId, u64)| {
-            self.evacuations.get(part).is_none_or(|known| known.sequence < *sequence)
+        let evacuated = |newest: &EvacuationPosition| {
+            self.evacuations.get(&newest.partition).is_none_or(|known| known.sequence < newest.sequence)
         };
         position.configuration > self.sequence
-            || position.servers > self.list.position()
+            || position.server_list > self.list.position()
             || position.evacuations.iter().any(evacuated)
     }
 
@@ -260,7 +261,7 @@
             }
             WatchResponse::Snapshot { sequence, document } => {
                 if sequence > self.sequence {
-                    let change = self.document.change_to(&document);
+                    let change = self.document.diff(&document);
                     (self.sequence, self.document) = (sequence, document.into_inner());
                     self.tell_configuration(change, out);
                 }
@@ -273,15 +274,15 @@
                 }
             }
             WatchResponse::Evacuations(part) => {
-                if self.evacuations.get(&part.part).is_none_or(|known| known.sequence < part.sequence) {
-                    self.evacuations.insert(part.part, part);
+                if self.evacuations.get(&part.partition).is_none_or(|known| known.sequence < part.sequence) {
+                    self.evacuations.insert(part.partition, part);
                     out.push(Output::Servers);
                 }
             }
             WatchResponse::ServerList(news) => {
                 let before = self.list.position();
                 // Where they do not follow on what is known here, the whole list is asked for as any other news.
-                if self.list.follow(now, news) && before != self.list.position() {
+                if self.list.apply_update(now, news) && before != self.list.position() {
                     out.push(Output::Servers);
                 }
             }
@@ -318,7 +319,9 @@
             .filter(|(_, link)| link.open.is_none() && link.lost_at > 0 && now >= link.lost_at + UNREACHED);
         self.passed_over.extend(unreached.map(|(node, _)| (*node, now + PASSED_OVER)));
         self.passed_over.retain(|_, until| now < *until);
-        let lot = |node: &NodeId| mix(hash(self.router.front.as_bytes()) ^ mix(u64::from(node.0)));
+        let lot = |node: &NodeId| {
+            hash_mix(fnv1a_hash(self.router.client_address.as_bytes()) ^ hash_mix(u64::from(node.0)))
+        };
         // Where all have been passed over, the one that was tried longest ago comes first: a cut may have ended.
         let until = |node: &NodeId| self.passed_over.get(node).copied().unwrap_or_default();
         let mut order: Vec<(Nanos, u64, NodeId)> =
--- a/routing/tests/table.rs
+++ b/routing/tests/table.rs
@@ -124,7 +124,7 @@
     table.apply(&change("services", &[json!({"name": "s", "max_conns": 5})], &[]));
     let told = table.apply(&change("services", &[json!({"name": "s", "max_conns": "many"})], &[]));
     expect_that!(told, len(eq(1)));
-    expect_that!(table.service("s").map(|service| service.max_conns), some(eq(5.0)));
+    expect_that!(table.service("s").map(|service| service.max_connections), some(eq(5.0)));
     table.apply(&change("services", &[], &["s"]));
     expect_that!(table.services().count(), eq(0));
 }
@@ -134,7 +134,7 @@
     let mut table = Table::default();
     let usual = table.limits();
     let limits = |text: Option<&str>| Change {
-        rest: BTreeMap::from([("limits".to_owned(), text.map(str::to_owned))]),
+        other_fields: BTreeMap::from([("limits".to_owned(), text.map(str::to_owned))]),
         ..Change::default()
     };
     table.apply(&limits(Some(r#"{"max_body_bytes":9}"#)));
--- a/routing/tests/watch_client.rs
+++ b/routing/tests/watch_client.rs
@@ -4,7 +4,8 @@
 use ivyhatch_protocol::configuration::{Document, Item};
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId};
 use ivyhatch_protocol::watch::{
-    EvacuationUpdate, Position, Router, RouterState, Server, ServerListUpdate, WatchRequest, WatchResponse,
+    EvacuationPosition, EvacuationUpdate, Position, Router, RouterState, Server, ServerListPosition,
+    ServerListUpdate, WatchRequest, WatchResponse, ZoneEvacuation,
 };
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 use ivyhatch_routing::watch_client::{Input, Output, WatchClient};
@@ -25,7 +26,7 @@
     let (zone, region) = ("a".to_owned(), "r".to_owned());
     Router {
         node: NodeId(99),
-        front: "10.0.0.99:8000".to_owned(),
+        client_address: "10.0.0.99:8000".to_owned(),
         zone,
         region,
         state: RouterState::Starting,
@@ -50,8 +51,8 @@
         zone: "a".to_owned(),
         slots: 4,
         draining: false,
-        cold_left_ms: 0,
-        remaining_ms: None,
+        warm_up_remaining_ms: 0,
+        lifetime_remaining_ms: None,
     }
 }
 
@@ -66,7 +67,7 @@
         from,
         to,
         upsert,
-        gone: Vec::new(),
+        removed: Vec::new(),
     })
 }
 
@@ -188,7 +189,7 @@
 fn routers_spread_over_the_control_nodes() {
     let mut chosen = std::collections::BTreeSet::new();
     for number in 0..30 {
-        let router = Router { front: format!("10.0.0.{number}:8000"), ..router() };
+        let router = Router { client_address: format!("10.0.0.{number}:8000"), ..router() };
         let (mut follower, mut done) = (WatchClient::new(router, &nodes(9), START), Vec::new());
         follower.handle(START, Input::Tick, &mut done);
         for what in done {
@@ -359,8 +360,11 @@
 fn each_thing_that_is_behind_is_wanted() {
     let behind = [
         Position { configuration: 1, ..Position::default() },
-        Position { evacuations: vec![(PartitionId(3), 1)], ..Position::default() },
-        Position { servers: (ballot(1), 1), ..Position::default() },
+        Position {
+            evacuations: vec![EvacuationPosition { partition: PartitionId(3), sequence: 1 }],
+            ..Position::default()
+        },
+        Position { server_list: ServerListPosition { ballot: ballot(1), number: 1 }, ..Position::default() },
     ];
     for position in behind {
         let mut routed = Routed::linked();
@@ -392,7 +396,7 @@
 #[gtest]
 fn only_the_change_that_follows_on_is_taken() {
     let (old, new) = (document(50, &["a", "b"]), document(60, &["b", "c"]));
-    let change = old.change_to(&new);
+    let change = old.diff(&new);
     for (from, to, taken) in
         [(5, 6, true), (5, 9, true), (4, 6, false), (6, 7, false), (0, 6, false), (5, 5, false)]
     {
@@ -448,12 +452,12 @@
 
 #[gtest]
 fn evacuations_go_forward_only() {
-    let part = PartitionId::of("a");
+    let part = PartitionId::for_key("a");
     let told = |sequence, active, changes| {
         WatchResponse::Evacuations(EvacuationUpdate {
-            part,
+            partition: part,
             sequence,
-            zones: vec![("a".to_owned(), active, changes)],
+            zones: vec![ZoneEvacuation { zone: "a".to_owned(), active, change_count: changes }],
         })
     };
     let mut routed = Routed::linked();
--- a/simulation/src/chance.rs
+++ b/simulation/src/chance.rs
@@ -1,6 +1,6 @@
 //! Numbers by chance from a seed.
 
-use ivyhatch_protocol::ids::mix;
+use ivyhatch_protocol::ids::hash_mix;
 
 /// A source of numbers; the same seed gives the same ones.
 #[derive(Clone, Debug)]
@@ -9,13 +9,13 @@
 impl Chance {
     /// A source.
     pub fn new(seed: u64) -> Self {
-        Self(mix(seed ^ 0x9e37_79b9_7f4a_7c15))
+        Self(hash_mix(seed ^ 0x9e37_79b9_7f4a_7c15))
     }
 
     /// The next number.
     pub fn number(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        mix(self.0)
+        hash_mix(self.0)
     }
 
     /// A number below this one; 0 where that is 0.
@@ -36,6 +36,7 @@
 
 /// A number that depends on these alone, so that what is drawn for one thing does not change when another is left out.
 pub fn draw(seed: u64, keys: [u64; 4]) -> u64 {
-    keys.iter()
-        .fold(mix(seed), |folded, key| mix(folded ^ key.wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(23)))
+    keys.iter().fold(hash_mix(seed), |folded, key| {
+        hash_mix(folded ^ key.wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(23))
+    })
 }
--- a/simulation/src/demand.rs
+++ b/simulation/src/demand.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write;
 
 use ivyhatch_protocol::configuration::Document;
-use ivyhatch_protocol::ids::{hash, mix};
+use ivyhatch_protocol::ids::{fnv1a_hash, hash_mix};
 use ivyhatch_protocol::peer::AdminRequest;
 
 use crate::plan::Undertaking;
@@ -64,12 +64,13 @@
 
 /// What a configuration holds, whatever the order of its items.
 pub fn digest(document: &Document) -> u64 {
-    let item =
-        |section: &str, json: &str| mix(hash(section.as_bytes()) ^ hash(json.as_bytes()).rotate_left(7));
+    let item = |section: &str, json: &str| {
+        hash_mix(fnv1a_hash(section.as_bytes()) ^ fnv1a_hash(json.as_bytes()).rotate_left(7))
+    };
     let items =
         document.sections.iter().flat_map(|(section, items)| items.iter().map(move |one| (section, one)));
     let sum = items.fold(0_u64, |sum, (section, one)| sum.wrapping_add(item(section, &one.json)));
-    mix(sum ^ document.revision)
+    hash_mix(sum ^ document.revision)
 }
 
 fn route(number: usize, timeout: u64) -> String {
@@ -114,7 +115,7 @@
         content[place] = revision;
         self.contents.insert(revision, content);
         let whole = body(revision, &content, "s");
-        let digest = Document::read(&whole).map_or(0, |document| digest(&document));
+        let digest = Document::parse(&whole).map_or(0, |document| digest(&document));
         let valid = what != Undertaking::Invalid;
         // There is nothing to change before the first whole one.
         let order = match what {
@@ -134,7 +135,7 @@
 
 fn evacuate(number: usize, active: bool) -> Demand {
     Demand {
-        order: AdminRequest::Evacuate { zone: zone(number), active, changes: 0 },
+        order: AdminRequest::Evacuate { zone: zone(number), active, change_count: 0 },
         kind: Kind::Evacuate { zone: number, active },
     }
 }
--- a/simulation/src/oracle.rs
+++ b/simulation/src/oracle.rs
@@ -208,7 +208,7 @@
                 }
             }
             (Kind::Read, AdminResponse::Document(text)) => {
-                let read = ivyhatch_protocol::configuration::Document::read(text.as_bytes());
+                let read = ivyhatch_protocol::configuration::Document::parse(text.as_bytes());
                 let revision = read.map_or(0, |document| document.revision);
                 self.read(revision, newest_before);
             }
--- a/simulation/src/run/alterations.rs
+++ b/simulation/src/run/alterations.rs
@@ -22,35 +22,43 @@
                 Planted::SkipsConfirmation,
                 PeerMessage::Consensus {
                     generation,
-                    part,
-                    message: ConsensusMessage::Confirm { ballot, number },
+                    partition: part,
+                    message: ConsensusMessage::Confirm { ballot, request_id: number },
                 },
             ) => {
-                let message = ConsensusMessage::Confirmed { ballot, number };
-                events.push(Input::Peer(to, PeerMessage::Consensus { generation, part, message }));
+                let message = ConsensusMessage::Confirmed { ballot, request_id: number };
+                events.push(Input::Peer(to, PeerMessage::Consensus { generation, partition: part, message }));
                 None
             }
             (
                 Planted::AcceptsLowerEpoch,
-                PeerMessage::Consensus { generation, part, message: ConsensusMessage::Reject { promised } },
+                PeerMessage::Consensus {
+                    generation,
+                    partition: part,
+                    message: ConsensusMessage::Reject { promised },
+                },
             ) => {
                 let lower = self.machines[machine].lower.take().filter(|(ballot, _)| ballot.node == to);
                 let message = lower.map_or(ConsensusMessage::Reject { promised }, |(ballot, sequence)| {
                     ConsensusMessage::Accepted { ballot, sequence }
                 });
-                Some(PeerMessage::Consensus { generation, part, message })
+                Some(PeerMessage::Consensus { generation, partition: part, message })
             }
             (
                 Planted::LeadsWithoutElection,
-                PeerMessage::Consensus { generation, part, message: ConsensusMessage::Prepare { ballot } },
+                PeerMessage::Consensus {
+                    generation,
+                    partition: part,
+                    message: ConsensusMessage::Prepare { ballot },
+                },
             ) if part != PartitionId::MEMBERSHIP => {
                 let message = ConsensusMessage::Promise { ballot, accepted: None };
-                events.push(Input::Peer(to, PeerMessage::Consensus { generation, part, message }));
+                events.push(Input::Peer(to, PeerMessage::Consensus { generation, partition: part, message }));
                 None
             }
             (
                 Planted::ChangesMembershipAlone,
-                PeerMessage::Consensus { generation, part: part @ PartitionId::MEMBERSHIP, message },
+                PeerMessage::Consensus { generation, partition: part @ PartitionId::MEMBERSHIP, message },
             ) => {
                 let message = match message {
                     ConsensusMessage::Prepare { ballot } => {
@@ -59,9 +67,9 @@
                     ConsensusMessage::Accept(value) => {
                         ConsensusMessage::Accepted { ballot: value.ballot, sequence: value.sequence }
                     }
-                    message => return Some(PeerMessage::Consensus { generation, part, message }),
+                    message => return Some(PeerMessage::Consensus { generation, partition: part, message }),
                 };
-                events.push(Input::Peer(to, PeerMessage::Consensus { generation, part, message }));
+                events.push(Input::Peer(to, PeerMessage::Consensus { generation, partition: part, message }));
                 None
             }
             (Planted::CountsBeforeState, PeerMessage::StateTransferRequest { incarnation, generation }) => {
@@ -72,11 +80,14 @@
                 events.push(Input::Peer(to, empty));
                 None
             }
-            (Planted::OldGenerationCounts, PeerMessage::Consensus { part, message, generation }) => {
+            (
+                Planted::OldGenerationCounts,
+                PeerMessage::Consensus { partition: part, message, generation },
+            ) => {
                 let receiver = self.machines.get(place(to)).and_then(|machine| machine.node.as_ref());
                 let newer = receiver.and_then(ControlPlane::membership).map(|known| known.generation);
                 let generation = newer.unwrap_or(generation);
-                Some(PeerMessage::Consensus { generation, part, message })
+                Some(PeerMessage::Consensus { generation, partition: part, message })
             }
             (_, message) => Some(message),
         }
--- a/simulation/src/run/describe.rs
+++ b/simulation/src/run/describe.rs
@@ -7,10 +7,10 @@
 pub(super) fn peer_message(message: &PeerMessage) -> String {
     match message {
         PeerMessage::Heartbeat(heartbeat) => {
-            let Heartbeat { number, status, generation, has_quorum, .. } = heartbeat;
+            let Heartbeat { sequence: number, status, generation, has_quorum, .. } = heartbeat;
             format!("heartbeat {number} {status:?} generation {generation} quorum: {has_quorum}")
         }
-        PeerMessage::Consensus { generation, part, message } => {
+        PeerMessage::Consensus { generation, partition: part, message } => {
             let message = match message {
                 ConsensusMessage::Accept(value) => format!("accept {} {}", value.ballot, value.sequence),
                 ConsensusMessage::Promise { ballot, accepted } => {
@@ -31,10 +31,12 @@
         }
         PeerMessage::StateTransferRequest { generation, .. } => format!("state request {generation}"),
         PeerMessage::StateTransfer { generation, .. } => format!("state of generation {generation}"),
-        PeerMessage::ForwardRequest { number, request, .. } => {
-            format!("forward {number} part {}", request.part().0)
+        PeerMessage::ForwardRequest { request_id: number, request, .. } => {
+            format!("forward {number} part {}", request.partition().0)
+        }
+        PeerMessage::ForwardResponse { request_id: number, response } => {
+            format!("forwarded {number} {response:?}")
         }
-        PeerMessage::ForwardResponse { number, response } => format!("forwarded {number} {response:?}"),
         PeerMessage::RouterSessions(_) => "sessions".to_owned(),
         PeerMessage::ServerList(news) => format!("servers {} {}", news.ballot, news.to),
         PeerMessage::ServerListRequest => "want servers".to_owned(),
@@ -50,7 +52,7 @@
         WatchResponse::Snapshot { sequence, .. } => format!("whole {sequence}"),
         WatchResponse::Change { from, to, .. } => format!("change {from} to {to}"),
         WatchResponse::Evacuations(part) => {
-            format!("evacuations part {} {} {:?}", part.part.0, part.sequence, part.zones)
+            format!("evacuations part {} {} {:?}", part.partition.0, part.sequence, part.zones)
         }
         WatchResponse::ServerList(news) => format!("servers {} {}", news.ballot, news.to),
     }
--- a/simulation/src/run/machines.rs
+++ b/simulation/src/run/machines.rs
@@ -7,7 +7,7 @@
 use ivyhatch_control::{ControlPlane, Identity, Input, Output};
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{ConsensusMessage, Membership, PeerMessage};
-use ivyhatch_protocol::watch::Server;
+use ivyhatch_protocol::watch::{Server, ServerListPosition};
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
 use super::describe::peer_message;
@@ -31,7 +31,7 @@
     let voter = stored.replica.zip(stored.membership.as_ref());
     voter
         .and_then(|((replica, _), membership)| membership.voter(replica))
-        .is_some_and(|voter| voter.joined == 1)
+        .is_some_and(|voter| voter.joined_generation == 1)
 }
 
 /// A machine of the core.
@@ -61,7 +61,7 @@
     /// What it was before it lost its disk, for the fault that it goes on as that.
     before_wipe: Option<(ReplicaId, Option<Membership>, Option<u64>)>,
     pub(super) seen: [u64; PARTS],
-    pub(super) list: (Ballot, u64),
+    pub(super) list: ServerListPosition,
     pub(super) lower: Option<(Ballot, u64)>,
 }
 
@@ -114,13 +114,14 @@
     /// What it has in force, as a follower's.
     pub(super) fn summary(&self) -> Vec<u64> {
         let Some(node) = &self.node else { return Vec::new() };
-        let zones = (0..3).map(zone).flat_map(|zone| match node.committed_state(PartitionId::of(&zone)).1 {
-            Some(State::Evacuated(evacuated)) => {
-                let (active, changes) = evacuated.zones.get(&zone).copied().unwrap_or_default();
-                [u64::from(active), changes]
-            }
-            _ => [0, 0],
-        });
+        let zones =
+            (0..3).map(zone).flat_map(|zone| match node.committed_state(PartitionId::for_key(&zone)).1 {
+                Some(State::Evacuated(evacuated)) => {
+                    let (active, changes) = evacuated.zones.get(&zone).copied().unwrap_or_default();
+                    [u64::from(active), changes]
+                }
+                _ => [0, 0],
+            });
         [self.revision(), node.committed_state(PartitionId::CONFIGURATION).0]
             .into_iter()
             .chain(zones)
@@ -128,7 +129,7 @@
     }
 
     pub(super) fn reads_list(&self) -> bool {
-        self.node.as_ref().is_some_and(|node| node.leads(PartitionId::of("platform-list")).is_some())
+        self.node.as_ref().is_some_and(|node| node.leads(PartitionId::for_key("platform-list")).is_some())
     }
 }
 
@@ -173,7 +174,7 @@
             grace: GRACE,
         };
         this.node = Some(ControlPlane::new(identity, stored, now));
-        (this.seen, this.list) = ([0; PARTS], (Ballot::default(), 0));
+        (this.seen, this.list) = ([0; PARTS], ServerListPosition::default());
         (this.wants, this.frozen_until, this.lower, this.generation) = (Vec::new(), 0, None, 0);
         this.linked.clear();
         this.held.clear();
@@ -389,8 +390,8 @@
             zone: zone(number as usize % 3),
             slots: 8,
             draining: number == step,
-            cold_left_ms: 0,
-            remaining_ms: None,
+            warm_up_remaining_ms: 0,
+            lifetime_remaining_ms: None,
         };
         (step..step + 4).map(server).collect()
     }
--- a/simulation/src/run/observation.rs
+++ b/simulation/src/run/observation.rs
@@ -2,8 +2,9 @@
 
 use ivyhatch_control::ControlPlane;
 use ivyhatch_control::state::State;
-use ivyhatch_protocol::ids::{Ballot, PartitionId, hash, mix};
+use ivyhatch_protocol::ids::{Ballot, PartitionId, fnv1a_hash, hash_mix};
 use ivyhatch_protocol::peer::{ConsensusMessage, PeerMessage};
+use ivyhatch_protocol::watch::ServerListPosition;
 use speedy::Writable;
 
 use super::{World, address};
@@ -50,7 +51,7 @@
                 }
                 Some(State::Evacuated(evacuated)) => {
                     let bytes = evacuated.write_to_vec().unwrap_or_default();
-                    self.oracle.seen(who, part, sequence, hash(&bytes));
+                    self.oracle.seen(who, part, sequence, fnv1a_hash(&bytes));
                 }
                 None => {}
             }
@@ -58,12 +59,13 @@
         let position = node.list().position();
         if position != this.list {
             this.list = position;
-            let (ballot, number) = position;
+            let ServerListPosition { ballot, number } = position;
             if ballot != Ballot::default() {
                 let told = node.list().servers(self.now);
-                let digest =
-                    told.fold(0, |sum, one| mix(sum ^ hash(one.id.as_bytes()) ^ u64::from(one.draining)));
-                let reader = mix(ballot.incarnation ^ mix(u64::from(ballot.node.0)));
+                let digest = told.fold(0, |sum, one| {
+                    hash_mix(sum ^ fnv1a_hash(one.id.as_bytes()) ^ u64::from(one.draining))
+                });
+                let reader = hash_mix(ballot.incarnation ^ hash_mix(u64::from(ballot.node.0)));
                 self.oracle.list((ballot.counter, reader, number), digest);
             }
         }
--- a/simulation/src/run/operators.rs
+++ b/simulation/src/run/operators.rs
@@ -142,14 +142,14 @@
         {
             *base = self.machines[machine].revision();
         }
-        self.note(|| format!("order {id} at node {machine}, part {}", order.part().0));
+        self.note(|| format!("order {id} at node {machine}, part {}", order.partition().0));
         self.hear(machine, Input::Admin(id, order));
     }
 
     pub(super) fn answer_arrives(&mut self, id: RequestId, answer: &AdminResponse) {
         let Some((operator, current)) = self.desk.of(id) else { return };
         let number = current.number;
-        let configures = current.demand.order.part() == PartitionId::CONFIGURATION;
+        let configures = current.demand.order.partition() == PartitionId::CONFIGURATION;
         if !self.oracle.answered(number, answer) {
             let after = (50 + self.below(300)) * MILLISECOND;
             return self.after(after, Happening::Silence(id));
--- a/simulation/src/run/routers.rs
+++ b/simulation/src/run/routers.rs
@@ -82,7 +82,7 @@
         let number = self.place_of(follower);
         let router = Named {
             node: address(number),
-            front: format!("{}:8161", address(number)),
+            client_address: format!("{}:8161", address(number)),
             zone: zone(follower % 3),
             region: "region".to_owned(),
             state: RouterState::Starting,
--- a/simulation/src/search.rs
+++ b/simulation/src/search.rs
@@ -113,8 +113,11 @@
 impl Core {
     /// So many voters, and so many other nodes that could take a seat.
     pub fn new(voters: usize, spares: usize, budget: Budget) -> Self {
-        let voter =
-            |number| Voter { replica: replica(number, 1), zone: String::new(), joined: FIRST_GENERATION };
+        let voter = |number| Voter {
+            replica: replica(number, 1),
+            zone: String::new(),
+            joined_generation: FIRST_GENERATION,
+        };
         let membership = Membership {
             generation: FIRST_GENERATION,
             voters: (0..voters).map(voter).collect(),
--- a/simulation/src/search/member.rs
+++ b/simulation/src/search/member.rs
@@ -33,7 +33,7 @@
 
 impl Member {
     pub(super) fn holds_state_of(&self, voter: &Voter) -> bool {
-        voter.joined == FIRST_GENERATION || self.joined == Some(voter.joined)
+        voter.joined_generation == FIRST_GENERATION || self.joined == Some(voter.joined_generation)
     }
 
     pub(super) fn votes(&self) -> bool {
@@ -43,7 +43,7 @@
     /// The generation in which it joins, where it is a voter that does not hold its state yet.
     pub(super) fn joining(&self) -> Option<u64> {
         let voter = self.membership.voter(self.replica)?;
-        (!self.holds_state_of(voter)).then_some(voter.joined)
+        (!self.holds_state_of(voter)).then_some(voter.joined_generation)
     }
 
     /// Whether it may hand out its state to a new voter of its membership.
--- a/simulation/tests/oracle.rs
+++ b/simulation/tests/oracle.rs
@@ -151,7 +151,7 @@
     expect_that!(rule(&oracle), some(eq(Rule::ConfiguredInTime)));
 
     let evacuate = |active| Demand {
-        order: AdminRequest::Evacuate { zone: "zone-1".to_owned(), active, changes: 0 },
+        order: AdminRequest::Evacuate { zone: "zone-1".to_owned(), active, change_count: 0 },
         kind: Kind::Evacuate { zone: 1, active },
     };
     let mut oracle = begun();
@@ -210,19 +210,19 @@
     let mut operators = Operators::default();
     let put = operators.demand(Undertaking::Put, 3);
     let AdminRequest::Put { base: 0, body } = &put.order else { panic!("{put:?}") };
-    let document = Document::read(body).expect("it reads");
-    expect_that!(document.checked(0), ok(anything()));
+    let document = Document::parse(body).expect("it reads");
+    expect_that!(document.validate(0), ok(anything()));
     let Kind::Set { revision: 3, digest: sent, .. } = put.kind else { panic!("{put:?}") };
     expect_that!(digest(&document), eq(sent));
     operators.heard(3);
     let patch = operators.demand(Undertaking::Patch, 2);
     let AdminRequest::Patch { base: 3, body } = &patch.order else { panic!("{patch:?}") };
-    let change = ivyhatch_protocol::configuration::Change::read(body).expect("it reads");
+    let change = ivyhatch_protocol::configuration::Change::parse(body).expect("it reads");
     let Kind::Set { digest: sent, .. } = patch.kind else { panic!("{patch:?}") };
-    expect_that!(digest(&document.with(&change)), eq(sent));
+    expect_that!(digest(&document.with_change(&change)), eq(sent));
     let invalid = operators.demand(Undertaking::Invalid, 1);
     let AdminRequest::Put { body, .. } = &invalid.order else { panic!("{invalid:?}") };
-    expect_that!(Document::read(body).expect("it reads").checked(3), err(anything()));
+    expect_that!(Document::parse(body).expect("it reads").validate(3), err(anything()));
 }
 
 fn replica(node: u32, disk: u64) -> ReplicaId {
@@ -230,7 +230,7 @@
 }
 
 fn first_membership() -> Membership {
-    let voter = |node| Voter { replica: replica(node, 1), zone: String::new(), joined: 1 };
+    let voter = |node| Voter { replica: replica(node, 1), zone: String::new(), joined_generation: 1 };
     Membership { generation: 1, voters: (1..=3).map(voter).collect(), previous: Vec::new() }
 }
 
--- a/system/src/bulk.rs
+++ b/system/src/bulk.rs
@@ -40,11 +40,11 @@
         (
             WatchResponse::Snapshot { sequence, document },
             WatchResponse::Snapshot { sequence: other_sequence, document: other_document },
-        ) => sequence == other_sequence && document.is_same(other_document),
+        ) => sequence == other_sequence && document.ptr_eq(other_document),
         (
             WatchResponse::Change { from, to, change },
             WatchResponse::Change { from: other_from, to: other_to, change: other_change },
-        ) => (from, to) == (other_from, other_to) && change.is_same(other_change),
+        ) => (from, to) == (other_from, other_to) && change.ptr_eq(other_change),
         _ => false,
     }
 }
--- a/system/src/cloud.rs
+++ b/system/src/cloud.rs
@@ -77,8 +77,8 @@
             slots: instance.slots,
             // What is not said to be ready gets nothing new, whatever else it is called.
             draining: instance.state != "ready",
-            cold_left_ms: instance.cold_left_ms.max(0.0) as u32,
-            remaining_ms: instance.remaining_ms.map(|left| left.max(0.0) as u32),
+            warm_up_remaining_ms: instance.cold_left_ms.max(0.0) as u32,
+            lifetime_remaining_ms: instance.remaining_ms.map(|left| left.max(0.0) as u32),
         }
     }
 }
--- a/system/src/control.rs
+++ b/system/src/control.rs
@@ -11,7 +11,7 @@
 use ivyhatch_control::server_list::ReadId;
 use ivyhatch_control::stored::Stored;
 use ivyhatch_control::{ControlPlane, Identity, Input, Output, RequestId, SessionId, Token};
-use ivyhatch_protocol::ids::{NodeId, hash, mix};
+use ivyhatch_protocol::ids::{NodeId, fnv1a_hash, hash_mix};
 use ivyhatch_protocol::peer::{AdminRequest, AdminResponse, PeerMessage};
 use ivyhatch_protocol::settings::Settings;
 use ivyhatch_protocol::watch::{Server, WatchRequest, WatchResponse};
@@ -90,9 +90,9 @@
     let clock = Clock::start();
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
-    let control_at = settings.address("control", |listen| listen.control)?;
-    let directory_at = settings.address("directory", |listen| listen.directory)?;
-    let inner = |offset: u16| SocketAddrV4::new(settings.ip, settings.inner_ports.0 + offset);
+    let control_at = settings.listen_address("control", |listen| listen.control)?;
+    let directory_at = settings.listen_address("directory", |listen| listen.directory)?;
+    let inner = |offset: u16| SocketAddrV4::new(settings.ip, settings.peer_ports.0 + offset);
     let bind = |at: SocketAddrV4| link::listen(at).map_err(|source| RoleError::Listen { at, source });
     let (control, directory) = (bind(control_at)?, bind(directory_at)?);
     let (peers, followers) = (bind(inner(0))?, bind(inner(1))?);
@@ -167,10 +167,13 @@
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
     let place = Box::new(0_u8);
     let drawn = std::hash::BuildHasher::hash_one(&std::collections::hash_map::RandomState::new(), unix);
-    let life =
-        mix(drawn ^ hash(format!("{}{:?}{:p}{unix:?}", settings.ip, std::process::id(), place).as_bytes()));
+    let life = hash_mix(
+        drawn ^ fnv1a_hash(format!("{}{:?}{:p}{unix:?}", settings.ip, std::process::id(), place).as_bytes()),
+    );
     let bounds = &settings.bounds;
-    let pace = (bounds.drain_ms / 6.0).max(LIST_LEAST).max(10_000.0 / settings.cloud_api.rate_per_s.max(0.1));
+    let pace = (bounds.drain_timeout_ms / 6.0)
+        .max(LIST_LEAST)
+        .max(10_000.0 / settings.cloud_api.rate_per_s.max(0.1));
     Identity {
         node: settings.ip.into(),
         zone: settings.zone.clone(),
@@ -185,7 +188,7 @@
 }
 
 fn grace(settings: &Settings) -> Nanos {
-    let grace = Duration::try_from_secs_f64(settings.bounds.grace_s).unwrap_or_default();
+    let grace = Duration::try_from_secs_f64(settings.bounds.shutdown_grace_s).unwrap_or_default();
     grace.saturating_sub(GRACE_MARGIN).as_nanos() as u64
 }
 
@@ -262,7 +265,7 @@
     }
 
     async fn keep_link(self: Rc<Self>, node: NodeId) {
-        let at = SocketAddrV4::new(node.ip(), self.settings.inner_ports.0);
+        let at = SocketAddrV4::new(node.ip(), self.settings.peer_ports.0);
         let mut tries = 0;
         loop {
             if let Ok(mut stream) = link::connect(self.settings.ip, at, tries).await {
@@ -399,7 +402,7 @@
                 if addresses.is_empty() {
                     return http::again("no router is known here yet: ask another control node");
                 }
-                let ttl = TTL_S.min(self.settings.bounds.ttl_max_s);
+                let ttl = TTL_S.min(self.settings.bounds.max_directory_ttl_s);
                 http::json(
                     StatusCode::OK,
                     serde_json::json!({"addresses": addresses, "ttl_s": ttl}).to_string(),
@@ -440,7 +443,7 @@
                 AdminRequest::Evacuate {
                     zone: (*zone).to_owned(),
                     active: call.method == Method::POST,
-                    changes: 0,
+                    change_count: 0,
                 }
             }
             _ => return http::problem(StatusCode::NOT_FOUND, "no such call: see docs/operators/system.md"),
--- a/system/src/disk.rs
+++ b/system/src/disk.rs
@@ -8,7 +8,7 @@
 
 use ivyhatch_control::stored::Stored;
 use ivyhatch_control::{Record, Token};
-use ivyhatch_wal::{CompactingLog, Log, RecordsError};
+use ivyhatch_wal::{CompactingWal, Wal, WalError};
 use speedy::{Readable, Writable};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     /// Where the disk can't be read or written.
-    pub fn start(folder: &Path) -> Result<OpenedDisk, RecordsError> {
+    pub fn start(folder: &Path) -> Result<OpenedDisk, WalError> {
         let (log, stored, history_lost) = match open(folder) {
             Err(error) if error.is_set_aside() => {
                 log::error!("event=records_set_aside error={:?}", error.to_string());
@@ -57,12 +57,12 @@
         };
         let (sender, writes) = channel();
         let (done, written) = unbounded_channel();
-        let writer = DiskWriter { log: CompactingLog::new(log), stored: stored.clone() };
+        let writer = DiskWriter { log: CompactingWal::new(log), stored: stored.clone() };
         thread::Builder::new()
             .name("disk".to_owned())
             .stack_size(THREAD_STACK)
             .spawn(move || writer.run(&writes, &done))
-            .map_err(|source| RecordsError::Disk { path: folder.to_owned(), source })?;
+            .map_err(|source| WalError::Io { path: folder.to_owned(), source })?;
         Ok(OpenedDisk { disk: Self(sender), stored, written, history_lost })
     }
 
@@ -75,8 +75,8 @@
 
 /// Opens the file and decodes its records. A file with one that this release does not know is set aside whole: what is missing
 /// may have been a promise, and records written behind it would be out of reach as well.
-fn open(folder: &Path) -> Result<(Log, Stored), RecordsError> {
-    let (log, records) = Log::open(folder, FILE_NAME)?;
+fn open(folder: &Path) -> Result<(Wal, Stored), WalError> {
+    let (log, records) = Wal::open(folder, FILE_NAME)?;
     let mut stored = Stored::default();
     for (index, bytes) in records.iter().enumerate() {
         match decode(bytes) {
@@ -103,7 +103,7 @@
 
 /// What the thread owns.
 struct DiskWriter {
-    log: CompactingLog,
+    log: CompactingWal,
     /// What the file says once all that was taken is written.
     stored: Stored,
 }
--- a/system/src/lib.rs
+++ b/system/src/lib.rs
@@ -37,7 +37,7 @@
     System(#[from] std::io::Error),
     /// The records of the control state.
     #[error(transparent)]
-    Records(#[from] ivyhatch_wal::RecordsError),
+    Records(#[from] ivyhatch_wal::WalError),
 }
 
 /// Runs a control node in the foreground until it is told to end.
--- a/system/src/link.rs
+++ b/system/src/link.rs
@@ -268,15 +268,15 @@
             return Err(std::io::Error::from(std::io::ErrorKind::UnexpectedEof).into());
         }
         decoder.feed(&buffer[..read]);
-        let fragments_before = decoder.fragments_taken();
-        while let Some(message) = decoder.message()? {
-            if decoder.last_length() >= LARGE {
+        let fragments_before = decoder.fragments_received();
+        while let Some(message) = decoder.next_message()? {
+            if decoder.last_message_bytes() >= LARGE {
                 // Decoding it took its time, and so does what comes of it.
                 yield_now().await;
             }
             take(Received::Message(message));
         }
-        if decoder.fragments_taken() > fragments_before {
+        if decoder.fragments_received() > fragments_before {
             take(Received::Fragment);
         }
     }
--- a/system/src/router/dispatch/answers.rs
+++ b/system/src/router/dispatch/answers.rs
@@ -36,7 +36,7 @@
                 sink
             }
         };
-        let aim = (open.route.target_ms * MILLISECOND as f64) as Nanos;
+        let aim = (open.route.latency_target_ms * MILLISECOND as f64) as Nanos;
         if aim > 0 && now > open.came + aim {
             let (route, sent) = (open.route.name.clone(), open.attempts.len());
             let ms = |span: Nanos| span / MILLISECOND;
@@ -110,7 +110,7 @@
         }
         // A stream ends with its last attempt; a broken one goes on elsewhere, where it may.
         let goes_on =
-            streamed && !served && !open.ended && open.route.is_repeatable() && now < open.not_after;
+            streamed && !served && !open.ended && open.route.is_idempotent() && now < open.not_after;
         let ended = open.ended || served || (streamed && !goes_on);
         if ended && !open.ended {
             open.ended = true;
@@ -118,7 +118,7 @@
                 sink.complete();
             }
         }
-        let gap = if open.route.gap_aim_ms > 0.0 { open.route.gap_aim_ms } else { GAP };
+        let gap = if open.route.event_gap_target_ms > 0.0 { open.route.event_gap_target_ms } else { GAP };
         if let Some(balanced) = self.services.get(&ticket.service) {
             let mut placement = balanced.placement.borrow_mut();
             if whole {
--- a/system/src/router/dispatch/mod.rs
+++ b/system/src/router/dispatch/mod.rs
@@ -16,7 +16,7 @@
 
 use ivyhatch_balancer::{Outcome, RequestId, Stage};
 use ivyhatch_node::seats::{Seats, Times};
-use ivyhatch_protocol::configuration::{Limits, Route};
+use ivyhatch_protocol::configuration::{RequestLimits, Route};
 use ivyhatch_protocol::settings::Settings;
 use ivyhatch_protocol::watch::Server;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
@@ -104,7 +104,7 @@
     }
 
     /// What clients may send.
-    pub fn limits(&self) -> Limits {
+    pub fn limits(&self) -> RequestLimits {
         self.state.borrow().table.limits()
     }
 
--- a/system/src/router/dispatch/requests.rs
+++ b/system/src/router/dispatch/requests.rs
@@ -6,7 +6,7 @@
 use hyper::StatusCode;
 use ivyhatch_balancer::{Arrival, BackendId, Event, RequestId};
 use ivyhatch_protocol::configuration::{Route, RouteKind};
-use ivyhatch_protocol::ids::{hash, mix};
+use ivyhatch_protocol::ids::{fnv1a_hash, hash_mix};
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 use ivyhatch_routing::table::target;
 use tokio::sync::oneshot;
@@ -25,7 +25,10 @@
 /// How long a server may be silent, before its answer and within it, until it is looked whether it is there at all.
 fn idle_timeouts(route: &Route) -> (Duration, Duration) {
     let part = |ms: f64, least: f64| Duration::from_secs_f64((ms * IDLE_TIMEOUT_PART).max(least) / 1000.0);
-    (part(route.target_ms, LEAST_IDLE_TIMEOUT_MS), part(route.gap_aim_ms, LEAST_IDLE_TIMEOUT_MS))
+    (
+        part(route.latency_target_ms, LEAST_IDLE_TIMEOUT_MS),
+        part(route.event_gap_target_ms, LEAST_IDLE_TIMEOUT_MS),
+    )
 }
 
 impl DispatcherState {
@@ -41,7 +44,8 @@
         let draw = match asked.prompt.shared().filter(|_| asked.route.sticky) {
             // What servers keep of a session is of use only where the next request of it goes as well.
             Some(shared) => {
-                (mix(shared ^ hash(asked.route.name.as_bytes())) >> 11) as f64 / (1_u64 << 53) as f64
+                (hash_mix(shared ^ fnv1a_hash(asked.route.name.as_bytes())) >> 11) as f64
+                    / (1_u64 << 53) as f64
             }
             None => self.draw(),
         };
@@ -51,7 +55,7 @@
         let request = RequestId(self.next_request);
         self.next_request += 1;
         let homes = self.homes(&asked.route);
-        let aim = (asked.route.target_ms.max(1.0) * MILLISECOND as f64) as Nanos;
+        let aim = (asked.route.latency_target_ms.max(1.0) * MILLISECOND as f64) as Nanos;
         if let Some(balanced) = self.services.get(&service) {
             balanced.placement.borrow_mut().asked(request, homes, asked.prompt, aim);
         }
@@ -104,7 +108,7 @@
             instance: known.instance.clone(),
             call: open.call.clone(),
             streams: open.route.route_kind == RouteKind::Streaming,
-            movable: open.route.is_repeatable(),
+            movable: open.route.is_idempotent(),
             idle_timeouts: idle_timeouts(&open.route),
             last_event: open.last_event,
             give_up: open.not_after,
--- a/system/src/router/dispatch/server_list.rs
+++ b/system/src/router/dispatch/server_list.rs
@@ -59,12 +59,12 @@
             });
             there.insert(id);
             let (evacuated, evacuations) = evacuation(&server.zone);
-            let leaves = server.draining || server.remaining_ms.is_some();
+            let leaves = server.draining || server.lifetime_remaining_ms.is_some();
             // Out of touch nobody knows whether the zone is evacuated still.
             let last_resort = evacuated && !quorum_reachable;
             let leaves = leaves || (evacuated && quorum_reachable);
             let stage = if leaves { Stage::Draining } else { Stage::InService };
-            let cold_left = Nanos::from(server.cold_left_ms) * MILLISECOND;
+            let cold_left = Nanos::from(server.warm_up_remaining_ms) * MILLISECOND;
             let cold_until = if cold_left > 0 { now + cold_left + COLD_MORE } else { 0 };
             placement.listed(id, &server.id, region, cold_until, last_resort);
             let known = self.backends.get(&id);
--- a/system/src/router/dispatch/services.rs
+++ b/system/src/router/dispatch/services.rs
@@ -6,7 +6,7 @@
 
 use ivyhatch_balancer::{Balancer, ClassId, ClassSettings, Discovery, Effect, Event, Reports, ZoneId};
 use ivyhatch_protocol::configuration::Route;
-use ivyhatch_protocol::ids::hash;
+use ivyhatch_protocol::ids::fnv1a_hash;
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 use ivyhatch_routing::placement::{Cold, Placement, Regions, Shared};
 use ivyhatch_routing::table::{PreparedChange, UnreadableItem};
@@ -54,9 +54,10 @@
             .table
             .services()
             .map(|service| {
-                let bound = service.cold_per_s * self.bounds.cold_excess + self.bounds.cold_slack;
-                let per_s = if service.cold_per_s > 0.0 { bound } else { 0.0 };
-                let span = (service.cold_s * SECOND as f64) as Nanos + COLD_MORE;
+                let bound = service.warm_up_rate_per_s * self.bounds.warm_up_rate_factor
+                    + self.bounds.warm_up_rate_slack;
+                let per_s = if service.warm_up_rate_per_s > 0.0 { bound } else { 0.0 };
+                let span = (service.warm_up_s * SECOND as f64) as Nanos + COLD_MORE;
                 (Rc::from(service.name.as_str()), service.engine.is_some(), Cold { per_s, span })
             })
             .collect();
@@ -78,7 +79,7 @@
         self.routers = Some(routers.max(1));
         self.place = place;
         let nodes = self.nodes();
-        let saved = self.bounds.budget_slack * SAVED_PART / f64::from(routers.max(1));
+        let saved = self.bounds.retry_budget_slack * SAVED_PART / f64::from(routers.max(1));
         for service in self.services.values_mut() {
             service.balancer.set_nodes(nodes);
             service.balancer.set_retries_saved(saved);
@@ -103,7 +104,7 @@
         settings.limits.retry_after = PAUSE;
         settings.rules.start_capacity = 1.0;
         settings.rules.warm_after = 1;
-        let seed = self.random ^ hash(name.as_bytes());
+        let seed = self.random ^ fnv1a_hash(name.as_bytes());
         let now = self.clock.now();
         // The settings are the program's own: they are sound.
         let Ok(mut balancer) = Balancer::new(settings, seed, now) else { return id };
@@ -127,8 +128,8 @@
         id
     }
     pub(super) fn class(&mut self, service: Service, route: &Route) -> Option<ClassId> {
-        let aim = (route.target_ms.max(1.0) * MILLISECOND as f64) as Nanos;
-        let key = (aim, route.priority, route.max_tries, route.is_repeatable());
+        let aim = (route.latency_target_ms.max(1.0) * MILLISECOND as f64) as Nanos;
+        let key = (aim, route.priority, route.max_attempts, route.is_idempotent());
         let balanced = self.services.get_mut(&service)?;
         if let Some(class) = balanced.classes.get(&key) {
             return Some(*class);
@@ -139,8 +140,8 @@
             // The more urgent, the more it is worth; by how much is not told.
             worth: 4.0 / f64::from(1 + route.priority.min(9)),
             late_share: LATE_SHARE,
-            effect: if route.is_repeatable() { Effect::Repeatable } else { Effect::Once },
-            attempts: Some(route.max_tries.max(1)),
+            effect: if route.is_idempotent() { Effect::Repeatable } else { Effect::Once },
+            attempts: Some(route.max_attempts.max(1)),
             patience: Some((aim as f64 * HELD_PART) as Nanos),
             again_late: true,
         });
--- a/system/src/router/dispatch/state.rs
+++ b/system/src/router/dispatch/state.rs
@@ -9,7 +9,7 @@
 use ivyhatch_balancer::{BackendId, Balancer, ClassId, RequestId, Stage};
 use ivyhatch_protocol::Nanos;
 use ivyhatch_protocol::configuration::Route;
-use ivyhatch_protocol::ids::{hash, mix};
+use ivyhatch_protocol::ids::{fnv1a_hash, hash_mix};
 use ivyhatch_protocol::settings::{Bounds, Settings};
 use ivyhatch_protocol::watch::Server;
 use ivyhatch_routing::placement::Placement;
@@ -108,7 +108,7 @@
             settings.zones.values().cloned().chain([settings.region.clone()]).collect();
         let regions: Vec<String> = regions.into_iter().collect();
         let home = regions.iter().position(|region| *region == settings.region).unwrap_or(0) as u32;
-        let seed = hash(settings.node_name.as_bytes()) ^ u64::from(settings.ip.to_bits());
+        let seed = fnv1a_hash(settings.node_name.as_bytes()) ^ u64::from(settings.ip.to_bits());
         Self {
             clock,
             zones: settings.zones.clone(),
@@ -132,6 +132,6 @@
 
     pub(super) fn draw(&mut self) -> f64 {
         self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        (mix(self.random) >> 11) as f64 / (1_u64 << 53) as f64
+        (hash_mix(self.random) >> 11) as f64 / (1_u64 << 53) as f64
     }
 }
--- a/system/src/router/mod.rs
+++ b/system/src/router/mod.rs
@@ -42,14 +42,14 @@
     let clock = Clock::start();
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
-    let front_at = settings.address("front", |listen| listen.front)?;
-    let ready_at = settings.address("readiness", |listen| listen.readiness)?;
+    let front_at = settings.listen_address("front", |listen| listen.client)?;
+    let ready_at = settings.listen_address("readiness", |listen| listen.readiness)?;
     let bind = |at| link::listen(at).map_err(|source| RoleError::Listen { at, source });
     let (clients, readiness) = (bind(front_at)?, bind(ready_at)?);
     let descriptors = settings.limits.max_fds.saturating_sub(OWN_DESCRIPTORS).max(64);
     let router = Router {
         node: settings.ip.into(),
-        front: front_at.to_string(),
+        client_address: front_at.to_string(),
         zone: settings.zone.clone(),
         region: settings.region.clone(),
         state: RouterState::Starting,
@@ -76,10 +76,10 @@
             _ = hangup.recv() => sessions.reread(),
         }
     }
-    let killed = Instant::now() + Duration::from_secs_f64(settings.bounds.grace_s.max(1.0));
+    let killed = Instant::now() + Duration::from_secs_f64(settings.bounds.shutdown_grace_s.max(1.0));
     log::info!("event=ends role=router open={}", dispatcher.open());
     phase.send_replace(Phase::Stopping);
-    sessions.state(RouterState::Leaving);
+    sessions.state(RouterState::Draining);
     sleep(STILL_TAKES).await;
     phase.send_replace(Phase::Closing);
     sleep(LAST_ONES).await;
--- a/system/src/router/sessions.rs
+++ b/system/src/router/sessions.rs
@@ -186,7 +186,7 @@
     }
 
     async fn keep_session(self: Rc<Self>, node: NodeId) {
-        let at = SocketAddrV4::new(node.ip(), self.settings.inner_ports.0 + 1);
+        let at = SocketAddrV4::new(node.ip(), self.settings.peer_ports.0 + 1);
         let mut tries = 0;
         loop {
             let began = self.clock.now();
--- a/system/tests/link.rs
+++ b/system/tests/link.rs
@@ -7,7 +7,7 @@
 use googletest::prelude::*;
 use ivyhatch_protocol::configuration::{Document, Item};
 use ivyhatch_protocol::frame::{Decoder, encode_fragments};
-use ivyhatch_protocol::ids::mix;
+use ivyhatch_protocol::ids::hash_mix;
 use ivyhatch_protocol::watch::{Shared, WatchResponse};
 use ivyhatch_system::bulk::BulkFrames;
 use ivyhatch_system::link::{Received, Writer, read_fragments};
@@ -26,7 +26,7 @@
 
 /// A configuration of this many routes, of some 300 bytes each, that hardly shrinks.
 fn document(routes: u64) -> Document {
-    let letter = |at: u64| char::from(b'0' + (mix(at) % 64) as u8).to_string().replace('\\', "~");
+    let letter = |at: u64| char::from(b'0' + (hash_mix(at) % 64) as u8).to_string().replace('\\', "~");
     let padding = |route: u64| (0..250).map(|at| letter(route * 250 + at)).collect::<String>();
     let item = |at| Item {
         name: format!("route-{at}"),
@@ -61,7 +61,7 @@
         let read = tokio::time::timeout(Duration::from_millis(1), from.read(&mut buffer)).await;
         let Ok(Ok(read)) = read else { continue };
         decoder.feed(&buffer[..read]);
-        while let Some(message) = decoder.message().expect("sound") {
+        while let Some(message) = decoder.next_message().expect("sound") {
             came.push((began.elapsed(), message));
         }
     }
--- a/system/tests/stored_codecs.rs
+++ b/system/tests/stored_codecs.rs
@@ -40,8 +40,9 @@
 
 /// Some of each kind, as bytes.
 fn samples() -> Vec<Vec<u8>> {
-    let document = Document::read(br#"{"revision":7,"routes":[{"name":"a"},{"name":"b"}],"limits":{"x":1}}"#)
-        .expect("a readable configuration");
+    let document =
+        Document::parse(br#"{"revision":7,"routes":[{"name":"a"},{"name":"b"}],"limits":{"x":1}}"#)
+            .expect("a readable configuration");
     let configured = Configured { document, taken: vec![1, 2, 3] };
     let mut evacuated = Evacuated::default();
     evacuated.zones.insert("za".to_owned(), (true, 3));
--- a/wal/src/error.rs
+++ b/wal/src/error.rs
@@ -5,12 +5,12 @@
 
 /// Why a records file can't be opened or written. Each variant says what to do about it.
 #[derive(Debug, thiserror::Error)]
-pub enum RecordsError {
+pub enum WalError {
     /// The file or its folder can't be read or written.
     #[error(
         "{path}: {source}: check the disk and its folder; no write that was confirmed depends on this one"
     )]
-    Disk {
+    Io {
         /// The file.
         path: PathBuf,
         /// What the system said.
@@ -58,7 +58,7 @@
         "{path}: record {index} can't be decoded ({reason}): the file was kept as {set_aside}; install the release \
          that wrote it and put the file back, or let the replica ask the others for its state"
     )]
-    UnknownRecord {
+    UndecodableRecord {
         /// The file.
         path: PathBuf,
         /// The position of the record in the file, from 0.
@@ -72,7 +72,7 @@
     #[error(
         "{path}: {length} bytes in one write, over the {limit} of a block: make the configuration smaller"
     )]
-    TooLong {
+    BatchTooLong {
         /// The file.
         path: PathBuf,
         /// The length of the records.
@@ -82,10 +82,10 @@
     },
 }
 
-impl RecordsError {
+impl WalError {
     /// Whether the file has been set aside, so that opening again starts an empty one.
     pub fn is_set_aside(&self) -> bool {
-        matches!(self, Self::Damaged { .. } | Self::UnsupportedFormat { .. } | Self::UnknownRecord { .. })
+        matches!(self, Self::Damaged { .. } | Self::UnsupportedFormat { .. } | Self::UndecodableRecord { .. })
     }
 
     pub(crate) fn from_io(path: PathBuf, source: io::Error) -> Self {
@@ -93,7 +93,7 @@
             io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded | io::ErrorKind::FileTooLarge => {
                 Self::DiskFull { path, source }
             }
-            _ => Self::Disk { path, source },
+            _ => Self::Io { path, source },
         }
     }
 }
--- a/wal/src/lib.rs
+++ b/wal/src/lib.rs
@@ -1,6 +1,6 @@
 //! An append-only file of checksummed records: carries out writes, decides nothing about what they mean.
 //!
-//! Each [`Log::append`] is one block with a checksum, written in one go and synced before the call returns. Nothing is written
+//! Each [`Wal::append`] is one block with a checksum, written in one go and synced before the call returns. Nothing is written
 //! behind a block that is not durable, so a crash can tear only the last block: such a block was never confirmed, and is cut off.
 //! Any other damage means that something confirmed may be missing: then nothing of the file counts, the file is set aside under
 //! another name, and the caller is told so.
@@ -15,12 +15,12 @@
 //! - `compacting`: when a file is replaced by a shorter one
 
 mod block;
-mod compacting;
+mod compaction;
 mod error;
-mod log;
 mod storage;
+mod wal;
 
-pub use compacting::{CompactingLog, MAX_COMPACTION_LENGTH, MIN_COMPACTION_LENGTH, Written};
-pub use error::RecordsError;
-pub use log::{Log, Opened};
-pub use storage::{Folder, Storage};
+pub use compaction::{CompactingWal, MAX_COMPACTION_BYTES, MIN_COMPACTION_BYTES, WriteOutcome};
+pub use error::WalError;
+pub use storage::{Directory, Storage};
+pub use wal::{OpenedWal, Wal};
--- a/wal/src/storage.rs
+++ b/wal/src/storage.rs
@@ -4,7 +4,7 @@
 use std::io::{self, ErrorKind, Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-/// A folder of files. A name that was made, renamed or removed is durable only after [`Storage::sync_folder`]; bytes of a file
+/// A folder of files. A name that was made, renamed or removed is durable only after [`Storage::sync_directory`]; bytes of a file
 /// are durable only after [`Storage::sync`]. Until then a loss of power may keep or lose each of them by itself.
 pub trait Storage {
     /// An open file. Its bytes stay with it when its name changes.
@@ -17,7 +17,7 @@
     ///
     /// # Errors
     /// Where it can't be made.
-    fn create_folder(&self) -> io::Result<()>;
+    fn create_directory(&self) -> io::Result<()>;
 
     /// Opens a file for reading and writing; none where there is no such name.
     ///
@@ -77,29 +77,29 @@
     ///
     /// # Errors
     /// Where they are not known to be.
-    fn sync_folder(&self) -> io::Result<()>;
+    fn sync_directory(&self) -> io::Result<()>;
 }
 
 /// A folder of the file system.
 #[derive(Clone, Debug)]
-pub struct Folder(PathBuf);
+pub struct Directory(PathBuf);
 
-impl Folder {
+impl Directory {
     /// The folder at this path, which need not exist yet.
     pub fn new(path: &Path) -> Self {
         Self(path.to_owned())
     }
 }
 
-impl Storage for Folder {
+impl Storage for Directory {
     type File = File;
 
     fn path(&self, name: &str) -> PathBuf {
         self.0.join(name)
     }
 
-    fn create_folder(&self) -> io::Result<()> {
-        create_folder_durably(&self.0)
+    fn create_directory(&self) -> io::Result<()> {
+        create_directory_durably(&self.0)
     }
 
     fn open(&self, name: &str) -> io::Result<Option<File>> {
@@ -149,18 +149,18 @@
         self.path(name).try_exists()
     }
 
-    fn sync_folder(&self) -> io::Result<()> {
+    fn sync_directory(&self) -> io::Result<()> {
         File::open(&self.0)?.sync_all()
     }
 }
 
 /// Makes a folder and all above it that are missing. Each is durable once the folder above it is synced.
-fn create_folder_durably(path: &Path) -> io::Result<()> {
+fn create_directory_durably(path: &Path) -> io::Result<()> {
     if path.as_os_str().is_empty() || path.try_exists()? {
         return Ok(());
     }
     let above = path.parent().unwrap_or(Path::new(""));
-    create_folder_durably(above)?;
+    create_directory_durably(above)?;
     fs::create_dir(path)?;
     let above = if above.as_os_str().is_empty() { Path::new(".") } else { above };
     File::open(above)?.sync_all()
