--- a/wal/src/log.rs
+++ b/wal/src/wal.rs
@@ -4,8 +4,8 @@
 use std::path::{Path, PathBuf};
 
 use crate::block::{self, Contents, MAX_BODY_LENGTH};
-use crate::error::RecordsError;
-use crate::storage::{Folder, Storage};
+use crate::error::WalError;
+use crate::storage::{Directory, Storage};
 
 /// Files that were set aside and are kept; a further one replaces the last of these.
 const MAX_SET_ASIDE: u32 = 4;
@@ -24,7 +24,7 @@
 
 /// An open file of records.
 #[derive(Debug)]
-pub struct Log<S: Storage = Folder> {
+pub struct Wal<S: Storage = Directory> {
     storage: S,
     name: String,
     state: State<S::File>,
@@ -35,28 +35,28 @@
 }
 
 /// A log, and the records that it held when it was opened, in order.
-pub type Opened<S> = (Log<S>, Vec<Vec<u8>>);
+pub type OpenedWal<S> = (Wal<S>, Vec<Vec<u8>>);
 
-impl Log {
+impl Wal {
     /// Opens the file of this name in a folder. Either is made where there is none.
     ///
     /// # Errors
-    /// As [`Log::open_in`].
-    pub fn open(folder: &Path, name: &str) -> Result<Opened<Folder>, RecordsError> {
-        Self::open_in(Folder::new(folder), name)
+    /// As [`Wal::open_in`].
+    pub fn open(folder: &Path, name: &str) -> Result<OpenedWal<Directory>, WalError> {
+        Self::open_in(Directory::new(folder), name)
     }
 }
 
-impl<S: Storage> Log<S> {
+impl<S: Storage> Wal<S> {
     /// Opens the file of this name, and makes one where there is none. What is returned as read is durable, as are the names of
     /// the file and its folder.
     ///
     /// # Errors
     /// Where the disk refuses, or the file is damaged or of another format. In these two cases it has been set aside, and the
     /// next call starts an empty one.
-    pub fn open_in(storage: S, name: &str) -> Result<Opened<S>, RecordsError> {
-        let failed = |source| RecordsError::from_io(storage.path(name), source);
-        storage.create_folder().map_err(failed)?;
+    pub fn open_in(storage: S, name: &str) -> Result<OpenedWal<S>, WalError> {
+        let failed = |source| WalError::from_io(storage.path(name), source);
+        storage.create_directory().map_err(failed)?;
         // A replacement that was never put in place holds nothing that counts, and does no harm where it can't be removed.
         let _ = storage.remove(&replacement_name(name));
         let found = storage.open(name).map_err(failed)?;
@@ -75,7 +75,7 @@
                 }
                 // A process that was killed may have left bytes or a name that were not synced yet. Whoever has read them acts
                 // on them, so a later loss of power must not take them back.
-                storage.sync(&mut file).and_then(|()| storage.sync_folder()).map_err(failed)?;
+                storage.sync(&mut file).and_then(|()| storage.sync_directory()).map_err(failed)?;
                 let (state, block_count) = (State::Ready(file), sound.block_count);
                 Ok((Self { storage, name: name.to_owned(), state, length, block_count }, sound.records))
             }
@@ -85,7 +85,7 @@
             }
             Contents::Damaged { offset } => {
                 let path = storage.path(name);
-                Err(set_aside(&storage, name).map_or_else(failed, |set_aside| RecordsError::Damaged {
+                Err(set_aside(&storage, name).map_or_else(failed, |set_aside| WalError::Damaged {
                     path,
                     offset,
                     set_aside,
@@ -93,8 +93,10 @@
             }
             Contents::UnsupportedFormat { version } => {
                 let path = storage.path(name);
-                Err(set_aside(&storage, name).map_or_else(failed, |set_aside| {
-                    RecordsError::UnsupportedFormat { path, version, set_aside }
+                Err(set_aside(&storage, name).map_or_else(failed, |set_aside| WalError::UnsupportedFormat {
+                    path,
+                    version,
+                    set_aside,
                 }))
             }
         }
@@ -102,7 +104,7 @@
 
     /// A new file with these records. It gets its name only when it is durable, so that a file without a sound header is
     /// damaged and not just young.
-    fn create_with(storage: S, name: &str, records: &[Vec<u8>]) -> Result<Self, RecordsError> {
+    fn create_with(storage: S, name: &str, records: &[Vec<u8>]) -> Result<Self, WalError> {
         let state = State::NameUnknown;
         let mut log = Self { storage, name: name.to_owned(), state, length: 0, block_count: 0 };
         log.rewrite(records)?;
@@ -119,7 +121,7 @@
     /// # Errors
     /// Where the disk refuses them, or there are too many for one block. All records from before stay valid; the next call
     /// first cuts off what this one may have written.
-    pub fn append(&mut self, records: &[Vec<u8>]) -> Result<(), RecordsError> {
+    pub fn append(&mut self, records: &[Vec<u8>]) -> Result<(), WalError> {
         self.check_length(records)?;
         let mut bytes = Vec::new();
         block::encode_block(records, self.block_count, &mut bytes);
@@ -161,7 +163,7 @@
     ///
     /// # Errors
     /// Where the disk refuses, or there are too many records for one block. The present file then stays valid.
-    pub fn rewrite(&mut self, records: &[Vec<u8>]) -> Result<(), RecordsError> {
+    pub fn rewrite(&mut self, records: &[Vec<u8>]) -> Result<(), WalError> {
         self.check_length(records)?;
         let (bytes, block_count) = block::encode_file(records);
         self.replace_with(&bytes).map_err(|source| self.io_error(source))?;
@@ -181,7 +183,7 @@
         // From here on a write to the present file could be a write to one without a name.
         self.state = State::NameUnknown;
         self.storage.rename(&replacement_name(&self.name), &self.name)?;
-        self.storage.sync_folder()?;
+        self.storage.sync_directory()?;
         self.state = State::Ready(file);
         self.length = bytes.len() as u64;
         Ok(())
@@ -195,25 +197,25 @@
     }
 
     /// Keeps the file under another name, as its records can't be decoded. Opening again then starts an empty one.
-    pub fn reject(self, index: usize, reason: String) -> RecordsError {
+    pub fn reject(self, index: usize, reason: String) -> WalError {
         let path = self.storage.path(&self.name);
         match set_aside(&self.storage, &self.name) {
-            Ok(set_aside) => RecordsError::UnknownRecord { path, index, reason, set_aside },
-            Err(source) => RecordsError::from_io(path, source),
+            Ok(set_aside) => WalError::UndecodableRecord { path, index, reason, set_aside },
+            Err(source) => WalError::from_io(path, source),
         }
     }
 
-    fn check_length(&self, records: &[Vec<u8>]) -> Result<(), RecordsError> {
+    fn check_length(&self, records: &[Vec<u8>]) -> Result<(), WalError> {
         let length = block::body_length(records);
         if length > MAX_BODY_LENGTH {
             let path = self.storage.path(&self.name);
-            return Err(RecordsError::TooLong { path, length, limit: MAX_BODY_LENGTH });
+            return Err(WalError::BatchTooLong { path, length, limit: MAX_BODY_LENGTH });
         }
         Ok(())
     }
 
-    fn io_error(&self, source: io::Error) -> RecordsError {
-        RecordsError::from_io(self.storage.path(&self.name), source)
+    fn io_error(&self, source: io::Error) -> WalError {
+        WalError::from_io(self.storage.path(&self.name), source)
     }
 }
 
@@ -231,6 +233,6 @@
         }
     }
     storage.rename(name, &target)?;
-    storage.sync_folder()?;
+    storage.sync_directory()?;
     Ok(storage.path(&target))
 }
--- a/wal/tests/compaction.rs
+++ b/wal/tests/compaction.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use googletest::prelude::*;
-use ivyhatch_wal::{CompactingLog, Log, MAX_COMPACTION_LENGTH, MIN_COMPACTION_LENGTH};
+use ivyhatch_wal::{CompactingWal, MAX_COMPACTION_BYTES, MIN_COMPACTION_BYTES, Wal};
 
 const NAME: &str = "log";
 const DOCUMENT_LENGTH: usize = 50_000;
@@ -30,8 +30,8 @@
 
 /// Writes this many documents, each in place of the one before.
 fn write_documents(folder: &std::path::Path, count: u32, length: usize) -> Longest {
-    let (log, _) = Log::open(folder, NAME).expect("opened");
-    let (mut log, mut longest) = (CompactingLog::new(log), Longest::default());
+    let (log, _) = Wal::open(folder, NAME).expect("opened");
+    let (mut log, mut longest) = (CompactingWal::new(log), Longest::default());
     for number in 0..count {
         let records = vec![document(number, length)];
         let before = log.length();
@@ -55,7 +55,7 @@
         let (mut read_times, mut found) = (Vec::new(), Vec::new());
         for _ in 0..5 {
             let begin = Instant::now();
-            found = Log::open(folder.path(), NAME).expect("sound").1;
+            found = Wal::open(folder.path(), NAME).expect("sound").1;
             read_times.push(begin.elapsed());
         }
         read_times.sort();
@@ -64,7 +64,7 @@
             longest.file, read_times[2]
         );
         expect_that!(found.last(), some(eq(&document(count - 1, DOCUMENT_LENGTH))));
-        expect_that!(longest.file, le(MIN_COMPACTION_LENGTH + DOCUMENT_LENGTH as u64 + BLOCK_OVERHEAD));
+        expect_that!(longest.file, le(MIN_COMPACTION_BYTES + DOCUMENT_LENGTH as u64 + BLOCK_OVERHEAD));
         expect_that!(read_times[2], lt(Duration::from_secs(2)));
     }
 }
@@ -75,6 +75,6 @@
     let length = 16 << 20;
     let folder = tempfile::tempdir().expect("a folder");
     let longest = write_documents(folder.path(), 6, length);
-    expect_that!(longest.with_replacement, gt(MAX_COMPACTION_LENGTH));
+    expect_that!(longest.with_replacement, gt(MAX_COMPACTION_BYTES));
     expect_that!(longest.with_replacement, lt(DISK_LENGTH));
 }
--- a/wal/tests/log.rs
+++ b/wal/tests/log.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use googletest::prelude::*;
-use ivyhatch_wal::{Log, RecordsError};
+use ivyhatch_wal::{Wal, WalError};
 
 const FILE_HEADER: usize = 16;
 const BLOCK_HEADER: usize = 16;
@@ -15,7 +15,7 @@
 }
 
 fn three(folder: &Path) -> Vec<u8> {
-    let (mut log, found) = Log::open(folder, "log").expect("a new file");
+    let (mut log, found) = Wal::open(folder, "log").expect("a new file");
     assert!(found.is_empty());
     log.append(&[record("one")]).expect("written");
     log.append(&[record("two"), record("and a half")]).expect("written");
@@ -23,8 +23,8 @@
     fs::read(folder.join("log")).expect("the file")
 }
 
-fn reopened(folder: &Path) -> std::result::Result<Vec<Vec<u8>>, RecordsError> {
-    Log::open(folder, "log").map(|(_, found)| found)
+fn reopened(folder: &Path) -> std::result::Result<Vec<Vec<u8>>, WalError> {
+    Wal::open(folder, "log").map(|(_, found)| found)
 }
 
 #[gtest]
@@ -41,12 +41,12 @@
     let bytes = three(folder.path());
     let last = bytes.len() - (BLOCK_HEADER + RECORD_HEADER + "three".len());
     for cut in last..bytes.len() {
-        // Written in part, and written in full length with a hole in it.
+        // WriteOutcome in part, and written in full length with a hole in it.
         let mut hole = bytes.clone();
         hole[cut..].fill(0);
         for harmed in [&bytes[..cut], &hole[..]] {
             fs::write(folder.path().join("log"), harmed).expect("harmed");
-            let (mut log, found) = Log::open(folder.path(), "log").expect("the rest is sound");
+            let (mut log, found) = Wal::open(folder.path(), "log").expect("the rest is sound");
             expect_that!(found.len(), eq(3), "cut at {cut}");
             log.append(&[record("four")]).expect("written");
             let all = ["one", "two", "and a half", "four"].map(record);
@@ -64,7 +64,7 @@
         let mut harmed = bytes.clone();
         harmed[at] ^= 0x10;
         fs::write(folder.path().join("log"), &harmed).expect("harmed");
-        let Err(RecordsError::Damaged { set_aside, .. }) = reopened(folder.path()) else {
+        let Err(WalError::Damaged { set_aside, .. }) = reopened(folder.path()) else {
             fail!("not found at {at}").and_log_failure();
             continue;
         };
@@ -78,7 +78,7 @@
 fn damage_in_a_snapshot_is_no_torn_block() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("log");
-    let (mut log, _) = Log::open(folder.path(), "log").expect("a new file");
+    let (mut log, _) = Wal::open(folder.path(), "log").expect("a new file");
     log.rewrite(&[record("all"), record("of it")]).expect("rewritten");
     drop(log);
     let bytes = fs::read(&path).expect("the file");
@@ -86,7 +86,7 @@
         let mut harmed = bytes.clone();
         harmed[at] ^= 0x01;
         fs::write(&path, &harmed).expect("harmed");
-        expect_that!(reopened(folder.path()), err(matches_pattern!(RecordsError::Damaged { .. })), "at {at}");
+        expect_that!(reopened(folder.path()), err(matches_pattern!(WalError::Damaged { .. })), "at {at}");
         fs::write(&path, &bytes[..at]).expect("cut off");
         if at == 0 {
             // An empty file is one that was made and never written.
@@ -94,7 +94,7 @@
         } else {
             expect_that!(
                 reopened(folder.path()),
-                err(matches_pattern!(RecordsError::Damaged { .. })),
+                err(matches_pattern!(WalError::Damaged { .. })),
                 "cut at {at}"
             );
         }
@@ -131,7 +131,7 @@
     fs::write(folder.path().join("log"), &later).expect("written");
     let error = reopened(folder.path()).expect_err("refused");
     expect_that!(error, displays_as(contains_substring("file format 99, this release reads 2")));
-    expect_that!(error, matches_pattern!(RecordsError::UnsupportedFormat { version: eq(&99), .. }));
+    expect_that!(error, matches_pattern!(WalError::UnsupportedFormat { version: eq(&99), .. }));
     expect_that!(fs::read(folder.path().join("log.set-aside-1")).expect("kept"), eq(&later));
 }
 
@@ -160,7 +160,7 @@
     fs::write(&path, &old[..old.len() - 1]).expect("cut off");
     expect_that!(reopened(folder.path()), ok(eq(&all[..1].to_vec())));
     fs::write(&path, &old[..15]).expect("cut off");
-    expect_that!(reopened(folder.path()), err(matches_pattern!(RecordsError::Damaged { .. })));
+    expect_that!(reopened(folder.path()), err(matches_pattern!(WalError::Damaged { .. })));
     expect_that!(fs::read(folder.path().join("log.set-aside-1")).expect("kept"), eq(&old[..15]));
 }
 
@@ -184,7 +184,7 @@
         fs::write(&path, harmed).expect("harmed");
         expect_that!(
             reopened(folder.path()),
-            err(matches_pattern!(RecordsError::Damaged { .. })),
+            err(matches_pattern!(WalError::Damaged { .. })),
             "case {number}"
         );
     }
@@ -194,7 +194,7 @@
 fn rejected_records_are_set_aside_with_their_place() {
     let folder = tempfile::tempdir().expect("a folder");
     let bytes = three(folder.path());
-    let (log, _) = Log::open(folder.path(), "log").expect("sound");
+    let (log, _) = Wal::open(folder.path(), "log").expect("sound");
     let error = log.reject(2, "unknown tag 9".to_owned());
     expect_true!(error.is_set_aside());
     expect_that!(error, displays_as(contains_substring("record 2 can't be decoded (unknown tag 9)")));
@@ -206,10 +206,10 @@
 fn a_write_that_no_block_takes_is_refused_and_harms_nothing() {
     let folder = tempfile::tempdir().expect("a folder");
     three(folder.path());
-    let (mut log, found) = Log::open(folder.path(), "log").expect("sound");
+    let (mut log, found) = Wal::open(folder.path(), "log").expect("sound");
     let huge = vec![vec![0_u8; 33 << 20]];
-    expect_that!(log.append(&huge), err(matches_pattern!(RecordsError::TooLong { .. })));
-    expect_that!(log.rewrite(&huge), err(matches_pattern!(RecordsError::TooLong { .. })));
+    expect_that!(log.append(&huge), err(matches_pattern!(WalError::BatchTooLong { .. })));
+    expect_that!(log.rewrite(&huge), err(matches_pattern!(WalError::BatchTooLong { .. })));
     expect_that!(reopened(folder.path()), ok(eq(&found)));
 }
 
@@ -217,7 +217,7 @@
 fn a_rewritten_file_holds_just_what_it_was_given_and_goes_on() {
     let folder = tempfile::tempdir().expect("a folder");
     three(folder.path());
-    let (mut log, _) = Log::open(folder.path(), "log").expect("sound");
+    let (mut log, _) = Wal::open(folder.path(), "log").expect("sound");
     let before = log.length();
     log.rewrite(&[record("all")]).expect("rewritten");
     expect_that!(log.length(), lt(before));
@@ -231,7 +231,7 @@
     three(folder.path());
     fs::write(folder.path().join("log.new"), b"half").expect("left behind");
     expect_that!(reopened(folder.path()).expect("sound").len(), eq(4));
-    let (mut log, _) = Log::open(folder.path(), "log").expect("sound");
+    let (mut log, _) = Wal::open(folder.path(), "log").expect("sound");
     log.rewrite(&[record("all")]).expect("rewritten");
     expect_that!(reopened(folder.path()), ok(eq(&[record("all")].to_vec())));
     expect_false!(folder.path().join("log.new").exists());
--- a/wal/tests/model/mod.rs
+++ b/wal/tests/model/mod.rs
@@ -252,7 +252,7 @@
         PathBuf::from("/model").join(name)
     }
 
-    fn create_folder(&self) -> io::Result<()> {
+    fn create_directory(&self) -> io::Result<()> {
         Ok(())
     }
 
@@ -324,7 +324,7 @@
         self.operate_or_not(|files| files.names.contains_key(name))
     }
 
-    fn sync_folder(&self) -> io::Result<()> {
+    fn sync_directory(&self) -> io::Result<()> {
         self.operate_or_not(|files| files.durable_names = files.names.clone())
     }
 }
--- a/wal/tests/power_loss.rs
+++ b/wal/tests/power_loss.rs
@@ -6,7 +6,7 @@
 use std::io::ErrorKind;
 
 use googletest::prelude::*;
-use ivyhatch_wal::{CompactingLog, Log, RecordsError};
+use ivyhatch_wal::{CompactingWal, Wal, WalError};
 use model::{ModelDisk, Trouble};
 
 const NAME: &str = "log";
@@ -41,7 +41,7 @@
 /// Opens the log, appends, replaces the file twice, and appends again, until the disk refuses.
 fn run_script(disk: &ModelDisk) -> Outcome {
     let mut outcome = Outcome::default();
-    let Ok((mut log, found)) = Log::open_in(disk.clone(), NAME) else { return outcome };
+    let Ok((mut log, found)) = Wal::open_in(disk.clone(), NAME) else { return outcome };
     outcome.confirmed = found;
     for step in 0..8_usize {
         let written = if step % 3 == 2 {
@@ -61,8 +61,8 @@
     outcome
 }
 
-fn reopened(disk: &ModelDisk) -> std::result::Result<Records, RecordsError> {
-    Log::open_in(disk.clone(), NAME).map(|(_, found)| found)
+fn reopened(disk: &ModelDisk) -> std::result::Result<Records, WalError> {
+    Wal::open_in(disk.clone(), NAME).map(|(_, found)| found)
 }
 
 #[gtest]
@@ -123,10 +123,10 @@
 }
 
 /// Writes with a state that grows, and tries again what was refused. Gives what was confirmed, and how often it was refused.
-fn write_persistently(disk: &ModelDisk, writes: usize) -> (Records, Vec<RecordsError>) {
-    let opened = (0..MAX_OPERATIONS).find_map(|_| Log::open_in(disk.clone(), NAME).ok());
+fn write_persistently(disk: &ModelDisk, writes: usize) -> (Records, Vec<WalError>) {
+    let opened = (0..MAX_OPERATIONS).find_map(|_| Wal::open_in(disk.clone(), NAME).ok());
     let (log, mut confirmed) = opened.expect("opened once the disk is well");
-    let (mut log, mut errors) = (CompactingLog::new(log), Vec::new());
+    let (mut log, mut errors) = (CompactingWal::new(log), Vec::new());
     for number in 0..writes {
         let next = records(number..number + 1);
         let all: Records = confirmed.iter().chain(&next).cloned().collect();
@@ -195,7 +195,7 @@
 
 /// Appends and replaces by turns, whatever is refused, and looks after each step at what a loss of power would leave.
 fn go_on_after_errors(disk: &ModelDisk) {
-    let opened = (0..MAX_OPERATIONS).find_map(|_| Log::open_in(disk.clone(), NAME).ok());
+    let opened = (0..MAX_OPERATIONS).find_map(|_| Wal::open_in(disk.clone(), NAME).ok());
     let (mut log, mut confirmed) = opened.expect("opened once the disk is well");
     for step in 0..9_usize {
         let next = if step % 3 == 1 { Vec::new() } else { records(step..step + 1) };
@@ -217,8 +217,8 @@
 #[gtest]
 fn a_full_disk_is_a_typed_error_and_writes_go_on_once_there_is_room() {
     let disk = ModelDisk::default();
-    let (log, _) = Log::open_in(disk.clone(), NAME).expect("opened");
-    let mut log = CompactingLog::new(log);
+    let (log, _) = Wal::open_in(disk.clone(), NAME).expect("opened");
+    let mut log = CompactingWal::new(log);
     let first = records(0..3);
     log.write(&first, || first.clone()).expect("there is room");
     // Room for a part of the next block, and for no second file.
@@ -226,7 +226,7 @@
     let next = records(3..4);
     let all = records(0..4);
     for _ in 0..3 {
-        expect_that!(log.write(&next, || all.clone()), err(matches_pattern!(RecordsError::DiskFull { .. })));
+        expect_that!(log.write(&next, || all.clone()), err(matches_pattern!(WalError::DiskFull { .. })));
         for after in disk.after_power_loss() {
             expect_that!(reopened(&after).expect("a sound file"), eq(&first));
         }
@@ -242,14 +242,14 @@
 #[gtest]
 fn a_stale_replacement_is_of_no_account_and_removed() {
     let disk = ModelDisk::default();
-    let (mut log, _) = Log::open_in(disk.clone(), NAME).expect("opened");
+    let (mut log, _) = Wal::open_in(disk.clone(), NAME).expect("opened");
     log.append(&records(0..2)).expect("written");
     {
         use ivyhatch_wal::Storage;
         let mut stale = disk.create("log.new").expect("made");
         disk.write(&mut stale, 0, b"half").expect("written");
         disk.sync(&mut stale).expect("synced");
-        disk.sync_folder().expect("synced");
+        disk.sync_directory().expect("synced");
     }
     for after in disk.after_power_loss() {
         expect_that!(reopened(&after).expect("a sound file"), eq(&records(0..2)));
--- a/wal/tests/properties.rs
+++ b/wal/tests/properties.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 
 use googletest::prelude::*;
-use ivyhatch_wal::{Log, RecordsError};
+use ivyhatch_wal::{Wal, WalError};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::sample::Index;
@@ -79,7 +79,7 @@
 }
 
 fn write_blocks(folder: &Path, blocks: &[Records]) -> Vec<u8> {
-    let (mut log, _) = Log::open(folder, NAME).expect("a new file");
+    let (mut log, _) = Wal::open(folder, NAME).expect("a new file");
     for (number, block) in blocks.iter().enumerate() {
         let written = if number == 0 { log.rewrite(block) } else { log.append(block) };
         written.expect("written");
@@ -92,7 +92,7 @@
     fn records_come_back_in_order(blocks in any_blocks()) {
         let folder = tempfile::tempdir().expect("a folder");
         write_blocks(folder.path(), &blocks);
-        let (_, found) = Log::open(folder.path(), NAME).expect("sound");
+        let (_, found) = Wal::open(folder.path(), NAME).expect("sound");
         prop_assert_eq!(found, blocks.concat());
     }
 
@@ -105,19 +105,19 @@
         let mut bytes = write_blocks(folder.path(), &blocks);
         harms.iter().for_each(|harm| harm.apply(&mut bytes));
         fs::write(folder.path().join(NAME), &bytes).expect("harmed");
-        match Log::open(folder.path(), NAME) {
+        match Wal::open(folder.path(), NAME) {
             Ok((mut log, found)) => {
                 // An empty file is a new one; no other has lost its snapshot or a part of a block.
                 let beginnings = (0..=blocks.len()).map(|count| blocks[..count].concat());
                 let allowed: Vec<Records> = beginnings.skip(usize::from(!bytes.is_empty())).collect();
                 prop_assert!(allowed.contains(&found), "{found:?}");
                 log.append(&[b"more".to_vec()]).expect("goes on");
-                let (_, again) = Log::open(folder.path(), NAME).expect("sound");
+                let (_, again) = Wal::open(folder.path(), NAME).expect("sound");
                 prop_assert_eq!(again, [found, vec![b"more".to_vec()]].concat());
             }
-            Err(RecordsError::Damaged { set_aside, .. } | RecordsError::UnsupportedFormat { set_aside, .. }) => {
+            Err(WalError::Damaged { set_aside, .. } | WalError::UnsupportedFormat { set_aside, .. }) => {
                 prop_assert_eq!(fs::read(set_aside).expect("kept"), bytes);
-                let (_, found) = Log::open(folder.path(), NAME).expect("starts anew");
+                let (_, found) = Wal::open(folder.path(), NAME).expect("starts anew");
                 prop_assert!(found.is_empty());
             }
             Err(error) => prop_assert!(false, "{error}"),
@@ -129,7 +129,7 @@
         let folder = tempfile::tempdir().expect("a folder");
         let bytes = [[&b""[..], b"IVHR", b"IVHL"][magic].to_vec(), bytes].concat();
         fs::write(folder.path().join(NAME), &bytes).expect("written");
-        match Log::open(folder.path(), NAME) {
+        match Wal::open(folder.path(), NAME) {
             Ok((_, found)) => prop_assert!(found.iter().map(Vec::len).sum::<usize>() <= bytes.len()),
             Err(error) => prop_assert!(error.is_set_aside(), "{error}"),
         }
@@ -143,13 +143,13 @@
     let bytes = write_blocks(folder.path(), &blocks);
     for cut in 1..bytes.len() {
         fs::write(folder.path().join(NAME), &bytes[..cut]).expect("cut off");
-        match Log::open(folder.path(), NAME) {
+        match Wal::open(folder.path(), NAME) {
             Ok((_, found)) => {
                 let allowed: Vec<Records> =
                     (1..=blocks.len()).map(|count| blocks[..count].concat()).collect();
                 expect_that!(allowed, contains(eq(&found)), "cut at {cut}");
             }
-            Err(error) => expect_that!(error, matches_pattern!(RecordsError::Damaged { .. }), "cut at {cut}"),
+            Err(error) => expect_that!(error, matches_pattern!(WalError::Damaged { .. }), "cut at {cut}"),
         }
     }
 }
