--- a/cli/tests/golden_node.rs
+++ b/cli/tests/golden_node.rs
@@ -1,17 +1,20 @@
-//! The lines on a node's control socket, held fixed by a golden file.
+//! The lines on a node's control socket and its answers to clients, held fixed by golden files.
 
 mod common;
 mod golden;
+mod system_common;
 
 use std::io::{BufRead, BufReader, Write};
+use std::net::SocketAddr;
 use std::os::unix::net::UnixStream;
 use std::path::Path;
 use std::process::{Command, Stdio};
 
 use common::{Ends, fleet, listed};
 use golden::assert_golden;
-use ivyhatch_socket_lab::scripted::{Backend, Discovery, Does, PATIENCE, ok, until};
+use ivyhatch_socket_lab::scripted::{Backend, Discovery, Does, PATIENCE, ok, status, until};
 use serde_json::{Value, json};
+use system_common::transcript::Transcript;
 
 /// Fields whose values differ from run to run.
 const VARIABLE_FIELDS: [&str; 9] = [
@@ -106,3 +109,113 @@
     }
     assert_golden("node_socket.txt", &text);
 }
+
+/// Classes of each effect, and a tenant.
+const CLASSES: &str = "[[class]]\nname = \"join\"\neffect = \"by_key\"\nkey_scope = \"zone\"\nwindow_ms = 5000\naim_ms = 800\n\
+    deadline_ms = 3000\n[[class]]\nname = \"pay\"\neffect = \"once\"\naim_ms = 800\ndeadline_ms = 3000\n[[tenant]]\nname = \"acme\"\n\
+    quota = 1000.0\n";
+
+/// A request to a node; `more` are whole header lines, a body, or nothing.
+fn node_request(method: &str, path: &str, id: &str, class: &str, more: &str) -> Vec<u8> {
+    let head = format!(
+        "{method} {path} HTTP/1.1\r\nHost: h\r\nX-Call-Id: {id}\r\nX-Call-Class: {class}\r\nX-Caller: acme\r\n"
+    );
+    format!("{head}X-Budget-Ms: 2000\r\n{more}\r\n").into_bytes()
+}
+
+/// A request of a tenant, or of none.
+fn request_of(tenant: Option<&str>) -> Vec<u8> {
+    let tenant = tenant.map(|tenant| format!("X-Caller: {tenant}\r\n")).unwrap_or_default();
+    let head = "GET /api HTTP/1.1\r\nHost: h\r\nX-Call-Id: r5\r\nX-Call-Class: find\r\nX-Budget-Ms: 2000\r\n";
+    format!("{head}{tenant}\r\n").into_bytes()
+}
+
+/// Starts a node with one server; returns it with where clients call it, once it knows the server.
+fn start_with_server(folder: &Path, backend: &Backend, discovery: &Discovery) -> (Ends, SocketAddr) {
+    let (file, path) = (folder.join("fleet.toml"), folder.join("a-1.sock"));
+    std::fs::write(&file, format!("{}{CLASSES}", fleet(&discovery.at.to_string()))).expect("written");
+    let node = start(&file, &path);
+    until("it listens", || UnixStream::connect(&path).is_ok());
+    discovery.watched_from(1);
+    let mut socket = Socket::to(&path);
+    until("its server is known", || {
+        socket.ask_value(r#"{"op":"servers"}"#)["servers"][0]["endpoint"] == json!(backend.at.to_string())
+    });
+    let listen = socket.ask_value(r#"{"op":"state"}"#)["listen"].as_str().expect("an address").parse();
+    (node, listen.expect("an address"))
+}
+
+#[test]
+fn node_answers_and_rejects_requests() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let backend = Backend::new(|message| match message.value("x-call-class") {
+        Some("pay") => Does::Writes(status(500, "")),
+        _ => Does::Writes(ok("served")),
+    });
+    let discovery = Discovery::new(json!([listed("s-0", &backend, "a")]));
+    let (_node, at) = start_with_server(folder.path(), &backend, &discovery);
+    let mut transcript = Transcript::default();
+    let find = |id: &str, more: &str| node_request("GET", "/api", id, "find", more);
+    for (title, request) in [
+        ("GET of the readiness", node_request("GET", "/health/ready", "r0", "find", "")),
+        ("POST to the readiness", node_request("POST", "/health/ready", "r0", "find", "")),
+        ("unknown path", node_request("GET", "/nowhere", "r0", "find", "")),
+        ("request that is served", find("r1", "")),
+        ("request with a cost that comes again", find("r2", "X-Call-Cost: 100\r\nX-Again: 1\r\n")),
+        (
+            "request with a key",
+            node_request("POST", "/api", "r3", "join", "Idempotency-Key: k\r\nContent-Length: 0\r\n"),
+        ),
+        ("request whose server fails", node_request("POST", "/api", "r4", "pay", "Content-Length: 0\r\n")),
+        (
+            "no id",
+            b"GET /api HTTP/1.1\r\nHost: h\r\nX-Call-Class: find\r\nX-Caller: acme\r\nX-Budget-Ms: 2000\r\n\r\n".to_vec(),
+        ),
+        ("an id that is empty", find("", "")),
+        ("no class", b"GET /api HTTP/1.1\r\nHost: h\r\nX-Call-Id: r5\r\nX-Budget-Ms: 2000\r\n\r\n".to_vec()),
+        ("an unknown class", node_request("GET", "/api", "r5", "nothing", "")),
+        (
+            "no budget",
+            b"GET /api HTTP/1.1\r\nHost: h\r\nX-Call-Id: r5\r\nX-Call-Class: find\r\nX-Caller: acme\r\n\r\n".to_vec(),
+        ),
+        ("two budgets", find("r5", "X-Budget-Ms: 1\r\n")),
+        ("two tenants", find("r5", "X-Caller: acme\r\n")),
+("an unknown tenant", request_of(Some("nobody"))),
+("no tenant", request_of(None)),
+        ("a cost that is no number", find("r5", "X-Call-Cost: much\r\n")),
+        ("the wrong method", node_request("POST", "/api", "r5", "find", "Content-Length: 0\r\n")),
+        ("no key", node_request("POST", "/api", "r5", "join", "Content-Length: 0\r\n")),
+        ("a key that does not belong", find("r5", "Idempotency-Key: k\r\n")),
+        ("a body that does not belong", find("r5", "Content-Length: 1\r\n\r\nx")),
+        ("two lengths", find("r5", "Content-Length: 1\r\nContent-Length: 1\r\n")),
+        ("a body in chunks", find("r5", "Transfer-Encoding: chunked\r\n\r\n0\r\n")),
+        ("a body that is too large", find("r5", "Content-Length: 99999999\r\n")),
+        ("a body that does not arrive", find("r5", "Content-Length: 1\r\n")),
+        ("a head that is too long", find("r5", &format!("X: {}\r\n", "x".repeat(200_000)))),
+        ("what is no HTTP", b"\x00\x01\x02\r\n\r\n".to_vec()),
+    ] {
+        transcript.ask(title, at, &request);
+    }
+    assert_golden("node_http.txt", transcript.text());
+}
+
+#[test]
+fn node_without_a_server_asks_clients_to_retry_later() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let (file, path) = (folder.path().join("fleet.toml"), folder.path().join("a-1.sock"));
+    let discovery = Discovery::new(json!([]));
+    std::fs::write(&file, format!("{}{CLASSES}", fleet(&discovery.at.to_string()))).expect("written");
+    let _node = start(&file, &path);
+    until("it listens", || UnixStream::connect(&path).is_ok());
+    discovery.watched_from(1);
+    let mut socket = Socket::to(&path);
+    let listen = socket.ask_value(r#"{"op":"state"}"#)["listen"].as_str().expect("an address").parse();
+    let at: SocketAddr = listen.expect("an address");
+    let mut transcript = Transcript::default();
+    transcript.ask("request without a server", at, &node_request("GET", "/api", "r1", "find", ""));
+    socket.ask(r#"{"op":"drain"}"#);
+    transcript.ask("request to a node that drains", at, &node_request("GET", "/api", "r2", "find", ""));
+    let readiness = node_request("GET", "/health/ready", "r0", "find", "");
+    transcript.ask("GET of the readiness of a node that drains", at, &readiness);
+    assert_golden("node_without_servers.txt", transcript.text());
+}
