--- a/routing/src/watch_client/connections.rs
+++ b/routing/src/watch_client/connections.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use ivyhatch_protocol::ids::{NodeId, hash, mix};
+use ivyhatch_protocol::ids::{NodeId, fnv1a_hash, hash_mix};
 use ivyhatch_protocol::watch::Position;
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
@@ -58,7 +58,7 @@
     /// No connections yet, for the router with this address.
     pub(super) fn new(router_address: &str, seeds: &[NodeId]) -> Self {
         Self {
-            router_hash: hash(router_address.as_bytes()),
+            router_hash: fnv1a_hash(router_address.as_bytes()),
             known_control_nodes: seeds.iter().copied().collect(),
             by_node: BTreeMap::new(),
             unreachable_until: BTreeMap::new(),
@@ -150,6 +150,6 @@
     }
 
     fn rendezvous_hash(&self, node: NodeId) -> u64 {
-        mix(self.router_hash ^ mix(u64::from(node.0)))
+        hash_mix(self.router_hash ^ hash_mix(u64::from(node.0)))
     }
 }
--- a/routing/src/watch_client/mod.rs
+++ b/routing/src/watch_client/mod.rs
@@ -101,7 +101,7 @@
             now,
             stall_recovery_until: 0,
             heartbeat_sent_at: 0,
-            connections: Connections::new(&router.front, seeds),
+            connections: Connections::new(&router.client_address, seeds),
             primary: Primary::default(),
             state: ReplicatedState::default(),
             router_share: RouterShareTracker::new(now),
--- a/routing/src/watch_client/replicated_state.rs
+++ b/routing/src/watch_client/replicated_state.rs
@@ -51,11 +51,11 @@
     }
 
     pub(super) fn evacuation(&self, zone: &str) -> EvacuationState {
-        let partition = self.evacuations.get(&PartitionId::of(zone));
+        let partition = self.evacuations.get(&PartitionId::for_key(zone));
         let mut zones = partition.into_iter().flat_map(|partition| &partition.zones);
-        let found = zones.find(|(name, ..)| name == zone);
-        found
-            .map(|(_, active, changes)| EvacuationState { active: *active, changes: *changes })
+        let known = zones.find(|evacuation| evacuation.zone == zone);
+        known
+            .map(|known| EvacuationState { active: known.active, changes: known.change_count })
             .unwrap_or_default()
     }
 
@@ -66,18 +66,18 @@
 
     /// The versions of all parts of the state.
     pub(super) fn position(&self) -> Position {
-        let evacuations = self.evacuations.values().map(|update| (update.part, update.sequence)).collect();
-        Position { configuration: self.sequence, evacuations, servers: self.server_list.position() }
+        let evacuations = self.evacuations.values().map(EvacuationUpdate::position).collect();
+        Position { configuration: self.sequence, evacuations, server_list: self.server_list.position() }
     }
 
     /// Whether a control node at this position has anything newer.
     pub(super) fn is_behind(&self, position: &Position) -> bool {
         position.configuration > self.sequence
-            || position.servers > self.server_list.position()
+            || position.server_list > self.server_list.position()
             || position
                 .evacuations
                 .iter()
-                .any(|(partition, sequence)| self.evacuations_are_older(*partition, *sequence))
+                .any(|newest| self.evacuations_are_older(newest.partition, newest.sequence))
     }
 
     /// Replaces the configuration by a newer one. Returns the change that leads to it.
@@ -85,7 +85,7 @@
         if sequence <= self.sequence {
             return None;
         }
-        let change = self.document.change_to(&document);
+        let change = self.document.diff(&document);
         (self.sequence, self.document) = (sequence, document.into_inner());
         Some(change)
     }
@@ -101,10 +101,10 @@
     }
 
     pub(super) fn apply_evacuations(&mut self, update: EvacuationUpdate) -> Applied {
-        if !self.evacuations_are_older(update.part, update.sequence) {
+        if !self.evacuations_are_older(update.partition, update.sequence) {
             return Applied::Ignored;
         }
-        self.evacuations.insert(update.part, update);
+        self.evacuations.insert(update.partition, update);
         Applied::Changed
     }
 
@@ -112,7 +112,7 @@
     /// that this one is behind, so that the complete list is fetched.
     pub(super) fn apply_server_list(&mut self, now: Nanos, update: ServerListUpdate) -> Applied {
         let previous = self.server_list.position();
-        let follows = self.server_list.follow(now, update);
+        let follows = self.server_list.apply_update(now, update);
         if follows && self.server_list.position() != previous { Applied::Changed } else { Applied::Ignored }
     }
 
--- a/routing/tests/watch_client.rs
+++ b/routing/tests/watch_client.rs
@@ -4,7 +4,8 @@
 use ivyhatch_protocol::configuration::{Document, Item};
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId};
 use ivyhatch_protocol::watch::{
-    EvacuationUpdate, Position, Router, RouterState, Server, ServerListUpdate, WatchRequest, WatchResponse,
+    EvacuationPosition, EvacuationUpdate, Position, Router, RouterState, Server, ServerListPosition,
+    ServerListUpdate, WatchRequest, WatchResponse, ZoneEvacuation,
 };
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 use ivyhatch_routing::watch_client::{EvacuationState, Input, Output, QuorumContact, WatchClient};
@@ -25,7 +26,7 @@
     let (zone, region) = ("a".to_owned(), "r".to_owned());
     Router {
         node: NodeId(99),
-        front: "10.0.0.99:8000".to_owned(),
+        client_address: "10.0.0.99:8000".to_owned(),
         zone,
         region,
         state: RouterState::Starting,
@@ -50,8 +51,8 @@
         zone: "a".to_owned(),
         slots: 4,
         draining: false,
-        cold_left_ms: 0,
-        remaining_ms: None,
+        warm_up_remaining_ms: 0,
+        lifetime_remaining_ms: None,
     }
 }
 
@@ -66,7 +67,7 @@
         from,
         to,
         upsert,
-        gone: Vec::new(),
+        removed: Vec::new(),
     })
 }
 
@@ -190,7 +191,7 @@
 fn different_routers_select_different_control_nodes() {
     let mut chosen = std::collections::BTreeSet::new();
     for number in 0..30 {
-        let router = Router { front: format!("10.0.0.{number}:8000"), ..router() };
+        let router = Router { client_address: format!("10.0.0.{number}:8000"), ..router() };
         let (mut client, mut outputs) = (WatchClient::new(router, &nodes(9), START), Vec::new());
         client.handle(START, Input::Tick, &mut outputs);
         for output in outputs {
@@ -366,8 +367,11 @@
 fn each_part_of_the_state_that_is_behind_is_fetched() {
     let behind = [
         Position { configuration: 1, ..Position::default() },
-        Position { evacuations: vec![(PartitionId(3), 1)], ..Position::default() },
-        Position { servers: (ballot(1), 1), ..Position::default() },
+        Position {
+            evacuations: vec![EvacuationPosition { partition: PartitionId(3), sequence: 1 }],
+            ..Position::default()
+        },
+        Position { server_list: ServerListPosition { ballot: ballot(1), number: 1 }, ..Position::default() },
     ];
     for position in behind {
         let mut harness = Harness::connected();
@@ -402,7 +406,7 @@
 #[gtest]
 fn configuration_change_applies_only_to_its_base_version() {
     let (old, new) = (document(50, &["a", "b"]), document(60, &["b", "c"]));
-    let change = old.change_to(&new);
+    let change = old.diff(&new);
     for (from, to, taken) in
         [(5, 6, true), (5, 9, true), (4, 6, false), (6, 7, false), (0, 6, false), (5, 5, false)]
     {
@@ -458,12 +462,12 @@
 
 #[gtest]
 fn evacuation_sequence_never_goes_back() {
-    let part = PartitionId::of("a");
+    let part = PartitionId::for_key("a");
     let update = |sequence, active, changes| {
         WatchResponse::Evacuations(EvacuationUpdate {
-            part,
+            partition: part,
             sequence,
-            zones: vec![("a".to_owned(), active, changes)],
+            zones: vec![ZoneEvacuation { zone: "a".to_owned(), active, change_count: changes }],
         })
     };
     let mut harness = Harness::connected();
