--- a/routing/src/event_stream.rs
+++ b/routing/src/event_stream.rs
@@ -1,97 +1,108 @@
-//! A streamed answer, event by event: only whole events are passed on, so that a stream that breaks off inside one can go on at
-//! another server behind the last whole one.
+//! Framing of a streamed response into server-sent events (WHATWG HTML, section 9.2.5 "Parsing an event stream").
+//!
+//! Only complete events are passed on, so that a stream that breaks off within one can be resumed at another server after the last
+//! complete one. Lines end with LF or CRLF; the standard's CR alone is not used by the servers. An `id` is a number, and the ids of
+//! a stream rise: that is what makes a stream resumable, and is asked for beyond the standard.
 
-/// A part of a stream that may be passed on: whole events, as they came.
+/// The longest event, in bytes.
+const MAX_EVENT_BYTES: usize = 1 << 20;
+
+/// Complete events, as they came.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompleteEvents {
-    /// The bytes.
+    /// Their bytes.
     pub bytes: Vec<u8>,
-    /// The id of the last event in them that has one.
+    /// The id of the last event among them that has one.
     pub last_id: Option<u64>,
 }
 
-/// What is wrong with a stream.
+/// Why a stream can't be passed on any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StreamError {
-    /// Its ids do not rise.
-    #[error("an event has id {id} behind {previous}: the server is not to be trusted with this stream")]
+    /// An event's id is not above that of an earlier one: to resume by it would repeat or lose events.
+    #[error("an event has id {id} after {previous}: the server is not to be trusted with this stream")]
     IdNotIncreasing {
-        /// The id that came.
+        /// The id of the event.
         id: u64,
-        /// The one before.
+        /// The highest id before it.
         previous: u64,
     },
-    /// An event that does not end.
-    #[error("an event of over {LONGEST} bytes")]
+    /// An event does not end within the limit.
+    #[error("an event of over {MAX_EVENT_BYTES} bytes")]
     EventTooLarge,
 }
 
-/// No event is longer, in bytes.
-const LONGEST: usize = 1 << 20;
-
-/// Takes a stream in as it comes.
+/// Collects the bytes of a stream into events.
 #[derive(Debug, Default)]
 pub struct EventStreamParser {
-    rest: Vec<u8>,
-    last: Option<u64>,
+    incomplete: Vec<u8>,
+    last_id: Option<u64>,
 }
 
 impl EventStreamParser {
-    /// A stream that goes on behind an event.
-    pub fn resume_after(last: Option<u64>) -> Self {
-        Self { rest: Vec::new(), last }
+    /// A parser of a stream that is resumed after the event with this id.
+    pub fn resume_after(last_id: Option<u64>) -> Self {
+        Self { incomplete: Vec::new(), last_id }
     }
 
-    /// Whether nothing has come since the last whole event.
+    /// Whether no bytes have come since the last complete event. A stream that ends elsewhere has broken off, even where the HTTP
+    /// message is complete (RFC 9112, section 8).
     pub fn is_at_event_boundary(&self) -> bool {
-        self.rest.is_empty()
+        self.incomplete.is_empty()
     }
 
-    /// Takes some bytes in; returns the whole events that they complete, if any.
+    /// Takes bytes in. Returns the events that they complete, if any.
     ///
     /// # Errors
-    /// Where the stream can't be right.
+    /// [`StreamError`] where the stream has to be abandoned; the parser is of no further use then.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<CompleteEvents>, StreamError> {
-        self.rest.extend_from_slice(bytes);
-        let (mut done, mut last_id) = (0, None);
-        while let Some(length) = event_length(&self.rest[done..]) {
-            if let Some(id) = event_id(&self.rest[done..done + length]) {
-                if let Some(last) = self.last.filter(|last| id <= *last) {
-                    return Err(StreamError::IdNotIncreasing { id, previous: last });
-                }
-                (self.last, last_id) = (Some(id), Some(id));
+        self.incomplete.extend_from_slice(bytes);
+        let (mut complete_bytes, mut last_id) = (0, None);
+        while let Some(length) = event_length(&self.incomplete[complete_bytes..]) {
+            let event = &self.incomplete[complete_bytes..complete_bytes + length];
+            if let Some(id) = event_id(event) {
+                self.check_id(id)?;
+                (self.last_id, last_id) = (Some(id), Some(id));
             }
-            done += length;
+            complete_bytes += length;
         }
-        if self.rest.len() - done > LONGEST {
+        if self.incomplete.len() - complete_bytes > MAX_EVENT_BYTES {
             return Err(StreamError::EventTooLarge);
         }
-        if done == 0 {
+        if complete_bytes == 0 {
             return Ok(None);
         }
-        let rest = self.rest.split_off(done);
-        let bytes = std::mem::replace(&mut self.rest, rest);
+        let incomplete = self.incomplete.split_off(complete_bytes);
+        let bytes = std::mem::replace(&mut self.incomplete, incomplete);
         Ok(Some(CompleteEvents { bytes, last_id }))
     }
+
+    fn check_id(&self, id: u64) -> Result<(), StreamError> {
+        match self.last_id.filter(|previous| id <= *previous) {
+            Some(previous) => Err(StreamError::IdNotIncreasing { id, previous }),
+            None => Ok(()),
+        }
+    }
 }
 
-/// The length of the first event, its empty line included.
+/// The length of the first event with the empty line that ends it; none where it has not ended.
 fn event_length(bytes: &[u8]) -> Option<usize> {
-    let mut line = 0;
-    for (at, byte) in bytes.iter().enumerate() {
+    let mut line_start = 0;
+    for (index, byte) in bytes.iter().enumerate() {
         if *byte != b'\n' {
             continue;
         }
-        let text = bytes[line..at].strip_suffix(b"\r").unwrap_or(&bytes[line..at]);
-        if text.is_empty() {
-            return Some(at + 1);
+        let line = &bytes[line_start..index];
+        if line.strip_suffix(b"\r").unwrap_or(line).is_empty() {
+            return Some(index + 1);
         }
-        line = at + 1;
+        line_start = index + 1;
     }
     None
 }
 
+/// The number in the event's first `id` field.
 fn event_id(event: &[u8]) -> Option<u64> {
-    let line = event.split(|byte| *byte == b'\n').find_map(|line| line.strip_prefix(b"id:"))?;
-    std::str::from_utf8(line).ok()?.trim().parse().ok()
+    let value = event.split(|byte| *byte == b'\n').find_map(|line| line.strip_prefix(b"id:"))?;
+    std::str::from_utf8(value).ok()?.trim().parse().ok()
 }
--- /dev/null
+++ b/routing/src/placement/advice.rs
@@ -0,0 +1,31 @@
+//! The placement as the load balancer asks for it.
+
+use std::cell::RefCell;
+use std::rc::Rc;
+
+use ivyhatch_balancer::{Advice, BackendId, RequestId};
+use ivyhatch_protocol::Nanos;
+
+use super::service_placement::Placement;
+
+/// A placement that the load balancer and its host share.
+#[derive(Clone)]
+pub struct SharedPlacement(pub Rc<RefCell<Placement>>);
+
+impl Advice for SharedPlacement {
+    fn sent(&self, now: Nanos, request: RequestId, backend: BackendId) {
+        self.0.borrow_mut().record_send(now, request, backend);
+    }
+
+    fn allows(&self, now: Nanos, request: RequestId, backend: BackendId) -> bool {
+        self.0.borrow().allows(now, request, backend)
+    }
+
+    fn delay(&self, now: Nanos, request: RequestId, backend: BackendId) -> Option<f64> {
+        self.0.borrow().placement_cost(now, request, backend)
+    }
+
+    fn may_stay(&self, request: RequestId) -> bool {
+        self.0.borrow().allows_home_region(request)
+    }
+}
--- /dev/null
+++ b/routing/src/placement/affinity.rs
@@ -0,0 +1,49 @@
+//! Prefix affinity: requests that share a prompt's prefix prefer one server in each region, so that its cache has the prefix. All
+//! routers find the same server by rendezvous hashing (highest random weight), without a word between them.
+
+use ivyhatch_balancer::BackendId;
+use ivyhatch_protocol::ids::hash_mix;
+
+/// The preferred server in each region, if any.
+#[derive(Debug)]
+pub(super) struct PreferredServers {
+    by_region: Vec<Option<BackendId>>,
+}
+
+/// A server that may be preferred.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Candidate {
+    pub(super) id: BackendId,
+    pub(super) region: u32,
+    pub(super) name_hash: u64,
+}
+
+impl PreferredServers {
+    /// No server is preferred in any of so many regions.
+    pub(super) fn none(regions: u32) -> Self {
+        Self { by_region: vec![None; regions as usize] }
+    }
+
+    /// In each of so many regions the candidate with the highest weight for this key.
+    pub(super) fn select(
+        regions: u32,
+        affinity_key: u64,
+        candidates: impl Iterator<Item = Candidate>,
+    ) -> Self {
+        let mut preferred = Self::none(regions);
+        let mut highest_weights = vec![0; regions as usize];
+        for candidate in candidates {
+            let region = candidate.region as usize;
+            let weight = hash_mix(candidate.name_hash ^ affinity_key).max(1);
+            if highest_weights.get(region).is_some_and(|highest| weight > *highest) {
+                highest_weights[region] = weight;
+                preferred.by_region[region] = Some(candidate.id);
+            }
+        }
+        preferred
+    }
+
+    pub(super) fn contains(&self, region: u32, id: BackendId) -> bool {
+        self.by_region.get(region as usize).copied().flatten() == Some(id)
+    }
+}
--- /dev/null
+++ b/routing/src/placement/mod.rs
@@ -0,0 +1,17 @@
+//! Which servers of a service a request may be sent to, and the latency that it would meet there: home regions, slow start, back-off
+//! from unreachable servers, and the queues and prefix caches of model servers. The load balancer takes this as advice and chooses
+//! the region and the server.
+
+mod advice;
+mod affinity;
+mod backoff;
+mod request;
+mod server;
+mod service_placement;
+mod slow_start;
+
+pub use advice::SharedPlacement;
+pub use request::RegionSet;
+pub use server::ListedServer;
+pub use service_placement::{Placement, ServiceSettings};
+pub use slow_start::SlowStartLimit;
--- /dev/null
+++ b/routing/src/placement/request.rs
@@ -0,0 +1,39 @@
+//! A request that is placed, and its attempt at a server.
+
+use ivyhatch_balancer::BackendId;
+use ivyhatch_protocol::Nanos;
+
+use crate::prompt::Prompt;
+
+use super::affinity::PreferredServers;
+
+/// A set of regions, a bit for each of the deployment's regions by its index. Regions from [`RegionSet::BITS`] on are in every set.
+pub type RegionSet = u64;
+
+/// A request's attempt at a server.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Attempt {
+    pub(super) backend: BackendId,
+    /// Tokens that the server had to prefill for it, as known when it was sent.
+    pub(super) uncached_tokens: u32,
+    /// Whether the response has begun.
+    pub(super) has_begun: bool,
+}
+
+/// A request of a service.
+#[derive(Debug)]
+pub(super) struct PlacedRequest {
+    pub(super) home_regions: RegionSet,
+    pub(super) prompt: Prompt,
+    /// The time in which its first token is to come.
+    pub(super) latency_target: Nanos,
+    pub(super) preferred: PreferredServers,
+    pub(super) attempt: Option<Attempt>,
+}
+
+impl PlacedRequest {
+    /// Whether the request may be served in this region.
+    pub(super) fn allows_region(&self, region: u32) -> bool {
+        region >= RegionSet::BITS || self.home_regions & (1 << region) != 0
+    }
+}
--- /dev/null
+++ b/routing/src/placement/server.rs
@@ -0,0 +1,51 @@
+//! One server of a service, with all that a router knows of it.
+
+use ivyhatch_balancer::BackendId;
+use ivyhatch_protocol::Nanos;
+use ivyhatch_protocol::ids::fnv1a_hash;
+
+use crate::prefix_cache::PrefixCache;
+use crate::time_to_first_token::ServerQueue;
+
+use super::affinity::Candidate;
+use super::backoff::ConnectBackoff;
+use super::slow_start::SlowStart;
+
+/// A server as the server list has it.
+#[derive(Clone, Copy, Debug)]
+pub struct ListedServer<'a> {
+    /// Its id in the server list.
+    pub name: &'a str,
+    /// Index of its region.
+    pub region: u32,
+    /// End of its slow start; 0 where it is in none.
+    pub slow_start_until: Nanos,
+    /// Its zone was evacuated when the router last had contact with a quorum: it is used, within the limits of slow start, only
+    /// where no other server can be reached.
+    pub is_last_resort: bool,
+}
+
+/// A server.
+#[derive(Debug, Default)]
+pub(super) struct Server {
+    pub(super) region: u32,
+    pub(super) name_hash: u64,
+    pub(super) is_last_resort: bool,
+    pub(super) slow_start: SlowStart,
+    pub(super) backoff: ConnectBackoff,
+    pub(super) queue: ServerQueue,
+    pub(super) cache: PrefixCache,
+}
+
+impl Server {
+    pub(super) fn update(&mut self, listed: ListedServer<'_>) {
+        self.region = listed.region;
+        self.name_hash = fnv1a_hash(listed.name.as_bytes());
+        self.is_last_resort = listed.is_last_resort;
+        self.slow_start.extend_until(listed.slow_start_until);
+    }
+
+    pub(super) fn candidate(&self, id: BackendId) -> Candidate {
+        Candidate { id, region: self.region, name_hash: self.name_hash }
+    }
+}
--- /dev/null
+++ b/routing/src/placement/service_placement.rs
@@ -0,0 +1,266 @@
+//! The placement of one service: its servers and requests, and the rules by which they are matched.
+
+use std::collections::HashMap;
+
+use ivyhatch_balancer::{BackendId, RequestId};
+use ivyhatch_protocol::Nanos;
+
+use crate::load_report::LoadReport;
+use crate::prompt::Prompt;
+use crate::router_share::RouterShare;
+use crate::time_to_first_token::PrefillModel;
+
+use super::affinity::PreferredServers;
+use super::request::{Attempt, PlacedRequest, RegionSet};
+use super::server::{ListedServer, Server};
+use super::slow_start::SlowStartLimit;
+
+/// A prompt may take so many times its latency target at a server that has requests of this router; it goes elsewhere or is
+/// rejected beyond that.
+const MAX_LATENCY_TARGET_RATIO: f64 = 1.25;
+/// Weight of the time in which shared segments would be prefilled again, against time in a queue: it delays others as well.
+const REPEATED_PREFILL_WEIGHT: f64 = 4.0;
+
+/// What the configuration says of a service.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct ServiceSettings {
+    /// Whether its servers run a language model, so that requests are placed by their time to the first token.
+    pub is_model: bool,
+    /// The limit on servers in slow start.
+    pub slow_start: SlowStartLimit,
+}
+
+/// The placement of one service's requests, by one router.
+#[derive(Debug)]
+pub struct Placement {
+    home_region: u32,
+    regions: u32,
+    settings: ServiceSettings,
+    /// None as long as the number of routers is not known.
+    router_share: Option<RouterShare>,
+    model: PrefillModel,
+    servers: HashMap<BackendId, Server>,
+    requests: HashMap<RequestId, PlacedRequest>,
+}
+
+impl Placement {
+    /// A placement without servers, for a router in the region with index `home_region` of `regions`.
+    pub fn new(home_region: u32, regions: u32) -> Self {
+        Self {
+            home_region,
+            regions,
+            settings: ServiceSettings::default(),
+            router_share: None,
+            model: PrefillModel::new(regions),
+            servers: HashMap::new(),
+            requests: HashMap::new(),
+        }
+    }
+
+    /// Takes the service's settings.
+    pub fn configure(&mut self, settings: ServiceSettings) {
+        self.settings = settings;
+    }
+
+    /// Takes this router's share of what servers in slow start may be sent.
+    pub fn set_router_share(&mut self, share: RouterShare) {
+        self.router_share = Some(share);
+    }
+
+    /// Adds a server of the server list, or updates it. A slow start that is known of is not shortened.
+    pub fn upsert_server(&mut self, id: BackendId, listed: ListedServer<'_>) {
+        self.servers.entry(id).or_default().update(listed);
+    }
+
+    /// Begins a server's slow start anew: its caches may have turned cold just now.
+    pub fn restart_slow_start(&mut self, now: Nanos, id: BackendId) {
+        let until = now + self.settings.slow_start.duration;
+        if let Some(server) = self.servers.get_mut(&id) {
+            server.slow_start.extend_until(until);
+        }
+    }
+
+    /// Removes a server that is not in the server list any more.
+    pub fn remove_server(&mut self, id: BackendId) {
+        self.servers.remove(&id);
+    }
+
+    /// Adds a request that has come in. Its first token is to come within `latency_target`.
+    pub fn add_request(
+        &mut self,
+        id: RequestId,
+        home_regions: RegionSet,
+        prompt: Prompt,
+        latency_target: Nanos,
+    ) {
+        let preferred = match prompt.affinity_key() {
+            Some(key) => {
+                let candidates = self.servers.iter().map(|(id, server)| server.candidate(*id));
+                PreferredServers::select(self.regions, key, candidates)
+            }
+            None => PreferredServers::none(self.regions),
+        };
+        let request = PlacedRequest { home_regions, prompt, latency_target, preferred, attempt: None };
+        self.requests.insert(id, request);
+    }
+
+    /// Removes a request that has ended, with its attempt.
+    pub fn remove_request(&mut self, id: RequestId) {
+        self.end_attempt(id);
+        self.requests.remove(&id);
+    }
+
+    /// Takes a server's report of its load.
+    pub fn record_load_report(&mut self, now: Nanos, from: BackendId, load: LoadReport) {
+        if let Some(server) = self.servers.get_mut(&from) {
+            server.queue.record_load_report(now, load);
+        }
+    }
+
+    /// Notes that a request's response has begun, `elapsed` after it was sent. Only the first time counts for each attempt.
+    pub fn record_first_token(&mut self, now: Nanos, id: RequestId, elapsed: Nanos) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(attempt) = request.attempt.as_mut().filter(|attempt| !attempt.has_begun) else { return };
+        attempt.has_begun = true;
+        let tokens = attempt.uncached_tokens;
+        if let Some(server) = self.servers.get_mut(&attempt.backend) {
+            server.queue.record_prefill_end(tokens);
+            server.queue.record_first_token(&mut self.model, server.region, tokens, elapsed);
+            server.cache.insert(now, &request.prompt);
+        }
+    }
+
+    /// Notes that a server could not be connected to.
+    pub fn record_connect_failure(&mut self, now: Nanos, id: BackendId) {
+        if let Some(server) = self.servers.get_mut(&id) {
+            server.backoff.record_failure(now);
+        }
+    }
+
+    /// Notes that a server has answered.
+    pub fn record_response(&mut self, id: BackendId) {
+        if let Some(server) = self.servers.get_mut(&id) {
+            server.backoff.record_success();
+        }
+    }
+
+    /// Notes that a request's attempt has ended; one that has ended before is left alone.
+    pub fn end_attempt(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(attempt) = request.attempt.take() else { return };
+        if let Some(server) = self.servers.get_mut(&attempt.backend) {
+            if !attempt.has_begun {
+                server.queue.record_prefill_end(attempt.uncached_tokens);
+            }
+            server.queue.record_request_end();
+        }
+    }
+
+    /// What was known of a request's server when it was sent there, as `key=value` pairs for the log.
+    pub fn describe_attempt(&self, id: RequestId) -> Option<String> {
+        let request = self.requests.get(&id)?;
+        let attempt = request.attempt?;
+        let server = self.servers.get(&attempt.backend)?;
+        Some(format!(
+            "tokens={} uncached={} preferred={} region={} in_flight={} utilisation={:.2}",
+            request.prompt.tokens,
+            attempt.uncached_tokens,
+            request.preferred.contains(server.region, attempt.backend),
+            server.region,
+            server.queue.in_flight(),
+            server.queue.utilisation(&self.model)
+        ))
+    }
+
+    /// A server's utilisation, where it runs a model: 1 where all its capacity is in use.
+    pub fn utilisation(&self, id: BackendId) -> Option<f64> {
+        let server = self.servers.get(&id).filter(|_| self.settings.is_model)?;
+        Some(server.queue.utilisation(&self.model))
+    }
+
+    /// Notes that a request is sent to a server.
+    pub(super) fn record_send(&mut self, now: Nanos, id: RequestId, backend: BackendId) {
+        let uncached_tokens = self.uncached_tokens(now, id, backend);
+        let Some(server) = self.servers.get_mut(&backend) else { return };
+        server.slow_start.record_send(now);
+        server.backoff.record_send(now);
+        if let Some(request) = self.requests.get_mut(&id) {
+            server.queue.record_send(uncached_tokens);
+            request.attempt = Some(Attempt { backend, uncached_tokens, has_begun: false });
+        }
+    }
+
+    /// Whether a request may be sent to a server now. A request that is not known here may be sent to any server that is.
+    pub(super) fn allows(&self, now: Nanos, id: RequestId, backend: BackendId) -> bool {
+        let Some(server) = self.servers.get(&backend) else { return false };
+        let Some(request) = self.requests.get(&id) else { return true };
+        request.allows_region(server.region)
+            && !server.backoff.is_waiting(now)
+            && !(server.is_last_resort && self.has_regular_server(request))
+            && self.is_within_slow_start(now, server)
+            && self.is_within_latency_target(now, id, backend)
+    }
+
+    /// The expected time to the first token of a request at a model server, in nanoseconds, with the weight of prefill that is
+    /// done there though another server has its result cached.
+    pub(super) fn placement_cost(&self, now: Nanos, id: RequestId, backend: BackendId) -> Option<f64> {
+        let server = self.servers.get(&backend).filter(|_| self.settings.is_model)?;
+        let uncached_tokens = self.uncached_tokens(now, id, backend);
+        let unshared_tokens =
+            self.requests.get(&id).map_or(uncached_tokens, |request| request.prompt.unshared_tokens());
+        let repeated_tokens = uncached_tokens.saturating_sub(unshared_tokens);
+        let repeated_cost = REPEATED_PREFILL_WEIGHT * self.model.prefill_time(repeated_tokens);
+        let latency = server.queue.time_to_first_token(now, &self.model, server.region, uncached_tokens);
+        Some(latency + repeated_cost)
+    }
+
+    /// Whether a request may be served in the router's own region.
+    pub(super) fn allows_home_region(&self, id: RequestId) -> bool {
+        self.requests.get(&id).is_none_or(|request| request.allows_region(self.home_region))
+    }
+
+    /// Whether any server but those of last resort can be reached in the request's regions.
+    fn has_regular_server(&self, request: &PlacedRequest) -> bool {
+        let is_usable = |server: &Server| {
+            !server.is_last_resort && !server.backoff.has_failed() && request.allows_region(server.region)
+        };
+        self.servers.values().any(is_usable)
+    }
+
+    fn is_within_slow_start(&self, now: Nanos, server: &Server) -> bool {
+        let limit = &self.settings.slow_start;
+        let applies = server.slow_start.is_active(now) || server.is_last_resort;
+        if !applies || !limit.is_set() {
+            return true;
+        }
+        server.slow_start.recent_sends(now) < limit.for_router(self.router_share, server.name_hash)
+    }
+
+    /// Whether a model server can be expected to answer in time. One without requests of this router is always tried, as nothing
+    /// else would show that it can.
+    fn is_within_latency_target(&self, now: Nanos, id: RequestId, backend: BackendId) -> bool {
+        let (Some(server), Some(request)) = (self.servers.get(&backend), self.requests.get(&id)) else {
+            return true;
+        };
+        if !self.settings.is_model || server.queue.in_flight() == 0 {
+            return true;
+        }
+        let uncached_tokens = self.uncached_tokens(now, id, backend);
+        let latency = server.queue.time_to_first_token(now, &self.model, server.region, uncached_tokens);
+        latency <= MAX_LATENCY_TARGET_RATIO * request.latency_target as f64
+    }
+
+    /// Tokens of a request's prompt that a server would have to prefill; 0 where one of them is not known.
+    fn uncached_tokens(&self, now: Nanos, id: RequestId, backend: BackendId) -> u32 {
+        let (Some(request), Some(server)) = (self.requests.get(&id), self.servers.get(&backend)) else {
+            return 0;
+        };
+        let by_own_requests = server.cache.uncached_tokens(now, &request.prompt);
+        // Other routers prefer the same server for this prefix: what they have sent there is cached as well.
+        if request.preferred.contains(server.region, backend) {
+            by_own_requests.min(request.prompt.unshared_tokens())
+        } else {
+            by_own_requests
+        }
+    }
+}
--- a/routing/src/route_table.rs
+++ b/routing/src/route_table.rs
@@ -1,6 +1,8 @@
-//! Routes by host and longest prefix. Changes are taken in item by item: a large configuration of which little changes costs
-//! little. Reading the items of a large change is most of its cost, and can be done a few at a time beforehand; the change itself
-//! is then made at once, so that no request sees half of it.
+//! The routes, services and limits in force, and the route of a request by host and longest path prefix.
+//!
+//! A change is applied item by item, so that a small change of a large configuration costs little. To parse the items of a large
+//! change is most of its cost: a [`PreparedChange`] does it a few items at a time beforehand. The change itself is then made at once,
+//! so that no request sees half of it.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -12,31 +14,32 @@
 const SERVICES: &str = "services";
 const LIMITS: &str = "limits";
 
-/// Why an item could not be used. It was checked before it was decided on, so this is another release's.
+/// An item that can't be parsed. The control plane has validated it before, so it is of another release.
 #[derive(Debug, thiserror::Error)]
 #[error("{section}: {name:?} can't be read ({problem}): bring all machines to one release")]
 pub struct UnreadableItem {
     section: &'static str,
     name: String,
-    problem: String,
+    problem: serde_json::Error,
 }
 
 /// The routes, services and limits in force.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     routes: HashMap<String, Rc<Route>>,
-    places: HashMap<String, HashMap<String, Rc<Route>>>,
+    /// Routes by host in lower case, then by path prefix.
+    by_host: HashMap<String, HashMap<String, Rc<Route>>>,
     services: HashMap<String, Service>,
     limits: RequestLimits,
 }
 
-/// A change whose items are being read, some at a time.
+/// A change whose items are being parsed, some at a time.
 #[derive(Debug)]
 pub struct PreparedChange {
     removed_routes: Vec<String>,
     removed_services: Vec<String>,
-    unread_routes: std::vec::IntoIter<Item>,
-    unread_services: std::vec::IntoIter<Item>,
+    unparsed_routes: std::vec::IntoIter<Item>,
+    unparsed_services: std::vec::IntoIter<Item>,
     routes: Vec<Rc<Route>>,
     services: Vec<Service>,
     limits: Option<RequestLimits>,
@@ -44,13 +47,13 @@
 }
 
 impl PreparedChange {
-    /// A change none of whose routes and services has been read yet.
+    /// A change of which no route and no service has been parsed yet.
     pub fn new(mut change: Change) -> Self {
         let mut prepared = Self {
             removed_routes: change.remove.remove(ROUTES).unwrap_or_default(),
             removed_services: change.remove.remove(SERVICES).unwrap_or_default(),
-            unread_routes: change.upsert.remove(ROUTES).unwrap_or_default().into_iter(),
-            unread_services: change.upsert.remove(SERVICES).unwrap_or_default().into_iter(),
+            unparsed_routes: change.upsert.remove(ROUTES).unwrap_or_default().into_iter(),
+            unparsed_services: change.upsert.remove(SERVICES).unwrap_or_default().into_iter(),
             routes: Vec::new(),
             services: Vec::new(),
             limits: None,
@@ -62,28 +65,28 @@
         prepared
     }
 
-    /// Reads at most so many of the items. Whether all have been read.
+    /// Parses at most `max_items` of the items that are left. Returns whether all have been parsed.
     pub fn parse_items(&mut self, max_items: usize) -> bool {
         for _ in 0..max_items {
-            if let Some(item) = self.unread_routes.next() {
+            if let Some(item) = self.unparsed_routes.next() {
                 let route = self.parse(ROUTES, &item.name, &item.json).map(Rc::new);
                 self.routes.extend(route);
-            } else if let Some(item) = self.unread_services.next() {
+            } else if let Some(item) = self.unparsed_services.next() {
                 let service = self.parse(SERVICES, &item.name, &item.json);
                 self.services.extend(service);
             } else {
                 return true;
             }
         }
-        self.unread_routes.len() + self.unread_services.len() == 0
+        self.unparsed_routes.len() + self.unparsed_services.len() == 0
     }
 
+    /// Parses one item; one that can't be parsed is kept aside for the caller of [`RouteTable::commit`].
     fn parse<T: DeserializeOwned>(&mut self, section: &'static str, name: &str, json: &str) -> Option<T> {
         match serde_json::from_str(json) {
-            Ok(read) => Some(read),
-            Err(error) => {
-                let (name, problem) = (name.to_owned(), error.to_string());
-                self.unreadable.push(UnreadableItem { section, name, problem });
+            Ok(parsed) => Some(parsed),
+            Err(problem) => {
+                self.unreadable.push(UnreadableItem { section, name: name.to_owned(), problem });
                 None
             }
         }
@@ -91,19 +94,27 @@
 }
 
 impl RouteTable {
-    /// Takes a change in. Items that can't be read are told, and left as they were.
+    /// Parses a change and applies it. Returns the items that can't be parsed; these stay as they were.
     pub fn apply(&mut self, change: &Change) -> Vec<UnreadableItem> {
         self.commit(PreparedChange::new(change.clone()))
     }
 
-    /// Takes a change in, with whatever has not been read of it yet. Items that can't be read are told, and left as they were.
+    /// Applies a change, after parsing what is left of it. Returns the items that can't be parsed; these stay as they were.
     pub fn commit(&mut self, mut change: PreparedChange) -> Vec<UnreadableItem> {
         change.parse_items(usize::MAX);
-        change.removed_routes.iter().for_each(|name| self.remove_route(name));
-        change.removed_services.iter().for_each(|name| drop(self.services.remove(name)));
-        // Two routes may change places: all of them leave theirs before any takes one.
-        change.routes.iter().for_each(|route| self.remove_route(&route.name));
-        change.routes.into_iter().for_each(|route| self.add_route(route));
+        for name in &change.removed_routes {
+            self.remove_route(name);
+        }
+        for name in &change.removed_services {
+            self.services.remove(name);
+        }
+        // Two routes may swap their prefixes: all are removed before any is added.
+        for route in &change.routes {
+            self.remove_route(&route.name);
+        }
+        for route in change.routes {
+            self.add_route(route);
+        }
         let services = change.services.into_iter().map(|service| (service.name.clone(), service));
         self.services.extend(services);
         if let Some(limits) = change.limits {
@@ -113,71 +124,78 @@
     }
 
     fn add_route(&mut self, route: Rc<Route>) {
-        let host = self.places.entry(route.host.to_ascii_lowercase()).or_default();
-        host.insert(route.path_prefix.clone(), route.clone());
+        let prefixes = self.by_host.entry(route.host.to_ascii_lowercase()).or_default();
+        prefixes.insert(route.path_prefix.clone(), route.clone());
         self.routes.insert(route.name.clone(), route);
     }
 
     fn remove_route(&mut self, name: &str) {
         let Some(route) = self.routes.remove(name) else { return };
         let host = route.host.to_ascii_lowercase();
-        if let Some(prefixes) = self.places.get_mut(&host) {
-            if prefixes.get(&route.path_prefix).is_some_and(|there| there.name == name) {
-                prefixes.remove(&route.path_prefix);
-            }
-            if prefixes.is_empty() {
-                self.places.remove(&host);
-            }
+        let Some(prefixes) = self.by_host.get_mut(&host) else { return };
+        if prefixes.get(&route.path_prefix).is_some_and(|current| current.name == name) {
+            prefixes.remove(&route.path_prefix);
+        }
+        if prefixes.is_empty() {
+            self.by_host.remove(&host);
         }
     }
 
-    /// The route of a request: among those of its host, the one with the longest prefix that begins its path.
+    /// The route of a request: among those of its host, the one with the longest prefix of its path. `host` is the value of the
+    /// `Host` field, with or without a port, in any case (RFC 9110, sections 7.2 and 4.2.3).
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
-        let name = host.rsplit_once(':').map_or(host, |(name, port)| {
-            if port.bytes().all(|byte| byte.is_ascii_digit()) { name } else { host }
-        });
-        let prefixes = match self.places.get(name) {
+        let name = without_port(host);
+        let prefixes = match self.by_host.get(name) {
             Some(prefixes) => prefixes,
-            None => self.places.get(&name.to_ascii_lowercase())?,
+            None => self.by_host.get(&name.to_ascii_lowercase())?,
         };
-        // Prefixes end with a slash: only as far as each of the path's can one go.
-        let ends = path.bytes().enumerate().rev().filter(|(_, byte)| *byte == b'/').map(|(at, _)| at + 1);
-        ends.into_iter().find_map(|end| prefixes.get(&path[..end]))
+        // A prefix ends with a slash: one can end at each slash of the path, and the longest is wanted.
+        let slashes = path.bytes().enumerate().rev().filter(|(_, byte)| *byte == b'/');
+        slashes.into_iter().find_map(|(index, _)| prefixes.get(&path[..=index]))
     }
 
-    /// A service.
+    /// The service with this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// All services.
+    /// All services, in no order.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.services.values()
     }
 
-    /// All routes.
+    /// All routes, in no order.
     pub fn routes(&self) -> impl Iterator<Item = &Rc<Route>> {
         self.routes.values()
     }
 
-    /// The limits.
+    /// The limits on requests; the defaults where the configuration names none.
     pub fn limits(&self) -> RequestLimits {
         self.limits
     }
 }
 
-/// The service to which a request of this route goes: by weight, `draw` from 0 to 1 deciding.
+fn without_port(host: &str) -> &str {
+    match host.rsplit_once(':') {
+        Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
+        _ => host,
+    }
+}
+
+/// The service to which a request of this route goes. A split is by weight, and `draw`, a random number from 0 to 1, decides; a
+/// service of weight 0 is never chosen.
 pub fn select_service(route: &Route, draw: f64) -> Option<&str> {
     if route.split.is_empty() {
         return route.service.as_deref();
     }
-    let sum: f64 = route.split.iter().map(|part| part.weight).sum();
-    let mut left = draw * sum;
+    let total_weight: f64 = route.split.iter().map(|part| part.weight).sum();
+    let mut remaining = draw * total_weight;
     for part in &route.split {
-        left -= part.weight;
-        if left < 0.0 && part.weight > 0.0 {
+        remaining -= part.weight;
+        if remaining < 0.0 && part.weight > 0.0 {
             return Some(&part.service);
         }
     }
+    // A draw of 1, or the sum's rounding.
     route.split.iter().rfind(|part| part.weight > 0.0).map(|part| part.service.as_str())
 }
--- a/routing/src/time_to_first_token.rs
+++ b/routing/src/time_to_first_token.rs
@@ -1,168 +1,177 @@
-//! The time to the first token at a model server, from what a router sees: its own sends that have not begun, what the server's
-//! answers say of its queue, and how long first tokens took.
+//! The expected time to the first token (TTFT) at a model server, from what a router sees: its own requests there that have not
+//! begun, the load that the server reports, and how long earlier first tokens took.
 //!
-//! An engine reads prompts one after another and puts tokens out for all that run meanwhile, so that the time to a first token is
-//! that of the prompts before it and of its own, over the rate at which prompts are read. That rate and the time that even the
-//! shortest prompt takes are learned.
+//! An engine prefills prompts one after another and decodes for all running requests meanwhile. The model is linear:
+//!
+//! TTFT = base latency + (queued tokens + own uncached tokens) / prefill rate
+//!
+//! The base latency is that of the shortest prompt, by region, as it contains the network's round trip. Both it and the rate are
+//! learned from samples by exponential moving averages.
 
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
-/// Tokens read in a millisecond before anything is known: that of a middling engine.
-const RATE: f64 = 100.0;
-/// Bounds of what is believed of it.
-const RATES: (f64, f64) = (5.0, 5000.0);
-/// Only a prompt that is long tells the rate: a short one's time is mostly other things.
-const TELLING: u32 = 1500;
-/// Weights of a sample above and below the present rate. Waiting makes a sample slow, nothing makes one quick.
-const RATE_RISES: f64 = 0.2;
-const RATE_FALLS: f64 = 0.01;
-/// Time of a short prompt's first token before anything is known.
-const FLOOR: f64 = 30.0 * MILLISECOND as f64;
-/// Part by which the floor rises with each sample that is above it, and falls with each below.
-const FLOOR_RISES: f64 = 0.01;
-const FLOOR_FALLS: f64 = 0.3;
-/// What a server's answer says of its queue counts for so long.
-const TOLD: Nanos = 600 * MILLISECOND;
-/// Weight of a sample in the mean wait, and in the mean prompt.
-const MEAN: f64 = 0.1;
-
-/// What is known of a service's engines, all alike but for the way to them.
+use crate::load_report::LoadReport;
+
+/// Prefill rate of an average engine, in tokens a millisecond, before anything is known.
+const INITIAL_TOKENS_PER_MS: f64 = 100.0;
+/// Bounds of the learned prefill rate, in tokens a millisecond.
+const MIN_TOKENS_PER_MS: f64 = 5.0;
+const MAX_TOKENS_PER_MS: f64 = 5000.0;
+/// Uncached tokens of a prompt from which the rate is learned; the time of a shorter one is mostly base latency.
+const MIN_TOKENS_FOR_RATE: u32 = 1500;
+/// Weights of a sample above and below the learned rate. Queueing makes a sample slow, nothing makes one fast.
+const RATE_RISE_WEIGHT: f64 = 0.2;
+const RATE_FALL_WEIGHT: f64 = 0.01;
+/// Base latency in nanoseconds before anything is known.
+const INITIAL_BASE_LATENCY_NS: f64 = 30.0 * MILLISECOND as f64;
+/// Weights of a sample above and below the learned base latency, for the same reason.
+const BASE_LATENCY_RISE_WEIGHT: f64 = 0.01;
+const BASE_LATENCY_FALL_WEIGHT: f64 = 0.3;
+/// Mean uncached tokens of a prompt before anything is known.
+const INITIAL_MEAN_TOKENS: f64 = 2000.0;
+/// Weight of a sample in the mean wait and in the mean prompt.
+const MEAN_WEIGHT: f64 = 0.1;
+/// A load report counts in full when it comes, less and less after that, and not at all after this time.
+const LOAD_REPORT_LIFETIME: Nanos = 600 * MILLISECOND;
+/// Upper bound of the utilisation that a load report can show.
+const MAX_REPORTED_UTILISATION: f64 = 1.2;
+
+/// The latency model of one service, whose engines are alike but for the network's round trip to them.
 #[derive(Clone, Debug)]
 pub struct PrefillModel {
-    /// Prompt tokens that are read in a nanosecond.
-    rate: f64,
-    /// Mean tokens of a prompt that have to be read.
-    mean: f64,
-    /// Time of a short prompt's first token, on the way included, by region.
-    floors: Vec<f64>,
+    tokens_per_ns: f64,
+    /// Mean uncached tokens of a prompt.
+    mean_tokens: f64,
+    /// Base latency in nanoseconds, by region; the last one is for all regions that the settings do not name.
+    base_latency_ns: Vec<f64>,
 }
 
 impl PrefillModel {
-    /// Nothing is known yet of the engines in so many regions.
+    /// A model of engines in so many regions of which nothing is known yet.
     pub fn new(regions: u32) -> Self {
-        Self { rate: RATE / MILLISECOND as f64, mean: 2000.0, floors: vec![FLOOR; regions as usize + 1] }
+        Self {
+            tokens_per_ns: INITIAL_TOKENS_PER_MS / MILLISECOND as f64,
+            mean_tokens: INITIAL_MEAN_TOKENS,
+            base_latency_ns: vec![INITIAL_BASE_LATENCY_NS; regions as usize + 1],
+        }
     }
 
-    fn floor(&self, region: u32) -> f64 {
-        self.floors.get(region as usize).copied().unwrap_or(FLOOR)
+    /// The time to prefill so many tokens, in nanoseconds.
+    pub fn prefill_time(&self, tokens: u32) -> f64 {
+        f64::from(tokens) / self.tokens_per_ns
     }
 
-    /// The time that reading so many tokens takes, in nanoseconds.
-    pub fn reading(&self, tokens: u32) -> f64 {
-        f64::from(tokens) / self.rate
+    fn base_latency(&self, region: u32) -> f64 {
+        self.base_latency_ns.get(region as usize).copied().unwrap_or(INITIAL_BASE_LATENCY_NS)
     }
-}
 
-/// What a server's answer says: requests that run, that wait, and places.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct LoadReport {
-    /// Requests that run.
-    pub running: f64,
-    /// Requests that wait.
-    pub waiting: f64,
-    /// Places.
-    pub slots: f64,
-}
-
-impl LoadReport {
-    /// Reads the header: running, waiting, slots.
-    pub fn from_header(text: &str) -> Option<Self> {
-        let mut numbers = text
-            .split(',')
-            .map(|text| text.trim().parse::<f64>().ok().filter(|n| *n >= 0.0 && n.is_finite()));
-        let (running, waiting, slots) = (numbers.next()??, numbers.next()??, numbers.next()??);
-        (slots > 0.0).then_some(Self { running, waiting, slots })
+    /// Learns from a first token. Returns how much of its time the model does not explain, in nanoseconds: its wait in a queue.
+    fn learn(&mut self, region: u32, uncached_tokens: u32, elapsed_ns: f64) -> f64 {
+        let tokens = f64::from(uncached_tokens);
+        let mut base_latency = self.base_latency(region);
+        if uncached_tokens >= MIN_TOKENS_FOR_RATE && elapsed_ns > base_latency {
+            self.learn_rate(tokens / (elapsed_ns - base_latency));
+        }
+        self.mean_tokens += (tokens - self.mean_tokens) * MEAN_WEIGHT;
+        let without_prefill = (elapsed_ns - tokens / self.tokens_per_ns).max(0.0);
+        let falls = without_prefill < base_latency;
+        let weight = if falls { BASE_LATENCY_FALL_WEIGHT } else { BASE_LATENCY_RISE_WEIGHT };
+        base_latency += (without_prefill - base_latency) * weight;
+        if let Some(learned) = self.base_latency_ns.get_mut(region as usize) {
+            *learned = base_latency;
+        }
+        (without_prefill - base_latency).max(0.0)
     }
 
-    /// Share of its places that are taken or asked for.
-    pub fn utilisation(&self) -> f64 {
-        (self.running + self.waiting) / self.slots.max(1.0)
+    fn learn_rate(&mut self, tokens_per_ns: f64) {
+        let weight = if tokens_per_ns > self.tokens_per_ns { RATE_RISE_WEIGHT } else { RATE_FALL_WEIGHT };
+        self.tokens_per_ns += (tokens_per_ns - self.tokens_per_ns) * weight;
+        let (min, max) = (MIN_TOKENS_PER_MS / MILLISECOND as f64, MAX_TOKENS_PER_MS / MILLISECOND as f64);
+        self.tokens_per_ns = self.tokens_per_ns.clamp(min, max);
     }
 }
 
-/// One server's engine, as a router sees it.
-#[derive(Clone, Copy, Debug)]
+/// The queue of one model server, as a router sees it.
+#[derive(Clone, Copy, Debug, Default)]
 pub struct ServerQueue {
-    /// Tokens of own sends that have not begun to answer.
-    unread: f64,
-    /// Own sends that have not ended.
-    own: u32,
-    /// Mean time that a prompt waited for others.
-    wait: f64,
-    told: LoadReport,
-    told_at: Option<Nanos>,
-}
-
-impl Default for ServerQueue {
-    fn default() -> Self {
-        Self { unread: 0.0, own: 0, wait: 0.0, told: LoadReport::default(), told_at: None }
-    }
+    /// Uncached tokens of this router's requests there whose responses have not begun.
+    queued_tokens: f64,
+    /// This router's requests there that have not ended.
+    in_flight: u32,
+    /// Mean time that a prompt waited for others, in nanoseconds.
+    mean_wait_ns: f64,
+    load: LoadReport,
+    load_reported_at: Option<Nanos>,
 }
 
 impl ServerQueue {
-    /// Expected time to the first token of a prompt of which so many tokens have to be read there, in nanoseconds.
-    pub fn delay(&self, now: Nanos, speed: &PrefillModel, region: u32, unread: u32) -> f64 {
-        let fresh =
-            self.told_at.map_or(0.0, |at| 1.0 - (now.saturating_sub(at) as f64 / TOLD as f64).min(1.0));
-        let others = self.told.waiting * speed.mean * fresh;
-        speed.floor(region) + (self.unread.max(others) + f64::from(unread)) / speed.rate
+    /// Expected time to the first token of a prompt with so many uncached tokens there, in nanoseconds.
+    pub fn time_to_first_token(
+        &self,
+        now: Nanos,
+        model: &PrefillModel,
+        region: u32,
+        uncached_tokens: u32,
+    ) -> f64 {
+        let reported_tokens = self.load.waiting * model.mean_tokens * self.load_report_freshness(now);
+        // This router's requests are among those that the server reports: the greater figure counts, not the sum.
+        let queued_tokens = self.queued_tokens.max(reported_tokens);
+        model.base_latency(region) + (queued_tokens + f64::from(uncached_tokens)) / model.tokens_per_ns
     }
 
-    /// Own sends that have not ended.
-    pub fn own(&self) -> u32 {
-        self.own
+    /// This router's requests there that have not ended.
+    pub fn in_flight(&self) -> u32 {
+        self.in_flight
     }
 
-    /// A request is sent there.
-    pub fn sent(&mut self, unread: u32) {
-        self.unread += f64::from(unread);
-        self.own += 1;
+    /// Notes that a request is sent there.
+    pub fn record_send(&mut self, uncached_tokens: u32) {
+        self.queued_tokens += f64::from(uncached_tokens);
+        self.in_flight += 1;
     }
 
-    /// A request that was sent there has begun to answer, or has ended without: its prompt is no longer before others.
-    pub fn begun(&mut self, unread: u32) {
-        self.unread = (self.unread - f64::from(unread)).max(0.0);
+    /// Notes that a request that was sent there has begun to be answered, or has ended before: its prompt delays no other any more.
+    pub fn record_prefill_end(&mut self, uncached_tokens: u32) {
+        self.queued_tokens = (self.queued_tokens - f64::from(uncached_tokens)).max(0.0);
     }
 
-    /// A request that was sent there has ended.
-    pub fn ended(&mut self) {
-        self.own = self.own.saturating_sub(1);
-        if self.own == 0 {
-            self.unread = 0.0;
+    /// Notes that a request that was sent there has ended.
+    pub fn record_request_end(&mut self) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        if self.in_flight == 0 {
+            self.queued_tokens = 0.0;
         }
     }
 
-    /// What the server has said of itself.
-    pub fn told(&mut self, now: Nanos, load: LoadReport) {
-        (self.told, self.told_at) = (load, Some(now));
+    /// Takes the server's report of its load.
+    pub fn record_load_report(&mut self, now: Nanos, load: LoadReport) {
+        (self.load, self.load_reported_at) = (load, Some(now));
     }
 
-    /// Learns from a first token that took this long, from a server in this region.
-    pub fn learn(&mut self, speed: &mut PrefillModel, region: u32, unread: u32, took: Nanos) {
-        let took = took as f64;
-        let tokens = f64::from(unread);
-        let mut floor = speed.floor(region);
-        if unread >= TELLING && took > floor {
-            let rate = tokens / (took - floor);
-            let weight = if rate > speed.rate { RATE_RISES } else { RATE_FALLS };
-            speed.rate += (rate - speed.rate) * weight;
-            let (least, most) = RATES;
-            speed.rate = speed.rate.clamp(least / MILLISECOND as f64, most / MILLISECOND as f64);
-        }
-        speed.mean += (tokens - speed.mean) * MEAN;
-        let bare = (took - tokens / speed.rate).max(0.0);
-        let weight = if bare < floor { FLOOR_FALLS } else { FLOOR_RISES };
-        floor += (bare - floor) * weight;
-        if let Some(known) = speed.floors.get_mut(region as usize) {
-            *known = floor;
-        }
-        let waited = (bare - floor).max(0.0);
-        self.wait += (waited - self.wait) * MEAN;
+    /// Learns from a first token that took `elapsed` from a server in this region.
+    pub fn record_first_token(
+        &mut self,
+        model: &mut PrefillModel,
+        region: u32,
+        uncached_tokens: u32,
+        elapsed: Nanos,
+    ) {
+        let wait_ns = model.learn(region, uncached_tokens, elapsed as f64);
+        self.mean_wait_ns += (wait_ns - self.mean_wait_ns) * MEAN_WEIGHT;
+    }
+
+    /// The server's utilisation, from 0 to 1.2: that of an M/M/1 queue with the mean wait W and the mean
+    /// service time S, which is W / (W + S), or that of its slots where it is higher.
+    pub fn utilisation(&self, model: &PrefillModel) -> f64 {
+        let service_time_ns = (model.mean_tokens / model.tokens_per_ns).max(1.0);
+        let by_wait = self.mean_wait_ns / (self.mean_wait_ns + service_time_ns);
+        by_wait.max(self.load.utilisation().min(MAX_REPORTED_UTILISATION))
     }
 
-    /// The server's utilisation, from 0 to 1: that of a queue in which one waits so long, or the share of its places.
-    pub fn utilisation(&self, speed: &PrefillModel) -> f64 {
-        let service = (speed.mean / speed.rate).max(1.0);
-        (self.wait / (self.wait + service)).max(self.told.utilisation().min(1.2))
+    /// Weight of the last load report: 1 when it comes, falling to 0.
+    fn load_report_freshness(&self, now: Nanos) -> f64 {
+        let Some(reported_at) = self.load_reported_at else { return 0.0 };
+        let age = now.saturating_sub(reported_at) as f64;
+        1.0 - (age / LOAD_REPORT_LIFETIME as f64).min(1.0)
     }
 }
--- a/routing/src/watch_client/replicated_state.rs
+++ b/routing/src/watch_client/replicated_state.rs
@@ -24,7 +24,7 @@
     /// Whether the zone is evacuated.
     pub active: bool,
     /// How often that has changed.
-    pub changes: u64,
+    pub change_count: u64,
 }
 
 /// The replicated state and its versions.
@@ -55,7 +55,7 @@
         let mut zones = partition.into_iter().flat_map(|partition| &partition.zones);
         let known = zones.find(|evacuation| evacuation.zone == zone);
         known
-            .map(|known| EvacuationState { active: known.active, changes: known.change_count })
+            .map(|known| EvacuationState { active: known.active, change_count: known.change_count })
             .unwrap_or_default()
     }
 
--- a/routing/tests/event_stream.rs
+++ b/routing/tests/event_stream.rs
@@ -1,4 +1,4 @@
-//! A streamed answer, event by event: pieces of any size, ids that must rise, and what has not ended.
+//! Framing of server-sent events: chunks of any size, ids that must rise, and incomplete events.
 
 use googletest::prelude::*;
 use ivyhatch_routing::event_stream::{CompleteEvents, EventStreamParser, StreamError};
@@ -7,76 +7,77 @@
     format!("id: {id}{end}data: {data}{end}{end}")
 }
 
-/// Feeds pieces of this size; tells all that was passed on and the last id.
-fn passed(
-    events: &mut EventStreamParser,
+/// Feeds chunks of this size; returns all complete events and the last id.
+fn feed_chunks(
+    parser: &mut EventStreamParser,
     bytes: &[u8],
     size: usize,
 ) -> std::result::Result<CompleteEvents, StreamError> {
     let mut all = CompleteEvents { bytes: Vec::new(), last_id: None };
-    for piece in bytes.chunks(size) {
-        if let Some(passed) = events.feed(piece)? {
-            all.bytes.extend(passed.bytes);
-            all.last_id = passed.last_id.or(all.last_id);
+    for chunk in bytes.chunks(size) {
+        if let Some(complete) = parser.feed(chunk)? {
+            all.bytes.extend(complete.bytes);
+            all.last_id = complete.last_id.or(all.last_id);
         }
     }
     Ok(all)
 }
 
 #[gtest]
-fn events_come_whole_from_pieces_of_any_size() {
+fn events_are_complete_for_chunks_of_any_size() {
     for end in ["\n", "\r\n"] {
         let text: String = (1..=7).map(|id| event(id * 3, "seven words", end)).collect();
         for size in 1..=text.len() {
-            let mut events = EventStreamParser::default();
-            let all = passed(&mut events, text.as_bytes(), size).expect("sound");
+            let mut parser = EventStreamParser::default();
+            let all = feed_chunks(&mut parser, text.as_bytes(), size).expect("well formed");
             expect_that!(String::from_utf8(all.bytes).expect("text"), eq(&text), "{size}");
             expect_that!(all.last_id, some(eq(21)));
-            expect_that!(events.is_at_event_boundary(), eq(true));
+            expect_that!(parser.is_at_event_boundary(), eq(true));
         }
     }
 }
 
 #[gtest]
-fn nothing_is_passed_on_before_an_event_ends() {
+fn nothing_is_returned_before_an_event_ends() {
     for end in ["\n", "\r\n"] {
         let text = event(1, "x", end);
-        let mut events = EventStreamParser::default();
+        let mut parser = EventStreamParser::default();
         for byte in &text.as_bytes()[..text.len() - 1] {
-            expect_that!(events.feed(&[*byte]), ok(none()));
-            expect_that!(events.is_at_event_boundary(), eq(false));
+            expect_that!(parser.feed(&[*byte]), ok(none()));
+            expect_that!(parser.is_at_event_boundary(), eq(false));
         }
-        let last = events.feed(b"\n").expect("sound").expect("a whole event");
+        let last = parser.feed(b"\n").expect("well formed").expect("a complete event");
         expect_that!(last, eq(&CompleteEvents { bytes: text.into_bytes(), last_id: Some(1) }));
-        expect_that!(events.is_at_event_boundary(), eq(true));
+        expect_that!(parser.is_at_event_boundary(), eq(true));
     }
 }
 
 #[gtest]
-fn an_event_that_has_not_ended_stays_behind() {
-    let mut events = EventStreamParser::default();
-    let came = events.feed(b"id: 1\ndata: a\n\nid: 2\ndata: b\n").expect("sound").expect("one event");
-    expect_that!(came, eq(&CompleteEvents { bytes: b"id: 1\ndata: a\n\n".to_vec(), last_id: Some(1) }));
-    expect_that!(events.is_at_event_boundary(), eq(false));
-    expect_that!(events.feed(b""), ok(none()));
-    let came = events.feed(b"\nid: 3").expect("sound").expect("the other");
-    expect_that!(came, eq(&CompleteEvents { bytes: b"id: 2\ndata: b\n\n".to_vec(), last_id: Some(2) }));
-    expect_that!(events.is_at_event_boundary(), eq(false));
+fn incomplete_event_is_kept_back() {
+    let mut parser = EventStreamParser::default();
+    let complete =
+        parser.feed(b"id: 1\ndata: a\n\nid: 2\ndata: b\n").expect("well formed").expect("one event");
+    expect_that!(complete, eq(&CompleteEvents { bytes: b"id: 1\ndata: a\n\n".to_vec(), last_id: Some(1) }));
+    expect_that!(parser.is_at_event_boundary(), eq(false));
+    expect_that!(parser.feed(b""), ok(none()));
+    let complete = parser.feed(b"\nid: 3").expect("well formed").expect("the other");
+    expect_that!(complete, eq(&CompleteEvents { bytes: b"id: 2\ndata: b\n\n".to_vec(), last_id: Some(2) }));
+    expect_that!(parser.is_at_event_boundary(), eq(false));
 }
 
 #[gtest]
-fn ids_that_do_not_rise_spoil_a_stream() {
+fn id_that_does_not_rise_is_an_error() {
     for (first, second) in [(5, 5), (5, 4), (5, 0), (u64::MAX, 1)] {
         let both = event(first, "a", "\n") + &event(second, "b", "\n");
         let order = StreamError::IdNotIncreasing { id: second, previous: first };
         expect_that!(EventStreamParser::default().feed(both.as_bytes()), err(eq(&order)));
-        let mut events = EventStreamParser::default();
-        expect_that!(passed(&mut events, both.as_bytes(), 1), err(eq(&order)), "in single bytes");
+        let mut parser = EventStreamParser::default();
+        expect_that!(feed_chunks(&mut parser, both.as_bytes(), 1), err(eq(&order)), "in single bytes");
     }
 }
 
 #[gtest]
-fn a_stream_that_goes_on_begins_behind_its_last_event() {
+fn resumed_stream_rejects_ids_up_to_its_last_event() {
     expect_that!(
         EventStreamParser::resume_after(Some(7)).feed(event(8, "a", "\n").as_bytes()),
         ok(some(anything()))
@@ -92,33 +93,34 @@
 }
 
 #[gtest]
-fn events_without_an_id_pass_and_leave_the_last_one() {
-    let mut events = EventStreamParser::default();
+fn event_without_id_leaves_the_last_id_unchanged() {
+    let mut parser = EventStreamParser::default();
     let text =
         ["id: 4\n", "data: a\n\n", "versions: 3\ndata: b\n\n", ": a comment\n\n", "id: x\n\n", "\n"].concat();
-    let came = events.feed(text.as_bytes()).expect("sound").expect("whole events");
-    expect_that!(came, eq(&CompleteEvents { bytes: text.into_bytes(), last_id: Some(4) }));
-    expect_that!(events.feed(b"data: c\n\n").expect("sound").expect("one").last_id, none());
-    expect_that!(events.feed(b"id: 4\n\n"), err(eq(&StreamError::IdNotIncreasing { id: 4, previous: 4 })));
+    let complete = parser.feed(text.as_bytes()).expect("well formed").expect("complete events");
+    expect_that!(complete, eq(&CompleteEvents { bytes: text.into_bytes(), last_id: Some(4) }));
+    expect_that!(parser.feed(b"data: c\n\n").expect("well formed").expect("one").last_id, none());
+    expect_that!(parser.feed(b"id: 4\n\n"), err(eq(&StreamError::IdNotIncreasing { id: 4, previous: 4 })));
 }
 
 #[gtest]
-fn an_id_is_found_on_any_line_with_or_without_space() {
+fn id_is_found_on_any_line_with_or_without_space() {
     for text in [
         "versions: 2\nid: 9\ndata: id: 1\n\n",
         "id:9\n\n",
         "id:   9  \r\n\r\n",
         "data: id: 1\r\nid:9\r\n\r\n",
     ] {
-        let came = EventStreamParser::default().feed(text.as_bytes()).expect("sound").expect("one event");
-        expect_that!(came.last_id, some(eq(9)), "{text:?}");
+        let complete =
+            EventStreamParser::default().feed(text.as_bytes()).expect("well formed").expect("one event");
+        expect_that!(complete.last_id, some(eq(9)), "{text:?}");
     }
 }
 
 #[gtest]
-fn an_event_without_end_is_not_kept_for_ever() {
-    let piece = vec![b'x'; 64 * 1024];
-    let mut events = EventStreamParser::default();
-    let ended = (0..64).find_map(|_| events.feed(&piece).err());
+fn event_without_end_is_rejected_as_too_large() {
+    let chunk = vec![b'x'; 64 * 1024];
+    let mut parser = EventStreamParser::default();
+    let ended = (0..64).find_map(|_| parser.feed(&chunk).err());
     expect_that!(ended, some(eq(StreamError::EventTooLarge)));
 }
--- a/routing/tests/route_table.rs
+++ b/routing/tests/route_table.rs
@@ -27,7 +27,7 @@
 
 fn table(routes: &[Value]) -> RouteTable {
     let mut table = RouteTable::default();
-    assert!(table.apply(&change("routes", routes, &[])).is_empty(), "all can be read");
+    assert!(table.apply(&change("routes", routes, &[])).is_empty(), "all can be parsed");
     table
 }
 
@@ -40,7 +40,7 @@
 }
 
 #[gtest]
-fn the_longest_prefix_that_ends_at_a_slash_of_the_path_is_taken() {
+fn longest_prefix_at_a_slash_of_the_path_is_found() {
     let table = table(&[route("a", "h", "/a/"), route("ab", "h", "/a/b/"), route("c", "h", "/c/d/")]);
     expect_that!(found(&table, "h", "/a/"), eq(&named("a")));
     expect_that!(found(&table, "h", "/a/x"), eq(&named("a")));
@@ -58,7 +58,7 @@
 }
 
 #[gtest]
-fn a_host_is_found_with_any_port_and_in_any_case() {
+fn host_is_found_with_any_port_and_in_any_case() {
     let table = table(&[route("a", "One.Example", "/a/"), route("b", "two.example", "/a/")]);
     for host in
         ["one.example", "One.Example", "ONE.EXAMPLE", "one.example:80", "ONE.example:8161", "one.example:"]
@@ -72,14 +72,14 @@
 }
 
 #[gtest]
-fn two_routes_change_places_in_one_change() {
+fn routes_can_swap_prefixes_in_one_change() {
     let mut table = table(&[route("a", "h", "/a/"), route("b", "h", "/b/"), route("c", "h", "/c/")]);
     let swap = [route("a", "h", "/b/"), route("b", "h", "/a/")];
     expect_that!(table.apply(&change("routes", &swap, &[])), is_empty());
     expect_that!(found(&table, "h", "/a/x"), eq(&named("b")));
     expect_that!(found(&table, "h", "/b/x"), eq(&named("a")));
     expect_that!(found(&table, "h", "/c/x"), eq(&named("c")));
-    // Round in a ring, and across hosts.
+    // In a ring, and across hosts.
     let ring = [route("a", "h", "/c/"), route("b", "g", "/a/"), route("c", "h", "/a/")];
     expect_that!(table.apply(&change("routes", &ring, &[])), is_empty());
     expect_that!(found(&table, "h", "/a/x"), eq(&named("c")));
@@ -90,7 +90,7 @@
 }
 
 #[gtest]
-fn a_route_that_is_removed_leads_nowhere_and_its_place_can_be_taken() {
+fn removed_route_is_not_found_and_its_prefix_can_be_reused() {
     let mut table = table(&[route("a", "h", "/a/"), route("ab", "h", "/a/b/")]);
     table.apply(&change("routes", &[], &["ab", "not-there"]));
     expect_that!(found(&table, "h", "/a/b/x"), eq(&named("a")), "the shorter one takes over");
@@ -102,7 +102,7 @@
 }
 
 #[gtest]
-fn a_name_that_is_removed_and_added_in_one_change_is_there() {
+fn name_removed_and_added_in_one_change_is_found() {
     let mut table = table(&[route("a", "h", "/a/")]);
     table.apply(&change("routes", &[route("a", "h", "/b/")], &["a"]));
     expect_that!(found(&table, "h", "/a/x"), none());
@@ -110,40 +110,40 @@
 }
 
 #[gtest]
-fn an_item_that_cannot_be_read_is_told_and_left_as_it_was() {
+fn unreadable_item_is_reported_and_stays_as_it_was() {
     let mut table = table(&[route("a", "h", "/a/"), route("b", "h", "/b/")]);
     let mut odd = route("a", "h", "/x/");
     odd["route_kind"] = json!("odd");
-    let told = table.apply(&change("routes", &[odd, route("b", "h", "/y/")], &[]));
-    let told: Vec<String> = told.iter().map(ToString::to_string).collect();
-    expect_that!(told, elements_are![all![contains_substring("routes"), contains_substring("\"a\"")]]);
+    let unreadable = table.apply(&change("routes", &[odd, route("b", "h", "/y/")], &[]));
+    let messages: Vec<String> = unreadable.iter().map(ToString::to_string).collect();
+    expect_that!(messages, elements_are![all![contains_substring("routes"), contains_substring("\"a\"")]]);
     expect_that!(found(&table, "h", "/a/x"), eq(&named("a")));
     expect_that!(found(&table, "h", "/x/x"), none());
     expect_that!(found(&table, "h", "/y/x"), eq(&named("b")), "the others of the change are taken");
 
     table.apply(&change("services", &[json!({"name": "s", "max_conns": 5})], &[]));
-    let told = table.apply(&change("services", &[json!({"name": "s", "max_conns": "many"})], &[]));
-    expect_that!(told, len(eq(1)));
+    let unreadable = table.apply(&change("services", &[json!({"name": "s", "max_conns": "many"})], &[]));
+    expect_that!(unreadable, len(eq(1)));
     expect_that!(table.service("s").map(|service| service.max_connections), some(eq(5.0)));
     table.apply(&change("services", &[], &["s"]));
     expect_that!(table.services().count(), eq(0));
 }
 
 #[gtest]
-fn limits_change_and_fall_back_to_the_usual_ones() {
+fn limits_change_and_fall_back_to_the_defaults() {
     let mut table = RouteTable::default();
-    let usual = table.limits();
+    let defaults = table.limits();
     let limits = |text: Option<&str>| Change {
         other_fields: BTreeMap::from([("limits".to_owned(), text.map(str::to_owned))]),
         ..Change::default()
     };
     table.apply(&limits(Some(r#"{"max_body_bytes":9}"#)));
     expect_that!(table.limits().max_body_bytes, eq(9.0));
-    expect_that!(table.limits().max_header_bytes, eq(usual.max_header_bytes));
+    expect_that!(table.limits().max_header_bytes, eq(defaults.max_header_bytes));
     expect_that!(table.apply(&limits(Some("[]x"))), len(eq(1)));
     expect_that!(table.limits().max_body_bytes, eq(9.0), "left as they were");
     table.apply(&limits(None));
-    expect_that!(table.limits(), eq(usual));
+    expect_that!(table.limits(), eq(defaults));
 }
 
 fn split(weights: &[(&str, f64)]) -> Route {
@@ -156,7 +156,7 @@
 }
 
 #[gtest]
-fn draws_are_split_by_weight_and_weight_0_gets_none() {
+fn split_follows_the_weights_and_weight_0_gets_no_requests() {
     const DRAWS: u32 = 10_000;
     let route = split(&[("none", 0.0), ("most", 90.0), ("nil", 0.0), ("few", 10.0), ("last", 0.0)]);
     let mut counts: BTreeMap<&str, u32> = BTreeMap::new();
@@ -174,7 +174,7 @@
 }
 
 #[gtest]
-fn a_route_without_a_split_leads_to_its_service() {
+fn route_without_a_split_selects_its_service() {
     let route: Route = serde_json::from_value(route("r", "h", "/")).expect("a sound route");
     for draw in [0.0, 0.5, 1.0] {
         expect_that!(select_service(&route, draw), some(eq("s")));
@@ -182,7 +182,7 @@
 }
 
 #[gtest]
-fn a_large_change_is_read_some_items_at_a_time_and_made_at_once() {
+fn large_change_is_parsed_in_steps_and_applied_at_once() {
     let mut table = table(&[route("old", "h", "/old/"), route("r1", "h", "/elsewhere/")]);
     let many: Vec<Value> = (0..1000).map(|at| route(&format!("r{at}"), "h", &format!("/p{at}/"))).collect();
     let mut change = PreparedChange::new(self::change("routes", &many, &["old"]));
@@ -199,13 +199,13 @@
 }
 
 #[gtest]
-fn a_change_made_before_all_of_it_was_read_is_made_whole() {
+fn change_committed_before_it_is_parsed_is_applied_completely() {
     let many: Vec<Value> = (0..10).map(|at| route(&format!("r{at}"), "h", &format!("/p{at}/"))).collect();
-    for read in [0, 1, 9, 10] {
+    for parsed in [0, 1, 9, 10] {
         let mut change = PreparedChange::new(self::change("routes", &many, &[]));
-        change.parse_items(read);
+        change.parse_items(parsed);
         let mut table = RouteTable::default();
         expect_that!(table.commit(change), is_empty());
-        expect_that!(table.routes().count(), eq(10), "{read} read before");
+        expect_that!(table.routes().count(), eq(10), "{parsed} parsed before");
     }
 }
--- a/routing/tests/watch_client.rs
+++ b/routing/tests/watch_client.rs
@@ -471,19 +471,19 @@
         })
     };
     let mut harness = Harness::connected();
-    expect_that!(harness.client.evacuation("a"), eq(EvacuationState { active: false, changes: 0 }));
+    expect_that!(harness.client.evacuation("a"), eq(EvacuationState { active: false, change_count: 0 }));
     expect_that!(harness.receive(1, update(2, true, 1)), contains(eq(&Output::ServersChanged)));
-    expect_that!(harness.client.evacuation("a"), eq(EvacuationState { active: true, changes: 1 }));
-    expect_that!(harness.client.evacuation("b"), eq(EvacuationState { active: false, changes: 0 }));
+    expect_that!(harness.client.evacuation("a"), eq(EvacuationState { active: true, change_count: 1 }));
+    expect_that!(harness.client.evacuation("b"), eq(EvacuationState { active: false, change_count: 0 }));
     for sequence in [0, 1, 2] {
         expect_that!(
             harness.receive(2, update(sequence, false, 0)).contains(&Output::ServersChanged),
             eq(false)
         );
-        expect_that!(harness.client.evacuation("a"), eq(EvacuationState { active: true, changes: 1 }));
+        expect_that!(harness.client.evacuation("a"), eq(EvacuationState { active: true, change_count: 1 }));
     }
     harness.receive(2, update(3, false, 2));
-    expect_that!(harness.client.evacuation("a"), eq(EvacuationState { active: false, changes: 2 }));
+    expect_that!(harness.client.evacuation("a"), eq(EvacuationState { active: false, change_count: 2 }));
 }
 
 #[gtest]
--- a/simulation/src/run/routers.rs
+++ b/simulation/src/run/routers.rs
@@ -66,7 +66,7 @@
     pub(super) fn summary(&self) -> Vec<u64> {
         let Some(follower) = &self.follower else { return Vec::new() };
         let zones = (0..3).map(zone).flat_map(|zone| {
-            let EvacuationState { active, changes } = follower.evacuation(&zone);
+            let EvacuationState { active, change_count: changes } = follower.evacuation(&zone);
             [u64::from(active), changes]
         });
         [follower.document().revision, follower.sequence()].into_iter().chain(zones).collect()
--- a/system/src/router/clients.rs
+++ b/system/src/router/clients.rs
@@ -12,7 +12,7 @@
 use ivyhatch_node::seats::{Seat, Seats};
 use ivyhatch_protocol::configuration::Route;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
-use ivyhatch_routing::prefix_cache::Prompt;
+use ivyhatch_routing::prompt::Prompt;
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout_at};
 
--- a/system/src/router/dispatch/answers.rs
+++ b/system/src/router/dispatch/answers.rs
@@ -2,7 +2,7 @@
 
 use ivyhatch_balancer::{Event, Outcome, Report, Settlement};
 use ivyhatch_protocol::{MILLISECOND, Nanos};
-use ivyhatch_routing::time_to_first_token::LoadReport;
+use ivyhatch_routing::load_report::LoadReport;
 
 use super::attempt::{Ending, Ticket};
 use super::state::{DispatcherState, Outputs};
--- a/system/src/router/dispatch/attempt.rs
+++ b/system/src/router/dispatch/attempt.rs
@@ -10,8 +10,8 @@
 use ivyhatch_balancer::{BackendId, Outcome, RequestId};
 use ivyhatch_protocol::Nanos;
 use ivyhatch_protocol::configuration::Route;
-use ivyhatch_routing::prefix_cache::Prompt;
-use ivyhatch_routing::time_to_first_token::LoadReport;
+use ivyhatch_routing::load_report::LoadReport;
+use ivyhatch_routing::prompt::Prompt;
 use tokio::sync::oneshot;
 
 use crate::router::answer::Head;
--- a/system/src/router/dispatch/mod.rs
+++ b/system/src/router/dispatch/mod.rs
@@ -20,8 +20,8 @@
 use ivyhatch_protocol::settings::Settings;
 use ivyhatch_protocol::watch::Server;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
+use ivyhatch_routing::load_report::LoadReport;
 use ivyhatch_routing::route_table::PreparedChange;
-use ivyhatch_routing::time_to_first_token::LoadReport;
 use ivyhatch_routing::watch_client::EvacuationState;
 use tokio::sync::{Notify, oneshot};
 
--- a/system/src/router/dispatch/server_list.rs
+++ b/system/src/router/dispatch/server_list.rs
@@ -60,7 +60,7 @@
                 BackendId(self.next_backend)
             });
             there.insert(id);
-            let EvacuationState { active: evacuated, changes: evacuations } = evacuation(&server.zone);
+            let EvacuationState { active: evacuated, change_count: evacuations } = evacuation(&server.zone);
             let leaves = server.draining || server.lifetime_remaining_ms.is_some();
             // Out of touch nobody knows whether the zone is evacuated still.
             let last_resort = evacuated && !quorum_reachable;
--- a/system/src/router/upstream/mod.rs
+++ b/system/src/router/upstream/mod.rs
@@ -19,7 +19,7 @@
 use ivyhatch_node::front::end_to_end;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 use ivyhatch_routing::event_stream::EventStreamParser;
-use ivyhatch_routing::time_to_first_token::LoadReport;
+use ivyhatch_routing::load_report::LoadReport;
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{sleep_until, timeout};
 
--- a/system/src/router/upstream/response.rs
+++ b/system/src/router/upstream/response.rs
@@ -7,7 +7,7 @@
 use hyper::http::response::Parts;
 use ivyhatch_balancer::Outcome;
 use ivyhatch_protocol::{Nanos, SECOND};
-use ivyhatch_routing::time_to_first_token::LoadReport;
+use ivyhatch_routing::load_report::LoadReport;
 
 use super::pool::DEFAULT_KEEP_ALIVE;
 use crate::router::clients::ATTEMPT_ID;
