--- a/balancer/src/advice.rs
+++ b/balancer/src/advice.rs
@@ -6,24 +6,24 @@
 use crate::state::*;
 
 /// What an embedder advises. Without one the module goes by what it has learned.
-pub trait Advice {
+pub trait PlacementAdvisor {
     /// Whether this request may go to this backend now, whatever else speaks for it.
     fn allows(&self, now: Nanos, request: RequestId, backend: BackendId) -> bool;
 
     /// The time to the beginning of this request's answer from this backend, in nanoseconds; none where it is not known better
     /// than by what the module has learned. Where it is known, `allows` tells as well whether there is room.
-    fn delay(&self, now: Nanos, request: RequestId, backend: BackendId) -> Option<f64>;
+    fn expected_delay(&self, now: Nanos, request: RequestId, backend: BackendId) -> Option<f64>;
 
     /// This request is sent to this backend: what is asked next has to take it into account, also within the same event.
-    fn sent(&self, now: Nanos, request: RequestId, backend: BackendId);
+    fn on_sent(&self, now: Nanos, request: RequestId, backend: BackendId);
 
     /// Whether the node's own zone can ever take this request.
-    fn may_stay(&self, request: RequestId) -> bool;
+    fn home_zone_allowed(&self, request: RequestId) -> bool;
 }
 
 impl Balancer {
     /// Goes by this advice from now on.
-    pub fn advise(&mut self, advice: Box<dyn Advice>) {
+    pub fn set_advisor(&mut self, advice: Box<dyn PlacementAdvisor>) {
         self.advice = Some(advice);
     }
 
@@ -33,7 +33,7 @@
     }
 
     /// So many repeats may be saved up from now on, where all nodes together have a bound of their own.
-    pub fn set_retries_saved(&mut self, saved: f64) {
+    pub fn set_max_retry_tokens(&mut self, saved: f64) {
         self.saved = Some(saved.max(0.0));
         self.retry_tokens = self.retry_tokens.min(self.retries_saved());
     }
@@ -53,15 +53,15 @@
     }
 
     pub(crate) fn advise_sent(&self, request: RequestId, to: BackendId) {
-        self.advice.iter().for_each(|advice| advice.sent(self.now, request, to));
+        self.advice.iter().for_each(|advice| advice.on_sent(self.now, request, to));
     }
 
     pub(crate) fn may_stay(&self, id: RequestId) -> bool {
-        self.advice.as_ref().is_none_or(|advice| advice.may_stay(id))
+        self.advice.as_ref().is_none_or(|advice| advice.home_zone_allowed(id))
     }
 
     fn advised_delay(&self, request: &Request, backend: &Backend) -> Option<f64> {
-        self.advice.as_ref()?.delay(self.now, request.id, backend.member.backend)
+        self.advice.as_ref()?.expected_delay(self.now, request.id, backend.member.backend)
     }
 
     /// Whether the embedder tells what this backend can take.
@@ -79,11 +79,11 @@
 
     /// Whether the request may be sent to one more backend. What was never written was not sent.
     pub(crate) fn attempts_left(&self, request: &Request) -> bool {
-        let Some(most) = self.settings.classes[request.class].attempts else {
-            return (request.attempts.len() as u32) < self.settings.limits.attempts;
+        let Some(most) = self.settings.classes[request.class].max_attempts else {
+            return (request.attempts.len() as u32) < self.settings.limits.max_attempts;
         };
         let unsent =
-            |attempt: &&Attempt| matches!(attempt.outcome, Some(Outcome::ConnectFailed | Outcome::Moot));
+            |attempt: &&Attempt| matches!(attempt.outcome, Some(Outcome::ConnectFailed | Outcome::NotSent));
         let unsent = request.attempts.iter().filter(unsent).count();
         // Those that can't be reached are bounded as well: a request must not go through all of them.
         request.attempts.len() - unsent < most as usize && (unsent as f64) < HANDFUL
@@ -92,20 +92,20 @@
     /// What one more attempt costs of the budget for repeats: nothing where the last one reached nobody.
     pub(crate) fn retry_cost(&self, request: &Request) -> f64 {
         let unsent =
-            |attempt: &Attempt| matches!(attempt.outcome, Some(Outcome::ConnectFailed | Outcome::Moot));
-        let bounded = self.settings.classes[request.class].attempts.is_some();
+            |attempt: &Attempt| matches!(attempt.outcome, Some(Outcome::ConnectFailed | Outcome::NotSent));
+        let bounded = self.settings.classes[request.class].max_attempts.is_some();
         if bounded && request.attempts.last().is_some_and(unsent) { 0.0 } else { 1.0 }
     }
 
     /// How long a request that was never sent may be held.
     pub(crate) fn patience(&self, class: usize, wait: Nanos) -> Nanos {
-        self.settings.classes[class].patience.unwrap_or(wait / 2).min(wait)
+        self.settings.classes[class].max_queue_time.unwrap_or(wait / 2).min(wait)
     }
 
     /// Whether it is too late to send a request again.
     pub(crate) fn too_late(&self, request: &Request) -> bool {
         let class = &self.settings.classes[request.class];
-        self.now >= if class.again_late { request.not_after } else { request.aim_end }
+        self.now >= if class.retry_past_target { request.not_after } else { request.aim_end }
     }
 
     /// A stream has broken off: it is open again, with a new aim.
--- a/balancer/src/api.rs
+++ b/balancer/src/api.rs
@@ -22,7 +22,7 @@
 
 /// Which backends drop a repeat of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum IdempotencyScope {
     /// Every backend.
     All,
     /// The backends of one zone.
@@ -33,52 +33,52 @@
 
 /// Whether a request of a class may take effect twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Safe to repeat.
-    Repeatable,
-    /// Repeats are dropped inside `group` for `window` from the first send that may have run.
+    Idempotent,
+    /// Repeats are dropped inside `scope` for `window` from the first send that may have run.
     Keyed {
         /// The backends that share which keys they have seen.
-        group: Group,
+        scope: IdempotencyScope,
         /// How long they remember.
         window: Nanos,
     },
     /// Must not run twice.
-    Once,
+    NonIdempotent,
 }
 
 /// What the settings say of one request class.
 #[derive(Clone, Copy, Debug)]
 pub struct ClassSettings {
     /// An answer within this time earns the full worth.
-    pub aim: Nanos,
+    pub latency_target: Nanos,
     /// The client's time over all its tries.
     pub deadline: Nanos,
     /// Worth of one request.
-    pub worth: f64,
+    pub value: f64,
     /// Share of the worth still earned after the aim.
-    pub late_share: f64,
+    pub late_value_share: f64,
     /// Whether it may be repeated.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Most backends that one request may be sent to; none for what the limits say.
-    pub attempts: Option<u32>,
+    pub max_attempts: Option<u32>,
     /// A request that was never sent is held for so long at most; none for half of its client's time.
-    pub patience: Option<Nanos>,
+    pub max_queue_time: Option<Nanos>,
     /// A request that failed is sent again past its aim as well.
-    pub again_late: bool,
+    pub retry_past_target: bool,
 }
 
 impl Default for ClassSettings {
     fn default() -> Self {
         Self {
-            aim: 500_000_000,
+            latency_target: 500_000_000,
             deadline: 1_000_000_000,
-            worth: 1.0,
-            late_share: 0.0,
-            effect: Effect::Repeatable,
-            attempts: None,
-            patience: None,
-            again_late: false,
+            value: 1.0,
+            late_value_share: 0.0,
+            idempotency: Idempotency::Idempotent,
+            max_attempts: None,
+            max_queue_time: None,
+            retry_past_target: false,
         }
     }
 }
@@ -89,10 +89,10 @@
     /// Changes come unasked.
     Pushed,
     /// Only after [`Action::Watch`] or [`Action::Fetch`].
-    Asked,
+    OnRequest,
 }
 
-/// What [`Member::size`] holds.
+/// What [`Member::weight`] holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Weights {
     /// The registered size, give or take, or nothing.
@@ -103,47 +103,47 @@
 
 /// How a backend's load reports reach the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReporting {
     /// With answers, and with the ends of probes.
     Piggyback,
     /// With the ends of probes only.
     Pull,
     /// Not at all.
-    Silent,
+    Disabled,
 }
 
 /// Limits that the site sets.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Most attempts for one request.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Two attempts of one request may be out together.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Probes may be sent.
     pub probes: bool,
     /// Attempts may be cancelled.
-    pub cancel: bool,
+    pub cancellation: bool,
     /// Longest pause a client honours after a refusal; 0 where pauses are not passed on.
-    pub retry_after: Nanos,
+    pub max_retry_after: Nanos,
 }
 
 /// The figures of the four rules.
 #[derive(Clone, Copy, Debug)]
-pub struct RuleFigures {
+pub struct RuleSettings {
     /// A final answer is accepted this long after the client's deadline.
-    pub answer_slack: Nanos,
+    pub answer_grace: Nanos,
     /// An asking node that has not asked for this long is deemed told of the list of that time.
-    pub ask_within: Nanos,
+    pub max_poll_interval: Nanos,
     /// Sends to a draining backend must have ended this long after the node was told.
     pub drain_grace: Nanos,
     /// Share of its capacity that a backend starts with, or more.
-    pub start_capacity: f64,
+    pub initial_capacity: f64,
     /// A backend is warm this long after its start, or sooner.
-    pub warm_after: Nanos,
+    pub warm_up_time: Nanos,
     /// A cold backend sent more than this multiple of its capacity falls over ...
-    pub tip_multiple: f64,
+    pub overload_multiple: f64,
     /// ... counted over any span of this length.
-    pub fall_span: Nanos,
+    pub overload_window: Nanos,
 }
 
 /// What the node is told at its start.
@@ -158,27 +158,27 @@
     /// The classes, by [`ClassId`].
     pub classes: Vec<ClassSettings>,
     /// Each tenant's requests a second, over all nodes, within its share.
-    pub tenants: Vec<f64>,
+    pub tenant_quotas: Vec<f64>,
     /// Worth of a request beyond its tenant's share, against one within it.
-    pub over_share_worth: f64,
+    pub over_quota_value: f64,
     /// How the list arrives.
     pub discovery: Discovery,
     /// What the list's sizes stand for.
     pub weights: Weights,
     /// How load reports arrive.
-    pub reports: Reports,
+    pub reports: LoadReporting,
     /// What one probe for each request would cost, as a part of the goal; 0 for nothing.
-    pub probe_price: f64,
+    pub probe_cost: f64,
     /// The site's limits.
     pub limits: Limits,
     /// The figures of the rules.
-    pub rules: RuleFigures,
+    pub rules: RuleSettings,
     /// Share of the site's goal that the worst-served class decides, 0 to 1.
-    pub worst_class_goal: f64,
+    pub worst_class_weight: f64,
     /// Clients mark their repeats, all of them.
-    pub repeats_marked: bool,
+    pub clients_mark_retries: bool,
     /// Worth is counted for each unit of work, not for each request.
-    pub worth_by_work: bool,
+    pub value_per_work: bool,
     /// Shortest time between two handlings.
     pub quantum: Nanos,
 }
@@ -191,25 +191,31 @@
             zones,
             nodes: 1,
             classes: Vec::new(),
-            tenants: Vec::new(),
-            over_share_worth: 1.0,
+            tenant_quotas: Vec::new(),
+            over_quota_value: 1.0,
             discovery: Discovery::Pushed,
             weights: Weights::Size,
-            reports: Reports::Silent,
-            probe_price: 0.0,
-            limits: Limits { attempts: 3, second_copies: true, probes: false, cancel: true, retry_after: 0 },
-            rules: RuleFigures {
-                answer_slack: 20_000_000,
-                ask_within: 10_000_000_000,
+            reports: LoadReporting::Disabled,
+            probe_cost: 0.0,
+            limits: Limits {
+                max_attempts: 3,
+                hedging: true,
+                probes: false,
+                cancellation: true,
+                max_retry_after: 0,
+            },
+            rules: RuleSettings {
+                answer_grace: 20_000_000,
+                max_poll_interval: 10_000_000_000,
                 drain_grace: 500_000_000,
-                start_capacity: 0.1,
-                warm_after: 30_000_000_000,
-                tip_multiple: 2.0,
-                fall_span: 2_000_000_000,
+                initial_capacity: 0.1,
+                warm_up_time: 30_000_000_000,
+                overload_multiple: 2.0,
+                overload_window: 2_000_000_000,
             },
-            worst_class_goal: 0.0,
-            repeats_marked: false,
-            worth_by_work: false,
+            worst_class_weight: 0.0,
+            clients_mark_retries: false,
+            value_per_work: false,
             quantum: 1_000_000,
         }
     }
@@ -231,32 +237,32 @@
             return fail("classes", "there must be at least one");
         }
         for class in &self.classes {
-            if class.aim == 0 || class.deadline == 0 {
+            if class.latency_target == 0 || class.deadline == 0 {
                 return fail("classes", "aim and deadline must be above 0");
             }
-            if !rate(class.worth) || !rate(class.late_share) {
+            if !rate(class.value) || !rate(class.late_value_share) {
                 return fail("classes", "worth and late share must be finite and not negative");
             }
         }
-        if self.limits.attempts == 0 {
+        if self.limits.max_attempts == 0 {
             return fail("limits.attempts", "must be at least 1");
         }
-        if !rate(self.rules.tip_multiple) || self.rules.tip_multiple == 0.0 {
+        if !rate(self.rules.overload_multiple) || self.rules.overload_multiple == 0.0 {
             return fail("rules.tip_multiple", "must be finite and above 0");
         }
-        if !rate(self.rules.start_capacity) || self.rules.start_capacity > 1.0 {
+        if !rate(self.rules.initial_capacity) || self.rules.initial_capacity > 1.0 {
             return fail("rules.start_capacity", "must lie between 0 and 1");
         }
-        if !self.tenants.iter().all(|&quota| rate(quota)) {
+        if !self.tenant_quotas.iter().all(|&quota| rate(quota)) {
             return fail("tenants", "must be finite and not negative");
         }
-        if !rate(self.over_share_worth) {
+        if !rate(self.over_quota_value) {
             return fail("over_share_worth", "must be finite and not negative");
         }
-        if !rate(self.probe_price) {
+        if !rate(self.probe_cost) {
             return fail("probe_price", "must be finite and not negative");
         }
-        if !rate(self.worst_class_goal) {
+        if !rate(self.worst_class_weight) {
             return fail("worst_class_goal", "must be finite and not negative");
         }
         Ok(())
@@ -282,14 +288,14 @@
 
 /// What the list says of a backend.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Stage {
+pub enum BackendState {
     /// Takes requests.
     #[default]
     InService,
     /// Completes its work; nothing new may be sent.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// One line of the list of backends.
@@ -300,18 +306,18 @@
     /// Its zone.
     pub zone: ZoneId,
     /// Its machine kind.
-    pub kind: u32,
+    pub machine_kind: u32,
     /// Its cell.
     pub cell: u64,
     /// What it may take.
-    pub stage: Stage,
+    pub state: BackendState,
     /// Its size against the others', or what [`Weights`] says; 0 or less counts as 1.
-    pub size: f64,
+    pub weight: f64,
     /// When it last started, if lately.
     pub online_since: Option<Nanos>,
 }
 
-/// Which list an [`Event::Fleet`] brings.
+/// Which list an [`Event::Membership`] brings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
     /// Changed lines only.
@@ -324,11 +330,11 @@
 
 /// A backend's figures of its load; absent where not reported.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Report {
+pub struct LoadReport {
     /// Share of its cores in use.
-    pub util: Option<f64>,
+    pub utilisation: Option<f64>,
     /// Requests it serves a second.
-    pub rate: Option<f64>,
+    pub requests_per_second: Option<f64>,
     /// Requests it holds.
     pub in_flight: Option<f64>,
 }
@@ -341,9 +347,9 @@
     /// The backend returned an error.
     Error,
     /// What came back can't be used, and says nothing of the backend.
-    Spoilt,
-    /// Sent away without a look.
-    Full,
+    InvalidResponse,
+    /// Rejected by the backend without being processed.
+    Rejected,
     /// No answer in time.
     TimedOut,
     /// No connection came about.
@@ -353,13 +359,13 @@
     /// Withdrawn.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 impl Outcome {
     /// Whether the attempt may have taken effect.
     pub fn may_have_run(self) -> bool {
-        !matches!(self, Self::Full | Self::ConnectFailed | Self::Moot)
+        !matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotSent)
     }
 }
 
@@ -371,10 +377,10 @@
     /// Its class.
     pub class: ClassId,
     /// How much work to expect, on a standard core.
-    pub hint: Option<Nanos>,
+    pub expected_work: Option<Nanos>,
     /// The client marks it as a repeat.
-    pub repeat: bool,
-    /// Whose it is: a position in [`Settings::tenants`].
+    pub is_retry: bool,
+    /// Whose it is: a position in [`Settings::tenant_quotas`].
     pub tenant: Option<u32>,
     /// When the client gives this try up.
     pub not_after: Nanos,
@@ -382,7 +388,7 @@
 
 /// The end of one attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct Settlement {
+pub struct AttemptEnd {
     /// The request.
     pub request: RequestId,
     /// The attempt's number, from 0 in the order of the sends.
@@ -392,9 +398,9 @@
     /// Time since the send.
     pub elapsed: Nanos,
     /// The request has ended, by this or earlier.
-    pub ended: bool,
+    pub request_ended: bool,
     /// The backend's figures, if any came.
-    pub report: Report,
+    pub report: LoadReport,
 }
 
 /// What the module hears.
@@ -403,32 +409,32 @@
     /// The node starts. Must come first, once.
     Start,
     /// A list of backends.
-    Fleet {
+    Membership {
         /// Which list.
         scope: ListScope,
         /// Its lines.
         members: Vec<Member>,
     },
     /// A call to discovery failed or the watch broke.
-    FleetFailed,
+    DiscoveryFailed,
     /// A request came in and is owed one final answer.
     Request(Arrival),
     /// An attempt ended.
-    Settled(Settlement),
+    AttemptEnded(AttemptEnd),
     /// A streamed answer has started.
-    Started {
+    StreamStarted {
         /// The request.
         request: RequestId,
     },
     /// A streamed answer has broken off and may go on at another backend; its attempt's end follows.
-    Broken {
+    StreamInterrupted {
         /// The request.
         request: RequestId,
         /// It goes on by then, or is late.
-        aim_end: Nanos,
+        target_at: Nanos,
     },
     /// A probe ended.
-    Probed {
+    ProbeEnded {
         /// The backend.
         backend: BackendId,
         /// How it ended.
@@ -436,10 +442,10 @@
         /// Time since the probe was sent.
         elapsed: Nanos,
         /// The backend's figures, if any came.
-        report: Report,
+        report: LoadReport,
     },
     /// The client has gone; nothing more is owed.
-    ClientGone {
+    ClientDisconnected {
         /// The request.
         request: RequestId,
     },
@@ -463,11 +469,11 @@
         timeout: Option<Nanos>,
     },
     /// Final answer: refused, trying again does no harm.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// Advice how long to stay away; 0 for none.
-        pause: Nanos,
+        retry_after: Nanos,
     },
     /// Final answer: failed, with no promise.
     Fail {
@@ -503,7 +509,7 @@
 
 /// A backend as this node sees it, for people: nothing is decided by it outside the module.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BackendFigures {
+pub struct BackendSnapshot {
     /// Which.
     pub backend: BackendId,
     /// Where it stands.
@@ -517,5 +523,5 @@
     /// It failed too often, and gets nothing or a trial for now.
     pub ejected: bool,
     /// Share of its capacity that it surely has by now; 1 when warm.
-    pub warm: f64,
+    pub capacity_share: f64,
 }
--- a/balancer/src/learning.rs
+++ b/balancer/src/learning.rs
@@ -32,9 +32,9 @@
     }
 
     /// Takes a load report in; figures that are not possible are passed over.
-    pub(crate) fn report(&mut self, id: BackendId, report: Report) {
+    pub(crate) fn report(&mut self, id: BackendId, report: LoadReport) {
         let Some(backend) = self.backends.get_mut(&id) else { return };
-        if let Some(util) = report.util.filter(|util| (0.0..=UTIL_MOST).contains(util)) {
+        if let Some(util) = report.utilisation.filter(|util| (0.0..=UTIL_MOST).contains(util)) {
             let mut own = Smooth { value: backend.told_at, at: backend.util.at };
             own.feed(self.now, f64::from(backend.in_flight), UTIL_SMOOTHING, 0.05);
             backend.told_at = own.value;
@@ -83,14 +83,14 @@
     }
 
     /// Learns slowness, base time and served rate from one outcome.
-    pub(crate) fn learn(&mut self, id: BackendId, class: usize, cost: f64, load: f64, settled: &Settlement) {
+    pub(crate) fn learn(&mut self, id: BackendId, class: usize, cost: f64, load: f64, settled: &AttemptEnd) {
         let ratio = settled.elapsed as f64 / self.delay(class, load).max(1.0);
         let served = settled.outcome == Outcome::Served;
-        let part = settled.elapsed as f64 / self.settings.classes[class].aim as f64;
+        let part = settled.elapsed as f64 / self.settings.classes[class].latency_target as f64;
         match settled.outcome {
             Outcome::Served => self.strain.feed(self.now, part.min(1.0)),
             // Not in the time that there was; or no place even at the end of the queue.
-            Outcome::TimedOut | Outcome::Full => self.strain.feed(self.now, 1.0),
+            Outcome::TimedOut | Outcome::Rejected => self.strain.feed(self.now, 1.0),
             _ => {}
         }
         let Some(backend) = self.backends.get_mut(&id) else { return };
@@ -140,14 +140,20 @@
     /// were a little quicker than those of the backends that stood idle.
     #[test]
     fn quick_answers_at_a_light_load_do_not_wear_the_bound_away() {
-        let class = ClassSettings { aim: 400 * MS, deadline: SECOND, ..ClassSettings::default() };
+        let class = ClassSettings { latency_target: 400 * MS, deadline: SECOND, ..ClassSettings::default() };
         let settings = Settings { classes: vec![class], ..Settings::new(ZoneId(0), 1) };
         let mut node = Balancer::new(settings, 7, 100 * SECOND).expect("usable settings");
         node.take_list(ListScope::Full, vec![Member::default()], 1);
         let mut learn = |load, elapsed, times| {
-            let (outcome, report) = (Outcome::Served, Report::default());
-            let settled =
-                Settlement { request: RequestId(0), attempt: 0, outcome, elapsed, ended: true, report };
+            let (outcome, report) = (Outcome::Served, LoadReport::default());
+            let settled = AttemptEnd {
+                request: RequestId(0),
+                attempt: 0,
+                outcome,
+                elapsed,
+                request_ended: true,
+                report,
+            };
             (0..times).for_each(|_| node.learn(BackendId(0), 0, 1.0, load, &settled));
             node.load_within(0, 125.0 * MS as f64)
         };
@@ -161,7 +167,7 @@
     /// six times slow got nothing, and so nothing that could show it well again.
     #[test]
     fn an_idle_backend_that_looks_very_slow_gets_one_request() {
-        let class = ClassSettings { aim: 400 * MS, deadline: SECOND, ..ClassSettings::default() };
+        let class = ClassSettings { latency_target: 400 * MS, deadline: SECOND, ..ClassSettings::default() };
         let settings = Settings { classes: vec![class], ..Settings::new(ZoneId(0), 1) };
         let now = 100 * SECOND;
         let mut node = Balancer::new(settings, 7, now).expect("usable settings");
@@ -175,8 +181,8 @@
             let arrival = Arrival {
                 request: RequestId(request),
                 class,
-                hint: None,
-                repeat: false,
+                expected_work: None,
+                is_retry: false,
                 tenant: None,
                 not_after,
             };
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -12,6 +12,6 @@
 mod tally;
 mod view;
 
-pub use advice::Advice;
+pub use advice::PlacementAdvisor;
 pub use api::*;
-pub use state::{Balancer, mix};
+pub use state::{Balancer, hash_mix};
--- a/balancer/src/notices.rs
+++ b/balancer/src/notices.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::api::{BackendId, ListScope, Member, Nanos, Stage};
+use crate::api::{BackendId, BackendState, ListScope, Member, Nanos};
 
 /// No replica lags longer: a whole list from then on is younger than the notice.
 const BINDS: Nanos = 300_000_000_000;
@@ -39,7 +39,7 @@
     ) {
         self.0.retain(|_, notice| notice.told + BINDS > now);
         for member in members {
-            if member.stage != Stage::InService {
+            if member.state != BackendState::InService {
                 // A line that says "gone" need not say since when it was there.
                 let online_since = member.online_since.max(started(member.backend));
                 self.0.entry(member.backend).or_insert(Notice { online_since, told: now });
@@ -49,7 +49,7 @@
             if scope == ListScope::Changes || member.online_since > notice.online_since {
                 self.0.remove(&member.backend);
             } else {
-                member.stage = Stage::Draining;
+                member.state = BackendState::Draining;
             }
         }
     }
@@ -62,29 +62,30 @@
     const SECOND: Nanos = 1_000_000_000;
 
     /// The stage of backend 1 after lines told one after another, each with its time in seconds.
-    fn after(lines: &[(Nanos, ListScope, Stage, Option<Nanos>)]) -> Stage {
+    fn after(lines: &[(Nanos, ListScope, BackendState, Option<Nanos>)]) -> BackendState {
         let mut notices = Notices::default();
         let mut last = Member::default();
         for &(at, scope, stage, online_since) in lines {
-            let mut members = [Member { backend: BackendId(1), stage, online_since, ..Member::default() }];
+            let mut members =
+                [Member { backend: BackendId(1), state: stage, online_since, ..Member::default() }];
             notices.apply(scope, &mut members, |_| Some(5), at * SECOND);
             [last] = members;
         }
-        last.stage
+        last.state
     }
 
     #[test]
     fn a_whole_list_takes_no_notice_back_but_a_new_start_a_change_and_time_do() {
+        use BackendState::{Draining, InService, Removed};
         use ListScope::{Cached, Changes, Full};
-        use Stage::{Draining, Gone, InService};
         for scope in [Full, Cached] {
-            for told in [Draining, Gone] {
+            for told in [Draining, Removed] {
                 let old = after(&[(1, Changes, told, None), (2, scope, InService, Some(5))]);
                 assert_eq!(old, Draining, "{told:?}, then {scope:?}");
             }
         }
         assert_eq!(
-            after(&[(1, Changes, Gone, None), (2, Full, InService, Some(6))]),
+            after(&[(1, Changes, Removed, None), (2, Full, InService, Some(6))]),
             InService,
             "a new start"
         );
@@ -93,9 +94,9 @@
             InService,
             "a change"
         );
-        assert_eq!(after(&[(1, Changes, Gone, None), (302, Full, InService, Some(5))]), InService, "time");
+        assert_eq!(after(&[(1, Changes, Removed, None), (302, Full, InService, Some(5))]), InService, "time");
         let again =
-            [(1, Changes, Gone, None), (2, Changes, InService, Some(6)), (3, Full, InService, Some(6))];
+            [(1, Changes, Removed, None), (2, Changes, InService, Some(6)), (3, Full, InService, Some(6))];
         assert_eq!(after(&again), InService, "taken back for good");
     }
 }
--- a/balancer/src/policy/admission.rs
+++ b/balancer/src/policy/admission.rs
@@ -90,7 +90,7 @@
             return;
         }
         let worth = |band: usize| {
-            let over = if band % 2 == 1 { self.settings.over_share_worth } else { 1.0 };
+            let over = if band % 2 == 1 { self.settings.over_quota_value } else { 1.0 };
             self.classes[band / 2].value * over
         };
         // Each band's worth, its next request, and whether no backend has room for any of it.
@@ -137,29 +137,29 @@
         }
         self.held.ends_by(self.now + tick, &mut late);
         for (_, id) in late {
-            self.end(id, Why::Held, self.settings.limits.retry_after, actions);
+            self.end(id, Why::Held, self.settings.limits.max_retry_after, actions);
         }
     }
 
     /// What a unit of each class's work adds to the goal: worth, and more for the worst-served class.
     pub(super) fn value_classes(&mut self) {
-        let goal = self.settings.worst_class_goal.min(1.0);
+        let goal = self.settings.worst_class_weight.min(1.0);
         let rates: Vec<(f64, f64)> =
             self.classes.iter().map(|c| (c.asked.now(self.now), c.served.now(self.now))).collect();
-        let worth: f64 = rates.iter().zip(&self.settings.classes).map(|(r, c)| r.0 * c.worth).sum();
+        let worth: f64 = rates.iter().zip(&self.settings.classes).map(|(r, c)| r.0 * c.value).sum();
         let part = |(asked, served): (f64, f64)| if asked > 0.0 { served / asked } else { 1.0 };
         let worst = rates.iter().map(|&rate| part(rate)).fold(1.0, f64::min);
         for ((view, class), &rate) in self.classes.iter_mut().zip(&self.settings.classes).zip(&rates) {
-            let mut value = (1.0 - goal) * class.worth / worth.max(1e-9);
+            let mut value = (1.0 - goal) * class.value / worth.max(1e-9);
             if part(rate) <= worst {
                 value += goal / rate.0.max(1e-9);
             }
-            view.value = if self.settings.worth_by_work { value } else { value / view.idle.max(1.0) };
+            view.value = if self.settings.value_per_work { value } else { value / view.idle.max(1.0) };
         }
         // A worthy class with a tight aim would find all room taken by lesser ones with a wide aim.
         let mut room = f64::INFINITY;
         for class in self.by_value().into_iter().filter(|&class| rates[class].0 > 0.1) {
-            let aim = self.settings.classes[class].aim as f64;
+            let aim = self.settings.classes[class].latency_target as f64;
             let crowded = self.load_within(class, CROWDED * self.classes[class].idle).max(HANDFUL);
             room = (room * PRECEDENCE).min(crowded).min(self.load_within(class, ADMIT * aim));
             self.classes[class].room = room;
@@ -182,11 +182,12 @@
 
     /// Part of a tenant's requests that is beyond this node's part of its share.
     pub(super) fn over_share(&self, tenant: usize) -> f64 {
-        let (Some(asked), Some(quota)) = (self.tenants.get(tenant), self.settings.tenants.get(tenant)) else {
+        let (Some(asked), Some(quota)) = (self.tenants.get(tenant), self.settings.tenant_quotas.get(tenant))
+        else {
             return 0.0;
         };
         let part = quota / f64::from(self.settings.nodes) / asked.now(self.now).max(1e-9);
         // A node sees few requests of a tenant: half as many again may be chance.
-        if self.settings.over_share_worth < 1.0 { (1.0 - 1.5 * part).max(0.0) } else { 0.0 }
+        if self.settings.over_quota_value < 1.0 { (1.0 - 1.5 * part).max(0.0) } else { 0.0 }
     }
 }
--- a/balancer/src/policy/backends.rs
+++ b/balancer/src/policy/backends.rs
@@ -17,14 +17,14 @@
     }
 
     /// Share of its capacity that it surely has by now; 1 when warm.
-    pub(crate) fn ramp(&self, now: Nanos, rules: &RuleFigures) -> f64 {
+    pub(crate) fn ramp(&self, now: Nanos, rules: &RuleSettings) -> f64 {
         let Some(since) = self.member.online_since else { return 1.0 };
-        let age = now.saturating_sub(since) as f64 / rules.warm_after.max(1) as f64;
-        (rules.start_capacity + (1.0 - rules.start_capacity) * age).clamp(0.01, 1.0)
+        let age = now.saturating_sub(since) as f64 / rules.warm_up_time.max(1) as f64;
+        (rules.initial_capacity + (1.0 - rules.initial_capacity) * age).clamp(0.01, 1.0)
     }
 
     /// Slowness against the fleet's mean, forgotten towards what its ramp implies.
-    pub(crate) fn slowness(&self, now: Nanos, rules: &RuleFigures) -> f64 {
+    pub(crate) fn slowness(&self, now: Nanos, rules: &RuleSettings) -> f64 {
         let prior = 1.0 / self.ramp(now, rules);
         let Some(at) = self.slow.at else { return prior };
         prior + (self.slow.value - prior) * decay(now.saturating_sub(at), SLOW_FORGET)
--- a/balancer/src/policy/discovery.rs
+++ b/balancer/src/policy/discovery.rs
@@ -23,7 +23,7 @@
         self.list_period += (period.min(3.0) - self.list_period) * 0.2;
         self.listed_at = Some(self.now);
         let mut sums = vec![(0.0, 0.0); self.zones.len()];
-        for backend in self.backends.values_mut().filter(|b| b.member.stage == Stage::InService) {
+        for backend in self.backends.values_mut().filter(|b| b.member.state == BackendState::InService) {
             if let (Some(sum), Some(held)) = (sums.get_mut(backend.member.zone.0 as usize), backend.held) {
                 *sum = (sum.0 + 1.0, sum.1 + held);
                 backend.util.feed(self.now, held / (1.0 + held), UTIL_SMOOTHING, 0.05);
--- a/balancer/src/policy/health.rs
+++ b/balancer/src/policy/health.rs
@@ -30,11 +30,15 @@
         let weight = match outcome {
             Outcome::Served => 0,
             // A connection may break on the way, between two that are well; a refused one tells more.
-            Outcome::Error | Outcome::Spoilt | Outcome::TimedOut | Outcome::Full | Outcome::Reset => 1,
+            Outcome::Error
+            | Outcome::InvalidResponse
+            | Outcome::TimedOut
+            | Outcome::Rejected
+            | Outcome::Reset => 1,
             Outcome::ConnectFailed => 2,
-            Outcome::Cancelled | Outcome::Moot => return,
+            Outcome::Cancelled | Outcome::NotSent => return,
         };
-        let turned_away = outcome == Outcome::Full || (outcome == Outcome::ConnectFailed && self.many());
+        let turned_away = outcome == Outcome::Rejected || (outcome == Outcome::ConnectFailed && self.many());
         let Some(backend) = self.backends.get_mut(&id) else { return };
         let (zone, sound) = (backend.member.zone, backend.health == Health::Healthy);
         if turned_away || !sound {
@@ -50,7 +54,7 @@
         }
         backend.full_in_row = 0;
         // What comes back spoilt comes from all alike, or is the fault of the request: it tells little.
-        let told = if outcome == Outcome::Spoilt { 0.5 } else { 1.0 };
+        let told = if outcome == Outcome::InvalidResponse { 0.5 } else { 1.0 };
         backend.failing.feed(self.now, if weight > 0 { told } else { 0.0 }, SECOND, 0.1);
         if weight == 0 {
             backend.failed_in_row = 0;
--- a/balancer/src/policy/ledger.rs
+++ b/balancer/src/policy/ledger.rs
@@ -10,15 +10,15 @@
     pub(super) fn arrive(&mut self, arrival: Arrival, actions: &mut Vec<Action>) {
         let class = (arrival.class.0 as usize).min(self.classes.len() - 1);
         let view = &mut self.classes[class];
-        let cost = arrival.hint.map_or(view.idle, |hint| hint as f64).max(1.0);
+        let cost = arrival.expected_work.map_or(view.idle, |hint| hint as f64).max(1.0);
         view.cost += (cost - view.cost) * if view.cost > 0.0 { COST_SMOOTHING } else { 1.0 };
         // A try well shorter than others ends with the client's deadline: that tells when its first try came,
         // and the aim counts from then. Arrivals jitter, so a little shorter is no sign. Where repeats
         // are marked the rest are first tries: repeats may get more time, which made those look late.
         let wait = arrival.not_after.saturating_sub(self.now);
         view.longest_try = view.longest_try.max(wait);
-        let worthless_late = self.settings.classes[class].late_share == 0.0;
-        let again = arrival.repeat || !self.settings.repeats_marked;
+        let worthless_late = self.settings.classes[class].late_value_share == 0.0;
+        let again = arrival.is_retry || !self.settings.clients_mark_retries;
         let short = again && worthless_late && wait < view.longest_try - view.longest_try / 8;
         // More of these than were left unserved are first tries, of clients that have come to wait less long.
         let repeat = short && self.short.now(self.now) <= 1.0 + REPEATS * self.unserved.now(self.now);
@@ -28,7 +28,7 @@
         } else {
             self.now
         };
-        let aim_end = arrival.not_after.min(first + self.settings.classes[class].aim);
+        let aim_end = arrival.not_after.min(first + self.settings.classes[class].latency_target);
         let request = Request {
             id: arrival.request,
             class,
@@ -64,7 +64,7 @@
             request.over = over;
         }
         if past {
-            self.end(arrival.request, Why::Past, self.settings.limits.retry_after, actions);
+            self.end(arrival.request, Why::Past, self.settings.limits.max_retry_after, actions);
             return;
         }
         self.dispatch(arrival.request, actions);
@@ -73,7 +73,7 @@
     /// The contract gate: whether this request may be sent to this backend now. Every send passes it.
     pub(super) fn permits(&self, request: &Request, backend: &Backend) -> bool {
         // A wanted margin to the drain grace: nothing is sent once told.
-        let in_service = backend.member.stage == Stage::InService;
+        let in_service = backend.member.state == BackendState::InService;
         in_service
             && self.may_go(request)
             && self.may_go_to(request, backend)
@@ -84,23 +84,23 @@
     /// What the gate asks of the request alone.
     pub(super) fn may_go(&self, request: &Request) -> bool {
         let live = matches!(request.phase, Phase::Open | Phase::Held) && self.now < request.not_after;
-        let alone = self.settings.limits.second_copies || !request.attempts.iter().any(Attempt::out);
+        let alone = self.settings.limits.hedging || !request.attempts.iter().any(Attempt::out);
         let ran = request.attempts.iter().any(Attempt::may_have_run);
-        let effect = self.settings.classes[request.class].effect;
-        live && alone && self.attempts_left(request) && !(ran && effect == Effect::Once)
+        let effect = self.settings.classes[request.class].idempotency;
+        live && alone && self.attempts_left(request) && !(ran && effect == Idempotency::NonIdempotent)
     }
 
     fn may_go_to(&self, request: &Request, backend: &Backend) -> bool {
         let ran = request.attempts.iter().find(|attempt| attempt.may_have_run());
-        let (Effect::Keyed { group, window }, Some(first)) =
-            (self.settings.classes[request.class].effect, ran)
+        let (Idempotency::Keyed { scope: group, window }, Some(first)) =
+            (self.settings.classes[request.class].idempotency, ran)
         else {
             return true;
         };
         let same = match group {
-            Group::All => true,
-            Group::Zone => first.zone == backend.member.zone,
-            Group::Cell => first.cell == backend.member.cell,
+            IdempotencyScope::All => true,
+            IdempotencyScope::Zone => first.zone == backend.member.zone,
+            IdempotencyScope::Cell => first.cell == backend.member.cell,
         };
         same && self.now + self.settings.quantum < first.sent.saturating_add(window)
     }
@@ -154,12 +154,12 @@
             self.unserved.add(self.now, 1.0);
         }
         let ran = request.attempts.iter().any(Attempt::may_have_run);
-        let refusable = match self.settings.classes[request.class].effect {
-            Effect::Repeatable | Effect::Keyed { group: Group::All, .. } => true,
-            Effect::Keyed { .. } | Effect::Once => !ran,
+        let refusable = match self.settings.classes[request.class].idempotency {
+            Idempotency::Idempotent | Idempotency::Keyed { scope: IdempotencyScope::All, .. } => true,
+            Idempotency::Keyed { .. } | Idempotency::NonIdempotent => !ran,
         };
         actions.push(if refusable {
-            Action::Refuse { request: id, pause: pause.min(self.settings.limits.retry_after) }
+            Action::Reject { request: id, retry_after: pause.min(self.settings.limits.max_retry_after) }
         } else {
             Action::Fail { request: id }
         });
@@ -168,7 +168,9 @@
     }
 
     pub(super) fn cancel_rest(&self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(request) = self.requests.get(&id).filter(|_| self.settings.limits.cancel) else { return };
+        let Some(request) = self.requests.get(&id).filter(|_| self.settings.limits.cancellation) else {
+            return;
+        };
         let out = request.attempts.iter().zip(0..).filter(|(attempt, _)| attempt.out());
         actions.extend(out.map(|(_, attempt)| Action::Cancel { request: id, attempt }));
     }
@@ -182,7 +184,7 @@
         }
     }
 
-    pub(super) fn settle(&mut self, settled: Settlement, actions: &mut Vec<Action>) {
+    pub(super) fn settle(&mut self, settled: AttemptEnd, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&settled.request) else { return };
         let (class, cost, aim_end) = (request.class, request.cost, request.aim_end);
         let Some(attempt) = request.attempts.get_mut(settled.attempt as usize).filter(|a| a.out()) else {
@@ -205,10 +207,10 @@
             self.judge(to, settled.outcome, actions);
         }
         self.report(to, settled.report);
-        if let Some(probes) = self.probes.as_mut().filter(|_| settled.report.util.is_some()) {
+        if let Some(probes) = self.probes.as_mut().filter(|_| settled.report.utilisation.is_some()) {
             probes.told(to.0, self.now);
         }
-        if settled.ended || !open {
+        if settled.request_ended || !open {
             if open && settled.outcome == Outcome::Served && (self.now <= aim_end || !self.many()) {
                 self.classes[class].served.add(self.now, 1.0);
             }
--- a/balancer/src/policy/mod.rs
+++ b/balancer/src/policy/mod.rs
@@ -30,18 +30,20 @@
         match event {
             Event::Start => {
                 self.retry_tokens = self.retries_saved();
-                if self.settings.discovery == Discovery::Asked {
+                if self.settings.discovery == Discovery::OnRequest {
                     actions.push(Action::Watch);
                 }
             }
-            Event::Fleet { scope, members } => self.fleet(scope, members),
-            Event::FleetFailed => self.ask_later(),
+            Event::Membership { scope, members } => self.fleet(scope, members),
+            Event::DiscoveryFailed => self.ask_later(),
             Event::Request(arrival) => self.arrive(arrival, actions),
-            Event::Broken { request, aim_end } => self.go_on(request, aim_end),
-            Event::Settled(settlement) => self.settle(settlement, actions),
-            Event::Started { request } => self.stand(request, Phase::Streaming),
-            Event::Probed { backend, outcome, report, .. } => self.probed(backend, outcome, report, actions),
-            Event::ClientGone { request } => self.forget(request),
+            Event::StreamInterrupted { request, target_at: aim_end } => self.go_on(request, aim_end),
+            Event::AttemptEnded(settlement) => self.settle(settlement, actions),
+            Event::StreamStarted { request } => self.stand(request, Phase::Streaming),
+            Event::ProbeEnded { backend, outcome, report, .. } => {
+                self.probed(backend, outcome, report, actions)
+            }
+            Event::ClientDisconnected { request } => self.forget(request),
             Event::Timer { .. } => self.housekeeping(actions),
         }
         self.probe(actions);
@@ -49,7 +51,7 @@
     }
 
     fn tick(&self) -> Nanos {
-        TICK.min(self.settings.rules.answer_slack / 2).max(self.settings.quantum).max(MS)
+        TICK.min(self.settings.rules.answer_grace / 2).max(self.settings.quantum).max(MS)
     }
 
     /// Asks for the next wake-up only while something waits for one: at full size a timer that always ran
--- a/balancer/src/policy/pick.rs
+++ b/balancer/src/policy/pick.rs
@@ -14,7 +14,7 @@
         // Many nodes on all backends would fill their tables of connections: each keeps to a few by its lots.
         // It leaves them only when none takes requests: in a jam all would try all, and none could rest.
         let own = self.subsets.get(zone.0 as usize)?;
-        let takes = |b: &Backend| self.usable(b) && b.member.stage == Stage::InService;
+        let takes = |b: &Backend| self.usable(b) && b.member.state == BackendState::InService;
         let sound = |id: &BackendId| self.backends.get(id).is_some_and(takes);
         let all = self.in_zone.get(zone.0 as usize)?;
         self.pick_among(id, if own.iter().any(sound) { own } else { all })
@@ -35,7 +35,7 @@
                 break;
             } else {
                 place = place.wrapping_add(0x9e37_79b9_7f4a_7c15);
-                (mix(place) % members.len() as u64) as usize
+                (hash_mix(place) % members.len() as u64) as usize
             };
             let to = members[at];
             let Some(backend) = self.backends.get(&to) else { continue };
--- a/balancer/src/policy/probes.rs
+++ b/balancer/src/policy/probes.rs
@@ -10,8 +10,8 @@
 impl Balancer {
     /// The scheduler of a node that may probe and has something to gain by it.
     pub(crate) fn scheduler(settings: &Settings, seed: u64, now: Nanos) -> Option<Scheduler> {
-        let gains = settings.limits.probes && settings.reports != Reports::Silent;
-        let per_request = PROBE_SPEND / settings.probe_price.max(PROBE_SPEND);
+        let gains = settings.limits.probes && settings.reports != LoadReporting::Disabled;
+        let per_request = PROBE_SPEND / settings.probe_cost.max(PROBE_SPEND);
         let bounds = Bounds { per_request, waits: PROBE_WAITS, useful: UTIL_TRUST, ..Bounds::default() };
         gains.then(|| Scheduler::new(bounds, seed, now).ok()).flatten()
     }
@@ -20,8 +20,8 @@
     pub(crate) fn list_probed(&mut self) {
         let (home, zones) = (self.settings.home.0, self.settings.zones);
         let candidate = |(&id, backend): (&BackendId, &Backend)| {
-            let Member { zone, stage, online_since, .. } = backend.member;
-            let probed = stage == Stage::InService && zone.0 < zones;
+            let Member { zone, state: stage, online_since, .. } = backend.member;
+            let probed = stage == BackendState::InService && zone.0 < zones;
             let group = (zone.0 + zones).wrapping_sub(home) % zones;
             let incarnation = online_since.unwrap_or(0);
             probed.then_some(Candidate { id: id.0, group, lot: backend.lot, incarnation })
@@ -82,12 +82,12 @@
         &mut self,
         id: BackendId,
         outcome: Outcome,
-        report: Report,
+        report: LoadReport,
         actions: &mut Vec<Action>,
     ) {
-        let util = report.util.filter(|util| (0.0..=UTIL_MOST).contains(util));
+        let util = report.utilisation.filter(|util| (0.0..=UTIL_MOST).contains(util));
         let end = match outcome {
-            Outcome::Cancelled | Outcome::Moot => End::Withdrawn,
+            Outcome::Cancelled | Outcome::NotSent => End::Withdrawn,
             Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => End::Unreached,
             Outcome::Served if util.is_some() => End::Figure,
             _ => End::Empty,
--- a/balancer/src/policy/retries.rs
+++ b/balancer/src/policy/retries.rs
@@ -22,7 +22,7 @@
         let unseen = request.attempts.len() == 1 && !request.attempts[0].may_have_run();
         let cost = self.retry_cost(request);
         let again = (self.retry_tokens >= cost || (unseen && self.many())) && !late;
-        let pause = if late { self.settings.limits.retry_after } else { 0 };
+        let pause = if late { self.settings.limits.max_retry_after } else { 0 };
         if !again
             || !self.may_go(request)
             || !self.backends.values().any(|backend| self.permits(request, backend))
--- a/balancer/src/policy/slow_start.rs
+++ b/balancer/src/policy/slow_start.rs
@@ -11,21 +11,22 @@
         if ramp >= 1.0 {
             return true;
         }
-        let since = self.now.saturating_sub(rules.fall_span + self.settings.quantum);
+        let since = self.now.saturating_sub(rules.overload_window + self.settings.quantum);
         let recent = backend.cold_sends.iter().rev().take_while(|(at, _)| *at >= since);
         let spent: f64 = recent.map(|(_, cost)| cost).sum();
-        let span = rules.fall_span as f64 / SECOND as f64;
+        let span = rules.overload_window as f64 / SECOND as f64;
         // Only nodes with it in their subset send there, and these divide the budget.
         let zone = self.zones.get(backend.member.zone.0 as usize).copied().unwrap_or_default();
         if self.many() && backend.lot > zone.subset {
             return false;
         }
         let users = if self.many() { (zone.listed / SUBSET as f64).max(1.0) } else { 1.0 };
-        let budget = COLD_SHARE * rules.tip_multiple * ramp * backend.size() * zone.capacity * span * users;
+        let budget =
+            COLD_SHARE * rules.overload_multiple * ramp * backend.size() * zone.capacity * span * users;
         // A budget under one request is spent by chance, or many nodes' first sends would exceed it together;
         // one of a zone's nodes or so always tries, as no figure may come from elsewhere.
-        let epoch = self.now / rules.fall_span.max(1);
-        let lot = mix(backend.lot ^ epoch.wrapping_mul(0x9e37_79b9_7f4a_7c15)) as f64 / u64::MAX as f64;
+        let epoch = self.now / rules.overload_window.max(1);
+        let lot = hash_mix(backend.lot ^ epoch.wrapping_mul(0x9e37_79b9_7f4a_7c15)) as f64 / u64::MAX as f64;
         spent + request.cold_cost <= budget
             || (spent == 0.0 && lot <= (budget / request.cold_cost).max(1.0 / self.crowd()))
     }
--- a/balancer/src/policy/window.rs
+++ b/balancer/src/policy/window.rs
@@ -43,8 +43,8 @@
     /// What an attempt's end says of its zone's window.
     pub(super) fn widen(&mut self, zone: ZoneId, class: usize, sent: Nanos, outcome: Outcome) {
         let part = match outcome {
-            Outcome::Served => (self.now - sent) as f64 / self.settings.classes[class].aim as f64,
-            Outcome::TimedOut | Outcome::Full => 1.0,
+            Outcome::Served => (self.now - sent) as f64 / self.settings.classes[class].latency_target as f64,
+            Outcome::TimedOut | Outcome::Rejected => 1.0,
             _ => return,
         };
         let usual = |least: f64| (STRAIN_RISE * least).clamp(STRAINED.0, STRAINED.1);
@@ -58,7 +58,7 @@
     pub(super) fn count_overdue(&mut self) {
         let mut overdue = Vec::new();
         for request in self.requests.values_mut() {
-            let late = self.now.saturating_sub(self.settings.classes[request.class].aim);
+            let late = self.now.saturating_sub(self.settings.classes[request.class].latency_target);
             for attempt in request.attempts.iter_mut().filter(|a| a.out() && !a.overdue && a.sent <= late) {
                 attempt.overdue = true;
                 overdue.push((attempt.zone, attempt.backend, request.class, attempt.sent, attempt.load));
--- a/balancer/src/policy/zones.rs
+++ b/balancer/src/policy/zones.rs
@@ -108,7 +108,7 @@
         let calm = !self.many() && self.utilisation(self.settings.home).is_some_and(|util| util < CALM);
         let first = self.requests.get(&id).filter(|request| request.attempts.is_empty());
         calm && first.is_some_and(|request| {
-            let aim = self.settings.classes[request.class].aim;
+            let aim = self.settings.classes[request.class].latency_target;
             self.now + aim < request.aim_end + (PATIENCE * aim as f64) as Nanos
         })
     }
--- a/balancer/src/state.rs
+++ b/balancer/src/state.rs
@@ -6,7 +6,7 @@
 
 use ivyhatch_load_probing::Scheduler;
 
-use crate::advice::Advice;
+use crate::advice::PlacementAdvisor;
 use crate::api::*;
 use crate::held::{Held, Hold};
 use crate::notices::Notices;
@@ -59,7 +59,7 @@
 }
 
 /// Spreads the bits of a number; drives random draws and lots.
-pub fn mix(mut z: u64) -> u64 {
+pub fn hash_mix(mut z: u64) -> u64 {
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     z ^ (z >> 31)
@@ -231,7 +231,7 @@
     }
 
     pub(crate) fn size(&self) -> f64 {
-        if self.member.size.is_finite() && self.member.size > 0.0 { self.member.size } else { 1.0 }
+        if self.member.weight.is_finite() && self.member.weight > 0.0 { self.member.weight } else { 1.0 }
     }
 }
 
@@ -289,7 +289,7 @@
     /// A class of which nothing is known yet but its aim.
     pub(crate) fn new(class: &ClassSettings) -> Self {
         Self {
-            idle: class.aim as f64 / 16.0 * crate::policy::figures::IDLE_LOAD,
+            idle: class.latency_target as f64 / 16.0 * crate::policy::figures::IDLE_LOAD,
             room: f64::INFINITY,
             ..Self::default()
         }
@@ -367,14 +367,14 @@
     /// Repeats that may be saved up, where the embedder says so.
     pub(crate) saved: Option<f64>,
     /// What the embedder knows better.
-    pub(crate) advice: Option<Box<dyn Advice>>,
+    pub(crate) advice: Option<Box<dyn PlacementAdvisor>>,
 }
 
 impl Balancer {
     /// A number from 0 to 1 of the node's own randomness.
     pub(crate) fn draw(&mut self) -> f64 {
         self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        (mix(self.random) >> 11) as f64 / (1u64 << 53) as f64
+        (hash_mix(self.random) >> 11) as f64 / (1u64 << 53) as f64
     }
 
     /// Log lines are for people: at most one a second.
--- a/balancer/src/view.rs
+++ b/balancer/src/view.rs
@@ -19,10 +19,13 @@
         let other = Zone { window: Window::new(WINDOW_AWAY, true), ..Zone::default() };
         let mut zones = vec![other; settings.zones as usize];
         zones[settings.home.0 as usize].window = Window::new(HANDFUL, false);
-        let least =
-            settings.classes.iter().map(|class| class.aim as f64 / 16.0).fold(f64::INFINITY, f64::min);
+        let least = settings
+            .classes
+            .iter()
+            .map(|class| class.latency_target as f64 / 16.0)
+            .fold(f64::INFINITY, f64::min);
         let classes = settings.classes.iter().map(ClassView::new).collect();
-        let tenants = vec![Rate::default(); settings.tenants.len()];
+        let tenants = vec![Rate::default(); settings.tenant_quotas.len()];
         let probes = Self::scheduler(&settings, seed, now);
         let held = Held::new(settings.classes.len());
         let in_zone = vec![Vec::new(); settings.zones as usize];
@@ -76,19 +79,19 @@
             let named: BTreeSet<BackendId> = members.iter().map(|member| member.backend).collect();
             for backend in self.backends.values_mut() {
                 if !named.contains(&backend.member.backend) {
-                    backend.member.stage = Stage::Gone;
+                    backend.member.state = BackendState::Removed;
                 }
             }
         }
         let live = self.settings.weights == Weights::Live;
-        for member in members.iter().filter(|member| live && member.size.is_finite()) {
-            let known = self.kind_size.entry(member.kind).or_insert(0.0);
-            *known = known.max(member.size);
+        for member in members.iter().filter(|member| live && member.weight.is_finite()) {
+            let known = self.kind_size.entry(member.machine_kind).or_insert(0.0);
+            *known = known.max(member.weight);
         }
         for mut member in members {
-            let told = member.size;
+            let told = member.weight;
             if live {
-                member.size = self.kind_size.get(&member.kind).copied().unwrap_or(1.0);
+                member.weight = self.kind_size.get(&member.machine_kind).copied().unwrap_or(1.0);
             }
             let backend = self.backends.entry(member.backend).or_insert_with(|| Backend::new(member));
             if backend.member.online_since != member.online_since {
@@ -96,17 +99,19 @@
                 *backend = Backend { in_flight, ..Backend::new(member) };
             }
             backend.member = member;
-            backend.lot = mix(self.seed ^ u64::from(member.backend.0).wrapping_mul(0xd6e8_feb8_6659_fd93));
-            backend.held = (live && told > 0.0).then(|| (member.size / told - 1.0).max(0.0));
+            backend.lot =
+                hash_mix(self.seed ^ u64::from(member.backend.0).wrapping_mul(0xd6e8_feb8_6659_fd93));
+            backend.held = (live && told > 0.0).then(|| (member.weight / told - 1.0).max(0.0));
         }
-        self.backends.retain(|_, backend| backend.member.stage != Stage::Gone || backend.in_flight > 0);
+        self.backends
+            .retain(|_, backend| backend.member.state != BackendState::Removed || backend.in_flight > 0);
         self.in_zone.iter_mut().for_each(Vec::clear);
         for (&id, backend) in &self.backends {
             let members = self.in_zone.get_mut(backend.member.zone.0 as usize);
             members.into_iter().for_each(|members| members.push(id));
         }
         self.sums.iter().for_each(|sum| sum.set(None));
-        let in_service = |b: &&Backend| b.member.stage == Stage::InService;
+        let in_service = |b: &&Backend| b.member.state == BackendState::InService;
         self.in_service = self.backends.values().filter(in_service).count();
         self.ejected = self.backends.values().filter(|b| b.health != Health::Healthy).count();
         for ((view, members), own) in self.zones.iter_mut().zip(&self.in_zone).zip(&mut self.subsets) {
@@ -134,11 +139,11 @@
         let members = &self.in_zone[zone.0 as usize];
         let mut sum = ZoneSum { used: 0.0, size: 0.0, usable: 0, known: 0, dark: 0, until: Nanos::MAX };
         let mut add = |backend: &Backend| {
-            sum.dark += usize::from(backend.dark && backend.member.stage == Stage::InService);
+            sum.dark += usize::from(backend.dark && backend.member.state == BackendState::InService);
             if let Some(change) = self.usable_changes(backend) {
                 sum.until = sum.until.min(change);
             }
-            let usable = self.usable(backend) && backend.member.stage == Stage::InService;
+            let usable = self.usable(backend) && backend.member.state == BackendState::InService;
             sum.usable += usize::from(usable);
             if self.usable(backend) && backend.util.younger_than(self.now, UTIL_TRUST) {
                 sum.until = sum.until.min(backend.util.at.unwrap_or(self.now) + UTIL_TRUST);
@@ -171,7 +176,7 @@
     pub(crate) fn stand(&mut self, id: RequestId, phase: Phase) {
         let Some(request) = self.requests.get_mut(&id).filter(|r| r.phase != Phase::Ended) else { return };
         request.phase = phase;
-        let unsent = |a: &Attempt| matches!(a.outcome, Some(Outcome::ConnectFailed | Outcome::Moot));
+        let unsent = |a: &Attempt| matches!(a.outcome, Some(Outcome::ConnectFailed | Outcome::NotSent));
         match (phase, request.hold) {
             (Phase::Held, None) => {
                 let never_sent = request.attempts.iter().all(unsent);
@@ -192,19 +197,19 @@
 impl Balancer {
     /// Whether a backend takes requests, by the lists and the notices that bind against them.
     pub fn is_in_service(&self, backend: BackendId) -> bool {
-        self.backends.get(&backend).is_some_and(|backend| backend.member.stage == Stage::InService)
+        self.backends.get(&backend).is_some_and(|backend| backend.member.state == BackendState::InService)
     }
 
     /// The backends of the list as this node sees them now, by id.
-    pub fn backend_figures(&self, now: Nanos) -> Vec<BackendFigures> {
-        let figures = |(id, backend): (&BackendId, &Backend)| BackendFigures {
+    pub fn backend_snapshots(&self, now: Nanos) -> Vec<BackendSnapshot> {
+        let figures = |(id, backend): (&BackendId, &Backend)| BackendSnapshot {
             backend: *id,
             zone: backend.member.zone,
             in_flight: backend.in_flight,
             utilisation: backend.util.at.map(|at| (backend.util.value, now.saturating_sub(at))),
             slowness: backend.slowness(now, &self.settings.rules),
             ejected: backend.health != Health::Healthy,
-            warm: backend.ramp(now, &self.settings.rules),
+            capacity_share: backend.ramp(now, &self.settings.rules),
         };
         self.backends.iter().map(figures).collect()
     }
@@ -218,9 +223,9 @@
     /// may stay behind that the present list and the open requests do not explain.
     #[test]
     fn what_is_kept_after_a_long_life_is_what_the_list_explains() {
-        let class = ClassSettings { effect: Effect::Once, ..ClassSettings::default() };
+        let class = ClassSettings { idempotency: Idempotency::NonIdempotent, ..ClassSettings::default() };
         let limits = Limits { probes: true, ..Settings::new(ZoneId(0), 3).limits };
-        let (reports, nodes) = (Reports::Pull, 300);
+        let (reports, nodes) = (LoadReporting::Pull, 300);
         let settings =
             Settings { classes: vec![class; 2], limits, reports, nodes, ..Settings::new(ZoneId(0), 3) };
         let mut node = Balancer::new(settings, 7, SECOND).expect("usable settings");
@@ -231,30 +236,30 @@
             let born = |backend: u64| Member {
                 backend: BackendId(backend as u32),
                 zone: ZoneId((backend % 3) as u32),
-                kind: (backend % 2) as u32,
+                machine_kind: (backend % 2) as u32,
                 online_since: Some(SECOND * backend / 2),
                 ..Member::default()
             };
             // Thirty live at a time; every other one is told to leave, the others are missing from a whole list.
             let members: Vec<Member> = (round / 2..round / 2 + 30).map(born).collect();
-            let leaving = Member { stage: Stage::Gone, ..born(round / 2) };
+            let leaving = Member { state: BackendState::Removed, ..born(round / 2) };
             let told =
                 if round % 4 == 0 { (ListScope::Changes, vec![leaving]) } else { (ListScope::Full, members) };
-            node.handle(now, Event::Fleet { scope: told.0, members: told.1 }, &mut actions);
+            node.handle(now, Event::Membership { scope: told.0, members: told.1 }, &mut actions);
             for _ in 0..3 {
                 let id = RequestId(request);
                 request += 1;
                 let arrival = Arrival {
                     request: id,
                     class: ClassId((request % 2) as u32),
-                    hint: None,
-                    repeat: false,
+                    expected_work: None,
+                    is_retry: false,
                     tenant: None,
                     not_after: now + SECOND,
                 };
                 node.handle(now, Event::Request(arrival), &mut actions);
                 if request.is_multiple_of(5) {
-                    node.handle(now, Event::ClientGone { request: id }, &mut actions);
+                    node.handle(now, Event::ClientDisconnected { request: id }, &mut actions);
                 }
             }
             node.handle(now + SECOND / 4, Event::Timer { token: 0 }, &mut actions);
@@ -263,14 +268,21 @@
                     Action::Send { request, .. } => {
                         let outcome = if round % 7 == 0 { Outcome::Reset } else { Outcome::Served };
                         let (elapsed, ended) = (SECOND / 5, outcome == Outcome::Served);
-                        let report = Report::default();
-                        let settled = Settlement { request, attempt: 0, outcome, elapsed, ended, report };
-                        node.handle(now + SECOND / 2, Event::Settled(settled), &mut actions);
+                        let report = LoadReport::default();
+                        let settled = AttemptEnd {
+                            request,
+                            attempt: 0,
+                            outcome,
+                            elapsed,
+                            request_ended: ended,
+                            report,
+                        };
+                        node.handle(now + SECOND / 2, Event::AttemptEnded(settled), &mut actions);
                     }
                     Action::Probe { backend } => {
-                        let report = Report { util: Some(0.5), ..Report::default() };
+                        let report = LoadReport { utilisation: Some(0.5), ..LoadReport::default() };
                         let (outcome, elapsed) = (Outcome::Served, SECOND / 100);
-                        let probed = Event::Probed { backend, outcome, elapsed, report };
+                        let probed = Event::ProbeEnded { backend, outcome, elapsed, report };
                         node.handle(now + SECOND / 2, probed, &mut actions);
                     }
                     _ => {}
--- a/balancer/tests/any_sequence.rs
+++ b/balancer/tests/any_sequence.rs
@@ -2,8 +2,11 @@
 //! Nothing is modelled: outcomes are drawn, not computed.
 
 mod common;
-use common::*;
-use ivyhatch_balancer::*;
+use common::{MS, Node, SECOND, class, member, settings, util};
+use ivyhatch_balancer::{
+    Action, Arrival, AttemptEnd, BackendId, BackendState, ClassId, Discovery, Event, Idempotency,
+    IdempotencyScope, ListScope, LoadReport, Member, Nanos, Outcome, RequestId, Settings, Weights, ZoneId,
+};
 use std::collections::BTreeMap;
 
 struct Draw(u64);
@@ -18,230 +21,289 @@
 const OUTCOMES: [Outcome; 9] = [
     Outcome::Served,
     Outcome::Error,
-    Outcome::Spoilt,
-    Outcome::Full,
+    Outcome::InvalidResponse,
+    Outcome::Rejected,
     Outcome::TimedOut,
     Outcome::ConnectFailed,
     Outcome::Reset,
     Outcome::Cancelled,
-    Outcome::Moot,
+    Outcome::NotSent,
 ];
 
 #[derive(Default)]
-struct Tracked {
-    effect: usize,
+struct TrackedRequest {
+    class: usize,
     not_after: Nanos,
-    attempts: Vec<(BackendId, Nanos, Option<Outcome>)>,
+    attempts: Vec<TrackedAttempt>,
     ended: bool,
 }
 
-struct Run {
+struct TrackedAttempt {
+    backend: BackendId,
+    sent_at: Nanos,
+    outcome: Option<Outcome>,
+}
+
+impl TrackedAttempt {
+    fn is_in_flight(&self) -> bool {
+        self.outcome.is_none()
+    }
+
+    fn may_have_run(&self) -> bool {
+        self.outcome.is_none_or(Outcome::may_have_run)
+    }
+}
+
+/// What the node may do by the rules, from the events that it was given.
+struct RuleChecker {
     now: Nanos,
-    effects: Vec<Effect>,
+    idempotency: Vec<Idempotency>,
     listed: BTreeMap<BackendId, Member>,
-    requests: BTreeMap<RequestId, Tracked>,
-    cap: usize,
-    copies: bool,
+    requests: BTreeMap<RequestId, TrackedRequest>,
+    max_attempts: usize,
+    hedging: bool,
 }
 
-impl Run {
+impl RuleChecker {
+    fn new(settings: &Settings) -> Self {
+        Self {
+            now: SECOND,
+            idempotency: settings.classes.iter().map(|class| class.idempotency).collect(),
+            listed: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            max_attempts: settings.limits.max_attempts as usize,
+            hedging: settings.limits.hedging,
+        }
+    }
+
     fn check(&mut self, actions: &[Action]) {
         for action in actions {
             match *action {
                 Action::Send { request, backend, .. } => self.check_send(request, backend),
-                Action::Refuse { request, .. } => {
-                    let tracked = self.requests.get_mut(&request).expect("a known request");
-                    let ran = tracked.attempts.iter().any(|a| a.2.is_none_or(Outcome::may_have_run));
-                    let free = matches!(
-                        self.effects[tracked.effect],
-                        Effect::Repeatable | Effect::Keyed { group: Group::All, .. }
-                    );
-                    assert!(free || !ran, "refused what may have run");
-                    assert!(!std::mem::replace(&mut tracked.ended, true), "two final answers");
-                }
-                Action::Fail { request } => {
-                    let tracked = self.requests.get_mut(&request).expect("a known request");
-                    assert!(!std::mem::replace(&mut tracked.ended, true), "two final answers");
-                }
+                Action::Reject { request, .. } => self.check_rejection(request),
+                Action::Fail { request } => self.end(request),
                 _ => {}
             }
         }
     }
 
+    fn check_rejection(&mut self, request: RequestId) {
+        let tracked = self.requests.get_mut(&request).expect("a known request");
+        let ran = tracked.attempts.iter().any(TrackedAttempt::may_have_run);
+        let free = matches!(
+            self.idempotency[tracked.class],
+            Idempotency::Idempotent | Idempotency::Keyed { scope: IdempotencyScope::All, .. }
+        );
+        assert!(free || !ran, "refused what may have run");
+        self.end(request);
+    }
+
+    fn end(&mut self, request: RequestId) {
+        let tracked = self.requests.get_mut(&request).expect("a known request");
+        assert!(!std::mem::replace(&mut tracked.ended, true), "two final answers");
+    }
+
     fn check_send(&mut self, request: RequestId, backend: BackendId) {
         let tracked = self.requests.get_mut(&request).expect("a known request");
         assert!(!tracked.ended, "sent after its end");
         assert!(self.now < tracked.not_after, "sent after its time");
-        assert!(tracked.attempts.len() < self.cap, "past the cap");
+        assert!(tracked.attempts.len() < self.max_attempts, "past the cap");
         let member = self.listed[&backend];
-        assert_eq!(member.stage, Stage::InService, "sent to a drained backend");
-        assert!(self.copies || tracked.attempts.iter().all(|a| a.2.is_some()), "two copies");
-        let ran: Vec<_> = tracked.attempts.iter().filter(|a| a.2.is_none_or(Outcome::may_have_run)).collect();
-        if let Some(&&(first, at, _)) = ran.first() {
-            match self.effects[tracked.effect] {
-                Effect::Repeatable => {}
-                Effect::Once => panic!("an unsafe request was sent again"),
-                Effect::Keyed { group, window } => {
-                    assert!(self.now <= at + window, "past the window");
-                    let first = self.listed[&first];
-                    assert!(match group {
-                        Group::All => true,
-                        Group::Zone => first.zone == member.zone,
-                        Group::Cell => first.cell == member.cell,
+        assert_eq!(member.state, BackendState::InService, "sent to a drained backend");
+        assert!(self.hedging || !tracked.attempts.iter().any(TrackedAttempt::is_in_flight), "two copies");
+        if let Some(ran) = tracked.attempts.iter().find(|attempt| attempt.may_have_run()) {
+            match self.idempotency[tracked.class] {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => panic!("an unsafe request was sent again"),
+                Idempotency::Keyed { scope, window } => {
+                    assert!(self.now <= ran.sent_at + window, "past the window");
+                    let first = self.listed[&ran.backend];
+                    assert!(match scope {
+                        IdempotencyScope::All => true,
+                        IdempotencyScope::Zone => first.zone == member.zone,
+                        IdempotencyScope::Cell => first.cell == member.cell,
                     });
                 }
             }
         }
-        tracked.attempts.push((backend, self.now, None));
+        tracked.attempts.push(TrackedAttempt { backend, sent_at: self.now, outcome: None });
+    }
+
+    /// The attempts in flight, by request and number, of requests that `counts`.
+    fn in_flight(&self, counts: impl Fn(&TrackedRequest) -> bool) -> Vec<(RequestId, usize)> {
+        let mut in_flight = Vec::new();
+        for (&id, tracked) in self.requests.iter().filter(|(_, tracked)| counts(tracked)) {
+            let attempts = tracked.attempts.iter().enumerate();
+            in_flight.extend(attempts.filter(|(_, a)| a.is_in_flight()).map(|(number, _)| (id, number)));
+        }
+        in_flight
+    }
+
+    /// Ends an attempt; one that served ends its request.
+    fn end_attempt(&mut self, id: RequestId, number: usize, outcome: Outcome, report: LoadReport) -> Event {
+        let tracked = self.requests.get_mut(&id).expect("a known request");
+        let attempt = &mut tracked.attempts[number];
+        attempt.outcome = Some(outcome);
+        let elapsed = self.now - attempt.sent_at;
+        tracked.ended |= outcome == Outcome::Served;
+        let (attempt, request_ended) = (number as u32, tracked.ended);
+        Event::AttemptEnded(AttemptEnd { request: id, attempt, outcome, elapsed, request_ended, report })
     }
 }
 
-fn drive(seed: u64) {
-    let mut draw = Draw(seed);
-    let window = (1 + draw.below(400)) * MS;
-    let effects = vec![
-        Effect::Repeatable,
-        Effect::Once,
-        Effect::Keyed { group: Group::All, window },
-        Effect::Keyed { group: Group::Zone, window },
-        Effect::Keyed { group: Group::Cell, window },
-    ];
-    let mut given = Settings::new(ZoneId(0), 1 + draw.below(3) as u32);
-    given.classes = effects.iter().map(|&effect| class(50 + draw.below(500), 600, effect)).collect();
-    given.nodes = [1, 3, 1000][draw.below(3) as usize];
-    given.weights = if draw.below(2) == 0 { Weights::Live } else { Weights::Size };
-    given.limits.attempts = 1 + draw.below(4) as u32;
-    given.limits.second_copies = draw.below(2) == 0;
-    given.limits.cancel = draw.below(2) == 0;
-    given.discovery = if draw.below(2) == 0 { Discovery::Asked } else { Discovery::Pushed };
-    let mut run = Run {
-        now: SECOND,
-        effects,
-        listed: BTreeMap::new(),
-        requests: BTreeMap::new(),
-        cap: given.limits.attempts as usize,
-        copies: given.limits.second_copies,
-    };
-    let zones = given.zones;
-    let mut node = Node::new(given, vec![]);
-    for step in 0..2000u64 {
-        let event = match draw.below(12) {
-            0..=3 => {
-                let request = RequestId(step);
-                let effect = draw.below(5) as usize;
-                let not_after = run.now + draw.below(900) * MS;
-                run.requests.insert(request, Tracked { effect, not_after, ..Tracked::default() });
-                let hint = (draw.below(2) == 0).then(|| draw.below(90) * MS);
-                Event::Request(Arrival {
-                    request,
-                    class: ClassId(effect as u32),
-                    hint,
-                    repeat: false,
-                    tenant: None,
-                    not_after,
-                })
-            }
-            4..=7 => {
-                let out: Vec<(RequestId, usize)> = run
-                    .requests
-                    .iter()
-                    .flat_map(|(&id, t)| (0..t.attempts.len()).map(move |a| (id, a)))
-                    .filter(|(id, a)| run.requests[id].attempts[*a].2.is_none())
-                    .collect();
-                if out.is_empty() {
-                    continue;
-                }
-                let (request, attempt) = out[draw.below(out.len() as u64) as usize];
-                let outcome = OUTCOMES[draw.below(9) as usize];
-                let tracked = run.requests.get_mut(&request).unwrap();
-                tracked.attempts[attempt].2 = Some(outcome);
-                let ended = tracked.ended || outcome == Outcome::Served;
-                tracked.ended = ended;
-                let elapsed = run.now - tracked.attempts[attempt].1;
-                let figure = [0.1, 0.7, 0.99, f64::NAN, -2.0, 1e300][draw.below(6) as usize];
-                let attempt = attempt as u32;
-                Event::Settled(Settlement { request, attempt, outcome, elapsed, ended, report: util(figure) })
+/// Draws the events and keeps the checker's view of them.
+struct Sequence {
+    draw: Draw,
+    zones: u32,
+    checker: RuleChecker,
+}
+
+impl Sequence {
+    /// None where an attempt's end was drawn and none is in flight.
+    fn next_event(&mut self, step: u64) -> Option<Event> {
+        Some(match self.draw.below(12) {
+            0..=3 => self.arrival(RequestId(step)),
+            4..=7 => self.attempt_end()?,
+            8 => self.membership(),
+            9 => self.rare_event(step),
+            _ => {
+                self.checker.now += self.draw.below(20) * MS;
+                Event::Timer { token: self.draw.below(3) }
             }
-            8 => {
-                let members: Vec<Member> = (0..draw.below(8))
-                    .map(|_| {
-                        let backend = draw.below(8) as u32;
-                        let stage = [Stage::InService, Stage::InService, Stage::Draining, Stage::Gone];
-                        Member {
-                            stage: stage[draw.below(4) as usize],
-                            cell: u64::from(backend % 3),
-                            online_since: (draw.below(3) == 0).then_some(run.now),
-                            size: [1.0, 2.0, 0.0, f64::NAN][draw.below(4) as usize],
-                            ..member(backend, backend % (zones + 1))
-                        }
-                    })
-                    .collect();
-                let full = draw.below(3) == 0;
-                if full {
-                    run.listed.values_mut().for_each(|member| member.stage = Stage::Gone);
+        })
+    }
+
+    fn arrival(&mut self, request: RequestId) -> Event {
+        let class = self.draw.below(5) as usize;
+        let not_after = self.checker.now + self.draw.below(900) * MS;
+        let tracked = TrackedRequest { class, not_after, ..TrackedRequest::default() };
+        self.checker.requests.insert(request, tracked);
+        let expected_work = (self.draw.below(2) == 0).then(|| self.draw.below(90) * MS);
+        let class = ClassId(class as u32);
+        Event::Request(Arrival { request, class, expected_work, is_retry: false, tenant: None, not_after })
+    }
+
+    fn attempt_end(&mut self) -> Option<Event> {
+        let in_flight = self.checker.in_flight(|_| true);
+        if in_flight.is_empty() {
+            return None;
+        }
+        let (request, number) = in_flight[self.draw.below(in_flight.len() as u64) as usize];
+        let outcome = OUTCOMES[self.draw.below(9) as usize];
+        let utilisation = [0.1, 0.7, 0.99, f64::NAN, -2.0, 1e300][self.draw.below(6) as usize];
+        Some(self.checker.end_attempt(request, number, outcome, util(utilisation)))
+    }
+
+    fn membership(&mut self) -> Event {
+        let count = self.draw.below(8);
+        let members: Vec<Member> = (0..count).map(|_| self.member()).collect();
+        let listed = &mut self.checker.listed;
+        let full = self.draw.below(3) == 0;
+        if full {
+            listed.values_mut().for_each(|member| member.state = BackendState::Removed);
+        }
+        listed.extend(members.iter().map(|member| (member.backend, *member)));
+        let scope = if full { ListScope::Full } else { ListScope::Changes };
+        Event::Membership { scope, members }
+    }
+
+    fn member(&mut self) -> Member {
+        const STATES: [BackendState; 4] =
+            [BackendState::InService, BackendState::InService, BackendState::Draining, BackendState::Removed];
+        let backend = self.draw.below(8) as u32;
+        Member {
+            state: STATES[self.draw.below(4) as usize],
+            cell: u64::from(backend % 3),
+            online_since: (self.draw.below(3) == 0).then_some(self.checker.now),
+            weight: [1.0, 2.0, 0.0, f64::NAN][self.draw.below(4) as usize],
+            ..member(backend, backend % (self.zones + 1))
+        }
+    }
+
+    /// A failure of discovery, a client that hangs up, the end of an attempt that nobody made, or that of a probe.
+    fn rare_event(&mut self, step: u64) -> Event {
+        match self.draw.below(4) {
+            0 => Event::DiscoveryFailed,
+            1 => {
+                let request = RequestId(self.draw.below(step + 1));
+                if let Some(tracked) = self.checker.requests.get_mut(&request) {
+                    tracked.ended = true;
                 }
-                run.listed.extend(members.iter().map(|member| (member.backend, *member)));
-                let scope = if full { ListScope::Full } else { ListScope::Changes };
-                Event::Fleet { scope, members }
+                Event::ClientDisconnected { request }
             }
-            9 => match draw.below(4) {
-                0 => Event::FleetFailed,
-                1 => {
-                    let request = RequestId(draw.below(step + 1));
-                    if let Some(tracked) = run.requests.get_mut(&request) {
-                        tracked.ended = true;
-                    }
-                    Event::ClientGone { request }
-                }
-                2 => {
-                    let (request, attempt) = (RequestId(draw.below(step + 1) + 90_000), 3);
-                    let (outcome, report) = (Outcome::Served, util(0.5));
-                    Event::Settled(Settlement { request, attempt, outcome, elapsed: 0, ended: true, report })
-                }
-                _ => Event::Probed {
-                    backend: BackendId(draw.below(12) as u32),
-                    outcome: Outcome::Served,
-                    elapsed: MS,
-                    report: util(0.2),
-                },
+            2 => Event::AttemptEnded(AttemptEnd {
+                request: RequestId(self.draw.below(step + 1) + 90_000),
+                attempt: 3,
+                outcome: Outcome::Served,
+                elapsed: 0,
+                request_ended: true,
+                report: util(0.5),
+            }),
+            _ => Event::ProbeEnded {
+                backend: BackendId(self.draw.below(12) as u32),
+                outcome: Outcome::Served,
+                elapsed: MS,
+                report: util(0.2),
             },
-            _ => {
-                run.now += draw.below(20) * MS;
-                Event::Timer { token: draw.below(3) }
-            }
-        };
+        }
+    }
+}
+
+fn drawn_settings(draw: &mut Draw) -> Settings {
+    let window = (1 + draw.below(400)) * MS;
+    let idempotency = [
+        Idempotency::Idempotent,
+        Idempotency::NonIdempotent,
+        Idempotency::Keyed { scope: IdempotencyScope::All, window },
+        Idempotency::Keyed { scope: IdempotencyScope::Zone, window },
+        Idempotency::Keyed { scope: IdempotencyScope::Cell, window },
+    ];
+    let mut settings = Settings::new(ZoneId(0), 1 + draw.below(3) as u32);
+    settings.classes = idempotency.iter().map(|&each| class(50 + draw.below(500), 600, each)).collect();
+    settings.nodes = [1, 3, 1000][draw.below(3) as usize];
+    settings.weights = if draw.below(2) == 0 { Weights::Live } else { Weights::Size };
+    settings.limits.max_attempts = 1 + draw.below(4) as u32;
+    settings.limits.hedging = draw.below(2) == 0;
+    settings.limits.cancellation = draw.below(2) == 0;
+    settings.discovery = if draw.below(2) == 0 { Discovery::OnRequest } else { Discovery::Pushed };
+    settings
+}
+
+fn drive(seed: u64) {
+    let mut draw = Draw(seed);
+    let settings = drawn_settings(&mut draw);
+    let checker = RuleChecker::new(&settings);
+    let mut sequence = Sequence { draw, zones: settings.zones, checker };
+    let mut node = Node::new(settings, vec![]);
+    for step in 0..2000u64 {
+        let Some(event) = sequence.next_event(step) else { continue };
         // The module's clock may be shown an earlier time; it must stand still, not fail.
-        node.now = if draw.below(50) == 0 { run.now / 2 } else { run.now };
+        let now = sequence.checker.now;
+        node.now = if sequence.draw.below(50) == 0 { now / 2 } else { now };
         let actions = node.tell(event);
-        run.check(&actions);
+        sequence.checker.check(&actions);
     }
-    // Let everything come to its end: every attempt times out, then all must have been answered.
+    let mut checker = sequence.checker;
+    time_all_attempts_out(&mut node, &mut checker);
+    let open = checker.requests.values().filter(|tracked| !tracked.ended).count();
+    assert_eq!(open, 0, "seed {seed}: requests without a final answer");
+    assert_eq!(node.balancer.open_requests(), 0, "seed {seed}: ended requests are kept");
+}
+
+/// Every attempt still in flight times out with its client; then all must have been answered.
+fn time_all_attempts_out(node: &mut Node, checker: &mut RuleChecker) {
     for _ in 0..200 {
-        run.now += 10 * MS;
-        node.now = run.now;
+        checker.now += 10 * MS;
+        node.now = checker.now;
         let actions = node.tell(Event::Timer { token: 0 });
-        run.check(&actions);
-        let due: Vec<(RequestId, usize)> = run
-            .requests
-            .iter()
-            .flat_map(|(&id, t)| t.attempts.iter().enumerate().map(move |(n, a)| (id, n, a.2, t.not_after)))
-            .filter(|(_, _, outcome, end)| outcome.is_none() && *end <= run.now)
-            .map(|(id, n, _, _)| (id, n))
-            .collect();
-        for (request, attempt) in due {
-            let tracked = run.requests.get_mut(&request).unwrap();
-            tracked.attempts[attempt].2 = Some(Outcome::TimedOut);
-            let (ended, elapsed) = (tracked.ended, run.now - tracked.attempts[attempt].1);
-            let (attempt, report) = (attempt as u32, Report::default());
-            let outcome = Outcome::TimedOut;
-            let actions =
-                node.tell(Event::Settled(Settlement { request, attempt, outcome, elapsed, ended, report }));
-            run.check(&actions);
+        checker.check(&actions);
+        let now = checker.now;
+        for (request, number) in checker.in_flight(|tracked| tracked.not_after <= now) {
+            let event = checker.end_attempt(request, number, Outcome::TimedOut, LoadReport::default());
+            let actions = node.tell(event);
+            checker.check(&actions);
         }
     }
-    let open = run.requests.values().filter(|tracked| !tracked.ended).count();
-    assert_eq!(open, 0, "seed {seed}: requests without a final answer");
-    assert_eq!(node.balancer.open_requests(), 0, "seed {seed}: ended requests are kept");
 }
 
 #[test]
@@ -254,7 +316,8 @@
 #[test]
 fn the_same_events_give_the_same_actions() {
     let run = || {
-        let mut node = Node::new(settings(Effect::Repeatable), (0..9).map(|b| member(b, b % 3)).collect());
+        let mut node =
+            Node::new(settings(Idempotency::Idempotent), (0..9).map(|b| member(b, b % 3)).collect());
         node.serve(300, |to| util(0.3 + 0.08 * f64::from(to.0)))
     };
     assert_eq!(run(), run());
--- a/balancer/tests/choice.rs
+++ b/balancer/tests/choice.rs
@@ -14,7 +14,7 @@
 
 /// Teaches the node the utilisation of every zone, remote ones by keeping home out of the list.
 fn taught(utils: [f64; 3]) -> Node {
-    let mut node = Node::new(settings(Effect::Repeatable), zones());
+    let mut node = Node::new(settings(Idempotency::Idempotent), zones());
     for remote in [1, 2, 0] {
         let only = zones().into_iter().filter(|member| member.zone == ZoneId(remote)).collect();
         node.list(ListScope::Full, only);
@@ -26,7 +26,7 @@
 
 #[test]
 fn home_serves_under_the_threshold() {
-    let mut node = Node::new(settings(Effect::Repeatable), zones());
+    let mut node = Node::new(settings(Idempotency::Idempotent), zones());
     let used = node.serve(50, |_| util(0.5));
     // The first sends count in full until the first figures have come back.
     assert!(used[25..].iter().all(|&to| zone(to) == 0), "{used:?}");
@@ -34,14 +34,14 @@
 
 #[test]
 fn an_unseen_zone_gets_the_first_overflow() {
-    let mut node = Node::new(settings(Effect::Repeatable), zones());
+    let mut node = Node::new(settings(Idempotency::Idempotent), zones());
     let used = node.serve(50, |to| util(if zone(to) == 0 { 0.95 } else { 0.3 }));
     assert!(used.iter().any(|&to| zone(to) != 0));
 }
 
 #[test]
 fn overflow_goes_to_the_zone_with_headroom() {
-    let mut node = Node::new(settings(Effect::Repeatable), zones());
+    let mut node = Node::new(settings(Idempotency::Idempotent), zones());
     let load = [0.95, 0.7, 0.2];
     let used = node.serve(200, |to| util(load[zone(to) as usize]));
     let late = &used[50..];
@@ -51,7 +51,7 @@
 
 #[test]
 fn home_serves_when_no_zone_qualifies() {
-    let mut node = Node::new(settings(Effect::Repeatable), zones());
+    let mut node = Node::new(settings(Idempotency::Idempotent), zones());
     let used = node.serve(200, |_| util(0.95));
     let home = used[50..].iter().filter(|&&to| zone(to) == 0).count();
     assert!(home > 100, "{home} of 150 stayed home");
@@ -77,7 +77,7 @@
 #[test]
 fn figures_that_cannot_be_are_passed_over() {
     for figure in [f64::NAN, f64::INFINITY, -1.0] {
-        let mut node = Node::new(settings(Effect::Repeatable), zones());
+        let mut node = Node::new(settings(Idempotency::Idempotent), zones());
         let used = node.serve(30, |_| util(figure));
         assert!(used.len() >= 30, "{figure}: {}", used.len());
     }
--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -13,11 +13,16 @@
     settled: std::collections::BTreeMap<RequestId, u32>,
 }
 
-pub fn class(aim_ms: u64, deadline_ms: u64, effect: Effect) -> ClassSettings {
-    ClassSettings { aim: aim_ms * MS, deadline: deadline_ms * MS, effect, ..ClassSettings::default() }
+pub fn class(aim_ms: u64, deadline_ms: u64, effect: Idempotency) -> ClassSettings {
+    ClassSettings {
+        latency_target: aim_ms * MS,
+        deadline: deadline_ms * MS,
+        idempotency: effect,
+        ..ClassSettings::default()
+    }
 }
 
-pub fn settings(effect: Effect) -> Settings {
+pub fn settings(effect: Idempotency) -> Settings {
     Settings { classes: vec![class(400, 1000, effect)], nodes: 2, ..Settings::new(ZoneId(0), 3) }
 }
 
@@ -26,13 +31,13 @@
         backend: BackendId(backend),
         zone: ZoneId(zone),
         cell: zone.into(),
-        size: 1.0,
+        weight: 1.0,
         ..Member::default()
     }
 }
 
-pub fn util(util: f64) -> Report {
-    Report { util: Some(util), ..Report::default() }
+pub fn util(util: f64) -> LoadReport {
+    LoadReport { utilisation: Some(util), ..LoadReport::default() }
 }
 
 impl Node {
@@ -44,7 +49,7 @@
         let balancer = Balancer::new(settings, seed, SECOND).expect("usable settings");
         let mut node = Self { balancer, now: SECOND, next: 0, settled: Default::default() };
         node.tell(Event::Start);
-        node.tell(Event::Fleet { scope: ListScope::Cached, members });
+        node.tell(Event::Membership { scope: ListScope::Cached, members });
         node
     }
 
@@ -55,7 +60,7 @@
     }
 
     pub fn list(&mut self, scope: ListScope, members: Vec<Member>) -> Vec<Action> {
-        self.tell(Event::Fleet { scope, members })
+        self.tell(Event::Membership { scope, members })
     }
 
     /// A request of class 0 that its client gives up after `wait`.
@@ -77,7 +82,8 @@
         let request = RequestId(self.next);
         self.next += 1;
         let not_after = self.now + wait;
-        let arrival = Arrival { request, class: ClassId(0), hint: None, repeat, tenant, not_after };
+        let arrival =
+            Arrival { request, class: ClassId(0), expected_work: None, is_retry: repeat, tenant, not_after };
         (request, self.tell(Event::Request(arrival)))
     }
 
@@ -93,7 +99,7 @@
         request: RequestId,
         attempt: u32,
         outcome: Outcome,
-        report: Report,
+        report: LoadReport,
     ) -> Vec<Action> {
         self.settle_after(request, attempt, outcome, 30 * MS, report)
     }
@@ -104,10 +110,17 @@
         attempt: u32,
         outcome: Outcome,
         elapsed: Nanos,
-        report: Report,
+        report: LoadReport,
     ) -> Vec<Action> {
         let ended = outcome == Outcome::Served;
-        self.tell(Event::Settled(Settlement { request, attempt, outcome, elapsed, ended, report }))
+        self.tell(Event::AttemptEnded(AttemptEnd {
+            request,
+            attempt,
+            outcome,
+            elapsed,
+            request_ended: ended,
+            report,
+        }))
     }
 
     /// Lets time pass with the housekeeping timer coming due.
@@ -122,7 +135,7 @@
     }
 
     /// Asks `count` times, one in 10 ms; every send is served after 40 ms with the report of its backend.
-    pub fn serve(&mut self, count: usize, report: impl Fn(BackendId) -> Report) -> Vec<BackendId> {
+    pub fn serve(&mut self, count: usize, report: impl Fn(BackendId) -> LoadReport) -> Vec<BackendId> {
         let mut used = Vec::new();
         let mut out: Vec<(RequestId, u32, BackendId, Nanos)> = Vec::new();
         for turn in 0..count + 40 {
@@ -158,7 +171,7 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|action| matches!(action, Action::Refuse { .. }))
+    actions.iter().any(|action| matches!(action, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
@@ -204,7 +217,7 @@
             while let Some(at) = self.open.iter().position(|(_, _, due)| *due <= node.now) {
                 let (request, sent, _) = self.open.remove(at);
                 let elapsed = node.now - sent;
-                let actions = node.settle_after(request, 0, Outcome::Served, elapsed, Report::default());
+                let actions = node.settle_after(request, 0, Outcome::Served, elapsed, LoadReport::default());
                 self.take(node.now, &actions);
             }
         }
--- a/balancer/tests/common/world.rs
+++ b/balancer/tests/common/world.rs
@@ -64,7 +64,7 @@
 }
 
 const OUTCOMES: [Outcome; 5] =
-    [Outcome::Served, Outcome::Error, Outcome::Full, Outcome::TimedOut, Outcome::ConnectFailed];
+    [Outcome::Served, Outcome::Error, Outcome::Rejected, Outcome::TimedOut, Outcome::ConnectFailed];
 
 pub struct World {
     pub shape: Shape,
@@ -89,20 +89,23 @@
 impl World {
     pub fn new(shape: Shape) -> Self {
         let class = |aim, deadline, worth, effect| ClassSettings {
-            aim: aim * MS,
+            latency_target: aim * MS,
             deadline: deadline * MS,
-            worth,
-            effect,
+            value: worth,
+            idempotency: effect,
             ..ClassSettings::default()
         };
         let mut settings = Settings {
-            reports: if shape.probes { Reports::Pull } else { Reports::Silent },
-            probe_price: 0.01,
+            reports: if shape.probes { LoadReporting::Pull } else { LoadReporting::Disabled },
+            probe_cost: 0.01,
             nodes: shape.nodes,
             weights: shape.weights,
-            classes: vec![class(1200, 6000, 5.0, Effect::Repeatable), class(1500, 4000, 2.0, Effect::Once)],
-            tenants: vec![1e3, 20.0],
-            over_share_worth: 0.2,
+            classes: vec![
+                class(1200, 6000, 5.0, Idempotency::Idempotent),
+                class(1500, 4000, 2.0, Idempotency::NonIdempotent),
+            ],
+            tenant_quotas: vec![1e3, 20.0],
+            over_quota_value: 0.2,
             ..Settings::new(ZoneId(0), shape.zones)
         };
         settings.limits.probes = shape.probes;
@@ -125,8 +128,8 @@
             shape,
         };
         world.tell(Event::Start);
-        let members = (0..shape.backends).map(|b| world.member(b, Stage::InService)).collect();
-        world.tell(Event::Fleet { scope: ListScope::Cached, members });
+        let members = (0..shape.backends).map(|b| world.member(b, BackendState::InService)).collect();
+        world.tell(Event::Membership { scope: ListScope::Cached, members });
         world.at(SECOND, Next::Arrives);
         if shape.churn > 0 {
             world.at(SECOND + shape.churn, Next::ListChanges);
@@ -157,11 +160,18 @@
         self.free[backend.0 as usize].iter().filter(|free| **free > self.now).count() as f64 / 2.0
     }
 
-    fn member(&self, backend: u32, stage: Stage) -> Member {
+    fn member(&self, backend: u32, stage: BackendState) -> Member {
         let held = self.waiting(backend) as f64 / self.shape.work as f64;
         let size = if self.shape.weights == Weights::Live { 1.0 / (1.0 + held) } else { 1.0 };
         let zone = ZoneId(backend % self.shape.zones);
-        Member { backend: BackendId(backend), zone, cell: zone.0.into(), stage, size, ..Member::default() }
+        Member {
+            backend: BackendId(backend),
+            zone,
+            cell: zone.0.into(),
+            state: stage,
+            weight: size,
+            ..Member::default()
+        }
     }
 
     fn tell(&mut self, event: Event) {
@@ -189,7 +199,7 @@
                 self.sends += 1;
                 self.start(request, backend, timeout);
             }
-            Action::Refuse { request, pause } => {
+            Action::Reject { request, retry_after: pause } => {
                 self.note([2, request.0, pause, 0]);
                 self.refusals += 1;
                 self.attempts.remove(&request);
@@ -247,29 +257,38 @@
                     self.attempts.remove(&request);
                 }
                 let util = self.shape.reports.then_some(self.util(to));
-                let report = Report { util, ..Report::default() };
+                let report = LoadReport { utilisation: util, ..LoadReport::default() };
                 let elapsed = self.now - sent;
-                self.tell(Event::Settled(Settlement { request, attempt, outcome, elapsed, ended, report }));
+                self.tell(Event::AttemptEnded(AttemptEnd {
+                    request,
+                    attempt,
+                    outcome,
+                    elapsed,
+                    request_ended: ended,
+                    report,
+                }));
             }
             Next::Probed(backend) => {
-                let report = Report { util: Some(self.util(backend)), ..Report::default() };
+                let report = LoadReport { utilisation: Some(self.util(backend)), ..LoadReport::default() };
                 let (outcome, elapsed) = (Outcome::Served, 3 * MS);
-                self.tell(Event::Probed { backend, outcome, elapsed, report });
+                self.tell(Event::ProbeEnded { backend, outcome, elapsed, report });
             }
             Next::Wakes(token) => self.tell(Event::Timer { token }),
             Next::ListChanges => {
                 let backend = self.draw(self.shape.backends.into()) as u32;
-                let stage = [Stage::InService, Stage::Draining, Stage::Gone][self.draw(3) as usize];
+                let stage = [BackendState::InService, BackendState::Draining, BackendState::Removed]
+                    [self.draw(3) as usize];
                 let back = self.draw(self.shape.backends.into()) as u32;
                 let cold = (self.draw(2) == 0).then_some(self.now);
-                let back = Member { online_since: cold, ..self.member(back, Stage::InService) };
+                let back = Member { online_since: cold, ..self.member(back, BackendState::InService) };
                 let members = vec![self.member(backend, stage), back];
-                self.tell(Event::Fleet { scope: ListScope::Changes, members });
+                self.tell(Event::Membership { scope: ListScope::Changes, members });
                 self.at(self.now + self.shape.churn, Next::ListChanges);
             }
             Next::ListComes => {
-                let members = (0..self.shape.backends).map(|b| self.member(b, Stage::InService)).collect();
-                self.tell(Event::Fleet { scope: ListScope::Full, members });
+                let members =
+                    (0..self.shape.backends).map(|b| self.member(b, BackendState::InService)).collect();
+                self.tell(Event::Membership { scope: ListScope::Full, members });
                 self.at(self.now + SECOND, Next::ListComes);
             }
         }
@@ -283,7 +302,14 @@
         let not_after = self.now + wait;
         self.attempts.insert(request, (0, not_after));
         let tenant = Some(u32::from(self.draw(4) == 0));
-        self.tell(Event::Request(Arrival { request, class, hint: None, repeat: false, tenant, not_after }));
+        self.tell(Event::Request(Arrival {
+            request,
+            class,
+            expected_work: None,
+            is_retry: false,
+            tenant,
+            not_after,
+        }));
         let gap = SECOND / self.shape.rate;
         let next = self.now + gap / 2 + self.draw(gap);
         self.at(next, Next::Arrives);
--- a/balancer/tests/many.rs
+++ b/balancer/tests/many.rs
@@ -8,13 +8,13 @@
 
 /// Settings of one of many nodes in three zones, with live weights and late answers worth nothing.
 fn many() -> Settings {
-    Settings { nodes: NODES, weights: Weights::Live, ..settings(Effect::Repeatable) }
+    Settings { nodes: NODES, weights: Weights::Live, ..settings(Idempotency::Idempotent) }
 }
 
 /// A list of ten backends a zone, each holding what `held` says for its zone.
 fn listed(held: [f64; 3]) -> Vec<Member> {
     let weight = |zone: u32| 1.0 / (1.0 + held[zone as usize]);
-    (0..30).map(|b| Member { size: weight(b / 10), ..member(b, b / 10) }).collect()
+    (0..30).map(|b| Member { weight: weight(b / 10), ..member(b, b / 10) }).collect()
 }
 
 fn node(seed: u64, given: Settings, members: Vec<Member>) -> Node {
@@ -35,7 +35,7 @@
         node.now += took;
         if let Some(to) = sent(&actions) {
             used.push(to);
-            node.settle_after(request, 0, Outcome::Served, took, Report::default());
+            node.settle_after(request, 0, Outcome::Served, took, LoadReport::default());
         }
         node.now += SECOND / 2 - took;
     }
@@ -75,7 +75,7 @@
 #[test]
 fn nodes_do_not_herd_onto_what_a_late_list_shows_as_free() {
     let members: Vec<Member> =
-        (0..30).map(|b| Member { size: if b == 3 { 1.0 } else { 0.25 }, ..member(b, b / 10) }).collect();
+        (0..30).map(|b| Member { weight: if b == 3 { 1.0 } else { 0.25 }, ..member(b, b / 10) }).collect();
     let to_free = (0..200).filter(|&seed| {
         let mut node = node(seed, many(), members.clone());
         sent(&node.ask(SECOND).1) == Some(BackendId(3))
@@ -104,7 +104,7 @@
         while let Some(tried) = to {
             widened |= !subset.contains(&tried.0);
             let failed = if subset.contains(&tried.0) { Outcome::ConnectFailed } else { Outcome::Served };
-            to = sent(&node.settle_after(request, attempt, failed, MS, Report::default()));
+            to = sent(&node.settle_after(request, attempt, failed, MS, LoadReport::default()));
             attempt += 1;
         }
     }
@@ -118,7 +118,7 @@
     let mut logs = 0;
     for _ in 0..40 {
         let (request, _) = node.ask(SECOND);
-        let actions = node.settle_after(request, 0, Outcome::ConnectFailed, MS, Report::default());
+        let actions = node.settle_after(request, 0, Outcome::ConnectFailed, MS, LoadReport::default());
         logs += actions
             .iter()
             .filter(|action| matches!(action, Action::Log(text) if text.contains("ejected")))
@@ -136,7 +136,7 @@
         let (request, actions) = node.ask(500 * MS - (turn % 7) * MS);
         assert!(sent(&actions).is_some(), "turn {turn}");
         node.now += 50 * MS;
-        node.settle_after(request, 0, Outcome::Served, 50 * MS, Report::default());
+        node.settle_after(request, 0, Outcome::Served, 50 * MS, LoadReport::default());
         node.now += 400 * MS;
     }
 }
@@ -146,7 +146,7 @@
 fn a_repeat_past_its_aim_is_refused_where_late_answers_are_worth_nothing() {
     let mut node = node(3, many(), listed([0.5; 3]));
     let (request, _) = node.ask(800 * MS);
-    node.settle(request, 0, Outcome::Served, Report::default());
+    node.settle(request, 0, Outcome::Served, LoadReport::default());
     // The deadline is 1 s and the aim 400 ms: a try with 300 ms left began 700 ms ago.
     let (_, actions) = node.ask(300 * MS);
     assert!(sent(&actions).is_none() && refused(&actions));
@@ -156,7 +156,7 @@
 #[test]
 fn a_class_not_asked_for_of_late_is_taken() {
     let mut given = many();
-    given.classes.push(class(400, 1000, Effect::Repeatable));
+    given.classes.push(class(400, 1000, Idempotency::Idempotent));
     let mut node = node(3, given, listed([0.5; 3]));
     serve(&mut node, 10, [0.5; 3], 50 * MS);
     let (request, class) = (RequestId(9_999), ClassId(1));
@@ -164,8 +164,8 @@
     let actions = node.tell(Event::Request(Arrival {
         request,
         class,
-        hint: None,
-        repeat: false,
+        expected_work: None,
+        is_retry: false,
         tenant: None,
         not_after,
     }));
@@ -225,7 +225,7 @@
             actions.extend(node.pass(10 * MS));
             let due: Vec<_> = out.extract_if(.., |due| due.0 <= node.now).collect();
             for (_, request, attempt, outcome, took) in due {
-                actions.extend(node.settle_after(request, attempt, outcome, took, Report::default()));
+                actions.extend(node.settle_after(request, attempt, outcome, took, LoadReport::default()));
             }
             for action in actions {
                 if let Action::Send { request, backend, .. } = action {
@@ -243,11 +243,11 @@
 }
 
 fn of_a_hundred() -> Traffic {
-    of_a_hundred_given(settings(Effect::Once))
+    of_a_hundred_given(settings(Idempotency::NonIdempotent))
 }
 
 fn of_a_hundred_given(given: Settings) -> Traffic {
-    let classes = vec![class(700, 5000, Effect::Once)];
+    let classes = vec![class(700, 5000, Idempotency::NonIdempotent)];
     let given = Settings { nodes: 100, classes, ..given };
     Traffic::of(Node::new(given, (0..60).map(|b| member(b, b / 20)).collect()))
 }
@@ -413,7 +413,7 @@
         let mut node = node(seed, many(), listed([6.0; 3]));
         let (request, _) = node.ask(SECOND);
         node.now += 50 * MS;
-        node.settle_after(request, 0, Outcome::Served, 50 * MS, Report::default());
+        node.settle_after(request, 0, Outcome::Served, 50 * MS, LoadReport::default());
         node.now += 100 * MS;
         node.ask(SECOND);
         node.now += 200 * MS;
@@ -429,7 +429,11 @@
     // 24 requests a second come, 20 of tenant 0, of which three are within its part; eight can be served.
     let quota = 300.0;
     let tenants = vec![quota, quota];
-    let mut node = of_a_hundred_given(Settings { tenants, over_share_worth: 0.1, ..settings(Effect::Once) });
+    let mut node = of_a_hundred_given(Settings {
+        tenant_quotas: tenants,
+        over_quota_value: 0.1,
+        ..settings(Idempotency::NonIdempotent)
+    });
     node.tenants = vec![0, 0, 0, 0, 0, 1];
     let mut free = 0;
     node.run(24, 30, |_, now| {
@@ -444,7 +448,7 @@
 /// Incident i58b577: in a jam nearly nothing was served, so that new servers, the way out, got nearly nothing.
 #[test]
 fn a_jam_does_not_take_the_budget_of_new_servers() {
-    let given = Settings { nodes: 3, ..settings(Effect::Repeatable) };
+    let given = Settings { nodes: 3, ..settings(Idempotency::Idempotent) };
     let mut node = Node::new(given, (0..3).map(|b| member(b, 0)).collect());
     node.now += 60 * SECOND;
     node.serve(300, |_| util(0.5));
--- a/balancer/tests/probing.rs
+++ b/balancer/tests/probing.rs
@@ -5,10 +5,10 @@
 use ivyhatch_balancer::*;
 
 fn pulled() -> Settings {
-    let mut given = settings(Effect::Repeatable);
+    let mut given = settings(Idempotency::Idempotent);
     given.limits.probes = true;
-    given.reports = Reports::Pull;
-    given.probe_price = 0.01;
+    given.reports = LoadReporting::Pull;
+    given.probe_cost = 0.01;
     given
 }
 
@@ -29,8 +29,8 @@
     actions.iter().filter_map(to).collect()
 }
 
-fn probed(backend: BackendId, outcome: Outcome, report: Report) -> Event {
-    Event::Probed { backend, outcome, elapsed: 5 * MS, report }
+fn probed(backend: BackendId, outcome: Outcome, report: LoadReport) -> Event {
+    Event::ProbeEnded { backend, outcome, elapsed: 5 * MS, report }
 }
 
 /// What a server says to a probe: a figure, nothing within 500 ms (none), or what it likes.
@@ -83,7 +83,9 @@
             for (backend, sent) in std::mem::take(&mut self.asked) {
                 let event = match says(backend) {
                     Some(figure) => probed(backend, Outcome::Served, util(figure)),
-                    None if now >= sent + 500 * MS => probed(backend, Outcome::TimedOut, Report::default()),
+                    None if now >= sent + 500 * MS => {
+                        probed(backend, Outcome::TimedOut, LoadReport::default())
+                    }
                     None => {
                         self.asked.push((backend, sent));
                         continue;
@@ -101,7 +103,8 @@
                 let outcome = outcome.unwrap_or(Outcome::Served);
                 let attempt = self.node.attempt(request);
                 let elapsed = now - sent;
-                let actions = self.node.settle_after(request, attempt, outcome, elapsed, Report::default());
+                let actions =
+                    self.node.settle_after(request, attempt, outcome, elapsed, LoadReport::default());
                 self.carry_out(actions);
             }
         }
@@ -140,7 +143,7 @@
     let mut forbidden = pulled();
     forbidden.limits.probes = false;
     let mut silent = pulled();
-    silent.reports = Reports::Silent;
+    silent.reports = LoadReporting::Disabled;
     for given in [forbidden, silent] {
         let mut run = Loop::new(given, zones());
         run.run(10 * SECOND, 20 * MS, &|_| Some(0.3), SERVES);
@@ -165,7 +168,7 @@
 #[test]
 fn a_server_that_reports_room_and_refuses_all_gets_next_to_nothing() {
     let says = |to: BackendId| Some(if to.0 == 0 { 0.0 } else { [0.97, 0.2, 0.2][zone(to) as usize] });
-    for outcome in [Outcome::Full, Outcome::Error, Outcome::ConnectFailed] {
+    for outcome in [Outcome::Rejected, Outcome::Error, Outcome::ConnectFailed] {
         let mut run = Loop::new(pulled(), zones());
         let refuses = |to: BackendId| (to.0 == 0).then_some(outcome);
         run.run(5 * SECOND, 50 * MS, &says, &refuses);
@@ -189,7 +192,7 @@
 #[test]
 fn what_an_earlier_life_of_a_server_reports_is_passed_over() {
     let mut given = pulled();
-    given.rules.warm_after = MS;
+    given.rules.warm_up_time = MS;
     let mut node = Node::new(given, zones());
     // The first probes of home are out when both of its servers start anew.
     let mut out = Vec::new();
@@ -235,9 +238,9 @@
 
 #[test]
 fn probing_goes_on_while_discovery_is_down() {
-    let mut run = Loop::new(Settings { discovery: Discovery::Asked, ..pulled() }, zones());
+    let mut run = Loop::new(Settings { discovery: Discovery::OnRequest, ..pulled() }, zones());
     run.run(2 * SECOND, 50 * MS, &|_| Some(0.3), SERVES);
-    run.node.tell(Event::FleetFailed);
+    run.node.tell(Event::DiscoveryFailed);
     let asked = run.probes.len();
     run.run(10 * SECOND, 50 * MS, &|_| Some(0.3), SERVES);
     assert!(run.probes.len() > asked + 10);
@@ -285,7 +288,7 @@
                     continue;
                 }
                 let actions =
-                    run.node.settle_after(request, 0, Outcome::Served, now - sent, Report::default());
+                    run.node.settle_after(request, 0, Outcome::Served, now - sent, LoadReport::default());
                 run.carry_out(actions);
             }
             let new = &run.sends[before..];
--- a/balancer/tests/troubles.rs
+++ b/balancer/tests/troubles.rs
@@ -11,14 +11,14 @@
 /// Incident idbb93b: a server that sends work away in a millisecond drew nearly all sends.
 #[test]
 fn a_backend_that_sends_away_at_once_does_not_look_idle() {
-    let mut node = Node::new(settings(Effect::Repeatable), fleet(3));
+    let mut node = Node::new(settings(Idempotency::Idempotent), fleet(3));
     let mut away = 0;
     for _ in 0..200 {
         let (request, actions) = node.ask(SECOND);
         let (mut to, mut attempt) = (sent(&actions), 0);
         while to == Some(BackendId(0)) {
             away += 1;
-            to = sent(&node.settle_after(request, attempt, Outcome::Full, 2 * MS, util(0.0)));
+            to = sent(&node.settle_after(request, attempt, Outcome::Rejected, 2 * MS, util(0.0)));
             attempt += 1;
         }
         node.pass(30 * MS);
@@ -30,7 +30,7 @@
 /// A backend that returns errors at once must lose its turn, then be tried and readmitted.
 #[test]
 fn a_backend_that_fails_fast_is_ejected_and_readmitted() {
-    let mut node = Node::new(settings(Effect::Repeatable), fleet(4));
+    let mut node = Node::new(settings(Idempotency::Idempotent), fleet(4));
     let run = |node: &mut Node, rounds: usize, broken: bool| {
         let mut bad = 0;
         for _ in 0..rounds {
@@ -55,7 +55,7 @@
 /// Incident idbb93b: with many nodes, one send of each to a backend that it holds nothing on is a jam.
 #[test]
 fn own_idleness_does_not_prove_room() {
-    let mut node = Node::new(settings(Effect::Repeatable), fleet(2));
+    let mut node = Node::new(settings(Idempotency::Idempotent), fleet(2));
     node.serve(100, |_| util(0.5));
     for _ in 0..40 {
         let (request, actions) = node.ask(SECOND);
@@ -71,9 +71,9 @@
 /// Incident if301ed: the class worth most, with the tightest aim, found all room taken by the others.
 #[test]
 fn the_worthier_class_has_precedence() {
-    let mut given = settings(Effect::Repeatable);
-    let wide = ClassSettings { aim: 800 * MS, ..class(800, 2000, Effect::Repeatable) };
-    given.classes = vec![wide, ClassSettings { worth: 5.0, ..class(500, 2000, Effect::Repeatable) }];
+    let mut given = settings(Idempotency::Idempotent);
+    let wide = ClassSettings { latency_target: 800 * MS, ..class(800, 2000, Idempotency::Idempotent) };
+    given.classes = vec![wide, ClassSettings { value: 5.0, ..class(500, 2000, Idempotency::Idempotent) }];
     let mut node = Node::new(given, fleet(2));
     let mut taken = [0, 0];
     let mut out = Vec::new();
@@ -83,8 +83,8 @@
         let arrival = Arrival {
             request: id,
             class,
-            hint: None,
-            repeat: false,
+            expected_work: None,
+            is_retry: false,
             tenant: None,
             not_after: node.now + SECOND,
         };
@@ -113,13 +113,13 @@
 
 #[test]
 fn retries_stay_within_their_budget() {
-    let mut node = Node::new(settings(Effect::Repeatable), fleet(6));
+    let mut node = Node::new(settings(Idempotency::Idempotent), fleet(6));
     let mut extra = 0;
     for _ in 0..500 {
         let (request, actions) = node.ask(SECOND);
         let (mut to, mut attempt) = (sent(&actions), 0);
         while to.is_some() {
-            to = sent(&node.settle_after(request, attempt, Outcome::Error, 5 * MS, Report::default()));
+            to = sent(&node.settle_after(request, attempt, Outcome::Error, 5 * MS, LoadReport::default()));
             extra += usize::from(to.is_some());
             attempt += 1;
         }
@@ -130,14 +130,14 @@
 
 #[test]
 fn most_of_the_fleet_failing_does_not_empty_it() {
-    let mut node = Node::new(settings(Effect::Repeatable), fleet(6));
+    let mut node = Node::new(settings(Idempotency::Idempotent), fleet(6));
     let mut sent_late = 0;
     for turn in 0..300 {
         let (request, actions) = node.ask(SECOND);
         let (mut to, mut attempt) = (sent(&actions), 0);
         sent_late += usize::from(turn > 200 && to.is_some());
         while to.is_some() {
-            to = sent(&node.settle_after(request, attempt, Outcome::Reset, 5 * MS, Report::default()));
+            to = sent(&node.settle_after(request, attempt, Outcome::Reset, 5 * MS, LoadReport::default()));
             attempt += 1;
         }
         node.pass(20 * MS);
@@ -149,7 +149,7 @@
 #[test]
 fn nodes_that_share_a_zone_leave_room_for_each_other() {
     let taken = |nodes| {
-        let given = Settings { nodes, ..settings(Effect::Repeatable) };
+        let given = Settings { nodes, ..settings(Idempotency::Idempotent) };
         let mut node = Node::new(given, fleet(2));
         node.serve(200, |_| util(0.5));
         (0..60).filter(|_| sent(&node.ask(SECOND).1).is_some()).count()
@@ -161,19 +161,25 @@
 /// Incidents idbcff6 and i9be87d: a timer that always ran on every node cost more than all requests.
 #[test]
 fn a_node_with_nothing_held_asks_for_no_timer() {
-    let mut node = Node::new(settings(Effect::Repeatable), fleet(2));
+    let mut node = Node::new(settings(Idempotency::Idempotent), fleet(2));
     let (request, actions) = node.ask(SECOND);
     assert_eq!(sends(&actions).len(), 1);
     let timer = |actions: &[Action]| actions.iter().any(|action| matches!(action, Action::Timer { .. }));
     assert!(!timer(&actions) && !timer(&node.settle(request, 0, Outcome::Served, util(0.1))));
-    assert!(timer(&Node::new(settings(Effect::Repeatable), vec![]).ask(SECOND).1), "what is held needs one");
+    assert!(
+        timer(&Node::new(settings(Idempotency::Idempotent), vec![]).ask(SECOND).1),
+        "what is held needs one"
+    );
 }
 
 /// Guards against first tries of impatient clients taken for late repeats: a repeat may be given what is left
 /// of the client's time, which is more than its first try had.
 #[test]
 fn a_first_try_shorter_than_repeats_is_taken() {
-    let marked = |repeats_marked| Settings { repeats_marked, ..settings(Effect::Repeatable) };
+    let marked = |repeats_marked| Settings {
+        clients_mark_retries: repeats_marked,
+        ..settings(Idempotency::Idempotent)
+    };
     for (repeats_marked, taken) in [(true, true), (false, false)] {
         let mut node = Node::new(marked(repeats_marked), vec![member(1, 0)]);
         node.ask_again(950 * MS);
@@ -185,10 +191,10 @@
 /// A garble day's repeats ended with time left, as no backend had room in the very moment.
 #[test]
 fn a_repeat_that_finds_no_room_is_held() {
-    let mut node = Node::new(settings(Effect::Repeatable), fleet(1));
+    let mut node = Node::new(settings(Idempotency::Idempotent), fleet(1));
     let (request, actions) = node.ask(SECOND);
     assert!(sent(&actions).is_some());
-    let actions = node.settle_after(request, 0, Outcome::Full, 2 * MS, Report::default());
+    let actions = node.settle_after(request, 0, Outcome::Rejected, 2 * MS, LoadReport::default());
     assert!(!refused(&actions) && !failed(&actions) && sent(&actions).is_none());
     assert_eq!(sent(&node.pass(150 * MS)), Some(BackendId(0)), "sent once the backend takes work again");
 }
@@ -196,7 +202,7 @@
 /// Each day began with refusals: against the first guess of the base time every backend looked slow.
 #[test]
 fn first_answers_make_no_backend_slow() {
-    let mut node = Node::new(settings(Effect::Repeatable), fleet(3));
+    let mut node = Node::new(settings(Idempotency::Idempotent), fleet(3));
     let mut open = Vec::new();
     for _ in 0..3 {
         let (request, actions) = node.ask(SECOND);
@@ -213,7 +219,7 @@
 /// What was never sent is refused while the client has half of its time for another try.
 #[test]
 fn what_was_never_sent_is_refused_by_half_of_its_time() {
-    let mut node = Node::new(settings(Effect::Once), Vec::new());
+    let mut node = Node::new(settings(Idempotency::NonIdempotent), Vec::new());
     for wait in [100 * MS, 300 * MS, SECOND] {
         let came = node.now;
         let (_, mut actions) = node.ask(wait);
@@ -227,7 +233,7 @@
 /// A wide day: most clients had less time than a request takes. Their time-outs put good backends out.
 #[test]
 fn clients_with_little_time_eject_no_backend() {
-    let marked = Settings { repeats_marked: true, ..settings(Effect::Repeatable) };
+    let marked = Settings { clients_mark_retries: true, ..settings(Idempotency::Idempotent) };
     let mut node = Node::new(marked, fleet(3));
     node.serve(200, |_| util(0.3));
     let mut tried = 0;
@@ -235,7 +241,7 @@
         let (request, actions) = node.ask(20 * MS);
         tried += usize::from(sent(&actions).is_some());
         node.pass(20 * MS);
-        let actions = node.settle_after(request, 0, Outcome::TimedOut, 20 * MS, Report::default());
+        let actions = node.settle_after(request, 0, Outcome::TimedOut, 20 * MS, LoadReport::default());
         let ejects = |action: &Action| matches!(action, Action::Log(text) if text.contains("ejected"));
         assert!(!actions.iter().any(ejects));
     }
@@ -245,9 +251,9 @@
 /// Where reports show room, what may be late costs nobody else: half of such requests were held in vain.
 #[test]
 fn little_time_is_taken_where_reports_show_room() {
-    let wide = Member { size: 2.0, ..member(1, 0) };
+    let wide = Member { weight: 2.0, ..member(1, 0) };
     for (used, taken) in [(0.6, true), (0.9, false)] {
-        let given = Settings { repeats_marked: true, ..settings(Effect::Repeatable) };
+        let given = Settings { clients_mark_retries: true, ..settings(Idempotency::Idempotent) };
         let mut node = Node::new(given, vec![wide]);
         node.serve(100, |_| util(used));
         assert!(sent(&node.ask(SECOND).1).is_some());
@@ -258,14 +264,14 @@
 /// With every eighth attempt broken on the way, three in a row were chance, and most of a zone was ejected.
 #[test]
 fn connections_that_break_by_chance_eject_nobody() {
-    let mut node = Node::new(settings(Effect::Repeatable), fleet(2));
+    let mut node = Node::new(settings(Idempotency::Idempotent), fleet(2));
     node.serve(100, |_| util(0.3));
     let open: Vec<(RequestId, Option<BackendId>)> =
         (0..6).map(|_| node.ask(SECOND)).map(|(request, actions)| (request, sent(&actions))).collect();
     let broken: Vec<_> = open.iter().filter(|(_, to)| *to == Some(BackendId(0))).collect();
     assert!(broken.len() >= 3, "{open:?}");
     for (request, _) in broken {
-        let actions = node.settle_after(*request, 0, Outcome::Reset, 10 * MS, Report::default());
+        let actions = node.settle_after(*request, 0, Outcome::Reset, 10 * MS, LoadReport::default());
         let ejects = |action: &Action| matches!(action, Action::Log(text) if text.contains("ejected"));
         assert!(!actions.iter().any(ejects));
         node.now += 2 * SECOND;
@@ -275,13 +281,13 @@
 /// The same day's repeats ran out: a tenth of the arrivals is less than what broke.
 #[test]
 fn one_broken_attempt_in_six_leaves_repeats_for_all() {
-    let mut node = Node::new(settings(Effect::Repeatable), fleet(3));
+    let mut node = Node::new(settings(Idempotency::Idempotent), fleet(3));
     node.serve(100, |_| util(0.3));
     for turn in 0..400 {
         let (request, actions) = node.ask(SECOND);
         assert!(sent(&actions).is_some());
         if turn % 6 == 0 {
-            let actions = node.settle_after(request, 0, Outcome::Reset, 10 * MS, Report::default());
+            let actions = node.settle_after(request, 0, Outcome::Reset, 10 * MS, LoadReport::default());
             assert!(sent(&actions).is_some(), "turn {turn}");
             node.settle(request, 1, Outcome::Served, util(0.3));
         } else {
@@ -295,7 +301,7 @@
 /// backend that had little to do looked ten times slow, got one request at a time, and so went on looking slow.
 #[test]
 fn a_backend_with_little_to_do_does_not_look_slow() {
-    let mut node = Node::new(settings(Effect::Repeatable), fleet(1));
+    let mut node = Node::new(settings(Idempotency::Idempotent), fleet(1));
     let mut queue = Queue::new(150 * MS, 10 * MS);
     let busy = queue.run(&mut node, 20 * MS, 10 * SECOND, SECOND);
     queue.run(&mut node, 200 * MS, 10 * SECOND, SECOND);
@@ -307,8 +313,10 @@
 /// requests waiting for each core for a second or two turns slower, and stays so long after.
 #[test]
 fn a_wide_aim_is_no_licence_to_crowd_a_backend() {
-    let given =
-        Settings { classes: vec![class(4000, 8000, Effect::Repeatable)], ..settings(Effect::Repeatable) };
+    let given = Settings {
+        classes: vec![class(4000, 8000, Idempotency::Idempotent)],
+        ..settings(Idempotency::Idempotent)
+    };
     let mut node = Node::new(given, fleet(1));
     let mut queue = Queue::new(200 * MS, 20 * MS);
     queue.run(&mut node, 25 * MS, 10 * SECOND, 8 * SECOND);
@@ -319,7 +327,7 @@
 /// Held requests were kept for most of their aim though no backend would have been sent them any more.
 #[test]
 fn what_no_backend_would_be_sent_any_more_is_refused_at_once() {
-    let mut node = Node::new(settings(Effect::Repeatable), fleet(1));
+    let mut node = Node::new(settings(Idempotency::Idempotent), fleet(1));
     Queue::new(120 * MS, 40 * MS).run(&mut node, 150 * MS, 10 * SECOND, SECOND);
     while sent(&node.ask(SECOND).1).is_some() {}
     let came = node.now;
@@ -336,7 +344,11 @@
 /// none told them apart.
 #[test]
 fn a_tenant_that_floods_leaves_room_for_the_others() {
-    let given = Settings { tenants: vec![20.0, 40.0], over_share_worth: 0.2, ..settings(Effect::Repeatable) };
+    let given = Settings {
+        tenant_quotas: vec![20.0, 40.0],
+        over_quota_value: 0.2,
+        ..settings(Idempotency::Idempotent)
+    };
     let mut node = Node::new(given, fleet(1));
     let mut queue = Queue::new(80 * MS, 20 * MS);
     let tenant = |request: u64| u32::from(request.is_multiple_of(6));
@@ -353,7 +365,7 @@
 /// them passed for repeats that come too late.
 #[test]
 fn clients_that_come_to_wait_less_long_are_no_late_repeats() {
-    let mut node = Node::new(settings(Effect::Repeatable), fleet(2));
+    let mut node = Node::new(settings(Idempotency::Idempotent), fleet(2));
     let mut run = |wait| {
         let mut taken = 0;
         for _ in 0..200 {
--- a/config/tests/config.rs
+++ b/config/tests/config.rs
@@ -222,13 +222,13 @@
         assert_eq!(told["seed"], "0000000000000007");
         let site = ivyhatch_node_settings::read(&told["settings"]).expect("settings");
         let settings = site.settings;
-        assert_eq!((settings.zones, settings.nodes, settings.limits.attempts), (3, 3, 3));
-        assert_eq!(settings.limits.retry_after, 1_000_000_000);
-        assert_eq!(settings.classes[0].aim, 800_000_000);
-        let zone = ivyhatch_balancer::Group::Zone;
+        assert_eq!((settings.zones, settings.nodes, settings.limits.max_attempts), (3, 3, 3));
+        assert_eq!(settings.limits.max_retry_after, 1_000_000_000);
+        assert_eq!(settings.classes[0].latency_target, 800_000_000);
+        let zone = ivyhatch_balancer::IdempotencyScope::Zone;
         assert_eq!(
-            settings.classes[0].effect,
-            ivyhatch_balancer::Effect::Keyed { group: zone, window: 9_000_000_000 }
+            settings.classes[0].idempotency,
+            ivyhatch_balancer::Idempotency::Keyed { scope: zone, window: 9_000_000_000 }
         );
         assert!(settings.limits.probes && settings.rules.drain_grace == 500_000_000);
     }
--- a/lab/src/oracle.rs
+++ b/lab/src/oracle.rs
@@ -121,7 +121,7 @@
     /// A list that a node held from an earlier life, perhaps stale: it binds as any does.
     pub fn cached(&mut self, node: usize, members: &[ivyhatch_balancer::Member], now: Nanos) {
         for member in members {
-            let serving = member.stage == ivyhatch_balancer::Stage::InService;
+            let serving = member.state == ivyhatch_balancer::BackendState::InService;
             self.told(node, member.backend.0, serving, member.online_since, now);
         }
     }
--- a/lab/src/play/clients.rs
+++ b/lab/src/play/clients.rs
@@ -78,7 +78,17 @@
             self.at(self.now + stays, Next::Leaves(node, request));
         }
         let (request, class) = (RequestId(request), ClassId(class as u32));
-        self.tell(node, Event::Request(Arrival { request, class, hint: None, repeat, tenant, not_after }));
+        self.tell(
+            node,
+            Event::Request(Arrival {
+                request,
+                class,
+                expected_work: None,
+                is_retry: repeat,
+                tenant,
+                not_after,
+            }),
+        );
     }
 
     /// A client hangs up: nothing more is owed, and what it has sent away for goes on.
@@ -91,7 +101,7 @@
         if let Some(client) = self.clients.get(&client) {
             self.books.left(&client.asks);
         }
-        self.tell(node, Event::ClientGone { request: RequestId(request) });
+        self.tell(node, Event::ClientDisconnected { request: RequestId(request) });
         self.over_for(client, BACK);
     }
 
--- a/lab/src/play/links.rs
+++ b/lab/src/play/links.rs
@@ -27,7 +27,7 @@
         match self {
             Self::Served => Outcome::Served,
             Self::Error => Outcome::Error,
-            Self::Full => Outcome::Full,
+            Self::Full => Outcome::Rejected,
             Self::Unreached => Outcome::ConnectFailed,
             Self::TimedOut => Outcome::TimedOut,
             Self::Cancelled => Outcome::Cancelled,
--- a/lab/src/play/mod.rs
+++ b/lab/src/play/mod.rs
@@ -142,7 +142,7 @@
         let life = self.nodes[node].life;
         match action {
             Action::Send { request, backend, timeout } => self.send(node, request.0, backend.0, timeout),
-            Action::Refuse { request, pause } => self.answer(node, request.0, Some(pause), true),
+            Action::Reject { request, retry_after: pause } => self.answer(node, request.0, Some(pause), true),
             Action::Fail { request } => self.answer(node, request.0, None, true),
             Action::Cancel { request, attempt } => {
                 let attempt = Attempt { node, request: request.0, number: attempt };
--- a/lab/src/play/servers.rs
+++ b/lab/src/play/servers.rs
@@ -4,7 +4,7 @@
 use super::{Attempt, MS, Next, Open, Play, Probe, Try, Work};
 use crate::Nanos;
 use crate::server::{Job, State, Taken};
-use ivyhatch_balancer::{BackendId, Event, Outcome, Report as Figures, RequestId, Settlement};
+use ivyhatch_balancer::{AttemptEnd, BackendId, Event, LoadReport as Figures, Outcome, RequestId};
 
 /// A connection over a cut is given up after this time, a probe after that.
 const CONNECT: Nanos = 250 * MS;
@@ -156,14 +156,21 @@
         let mut report = Figures::default();
         if self.world.reports_on_answers && code.is_answer() {
             let noise = self.noise.unit();
-            report.util = Some(self.servers[server as usize].figure(noise, now));
+            report.utilisation = Some(self.servers[server as usize].figure(noise, now));
         }
         let ended = self.open.get(&(node, request)).is_none_or(|open: &Open| open.answered);
         let elapsed = now - sent;
         let request = RequestId(request);
         self.tell(
             node,
-            Event::Settled(Settlement { request, attempt: number, outcome, elapsed, ended, report }),
+            Event::AttemptEnded(AttemptEnd {
+                request,
+                attempt: number,
+                outcome,
+                elapsed,
+                request_ended: ended,
+                report,
+            }),
         );
     }
 
@@ -209,8 +216,8 @@
             return;
         }
         let util = (code == Code::Served).then(|| f64::from_bits(figure));
-        let report = Figures { util, ..Figures::default() };
+        let report = Figures { utilisation: util, ..Figures::default() };
         let (backend, outcome, elapsed) = (BackendId(probe.server), code.outcome(), now - probe.sent);
-        self.tell(probe.node, Event::Probed { backend, outcome, elapsed, report });
+        self.tell(probe.node, Event::ProbeEnded { backend, outcome, elapsed, report });
     }
 }
--- a/lab/src/play/setup.rs
+++ b/lab/src/play/setup.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
 use ivyhatch_balancer::{
-    Balancer, ClassSettings, Discovery, Effect, Event, Reports, RuleFigures, Settings, ZoneId,
+    Balancer, ClassSettings, Discovery, Event, Idempotency, LoadReporting, RuleSettings, Settings, ZoneId,
 };
 
 use super::{Decider, MS, Next, Node, Play, START, Who};
@@ -17,35 +17,35 @@
 
 fn settings(world: &World, decider: &Decider) -> Settings {
     let class = |class: &crate::world::Class| ClassSettings {
-        aim: class.aim_ms * MS,
+        latency_target: class.aim_ms * MS,
         deadline: class.deadline_ms * MS,
-        worth: class.worth,
-        effect: if class.once { Effect::Once } else { Effect::Repeatable },
+        value: class.worth,
+        idempotency: if class.once { Idempotency::NonIdempotent } else { Idempotency::Idempotent },
         ..ClassSettings::default()
     };
     let mut settings = Settings {
         nodes: world.nodes,
         classes: world.clients.classes.iter().map(class).collect(),
-        tenants: world.clients.tenants.iter().map(|tenant| tenant.quota).collect(),
-        discovery: Discovery::Asked,
-        reports: if world.reports_on_answers { Reports::Piggyback } else { Reports::Pull },
-        probe_price: 0.01,
-        repeats_marked: world.clients.marks_repeats,
-        rules: RuleFigures {
-            answer_slack: SLACK,
-            ask_within: 10_000 * MS,
+        tenant_quotas: world.clients.tenants.iter().map(|tenant| tenant.quota).collect(),
+        discovery: Discovery::OnRequest,
+        reports: if world.reports_on_answers { LoadReporting::Piggyback } else { LoadReporting::Pull },
+        probe_cost: 0.01,
+        clients_mark_retries: world.clients.marks_repeats,
+        rules: RuleSettings {
+            answer_grace: SLACK,
+            max_poll_interval: 10_000 * MS,
             drain_grace: GRACE,
-            start_capacity: COLD,
-            warm_after: WARM_AFTER,
-            tip_multiple: TIP,
-            fall_span: FALL_SPAN,
+            initial_capacity: COLD,
+            warm_up_time: WARM_AFTER,
+            overload_multiple: TIP,
+            overload_window: FALL_SPAN,
         },
         ..Settings::new(ZoneId(0), world.zones)
     };
     settings.limits.probes = decider.probes.unwrap_or(true);
-    settings.limits.attempts = decider.attempts.unwrap_or(6);
-    settings.limits.second_copies = decider.second_copies.unwrap_or(true);
-    settings.limits.retry_after = LONGEST_PAUSE;
+    settings.limits.max_attempts = decider.attempts.unwrap_or(6);
+    settings.limits.hedging = decider.second_copies.unwrap_or(true);
+    settings.limits.max_retry_after = LONGEST_PAUSE;
     settings
 }
 
@@ -139,7 +139,7 @@
             play.tell(node, Event::Start);
             let list = play.list();
             let members = play.lists_made[list].to_vec();
-            play.tell(node, Event::Fleet { scope: ivyhatch_balancer::ListScope::Cached, members });
+            play.tell(node, Event::Membership { scope: ivyhatch_balancer::ListScope::Cached, members });
         }
         if world.discovery.whole_every > 0.0 {
             play.at(START + seconds(world.discovery.whole_every), Next::Whole);
--- a/lab/src/play/troubles.rs
+++ b/lab/src/play/troubles.rs
@@ -5,26 +5,34 @@
 use crate::Nanos;
 use crate::server::State;
 use crate::world::{Kind, seconds};
-use ivyhatch_balancer::{BackendId, Event, ListScope, Member, Stage, ZoneId};
+use ivyhatch_balancer::{BackendId, BackendState, Event, ListScope, Member, ZoneId};
 
 /// A call for the list that finds nobody fails after this time.
 const CALL: Nanos = 250 * MS;
 
-fn stage(state: State) -> Stage {
+fn stage(state: State) -> BackendState {
     match state {
-        State::Serving => Stage::InService,
-        State::Draining => Stage::Draining,
-        State::Gone => Stage::Gone,
+        State::Serving => BackendState::InService,
+        State::Draining => BackendState::Draining,
+        State::Gone => BackendState::Removed,
     }
 }
 
 impl Play<'_> {
-    fn member(&self, server: u32, stage: Stage, online_since: Option<Nanos>) -> Member {
+    fn member(&self, server: u32, stage: BackendState, online_since: Option<Nanos>) -> Member {
         let zone = ZoneId(self.zone(server));
         let group = self.servers[server as usize].group;
         // Its size is its cores: what a list can know. How fast they are it cannot.
         let size = f64::from(group.cores);
-        Member { backend: BackendId(server), zone, kind: 0, stage, size, online_since, ..Member::default() }
+        Member {
+            backend: BackendId(server),
+            zone,
+            machine_kind: 0,
+            state: stage,
+            weight: size,
+            online_since,
+            ..Member::default()
+        }
     }
 
     /// The number of the whole list as calls get it now; those that have gone are not on it.
@@ -67,7 +75,7 @@
             return;
         }
         if self.lists_down > 0 {
-            return self.tell(node, Event::FleetFailed);
+            return self.tell(node, Event::DiscoveryFailed);
         }
         self.nodes[node].watching |= watch;
         let members = self.lists_made[list].to_vec();
@@ -77,13 +85,14 @@
     pub(super) fn list_fails(&mut self, node: usize, life: u32) {
         if self.nodes[node].life == life {
             self.nodes[node].watching = false;
-            self.tell(node, Event::FleetFailed);
+            self.tell(node, Event::DiscoveryFailed);
         }
     }
 
     fn tell_list(&mut self, node: usize, scope: ListScope, members: Vec<Member>) {
         let all = scope == ListScope::Full;
-        let serving = members.iter().map(|m| (m.backend.0, m.stage == Stage::InService, m.online_since));
+        let serving =
+            members.iter().map(|m| (m.backend.0, m.state == BackendState::InService, m.online_since));
         let serving: Vec<_> = serving.collect();
         if all {
             self.oracle.told_all(node, &serving, self.servers.len() as u32, self.now);
@@ -92,14 +101,15 @@
                 .into_iter()
                 .for_each(|(server, on, since)| self.oracle.told(node, server, on, since, self.now));
         }
-        self.tell(node, Event::Fleet { scope, members });
+        self.tell(node, Event::Membership { scope, members });
     }
 
     pub(super) fn told(&mut self, node: usize, life: u32, server: u32, stage: u8, since: Option<Nanos>) {
         if self.nodes[node].life != life || !self.nodes[node].watching {
             return;
         }
-        let stage = [Stage::InService, Stage::Draining, Stage::Gone][usize::from(stage)];
+        let stage =
+            [BackendState::InService, BackendState::Draining, BackendState::Removed][usize::from(stage)];
         let members = vec![self.member(server, stage, since)];
         self.tell_list(node, ListScope::Changes, members);
     }
@@ -292,6 +302,6 @@
         let list = self.list();
         let members = self.lists_made[list].to_vec();
         self.oracle.cached(node, &members, self.now);
-        self.tell(node, Event::Fleet { scope: ListScope::Cached, members });
+        self.tell(node, Event::Membership { scope: ListScope::Cached, members });
     }
 }
--- a/lab/src/reference.rs
+++ b/lab/src/reference.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use ivyhatch_balancer::{Action, Arrival, BackendId, Event, ListScope, RequestId, Settlement, Stage};
+use ivyhatch_balancer::{Action, Arrival, AttemptEnd, BackendId, BackendState, Event, ListScope, RequestId};
 use serde::{Deserialize, Serialize};
 
 use crate::Nanos;
@@ -94,16 +94,16 @@
     pub(crate) fn handle(&mut self, now: Nanos, event: Event, servers: &[Server], actions: &mut Vec<Action>) {
         match event {
             Event::Start => actions.push(Action::Watch),
-            Event::FleetFailed => actions.push(Action::Timer { after: 500 * MS, token: 1 }),
+            Event::DiscoveryFailed => actions.push(Action::Timer { after: 500 * MS, token: 1 }),
             Event::Timer { token: 1 } => actions.push(Action::Watch),
-            Event::Fleet { scope, members } => {
+            Event::Membership { scope, members } => {
                 let before = std::mem::take(&mut self.members);
                 let own = |id: &BackendId| before.get(id).map_or(0, |(_, own)| *own);
                 if scope == ListScope::Changes {
                     self.members = before.clone();
                 }
                 for member in members {
-                    if member.stage == Stage::InService {
+                    if member.state == BackendState::InService {
                         let entry = (member.zone.0, own(&member.backend));
                         self.members.insert(member.backend, entry);
                     } else {
@@ -114,9 +114,12 @@
                 self.members.iter().for_each(|(id, (zone, _))| self.zones[*zone as usize].push(*id));
             }
             Event::Request(arrival) => self.arrive(now, arrival, servers, actions),
-            Event::Settled(settled) => self.settle(now, settled, servers, actions),
-            Event::ClientGone { request } => drop(self.open.remove(&request)),
-            Event::Probed { .. } | Event::Started { .. } | Event::Broken { .. } | Event::Timer { .. } => {}
+            Event::AttemptEnded(settled) => self.settle(now, settled, servers, actions),
+            Event::ClientDisconnected { request } => drop(self.open.remove(&request)),
+            Event::ProbeEnded { .. }
+            | Event::StreamStarted { .. }
+            | Event::StreamInterrupted { .. }
+            | Event::Timer { .. } => {}
         }
     }
 
@@ -132,7 +135,7 @@
         self.place(now, arrival.request, servers, actions);
     }
 
-    fn settle(&mut self, now: Nanos, settled: Settlement, servers: &[Server], actions: &mut Vec<Action>) {
+    fn settle(&mut self, now: Nanos, settled: AttemptEnd, servers: &[Server], actions: &mut Vec<Action>) {
         let Some(open) = self.open.get_mut(&settled.request) else { return };
         if let Some((_, own)) =
             open.tried.get(settled.attempt as usize).and_then(|to| self.members.get_mut(to))
@@ -140,7 +143,7 @@
             *own = own.saturating_sub(1);
         }
         open.may_have_run |= settled.outcome.may_have_run();
-        if settled.ended {
+        if settled.request_ended {
             self.open.remove(&settled.request);
             return;
         }
@@ -157,7 +160,7 @@
         let harm = open.may_have_run && self.setup.classes[open.class].once;
         actions.push(match harm {
             true => Action::Fail { request },
-            false => Action::Refuse { request, pause: PAUSE },
+            false => Action::Reject { request, retry_after: PAUSE },
         });
     }
 
--- a/node-settings/src/lib.rs
+++ b/node-settings/src/lib.rs
@@ -6,7 +6,8 @@
 use std::collections::HashMap;
 
 use ivyhatch_balancer::{
-    ClassSettings, Discovery, Effect, Group, Limits, Nanos, Reports, RuleFigures, Settings, Weights, ZoneId,
+    ClassSettings, Discovery, Idempotency, IdempotencyScope, Limits, LoadReporting, Nanos, RuleSettings,
+    Settings, Weights, ZoneId,
 };
 use serde_json::Value;
 
@@ -70,25 +71,25 @@
     let map = value.as_object().ok_or("settings: classes: not objects")?;
     let fields = Fields { tag: "settings: classes", map };
     let effect = match fields.text("effect")? {
-        "repeatable" => Effect::Repeatable,
-        "once" => Effect::Once,
+        "repeatable" => Idempotency::Idempotent,
+        "once" => Idempotency::NonIdempotent,
         "by_key" => {
             let group = match fields.text("key-scope")? {
-                "all" => Group::All,
-                "zone" => Group::Zone,
-                "cell" => Group::Cell,
+                "all" => IdempotencyScope::All,
+                "zone" => IdempotencyScope::Zone,
+                "cell" => IdempotencyScope::Cell,
                 _ => return Err(fields.wrong("key-scope")),
             };
-            Effect::Keyed { group, window: fields.whole("window-ns")? }
+            Idempotency::Keyed { scope: group, window: fields.whole("window-ns")? }
         }
         _ => return Err(fields.wrong("effect")),
     };
     let settings = ClassSettings {
-        aim: fields.whole("on-time-ns")?,
+        latency_target: fields.whole("on-time-ns")?,
         deadline: fields.whole("deadline-ns")?,
-        worth: fields.number_or("importance", 1.0)?,
-        late_share: fields.number_or("late-share", 0.0)?,
-        effect,
+        value: fields.number_or("importance", 1.0)?,
+        late_value_share: fields.number_or("late-share", 0.0)?,
+        idempotency: effect,
         ..ClassSettings::default()
     };
     Ok((fields.text("name")?.to_owned(), settings))
@@ -140,11 +141,11 @@
         zones: zones.len() as u32,
         nodes: u32::try_from(fields.whole_or("n-instances", 1)?).unwrap_or(u32::MAX),
         classes,
-        tenants,
-        over_share_worth: fields.number_or("over-share-worth", 1.0)?,
+        tenant_quotas: tenants,
+        over_quota_value: fields.number_or("over-share-worth", 1.0)?,
         discovery: match fields.text("discovery")? {
             "pushed" => Discovery::Pushed,
-            "on_request" => Discovery::Asked,
+            "on_request" => Discovery::OnRequest,
             _ => return Err(fields.wrong("discovery")),
         },
         weights: match map.get("weights").and_then(Value::as_str) {
@@ -152,36 +153,36 @@
             _ => Weights::Size,
         },
         reports: match map.get("report").and_then(|report| report.get("how")).and_then(Value::as_str) {
-            Some("pull") => Reports::Pull,
-            Some("piggyback") => Reports::Piggyback,
-            _ => Reports::Silent,
+            Some("pull") => LoadReporting::Pull,
+            Some("piggyback") => LoadReporting::Piggyback,
+            _ => LoadReporting::Disabled,
         },
-        probe_price: map.get("prices").and_then(|prices| prices.get("probe")).map_or(Ok(0.0), |price| {
+        probe_cost: map.get("prices").and_then(|prices| prices.get("probe")).map_or(Ok(0.0), |price| {
             price.as_f64().ok_or_else(|| "prices: field probe is of the wrong type".to_owned())
         })?,
         limits: Limits {
-            attempts: u32::try_from(limits.whole("attempts-cap")?).unwrap_or(u32::MAX),
-            second_copies: flag("second-copies"),
+            max_attempts: u32::try_from(limits.whole("attempts-cap")?).unwrap_or(u32::MAX),
+            hedging: flag("second-copies"),
             probes: flag("probes"),
-            cancel: flag("may-cancel"),
-            retry_after: max_pause,
+            cancellation: flag("may-cancel"),
+            max_retry_after: max_pause,
         },
-        rules: RuleFigures {
-            answer_slack: rules.whole("answer-slack-ns")?,
-            ask_within: rules.whole_or("ask-within-ns", u64::MAX)?,
+        rules: RuleSettings {
+            answer_grace: rules.whole("answer-slack-ns")?,
+            max_poll_interval: rules.whole_or("ask-within-ns", u64::MAX)?,
             drain_grace: rules.whole("drain-grace-ns")?,
-            start_capacity: rules.number("start-capacity")?,
-            warm_after: rules.whole("warm-after-ns")?,
-            tip_multiple: rules.number("tip-multiple")?,
-            fall_span: rules.whole("fall-ns")?,
+            initial_capacity: rules.number("start-capacity")?,
+            warm_up_time: rules.whole("warm-after-ns")?,
+            overload_multiple: rules.number("tip-multiple")?,
+            overload_window: rules.whole("fall-ns")?,
         },
-        worst_class_goal: goal.number_or("worst-class", 0.0)?,
-        repeats_marked: map
+        worst_class_weight: goal.number_or("worst-class", 0.0)?,
+        clients_mark_retries: map
             .get("callers")
             .and_then(|callers| callers.get("marks-retry"))
             .and_then(Value::as_bool)
             .unwrap_or(false),
-        worth_by_work: map.get("worth-by").and_then(Value::as_str) == Some("work"),
+        value_per_work: map.get("worth-by").and_then(Value::as_str) == Some("work"),
         quantum: fields.whole_or("quantum-ns", 1_000_000)?,
     };
     let classes = class_names.into_iter().zip(0..).collect();
--- a/node-settings/tests/golden.rs
+++ b/node-settings/tests/golden.rs
@@ -1,6 +1,6 @@
 //! The settings object's field names, default values and error texts stay as they are: whole files are kept in `golden/`.
 
-use ivyhatch_balancer::{Discovery, Effect, Group, Reports, Weights, ZoneId};
+use ivyhatch_balancer::{Discovery, Idempotency, IdempotencyScope, LoadReporting, Weights, ZoneId};
 use ivyhatch_node_settings::{Site, read};
 use serde_json::{Value, json};
 
@@ -25,26 +25,26 @@
 #[test]
 fn classes_and_tenants_of_a_file_with_every_field_are_read() {
     let site = site(EVERY_FIELD);
-    let keyed = |group: Group, window: u64| Effect::Keyed { group, window };
+    let keyed = |group: IdempotencyScope, window: u64| Idempotency::Keyed { scope: group, window };
     let effects = [
-        Effect::Repeatable,
-        Effect::Once,
-        keyed(Group::All, 6_000_000_000),
-        keyed(Group::Zone, 7_000_000_000),
-        keyed(Group::Cell, 8_000_000_000),
+        Idempotency::Idempotent,
+        Idempotency::NonIdempotent,
+        keyed(IdempotencyScope::All, 6_000_000_000),
+        keyed(IdempotencyScope::Zone, 7_000_000_000),
+        keyed(IdempotencyScope::Cell, 8_000_000_000),
     ];
     let times = [(150_000_000, 900_000_000), (700_000_000, 3_000_000_000), (1, 2), (3, 4), (5, 6)];
     let worths = [(2.5, 0.5), (1.0, 0.0), (1.0, 0.0), (1.0, 0.0), (1.0, 0.0)];
     let classes = &site.settings.classes;
-    assert_eq!(classes.iter().map(|class| class.effect).collect::<Vec<_>>(), effects);
-    assert_eq!(classes.iter().map(|class| (class.aim, class.deadline)).collect::<Vec<_>>(), times);
-    assert_eq!(classes.iter().map(|class| (class.worth, class.late_share)).collect::<Vec<_>>(), worths);
+    assert_eq!(classes.iter().map(|class| class.idempotency).collect::<Vec<_>>(), effects);
+    assert_eq!(classes.iter().map(|class| (class.latency_target, class.deadline)).collect::<Vec<_>>(), times);
+    assert_eq!(classes.iter().map(|class| (class.value, class.late_value_share)).collect::<Vec<_>>(), worths);
     for class in classes {
-        assert_eq!(class.attempts, None);
-        assert_eq!(class.patience, None);
-        assert!(!class.again_late);
+        assert_eq!(class.max_attempts, None);
+        assert_eq!(class.max_queue_time, None);
+        assert!(!class.retry_past_target);
     }
-    assert_eq!(site.settings.tenants, [40.5, 12.0]);
+    assert_eq!(site.settings.tenant_quotas, [40.5, 12.0]);
 }
 
 #[test]
@@ -53,14 +53,14 @@
     assert_eq!(settings.home, ZoneId(1));
     assert_eq!(settings.zones, 3);
     assert_eq!(settings.nodes, 5);
-    assert_eq!(settings.over_share_worth, 0.25);
-    assert_eq!(settings.discovery, Discovery::Asked);
+    assert_eq!(settings.over_quota_value, 0.25);
+    assert_eq!(settings.discovery, Discovery::OnRequest);
     assert_eq!(settings.weights, Weights::Live);
-    assert_eq!(settings.reports, Reports::Pull);
-    assert_eq!(settings.probe_price, 0.125);
-    assert_eq!(settings.worst_class_goal, 0.375);
-    assert!(settings.repeats_marked);
-    assert!(settings.worth_by_work);
+    assert_eq!(settings.reports, LoadReporting::Pull);
+    assert_eq!(settings.probe_cost, 0.125);
+    assert_eq!(settings.worst_class_weight, 0.375);
+    assert!(settings.clients_mark_retries);
+    assert!(settings.value_per_work);
     assert_eq!(settings.quantum, 2_500_000);
 }
 
@@ -68,19 +68,19 @@
 fn limits_and_rules_of_a_file_with_every_field_are_read() {
     let site = site(EVERY_FIELD);
     let limits = &site.settings.limits;
-    assert_eq!(limits.attempts, 4);
-    assert!(limits.second_copies);
+    assert_eq!(limits.max_attempts, 4);
+    assert!(limits.hedging);
     assert!(limits.probes);
-    assert!(limits.cancel);
-    assert_eq!(limits.retry_after, 1_250_000_000);
+    assert!(limits.cancellation);
+    assert_eq!(limits.max_retry_after, 1_250_000_000);
     let rules = &site.settings.rules;
-    assert_eq!(rules.answer_slack, 31_000_000);
-    assert_eq!(rules.ask_within, 9_500_000_000);
+    assert_eq!(rules.answer_grace, 31_000_000);
+    assert_eq!(rules.max_poll_interval, 9_500_000_000);
     assert_eq!(rules.drain_grace, 620_000_000);
-    assert_eq!(rules.start_capacity, 0.2);
-    assert_eq!(rules.warm_after, 17_000_000_000);
-    assert_eq!(rules.tip_multiple, 1.75);
-    assert_eq!(rules.fall_span, 1_900_000_000);
+    assert_eq!(rules.initial_capacity, 0.2);
+    assert_eq!(rules.warm_up_time, 17_000_000_000);
+    assert_eq!(rules.overload_multiple, 1.75);
+    assert_eq!(rules.overload_window, 1_900_000_000);
     assert_eq!(site.links.idle, 21_000_000_000);
     assert_eq!(site.links.connect_timeout, 350_000_000);
 }
@@ -105,21 +105,21 @@
     let site = site(REQUIRED_FIELDS);
     let settings = &site.settings;
     assert_eq!((settings.home, settings.zones, settings.nodes), (ZoneId(0), 1, 1));
-    assert_eq!((settings.classes[0].worth, settings.classes[0].late_share), (1.0, 0.0));
-    assert!(settings.tenants.is_empty());
-    assert_eq!(settings.over_share_worth, 1.0);
+    assert_eq!((settings.classes[0].value, settings.classes[0].late_value_share), (1.0, 0.0));
+    assert!(settings.tenant_quotas.is_empty());
+    assert_eq!(settings.over_quota_value, 1.0);
     assert_eq!(settings.discovery, Discovery::Pushed);
     assert_eq!(settings.weights, Weights::Size);
-    assert_eq!(settings.reports, Reports::Silent);
-    assert_eq!(settings.probe_price, 0.0);
-    assert_eq!(settings.worst_class_goal, 0.0);
-    assert!(!settings.repeats_marked);
-    assert!(!settings.worth_by_work);
+    assert_eq!(settings.reports, LoadReporting::Disabled);
+    assert_eq!(settings.probe_cost, 0.0);
+    assert_eq!(settings.worst_class_weight, 0.0);
+    assert!(!settings.clients_mark_retries);
+    assert!(!settings.value_per_work);
     assert_eq!(settings.quantum, 1_000_000);
     let limits = &settings.limits;
-    assert_eq!((limits.attempts, limits.retry_after), (2, 0));
-    assert!(!limits.second_copies && !limits.probes && !limits.cancel);
-    assert_eq!(settings.rules.ask_within, u64::MAX);
+    assert_eq!((limits.max_attempts, limits.max_retry_after), (2, 0));
+    assert!(!limits.hedging && !limits.probes && !limits.cancellation);
+    assert_eq!(settings.rules.max_poll_interval, u64::MAX);
     assert_eq!((site.links.idle, site.links.connect_timeout), (15_000_000_000, 250_000_000));
 }
 
@@ -132,9 +132,9 @@
     };
     assert_eq!(with("/discovery", "pushed").discovery, Discovery::Pushed);
     assert_eq!(with("/weights", "size").weights, Weights::Size);
-    assert_eq!(with("/report/how", "piggyback").reports, Reports::Piggyback);
-    assert_eq!(with("/report/how", "none").reports, Reports::Silent);
-    assert!(!with("/worth-by", "request").worth_by_work);
+    assert_eq!(with("/report/how", "piggyback").reports, LoadReporting::Piggyback);
+    assert_eq!(with("/report/how", "none").reports, LoadReporting::Disabled);
+    assert!(!with("/worth-by", "request").value_per_work);
 }
 
 #[test]
--- a/node/src/control.rs
+++ b/node/src/control.rs
@@ -134,7 +134,7 @@
         let oldest = known.iter().map(|(_, age)| age / 1_000_000).max();
         let count = |is: fn(&Seen) -> bool| servers.iter().filter(|server| is(server)).count();
         json!({"zone": name, "servers": servers.len(), "draining": count(|server| server.draining),
-            "ejected": count(|server| server.figures.ejected), "cold": count(|server| server.figures.warm < 1.0),
+            "ejected": count(|server| server.figures.ejected), "cold": count(|server| server.figures.capacity_share < 1.0),
             "in_flight": servers.iter().map(|server| server.figures.in_flight).sum::<u32>(),
             "utilisation": (!known.is_empty()).then_some(mean), "oldest_report_ms": oldest})
     };
@@ -146,5 +146,5 @@
     json!({"uid": seen.uid, "zone": seen.zone, "endpoint": seen.endpoint.to_string(), "draining": seen.draining,
         "in_flight": figures.in_flight, "utilisation": figures.utilisation.map(|(value, _)| value),
         "report_age_ms": figures.utilisation.map(|(_, age)| age / 1_000_000), "slowness": figures.slowness,
-        "ejected": figures.ejected, "warm": figures.warm})
+        "ejected": figures.ejected, "warm": figures.capacity_share})
 }
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -9,7 +9,7 @@
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use ivyhatch_balancer::{ListScope, Stage};
+use ivyhatch_balancer::{BackendState, ListScope};
 use serde::Deserialize;
 use tokio::net::TcpStream;
 use tokio::sync::watch;
@@ -65,9 +65,9 @@
             kind: self.model,
             cell: self.pod_group,
             stage: match self.state {
-                State::Ready => Stage::InService,
-                State::Terminating => Stage::Draining,
-                State::Gone => Stage::Gone,
+                State::Ready => BackendState::InService,
+                State::Terminating => BackendState::Draining,
+                State::Gone => BackendState::Removed,
             },
             size: self.capacity_hint,
             boot_ms: self.boot_ms,
--- a/node/src/driver.rs
+++ b/node/src/driver.rs
@@ -11,8 +11,8 @@
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
 use ivyhatch_balancer::{
-    Action, Arrival, BackendFigures, BackendId, Balancer, ClassId, Discovery, Effect, Event, ListScope,
-    Member, Nanos, Outcome, Report, RequestId, Settings, SettingsError, Settlement, Stage,
+    Action, Arrival, AttemptEnd, BackendId, BackendSnapshot, BackendState, Balancer, ClassId, Discovery,
+    Event, Idempotency, ListScope, LoadReport, Member, Nanos, Outcome, RequestId, Settings, SettingsError,
 };
 use ivyhatch_node_settings::Words;
 use tokio::sync::{Notify, oneshot};
@@ -128,7 +128,7 @@
     /// What happened.
     pub outcome: Outcome,
     /// The load report that came along.
-    pub report: Report,
+    pub report: LoadReport,
     /// The answer's body, of one that served.
     pub body: Bytes,
 }
@@ -136,7 +136,7 @@
 impl Ending {
     /// An end with nothing received.
     pub fn bare(outcome: Outcome) -> Self {
-        Self { outcome, report: Report::default(), body: Bytes::new() }
+        Self { outcome, report: LoadReport::default(), body: Bytes::new() }
     }
 }
 
@@ -163,7 +163,7 @@
     /// Its cell.
     pub cell: u64,
     /// What it may take.
-    pub stage: Stage,
+    pub stage: BackendState,
     /// Its size.
     pub size: f64,
     /// When it last started; 0 for long ago.
@@ -340,7 +340,7 @@
     /// It has been said to leave.
     pub draining: bool,
     /// What the module knows of it.
-    pub figures: BackendFigures,
+    pub figures: BackendSnapshot,
 }
 
 /// A handle on the driver. Cheap to clone.
@@ -395,7 +395,7 @@
     pub fn figures(&self) -> (usize, Vec<Seen>) {
         let driver = self.driver.borrow();
         let names: HashMap<BackendId, &String> = driver.ids.iter().map(|(name, id)| (*id, name)).collect();
-        let seen = |figures: BackendFigures| {
+        let seen = |figures: BackendSnapshot| {
             let known = driver.backends.get(&figures.backend)?;
             Some(Seen {
                 uid: names.get(&figures.backend)?.to_string(),
@@ -405,7 +405,7 @@
                 figures,
             })
         };
-        let figures = driver.balancer.backend_figures(self.clock.now());
+        let figures = driver.balancer.backend_snapshots(self.clock.now());
         (driver.balancer.open_requests(), figures.into_iter().filter_map(seen).collect())
     }
 
@@ -415,17 +415,17 @@
     }
 
     /// A class's number, time limit and effect, or none where the settings do not list it.
-    pub fn class(&self, name: &str) -> Option<(u32, Nanos, Effect)> {
+    pub fn class(&self, name: &str) -> Option<(u32, Nanos, Idempotency)> {
         let driver = self.driver.borrow();
         let class = driver.words.class(name)?;
         let settings = driver.settings.classes.get(class as usize)?;
-        Some((class, settings.deadline, settings.effect))
+        Some((class, settings.deadline, settings.idempotency))
     }
 
     /// A tenant's number. `Err` for a name that the settings of a site with tenants do not list.
     pub fn tenant(&self, name: Option<&str>) -> Result<Option<u32>, UnknownTenant> {
         let driver = self.driver.borrow();
-        if driver.settings.tenants.is_empty() {
+        if driver.settings.tenant_quotas.is_empty() {
             return Ok(None);
         }
         driver.words.tenant(name).map(Some).ok_or(UnknownTenant)
@@ -441,8 +441,8 @@
     pub fn discovery_pace(&self, seed: u64) -> Pace {
         let settings = &self.driver.borrow().settings;
         match settings.discovery {
-            Discovery::Asked => {
-                Pace::shared(settings.nodes, Duration::from_nanos(settings.rules.ask_within), seed)
+            Discovery::OnRequest => {
+                Pace::shared(settings.nodes, Duration::from_nanos(settings.rules.max_poll_interval), seed)
             }
             _ => Pace::own(Duration::from_nanos(settings.rules.drain_grace), seed),
         }
@@ -509,7 +509,7 @@
 
     /// A call to discovery has failed.
     pub fn fleet_failed(&self) {
-        self.tell(|driver, errands| driver.hear(Event::FleetFailed, errands));
+        self.tell(|driver, errands| driver.hear(Event::DiscoveryFailed, errands));
     }
 
     /// Whether the module wants the whole list next; asking takes the wish back.
@@ -543,7 +543,7 @@
         errands.probes.into_iter().for_each(|probe| self.launcher.probe(self, probe));
         errands.unmade.into_iter().for_each(|backend| self.unprobed(backend));
         for ticket in errands.moot {
-            self.settled(ticket, Ending::bare(Outcome::Moot));
+            self.settled(ticket, Ending::bare(Outcome::NotSent));
         }
         if errands.rearm {
             self.timer.notify_one();
@@ -592,7 +592,7 @@
     fn act(&mut self, action: Action, errands: &mut Errands) {
         match action {
             Action::Send { request, backend, timeout } => self.send(request, backend, timeout, errands),
-            Action::Refuse { request, pause } => self.finish(request, Reply::Refused(pause)),
+            Action::Reject { request, retry_after: pause } => self.finish(request, Reply::Refused(pause)),
             Action::Fail { request } => self.finish(request, Reply::Failed),
             Action::Cancel { request, attempt } => {
                 let open = self.requests.get_mut(&request);
@@ -633,7 +633,7 @@
         if self.requests.get(&request).is_some_and(|open| !open.ended) {
             tracing::warn!("a request had no answer at its end");
             self.finish(request, Reply::Failed);
-            self.hear(Event::ClientGone { request }, errands);
+            self.hear(Event::ClientDisconnected { request }, errands);
             self.forget_if_done(request);
         }
     }
@@ -651,8 +651,8 @@
         self.next_request += 1;
         let not_after = self.clock.now().saturating_add(asked.budget);
         let (call, reply) = (Rc::new(asked.call), Some(reply));
-        let window = match self.settings.classes.get(asked.class as usize).map(|class| class.effect) {
-            Some(Effect::Keyed { window, .. }) => Some(window),
+        let window = match self.settings.classes.get(asked.class as usize).map(|class| class.idempotency) {
+            Some(Idempotency::Keyed { window, .. }) => Some(window),
             _ => None,
         };
         let (attempts, ran) = (Vec::new(), None);
@@ -662,8 +662,8 @@
         let arrival = Arrival {
             request,
             class: ClassId(asked.class),
-            hint: asked.hint,
-            repeat: asked.repeat,
+            expected_work: asked.hint,
+            is_retry: asked.repeat,
             tenant: asked.tenant,
             not_after,
         };
@@ -723,7 +723,7 @@
         let Some((_, flight)) = self.probes.remove(&backend) else { return };
         let elapsed = self.clock.now().saturating_sub(flight.since);
         let Ending { outcome, report, .. } = ending;
-        self.hear(Event::Probed { backend, outcome, elapsed, report }, errands);
+        self.hear(Event::ProbeEnded { backend, outcome, elapsed, report }, errands);
     }
 
     /// Withdraws the probe of a backend, if one is out, and tells the module that it comes to nothing.
@@ -733,8 +733,8 @@
         if let Some(withdraw) = flight.and_then(|flight| flight.withdraw) {
             let _ = withdraw.send(());
         }
-        let (outcome, report) = (Outcome::Cancelled, Report::default());
-        self.hear(Event::Probed { backend, outcome, elapsed, report }, errands);
+        let (outcome, report) = (Outcome::Cancelled, LoadReport::default());
+        self.hear(Event::ProbeEnded { backend, outcome, elapsed, report }, errands);
     }
 
     /// Gives the final answer. Only the first one of a request goes out.
@@ -767,15 +767,15 @@
         }
         let ended = self.requests.get(&request).is_none_or(|open| open.ended);
         let (outcome, report) = (ending.outcome, ending.report);
-        let settlement = Settlement { request, attempt, outcome, elapsed, ended, report };
-        self.hear(Event::Settled(settlement), errands);
+        let settlement = AttemptEnd { request, attempt, outcome, elapsed, request_ended: ended, report };
+        self.hear(Event::AttemptEnded(settlement), errands);
         self.forget_if_done(request);
     }
 
     fn client_gone(&mut self, request: RequestId, errands: &mut Errands) {
         if self.requests.get(&request).is_some_and(|open| !open.ended) {
             self.finish(request, Reply::Failed);
-            self.hear(Event::ClientGone { request }, errands);
+            self.hear(Event::ClientDisconnected { request }, errands);
         }
         self.forget_if_done(request);
     }
@@ -797,10 +797,12 @@
             left.extend(self.ids.keys().filter(|uid| !named.contains(uid.as_str())).cloned());
         }
         left.extend(
-            list.iter().filter(|listed| listed.stage == Stage::Gone).map(|listed| listed.uid.clone()),
+            list.iter()
+                .filter(|listed| listed.stage == BackendState::Removed)
+                .map(|listed| listed.uid.clone()),
         );
         let members = list.into_iter().filter_map(|listed| self.member(listed, now, errands)).collect();
-        self.hear(Event::Fleet { scope, members }, errands);
+        self.hear(Event::Membership { scope, members }, errands);
         // A whole list can be older than the notice that a backend leaves: the module tells which of them binds.
         for (id, known) in &mut self.backends {
             known.draining_since = match self.balancer.is_in_service(*id) {
@@ -828,7 +830,7 @@
     }
 
     fn member(&mut self, listed: Listed, now: Nanos, errands: &mut Errands) -> Option<Member> {
-        let gone = listed.stage == Stage::Gone;
+        let gone = listed.stage == BackendState::Removed;
         let id = match self.ids.get(&listed.uid) {
             Some(&id) => id,
             None if gone => return None,
@@ -839,7 +841,7 @@
                 id
             }
         };
-        let draining = listed.stage != Stage::InService;
+        let draining = listed.stage != BackendState::InService;
         let before = self.backends.get(&id);
         let draining_since = before.and_then(|b| b.draining_since).or(draining.then_some(now));
         let moved = |b: &Known| b.endpoint != listed.endpoint || b.boot_ms != listed.boot_ms;
@@ -851,10 +853,10 @@
         Some(Member {
             backend: id,
             zone: self.words.zone(&listed.zone),
-            kind: self.words.kind(&listed.kind),
+            machine_kind: self.words.kind(&listed.kind),
             cell: listed.cell,
-            stage: listed.stage,
-            size: listed.size,
+            state: listed.stage,
+            weight: listed.size,
             online_since: (listed.boot_ms > 0).then(|| listed.boot_ms.saturating_mul(1_000_000)),
         })
     }
@@ -904,7 +906,7 @@
         (node, kept)
     }
 
-    fn listed(uid: &str, stage: Stage) -> Listed {
+    fn listed(uid: &str, stage: BackendState) -> Listed {
         Listed {
             uid: uid.to_owned(),
             endpoint: SocketAddr::from(([127, 0, 0, 1], 9)),
@@ -942,9 +944,13 @@
     /// A connect can outlast the time for which backends know a key: written after it, a repeat would run twice.
     #[test]
     fn a_repeat_is_not_written_once_its_key_is_forgotten() {
-        for (outcome, known) in [(Outcome::Error, false), (Outcome::Reset, false), (Outcome::Full, true)] {
+        for (outcome, known) in [(Outcome::Error, false), (Outcome::Reset, false), (Outcome::Rejected, true)]
+        {
             let (node, kept) = node(SECOND);
-            node.fleet(ListScope::Full, vec![listed("s", Stage::InService), listed("t", Stage::InService)]);
+            node.fleet(
+                ListScope::Full,
+                vec![listed("s", BackendState::InService), listed("t", BackendState::InService)],
+            );
             let _waiting = node.submit(Asked { class: 1, ..asked(2 * SECOND) }).expect("a new id");
             let first = kept.launches.borrow_mut().pop().expect("an attempt");
             assert!(node.may_write(first.ticket));
@@ -970,7 +976,7 @@
     #[test]
     fn a_request_and_its_timer_are_forgotten_with_its_answer() {
         let (node, kept) = node(SECOND);
-        node.fleet(ListScope::Full, vec![listed("s", Stage::InService)]);
+        node.fleet(ListScope::Full, vec![listed("s", BackendState::InService)]);
         let waiting = node.submit(asked(SECOND)).expect("a new id");
         let launch = kept.launches.borrow_mut().pop().expect("an attempt");
         assert!(node.may_write(launch.ticket));
@@ -988,13 +994,13 @@
     #[test]
     fn nothing_is_written_for_a_request_that_has_ended() {
         let (node, kept) = node(SECOND);
-        node.fleet(ListScope::Full, vec![listed("s", Stage::InService)]);
+        node.fleet(ListScope::Full, vec![listed("s", BackendState::InService)]);
         let waiting = node.submit(asked(SECOND)).expect("a new id");
         let launch = kept.launches.borrow_mut().pop().expect("an attempt");
         drop(waiting);
         assert!(!node.may_write(launch.ticket));
         assert_eq!(open_requests(&node), (1, 1), "the attempt is still owed its end");
-        node.settled(launch.ticket, Ending::bare(Outcome::Moot));
+        node.settled(launch.ticket, Ending::bare(Outcome::NotSent));
         assert_eq!(open_requests(&node), (0, 0));
     }
 
@@ -1002,12 +1008,12 @@
     #[test]
     fn nothing_is_written_to_a_backend_past_its_grace() {
         for (grace, stage, may) in [
-            (60 * SECOND, Stage::Draining, true),
-            (0, Stage::Draining, false),
-            (60 * SECOND, Stage::Gone, false),
+            (60 * SECOND, BackendState::Draining, true),
+            (0, BackendState::Draining, false),
+            (60 * SECOND, BackendState::Removed, false),
         ] {
             let (node, kept) = node(grace);
-            node.fleet(ListScope::Full, vec![listed("s", Stage::InService)]);
+            node.fleet(ListScope::Full, vec![listed("s", BackendState::InService)]);
             let _waiting = node.submit(asked(SECOND)).expect("a new id");
             let launch = kept.launches.borrow_mut().pop().expect("an attempt");
             node.fleet(ListScope::Changes, vec![listed("s", stage)]);
@@ -1022,14 +1028,14 @@
     /// for which no notice was known, and was sent to.
     #[test]
     fn an_older_whole_list_takes_no_notice_back() {
-        for stage in [Stage::Draining, Stage::Gone] {
+        for stage in [BackendState::Draining, BackendState::Removed] {
             let (node, kept) = node(0);
-            node.fleet(ListScope::Full, vec![listed("s", Stage::InService)]);
+            node.fleet(ListScope::Full, vec![listed("s", BackendState::InService)]);
             let _waiting = node.submit(asked(SECOND)).expect("a new id");
             let launch = kept.launches.borrow_mut().pop().expect("an attempt");
             assert!(node.may_write(launch.ticket), "{stage:?}: nothing has been said yet");
             node.fleet(ListScope::Changes, vec![listed("s", stage)]);
-            node.fleet(ListScope::Full, vec![listed("s", Stage::InService)]);
+            node.fleet(ListScope::Full, vec![listed("s", BackendState::InService)]);
             assert!(!node.may_write(launch.ticket), "{stage:?}: the notice binds");
             assert!(
                 !node.serves_at(launch.backend, launch.endpoint),
@@ -1039,7 +1045,7 @@
             assert!(kept.launches.borrow().is_empty(), "{stage:?}: nothing new");
             // A later start ends the notice.
             let boot_ms = node.clock().now() / 1_000_000 - 60_000;
-            node.fleet(ListScope::Full, vec![Listed { boot_ms, ..listed("s", Stage::InService) }]);
+            node.fleet(ListScope::Full, vec![Listed { boot_ms, ..listed("s", BackendState::InService) }]);
             let _third = node.submit(asked(SECOND)).expect("a new id");
             let launch = kept.launches.borrow_mut().pop().expect("an attempt at the new life");
             assert!(node.may_write(launch.ticket), "{stage:?}");
@@ -1050,7 +1056,7 @@
     #[test]
     fn a_request_that_the_module_leaves_open_fails_at_its_end() {
         let (node, kept) = node(SECOND);
-        node.fleet(ListScope::Full, vec![listed("s", Stage::InService)]);
+        node.fleet(ListScope::Full, vec![listed("s", BackendState::InService)]);
         let waiting = node.submit(asked(1_000_000)).expect("a new id");
         let launch = kept.launches.borrow_mut().pop().expect("an attempt");
         let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().expect("a runtime");
@@ -1071,9 +1077,9 @@
         let boot_ms = node.clock().now() / 1_000_000 - 5;
         let mut errands = Errands::default();
         let mut driver = node.driver.borrow_mut();
-        let first = driver.member(listed("s", Stage::InService), 0, &mut errands).expect("a member");
+        let first = driver.member(listed("s", BackendState::InService), 0, &mut errands).expect("a member");
         assert_eq!((first.online_since, errands.retired.len()), (None, 0));
-        let again = Listed { boot_ms, ..listed("s", Stage::InService) };
+        let again = Listed { boot_ms, ..listed("s", BackendState::InService) };
         let second = driver.member(again, 0, &mut errands).expect("a member");
         assert_eq!(second.backend, first.backend);
         assert_eq!(errands.retired, [first.backend]);
@@ -1089,14 +1095,14 @@
         let (node, kept) = node(SECOND);
         for round in 0..20_000 {
             let uid = format!("s-{round}");
-            node.fleet(ListScope::Changes, vec![listed(&uid, Stage::InService)]);
+            node.fleet(ListScope::Changes, vec![listed(&uid, BackendState::InService)]);
             let waiting = node.submit(asked(SECOND)).expect("a new id");
             let launch = kept.launches.borrow_mut().pop();
             // Some clients go, some attempts end after their backend has left the list.
             if round % 3 == 0 {
                 drop(waiting);
             }
-            node.fleet(ListScope::Changes, vec![listed(&uid, Stage::Gone)]);
+            node.fleet(ListScope::Changes, vec![listed(&uid, BackendState::Removed)]);
             if let Some(launch) = launch {
                 node.settled(launch.ticket, Ending::bare(Outcome::Reset));
             }
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -249,7 +249,9 @@
     let classes: Vec<String> = settings
         .classes
         .iter()
-        .map(|class| format!("worth {} within {} of {} ms", class.worth, ms(class.aim), ms(class.deadline)))
+        .map(|class| {
+            format!("worth {} within {} of {} ms", class.value, ms(class.latency_target), ms(class.deadline))
+        })
         .collect();
     let rules = settings.rules;
     format!(
@@ -258,8 +260,8 @@
         settings.zones,
         settings.nodes,
         classes.join(", "),
-        ms(rules.warm_after),
-        ms(rules.ask_within)
+        ms(rules.warm_up_time),
+        ms(rules.max_poll_interval)
     )
 }
 
--- a/node/src/pace.rs
+++ b/node/src/pace.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use ivyhatch_balancer::mix;
+use ivyhatch_balancer::hash_mix;
 
 /// What each node adds to the span: a call takes a single service some hundredths of a second, and it takes all nodes' in
 /// turn. Three nodes hardly wait; a hundred that start together spread their calls over five seconds.
@@ -160,7 +160,7 @@
 
     fn draw(&mut self) -> f64 {
         self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        (mix(self.random) >> 11) as f64 / (1u64 << 53) as f64
+        (hash_mix(self.random) >> 11) as f64 / (1u64 << 53) as f64
     }
 }
 
--- a/node/src/prober.rs
+++ b/node/src/prober.rs
@@ -12,7 +12,7 @@
 use hyper::body::Incoming;
 use hyper::header::{HOST, HeaderValue};
 use hyper::{Request, Response, StatusCode, Uri};
-use ivyhatch_balancer::{BackendId, Nanos, Outcome, Report};
+use ivyhatch_balancer::{BackendId, LoadReport, Nanos, Outcome};
 use ivyhatch_node_settings::Links;
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
@@ -99,14 +99,14 @@
             match self.exchange(place, link, node).await {
                 // Closed as it was written to, as idle connections are: that tells nothing of the server. It may
                 // have been counted as a probe, so there is no other one for it.
-                Some(ending) if ending.outcome == Outcome::Reset => return Ending::bare(Outcome::Moot),
+                Some(ending) if ending.outcome == Outcome::Reset => return Ending::bare(Outcome::NotSent),
                 Some(ending) => return ending,
                 None => {}
             }
         }
         if !self.makes_room() {
             // No room for another connection is this node's own trouble.
-            return Ending::bare(Outcome::Moot);
+            return Ending::bare(Outcome::NotSent);
         }
         let limit = Duration::from_nanos(self.links.connect_timeout).min(WITHIN);
         match open_link(place.1, limit, Counted::new(&self.open)).await {
@@ -156,13 +156,13 @@
 async fn read(response: Response<Incoming>) -> (Ending, bool) {
     let (head, body) = response.into_parts();
     let Ok(body) = Limited::new(body, MAX_REPORT).collect().await else {
-        return (Ending::bare(Outcome::Spoilt), false);
+        return (Ending::bare(Outcome::InvalidResponse), false);
     };
     let outcome = match head.status {
         StatusCode::OK => Outcome::Served,
-        StatusCode::SERVICE_UNAVAILABLE => Outcome::Full,
+        StatusCode::SERVICE_UNAVAILABLE => Outcome::Rejected,
         _ => Outcome::Error,
     };
-    let report = if outcome == Outcome::Served { figures(&body.to_bytes()) } else { Report::default() };
+    let report = if outcome == Outcome::Served { figures(&body.to_bytes()) } else { LoadReport::default() };
     (Ending { report, ..Ending::bare(outcome) }, true)
 }
--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -7,7 +7,7 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode};
-use ivyhatch_balancer::{Effect, Nanos};
+use ivyhatch_balancer::{Idempotency, Nanos};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout_at};
@@ -140,7 +140,7 @@
     let hint = single(headers, COST)?.map(|text| whole(COST, text)).transpose()?;
     let repeat = single(headers, AGAIN)? == Some("1");
     let body = read(body, whole_by).await?;
-    if effect == Effect::Repeatable && !body.is_empty() {
+    if effect == Idempotency::Idempotent && !body.is_empty() {
         return Err(BadCall::Misplaced("a body"));
     }
     // No work is as long as the client's whole time; such a guess says nothing.
@@ -208,14 +208,14 @@
 }
 
 /// The method and the key follow from the class.
-fn check_form(method: &Method, headers: &HeaderMap, effect: Effect) -> Result<(), BadCall> {
-    let wanted = if effect == Effect::Repeatable { Method::GET } else { Method::POST };
+fn check_form(method: &Method, headers: &HeaderMap, effect: Idempotency) -> Result<(), BadCall> {
+    let wanted = if effect == Idempotency::Idempotent { Method::GET } else { Method::POST };
     if *method != wanted {
         return Err(BadCall::Method(wanted));
     }
     match (effect, single(headers, KEY)?) {
-        (Effect::Keyed { .. }, None | Some("")) => Err(BadCall::Missing(KEY)),
-        (Effect::Keyed { .. }, Some(_)) | (_, None) => Ok(()),
+        (Idempotency::Keyed { .. }, None | Some("")) => Err(BadCall::Missing(KEY)),
+        (Idempotency::Keyed { .. }, Some(_)) | (_, None) => Ok(()),
         (_, Some(_)) => Err(BadCall::Misplaced(KEY)),
     }
 }
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -14,7 +14,7 @@
 use hyper::header::{HOST, HeaderMap, HeaderValue, TRANSFER_ENCODING};
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use ivyhatch_balancer::{BackendId, Nanos, Outcome, Report};
+use ivyhatch_balancer::{BackendId, LoadReport, Nanos, Outcome};
 use ivyhatch_node_settings::Links;
 use serde::Deserialize;
 use tokio::net::TcpStream;
@@ -165,7 +165,7 @@
         let written = Cell::new(false);
         let withdrawn = std::mem::replace(&mut launch.withdrawn, tokio::sync::oneshot::channel().1);
         // Never written, it never ran: a refusal is still open to the module then.
-        let unless_written = |outcome| if written.get() { outcome } else { Outcome::Moot };
+        let unless_written = |outcome| if written.get() { outcome } else { Outcome::NotSent };
         let mut attempt = std::pin::pin!(self.attempt(&node, &launch, &written));
         let ending = tokio::select! {
             biased;
@@ -208,16 +208,16 @@
             // The connect may have outlasted the request, or the backend's place on the list.
             if !node.may_write(launch.ticket) {
                 self.keep(node, place, link);
-                return Ending::bare(Outcome::Moot);
+                return Ending::bare(Outcome::NotSent);
             }
-            let Some(mut message) = self.message(launch) else { return Ending::bare(Outcome::Moot) };
+            let Some(mut message) = self.message(launch) else { return Ending::bare(Outcome::NotSent) };
             let heard = link.heard.clone();
             heard.listen(&mut message);
             written.set(true);
             let ending = tokio::select! {
                 biased;
                 ending = self.exchange(node, place, link, message) => ending,
-                () = heard.stalled(WHOLE_WITHIN) => return Ending::bare(Outcome::Spoilt),
+                () = heard.stalled(WHOLE_WITHIN) => return Ending::bare(Outcome::InvalidResponse),
             };
             match ending {
                 Some(ending) => {
@@ -353,11 +353,13 @@
     // With neither a length nor chunks an answer ends with its connection, and one cut short looks whole.
     let framed = body.size_hint().exact().is_some() || head.headers.contains_key(TRANSFER_ENCODING);
     if !framed || body.size_hint().lower() > MAX_BODY as u64 || head.status.is_informational() {
-        return (Ending::bare(Outcome::Spoilt), false);
+        return (Ending::bare(Outcome::InvalidResponse), false);
     }
     let body = match Limited::new(body, MAX_BODY).collect().await {
         Ok(whole) => whole.to_bytes(),
-        Err(error) if error.is::<LengthLimitError>() => return (Ending::bare(Outcome::Spoilt), false),
+        Err(error) if error.is::<LengthLimitError>() => {
+            return (Ending::bare(Outcome::InvalidResponse), false);
+        }
         Err(error) => {
             let cause = error.downcast_ref::<hyper::Error>();
             return (Ending::bare(cause.map_or(Outcome::Reset, broken)), false);
@@ -365,10 +367,10 @@
     };
     let rejected = head.headers.get("x-rejected").is_some_and(|value| value == "1");
     let outcome = match head.status {
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => Outcome::Full,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => Outcome::Rejected,
         StatusCode::OK => Outcome::Served,
         // What is wrong with the request is not the backend's fault, and says nothing of it.
-        status if status.is_client_error() => Outcome::Spoilt,
+        status if status.is_client_error() => Outcome::InvalidResponse,
         // Whatever the status says, the request may have run.
         _ => Outcome::Error,
     };
@@ -377,7 +379,7 @@
 
 /// What a broken answer was: a connection that ended, or one that brought what is no answer.
 pub(crate) fn broken(error: &hyper::Error) -> Outcome {
-    if error.is_parse() { Outcome::Spoilt } else { Outcome::Reset }
+    if error.is_parse() { Outcome::InvalidResponse } else { Outcome::Reset }
 }
 
 /// A backend's figures of its load, under either of the names in use.
@@ -392,14 +394,14 @@
 }
 
 /// Reads the load report that an answer carries. One that can't be read says nothing, and harms nothing.
-fn load_report(headers: &HeaderMap) -> Report {
+fn load_report(headers: &HeaderMap) -> LoadReport {
     figures(headers.get("x-load-report").map(HeaderValue::as_bytes).unwrap_or_default())
 }
 
 /// Reads a load report; see [`load_report`].
-pub(crate) fn figures(text: &[u8]) -> Report {
+pub(crate) fn figures(text: &[u8]) -> LoadReport {
     let figures: Figures = serde_json::from_slice(text).unwrap_or_default();
-    Report { util: figures.util, rate: figures.qps, in_flight: figures.inflight }
+    LoadReport { utilisation: figures.util, requests_per_second: figures.qps, in_flight: figures.inflight }
 }
 
 #[cfg(test)]
--- a/routing/src/placement.rs
+++ b/routing/src/placement.rs
@@ -5,7 +5,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-use ivyhatch_balancer::{Advice, BackendId, RequestId};
+use ivyhatch_balancer::{BackendId, PlacementAdvisor, RequestId};
 use ivyhatch_protocol::ids::mix;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
@@ -253,8 +253,8 @@
     }
 }
 
-impl Advice for Shared {
-    fn sent(&self, now: Nanos, request: RequestId, backend: BackendId) {
+impl PlacementAdvisor for Shared {
+    fn on_sent(&self, now: Nanos, request: RequestId, backend: BackendId) {
         self.0.borrow_mut().sent(now, request, backend);
     }
 
@@ -291,7 +291,7 @@
         server.engine.delay(now, &placement.speed, server.region, unread) <= PATIENCE * asked.aim as f64
     }
 
-    fn delay(&self, now: Nanos, request: RequestId, backend: BackendId) -> Option<f64> {
+    fn expected_delay(&self, now: Nanos, request: RequestId, backend: BackendId) -> Option<f64> {
         let placement = self.0.borrow();
         let server = placement.servers.get(&backend).filter(|_| placement.is_model)?;
         let unread = placement.unread(now, request, backend);
@@ -301,7 +301,7 @@
         Some(server.engine.delay(now, &placement.speed, server.region, unread) + again)
     }
 
-    fn may_stay(&self, request: RequestId) -> bool {
+    fn home_zone_allowed(&self, request: RequestId) -> bool {
         let placement = self.0.borrow();
         let asked = placement.requests.get(&request);
         asked.is_none_or(|asked| placement.home >= 64 || asked.homes & (1 << placement.home) != 0)
--- a/routing/tests/placement.rs
+++ b/routing/tests/placement.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use googletest::prelude::*;
-use ivyhatch_balancer::{Advice, BackendId, RequestId};
+use ivyhatch_balancer::{BackendId, PlacementAdvisor, RequestId};
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 use ivyhatch_routing::engine::Load;
 use ivyhatch_routing::placement::{Cold, Placement, Regions, Shared};
@@ -65,7 +65,7 @@
         let request = self.ask();
         let allowed = self.allows(now, request, to);
         if allowed {
-            self.shared.sent(now, request, to);
+            self.shared.on_sent(now, request, to);
         }
         allowed
     }
@@ -100,7 +100,7 @@
         let may: Vec<u32> =
             servers.iter().filter(|id| router.allows(NOW, request, **id)).map(|id| id.0).collect();
         expect_that!(may, eq(&allowed), "{homes:b}");
-        expect_that!(router.shared.may_stay(request), eq(stays), "{homes:b}");
+        expect_that!(router.shared.home_zone_allowed(request), eq(stays), "{homes:b}");
     }
 }
 
@@ -244,7 +244,7 @@
 fn what_serves_no_model_is_not_judged_by_prompts() {
     let mut router = Router::with_servers(false, Cold::default(), 1);
     let request = router.ask_for(EVERYWHERE, prompt("a:100000", "100000,9"));
-    expect_that!(router.shared.delay(NOW, request, SERVER), none());
+    expect_that!(router.shared.expected_delay(NOW, request, SERVER), none());
     expect_that!(router.tell(|placement| placement.utilisation(SERVER)), none());
     expect_that!((0..50).all(|_| router.sends(NOW, SERVER)), eq(true));
 }
@@ -262,32 +262,32 @@
         if !router.allows(NOW, request, SERVER) {
             break;
         }
-        router.shared.sent(NOW, request, SERVER);
+        router.shared.on_sent(NOW, request, SERVER);
         sent.push(request);
     }
     // About a hundred tokens in a millisecond: each takes 300 ms of the second's aim.
     expect_that!(sent.len(), all![ge(2), le(8)]);
     let small = router.ask_for(EVERYWHERE, prompt("3:10", "10,1"));
-    let before = router.shared.delay(NOW, small, SERVER).expect("known");
+    let before = router.shared.expected_delay(NOW, small, SERVER).expect("known");
     for request in &sent {
         router.tell(|placement| placement.begun(NOW, *request, 300 * MILLISECOND));
     }
     let next = router.ask_for(EVERYWHERE, large());
     expect_that!(router.allows(NOW, next, SERVER), eq(true), "they have begun");
-    expect_that!(router.shared.delay(NOW, small, SERVER), some(lt(before)));
+    expect_that!(router.shared.expected_delay(NOW, small, SERVER), some(lt(before)));
 }
 
 #[gtest]
 fn an_attempt_that_ends_unbegun_gives_its_room_back() {
     let mut router = Router::with_servers(true, Cold::default(), 1);
     let probe = router.ask_for(EVERYWHERE, prompt("1:10", "10,1"));
-    let idle = router.shared.delay(NOW, probe, SERVER).expect("known");
+    let idle = router.shared.expected_delay(NOW, probe, SERVER).expect("known");
     let (one, other) = (router.ask_for(EVERYWHERE, prompt("2:9000", "9000,1")), router.ask());
-    router.shared.sent(NOW, other, SERVER);
-    router.shared.sent(NOW, one, SERVER);
-    expect_that!(router.shared.delay(NOW, probe, SERVER), some(gt(idle)));
+    router.shared.on_sent(NOW, other, SERVER);
+    router.shared.on_sent(NOW, one, SERVER);
+    expect_that!(router.shared.expected_delay(NOW, probe, SERVER), some(gt(idle)));
     router.tell(|placement| placement.settled(one));
-    expect_that!(router.shared.delay(NOW, probe, SERVER), some(near(idle, 1000.0)));
+    expect_that!(router.shared.expected_delay(NOW, probe, SERVER), some(near(idle, 1000.0)));
     // Twice is once, and an end without an attempt is none.
     router.tell(|placement| {
         placement.settled(one);
@@ -295,7 +295,7 @@
         placement.ended(other);
         placement.ended(other);
     });
-    expect_that!(router.shared.delay(NOW, probe, SERVER), some(near(idle, 1000.0)));
+    expect_that!(router.shared.expected_delay(NOW, probe, SERVER), some(near(idle, 1000.0)));
 }
 
 #[gtest]
@@ -304,7 +304,7 @@
     let asked = || prompt("a:5000,b:300", "5300,9");
     let first = router.ask_for(EVERYWHERE, asked());
     let (one, two) = (SERVER, BackendId(2));
-    router.shared.sent(NOW, first, one);
+    router.shared.on_sent(NOW, first, one);
     router.tell(|placement| {
         placement.begun(NOW, first, 60 * MILLISECOND);
         placement.ended(first);
@@ -312,7 +312,7 @@
     // One with the same shared part, and one that shares nothing.
     let like = router.ask_for(EVERYWHERE, prompt("a:5000,c:300", "5300,9"));
     let unlike = router.ask_for(EVERYWHERE, prompt("d:5000,e:300", "5300,9"));
-    let delay = |request, to| router.shared.delay(NOW + SECOND, request, to).expect("known");
+    let delay = |request, to| router.shared.expected_delay(NOW + SECOND, request, to).expect("known");
     expect_that!(delay(like, one), lt(delay(unlike, one).max(delay(unlike, two))));
     expect_that!(delay(like, one), le(delay(like, two)));
 }
@@ -321,12 +321,12 @@
 fn a_server_s_word_on_its_queue_is_heeded() {
     let mut router = Router::with_servers(true, Cold::default(), 1);
     let request = router.ask_for(EVERYWHERE, prompt("1:10", "10,1"));
-    let idle = router.shared.delay(NOW, request, SERVER).expect("known");
+    let idle = router.shared.expected_delay(NOW, request, SERVER).expect("known");
     router.tell(|placement| {
         placement.told(NOW, SERVER, Load { running: 8.0, waiting: 8.0, slots: 8.0 });
         placement.told(NOW, BackendId(99), Load::default());
     });
-    expect_that!(router.shared.delay(NOW, request, SERVER), some(gt(idle)));
+    expect_that!(router.shared.expected_delay(NOW, request, SERVER), some(gt(idle)));
     expect_that!(router.tell(|placement| placement.utilisation(SERVER)), some(ge(1.0)));
 }
 
