--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -9,7 +9,7 @@
 use std::process::ExitCode;
 
 use ivyhatch_balancer::{
-    Action, Arrival, BackendId, Balancer, ClassId, Event, ListScope, Member, Nanos, RequestId, Settlement,
+    Action, Arrival, AttemptEnd, BackendId, Balancer, ClassId, Event, ListScope, Member, Nanos, RequestId,
 };
 use ivyhatch_node_settings::{Fields, Words};
 use serde_json::{Value, json};
@@ -49,10 +49,10 @@
             .map(|entry| Member {
                 backend: self.backend(&entry.backend),
                 zone: self.words.zone(&entry.zone),
-                kind: self.words.kind(&entry.kind),
+                machine_kind: self.words.kind(&entry.kind),
                 cell: entry.cell,
-                stage: entry.stage,
-                size: entry.size,
+                state: entry.stage,
+                weight: entry.size,
                 online_since: entry.online_since,
             })
             .collect()
@@ -114,7 +114,7 @@
                     "backend": backend(instance, to), "max-wait-ns": timeout.unwrap_or(0)});
                 ("PLACE", body)
             }
-            Action::Refuse { request, pause } => {
+            Action::Reject { request, retry_after: pause } => {
                 let body = json!({"who": who, "request-id": name(instance, request), "pause-ns": pause});
                 instance.update(request, |held| held.ended = true);
                 ("DECLINE", body)
@@ -204,11 +204,11 @@
                     _ => return Err(fields.wrong("mode")),
                 };
                 match scope {
-                    None => Event::FleetFailed,
+                    None => Event::DiscoveryFailed,
                     Some(scope) => {
                         let list = fields.integer("list")?;
                         let entries = self.manifests.get(&list).ok_or_else(|| fields.wrong("list"))?;
-                        Event::Fleet { scope, members: instance.members(entries) }
+                        Event::Membership { scope, members: instance.members(entries) }
                     }
                 }
             }
@@ -221,8 +221,8 @@
                 Event::Request(Arrival {
                     request: instance.request(name),
                     class: ClassId(class),
-                    hint: (options & 1 != 0).then_some(hint),
-                    repeat: options & 2 != 0,
+                    expected_work: (options & 1 != 0).then_some(hint),
+                    is_retry: options & 2 != 0,
                     tenant: instance.words.tenant(fields.map.get("org").and_then(Value::as_str)),
                     not_after,
                 })
@@ -235,7 +235,14 @@
                     return Ok(());
                 };
                 let (outcome, elapsed, report) = settlement;
-                let event = Event::Settled(Settlement { request, attempt, outcome, elapsed, ended, report });
+                let event = Event::AttemptEnded(AttemptEnd {
+                    request,
+                    attempt,
+                    outcome,
+                    elapsed,
+                    request_ended: ended,
+                    report,
+                });
                 // The module answers first: until it has, it may still name this request.
                 self.handle(who, event);
                 if let Some(instance) = self.instances.get_mut(&who) {
@@ -251,9 +258,9 @@
                     return Ok(());
                 };
                 if tag == "ACK_FIRST" {
-                    Event::Started { request }
+                    Event::StreamStarted { request }
                 } else {
-                    self.handle(who, Event::ClientGone { request });
+                    self.handle(who, Event::ClientDisconnected { request });
                     if let Some(instance) = self.instances.get_mut(&who) {
                         instance.update(request, |held| held.ended = true);
                     }
@@ -263,7 +270,7 @@
             "STATUS_BACK" => {
                 let backend = instance.backend(fields.text("backend")?);
                 let elapsed = fields.whole("elapsed-ns")?;
-                Event::Probed {
+                Event::ProbeEnded {
                     backend,
                     outcome: wire::outcome(fields)?,
                     elapsed,
--- a/simulator-adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! The wire's lines, read with plain errors.
 
-use ivyhatch_balancer::{Nanos, Outcome, Report, Stage};
+use ivyhatch_balancer::{BackendState, LoadReport, Nanos, Outcome};
 use ivyhatch_node_settings::Fields;
 use serde_json::Value;
 
@@ -25,24 +25,28 @@
     Ok(match fields.text("disposition")? {
         "S" => Outcome::Served,
         "E" => Outcome::Error,
-        "F" => Outcome::Full,
+        "F" => Outcome::Rejected,
         "T" => Outcome::TimedOut,
         "C" => Outcome::ConnectFailed,
         "R" => Outcome::Reset,
         "X" => Outcome::Cancelled,
-        "N" => Outcome::Moot,
+        "N" => Outcome::NotSent,
         _ => return Err(fields.wrong("disposition")),
     })
 }
 
 /// The load report that a message carries, if any.
-pub fn report(fields: &Fields) -> Result<Report, String> {
+pub fn report(fields: &Fields) -> Result<LoadReport, String> {
     let Some(usage) = fields.map.get("usage").filter(|usage| !usage.is_null()) else {
-        return Ok(Report::default());
+        return Ok(LoadReport::default());
     };
     let usage = usage.as_object().ok_or_else(|| fields.wrong("usage"))?;
     let figure = |name: &str| usage.get(name).and_then(Value::as_f64);
-    Ok(Report { util: figure("load_share"), rate: figure("tps"), in_flight: figure("concurrent") })
+    Ok(LoadReport {
+        utilisation: figure("load_share"),
+        requests_per_second: figure("tps"),
+        in_flight: figure("concurrent"),
+    })
 }
 
 /// An entry of a list, still in the wire's words.
@@ -51,7 +55,7 @@
     pub zone: String,
     pub kind: String,
     pub cell: u64,
-    pub stage: Stage,
+    pub stage: BackendState,
     pub size: f64,
     pub online_since: Option<Nanos>,
 }
@@ -68,9 +72,9 @@
                 kind: entry.text("type")?.to_owned(),
                 cell: entry.whole_or("pod", 0)?,
                 stage: match entry.text("stage-state")? {
-                    "in_service" => Stage::InService,
-                    "terminating" => Stage::Draining,
-                    "terminated" => Stage::Gone,
+                    "in_service" => BackendState::InService,
+                    "terminating" => BackendState::Draining,
+                    "terminated" => BackendState::Removed,
                     _ => return Err(entry.wrong("stage-state")),
                 },
                 size: entry.number_or("power-hint", 1.0)?,
--- a/system/src/router/dispatch/answers.rs
+++ b/system/src/router/dispatch/answers.rs
@@ -1,6 +1,6 @@
 //! What servers answer: the start of a stream, the figures of their load, and the end of an attempt.
 
-use ivyhatch_balancer::{Event, Outcome, Report, Settlement};
+use ivyhatch_balancer::{AttemptEnd, Event, LoadReport, Outcome};
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 use ivyhatch_routing::engine::Load;
 
@@ -52,7 +52,7 @@
             );
         }
         self.record_load(ticket, load, Some(latency), outputs);
-        self.handle_event(ticket.service, Event::Started { request: ticket.request }, outputs);
+        self.handle_event(ticket.service, Event::StreamStarted { request: ticket.request }, outputs);
         Some(sink)
     }
 
@@ -77,9 +77,13 @@
         drop(placement);
         let (backend, outcome, elapsed) = (ticket.backend, Outcome::Served, latency.unwrap_or(0));
         let in_flight = load.map(|load| load.running + load.waiting);
-        let report = Report { util, rate: None, in_flight };
+        let report = LoadReport { utilisation: util, requests_per_second: None, in_flight };
         if util.is_some() {
-            self.handle_event(ticket.service, Event::Probed { backend, outcome, elapsed, report }, outputs);
+            self.handle_event(
+                ticket.service,
+                Event::ProbeEnded { backend, outcome, elapsed, report },
+                outputs,
+            );
         }
     }
 
@@ -93,7 +97,7 @@
         let streamed = open.sink.is_some();
         // The rest of a stream is a stream: whatever else answers its continuation does not end it.
         if streamed && answer.is_some() && outcome == Outcome::Served {
-            outcome = Outcome::Spoilt;
+            outcome = Outcome::InvalidResponse;
         }
         let served = outcome == Outcome::Served;
         let latency = flight.began.unwrap_or_else(|| now.saturating_sub(flight.since));
@@ -126,7 +130,7 @@
             }
             match outcome {
                 Outcome::ConnectFailed => placement.unreached(now, ticket.backend),
-                Outcome::Served | Outcome::Full | Outcome::Error => placement.reached(ticket.backend),
+                Outcome::Served | Outcome::Rejected | Outcome::Error => placement.reached(ticket.backend),
                 _ => {}
             }
             placement.settled(ticket.request);
@@ -136,17 +140,21 @@
         }
         if goes_on {
             let aim_end = now + (gap * MILLISECOND as f64) as Nanos;
-            self.handle_event(ticket.service, Event::Broken { request: ticket.request, aim_end }, outputs);
+            self.handle_event(
+                ticket.service,
+                Event::StreamInterrupted { request: ticket.request, target_at: aim_end },
+                outputs,
+            );
         }
-        let settlement = Settlement {
+        let settlement = AttemptEnd {
             request: ticket.request,
             attempt: ticket.attempt,
             outcome,
             elapsed: latency,
-            ended,
-            report: Report::default(),
+            request_ended: ended,
+            report: LoadReport::default(),
         };
-        self.handle_event(ticket.service, Event::Settled(settlement), outputs);
+        self.handle_event(ticket.service, Event::AttemptEnded(settlement), outputs);
         self.forget_if_done(ticket.request);
     }
 }
--- a/system/src/router/dispatch/events.rs
+++ b/system/src/router/dispatch/events.rs
@@ -23,7 +23,7 @@
     pub(super) fn act(&mut self, service: Service, action: Action, outputs: &mut Outputs) {
         match action {
             Action::Send { request, backend, .. } => self.send(service, request, backend, outputs),
-            Action::Refuse { request, pause } => self.refuse(request, pause),
+            Action::Reject { request, retry_after: pause } => self.refuse(request, pause),
             Action::Fail { request } => self.fail(request),
             Action::Cancel { request, attempt } => {
                 let open = self.requests.get_mut(&request);
@@ -66,7 +66,7 @@
         let (service, sent) = (open.service, open.attempts.iter().any(Option::is_some));
         let text = if sent { "the server did not answer in time" } else { "no server in time" };
         self.finish(request, Reply::Failed(StatusCode::GATEWAY_TIMEOUT, text));
-        self.handle_event(service, Event::ClientGone { request }, outputs);
+        self.handle_event(service, Event::ClientDisconnected { request }, outputs);
         self.forget_if_done(request);
     }
 }
--- a/system/src/router/dispatch/mod.rs
+++ b/system/src/router/dispatch/mod.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ivyhatch_balancer::{Outcome, RequestId, Stage};
+use ivyhatch_balancer::{BackendState, Outcome, RequestId};
 use ivyhatch_node::seats::{Seats, Times};
 use ivyhatch_protocol::configuration::{Limits, Route};
 use ivyhatch_protocol::settings::Settings;
@@ -150,7 +150,7 @@
             state.requests.get(&ticket.request).is_some_and(|open| !open.ended && now < open.not_after);
         let known =
             state.services.get(&ticket.service).and_then(|service| service.backends.get(&ticket.backend));
-        live && known.is_some_and(|known| known.stage == Stage::InService)
+        live && known.is_some_and(|known| known.stage == BackendState::InService)
     }
 
     /// A stream has begun to come. Returns the way to its client; none where that has gone.
@@ -195,7 +195,7 @@
         outputs.retired.into_iter().for_each(|(service, backend)| self.upstream.retire(service, backend));
         outputs.launches.into_iter().for_each(|launch| self.upstream.launch(self, launch));
         for ticket in outputs.not_sent {
-            self.settled(ticket, Ending::bare(Outcome::Moot));
+            self.settled(ticket, Ending::bare(Outcome::NotSent));
         }
         if outputs.rearm {
             self.timer.notify_one();
--- a/system/src/router/dispatch/requests.rs
+++ b/system/src/router/dispatch/requests.rs
@@ -72,7 +72,8 @@
         let not_after = open.not_after;
         self.requests.insert(request, open);
         self.set_timer(not_after + BACKSTOP, Due::Backstop(request), outputs);
-        let arrival = Arrival { request, class, hint: None, repeat: false, tenant: None, not_after };
+        let arrival =
+            Arrival { request, class, expected_work: None, is_retry: false, tenant: None, not_after };
         self.handle_event(service, Event::Request(arrival), outputs);
         Some(request)
     }
@@ -159,7 +160,7 @@
             let _ = flight.withdraw.take().map(|withdraw| withdraw.send(()));
         }
         let service = open.service;
-        self.handle_event(service, Event::ClientGone { request }, outputs);
+        self.handle_event(service, Event::ClientDisconnected { request }, outputs);
         self.forget_if_done(request);
     }
 
--- a/system/src/router/dispatch/server_list.rs
+++ b/system/src/router/dispatch/server_list.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use ivyhatch_balancer::{BackendId, Event, ListScope, Member, Stage, ZoneId};
+use ivyhatch_balancer::{BackendId, BackendState, Event, ListScope, Member, ZoneId};
 use ivyhatch_protocol::watch::Server;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
@@ -31,7 +31,7 @@
             let (members, retired) = service.list(now, servers, quorum_reachable, &evacuation);
             outputs.retired.extend(retired.into_iter().map(|backend| (id, backend)));
             if !members.is_empty() {
-                self.handle_event(id, Event::Fleet { scope: ListScope::Changes, members }, outputs);
+                self.handle_event(id, Event::Membership { scope: ListScope::Changes, members }, outputs);
             }
         }
     }
@@ -63,7 +63,7 @@
             // Out of touch nobody knows whether the zone is evacuated still.
             let last_resort = evacuated && !quorum_reachable;
             let leaves = leaves || (evacuated && quorum_reachable);
-            let stage = if leaves { Stage::Draining } else { Stage::InService };
+            let stage = if leaves { BackendState::Draining } else { BackendState::InService };
             let cold_left = Nanos::from(server.cold_left_ms) * MILLISECOND;
             let cold_until = if cold_left > 0 { now + cold_left + COLD_MORE } else { 0 };
             placement.listed(id, &server.id, region, cold_until, last_resort);
@@ -74,14 +74,14 @@
             }
             let changed = known.is_none_or(|known| known.stage != stage || known.endpoint != endpoint);
             if changed {
-                if stage != Stage::InService {
+                if stage != BackendState::InService {
                     retired.push(id);
                 }
                 members.push(Member {
                     backend: id,
                     zone: ZoneId(region),
-                    stage,
-                    size: f64::from(server.slots.max(1)),
+                    state: stage,
+                    weight: f64::from(server.slots.max(1)),
                     ..Member::default()
                 });
             }
@@ -95,7 +95,7 @@
             }
             placement.gone(id);
             retired.push(id);
-            members.push(Member { backend: id, stage: Stage::Gone, ..Member::default() });
+            members.push(Member { backend: id, state: BackendState::Removed, ..Member::default() });
         }
         (members, retired)
     }
--- a/system/src/router/dispatch/services.rs
+++ b/system/src/router/dispatch/services.rs
@@ -4,7 +4,9 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use ivyhatch_balancer::{Balancer, ClassId, ClassSettings, Discovery, Effect, Event, Reports, ZoneId};
+use ivyhatch_balancer::{
+    Balancer, ClassId, ClassSettings, Discovery, Event, Idempotency, LoadReporting, ZoneId,
+};
 use ivyhatch_protocol::configuration::Route;
 use ivyhatch_protocol::ids::hash;
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
@@ -81,7 +83,7 @@
         let saved = self.bounds.budget_slack * SAVED_PART / f64::from(routers.max(1));
         for service in self.services.values_mut() {
             service.balancer.set_nodes(nodes);
-            service.balancer.set_retries_saved(saved);
+            service.balancer.set_max_retry_tokens(saved);
             service.placement.borrow_mut().set_routers(routers, place);
         }
     }
@@ -95,14 +97,14 @@
         let regions = self.regions.len() as u32;
         let mut settings = ivyhatch_balancer::Settings::new(ZoneId(self.home), regions);
         settings.nodes = self.nodes();
-        settings.classes = vec![ClassSettings { late_share: LATE_SHARE, ..ClassSettings::default() }];
+        settings.classes = vec![ClassSettings { late_value_share: LATE_SHARE, ..ClassSettings::default() }];
         settings.discovery = Discovery::Pushed;
-        settings.reports = Reports::Piggyback;
-        settings.repeats_marked = true;
-        settings.limits.second_copies = false;
-        settings.limits.retry_after = PAUSE;
-        settings.rules.start_capacity = 1.0;
-        settings.rules.warm_after = 1;
+        settings.reports = LoadReporting::Piggyback;
+        settings.clients_mark_retries = true;
+        settings.limits.hedging = false;
+        settings.limits.max_retry_after = PAUSE;
+        settings.rules.initial_capacity = 1.0;
+        settings.rules.warm_up_time = 1;
         let seed = self.random ^ hash(name.as_bytes());
         let now = self.clock.now();
         // The settings are the program's own: they are sound.
@@ -112,7 +114,7 @@
         if let Some(routers) = self.routers {
             placement.borrow_mut().set_routers(routers, self.place);
         }
-        balancer.advise(Box::new(Shared(placement.clone())));
+        balancer.set_advisor(Box::new(Shared(placement.clone())));
         self.names.insert(name.clone(), id);
         let balanced = Balanced {
             name,
@@ -134,15 +136,19 @@
             return Some(*class);
         }
         let class = balanced.balancer.add_class(ClassSettings {
-            aim,
+            latency_target: aim,
             deadline: (route.timeout_ms.max(1.0) * MILLISECOND as f64) as Nanos,
             // The more urgent, the more it is worth; by how much is not told.
-            worth: 4.0 / f64::from(1 + route.priority.min(9)),
-            late_share: LATE_SHARE,
-            effect: if route.is_repeatable() { Effect::Repeatable } else { Effect::Once },
-            attempts: Some(route.max_tries.max(1)),
-            patience: Some((aim as f64 * HELD_PART) as Nanos),
-            again_late: true,
+            value: 4.0 / f64::from(1 + route.priority.min(9)),
+            late_value_share: LATE_SHARE,
+            idempotency: if route.is_repeatable() {
+                Idempotency::Idempotent
+            } else {
+                Idempotency::NonIdempotent
+            },
+            max_attempts: Some(route.max_tries.max(1)),
+            max_queue_time: Some((aim as f64 * HELD_PART) as Nanos),
+            retry_past_target: true,
         });
         balanced.classes.insert(key, class);
         Some(class)
--- a/system/src/router/dispatch/state.rs
+++ b/system/src/router/dispatch/state.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use ivyhatch_balancer::{BackendId, Balancer, ClassId, RequestId, Stage};
+use ivyhatch_balancer::{BackendId, BackendState, Balancer, ClassId, RequestId};
 use ivyhatch_protocol::Nanos;
 use ivyhatch_protocol::configuration::Route;
 use ivyhatch_protocol::ids::{hash, mix};
@@ -48,7 +48,7 @@
     pub(super) region: u32,
     pub(super) instance: Rc<str>,
     pub(super) server: Server,
-    pub(super) stage: Stage,
+    pub(super) stage: BackendState,
     pub(super) evacuations: u64,
 }
 
--- a/system/src/router/upstream/mod.rs
+++ b/system/src/router/upstream/mod.rs
@@ -90,7 +90,7 @@
         let written = Cell::new(false);
         let withdrawn = std::mem::replace(&mut launch.withdrawn, tokio::sync::oneshot::channel().1);
         // Never written, it never ran: a refusal is still open then.
-        let unless_written = |outcome| if written.get() { outcome } else { Outcome::Moot };
+        let unless_written = |outcome| if written.get() { outcome } else { Outcome::NotSent };
         let ending = tokio::select! {
             biased;
             _ = withdrawn => Ending::bare(unless_written(Outcome::Cancelled)),
@@ -123,9 +123,9 @@
             // The connect may have outlasted the request, or the server's place on the list.
             if !dispatcher.may_write(launch.ticket) {
                 self.pool.keep(place, connection, DEFAULT_KEEP_ALIVE);
-                return Ending::bare(Outcome::Moot);
+                return Ending::bare(Outcome::NotSent);
             }
-            let Some(message) = self.message(launch) else { return Ending::bare(Outcome::Moot) };
+            let Some(message) = self.message(launch) else { return Ending::bare(Outcome::NotSent) };
             written.set(true);
             let response = match self.send(launch, &mut connection.sender, message).await {
                 Sent::Answered(response) => response,
@@ -199,7 +199,7 @@
         let status = head.status;
         let passed = Head { status, headers: end_to_end(head.headers, &[ATTEMPT_ID]) };
         match verdict {
-            Verdict::Spoilt => Exchange::broken(Outcome::Spoilt),
+            Verdict::Spoilt => Exchange::broken(Outcome::InvalidResponse),
             // It may have run, and the client must not be told that it did not.
             Verdict::FalsePromise => Exchange::broken(Outcome::Error),
             // The server that was meant is gone.
@@ -208,7 +208,7 @@
                 Exchange { ending, keep_alive: None }
             }
             Verdict::NotExecuted => {
-                let ending = Ending { load, ..Ending::bare(Outcome::Full) };
+                let ending = Ending { load, ..Ending::bare(Outcome::Rejected) };
                 let whole = refusal_is_whole(body).await;
                 Exchange { ending, keep_alive: whole.then_some(keep_alive) }
             }
@@ -263,7 +263,7 @@
                 },
                 Some(Err(error)) => return Exchange::broken(broken(&error)),
                 // An event that has not ended is none, whatever the framing says.
-                None if !events.at_an_end() => return Exchange::broken(Outcome::Spoilt),
+                None if !events.at_an_end() => return Exchange::broken(Outcome::InvalidResponse),
                 None => break,
             };
             let passed = match events.feed(&data) {
@@ -271,7 +271,7 @@
                 Ok(None) => continue,
                 Err(error) => {
                     log::warn!("event=spoilt_stream error={:?}", error.to_string());
-                    return Exchange::broken(Outcome::Spoilt);
+                    return Exchange::broken(Outcome::InvalidResponse);
                 }
             };
             if let Some(head) = head.take() {
@@ -297,7 +297,7 @@
 async fn read_whole(head: Head, body: Incoming, load: Option<Load>, keep_alive: Nanos) -> Exchange {
     let body = match Limited::new(body, MAX_ANSWER_BYTES).collect().await {
         Ok(whole) => whole.to_bytes(),
-        Err(error) if error.is::<LengthLimitError>() => return Exchange::broken(Outcome::Spoilt),
+        Err(error) if error.is::<LengthLimitError>() => return Exchange::broken(Outcome::InvalidResponse),
         Err(error) => {
             return Exchange::broken(error.downcast_ref::<hyper::Error>().map_or(Outcome::Reset, broken));
         }
--- a/system/src/router/upstream/response.rs
+++ b/system/src/router/upstream/response.rs
@@ -106,5 +106,5 @@
 
 /// What a broken answer was: a connection that ended, or one that brought what is no answer.
 pub fn broken(error: &hyper::Error) -> Outcome {
-    if error.is_parse() { Outcome::Spoilt } else { Outcome::Reset }
+    if error.is_parse() { Outcome::InvalidResponse } else { Outcome::Reset }
 }
