--- a/system/src/router/dispatch/answers.rs
+++ b/system/src/router/dispatch/answers.rs
@@ -1,8 +1,8 @@
 //! What servers answer: the start of a stream, the figures of their load, and the end of an attempt.
 
-use ivyhatch_balancer::{AttemptEnd, Event, LoadReport, Outcome};
+use ivyhatch_balancer::{AttemptEnd, Event, LoadReport as BackendLoadReport, Outcome};
 use ivyhatch_protocol::{MILLISECOND, Nanos};
-use ivyhatch_routing::engine::Load;
+use ivyhatch_routing::time_to_first_token::LoadReport;
 
 use super::attempt::{Ending, Ticket};
 use super::state::{DispatcherState, Outputs};
@@ -16,7 +16,7 @@
         &mut self,
         ticket: Ticket,
         head: Head,
-        load: Option<Load>,
+        load: Option<LoadReport>,
         outputs: &mut Outputs,
     ) -> Option<Sink> {
         let now = self.clock.now();
@@ -36,14 +36,14 @@
                 sink
             }
         };
-        let aim = (open.route.target_ms * MILLISECOND as f64) as Nanos;
+        let aim = (open.route.latency_target_ms * MILLISECOND as f64) as Nanos;
         if aim > 0 && now > open.came + aim {
             let (route, sent) = (open.route.name.clone(), open.attempts.len());
             let ms = |span: Nanos| span / MILLISECOND;
             let expected = self
                 .services
                 .get(&ticket.service)
-                .and_then(|balanced| balanced.placement.borrow().explain(ticket.request));
+                .and_then(|balanced| balanced.placement.borrow().describe_attempt(ticket.request));
             log::info!(
                 "event=late route={route} first_ms={} at_server_ms={} attempts={sent} {} load={load:?}",
                 ms(now - open.came),
@@ -60,7 +60,7 @@
     pub(super) fn record_load(
         &mut self,
         ticket: Ticket,
-        load: Option<Load>,
+        load: Option<LoadReport>,
         latency: Option<Nanos>,
         outputs: &mut Outputs,
     ) {
@@ -68,16 +68,16 @@
         let Some(balanced) = self.services.get(&ticket.service) else { return };
         let mut placement = balanced.placement.borrow_mut();
         if let Some(load) = load {
-            placement.told(now, ticket.backend, load);
+            placement.record_load_report(now, ticket.backend, load);
         }
         if let Some(latency) = latency {
-            placement.begun(now, ticket.request, latency);
+            placement.record_first_token(now, ticket.request, latency);
         }
-        let util = placement.utilisation(ticket.backend).or_else(|| load.map(|load| load.share()));
+        let util = placement.utilisation(ticket.backend).or_else(|| load.map(|load| load.utilisation()));
         drop(placement);
         let (backend, outcome, elapsed) = (ticket.backend, Outcome::Served, latency.unwrap_or(0));
         let in_flight = load.map(|load| load.running + load.waiting);
-        let report = LoadReport { utilisation: util, requests_per_second: None, in_flight };
+        let report = BackendLoadReport { utilisation: util, requests_per_second: None, in_flight };
         if util.is_some() {
             self.handle_event(
                 ticket.service,
@@ -114,7 +114,7 @@
         }
         // A stream ends with its last attempt; a broken one goes on elsewhere, where it may.
         let goes_on =
-            streamed && !served && !open.ended && open.route.is_repeatable() && now < open.not_after;
+            streamed && !served && !open.ended && open.route.is_idempotent() && now < open.not_after;
         let ended = open.ended || served || (streamed && !goes_on);
         if ended && !open.ended {
             open.ended = true;
@@ -122,18 +122,20 @@
                 sink.complete();
             }
         }
-        let gap = if open.route.gap_aim_ms > 0.0 { open.route.gap_aim_ms } else { GAP };
+        let gap = if open.route.event_gap_target_ms > 0.0 { open.route.event_gap_target_ms } else { GAP };
         if let Some(balanced) = self.services.get(&ticket.service) {
             let mut placement = balanced.placement.borrow_mut();
             if whole {
-                placement.begun(now, ticket.request, latency);
+                placement.record_first_token(now, ticket.request, latency);
             }
             match outcome {
-                Outcome::ConnectFailed => placement.unreached(now, ticket.backend),
-                Outcome::Served | Outcome::Rejected | Outcome::Error => placement.reached(ticket.backend),
+                Outcome::ConnectFailed => placement.record_connect_failure(now, ticket.backend),
+                Outcome::Served | Outcome::Rejected | Outcome::Error => {
+                    placement.record_response(ticket.backend)
+                }
                 _ => {}
             }
-            placement.settled(ticket.request);
+            placement.end_attempt(ticket.request);
         }
         if whole {
             self.record_load(ticket, load, None, outputs);
@@ -152,7 +154,7 @@
             outcome,
             elapsed: latency,
             request_ended: ended,
-            report: LoadReport::default(),
+            report: BackendLoadReport::default(),
         };
         self.handle_event(ticket.service, Event::AttemptEnded(settlement), outputs);
         self.forget_if_done(ticket.request);
