--- a/routing/src/placement/advice.rs
+++ b/routing/src/placement/advisor.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use ivyhatch_balancer::{Advice, BackendId, RequestId};
+use ivyhatch_balancer::{BackendId, PlacementAdvisor, RequestId};
 use ivyhatch_protocol::Nanos;
 
 use super::service_placement::Placement;
@@ -12,8 +12,8 @@
 #[derive(Clone)]
 pub struct SharedPlacement(pub Rc<RefCell<Placement>>);
 
-impl Advice for SharedPlacement {
-    fn sent(&self, now: Nanos, request: RequestId, backend: BackendId) {
+impl PlacementAdvisor for SharedPlacement {
+    fn on_sent(&self, now: Nanos, request: RequestId, backend: BackendId) {
         self.0.borrow_mut().record_send(now, request, backend);
     }
 
@@ -21,11 +21,11 @@
         self.0.borrow().allows(now, request, backend)
     }
 
-    fn delay(&self, now: Nanos, request: RequestId, backend: BackendId) -> Option<f64> {
-        self.0.borrow().placement_cost(now, request, backend)
+    fn expected_delay(&self, now: Nanos, request: RequestId, backend: BackendId) -> Option<f64> {
+        self.0.borrow().expected_delay(now, request, backend)
     }
 
-    fn may_stay(&self, request: RequestId) -> bool {
+    fn home_zone_allowed(&self, request: RequestId) -> bool {
         self.0.borrow().allows_home_region(request)
     }
 }
--- a/routing/src/placement/mod.rs
+++ b/routing/src/placement/mod.rs
@@ -2,7 +2,7 @@
 //! from unreachable servers, and the queues and prefix caches of model servers. The load balancer takes this as advice and chooses
 //! the region and the server.
 
-mod advice;
+mod advisor;
 mod affinity;
 mod backoff;
 mod request;
@@ -10,7 +10,7 @@
 mod service_placement;
 mod slow_start;
 
-pub use advice::SharedPlacement;
+pub use advisor::SharedPlacement;
 pub use request::RegionSet;
 pub use server::ListedServer;
 pub use service_placement::{Placement, ServiceSettings};
--- a/routing/src/placement/service_placement.rs
+++ b/routing/src/placement/service_placement.rs
@@ -203,7 +203,7 @@
 
     /// The expected time to the first token of a request at a model server, in nanoseconds, with the weight of prefill that is
     /// done there though another server has its result cached.
-    pub(super) fn placement_cost(&self, now: Nanos, id: RequestId, backend: BackendId) -> Option<f64> {
+    pub(super) fn expected_delay(&self, now: Nanos, id: RequestId, backend: BackendId) -> Option<f64> {
         let server = self.servers.get(&backend).filter(|_| self.settings.is_model)?;
         let uncached_tokens = self.uncached_tokens(now, id, backend);
         let unshared_tokens =
--- a/routing/tests/placement.rs
+++ b/routing/tests/placement.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use googletest::prelude::*;
-use ivyhatch_balancer::{Advice, BackendId, RequestId};
+use ivyhatch_balancer::{BackendId, PlacementAdvisor, RequestId};
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 use ivyhatch_routing::load_report::LoadReport;
 use ivyhatch_routing::placement::{
@@ -72,7 +72,7 @@
         let request = self.add_request();
         let allowed = self.allows(now, request, to);
         if allowed {
-            self.shared.sent(now, request, to);
+            self.shared.on_sent(now, request, to);
         }
         allowed
     }
@@ -107,7 +107,7 @@
         let allowed_ids: Vec<u32> =
             servers.iter().filter(|id| router.allows(NOW, request, **id)).map(|id| id.0).collect();
         expect_that!(allowed_ids, eq(&allowed), "{homes:b}");
-        expect_that!(router.shared.may_stay(request), eq(stays), "{homes:b}");
+        expect_that!(router.shared.home_zone_allowed(request), eq(stays), "{homes:b}");
     }
 }
 
@@ -267,7 +267,7 @@
 fn plain_service_is_placed_without_regard_to_prompts() {
     let mut router = Router::with_servers(false, SlowStartLimit::default(), 1);
     let request = router.add_request_for(EVERYWHERE, prompt("a:100000", "100000,9"));
-    expect_that!(router.shared.delay(NOW, request, SERVER), none());
+    expect_that!(router.shared.expected_delay(NOW, request, SERVER), none());
     expect_that!(router.update(|placement| placement.utilisation(SERVER)), none());
     expect_that!((0..50).all(|_| router.try_send(NOW, SERVER)), eq(true));
 }
@@ -285,32 +285,32 @@
         if !router.allows(NOW, request, SERVER) {
             break;
         }
-        router.shared.sent(NOW, request, SERVER);
+        router.shared.on_sent(NOW, request, SERVER);
         sent.push(request);
     }
     // About a hundred tokens in a millisecond: each takes 300 ms of the target of a second.
     expect_that!(sent.len(), all![ge(2), le(8)]);
     let small = router.add_request_for(EVERYWHERE, prompt("3:10", "10,1"));
-    let before = router.shared.delay(NOW, small, SERVER).expect("known");
+    let before = router.shared.expected_delay(NOW, small, SERVER).expect("known");
     for request in &sent {
         router.update(|placement| placement.record_first_token(NOW, *request, 300 * MILLISECOND));
     }
     let next = router.add_request_for(EVERYWHERE, large());
     expect_that!(router.allows(NOW, next, SERVER), eq(true), "they have begun");
-    expect_that!(router.shared.delay(NOW, small, SERVER), some(lt(before)));
+    expect_that!(router.shared.expected_delay(NOW, small, SERVER), some(lt(before)));
 }
 
 #[gtest]
 fn attempt_that_ends_before_it_began_frees_its_queued_tokens() {
     let mut router = Router::with_servers(true, SlowStartLimit::default(), 1);
     let probe = router.add_request_for(EVERYWHERE, prompt("1:10", "10,1"));
-    let idle = router.shared.delay(NOW, probe, SERVER).expect("known");
+    let idle = router.shared.expected_delay(NOW, probe, SERVER).expect("known");
     let (one, other) = (router.add_request_for(EVERYWHERE, prompt("2:9000", "9000,1")), router.add_request());
-    router.shared.sent(NOW, other, SERVER);
-    router.shared.sent(NOW, one, SERVER);
-    expect_that!(router.shared.delay(NOW, probe, SERVER), some(gt(idle)));
+    router.shared.on_sent(NOW, other, SERVER);
+    router.shared.on_sent(NOW, one, SERVER);
+    expect_that!(router.shared.expected_delay(NOW, probe, SERVER), some(gt(idle)));
     router.update(|placement| placement.end_attempt(one));
-    expect_that!(router.shared.delay(NOW, probe, SERVER), some(near(idle, 1000.0)));
+    expect_that!(router.shared.expected_delay(NOW, probe, SERVER), some(near(idle, 1000.0)));
     // To end an attempt twice, or a request without one, changes nothing.
     router.update(|placement| {
         placement.end_attempt(one);
@@ -318,7 +318,7 @@
         placement.remove_request(other);
         placement.remove_request(other);
     });
-    expect_that!(router.shared.delay(NOW, probe, SERVER), some(near(idle, 1000.0)));
+    expect_that!(router.shared.expected_delay(NOW, probe, SERVER), some(near(idle, 1000.0)));
 }
 
 #[gtest]
@@ -327,7 +327,7 @@
     let with_prefix = || prompt("a:5000,b:300", "5300,9");
     let first = router.add_request_for(EVERYWHERE, with_prefix());
     let (one, two) = (SERVER, BackendId(2));
-    router.shared.sent(NOW, first, one);
+    router.shared.on_sent(NOW, first, one);
     router.update(|placement| {
         placement.record_first_token(NOW, first, 60 * MILLISECOND);
         placement.remove_request(first);
@@ -335,7 +335,7 @@
     // A request with the same shared prefix, and one that shares nothing.
     let like = router.add_request_for(EVERYWHERE, prompt("a:5000,c:300", "5300,9"));
     let unlike = router.add_request_for(EVERYWHERE, prompt("d:5000,e:300", "5300,9"));
-    let latency = |request, to| router.shared.delay(NOW + SECOND, request, to).expect("known");
+    let latency = |request, to| router.shared.expected_delay(NOW + SECOND, request, to).expect("known");
     expect_that!(latency(like, one), lt(latency(unlike, one).max(latency(unlike, two))));
     expect_that!(latency(like, one), le(latency(like, two)));
 }
@@ -344,12 +344,12 @@
 fn load_report_raises_latency_and_utilisation() {
     let mut router = Router::with_servers(true, SlowStartLimit::default(), 1);
     let request = router.add_request_for(EVERYWHERE, prompt("1:10", "10,1"));
-    let idle = router.shared.delay(NOW, request, SERVER).expect("known");
+    let idle = router.shared.expected_delay(NOW, request, SERVER).expect("known");
     router.update(|placement| {
         placement.record_load_report(NOW, SERVER, LoadReport { running: 8.0, waiting: 8.0, slots: 8.0 });
         placement.record_load_report(NOW, BackendId(99), LoadReport::default());
     });
-    expect_that!(router.shared.delay(NOW, request, SERVER), some(gt(idle)));
+    expect_that!(router.shared.expected_delay(NOW, request, SERVER), some(gt(idle)));
     expect_that!(router.update(|placement| placement.utilisation(SERVER)), some(ge(1.0)));
 }
 
