--- a/control/src/control_plane.rs
+++ b/control/src/control_plane.rs
@@ -3,7 +3,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use ivyhatch_protocol::Nanos;
-use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId, hash_mix};
+use ivyhatch_protocol::hash::hash_mix;
+use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{ConsensusMessage, Membership, PeerMessage, ReplicaStatus};
 use ivyhatch_protocol::server_list::ServerList;
 use ivyhatch_protocol::watch::Position;
--- a/control/src/state.rs
+++ b/control/src/state.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeMap;
 
 use ivyhatch_protocol::configuration::{Change, ConfigurationError, Document};
-use ivyhatch_protocol::ids::{PartitionId, fnv1a_hash};
+use ivyhatch_protocol::hash::fnv1a_hash;
+use ivyhatch_protocol::ids::PartitionId;
 use ivyhatch_protocol::peer::{AdminRequest, AdminResponse};
 use speedy::{Readable, Writable};
 
--- a/protocol/src/frame.rs
+++ b/protocol/src/frame.rs
@@ -73,7 +73,7 @@
     for byte in words.remainder() {
         hash = (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
     }
-    let mixed = crate::ids::hash_mix(hash);
+    let mixed = crate::hash::hash_mix(hash);
     (mixed ^ (mixed >> 32)) as u32
 }
 
--- a/protocol/src/ids.rs
+++ b/protocol/src/ids.rs
@@ -1,16 +1,19 @@
-//! The names of nodes, ballots and parts.
+//! Identifiers of nodes, replicas, ballots and partitions.
 
 use std::fmt;
 use std::net::Ipv4Addr;
 
 use speedy::{Readable, Writable};
 
-/// A process that serves control, or a router: the address of its machine, at which it also comes back.
+use crate::hash::fnv1a_hash;
+
+/// A control node or a router, identified by the IPv4 address of its machine. The id survives a restart of the process; see
+/// [`Ballot::incarnation`] and [`crate::peer::Heartbeat::incarnation`] for what does not.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct NodeId(pub u32);
 
 impl NodeId {
-    /// The address.
+    /// The address of the node's machine.
     pub fn ip(self) -> Ipv4Addr {
         Ipv4Addr::from_bits(self.0)
     }
@@ -28,13 +31,15 @@
     }
 }
 
-/// A replica of the control state: a disk that was formatted on a machine. What is counted in an agreement is counted by replica,
-/// so that a machine that has lost its disk can't be taken for the one that voted before.
+/// A replica of the control state: one formatted disk on one machine.
+///
+/// Quorums count replicas, not nodes. A machine that comes back with an empty disk has lost its promises, so it is another
+/// replica and must not vote as the one before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct ReplicaId {
     /// The machine.
     pub node: NodeId,
-    /// Drawn by chance when the disk was formatted.
+    /// Random number drawn when the disk was formatted.
     pub disk: u64,
 }
 
@@ -44,15 +49,18 @@
     }
 }
 
-/// The time of one owner of a part. Who has promised one refuses all that are lower. No two owners, and no two lives of one
-/// owner, ever share one: the life's number is drawn by chance.
+/// A proposal number (Lamport, "Paxos Made Simple", section 2.2), ordered by counter, node, incarnation.
+///
+/// A ballot identifies one term of leadership of a partition. An acceptor that has promised a ballot rejects all lower ones,
+/// so a ballot also serves as a fencing token. No two terms share one: the incarnation is drawn at random at each start of a
+/// process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct Ballot {
-    /// Rises with each owner.
+    /// Greater than the counter of every ballot that the candidate knew of.
     pub counter: u64,
-    /// Whose it is.
+    /// The candidate.
     pub node: NodeId,
-    /// The number of that node's life.
+    /// The incarnation of the candidate's process.
     pub incarnation: u64,
 }
 
@@ -62,41 +70,26 @@
     }
 }
 
-/// Parts that keys fall into by their hash, beside the one for the configuration.
+/// The number of partitions that keys are hashed to. The configuration has a partition of its own beside these.
 pub const HASHED_PARTITIONS: u8 = 8;
 
-/// A part of the control state: decided on, stored and owned by itself.
+/// A partition of the control state. Each one is replicated by its own consensus instance and has its own leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct PartitionId(pub u8);
 
 impl PartitionId {
-    /// Holds the configuration.
+    /// Holds the operator's configuration.
     pub const CONFIGURATION: Self = Self(0);
-    /// Decides on the next membership. It holds no state beyond that, and is none of [`PartitionId::all`].
+    /// Decides the next membership. Its state is replaced with each membership, so it is none of [`PartitionId::all`].
     pub const MEMBERSHIP: Self = Self(HASHED_PARTITIONS + 1);
 
-    /// All parts that hold state.
+    /// The partitions with durable state: the configuration and the hashed ones, in ascending order.
     pub fn all() -> impl Iterator<Item = Self> {
         (0..=HASHED_PARTITIONS).map(Self)
     }
 
-    /// The part of a key: of a service, a zone, or a duty.
+    /// The partition that holds a key: the name of a service, of a zone or of a singleton role.
     pub fn for_key(key: &str) -> Self {
         Self(1 + (fnv1a_hash(key.as_bytes()) % u64::from(HASHED_PARTITIONS)) as u8)
     }
 }
-
-/// A hash that is the same in every process and in every version (FNV-1a with a final mix, so that all bits count).
-pub fn fnv1a_hash(bytes: &[u8]) -> u64 {
-    let folded = bytes.iter().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
-        (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
-    });
-    hash_mix(folded)
-}
-
-/// Spreads the bits of a number.
-pub fn hash_mix(mut z: u64) -> u64 {
-    z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    z ^ (z >> 31)
-}
--- a/protocol/src/lib.rs
+++ b/protocol/src/lib.rs
@@ -1,27 +1,34 @@
-//! What the processes of the system say to each other, what each is told at its start, and the operator's configuration.
-//! Decides what is well formed and nothing else: no sockets, no clock. Bytes go in, messages come out, and back.
+//! The wire formats of the system: messages between its processes, their framing, the settings file and the operator's
+//! configuration. Encodes, decodes and validates; has no sockets and no clock.
 //!
-//! - [`ids`]: the names of nodes, ballots and parts
-//! - [`peer`]: between control nodes
-//! - [`watch`]: between a control node and those who follow it
-//! - [`frame`]: how messages stand in a stream of bytes
-//! - [`compression`]: how large messages are made small
-//! - [`server_list`]: the platform's list, as its reader makes it up and all others follow it
+//! - [`ids`]: nodes, replicas, ballots and partitions
+//! - [`peer`]: messages between control nodes
+//! - [`watch`]: messages between control nodes and routers
+//! - [`server_list`]: the versioned list of servers, and its updates
+//! - [`configuration`]: the operator's configuration: parsing, validation, changes
 //! - [`settings`]: the settings file of a process
-//! - [`configuration`]: the operator's configuration, how it is checked, changed and compared
+//! - [`frame`]: messages in a stream of bytes
+//! - [`compression`]: LZ77 compression of large messages
+//! - [`hash`]: hash functions that are the same everywhere
+//!
+//! Messages and stored values are encoded with `speedy` in little-endian order, which encodes the fields of a struct and the
+//! variants of an enum by position: a field or variant may be renamed, but moving, adding or removing one changes the format and
+//! needs a new [`frame::PROTOCOL_VERSION`].
 
 pub mod compression;
 pub mod configuration;
 pub mod frame;
+pub mod hash;
 pub mod ids;
 pub mod peer;
 pub mod server_list;
 pub mod settings;
+mod shared;
 pub mod watch;
 
-/// A time or a span on the steady clock, in nanoseconds. No wall clock decides anything in the system.
+/// A moment or a span of a monotonic clock, in nanoseconds. Moments of two processes can't be compared.
 pub type Nanos = u64;
-/// A millisecond.
+/// One millisecond.
 pub const MILLISECOND: Nanos = 1_000_000;
-/// A second.
+/// One second.
 pub const SECOND: Nanos = 1_000_000_000;
--- a/protocol/src/server_list.rs
+++ b/protocol/src/server_list.rs
@@ -1,7 +1,7 @@
-//! The platform's list of servers: as its reader makes it up, and as all others follow it.
+//! The versioned list of servers, as its reader builds it and as all other nodes replicate it.
 //!
-//! It is read by one control node at a time and numbered by it, under that one's ballot; what a lower ballot says is refused, as
-//! its reader has been replaced.
+//! One control node at a time, the holder of a singleton role, reads the list from the platform and numbers its versions under
+//! its ballot. The ballot fences the list: an update with a lower one comes from a replaced reader and is discarded.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,189 +9,203 @@
 use crate::watch::{Server, ServerListPosition, ServerListUpdate};
 use crate::{MILLISECOND, Nanos};
 
-/// Changes that are kept for those who are a little behind.
-const KEPT: usize = 64;
-/// A time left that moved by no more than this says nothing new.
-const SAME: Nanos = 400 * MILLISECOND;
+/// The number of past changes that are kept, for replicas that are behind by no more than these.
+const MAX_HISTORY_LENGTH: usize = 64;
+/// A moment that moved by no more than this is unchanged: the platform gives remaining spans, and reading them takes a varying
+/// time.
+const TIME_TOLERANCE: Nanos = 400 * MILLISECOND;
 
-/// A server, with its times on this node's clock.
+/// A server, with its moments on this node's clock.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Line {
+struct Entry {
     server: Server,
     warm_at: Nanos,
-    gone_at: Option<Nanos>,
+    stops_at: Option<Nanos>,
 }
 
-impl Line {
+impl Entry {
     fn new(server: Server, now: Nanos) -> Self {
         let after = |ms: u32| now + Nanos::from(ms) * MILLISECOND;
         Self {
             warm_at: after(server.warm_up_remaining_ms),
-            gone_at: server.lifetime_remaining_ms.map(after),
+            stops_at: server.lifetime_remaining_ms.map(after),
             server,
         }
     }
 
-    /// The server as it is told now.
-    fn told(&self, now: Nanos) -> Server {
-        let left = |at: Nanos| (at.saturating_sub(now) / MILLISECOND) as u32;
+    /// The server, with its remaining spans as of now.
+    fn server_at(&self, now: Nanos) -> Server {
+        let remaining_ms = |at: Nanos| (at.saturating_sub(now) / MILLISECOND) as u32;
         Server {
-            warm_up_remaining_ms: left(self.warm_at),
-            lifetime_remaining_ms: self.gone_at.map(left),
+            warm_up_remaining_ms: remaining_ms(self.warm_at),
+            lifetime_remaining_ms: self.stops_at.map(remaining_ms),
             ..self.server.clone()
         }
     }
 
-    fn says_the_same(&self, other: &Self, now: Nanos) -> bool {
-        let near = |one: Nanos, two: Nanos| one.max(now).abs_diff(two.max(now)) <= SAME;
-        let plain = |line: &Self| Server {
+    /// Whether replicas need no update to replace this entry by the other one.
+    fn is_equivalent(&self, other: &Self, now: Nanos) -> bool {
+        let is_close = |one: Nanos, two: Nanos| one.max(now).abs_diff(two.max(now)) <= TIME_TOLERANCE;
+        let without_times = |entry: &Self| Server {
             warm_up_remaining_ms: 0,
             lifetime_remaining_ms: None,
-            ..line.server.clone()
+            ..entry.server.clone()
         };
-        plain(self) == plain(other)
-            && near(self.warm_at, other.warm_at)
-            && self.gone_at.is_some() == other.gone_at.is_some()
+        without_times(self) == without_times(other)
+            && is_close(self.warm_at, other.warm_at)
+            && self.stops_at.is_some() == other.stops_at.is_some()
     }
 }
 
-/// A change, by the incarnations that it is about.
+type Entries = BTreeMap<String, Entry>;
+
+fn entries(servers: Vec<Server>, now: Nanos) -> Entries {
+    servers.into_iter().map(|server| (server.id.clone(), Entry::new(server, now))).collect()
+}
+
+/// One change of the list, by the ids of the servers that it concerns.
 #[derive(Clone, Debug)]
-struct Step {
+struct HistoryEntry {
+    /// The number of the version before the change.
     from: u64,
     upsert: Vec<String>,
     removed: Vec<String>,
 }
 
-/// The list.
+/// A replica of the server list, and its latest changes.
 #[derive(Debug, Default)]
 pub struct ServerList {
-    ballot: Ballot,
-    number: u64,
-    lines: BTreeMap<String, Line>,
-    steps: VecDeque<Step>,
+    position: ServerListPosition,
+    entries: Entries,
+    /// Consecutive changes under the ballot of `position`, the last of which led to it.
+    history: VecDeque<HistoryEntry>,
 }
 
 impl ServerList {
-    /// How far it is.
+    /// The version of this replica.
     pub fn position(&self) -> ServerListPosition {
-        ServerListPosition { ballot: self.ballot, number: self.number }
+        self.position
     }
 
-    /// The servers, with their times as they are now.
+    /// The servers in order of their ids, with their remaining spans as of now.
     pub fn servers(&self, now: Nanos) -> impl Iterator<Item = Server> + '_ {
-        self.lines.values().map(move |line| line.told(now))
+        self.entries.values().map(move |entry| entry.server_at(now))
     }
 
-    /// How many servers there are.
+    /// The number of servers.
     pub fn len(&self) -> usize {
-        self.lines.len()
+        self.entries.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no servers.
     pub fn is_empty(&self) -> bool {
-        self.lines.is_empty()
+        self.entries.is_empty()
     }
 
-    /// Takes in what the platform has told this node, the reader under this ballot. Returns what is new, if anything.
+    /// Replaces the list by the one that this node has read from the platform, as the reader with this ballot. Returns the update
+    /// for all other nodes; none where nothing has changed, or a reader with a higher ballot has taken over.
     pub fn apply_platform_list(
         &mut self,
         now: Nanos,
         ballot: Ballot,
         servers: Vec<Server>,
     ) -> Option<ServerListUpdate> {
-        // Another reader has taken over meanwhile.
-        if ballot < self.ballot {
+        if ballot < self.position.ballot {
             return None;
         }
-        let mut lines: BTreeMap<String, Line> =
-            servers.into_iter().map(|server| (server.id.clone(), Line::new(server, now))).collect();
-        if ballot != self.ballot || self.number == 0 {
-            self.ballot = ballot;
-            (self.number, self.lines) = (1, lines);
-            self.steps.clear();
+        let mut entries = entries(servers, now);
+        if ballot != self.position.ballot || self.position.number == 0 {
+            self.reset(ServerListPosition { ballot, number: 1 }, entries);
             return Some(self.full_update(now));
         }
-        let known = &self.lines;
-        let differs =
-            |(id, line): &(&String, &Line)| known.get(*id).is_none_or(|old| !old.says_the_same(line, now));
-        let upsert: Vec<String> = lines.iter().filter(differs).map(|(id, _)| id.clone()).collect();
-        let removed: Vec<String> = known.keys().filter(|id| !lines.contains_key(*id)).cloned().collect();
-        if upsert.is_empty() && removed.is_empty() {
-            return None;
-        }
-        for id in &upsert {
-            if let Some(line) = lines.remove(id) {
-                self.lines.insert(id.clone(), line);
-            }
-        }
-        self.lines.retain(|id, _| !removed.contains(id));
-        let from = self.number;
-        self.step(Step { from, upsert, removed });
-        Some(self.update_since(now, ServerListPosition { ballot, number: from }))
+        let before = self.position;
+        let change = self.changes_to(&entries, now)?;
+        let changed = change.upsert.iter().filter_map(|id| entries.remove_entry(id));
+        self.entries.extend(changed);
+        self.entries.retain(|id, _| !change.removed.contains(id));
+        self.position.number = before.number + 1;
+        self.push_history(change);
+        Some(self.update_since(now, before))
     }
 
-    fn step(&mut self, step: Step) {
-        self.number = step.from + 1;
-        self.steps.push_back(step);
-        while self.steps.len() > KEPT {
-            self.steps.pop_front();
+    /// The change from this list to the new entries, if they differ.
+    fn changes_to(&self, new: &Entries, now: Nanos) -> Option<HistoryEntry> {
+        let differs = |(id, entry): &(&String, &Entry)| {
+            self.entries.get(*id).is_none_or(|known| !known.is_equivalent(entry, now))
+        };
+        let upsert: Vec<String> = new.iter().filter(differs).map(|(id, _)| id.clone()).collect();
+        let removed: Vec<String> = self.entries.keys().filter(|id| !new.contains_key(*id)).cloned().collect();
+        let is_changed = !upsert.is_empty() || !removed.is_empty();
+        is_changed.then_some(HistoryEntry { from: self.position.number, upsert, removed })
+    }
+
+    fn reset(&mut self, position: ServerListPosition, entries: Entries) {
+        self.position = position;
+        self.entries = entries;
+        self.history.clear();
+    }
+
+    fn push_history(&mut self, change: HistoryEntry) {
+        self.history.push_back(change);
+        while self.history.len() > MAX_HISTORY_LENGTH {
+            self.history.pop_front();
         }
     }
 
-    /// Takes in what another node tells. False where it does not follow on what is known here: the whole list is needed.
-    pub fn apply_update(&mut self, now: Nanos, news: ServerListUpdate) -> bool {
-        if (news.ballot, news.to) <= (self.ballot, self.number) {
+    /// Applies an update of another node. An update that is not newer than this replica is discarded. False where the update is a
+    /// change of a version that this replica does not have: the caller has to request the whole list.
+    #[must_use]
+    pub fn apply_update(&mut self, now: Nanos, update: ServerListUpdate) -> bool {
+        let ServerListUpdate { ballot, from, to, upsert, removed } = update;
+        let position = ServerListPosition { ballot, number: to };
+        if position <= self.position {
             return true;
         }
-        let lines = news.upsert.into_iter().map(|server| (server.id.clone(), Line::new(server, now)));
-        match news.from {
-            None => {
-                self.lines = lines.collect();
-                (self.ballot, self.number) = (news.ballot, news.to);
-                self.steps.clear();
-                true
-            }
-            Some(from) if news.ballot == self.ballot && from == self.number => {
-                let upsert: Vec<String> = lines
-                    .map(|(id, line)| {
-                        self.lines.insert(id.clone(), line);
-                        id
-                    })
-                    .collect();
-                self.lines.retain(|id, _| !news.removed.contains(id));
-                self.step(Step { from, upsert, removed: news.removed });
-                self.number = news.to;
-                true
-            }
-            Some(_) => false,
+        let entries = entries(upsert, now);
+        let Some(from) = from else {
+            self.reset(position, entries);
+            return true;
+        };
+        if (ServerListPosition { ballot, number: from }) != self.position {
+            return false;
         }
+        let upsert = entries.keys().cloned().collect();
+        self.entries.extend(entries);
+        self.entries.retain(|id, _| !removed.contains(id));
+        self.position = position;
+        self.push_history(HistoryEntry { from, upsert, removed });
+        true
     }
 
     /// The whole list.
     pub fn full_update(&self, now: Nanos) -> ServerListUpdate {
-        let upsert = self.lines.values().map(|line| line.told(now)).collect();
-        ServerListUpdate { ballot: self.ballot, from: None, to: self.number, upsert, removed: Vec::new() }
+        let ServerListPosition { ballot, number } = self.position;
+        let upsert = self.servers(now).collect();
+        ServerListUpdate { ballot, from: None, to: number, upsert, removed: Vec::new() }
     }
 
-    /// What is newer than this position: changes where they are kept, else the whole list.
-    pub fn update_since(&self, now: Nanos, position: ServerListPosition) -> ServerListUpdate {
-        let ServerListPosition { ballot, number } = position;
-        let steps = self.steps.iter().filter(|step| step.from >= number);
-        let kept = ballot == self.ballot && self.steps.front().is_some_and(|first| first.from <= number);
-        if !kept {
+    /// The changes since a version, or the whole list where they are not kept.
+    pub fn update_since(&self, now: Nanos, since: ServerListPosition) -> ServerListUpdate {
+        let is_kept = since.ballot == self.position.ballot
+            && self.history.front().is_some_and(|oldest| oldest.from <= since.number);
+        if !is_kept {
             return self.full_update(now);
         }
         let (mut upsert, mut removed) = (BTreeMap::new(), Vec::new());
-        for step in steps {
-            for id in &step.upsert {
-                if let Some(line) = self.lines.get(id) {
-                    upsert.insert(id.clone(), line.told(now));
+        for change in self.history.iter().filter(|change| change.from >= since.number) {
+            for id in &change.upsert {
+                if let Some(entry) = self.entries.get(id) {
+                    upsert.insert(id.clone(), entry.server_at(now));
                 }
             }
-            removed.extend(step.removed.iter().filter(|id| !self.lines.contains_key(*id)).cloned());
+            removed.extend(change.removed.iter().filter(|id| !self.entries.contains_key(*id)).cloned());
+        }
+        ServerListUpdate {
+            ballot: since.ballot,
+            from: Some(since.number),
+            to: self.position.number,
+            upsert: upsert.into_values().collect(),
+            removed,
         }
-        let upsert = upsert.into_values().collect();
-        ServerListUpdate { ballot, from: Some(number), to: self.number, upsert, removed }
     }
 }
--- /dev/null
+++ b/protocol/src/watch/position.rs
@@ -0,0 +1,44 @@
+//! How far a watcher's state is.
+
+use speedy::{Readable, Writable};
+
+use crate::ids::{Ballot, PartitionId};
+
+/// A version of the server list.
+///
+/// One control node at a time reads the list from the platform and numbers its versions. Positions are ordered by ballot, then
+/// by number, so that a version of a replaced reader is older than any version of its successor.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
+pub struct ServerListPosition {
+    /// The ballot under which the reader holds its role.
+    pub ballot: Ballot,
+    /// The number of the version under this ballot, from 1; 0 for no list.
+    pub number: u64,
+}
+
+/// A version of the evacuations of one partition.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
+pub struct EvacuationPosition {
+    /// The partition.
+    pub partition: PartitionId,
+    /// The sequence of the partition's last committed change.
+    pub sequence: u64,
+}
+
+/// The versions of everything that is watched. The default is the position of a watcher that has nothing.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
+pub struct Position {
+    /// The sequence of the last committed change of the configuration; 0 for none.
+    pub configuration: u64,
+    /// The versions of the evacuations, for each partition that has any.
+    pub evacuations: Vec<EvacuationPosition>,
+    /// The version of the server list.
+    pub server_list: ServerListPosition,
+}
+
+impl Position {
+    /// The sequence of a partition's last change of evacuations; 0 for none.
+    pub fn evacuation_sequence(&self, partition: PartitionId) -> u64 {
+        self.evacuations.iter().find(|known| known.partition == partition).map_or(0, |known| known.sequence)
+    }
+}
--- /dev/null
+++ b/protocol/src/watch/updates.rs
@@ -0,0 +1,51 @@
+//! Updates of the server list and of evacuations.
+
+use speedy::{Readable, Writable};
+
+use super::endpoints::Server;
+use super::position::EvacuationPosition;
+use crate::ids::{Ballot, PartitionId};
+
+/// The whole server list, or the change from one version of it to a later one under the same ballot.
+#[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
+pub struct ServerListUpdate {
+    /// The ballot of the reader. An update with a lower ballot than the receiver's list is stale.
+    pub ballot: Ballot,
+    /// The number of the version that the change applies to; none for the whole list.
+    pub from: Option<u64>,
+    /// The number of the resulting version.
+    pub to: u64,
+    /// The servers that were added or changed; in a whole list, all servers.
+    pub upsert: Vec<Server>,
+    /// The ids of the servers that were removed; empty in a whole list.
+    pub removed: Vec<String>,
+}
+
+/// Whether a zone is evacuated.
+#[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
+pub struct ZoneEvacuation {
+    /// The zone.
+    pub zone: String,
+    /// Whether the zone is evacuated now.
+    pub active: bool,
+    /// How many times `active` has changed.
+    pub change_count: u64,
+}
+
+/// All evacuations of one partition. Replaces an earlier version of the same partition.
+#[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
+pub struct EvacuationUpdate {
+    /// The partition.
+    pub partition: PartitionId,
+    /// The sequence of the partition's last committed change. An update whose sequence is not higher than the receiver's is stale.
+    pub sequence: u64,
+    /// Every zone of the partition that was ever evacuated.
+    pub zones: Vec<ZoneEvacuation>,
+}
+
+impl EvacuationUpdate {
+    /// The position of a watcher that has applied this update.
+    pub fn position(&self) -> EvacuationPosition {
+        EvacuationPosition { partition: self.partition, sequence: self.sequence }
+    }
+}
--- a/protocol/tests/compression.rs
+++ b/protocol/tests/compression.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use ivyhatch_protocol::compression::{CompressionError, compress, decompress};
-use ivyhatch_protocol::ids::hash_mix;
+use ivyhatch_protocol::hash::hash_mix;
 
 /// Bytes that look like chance, from a seed, out of an alphabet of this size.
 fn bytes(seed: u64, length: usize, alphabet: u64) -> Vec<u8> {
--- a/protocol/tests/frame.rs
+++ b/protocol/tests/frame.rs
@@ -5,7 +5,7 @@
     Decoder, FRAGMENT_BYTES, FrameError, MAX_MESSAGE_BYTES, PROTOCOL_VERSION, checksum, encode,
     encode_fragments,
 };
-use ivyhatch_protocol::ids::hash_mix;
+use ivyhatch_protocol::hash::hash_mix;
 use ivyhatch_protocol::watch::WatchRequest;
 
 fn want() -> WatchRequest {
--- a/protocol/tests/golden.rs
+++ b/protocol/tests/golden.rs
@@ -12,7 +12,8 @@
 use googletest::prelude::*;
 use ivyhatch_protocol::configuration::{Change, Document, Item};
 use ivyhatch_protocol::frame::{Decoder, encode, encode_fragments};
-use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId, hash_mix};
+use ivyhatch_protocol::hash::hash_mix;
+use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{
     AcceptedValue, AcceptorState, AdminRequest, AdminResponse, ConsensusMessage, Heartbeat, Membership,
     PeerMessage, ReplicaStatus, Voter,
--- a/routing/src/placement.rs
+++ b/routing/src/placement.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use ivyhatch_balancer::{Advice, BackendId, RequestId};
-use ivyhatch_protocol::ids::hash_mix;
+use ivyhatch_protocol::hash::hash_mix;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
 use crate::prefix_cache::{PrefixCache, Prompt};
@@ -133,7 +133,7 @@
     pub fn upsert_server(&mut self, id: BackendId, listed: ListedServer<'_>) {
         let server = self.servers.entry(id).or_default();
         server.region = listed.region;
-        server.lot = ivyhatch_protocol::ids::fnv1a_hash(listed.name.as_bytes());
+        server.lot = ivyhatch_protocol::hash::fnv1a_hash(listed.name.as_bytes());
         server.cold_until = server.cold_until.max(listed.slow_start_until);
         server.last_resort = listed.is_last_resort;
     }
--- a/routing/src/prefix_cache.rs
+++ b/routing/src/prefix_cache.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashMap;
 
-use ivyhatch_protocol::ids::hash_mix;
+use ivyhatch_protocol::hash::hash_mix;
 use ivyhatch_protocol::{Nanos, SECOND};
 
 /// Parts that are remembered of a server.
@@ -26,7 +26,7 @@
     /// Reads the headers: `prefix` as ID:TOKENS, comma-separated, with the ID in hex; `counts` as prompt,out. What can't be read
     /// is left out; it is advice.
     pub fn from_headers(model: &str, prefix: Option<&str>, counts: Option<&str>) -> Self {
-        let model = ivyhatch_protocol::ids::fnv1a_hash(model.as_bytes());
+        let model = ivyhatch_protocol::hash::fnv1a_hash(model.as_bytes());
         let part = |text: &str| {
             let (id, tokens) = text.trim().split_once(':')?;
             Some((hash_mix(u64::from_str_radix(id, 16).ok()? ^ model), tokens.parse().ok()?))
--- a/routing/src/watch_client.rs
+++ b/routing/src/watch_client.rs
@@ -7,7 +7,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use ivyhatch_protocol::configuration::{Change, Document};
-use ivyhatch_protocol::ids::{NodeId, PartitionId, fnv1a_hash, hash_mix};
+use ivyhatch_protocol::hash::{fnv1a_hash, hash_mix};
+use ivyhatch_protocol::ids::{NodeId, PartitionId};
 use ivyhatch_protocol::server_list::ServerList;
 use ivyhatch_protocol::watch::{
     EvacuationPosition, EvacuationUpdate, Position, Router, RouterState, WatchRequest, WatchResponse,
--- a/simulation/src/chance.rs
+++ b/simulation/src/chance.rs
@@ -1,6 +1,6 @@
 //! Numbers by chance from a seed.
 
-use ivyhatch_protocol::ids::hash_mix;
+use ivyhatch_protocol::hash::hash_mix;
 
 /// A source of numbers; the same seed gives the same ones.
 #[derive(Clone, Debug)]
--- a/simulation/src/demand.rs
+++ b/simulation/src/demand.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write;
 
 use ivyhatch_protocol::configuration::Document;
-use ivyhatch_protocol::ids::{fnv1a_hash, hash_mix};
+use ivyhatch_protocol::hash::{fnv1a_hash, hash_mix};
 use ivyhatch_protocol::peer::AdminRequest;
 
 use crate::plan::Undertaking;
--- a/simulation/src/run/observation.rs
+++ b/simulation/src/run/observation.rs
@@ -2,7 +2,8 @@
 
 use ivyhatch_control::ControlPlane;
 use ivyhatch_control::state::State;
-use ivyhatch_protocol::ids::{Ballot, PartitionId, fnv1a_hash, hash_mix};
+use ivyhatch_protocol::hash::{fnv1a_hash, hash_mix};
+use ivyhatch_protocol::ids::{Ballot, PartitionId};
 use ivyhatch_protocol::peer::{ConsensusMessage, PeerMessage};
 use ivyhatch_protocol::watch::ServerListPosition;
 use speedy::Writable;
--- a/system/src/router/dispatch/requests.rs
+++ b/system/src/router/dispatch/requests.rs
@@ -6,7 +6,7 @@
 use hyper::StatusCode;
 use ivyhatch_balancer::{Arrival, BackendId, Event, RequestId};
 use ivyhatch_protocol::configuration::{Route, RouteKind};
-use ivyhatch_protocol::ids::{fnv1a_hash, hash_mix};
+use ivyhatch_protocol::hash::{fnv1a_hash, hash_mix};
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 use ivyhatch_routing::route_table::select_service;
 use tokio::sync::oneshot;
--- a/system/src/router/dispatch/services.rs
+++ b/system/src/router/dispatch/services.rs
@@ -6,7 +6,7 @@
 
 use ivyhatch_balancer::{Balancer, ClassId, ClassSettings, Discovery, Effect, Event, Reports, ZoneId};
 use ivyhatch_protocol::configuration::Route;
-use ivyhatch_protocol::ids::fnv1a_hash;
+use ivyhatch_protocol::hash::fnv1a_hash;
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 use ivyhatch_routing::placement::{Placement, RegionSet, ServiceSettings, SharedPlacement, SlowStartLimit};
 use ivyhatch_routing::route_table::{PreparedChange, UnreadableItem};
--- a/system/src/router/dispatch/state.rs
+++ b/system/src/router/dispatch/state.rs
@@ -9,7 +9,7 @@
 use ivyhatch_balancer::{BackendId, Balancer, ClassId, RequestId, Stage};
 use ivyhatch_protocol::Nanos;
 use ivyhatch_protocol::configuration::Route;
-use ivyhatch_protocol::ids::{fnv1a_hash, hash_mix};
+use ivyhatch_protocol::hash::{fnv1a_hash, hash_mix};
 use ivyhatch_protocol::settings::{Bounds, Settings};
 use ivyhatch_protocol::watch::Server;
 use ivyhatch_routing::placement::Placement;
--- a/system/tests/link.rs
+++ b/system/tests/link.rs
@@ -7,7 +7,7 @@
 use googletest::prelude::*;
 use ivyhatch_protocol::configuration::{Document, Item};
 use ivyhatch_protocol::frame::{Decoder, encode_fragments};
-use ivyhatch_protocol::ids::hash_mix;
+use ivyhatch_protocol::hash::hash_mix;
 use ivyhatch_protocol::watch::{Shared, WatchResponse};
 use ivyhatch_system::bulk::BulkFrames;
 use ivyhatch_system::link::{Received, Writer, read_fragments};
