--- a/routing/src/placement.rs
+++ b/routing/src/placement.rs
@@ -5,7 +5,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-use ivyhatch_balancer::{Advice, BackendId, RequestId};
+use ivyhatch_balancer::{BackendId, PlacementAdvisor, RequestId};
 use ivyhatch_protocol::hash::hash_mix;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
@@ -276,8 +276,8 @@
     }
 }
 
-impl Advice for SharedPlacement {
-    fn sent(&self, now: Nanos, request: RequestId, backend: BackendId) {
+impl PlacementAdvisor for SharedPlacement {
+    fn on_sent(&self, now: Nanos, request: RequestId, backend: BackendId) {
         self.0.borrow_mut().sent(now, request, backend);
     }
 
@@ -314,7 +314,7 @@
         server.engine.delay(now, &placement.speed, server.region, unread) <= PATIENCE * asked.aim as f64
     }
 
-    fn delay(&self, now: Nanos, request: RequestId, backend: BackendId) -> Option<f64> {
+    fn expected_delay(&self, now: Nanos, request: RequestId, backend: BackendId) -> Option<f64> {
         let placement = self.0.borrow();
         let server = placement.servers.get(&backend).filter(|_| placement.is_model)?;
         let unread = placement.unread(now, request, backend);
@@ -324,7 +324,7 @@
         Some(server.engine.delay(now, &placement.speed, server.region, unread) + again)
     }
 
-    fn may_stay(&self, request: RequestId) -> bool {
+    fn home_zone_allowed(&self, request: RequestId) -> bool {
         let placement = self.0.borrow();
         let asked = placement.requests.get(&request);
         asked.is_none_or(|asked| placement.home >= 64 || asked.homes & (1 << placement.home) != 0)
