--- a/routing/src/placement/affinity.rs
+++ b/routing/src/placement/affinity.rs
@@ -2,7 +2,7 @@
 //! routers find the same server by rendezvous hashing (highest random weight), without a word between them.
 
 use ivyhatch_balancer::BackendId;
-use ivyhatch_protocol::ids::hash_mix;
+use ivyhatch_protocol::hash::hash_mix;
 
 /// The preferred server in each region, if any.
 #[derive(Debug)]
--- a/routing/src/placement/server.rs
+++ b/routing/src/placement/server.rs
@@ -2,7 +2,7 @@
 
 use ivyhatch_balancer::BackendId;
 use ivyhatch_protocol::Nanos;
-use ivyhatch_protocol::ids::fnv1a_hash;
+use ivyhatch_protocol::hash::fnv1a_hash;
 
 use crate::prefix_cache::PrefixCache;
 use crate::time_to_first_token::ServerQueue;
--- a/routing/src/prompt.rs
+++ b/routing/src/prompt.rs
@@ -1,6 +1,6 @@
 //! A request's prompt as its headers describe it: segments that requests may share, and counts of tokens.
 
-use ivyhatch_protocol::ids::{fnv1a_hash, hash_mix};
+use ivyhatch_protocol::hash::{fnv1a_hash, hash_mix};
 
 /// A part of a prompt. Two requests share a prefix where their first segments have the same ids.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/routing/src/watch_client/connections.rs
+++ b/routing/src/watch_client/connections.rs
@@ -3,7 +3,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use ivyhatch_protocol::ids::{NodeId, fnv1a_hash, hash_mix};
+use ivyhatch_protocol::hash::{fnv1a_hash, hash_mix};
+use ivyhatch_protocol::ids::NodeId;
 use ivyhatch_protocol::watch::Position;
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
