--- a/cli/src/system.rs
+++ b/cli/src/system.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 use bpaf::{OptionParser, Parser, construct, long, pure};
-use ivyhatch_simulation::hunt::{self, Found};
+use ivyhatch_simulation::hunt::{self, RecordedRun};
 
 /// A role, or the hunt.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -91,13 +91,13 @@
         let (mut played, mut found) = (0, 0);
         let worlds = hunt::plans(self.seed).take(self.worlds);
         let worlds: Box<dyn Iterator<Item = _>> = if self.mutations {
-            Box::new(worlds.flat_map(|plan| hunt::mutations(&plan.without_faults(), 1, 1)))
+            Box::new(worlds.flat_map(|plan| hunt::message_mutations(&plan.without_faults(), 1, 1)))
         } else {
             Box::new(worlds)
         };
         for plan in worlds {
             played += 1;
-            if let Some(one) = hunt::find(plan, None) {
+            if let Some(one) = hunt::find_and_shrink(plan, None) {
                 found += 1;
                 if let Err(error) = self.keep(&one) {
                     eprintln!("ivyhatch: {error}");
@@ -112,28 +112,31 @@
         if found > 0 { ExitCode::from(1) } else { ExitCode::SUCCESS }
     }
 
-    fn keep(&self, found: &Found) -> Result<(), hunt::FoundError> {
+    fn keep(&self, found: &RecordedRun) -> Result<(), hunt::RecordingError> {
         let path = found.save(&self.out)?;
         let violation = &found.violation;
         println!(
             "rule={} at_ms={} file={} seen={:?}",
-            violation.rule,
+            violation.invariant,
             violation.at_ms,
             path.display(),
-            violation.text
+            violation.description
         );
         Ok(())
     }
 }
 
 fn replay(file: &std::path::Path) -> ExitCode {
-    match Found::read(file) {
+    match RecordedRun::read(file) {
         Ok(found) => {
-            let outcome = ivyhatch_simulation::run::play_traced(&found.plan, found.planted);
+            let outcome = ivyhatch_simulation::run::play_traced(&found.plan, found.injected_bug);
             outcome.trace.iter().for_each(|line| println!("{line}"));
             match outcome.violation {
                 Some(violation) => {
-                    println!("rule={} at_ms={} seen={:?}", violation.rule, violation.at_ms, violation.text);
+                    println!(
+                        "rule={} at_ms={} seen={:?}",
+                        violation.invariant, violation.at_ms, violation.description
+                    );
                     ExitCode::from(1)
                 }
                 None => ExitCode::SUCCESS,
--- a/simulation/src/hunt.rs
+++ b/simulation/src/hunt.rs
@@ -5,26 +5,26 @@
 use serde::{Deserialize, Serialize};
 use strum::IntoEnumIterator;
 
-use crate::oracle::{Rule, Violation};
+use crate::injected_bugs::InjectedBug;
+use crate::oracle::{Invariant, Violation};
 use crate::plan::{Mutated, Mutation, Plan, Trouble, When};
-use crate::planted::Planted;
-use crate::run::{Outcome, play, play_planted};
+use crate::run::{Outcome, play, play_with_bug};
 
 /// A world that breaks a rule, as it is kept.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Found {
+pub struct RecordedRun {
     /// What was broken when it was found.
     pub violation: Violation,
     /// The known fault with which it was found, if any.
-    #[serde(default)]
-    pub planted: Option<Planted>,
+    #[serde(default, rename = "planted")] // wire name
+    pub injected_bug: Option<InjectedBug>,
     /// The world.
     pub plan: Plan,
 }
 
 /// Why a kept world can't be read or written.
 #[derive(Debug, thiserror::Error)]
-pub enum FoundError {
+pub enum RecordingError {
     /// The disk.
     #[error("{path}: {source}: see to the folder, or name another")]
     Disk {
@@ -43,11 +43,11 @@
     },
 }
 
-impl Found {
+impl RecordedRun {
     /// Plays it.
     pub fn play(&self) -> Outcome {
-        match self.planted {
-            Some(planted) => play_planted(&self.plan, planted),
+        match self.injected_bug {
+            Some(injected_bug) => play_with_bug(&self.plan, injected_bug),
             None => play(&self.plan),
         }
     }
@@ -56,22 +56,23 @@
     ///
     /// # Errors
     /// Where the file can't be read.
-    pub fn read(path: &Path) -> Result<Self, FoundError> {
+    pub fn read(path: &Path) -> Result<Self, RecordingError> {
         let text = std::fs::read_to_string(path);
-        let text = text.map_err(|source| FoundError::Disk { path: path.to_owned(), source })?;
-        serde_json::from_str(&text).map_err(|source| FoundError::Content { path: path.to_owned(), source })
+        let text = text.map_err(|source| RecordingError::Disk { path: path.to_owned(), source })?;
+        serde_json::from_str(&text)
+            .map_err(|source| RecordingError::Content { path: path.to_owned(), source })
     }
 
     /// Writes it into a folder, under a name that tells the rule and the seed.
     ///
     /// # Errors
     /// Where it can't be written.
-    pub fn save(&self, folder: &Path) -> Result<PathBuf, FoundError> {
-        let path = folder.join(format!("{}-{}.json", self.violation.rule, self.plan.seed));
+    pub fn save(&self, folder: &Path) -> Result<PathBuf, RecordingError> {
+        let path = folder.join(format!("{}-{}.json", self.violation.invariant, self.plan.seed));
         let text = serde_json::to_string_pretty(self);
-        let text = text.map_err(|source| FoundError::Content { path: path.clone(), source })?;
+        let text = text.map_err(|source| RecordingError::Content { path: path.clone(), source })?;
         let written = std::fs::create_dir_all(folder).and_then(|()| std::fs::write(&path, text + "\n"));
-        written.map_err(|source| FoundError::Disk { path: path.clone(), source })?;
+        written.map_err(|source| RecordingError::Disk { path: path.clone(), source })?;
         Ok(path)
     }
 }
@@ -87,24 +88,24 @@
 }
 
 /// Plays a plan, and makes it short if it breaks a rule.
-pub fn find(plan: Plan, planted: Option<Planted>) -> Option<Found> {
-    let found = broken(plan, planted)?;
+pub fn find_and_shrink(plan: Plan, injected_bug: Option<InjectedBug>) -> Option<RecordedRun> {
+    let found = find_violation(plan, injected_bug)?;
     Some(shrink(found))
 }
 
 /// Plays a plan; what it breaks, as it was.
-pub fn broken(plan: Plan, planted: Option<Planted>) -> Option<Found> {
-    let outcome = planted.map_or_else(|| play(&plan), |planted| play_planted(&plan, planted));
-    outcome.violation.map(|violation| Found { violation, planted, plan })
+pub fn find_violation(plan: Plan, injected_bug: Option<InjectedBug>) -> Option<RecordedRun> {
+    let outcome = injected_bug.map_or_else(|| play(&plan), |injected_bug| play_with_bug(&plan, injected_bug));
+    outcome.violation.map(|violation| RecordedRun { violation, injected_bug, plan })
 }
 
 /// Leaves out and shortens what it can while the same rule is broken.
-pub fn shrink(found: Found) -> Found {
-    let rule = found.violation.rule;
+pub fn shrink(found: RecordedRun) -> RecordedRun {
+    let rule = found.violation.invariant;
     let mut best = found;
     loop {
         let before = best.plan.clone();
-        let shorter = smaller(&best.plan).into_iter().find_map(|plan| still(plan, best.planted, rule));
+        let shorter = smaller(&best.plan).into_iter().find_map(|plan| still(plan, best.injected_bug, rule));
         if let Some(shorter) = shorter {
             best = shorter;
         }
@@ -114,8 +115,8 @@
     }
 }
 
-fn still(plan: Plan, planted: Option<Planted>, rule: Rule) -> Option<Found> {
-    broken(plan, planted).filter(|found| found.violation.rule == rule)
+fn still(plan: Plan, injected_bug: Option<InjectedBug>, rule: Invariant) -> Option<RecordedRun> {
+    find_violation(plan, injected_bug).filter(|found| found.violation.invariant == rule)
 }
 
 fn smaller(plan: &Plan) -> Vec<Plan> {
@@ -182,7 +183,7 @@
 }
 
 /// All mutations of one message of a plan's run: each kind, over every message from the first on, `step` apart.
-pub fn mutations(plan: &Plan, first: u64, step: u64) -> impl Iterator<Item = Plan> + use<> {
+pub fn message_mutations(plan: &Plan, first: u64, step: u64) -> impl Iterator<Item = Plan> + use<> {
     let messages = play(plan).messages;
     let plan = plan.clone();
     let numbers = (first.max(1)..=messages).step_by(step.max(1) as usize);
--- a/simulation/src/planted.rs
+++ b/simulation/src/injected_bugs.rs
@@ -8,7 +8,7 @@
     Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, strum::Display, strum::EnumIter,
 )]
 #[strum(serialize_all = "snake_case")]
-pub enum Planted {
+pub enum InjectedBug {
     /// A node is told that a write is on the disk before it is.
     AcknowledgesBeforeSync,
     /// A node whose disk was lost takes its empty one for all that it has promised, and votes.
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -5,20 +5,20 @@
 //! no sockets, no clock. A plan goes in, what was found comes out; the same plan always plays alike.
 //!
 //! Reading order: [`plan`] says what happens, [`disk`] what a disk keeps, [`demand`] what operators ask for, [`run`] plays it,
-//! [`oracle`] judges from outside, [`planted`] puts known faults in, [`hunt`] looks for plans that break a rule and makes them
+//! [`oracle`] judges from outside, [`injected_bugs`] puts known faults in, [`hunt`] looks for plans that break a rule and makes them
 //! short, and [`search`] goes through all interleavings of one part among three nodes.
 
 pub mod chance;
 pub mod demand;
 pub mod disk;
 pub mod hunt;
+pub mod injected_bugs;
 pub mod oracle;
 pub mod plan;
-pub mod planted;
 pub mod run;
 pub mod search;
 
-pub use oracle::{Rule, Violation};
+pub use injected_bugs::InjectedBug;
+pub use oracle::{Invariant, Violation};
 pub use plan::Plan;
-pub use planted::Planted;
 pub use run::{Outcome, play};
--- a/simulation/src/oracle.rs
+++ b/simulation/src/oracle.rs
@@ -22,7 +22,7 @@
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, strum::Display,
 )]
 #[strum(serialize_all = "snake_case")]
-pub enum Rule {
+pub enum Invariant {
     /// One number of a part stands for one value.
     OneValueANumber,
     /// No node and no follower goes back within one life.
@@ -62,12 +62,14 @@
 /// A broken rule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Violation {
-    /// The rule.
-    pub rule: Rule,
+    /// The invariant that does not hold.
+    #[serde(rename = "rule")] // wire name
+    pub invariant: Invariant,
     /// When, in milliseconds.
     pub at_ms: u64,
-    /// What was seen.
-    pub text: String,
+    /// What the oracle observed.
+    #[serde(rename = "text")] // wire name
+    pub description: String,
 }
 
 /// An undertaking of an operator.
@@ -133,9 +135,9 @@
     }
 
     /// Notes that a rule is broken.
-    pub fn broken(&mut self, rule: Rule, text: String) {
+    pub fn broken(&mut self, invariant: Invariant, description: String) {
         let at_ms = self.now / MILLISECOND;
-        self.violation.get_or_insert(Violation { rule, at_ms, text });
+        self.violation.get_or_insert(Violation { invariant, at_ms, description });
     }
 
     /// Time has come so far.
@@ -196,13 +198,13 @@
                 undertaken.refused = true;
                 if undertaken.taken_unheard {
                     self.broken(
-                        Rule::TakenStaysTaken,
+                        Invariant::TakenStaysTaken,
                         format!("version {revision} was taken, and refused when it was sent again"),
                     );
                 }
                 if self.versions.values().any(|version| *version == revision) {
                     self.broken(
-                        Rule::RefusedStaysOut,
+                        Invariant::RefusedStaysOut,
                         format!("version {revision} is in force, and was refused"),
                     );
                 }
@@ -213,7 +215,7 @@
                 self.read(revision, newest_before);
             }
             (Kind::Read, AdminResponse::NotConfigured) => self.read(0, newest_before),
-            (kind, answer) => self.broken(Rule::AsSent, format!("{kind:?} was answered by {answer:?}")),
+            (kind, answer) => self.broken(Invariant::AsSent, format!("{kind:?} was answered by {answer:?}")),
         }
         true
     }
@@ -241,7 +243,7 @@
     fn judge_taken(&mut self, number: usize, base: u64, revision: u64, valid: bool) {
         if !valid {
             self.broken(
-                Rule::InvalidStaysOut,
+                Invariant::InvalidStaysOut,
                 format!("version {revision} is invalid, and was acknowledged"),
             );
         }
@@ -250,14 +252,17 @@
             *other != number && one.is_taken() && same
         };
         if self.undertaken.iter().any(also) {
-            self.broken(Rule::OneWinner, format!("two changes on top of version {base} were acknowledged"));
+            self.broken(
+                Invariant::OneWinner,
+                format!("two changes on top of version {base} were acknowledged"),
+            );
         }
     }
 
     fn read(&mut self, revision: u64, least: u64) {
         if revision < least {
             self.broken(
-                Rule::FreshRead,
+                Invariant::FreshRead,
                 format!("version {revision} was read after {least} was acknowledged"),
             );
         }
@@ -271,12 +276,12 @@
         let place = self.places.entry((who, part)).or_default();
         if sequence < *place {
             let text = format!("{who:?} has part {} at {sequence} after {place}", part.0);
-            return self.broken(Rule::NoWayBack, text);
+            return self.broken(Invariant::NoWayBack, text);
         }
         *place = sequence;
         if *self.values.entry((part, sequence)).or_insert(digest) != digest {
             let text = format!("{who:?} has another value of part {} at {sequence}", part.0);
-            self.broken(Rule::OneValueANumber, text);
+            self.broken(Invariant::OneValueANumber, text);
         }
     }
 
@@ -288,17 +293,18 @@
         self.versions.insert(sequence, revision);
         let one = self.asked.get(&revision).and_then(|number| self.undertaken.get(number));
         let Some(Undertaken { kind: Kind::Set { base, digest: sent, valid, .. }, refused, .. }) = one else {
-            return self.broken(Rule::AsSent, format!("version {revision} is in force, and nobody sent it"));
+            return self
+                .broken(Invariant::AsSent, format!("version {revision} is in force, and nobody sent it"));
         };
         let before = if sequence == 1 { Some(0) } else { self.versions.get(&(sequence - 1)).copied() };
         let (rule, text) = if !valid {
-            (Rule::InvalidStaysOut, "it is invalid".to_owned())
+            (Invariant::InvalidStaysOut, "it is invalid".to_owned())
         } else if *refused {
-            (Rule::RefusedStaysOut, "it was refused".to_owned())
+            (Invariant::RefusedStaysOut, "it was refused".to_owned())
         } else if digest != *sent {
-            (Rule::AsSent, "it is not what was sent".to_owned())
+            (Invariant::AsSent, "it is not what was sent".to_owned())
         } else if before.is_some_and(|before| before != *base) {
-            (Rule::OneWinner, format!("it follows on {before:?}, and builds on {base}"))
+            (Invariant::OneWinner, format!("it follows on {before:?}, and builds on {base}"))
         } else {
             return;
         };
@@ -308,7 +314,7 @@
     /// Somebody has this list of servers.
     pub fn list(&mut self, position: (u64, u64, u64), digest: u64) {
         if *self.lists.entry(position).or_insert(digest) != digest {
-            self.broken(Rule::OneListANumber, format!("the list {position:?} is not one list"));
+            self.broken(Invariant::OneListANumber, format!("the list {position:?} is not one list"));
         }
     }
 
@@ -318,13 +324,13 @@
         let known = self.memberships.entry(generation).or_insert_with(|| membership.clone());
         if known != membership {
             let text = format!("generation {generation} is not one membership");
-            return self.broken(Rule::OneMembershipAGeneration, text);
+            return self.broken(Invariant::OneMembershipAGeneration, text);
         }
         let Some(before) = self.memberships.get(&generation.saturating_sub(1)) else { return };
         let new = membership.voters.iter().filter(|voter| before.voter(voter.replica).is_none());
         if membership.previous != before.voters || new.count() != 1 {
             let text = format!("generation {generation} does not follow on the one before");
-            self.broken(Rule::OneMembershipAGeneration, text);
+            self.broken(Invariant::OneMembershipAGeneration, text);
         }
     }
 
@@ -338,7 +344,7 @@
         let membership = self.memberships.get(&generation);
         if membership.is_some_and(|membership| membership.voter(replica).is_none()) {
             let text = format!("{replica} votes under generation {generation}, and is none of its voters");
-            self.broken(Rule::OnlyVotersVote, text);
+            self.broken(Invariant::OnlyVotersVote, text);
         }
     }
 
@@ -351,13 +357,13 @@
                 && follower.revision < revision
             {
                 let text = format!("follower {} has {}, not {revision}", follower.number, follower.revision);
-                self.broken(Rule::ConfiguredInTime, text);
+                self.broken(Invariant::ConfiguredInTime, text);
             }
             for (zone, (active, at)) in self.zones.clone() {
                 if self.now > at + EVACUATED && follower.evacuated.get(zone) != Some(&active) {
                     let text =
                         format!("follower {}: zone {zone} should be evacuated: {active}", follower.number);
-                    self.broken(Rule::EvacuatedInTime, text);
+                    self.broken(Invariant::EvacuatedInTime, text);
                 }
             }
         }
@@ -366,7 +372,7 @@
         if let Some(late) = self.undertaken.values().find(late) {
             let text =
                 format!("{:?} has no answer since {} ms", late.kind, (self.now - late.began) / MILLISECOND);
-            self.broken(Rule::AcknowledgedInTime, text);
+            self.broken(Invariant::AcknowledgedInTime, text);
         }
     }
 
@@ -375,7 +381,7 @@
     pub fn end(&mut self, places: &BTreeSet<Vec<u64>>, in_force: &BTreeSet<Vec<u64>>, reader: bool) {
         if places.len() != 1 || in_force.len() != 1 || !reader {
             let text = format!("places {places:?}, in force {in_force:?}, one reads the list: {reader}");
-            self.broken(Rule::Converges, text);
+            self.broken(Invariant::Converges, text);
         }
         let kept: BTreeSet<u64> = self.versions.values().copied().collect();
         let gone = self.undertaken.values().find_map(|one| match one.kind {
@@ -384,7 +390,7 @@
         });
         if let Some(gone) = gone {
             self.broken(
-                Rule::NothingLost,
+                Invariant::NothingLost,
                 format!("version {gone} was acknowledged, and nobody ever had it"),
             );
         }
@@ -396,7 +402,7 @@
         };
         if let Some((revision, base, before)) = self.versions.iter().find_map(follows) {
             self.broken(
-                Rule::OneWinner,
+                Invariant::OneWinner,
                 format!("version {revision} builds on {base}, and follows on {before}"),
             );
         }
@@ -405,14 +411,14 @@
         });
         if let Some((zone, (active, _))) = wanted {
             self.broken(
-                Rule::NothingLost,
+                Invariant::NothingLost,
                 format!("zone {zone} should be evacuated: {active}, as acknowledged"),
             );
         }
         let last = in_force.iter().next().and_then(|one| one.first()).copied().unwrap_or_default();
         if let Some((newest, _)) = self.newest.filter(|(newest, _)| last < *newest) {
             self.broken(
-                Rule::NothingLost,
+                Invariant::NothingLost,
                 format!("version {newest} was acknowledged, and {last} is in force"),
             );
         }
--- a/simulation/src/run.rs
+++ b/simulation/src/run.rs
@@ -19,9 +19,9 @@
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
 use crate::chance::draw;
+use crate::injected_bugs::InjectedBug;
 use crate::oracle::{FollowerView, Oracle, Violation};
 use crate::plan::{Plan, When};
-use crate::planted::Planted;
 
 use links::Links;
 use machines::Machine;
@@ -90,7 +90,7 @@
 /// A world that is being played.
 struct World<'a> {
     plan: &'a Plan,
-    planted: Option<Planted>,
+    injected_bug: Option<InjectedBug>,
     now: Nanos,
     queue: BTreeMap<(Nanos, u64), Happening>,
     queued: u64,
@@ -122,13 +122,13 @@
 }
 
 /// The same with a known fault put in.
-pub fn play_planted(plan: &Plan, planted: Planted) -> Outcome {
-    World::new(plan, Some(planted), false).run()
+pub fn play_with_bug(plan: &Plan, injected_bug: InjectedBug) -> Outcome {
+    World::new(plan, Some(injected_bug), false).run()
 }
 
 /// The same with all that happens written down.
-pub fn play_traced(plan: &Plan, planted: Option<Planted>) -> Outcome {
-    World::new(plan, planted, true).run()
+pub fn play_traced(plan: &Plan, injected_bug: Option<InjectedBug>) -> Outcome {
+    World::new(plan, injected_bug, true).run()
 }
 
 fn address(place: usize) -> NodeId {
@@ -140,11 +140,11 @@
 }
 
 impl<'a> World<'a> {
-    fn new(plan: &'a Plan, planted: Option<Planted>, traced: bool) -> Self {
+    fn new(plan: &'a Plan, injected_bug: Option<InjectedBug>, traced: bool) -> Self {
         let (members, machines, followers) = (plan.members, plan.machines(), plan.followers);
         let mut world = Self {
             plan,
-            planted,
+            injected_bug,
             now: 0,
             queue: BTreeMap::new(),
             queued: 0,
--- a/simulation/src/run/alterations.rs
+++ b/simulation/src/run/alterations.rs
@@ -1,11 +1,11 @@
-//! Planted faults in what a control node sends: a message is altered, answered on the spot or left out.
+//! InjectedBug faults in what a control node sends: a message is altered, answered on the spot or left out.
 
 use ivyhatch_control::{ControlPlane, Input};
 use ivyhatch_protocol::ids::{NodeId, PartitionId};
 use ivyhatch_protocol::peer::{ConsensusMessage, PeerMessage};
 
 use super::{World, place};
-use crate::planted::Planted;
+use crate::injected_bugs::InjectedBug;
 
 impl World<'_> {
     /// A message as it is sent with a known fault put in; none where it is not sent.
@@ -16,10 +16,10 @@
         message: PeerMessage,
         events: &mut Vec<Input>,
     ) -> Option<PeerMessage> {
-        let Some(planted) = self.planted else { return Some(message) };
-        match (planted, message) {
+        let Some(injected_bug) = self.injected_bug else { return Some(message) };
+        match (injected_bug, message) {
             (
-                Planted::SkipsConfirmation,
+                InjectedBug::SkipsConfirmation,
                 PeerMessage::Consensus {
                     generation,
                     part,
@@ -31,7 +31,7 @@
                 None
             }
             (
-                Planted::AcceptsLowerEpoch,
+                InjectedBug::AcceptsLowerEpoch,
                 PeerMessage::Consensus { generation, part, message: ConsensusMessage::Reject { promised } },
             ) => {
                 let lower = self.machines[machine].lower.take().filter(|(ballot, _)| ballot.node == to);
@@ -41,7 +41,7 @@
                 Some(PeerMessage::Consensus { generation, part, message })
             }
             (
-                Planted::LeadsWithoutElection,
+                InjectedBug::LeadsWithoutElection,
                 PeerMessage::Consensus { generation, part, message: ConsensusMessage::Prepare { ballot } },
             ) if part != PartitionId::MEMBERSHIP => {
                 let message = ConsensusMessage::Promise { ballot, accepted: None };
@@ -49,7 +49,7 @@
                 None
             }
             (
-                Planted::ChangesMembershipAlone,
+                InjectedBug::ChangesMembershipAlone,
                 PeerMessage::Consensus { generation, part: part @ PartitionId::MEMBERSHIP, message },
             ) => {
                 let message = match message {
@@ -64,7 +64,10 @@
                 events.push(Input::Peer(to, PeerMessage::Consensus { generation, part, message }));
                 None
             }
-            (Planted::CountsBeforeState, PeerMessage::StateTransferRequest { incarnation, generation }) => {
+            (
+                InjectedBug::CountsBeforeState,
+                PeerMessage::StateTransferRequest { incarnation, generation },
+            ) => {
                 let node = self.machines[place(to)].node.as_ref();
                 let disk = node.and_then(ControlPlane::replica)?.disk;
                 let partitions = Vec::new();
@@ -72,7 +75,7 @@
                 events.push(Input::Peer(to, empty));
                 None
             }
-            (Planted::OldGenerationCounts, PeerMessage::Consensus { part, message, generation }) => {
+            (InjectedBug::OldGenerationCounts, PeerMessage::Consensus { part, message, generation }) => {
                 let receiver = self.machines.get(place(to)).and_then(|machine| machine.node.as_ref());
                 let newer = receiver.and_then(ControlPlane::membership).map(|known| known.generation);
                 let generation = newer.unwrap_or(generation);
--- a/simulation/src/run/machines.rs
+++ b/simulation/src/run/machines.rs
@@ -15,8 +15,8 @@
 use crate::chance::draw;
 use crate::demand::zone;
 use crate::disk::Disk;
-use crate::oracle::Rule;
-use crate::planted::Planted;
+use crate::injected_bugs::InjectedBug;
+use crate::oracle::Invariant;
 
 const PARTS: usize = ivyhatch_protocol::ids::HASHED_PARTITIONS as usize + 1;
 /// A sync takes so long at the least and at the most.
@@ -157,7 +157,9 @@
         let mut stored = this.disk.stored().clone();
         let forgotten = !first && stored.joined.is_none() && !first_generation(&stored);
         this.wiped = forgotten.then(BTreeSet::new);
-        if let (Some(Planted::VotesAfterWipe), Some(before)) = (self.planted, this.before_wipe.take()) {
+        if let (Some(InjectedBug::VotesAfterWipe), Some(before)) =
+            (self.injected_bug, this.before_wipe.take())
+        {
             (stored.replica, stored.membership, stored.joined) =
                 (Some((before.0, false)), before.1, before.2);
         }
@@ -361,7 +363,7 @@
         }
         let tokens = this.disk.end();
         for token in tokens {
-            if self.planted != Some(Planted::AcknowledgesBeforeSync) {
+            if self.injected_bug != Some(InjectedBug::AcknowledgesBeforeSync) {
                 self.hear(machine, Input::Stored(token));
             }
         }
@@ -438,7 +440,7 @@
             Output::Store(token, records) => {
                 self.note(|| format!("node {machine} stores {token}: {} records", records.len()));
                 self.machines[machine].disk.write(token, records);
-                if self.planted == Some(Planted::AcknowledgesBeforeSync) {
+                if self.injected_bug == Some(InjectedBug::AcknowledgesBeforeSync) {
                     events.insert(0, Input::Stored(token));
                 }
                 self.write(machine);
@@ -476,7 +478,7 @@
         );
         if votes && self.machines[machine].wiped.is_some() {
             let text = format!("node {machine} has lost its disk, and says {}", peer_message(&message));
-            self.oracle.broken(Rule::WipedIsSilent, text);
+            self.oracle.broken(Invariant::WipedIsSilent, text);
         }
         self.judge_vote(machine, &message);
         // What is said while no link is up is lost.
--- a/simulation/src/run/operators.rs
+++ b/simulation/src/run/operators.rs
@@ -9,8 +9,8 @@
 
 use super::{Happening, World};
 use crate::demand::{Demand, Operators};
+use crate::injected_bugs::InjectedBug;
 use crate::plan::{Trouble, When};
-use crate::planted::Planted;
 
 /// After an evacuation or its end an operator waits for so long.
 const PAUSE: Nanos = 10 * MILLISECOND;
@@ -132,12 +132,12 @@
             return;
         }
         let mut order = order;
-        if self.planted == Some(Planted::TakesResentForNew)
+        if self.injected_bug == Some(InjectedBug::TakesResentForNew)
             && let AdminRequest::Put { body, .. } = &mut order
         {
             body.extend(std::iter::repeat_n(b' ', id as usize % 16));
         }
-        if self.planted == Some(Planted::IgnoresBase)
+        if self.injected_bug == Some(InjectedBug::IgnoresBase)
             && let AdminRequest::Put { base, .. } = &mut order
         {
             *base = self.machines[machine].revision();
--- a/simulation/src/run/routers.rs
+++ b/simulation/src/run/routers.rs
@@ -11,8 +11,8 @@
 use super::describe::follower_message;
 use super::{CONTACT, Happening, Said, TICK, World, address, place};
 use crate::demand::{digest, zone};
+use crate::injected_bugs::InjectedBug;
 use crate::oracle::FollowerView;
-use crate::planted::Planted;
 
 /// Unanswered bytes end a session after this.
 const UNANSWERED: Nanos = 2_500 * MILLISECOND;
@@ -236,8 +236,8 @@
         let Some(session) = session.filter(|_| this.life == life) else { return };
         session.heard = self.now;
         self.note(|| format!("{machine} -> follower {follower} {}", follower_message(&message)));
-        let message = match (self.planted, message, &self.routers[follower].follower) {
-            (Some(Planted::AppliesOverGap), WatchResponse::Change { to, change, .. }, Some(known)) => {
+        let message = match (self.injected_bug, message, &self.routers[follower].follower) {
+            (Some(InjectedBug::AppliesOverGap), WatchResponse::Change { to, change, .. }, Some(known)) => {
                 WatchResponse::Change { from: known.sequence(), to, change }
             }
             (_, message, _) => message,
--- a/simulation/tests/found.rs
+++ b/simulation/tests/found.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use googletest::prelude::*;
-use ivyhatch_simulation::hunt::Found;
+use ivyhatch_simulation::hunt::RecordedRun;
 
 #[gtest]
 fn every_world_that_was_found_holds_now() {
@@ -15,9 +15,9 @@
             continue;
         }
         played += 1;
-        let found = Found::read(&path).expect("it can be read");
-        let shown = found.play().violation.map(|violation| violation.rule);
-        let wanted = found.planted.map(|_| found.violation.rule);
+        let found = RecordedRun::read(&path).expect("it can be read");
+        let shown = found.play().violation.map(|violation| violation.invariant);
+        let wanted = found.injected_bug.map(|_| found.violation.invariant);
         expect_that!(shown, eq(wanted), "{}", path.display());
     }
     expect_that!(played, gt(0));
--- a/simulation/tests/hunt.rs
+++ b/simulation/tests/hunt.rs
@@ -1,15 +1,15 @@
 //! Worlds as a whole: they play alike, hold what is promised, and show the faults that are put in.
 
 use googletest::prelude::*;
-use ivyhatch_simulation::hunt::{Found, broken, find, mutations, plans};
+use ivyhatch_simulation::hunt::{RecordedRun, find_and_shrink, find_violation, message_mutations, plans};
 use ivyhatch_simulation::plan::{Fault, Trouble, When};
 use ivyhatch_simulation::run::play_traced;
-use ivyhatch_simulation::{Plan, Planted, Rule, play};
+use ivyhatch_simulation::{InjectedBug, Invariant, Plan, play};
 
 /// How many worlds until one shows this fault, and what it shows, made short.
-fn found_within(planted: Planted, worlds: usize) -> Option<(usize, Found)> {
-    let first = plans(7).take(worlds).position(|plan| broken(plan, Some(planted)).is_some())?;
-    Some((first + 1, find(plans(7).nth(first)?, Some(planted))?))
+fn found_within(injected_bug: InjectedBug, worlds: usize) -> Option<(usize, RecordedRun)> {
+    let first = plans(7).take(worlds).position(|plan| find_violation(plan, Some(injected_bug)).is_some())?;
+    Some((first + 1, find_and_shrink(plans(7).nth(first)?, Some(injected_bug))?))
 }
 
 #[gtest]
@@ -84,10 +84,12 @@
 
 #[gtest]
 fn an_order_that_is_not_known_again_is_found() {
-    let first = plans(1_000_007).take(50).find_map(|plan| find(plan, Some(Planted::TakesResentForNew)));
+    let first = plans(1_000_007)
+        .take(50)
+        .find_map(|plan| find_and_shrink(plan, Some(InjectedBug::TakesResentForNew)));
     let found = first.expect("it is found");
     println!("{:?}", found.violation);
-    expect_that!(found.violation.rule, eq(Rule::TakenStaysTaken));
+    expect_that!(found.violation.invariant, eq(Invariant::TakenStaysTaken));
 }
 
 #[gtest]
@@ -101,67 +103,67 @@
 
 #[gtest]
 fn acknowledging_before_the_sync_is_found() {
-    let (worlds, found) = found_within(Planted::AcknowledgesBeforeSync, 2_000).expect("it is found");
+    let (worlds, found) = found_within(InjectedBug::AcknowledgesBeforeSync, 2_000).expect("it is found");
     println!("after {worlds} worlds: {:?}", found.violation);
     expect_that!(found.plan.faults, not(is_empty()));
 }
 
 #[gtest]
 fn a_vote_after_a_wipe_is_found() {
-    let (worlds, found) = found_within(Planted::VotesAfterWipe, 50).expect("it is found");
+    let (worlds, found) = found_within(InjectedBug::VotesAfterWipe, 50).expect("it is found");
     println!("after {worlds} worlds: {:?}", found.violation);
-    expect_that!(found.violation.rule, eq(Rule::WipedIsSilent));
+    expect_that!(found.violation.invariant, eq(Invariant::WipedIsSilent));
     expect_that!(found.plan.faults, len(eq(1)));
 }
 
 #[gtest]
 fn an_answer_without_confirmation_is_found() {
-    let (worlds, found) = found_within(Planted::SkipsConfirmation, 600).expect("it is found");
+    let (worlds, found) = found_within(InjectedBug::SkipsConfirmation, 600).expect("it is found");
     println!("after {worlds} worlds: {:?}", found.violation);
-    expect_that!(found.violation.rule, eq(Rule::FreshRead));
+    expect_that!(found.violation.invariant, eq(Invariant::FreshRead));
 }
 
 #[gtest]
 fn a_lower_epoch_that_is_taken_is_found() {
-    let (worlds, found) = found_within(Planted::AcceptsLowerEpoch, 300).expect("it is found");
+    let (worlds, found) = found_within(InjectedBug::AcceptsLowerEpoch, 300).expect("it is found");
     println!("after {worlds} worlds: {:?}", found.violation);
 }
 
 #[gtest]
 fn a_change_over_a_gap_is_found() {
-    let (worlds, found) = found_within(Planted::AppliesOverGap, 200).expect("it is found");
+    let (worlds, found) = found_within(InjectedBug::AppliesOverGap, 200).expect("it is found");
     println!("after {worlds} worlds: {:?}", found.violation);
-    expect_that!(found.violation.rule, any![eq(Rule::OneValueANumber), eq(Rule::AsSent)]);
+    expect_that!(found.violation.invariant, any![eq(Invariant::OneValueANumber), eq(Invariant::AsSent)]);
 }
 
 #[gtest]
 fn an_order_on_top_of_whatever_is_current_is_found() {
-    let (worlds, found) = found_within(Planted::IgnoresBase, 20).expect("it is found");
+    let (worlds, found) = found_within(InjectedBug::IgnoresBase, 20).expect("it is found");
     println!("after {worlds} worlds: {:?}", found.violation);
     expect_that!(found.plan.orders.len(), le(8));
 }
 
 #[gtest]
 fn a_new_voter_that_counts_before_it_holds_the_state_is_found() {
-    let (worlds, found) = found_within(Planted::CountsBeforeState, 400).expect("it is found");
+    let (worlds, found) = found_within(InjectedBug::CountsBeforeState, 400).expect("it is found");
     println!("after {worlds} worlds: {:?}", found.violation);
 }
 
 #[gtest]
 fn a_message_of_an_older_membership_that_counts_is_found() {
-    let (worlds, found) = found_within(Planted::OldGenerationCounts, 4_000).expect("it is found");
+    let (worlds, found) = found_within(InjectedBug::OldGenerationCounts, 4_000).expect("it is found");
     println!("after {worlds} worlds: {:?}", found.violation);
 }
 
 #[gtest]
 fn a_membership_that_is_changed_without_a_quorum_is_found() {
-    let (worlds, found) = found_within(Planted::ChangesMembershipAlone, 1_000).expect("it is found");
+    let (worlds, found) = found_within(InjectedBug::ChangesMembershipAlone, 1_000).expect("it is found");
     println!("after {worlds} worlds: {:?}", found.violation);
 }
 
 #[gtest]
 fn a_leader_without_an_election_is_found() {
-    let (worlds, found) = found_within(Planted::LeadsWithoutElection, 100).expect("it is found");
+    let (worlds, found) = found_within(InjectedBug::LeadsWithoutElection, 100).expect("it is found");
     println!("after {worlds} worlds: {:?}", found.violation);
 }
 
@@ -171,7 +173,7 @@
     let plan = Plan { faults_end_ms: 6_000, ..plan };
     expect_that!(play(&plan).violation, none());
     let mut played = 0;
-    for mutated in mutations(&plan, 1, 23) {
+    for mutated in message_mutations(&plan, 1, 23) {
         played += 1;
         let outcome = play(&mutated);
         assert_that!(outcome.violation, none(), "{:?}", mutated.mutation);
@@ -181,12 +183,12 @@
 
 #[gtest]
 fn a_file_holds_the_world_that_was_found() {
-    let (_, found) = found_within(Planted::IgnoresBase, 20).expect("it is found");
+    let (_, found) = found_within(InjectedBug::IgnoresBase, 20).expect("it is found");
     let folder = std::env::temp_dir().join(format!("ivyhatch-world-{}", std::process::id()));
     let path = found.save(&folder).expect("it is written");
-    let read = Found::read(&path).expect("it is read");
+    let read = RecordedRun::read(&path).expect("it is read");
     expect_that!(read, eq(&found));
     expect_that!(read.play().violation, some(eq(&found.violation)));
     std::fs::remove_dir_all(&folder).expect("it is removed");
-    expect_that!(Found::read(&path), err(displays_as(contains_substring("see to the folder"))));
+    expect_that!(RecordedRun::read(&path), err(displays_as(contains_substring("see to the folder"))));
 }
--- a/simulation/tests/oracle.rs
+++ b/simulation/tests/oracle.rs
@@ -7,7 +7,7 @@
 use ivyhatch_protocol::configuration::Document;
 use ivyhatch_protocol::ids::{NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{AdminRequest, AdminResponse, Membership, Voter};
-use ivyhatch_simulation::Rule;
+use ivyhatch_simulation::Invariant;
 use ivyhatch_simulation::demand::{Demand, Kind, Operators, digest};
 use ivyhatch_simulation::oracle::{FollowerView, Oracle};
 use ivyhatch_simulation::plan::Undertaking;
@@ -23,8 +23,8 @@
     AdminResponse::Applied { revision }
 }
 
-fn rule(oracle: &Oracle) -> Option<Rule> {
-    oracle.violation().map(|violation| violation.rule)
+fn rule(oracle: &Oracle) -> Option<Invariant> {
+    oracle.violation().map(|violation| violation.invariant)
 }
 
 /// Two versions, the first acknowledged and in force.
@@ -63,11 +63,11 @@
         oracle.began(number, &set(5, revision, true));
         oracle.answered(number, &taken(revision));
     }
-    expect_that!(rule(&oracle), some(eq(Rule::OneWinner)));
+    expect_that!(rule(&oracle), some(eq(Invariant::OneWinner)));
     let mut unseen = begun();
     unseen.began(2, &set(0, 7, true));
     unseen.in_force(2, 7, 7);
-    expect_that!(rule(&unseen), some(eq(Rule::OneWinner)));
+    expect_that!(rule(&unseen), some(eq(Invariant::OneWinner)));
 }
 
 #[gtest]
@@ -76,31 +76,31 @@
     before.began(2, &set(5, 7, true));
     before.answered(2, &AdminResponse::Conflict { revision: 5 });
     before.in_force(2, 7, 7);
-    expect_that!(rule(&before), some(eq(Rule::RefusedStaysOut)));
+    expect_that!(rule(&before), some(eq(Invariant::RefusedStaysOut)));
     let mut after = begun();
     after.began(2, &set(5, 7, true));
     after.in_force(2, 7, 7);
     after.answered(2, &AdminResponse::Invalid(String::new()));
-    expect_that!(rule(&after), some(eq(Rule::RefusedStaysOut)));
+    expect_that!(rule(&after), some(eq(Invariant::RefusedStaysOut)));
     let mut invalid = begun();
     invalid.began(2, &set(5, 7, false));
     invalid.answered(2, &taken(7));
-    expect_that!(rule(&invalid), some(eq(Rule::InvalidStaysOut)));
+    expect_that!(rule(&invalid), some(eq(Invariant::InvalidStaysOut)));
     let mut silent = begun();
     silent.began(2, &set(5, 7, false));
     silent.in_force(2, 7, 7);
-    expect_that!(rule(&silent), some(eq(Rule::InvalidStaysOut)));
+    expect_that!(rule(&silent), some(eq(Invariant::InvalidStaysOut)));
 }
 
 #[gtest]
 fn what_nobody_sent_and_what_was_altered() {
     let mut unsent = begun();
     unsent.in_force(2, 9, 9);
-    expect_that!(rule(&unsent), some(eq(Rule::AsSent)));
+    expect_that!(rule(&unsent), some(eq(Invariant::AsSent)));
     let mut altered = begun();
     altered.began(2, &set(5, 7, true));
     altered.in_force(2, 7, 99);
-    expect_that!(rule(&altered), some(eq(Rule::AsSent)));
+    expect_that!(rule(&altered), some(eq(Invariant::AsSent)));
 }
 
 #[gtest]
@@ -108,18 +108,18 @@
     let mut oracle = begun();
     oracle.seen(WHO, PartitionId(3), 4, 1);
     oracle.seen((2, 1), PartitionId(3), 4, 2);
-    expect_that!(rule(&oracle), some(eq(Rule::OneValueANumber)));
+    expect_that!(rule(&oracle), some(eq(Invariant::OneValueANumber)));
     let mut back = begun();
     back.seen(WHO, PartitionId(3), 4, 1);
     // Another life may begin anew.
     back.seen((1, 2), PartitionId(3), 3, 1);
     expect_that!(back.violation(), none());
     back.seen(WHO, PartitionId(3), 3, 1);
-    expect_that!(rule(&back), some(eq(Rule::NoWayBack)));
+    expect_that!(rule(&back), some(eq(Invariant::NoWayBack)));
     let mut lists = begun();
     lists.list((1, 2, 3), 4);
     lists.list((1, 2, 3), 5);
-    expect_that!(rule(&lists), some(eq(Rule::OneListANumber)));
+    expect_that!(rule(&lists), some(eq(Invariant::OneListANumber)));
 }
 
 #[gtest]
@@ -134,11 +134,11 @@
     expect_that!(oracle.violation(), none());
     oracle.began(4, &read);
     oracle.answered(4, &document(5));
-    expect_that!(rule(&oracle), some(eq(Rule::FreshRead)));
+    expect_that!(rule(&oracle), some(eq(Invariant::FreshRead)));
     let mut nothing = begun();
     nothing.began(2, &read);
     nothing.answered(2, &AdminResponse::NotConfigured);
-    expect_that!(rule(&nothing), some(eq(Rule::FreshRead)));
+    expect_that!(rule(&nothing), some(eq(Invariant::FreshRead)));
 }
 
 #[gtest]
@@ -148,7 +148,7 @@
     oracle.sample(&[view(0, false, false), view(5, false, true)], None);
     expect_that!(oracle.violation(), none());
     oracle.sample(&[view(0, false, true)], None);
-    expect_that!(rule(&oracle), some(eq(Rule::ConfiguredInTime)));
+    expect_that!(rule(&oracle), some(eq(Invariant::ConfiguredInTime)));
 
     let evacuate = |active| Demand {
         order: AdminRequest::Evacuate { zone: "zone-1".to_owned(), active, changes: 0 },
@@ -169,7 +169,7 @@
     oracle.answered(3, &taken(0));
     oracle.time(12 * SECOND);
     oracle.sample(&[view(5, true, true)], None);
-    expect_that!(rule(&oracle), some(eq(Rule::EvacuatedInTime)));
+    expect_that!(rule(&oracle), some(eq(Invariant::EvacuatedInTime)));
 }
 
 #[gtest]
@@ -182,7 +182,7 @@
     oracle.sample(&[], Some(16 * SECOND));
     expect_that!(oracle.violation(), none());
     oracle.sample(&[], Some(14 * SECOND));
-    expect_that!(rule(&oracle), some(eq(Rule::AcknowledgedInTime)));
+    expect_that!(rule(&oracle), some(eq(Invariant::AcknowledgedInTime)));
 }
 
 #[gtest]
@@ -194,15 +194,15 @@
         rule(&oracle)
     };
     expect_that!(end(&[1], &[&[5, 1]], true), none());
-    expect_that!(end(&[1, 2], &[&[5, 1]], true), some(eq(Rule::Converges)));
-    expect_that!(end(&[1], &[&[5, 1], &[4, 1]], true), some(eq(Rule::Converges)));
-    expect_that!(end(&[1], &[&[5, 1]], false), some(eq(Rule::Converges)));
-    expect_that!(end(&[0], &[&[0, 0]], true), some(eq(Rule::NothingLost)));
+    expect_that!(end(&[1, 2], &[&[5, 1]], true), some(eq(Invariant::Converges)));
+    expect_that!(end(&[1], &[&[5, 1], &[4, 1]], true), some(eq(Invariant::Converges)));
+    expect_that!(end(&[1], &[&[5, 1]], false), some(eq(Invariant::Converges)));
+    expect_that!(end(&[0], &[&[0, 0]], true), some(eq(Invariant::NothingLost)));
     let mut unseen = begun();
     unseen.began(2, &set(5, 7, true));
     unseen.answered(2, &taken(7));
     unseen.end(&BTreeSet::from([vec![1]]), &BTreeSet::from([vec![5, 1]]), true);
-    expect_that!(rule(&unseen), some(eq(Rule::NothingLost)));
+    expect_that!(rule(&unseen), some(eq(Invariant::NothingLost)));
 }
 
 #[gtest]
@@ -242,7 +242,7 @@
     oracle.membership(&first.with_replacement(replica(3, 1), replica(4, 1), ""));
     expect_that!(oracle.violation(), none());
     oracle.membership(&first.with_replacement(replica(2, 1), replica(4, 1), ""));
-    expect_that!(rule(&oracle), some(eq(Rule::OneMembershipAGeneration)));
+    expect_that!(rule(&oracle), some(eq(Invariant::OneMembershipAGeneration)));
 }
 
 #[gtest]
@@ -253,7 +253,7 @@
     let mut two_at_once = first.with_replacement(replica(3, 1), replica(4, 1), "");
     two_at_once.voters[0].replica = replica(1, 2);
     oracle.membership(&two_at_once);
-    expect_that!(rule(&oracle), some(eq(Rule::OneMembershipAGeneration)));
+    expect_that!(rule(&oracle), some(eq(Invariant::OneMembershipAGeneration)));
 }
 
 #[gtest]
@@ -266,7 +266,7 @@
     oracle.vote(2, replica(3, 2));
     expect_that!(oracle.violation(), none());
     oracle.vote(2, replica(3, 1));
-    expect_that!(rule(&oracle), some(eq(Rule::OnlyVotersVote)));
+    expect_that!(rule(&oracle), some(eq(Invariant::OnlyVotersVote)));
 }
 
 #[gtest]
@@ -276,12 +276,12 @@
     oracle.answer_lost(2, &taken(7));
     expect_that!(oracle.violation(), none());
     oracle.answered(2, &AdminResponse::Conflict { revision: 9 });
-    expect_that!(rule(&oracle), some(eq(Rule::TakenStaysTaken)));
+    expect_that!(rule(&oracle), some(eq(Invariant::TakenStaysTaken)));
     let mut invalid = begun();
     invalid.began(2, &set(5, 7, true));
     invalid.answer_lost(2, &taken(7));
     invalid.answered(2, &AdminResponse::Invalid(String::new()));
-    expect_that!(rule(&invalid), some(eq(Rule::TakenStaysTaken)));
+    expect_that!(rule(&invalid), some(eq(Invariant::TakenStaysTaken)));
     let mut again = begun();
     again.began(2, &set(5, 7, true));
     again.answer_lost(2, &taken(7));
@@ -302,12 +302,12 @@
     winners.began(3, &set(5, 8, true));
     winners.answer_lost(2, &taken(7));
     winners.answered(3, &taken(8));
-    expect_that!(rule(&winners), some(eq(Rule::OneWinner)));
+    expect_that!(rule(&winners), some(eq(Invariant::OneWinner)));
     let mut lost = begun();
     lost.began(2, &set(5, 7, true));
     lost.answer_lost(2, &taken(7));
     lost.end(&BTreeSet::from([vec![1]]), &BTreeSet::from([vec![5, 1]]), true);
-    expect_that!(rule(&lost), some(eq(Rule::NothingLost)));
+    expect_that!(rule(&lost), some(eq(Invariant::NothingLost)));
 }
 
 #[gtest]
@@ -321,5 +321,5 @@
     expect_that!(oracle.violation(), none());
     oracle.time(9 * SECOND + 1);
     oracle.sample(&[], Some(0));
-    expect_that!(rule(&oracle), some(eq(Rule::AcknowledgedInTime)));
+    expect_that!(rule(&oracle), some(eq(Invariant::AcknowledgedInTime)));
 }
