--- /dev/null
+++ b/agent/src/agent/api.rs
@@ -0,0 +1,133 @@
+//! The requests on the agent's socket, as JSON: status, commands, restarts, logs and the audit log.
+
+use std::rc::Rc;
+use std::time::{SystemTime, UNIX_EPOCH};
+
+use serde::Deserialize;
+use serde_json::{Value, json};
+
+use crate::lifecycle::Input;
+use crate::log_file::last_lines;
+use crate::store::{Change, Command, Outcome, Store, StoreError};
+
+use super::status::{AgentStatus, InstanceStatus};
+use super::supervisor::{Supervised, Supervisor};
+
+/// The most lines of a log in one response.
+const MAX_LOG_LINES: usize = 10_000;
+
+/// A request. The names of its fields are those of the first release.
+#[derive(Deserialize)]
+#[serde(tag = "op", rename_all = "snake_case", deny_unknown_fields, rename = "Ask")]
+pub(super) enum Request {
+    /// The status of one instance, or of all.
+    Status { instance: Option<String> },
+    /// A command that sets desired states.
+    Apply {
+        id: String,
+        #[serde(rename = "by")]
+        requested_by: String,
+        #[serde(rename = "against")]
+        base_revision: u64,
+        changes: Vec<Change>,
+    },
+    /// A restart of one instance. It is not stored: the desired state stays.
+    Restart {
+        instance: String,
+        #[serde(rename = "by")]
+        requested_by: String,
+    },
+    /// The audit records from a number on.
+    Audit { from: u64 },
+    /// The last lines of an instance's log.
+    Logs { instance: String, lines: usize },
+}
+
+/// Why a request is answered with an error.
+#[derive(Debug, thiserror::Error)]
+enum RequestError {
+    #[error("there is no instance {0:?} here")]
+    UnknownInstance(String),
+    #[error(transparent)]
+    Store(#[from] StoreError),
+}
+
+/// Handles the requests on the agent's socket.
+pub(super) struct Api {
+    supervisor: Rc<Supervisor>,
+    store: Store,
+}
+
+impl Api {
+    pub(super) fn new(supervisor: Rc<Supervisor>, store: Store) -> Self {
+        Self { supervisor, store }
+    }
+
+    /// The response to a request.
+    pub(super) fn handle(&self, request: Request) -> Value {
+        self.respond(request).unwrap_or_else(|error| json!({ "error": error.to_string() }))
+    }
+
+    fn respond(&self, request: Request) -> Result<Value, RequestError> {
+        match request {
+            Request::Status { instance } => Ok(json!(self.status(instance.as_deref())?)),
+            Request::Apply { id, requested_by, base_revision, changes } => {
+                let now = SystemTime::now().duration_since(UNIX_EPOCH);
+                let at_unix_ms = now.map_or(0, |now| now.as_millis() as u64);
+                let outcome =
+                    self.apply(&Command { id, requested_by, base_revision, changes, at_unix_ms })?;
+                Ok(json!(outcome))
+            }
+            Request::Restart { instance, requested_by } => self.restart(&instance, &requested_by),
+            Request::Logs { instance, lines } => {
+                let log = &self.instance(&instance)?.files.log;
+                Ok(json!({ "lines": last_lines(log, lines.min(MAX_LOG_LINES)) }))
+            }
+            Request::Audit { from } => Ok(json!({ "audit": self.store.audit(from)? })),
+        }
+    }
+
+    fn instance(&self, name: &str) -> Result<&Rc<Supervised>, RequestError> {
+        let instance = self.supervisor.instances.get(name);
+        instance.ok_or_else(|| RequestError::UnknownInstance(name.to_owned()))
+    }
+
+    /// Stores a command, and passes the desired states on to the instances.
+    fn apply(&self, command: &Command) -> Result<Outcome, RequestError> {
+        for change in &command.changes {
+            self.instance(&change.instance)?;
+        }
+        let outcome = self.store.apply(command)?;
+        tracing::info!(command = command.id, by = command.requested_by, "{outcome:?}");
+        if matches!(outcome, Outcome::Applied { .. }) {
+            // From the store and not from this command: one that has come again may be older than the stored state.
+            for change in &command.changes {
+                if let Some(entry) = self.store.entry(&change.instance)? {
+                    self.instance(&change.instance)?.add_input(Input::DesiredStateSet(entry.desired_state));
+                }
+            }
+        }
+        Ok(outcome)
+    }
+
+    fn restart(&self, name: &str, requested_by: &str) -> Result<Value, RequestError> {
+        let instance = self.instance(name)?;
+        tracing::info!(instance = name, by = requested_by, "asked to restart");
+        instance.add_input(Input::RestartRequested);
+        Ok(json!({ "done": { "starts": instance.starts(), "pid": instance.pid() } }))
+    }
+
+    /// The agent's status with one instance, or with all.
+    fn status(&self, name: Option<&str>) -> Result<AgentStatus, RequestError> {
+        let now = self.supervisor.now();
+        let selected = self.supervisor.instances.values();
+        let selected = selected.filter(|instance| name.is_none_or(|name| instance.config.name == name));
+        let instances: Vec<InstanceStatus> = selected.map(|instance| instance.status(now)).collect();
+        Ok(AgentStatus {
+            fleet: self.supervisor.options.config.fleet.name.clone(),
+            pid: std::process::id(),
+            revision: self.store.revision()?,
+            instances,
+        })
+    }
+}
--- /dev/null
+++ b/agent/src/agent/mod.rs
@@ -0,0 +1,13 @@
+//! The agent: keeps each instance in its desired state, and answers requests on its socket.
+
+mod api;
+mod error;
+mod options;
+mod runner;
+mod status;
+mod supervisor;
+
+pub use error::AgentError;
+pub use options::AgentOptions;
+pub use runner::run;
+pub use status::{AgentStatus, InstanceStatus};
--- a/agent/src/lib.rs
+++ b/agent/src/lib.rs
@@ -1,17 +1,21 @@
-//! What an agent decides of the instances that it keeps, and what it was asked, kept so that no crash loses it.
+//! The agent of a machine: supervises the node processes of its instances, and stores what operators have asked of them durably.
 //!
-//! | file | concern |
+//! | module | concern |
 //! | --- | --- |
-//! | `instance` | one instance's life: a state machine without clocks, processes or sockets of its own |
-//! | `store` | desired state, commands and their outcomes, the audit: durable |
-//! | `process` | a node's process: started, found again, ended |
-//! | `agent` | the agent: each instance kept, the socket on which it is asked |
+//! | `lifecycle` | the lifecycle of one instance: a state machine that does no I/O |
+//! | `store` | commands, their outcomes and the desired states, on disk |
+//! | `process`, `instance_files`, `log_file` | a node's process, its files and its log |
+//! | `agent` | the supervision of all instances, and the agent's socket |
 
 mod agent;
-mod instance;
+mod instance_files;
+mod lifecycle;
+mod log_file;
 mod process;
 mod store;
 
-pub use agent::{AgentError, Options, Shown, Status, run};
-pub use instance::{Action, Event, Instance, Nanos, Patience, Phase, Wanted};
-pub use store::{Change, Command, Desired, Entry, Outcome, Refusal, Store, StoreError, Written};
+pub use agent::{AgentError, AgentOptions, AgentStatus, InstanceStatus, run};
+pub use lifecycle::{DesiredState, Input, InstanceLifecycle, LifecycleSettings, Nanos, Output, Phase};
+pub use store::{
+    AuditRecord, Change, Command, DesiredEntry, DesiredStates, Outcome, Rejection, Store, StoreError,
+};
--- a/agent/tests/golden_socket.rs
+++ b/agent/tests/golden_socket.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 use golden::assert_golden;
-use ivyhatch_agent::{Options, Outcome, Phase, Status, Wanted, Written};
+use ivyhatch_agent::{AgentOptions, AgentStatus, AuditRecord, DesiredState, Outcome, Phase};
 use serde_json::{Value, json};
 use tempfile::TempDir;
 use tokio::sync::oneshot;
@@ -85,7 +85,7 @@
         std::fs::write(&file, FILE.replace("STATE", state.to_str().expect("text"))).expect("written");
         std::fs::create_dir_all(state.join("run")).expect("a folder");
         let read = ivyhatch_config::read(&file, std::iter::empty()).expect("a sound file");
-        let options = Options { config: read.config, file, program, socket: agent.socket() };
+        let options = AgentOptions { config: read.config, file, program, socket: agent.socket() };
         agent.answer_as_node("a-1");
         let (stop, stopped) = oneshot::channel();
         let thread = thread::spawn(move || {
@@ -340,10 +340,10 @@
             continue;
         }
         let encoded = match operation {
-            "status" => json!(serde_json::from_value::<Status>(response.clone()).expect("a status")),
+            "status" => json!(serde_json::from_value::<AgentStatus>(response.clone()).expect("a status")),
             "apply" => json!(serde_json::from_value::<Outcome>(response.clone()).expect("an outcome")),
             "audit" => {
-                let lines: Vec<Written> =
+                let lines: Vec<AuditRecord> =
                     serde_json::from_value(response["audit"].clone()).expect("lines of the audit");
                 json!({ "audit": lines })
             }
@@ -358,7 +358,7 @@
 /// The words for what is wanted of an instance and for where it stands.
 #[test]
 fn words_for_states_stay() {
-    let wanted = [Wanted::Running, Wanted::Drained, Wanted::Stopped];
+    let wanted = [DesiredState::Running, DesiredState::Drained, DesiredState::Stopped];
     let phases = [
         Phase::Stopped,
         Phase::Starting,
@@ -370,7 +370,7 @@
         Phase::Unresponsive,
     ];
     for word in wanted {
-        assert_eq!(serde_json::from_value::<Wanted>(json!(word)).expect("it is decoded"), word);
+        assert_eq!(serde_json::from_value::<DesiredState>(json!(word)).expect("it is decoded"), word);
     }
     for word in phases {
         assert_eq!(serde_json::from_value::<Phase>(json!(word)).expect("it is decoded"), word);
--- a/agent/tests/golden_store.rs
+++ b/agent/tests/golden_store.rs
@@ -8,7 +8,7 @@
 use std::sync::OnceLock;
 
 use golden::{assert_golden, golden_path, is_update, read_golden};
-use ivyhatch_agent::{Change, Command, Entry, Outcome, Refusal, Store, Wanted, Written};
+use ivyhatch_agent::{AuditRecord, Change, Command, DesiredEntry, DesiredState, Outcome, Rejection, Store};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use serde_json::json;
 
@@ -24,12 +24,15 @@
 /// A store that the build wrote which wrote the golden files.
 const STORE_FILE: &str = "store.redb";
 
-fn command(id: &str, by: &str, against: u64, changes: &[(&str, Wanted)]) -> Command {
-    let change = |&(instance, wanted): &(&str, Wanted)| Change { instance: instance.to_owned(), wanted };
+fn command(id: &str, by: &str, against: u64, changes: &[(&str, DesiredState)]) -> Command {
+    let change = |&(instance, desired_state): &(&str, DesiredState)| Change {
+        instance: instance.to_owned(),
+        desired_state,
+    };
     Command {
         id: id.to_owned(),
-        by: by.to_owned(),
-        against,
+        requested_by: by.to_owned(),
+        base_revision: against,
         changes: changes.iter().map(change).collect(),
         at_unix_ms: 1_700_000_000_000 + against,
     }
@@ -37,12 +40,13 @@
 
 /// Commands with each kind of change and each kind of outcome that is stored.
 fn commands() -> Vec<Command> {
-    let all = [("a-1", Wanted::Running), ("a-2", Wanted::Drained), ("b-1", Wanted::Stopped)];
+    let all =
+        [("a-1", DesiredState::Running), ("a-2", DesiredState::Drained), ("b-1", DesiredState::Stopped)];
     vec![
         command("c-1/a-1", "ops-1", 0, &all),
-        command("c-2/a-2", "ops-2", 0, &[("a-2", Wanted::Stopped)]),
-        command("c-3/a-2", "ops-2", 1, &[("a-2", Wanted::Stopped)]),
-        command("c-4/a-1", "ops-\u{e9}\"", 9, &[("a-1", Wanted::Drained)]),
+        command("c-2/a-2", "ops-2", 0, &[("a-2", DesiredState::Stopped)]),
+        command("c-3/a-2", "ops-2", 1, &[("a-2", DesiredState::Stopped)]),
+        command("c-4/a-1", "ops-\u{e9}\"", 9, &[("a-1", DesiredState::Drained)]),
         command("c-5", "ops-1", 2, &[]),
     ]
 }
@@ -192,29 +196,33 @@
 /// Each kind of entry, as JSON, decoded and encoded.
 #[test]
 fn entries_are_encoded_as_before() {
-    let entry =
-        Entry { wanted: Wanted::Drained, revision: 3, command: "c-3".to_owned(), by: "ops-1".to_owned() };
-    let conflict = Refusal::Conflict { instance: "a-1".to_owned(), other: entry.clone() };
+    let entry = DesiredEntry {
+        desired_state: DesiredState::Drained,
+        revision: 3,
+        command: "c-3".to_owned(),
+        requested_by: "ops-1".to_owned(),
+    };
+    let conflict = Rejection::Conflict { instance: "a-1".to_owned(), other: entry.clone() };
     let outcomes = [
-        Outcome::Done { revision: 7 },
-        Outcome::Refused(conflict),
-        Outcome::Refused(Refusal::Ahead { revision: 8 }),
-        Outcome::Refused(Refusal::IdTaken { by: "ops-2".to_owned() }),
+        Outcome::Applied { revision: 7 },
+        Outcome::Rejected(conflict),
+        Outcome::Rejected(Rejection::UnknownBaseRevision { revision: 8 }),
+        Outcome::Rejected(Rejection::IdTaken { requested_by: "ops-2".to_owned() }),
     ];
-    let wanted = [Wanted::Running, Wanted::Drained, Wanted::Stopped];
+    let wanted = [DesiredState::Running, DesiredState::Drained, DesiredState::Stopped];
     let mut text = wanted.map(|wanted| format!("{}\n", json!(wanted))).concat();
     text += &format!("{}\n", json!(entry));
     for outcome in outcomes {
-        let written = Written { command: commands()[0].clone(), outcome };
+        let written = AuditRecord { command: commands()[0].clone(), outcome };
         let line = json!(written).to_string();
-        assert_eq!(serde_json::from_str::<Written>(&line).expect("it is decoded"), written);
+        assert_eq!(serde_json::from_str::<AuditRecord>(&line).expect("it is decoded"), written);
         text += &format!("{line}\n");
     }
     assert_golden("store_entries.txt", &text);
     let golden = read_golden("store_entries.txt");
     let lines: Vec<&str> = golden.lines().collect();
     for (line, wanted) in lines.iter().zip(wanted) {
-        assert_eq!(serde_json::from_str::<Wanted>(line).expect("it is decoded"), wanted);
+        assert_eq!(serde_json::from_str::<DesiredState>(line).expect("it is decoded"), wanted);
     }
-    assert_eq!(serde_json::from_str::<Entry>(lines[wanted.len()]).expect("it is decoded"), entry);
+    assert_eq!(serde_json::from_str::<DesiredEntry>(lines[wanted.len()]).expect("it is decoded"), entry);
 }
--- a/cli/src/fleet/agent.rs
+++ b/cli/src/fleet/agent.rs
@@ -2,7 +2,7 @@
 
 use std::process::ExitCode;
 
-use ivyhatch_agent::Options;
+use ivyhatch_agent::AgentOptions;
 
 use super::arguments::Agent;
 use super::block_on;
@@ -19,7 +19,7 @@
         Err(error) => return unusable(&format!("this program's own path: {error}")),
     };
     let socket = agent.socket.clone().unwrap_or_else(|| read.config.agent.state.join("agent.sock"));
-    let options = Options { config: read.config, file: agent.config.clone(), program, socket };
+    let options = AgentOptions { config: read.config, file: agent.config.clone(), program, socket };
     block_on(async move {
         let mut terminate = match tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate()) {
             Ok(signal) => signal,
--- a/cli/src/fleet/command.rs
+++ b/cli/src/fleet/command.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use ivyhatch_admin_protocol::{WireError, ask};
-use ivyhatch_agent::{Outcome, Phase, Refusal, Shown, Wanted};
+use ivyhatch_agent::{DesiredState, InstanceStatus, Outcome, Phase, Rejection};
 use serde_json::json;
 use tokio::time::sleep;
 
@@ -23,11 +23,11 @@
 }
 
 impl Verb {
-    fn wanted(self) -> Wanted {
+    fn wanted(self) -> DesiredState {
         match self {
-            Self::Start | Self::Undrain | Self::Restart => Wanted::Running,
-            Self::Stop => Wanted::Stopped,
-            Self::Drain => Wanted::Drained,
+            Self::Start | Self::Undrain | Self::Restart => DesiredState::Running,
+            Self::Stop => DesiredState::Stopped,
+            Self::Drain => DesiredState::Drained,
         }
     }
 
@@ -52,7 +52,13 @@
 }
 
 /// Gives the command for one instance and waits until it is as asked.
-pub async fn one(verb: Verb, socket: &Path, against: u64, shown: &Shown, prepared: &Prepared) -> End {
+pub async fn one(
+    verb: Verb,
+    socket: &Path,
+    against: u64,
+    shown: &InstanceStatus,
+    prepared: &Prepared,
+) -> End {
     let Prepared { id, by, within } = prepared;
     let begun = Instant::now();
     let left = || within.saturating_sub(begun.elapsed());
@@ -70,7 +76,7 @@
             if let Some(error) = answer.get("error") {
                 return End::Failed(error.as_str().map_or(error.to_string(), str::to_owned));
             }
-            if let Ok(Outcome::Refused(refusal)) = serde_json::from_value(answer) {
+            if let Ok(Outcome::Rejected(refusal)) = serde_json::from_value(answer) {
                 return End::Refused(worded(&refusal));
             }
         }
@@ -93,8 +99,8 @@
                     Verb::Drain => now.drained || now.phase == Phase::Stopped,
                     Verb::Restart => now.phase == Phase::Ready && now.pid != shown.pid,
                 };
-                if verb != Verb::Restart && now.wanted != verb.wanted() {
-                    return End::Refused(format!("overtaken: {:?} is wanted now", now.wanted));
+                if verb != Verb::Restart && now.desired_state != verb.wanted() {
+                    return End::Refused(format!("overtaken: {:?} is wanted now", now.desired_state));
                 }
                 match now.phase {
                     _ if done => return End::Done(last),
@@ -107,18 +113,18 @@
     }
 }
 
-fn worded(refusal: &Refusal) -> String {
+fn worded(refusal: &Rejection) -> String {
     match refusal {
-        Refusal::Conflict { other, .. } => {
-            let (wanted, by, command) = (json!(other.wanted), &other.by, &other.command);
+        Rejection::Conflict { other, .. } => {
+            let (wanted, by, command) = (json!(other.desired_state), &other.requested_by, &other.command);
             format!(
                 "in conflict with command {command} by {by}, which wants it {wanted} (revision {})",
                 other.revision
             )
         }
-        Refusal::Ahead { revision } => {
+        Rejection::UnknownBaseRevision { revision } => {
             format!("made against a revision that is not there yet; it is {revision}")
         }
-        Refusal::IdTaken { by } => format!("the id was another command's, by {by}"),
+        Rejection::IdTaken { requested_by } => format!("the id was another command's, by {requested_by}"),
     }
 }
--- a/cli/src/fleet/query.rs
+++ b/cli/src/fleet/query.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ivyhatch_admin_protocol::ask;
-use ivyhatch_agent::{Phase, Shown, Status};
+use ivyhatch_agent::{AgentStatus, InstanceStatus, Phase};
 use serde_json::json;
 use tokio::task::JoinSet;
 
@@ -24,7 +24,7 @@
 }
 
 /// Of one instance, or of all: who waits for one need not have all of them read out again and again.
-pub(super) async fn status_of(socket: &Path, instance: Option<&str>) -> Result<Status, String> {
+pub(super) async fn status_of(socket: &Path, instance: Option<&str>) -> Result<AgentStatus, String> {
     let answer = ask(socket, &json!({"op": "status", "instance": instance}), SAYS)
         .await
         .map_err(|error| error.to_string())?;
@@ -37,7 +37,7 @@
 }
 
 /// All agents at once: one that does not answer holds up none.
-pub async fn all_statuses(sockets: &[PathBuf]) -> Vec<(PathBuf, Result<Status, String>)> {
+pub async fn all_statuses(sockets: &[PathBuf]) -> Vec<(PathBuf, Result<AgentStatus, String>)> {
     let mut asked = JoinSet::new();
     for (number, socket) in sockets.iter().cloned().enumerate() {
         asked.spawn_local(async move {
@@ -51,7 +51,7 @@
 }
 
 /// Whether one of the selectors means this instance.
-pub fn selects(selectors: &[String], shown: &Shown) -> bool {
+pub fn selects(selectors: &[String], shown: &InstanceStatus) -> bool {
     let fits = |part: &str| match part.split_once('=') {
         Some(("zone", zone)) => glob(zone, &shown.zone),
         Some((label, word)) => shown.labels.get(label).is_some_and(|has| glob(word, has)),
--- a/cli/src/fleet/show.rs
+++ b/cli/src/fleet/show.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ivyhatch_admin_protocol::ask;
-use ivyhatch_agent::Shown;
+use ivyhatch_agent::InstanceStatus;
 use serde_json::{Value, json};
 
 use super::arguments::{Logs, Show, Top};
@@ -72,12 +72,12 @@
     ExitCode::from(code)
 }
 
-fn line(shown: &Shown, as_json: bool) {
+fn line(shown: &InstanceStatus, as_json: bool) {
     if as_json {
         return println!("{}", json!(shown));
     }
-    let open = shown.said.as_ref().map_or("-".into(), |(state, _)| state["open"].to_string());
-    let wanted = json!(shown.wanted);
+    let open = shown.node_state.as_ref().map_or("-".into(), |(state, _)| state["open"].to_string());
+    let wanted = json!(shown.desired_state);
     println!(
         "{:<20} {:<8} {:<13} {:<9} {:>8.1}s {open:>6} {:>6}  {}",
         shown.name,
--- a/cli/src/rollout.rs
+++ b/cli/src/rollout.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use clap::Args;
-use ivyhatch_agent::{Phase, Shown};
+use ivyhatch_agent::{InstanceStatus, Phase};
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
@@ -30,9 +30,9 @@
 /// Answers of a process: served, and all. By instance and process, as a new process counts from 0.
 type Counts = BTreeMap<(String, i32), (u64, u64)>;
 
-fn counts(all: &[Shown]) -> Counts {
-    let count = |shown: &Shown| {
-        let (state, _) = shown.said.as_ref()?;
+fn counts(all: &[InstanceStatus]) -> Counts {
+    let count = |shown: &InstanceStatus| {
+        let (state, _) = shown.node_state.as_ref()?;
         let answers = |name: &str| state["answers"][name].as_u64();
         let (served, refused, failed) = (answers("served")?, answers("refused")?, answers("failed")?);
         Some(((shown.name.clone(), shown.pid?), (served, served + refused + failed)))
@@ -51,7 +51,7 @@
     (asked >= ANSWERS).then(|| served as f64 / asked as f64)
 }
 
-async fn look(sockets: &[PathBuf]) -> Vec<Shown> {
+async fn look(sockets: &[PathBuf]) -> Vec<InstanceStatus> {
     let all = all_statuses(sockets).await;
     all.into_iter().filter_map(|(_, status)| Some(status.ok()?.instances)).flatten().collect()
 }
@@ -64,7 +64,7 @@
 
 pub async fn rollout(rollout: &Rollout, sockets: Vec<PathBuf>) -> ExitCode {
     let change = &rollout.change;
-    let (mut ends, mut zones) = (Vec::new(), BTreeMap::<String, Vec<(PathBuf, u64, Shown)>>::new());
+    let (mut ends, mut zones) = (Vec::new(), BTreeMap::<String, Vec<(PathBuf, u64, InstanceStatus)>>::new());
     for (socket, status) in all_statuses(&sockets).await {
         match status {
             // Where a part of the fleet can't be seen, its health can't be either.
