--- a/cli/tests/system_settings.rs
+++ b/cli/tests/system_settings.rs
@@ -105,7 +105,7 @@
     });
     std::fs::write(site.settings_file(21), "{").expect("written");
     router.signal("HUP");
-    until("it says so", || router.logged().contains("old_settings_stay"));
+    until("it says so", || router.logged().contains("settings_reload_failed"));
     assert!(!site.is_ready(21));
     std::fs::write(site.settings_file(21), site.settings(21, &CORE[..1], false).to_string())
         .expect("written");
@@ -113,7 +113,7 @@
     site.until_ready(21);
     std::fs::write(site.settings_file(11), "{").expect("written");
     control.signal("HUP");
-    until("it says so", || control.logged().contains("old_settings_stay"));
+    until("it says so", || control.logged().contains("settings_reload_failed"));
     site.put(11, 1, &configuration(2, &[("a", json!({}))]));
     assert!(control.is_running() && router.is_running());
     for process in [&mut control, &mut router] {
--- a/system/src/clock.rs
+++ b/system/src/clock.rs
@@ -1,29 +1,31 @@
-//! The steady clock of a process. The time of day jumps on some machines; it decides nothing.
+//! The monotonic clock of a process. The time of day may jump; no decision depends on it.
 
 use std::time::{Duration, Instant};
 
 use ivyhatch_protocol::Nanos;
 
-/// Counts from the process's start.
+/// Gives the time in nanoseconds since an hour before the process's start. `Copy`: all parts of a process share one epoch.
 #[derive(Clone, Copy, Debug)]
-pub struct Clock(Instant);
+pub struct Clock {
+    started_at: Instant,
+}
 
-/// The clock starts an hour in: what compares with times before the start never meets 0.
-const BEFORE: Duration = Duration::from_secs(3600);
+/// The clock's reading at its start. Far from 0, so that a state machine may subtract a timeout from the present without underflow.
+const READING_AT_START: Duration = Duration::from_secs(3600);
 
 impl Clock {
-    /// Starts now.
+    /// A clock that starts now.
     pub fn start() -> Self {
-        Self(Instant::now())
+        Self { started_at: Instant::now() }
     }
 
-    /// The present.
+    /// The present, in nanoseconds of this clock.
     pub fn now(&self) -> Nanos {
-        (self.0.elapsed() + BEFORE).as_nanos() as Nanos
+        (self.started_at.elapsed() + READING_AT_START).as_nanos() as Nanos
     }
 
-    /// The runtime's time for one of this clock's.
+    /// The runtime's instant for a reading of this clock, for use in timers.
     pub fn instant(&self, at: Nanos) -> tokio::time::Instant {
-        (self.0 + Duration::from_nanos(at).saturating_sub(BEFORE)).into()
+        (self.started_at + Duration::from_nanos(at).saturating_sub(READING_AT_START)).into()
     }
 }
--- /dev/null
+++ b/system/src/control/directory_api.rs
@@ -0,0 +1,30 @@
+//! The directory's HTTP interface: which routers a client may use. Reads the state machine, and changes nothing.
+
+use hyper::{Method, StatusCode};
+use serde_json::json;
+
+use super::host::Host;
+use crate::http_server::{self, HttpRequest, HttpResponse};
+
+/// Time for which clients may cache a response, in seconds: a lost router stays in their caches for so long.
+const MAX_TTL_SECONDS: f64 = 2.0;
+
+/// Responds to `GET /-/resolve`.
+pub fn respond(host: &Host, request: &HttpRequest) -> HttpResponse {
+    match (&request.method, request.path().as_slice()) {
+        (&Method::GET, ["-", "resolve"]) => resolve(host, request),
+        _ => http_server::error(StatusCode::NOT_FOUND, "the directory answers GET /-/resolve"),
+    }
+}
+
+fn resolve(host: &Host, request: &HttpRequest) -> HttpResponse {
+    let zone = request.query("zone").unwrap_or("");
+    let region = request.query("region").filter(|region| !region.is_empty());
+    let region = region.unwrap_or_else(|| host.settings.region_of(zone));
+    let addresses = host.query(|control_plane| control_plane.directory(region));
+    if addresses.is_empty() {
+        return http_server::unavailable("no router is known here yet: ask another control node");
+    }
+    let ttl_s = MAX_TTL_SECONDS.min(host.settings.bounds.ttl_max_s);
+    http_server::json(StatusCode::OK, json!({"addresses": addresses, "ttl_s": ttl_s}).to_string())
+}
--- /dev/null
+++ b/system/src/control/host.rs
@@ -0,0 +1,148 @@
+//! The host of the control state machine: feeds it inputs and executes its outputs.
+//!
+//! [`Host`] owns the state machine and what its outputs address: connections, watch sessions, pending operator requests, the disk. All
+//! tasks of the role share one host, in one thread; no borrow of the state machine is held across an await.
+
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+use ivyhatch_control::server_list::ReadId;
+use ivyhatch_control::stored::Stored;
+use ivyhatch_control::{ControlPlane, Identity, Input, Output, RequestId};
+use ivyhatch_protocol::peer::AdminResponse;
+use ivyhatch_protocol::settings::Settings;
+use tokio::sync::mpsc::UnboundedSender;
+use tokio::sync::{Notify, oneshot};
+
+use super::watch_sessions::WatchSessions;
+use crate::clock::Clock;
+use crate::disk::Disk;
+use crate::outgoing::OutgoingConnections;
+use crate::settings_reload::PeriodicReload;
+
+/// The state machine and what its outputs address.
+pub struct Host {
+    /// The settings of the process.
+    pub settings: Settings,
+    /// Open watch sessions.
+    pub watch_sessions: WatchSessions,
+    /// Resolves once the state machine has handed over all that it leads: the process may end.
+    pub shutdown_complete: Notify,
+    control_plane: RefCell<ControlPlane>,
+    clock: Clock,
+    peers: Rc<OutgoingConnections>,
+    admin_requests: RefCell<BTreeMap<RequestId, oneshot::Sender<AdminResponse>>>,
+    /// The last id of a session or an operator's request.
+    last_id: Cell<u64>,
+    disk: Option<Disk>,
+    list_reads: UnboundedSender<ReadId>,
+    periodic_reload: PeriodicReload,
+}
+
+/// What a host is made of.
+pub struct HostParts {
+    /// The settings of the process.
+    pub settings: Settings,
+    /// The clock of the process.
+    pub clock: Clock,
+    /// Who this control node is.
+    pub identity: Identity,
+    /// What its disk holds.
+    pub stored: Stored,
+    /// Its disk; none on a machine without one.
+    pub disk: Option<Disk>,
+    /// Takes reads of the platform's instance list.
+    pub list_reads: UnboundedSender<ReadId>,
+}
+
+impl Host {
+    /// A host whose state machine starts now.
+    pub fn new(parts: HostParts) -> Self {
+        let HostParts { settings, clock, identity, stored, disk, list_reads } = parts;
+        Self {
+            watch_sessions: WatchSessions::default(),
+            shutdown_complete: Notify::new(),
+            control_plane: RefCell::new(ControlPlane::new(identity, stored, clock.now())),
+            clock,
+            peers: Rc::new(OutgoingConnections::new(clock, settings.ip, settings.inner_ports.0)),
+            admin_requests: RefCell::default(),
+            last_id: Cell::new(0),
+            disk,
+            list_reads,
+            periodic_reload: PeriodicReload::default(),
+            settings,
+        }
+    }
+
+    /// Feeds an input to the state machine and executes what it asks for.
+    pub fn handle_input(self: &Rc<Self>, input: Input) {
+        let mut outputs = Vec::new();
+        self.control_plane.borrow_mut().handle(self.clock.now(), input, &mut outputs);
+        for output in outputs {
+            self.execute(output);
+        }
+    }
+
+    fn execute(self: &Rc<Self>, output: Output) {
+        match output {
+            Output::Send(node, message) => self.peers.send(node, &message),
+            Output::Links(nodes) => self.peers.connect_to(&nodes, self),
+            Output::Store(token, records) => match &self.disk {
+                Some(disk) => disk.write(token, records),
+                None => log::error!("event=data_dir_missing remedy=give_the_role_machines_with_a_disk"),
+            },
+            Output::Respond(id, response) => self.respond(id, response),
+            Output::Follower(id, message) => self.watch_sessions.send(id, &message),
+            Output::Close(id) => self.watch_sessions.close(id),
+            // Its receiver is dropped only with the process.
+            Output::ReadServerList(read) => drop(self.list_reads.send(read)),
+            Output::Left => self.shutdown_complete.notify_one(),
+            Output::Log(event, pairs) => log::info!("event={event} {pairs}"),
+        }
+    }
+
+    /// Runs a query on the state machine, which changes nothing.
+    pub fn query<T>(&self, query: impl FnOnce(&ControlPlane) -> T) -> T {
+        query(&self.control_plane.borrow())
+    }
+
+    /// An id for a session or an operator's request, unique within the process.
+    pub fn next_id(&self) -> u64 {
+        self.last_id.set(self.last_id.get() + 1);
+        self.last_id.get()
+    }
+
+    /// Registers an operator's request; its response comes on the receiver.
+    pub fn register_admin_request(&self) -> (RequestId, oneshot::Receiver<AdminResponse>) {
+        let (sender, response) = oneshot::channel();
+        let id = self.next_id();
+        self.admin_requests.borrow_mut().insert(id, sender);
+        (id, response)
+    }
+
+    /// Forgets an operator's request, and cancels it where it was not answered.
+    pub fn cancel_admin_request(self: &Rc<Self>, id: RequestId) {
+        let was_pending = self.admin_requests.borrow_mut().remove(&id).is_some();
+        if was_pending {
+            self.handle_input(Input::AdminCancelled(id));
+        }
+    }
+
+    fn respond(&self, id: RequestId, response: AdminResponse) {
+        if let Some(sender) = self.admin_requests.borrow_mut().remove(&id) {
+            // An operator who has disconnected meanwhile needs no response.
+            let _ = sender.send(response);
+        }
+    }
+
+    /// Takes seeds from the settings file while no quorum can be reached.
+    pub fn reload_seeds_without_quorum(self: &Rc<Self>) {
+        if self.query(ControlPlane::has_quorum) {
+            return;
+        }
+        if let Some(seeds) = self.periodic_reload.poll_seeds(self.clock.now()) {
+            self.handle_input(Input::Seeds(seeds));
+        }
+    }
+}
--- /dev/null
+++ b/system/src/control/mod.rs
@@ -0,0 +1,137 @@
+//! The control role: opens its listeners and its disk, starts its tasks, and ends the process on SIGTERM.
+//!
+//! `ivyhatch-control` decides; this module's parts carry out what it decides. All tasks run in one thread and share the [`host::Host`].
+
+mod admin_api;
+mod directory_api;
+mod host;
+mod identity;
+mod instance_list_reader;
+mod peers;
+mod status;
+mod watch_server;
+mod watch_sessions;
+
+use std::net::SocketAddrV4;
+use std::rc::Rc;
+
+use ivyhatch_control::server_list::ReadId;
+use ivyhatch_control::stored::Stored;
+use ivyhatch_control::{Input, Token};
+use ivyhatch_protocol::settings::Settings;
+use tokio::net::TcpListener;
+use tokio::signal::unix::{SignalKind, signal};
+use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
+use tokio::task::spawn_local;
+
+use crate::RoleError;
+use crate::clock::Clock;
+use crate::disk::{Disk, OpenedDisk};
+use crate::settings_reload::reload_seeds;
+use crate::transport::socket;
+use crate::{http_server, ticker};
+use host::{Host, HostParts};
+
+/// The role's listening sockets.
+struct Listeners {
+    admin: TcpListener,
+    directory: TcpListener,
+    peers: TcpListener,
+    watches: TcpListener,
+}
+
+impl Listeners {
+    fn bind(settings: &Settings) -> Result<Self, RoleError> {
+        let admin = settings.address("control", |listen| listen.control)?;
+        let directory = settings.address("directory", |listen| listen.directory)?;
+        let inner = |offset: u16| SocketAddrV4::new(settings.ip, settings.inner_ports.0 + offset);
+        let bind = |address| socket::listen(address).map_err(|source| RoleError::Listen { address, source });
+        Ok(Self {
+            admin: bind(admin)?,
+            directory: bind(directory)?,
+            peers: bind(inner(0))?,
+            watches: bind(inner(1))?,
+        })
+    }
+}
+
+/// Runs the role until SIGTERM, and then until its state is handed over.
+///
+/// # Errors
+/// Where the role can't start.
+pub async fn run(settings: Settings) -> Result<(), RoleError> {
+    let clock = Clock::start();
+    let mut terminate = signal(SignalKind::terminate())?;
+    let mut hangup = signal(SignalKind::hangup())?;
+    let listeners = Listeners::bind(&settings)?;
+    let opened = settings.data_dir.as_deref().map(Disk::start).transpose()?;
+    let (list_reads, requested_list_reads) = unbounded_channel();
+    let (host, durable_tokens) = start_host(settings, clock, opened, list_reads);
+    if let Some(tokens) = durable_tokens {
+        spawn_local(report_durable_writes(host.clone(), tokens));
+    }
+    spawn_local(instance_list_reader::run_reads(host.clone(), requested_list_reads));
+    spawn_servers(&host, listeners);
+    let ticking = host.clone();
+    spawn_local(ticker::run_ticks(move || {
+        ticking.handle_input(Input::Tick);
+        ticking.reload_seeds_without_quorum();
+    }));
+    loop {
+        tokio::select! {
+            _ = terminate.recv() => host.handle_input(Input::Leave),
+            _ = hangup.recv() => if let Some(seeds) = reload_seeds() {
+                host.handle_input(Input::Seeds(seeds));
+            },
+            () = host.shutdown_complete.notified() => break,
+        }
+    }
+    log::info!("event=shutdown_complete role=control");
+    Ok(())
+}
+
+/// The host, started on what its disk holds, and the tokens of durable writes where there is a disk.
+fn start_host(
+    settings: Settings,
+    clock: Clock,
+    opened: Option<OpenedDisk>,
+    list_reads: UnboundedSender<ReadId>,
+) -> (Rc<Host>, Option<UnboundedReceiver<Token>>) {
+    let mut identity = identity::identity(&settings, opened.is_some());
+    let (disk, stored, durable_tokens) = match opened {
+        Some(opened) => {
+            // A node that had a file is not on its first start, whatever the settings say.
+            identity.first_start &= !opened.history_lost;
+            (Some(opened.disk), opened.stored, Some(opened.durable_tokens))
+        }
+        None => (None, Stored::default(), None),
+    };
+    log::info!(
+        "event=role_started role=control node={} zone={} incarnation={:x}",
+        identity.node,
+        settings.zone,
+        identity.incarnation
+    );
+    let host = Host::new(HostParts { settings, clock, identity, stored, disk, list_reads });
+    (Rc::new(host), durable_tokens)
+}
+
+/// Starts to accept peers, routers, operators and the directory's clients.
+fn spawn_servers(host: &Rc<Host>, listeners: Listeners) {
+    spawn_local(peers::serve_peers(host.clone(), listeners.peers));
+    spawn_local(watch_server::serve_watches(host.clone(), listeners.watches));
+    let admin_host = host.clone();
+    spawn_local(http_server::serve(listeners.admin, move |request| {
+        admin_api::respond(admin_host.clone(), request)
+    }));
+    let directory_host = host.clone();
+    spawn_local(http_server::serve(listeners.directory, move |request| {
+        std::future::ready(directory_api::respond(&directory_host, &request))
+    }));
+}
+
+async fn report_durable_writes(host: Rc<Host>, mut tokens: UnboundedReceiver<Token>) {
+    while let Some(token) = tokens.recv().await {
+        host.handle_input(Input::Stored(token));
+    }
+}
--- /dev/null
+++ b/system/src/control/peers.rs
@@ -0,0 +1,58 @@
+//! Messages between control nodes. Each pair of nodes has two connections, one for each direction: this node sends on the one that it
+//! opens, and receives on the one that it accepts. A sender is known by its address.
+
+use std::net::IpAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use ivyhatch_control::Input;
+use ivyhatch_protocol::Nanos;
+use ivyhatch_protocol::ids::NodeId;
+use ivyhatch_protocol::peer::PeerMessage;
+use tokio::io::AsyncReadExt;
+use tokio::net::tcp::ReadHalf;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::spawn_local;
+
+use super::host::Host;
+use crate::outgoing::SessionHandler;
+use crate::transport::reader::{ConnectionError, read_messages};
+use crate::transport::socket::accept_each;
+
+/// A connection on which nothing is received for so long is closed: what comes on it later may be outdated.
+const PEER_IDLE_TIMEOUT: Duration = Duration::from_millis(1300);
+
+impl SessionHandler for Host {
+    fn connected(self: &Rc<Self>, node: NodeId, _connect_duration: Nanos) {
+        self.handle_input(Input::Connected(node));
+    }
+
+    /// The other node sends nothing on this connection; reading shows when it closes.
+    async fn read(self: &Rc<Self>, _node: NodeId, stream: &mut ReadHalf<'_>) -> Result<(), ConnectionError> {
+        let mut ignored = [0; 64];
+        stream.read(&mut ignored).await?;
+        Ok(())
+    }
+
+    fn disconnected(self: &Rc<Self>, _node: NodeId) {}
+}
+
+/// Accepts other control nodes' connections; never returns.
+pub async fn serve_peers(host: Rc<Host>, listener: TcpListener) {
+    accept_each(listener, |stream, remote| {
+        if let IpAddr::V4(address) = remote.ip() {
+            spawn_local(receive(host.clone(), stream, NodeId::from(address)));
+        }
+    })
+    .await;
+}
+
+/// Receives a node's messages until its connection ends.
+async fn receive(host: Rc<Host>, mut stream: TcpStream, node: NodeId) {
+    let handle = |message: PeerMessage| host.handle_input(Input::Peer(node, message));
+    if let Err(error @ ConnectionError::Frame(_)) =
+        read_messages(&mut stream, PEER_IDLE_TIMEOUT, handle).await
+    {
+        log::warn!("event=peer_protocol_error from={node} error={:?}", error.to_string());
+    }
+}
--- a/system/src/status.rs
+++ b/system/src/control/status.rs
@@ -1,11 +1,11 @@
-//! The answer to `GET /-/status` on the control address.
+//! The JSON form of a control node's report, the response to `GET /-/status`.
 
 use ivyhatch_control::report::{PartitionReport, ReplicaReport, Report};
 use ivyhatch_protocol::peer::ReplicaStatus;
 use serde_json::{Value, json};
 
-/// A report as JSON.
-pub fn text(report: &Report) -> String {
+/// A report as JSON text.
+pub fn to_json(report: &Report) -> String {
     json!({
         "node": report.node.to_string(),
         "has_quorum": report.has_quorum,
@@ -22,13 +22,13 @@
         "replica": report.replica.to_string(),
         "zone": report.zone,
         "has_seat": report.has_seat,
-        "status": report.status.map_or("unreachable", word),
+        "status": report.status.map_or("unreachable", status_name),
         "is_leaving": report.is_leaving,
         "changes_behind": report.changes_behind,
     })
 }
 
-fn word(status: ReplicaStatus) -> &'static str {
+fn status_name(status: ReplicaStatus) -> &'static str {
     match status {
         ReplicaStatus::Uninitialized => "uninitialized",
         ReplicaStatus::Learner => "learner",
--- /dev/null
+++ b/system/src/control/watch_sessions.rs
@@ -0,0 +1,49 @@
+//! The send queues of open watch sessions: routers that follow the configuration and the server list.
+
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+
+use ivyhatch_control::SessionId;
+use ivyhatch_protocol::watch::WatchResponse;
+
+use crate::transport::frame_cache::FrameCache;
+use crate::transport::writer::{SendQueue, Writer};
+
+/// Open sessions. A session's task owns its [`SendQueue`]; removing the writer here makes the task end.
+#[derive(Default)]
+pub struct WatchSessions {
+    writers: RefCell<BTreeMap<SessionId, Writer>>,
+    frame_cache: RefCell<FrameCache>,
+}
+
+impl WatchSessions {
+    /// Opens a session, and returns the queue of what is sent on it.
+    pub fn open(&self, id: SessionId) -> SendQueue {
+        let (writer, queue) = Writer::new();
+        self.writers.borrow_mut().insert(id, writer);
+        queue
+    }
+
+    /// Closes a session.
+    pub fn close(&self, id: SessionId) {
+        self.writers.borrow_mut().remove(&id);
+    }
+
+    /// Queues a message on a session; closes the session where its router does not read.
+    pub fn send(&self, id: SessionId, message: &WatchResponse) {
+        let sent = self.writers.borrow().get(&id).map(|writer| self.queue(writer, message));
+        if sent == Some(false) {
+            self.close(id);
+        }
+    }
+
+    /// Snapshots and changes are bulk, both of them: so changes of the configuration keep their order.
+    fn queue(&self, writer: &Writer, message: &WatchResponse) -> bool {
+        match message {
+            WatchResponse::Snapshot { .. } | WatchResponse::Change { .. } => {
+                writer.send_bulk(&self.frame_cache.borrow_mut().fragments(message))
+            }
+            _ => writer.send(message),
+        }
+    }
+}
--- a/system/src/disk.rs
+++ b/system/src/disk.rs
@@ -1,5 +1,9 @@
-//! The disk's own thread: takes records in order, writes what has gathered as one block, and reports how far it is. A disk that
-//! hangs blocks this thread and nothing else; a write that is refused is tried again until it succeeds.
+//! The control state's write-ahead log on disk, written by a thread of its own.
+//!
+//! The thread owns the file. It takes writes in order from an unbounded channel (the control state machine has few in flight), gathers
+//! what is queued into one batch, and reports each write's token once it is durable. A disk that hangs blocks this thread and nothing
+//! else; a write that fails is retried until it succeeds. The thread ends with the process: writes that are not durable by then were
+//! acknowledged to nobody.
 
 use std::path::Path;
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -14,32 +18,37 @@
 
 /// The file's name in the data folder.
 const FILE_NAME: &str = "control.records";
-/// Wait before a write that was refused is tried again.
+/// Pause before a failed write is retried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// Writes gather into one block up to this length in bytes, and beyond it by no more than the last of them.
-const BATCH_LENGTH: usize = 4 << 20;
-const THREAD_STACK: usize = 256 * 1024;
+/// Writes are gathered into one batch up to this length, and beyond it by no more than the last of them.
+const MAX_BATCH_BYTES: usize = 4 << 20;
+const THREAD_STACK_BYTES: usize = 256 * 1024;
 
-/// A write for the disk.
-type Write = (Token, Vec<Record>);
+/// Records to be written, and the token by which their durability is reported.
+struct WriteRequest {
+    token: Token,
+    records: Vec<Record>,
+}
 
-/// The way to the disk's thread.
-pub struct Disk(Sender<Write>);
+/// A handle on the disk's thread.
+pub struct Disk {
+    requests: Sender<WriteRequest>,
+}
 
 /// A disk that has been opened.
 pub struct OpenedDisk {
     /// Takes writes.
     pub disk: Disk,
-    /// What the file says.
+    /// The state that the file holds.
     pub stored: Stored,
-    /// The tokens of writes that are durable, in order.
-    pub written: UnboundedReceiver<Token>,
-    /// A file was there and could not be used: what this replica has promised is forgotten, also on a first start.
+    /// The tokens of durable writes, in order.
+    pub durable_tokens: UnboundedReceiver<Token>,
+    /// A file was there and could not be used: this replica's promises are lost, also on a first start.
     pub history_lost: bool,
 }
 
 impl Disk {
-    /// Opens the file, and starts the thread. A file that can't be used is set aside, and an empty one takes its place.
+    /// Opens the file and starts the thread. An unusable file is set aside, and an empty one takes its place.
     ///
     /// # Errors
     /// Where the disk can't be read or written.
@@ -55,75 +64,84 @@
                 (log, stored, false)
             }
         };
-        let (sender, writes) = channel();
-        let (done, written) = unbounded_channel();
+        let (requests, queued_requests) = channel();
+        let (durable, durable_tokens) = unbounded_channel();
         let writer = DiskWriter { log: CompactingLog::new(log), stored: stored.clone() };
         thread::Builder::new()
             .name("disk".to_owned())
-            .stack_size(THREAD_STACK)
-            .spawn(move || writer.run(&writes, &done))
+            .stack_size(THREAD_STACK_BYTES)
+            .spawn(move || writer.run(&queued_requests, &durable))
             .map_err(|source| RecordsError::Disk { path: folder.to_owned(), source })?;
-        Ok(OpenedDisk { disk: Self(sender), stored, written, history_lost })
+        Ok(OpenedDisk { disk: Self { requests }, stored, durable_tokens, history_lost })
     }
 
-    /// Has records written, behind all others.
+    /// Queues records behind all earlier ones. The token is reported once they are durable.
     pub fn write(&self, token: Token, records: Vec<Record>) {
-        // The thread ends only with the process.
-        let _ = self.0.send((token, records));
+        // The receiver is dropped only with the process.
+        let _ = self.requests.send(WriteRequest { token, records });
     }
 }
 
-/// Opens the file and decodes its records. A file with one that this release does not know is set aside whole: what is missing
-/// may have been a promise, and records written behind it would be out of reach as well.
+/// Opens the file and decodes its records. A file with an unknown record is set aside whole: the record may hold a promise, and
+/// records written behind it would be unreadable as well.
 fn open(folder: &Path) -> Result<(Log, Stored), RecordsError> {
     let (log, records) = Log::open(folder, FILE_NAME)?;
     let mut stored = Stored::default();
     for (index, bytes) in records.iter().enumerate() {
         match decode(bytes) {
             Ok(record) => stored.apply(record),
-            Err(reason) => return Err(log.reject(index, reason)),
+            Err(error) => return Err(log.reject(index, error.to_string())),
         }
     }
     Ok((log, stored))
 }
 
-fn decode(bytes: &[u8]) -> Result<Record, String> {
+/// Why stored bytes are no record of this release.
+#[derive(Debug, thiserror::Error)]
+enum RecordDecodeError {
+    #[error("{0} bytes too long")]
+    TrailingBytes(usize),
+    #[error(transparent)]
+    Malformed(#[from] speedy::Error),
+}
+
+fn decode(bytes: &[u8]) -> Result<Record, RecordDecodeError> {
     let (record, length) = Record::read_with_length_from_buffer(bytes);
-    match record {
-        Ok(record) if length == bytes.len() => Ok(record),
-        Ok(_) => Err(format!("{} bytes too long", bytes.len() - length)),
-        Err(error) => Err(error.to_string()),
+    let record = record?;
+    if length != bytes.len() {
+        return Err(RecordDecodeError::TrailingBytes(bytes.len() - length));
     }
+    Ok(record)
 }
 
 fn encode<'a>(records: impl IntoIterator<Item = &'a Record>) -> Vec<Vec<u8>> {
-    // Writing to memory fails for nothing that a record holds.
+    // Serialising to memory can't fail: a record holds nothing that speedy rejects.
     records.into_iter().filter_map(|record| record.write_to_vec().ok()).collect()
 }
 
-/// What the thread owns.
+/// The state of the disk's thread.
 struct DiskWriter {
     log: CompactingLog,
-    /// What the file says once all that was taken is written.
+    /// The state that the file holds once all requests taken so far are written; the content of the next compaction.
     stored: Stored,
 }
 
 impl DiskWriter {
-    fn run(mut self, writes: &Receiver<Write>, done: &UnboundedSender<Token>) {
-        while let Ok(first) = writes.recv() {
-            let batch = Batch::gather(first, writes);
+    fn run(mut self, requests: &Receiver<WriteRequest>, durable: &UnboundedSender<Token>) {
+        while let Ok(first) = requests.recv() {
+            let batch = Batch::gather(first, requests);
             batch.records.iter().for_each(|record| self.stored.apply(record.clone()));
             if !batch.encoded.is_empty() {
-                self.write(&batch.encoded);
+                self.write_until_durable(&batch.encoded);
             }
             for token in batch.tokens {
-                let _ = done.send(token);
+                let _ = durable.send(token);
             }
         }
     }
 
     /// Returns when the records are durable.
-    fn write(&mut self, records: &[Vec<u8>]) {
+    fn write_until_durable(&mut self, records: &[Vec<u8>]) {
         let stored = &self.stored;
         loop {
             match self.log.write(records, || encode(&stored.records())) {
@@ -133,14 +151,14 @@
                     }
                     return;
                 }
-                Err(error) => log::warn!("event=disk_refused error={:?}", error.to_string()),
+                Err(error) => log::warn!("event=disk_write_failed error={:?}", error.to_string()),
             }
             thread::sleep(RETRY_INTERVAL);
         }
     }
 }
 
-/// Writes that go to the disk together.
+/// Requests that are written together.
 struct Batch {
     tokens: Vec<Token>,
     records: Vec<Record>,
@@ -148,24 +166,24 @@
 }
 
 impl Batch {
-    /// The first write, and what has come behind it meanwhile.
-    fn gather(first: Write, writes: &Receiver<Write>) -> Self {
+    /// The first request, and those that are queued behind it.
+    fn gather(first: WriteRequest, requests: &Receiver<WriteRequest>) -> Self {
         let mut batch = Self { tokens: Vec::new(), records: Vec::new(), encoded: Vec::new() };
         let mut length = batch.add(first);
-        while length < BATCH_LENGTH
-            && let Ok(next) = writes.try_recv()
+        while length < MAX_BATCH_BYTES
+            && let Ok(next) = requests.try_recv()
         {
             length += batch.add(next);
         }
         batch
     }
 
-    /// Adds a write, and gives its length in bytes.
-    fn add(&mut self, (token, records): Write) -> usize {
-        let encoded = encode(&records);
+    /// Adds a request and returns its length in bytes.
+    fn add(&mut self, request: WriteRequest) -> usize {
+        let encoded = encode(&request.records);
         let length = encoded.iter().map(Vec::len).sum();
-        self.tokens.push(token);
-        self.records.extend(records);
+        self.tokens.push(request.token);
+        self.records.extend(request.records);
         self.encoded.extend(encoded);
         length
     }
--- a/system/src/lib.rs
+++ b/system/src/lib.rs
@@ -1,66 +1,85 @@
-//! The system's processes: carries out what `ivyhatch-control` and `ivyhatch-routing` decide, on sockets, disks and the steady
-//! clock. One thread does all but the writing to disk, which has its own, so that a disk that hangs holds nothing else up.
+//! The system's processes on real sockets and disks: the control role and the router role.
+//!
+//! Carries out what the state machines of `ivyhatch-control`, `ivyhatch-routing` and `ivyhatch-balancer` decide. A process runs all of
+//! its tasks in one thread on a current-thread runtime; the only other thread writes to the disk, so that a disk that hangs delays
+//! nothing else.
+//!
+//! - [`control`]: the control role: the replicated configuration, the server list, and the directory
+//! - [`router`]: the router role: clients' requests
+//! - [`outgoing`], [`transport`]: connections between the processes
+//! - [`disk`]: the control role's write-ahead log
+//! - [`instance_list`]: the client of the platform's API
+//! - [`http_server`]: the server of the roles' own HTTP interfaces
 
-pub mod bulk;
 pub mod clock;
-pub mod cloud;
 mod control;
 mod disk;
-mod http;
-pub mod link;
+mod http_server;
+pub mod instance_list;
 mod logging;
+mod outgoing;
 mod router;
-mod status;
+mod settings_reload;
+mod ticker;
+pub mod transport;
 
+use std::net::SocketAddrV4;
 use std::process::ExitCode;
 
 use ivyhatch_protocol::settings::{Settings, SettingsError};
+use ivyhatch_wal::RecordsError;
+use tokio::runtime;
+use tokio::task::LocalSet;
 
 /// Why a role can't run.
 #[derive(Debug, thiserror::Error)]
 pub enum RoleError {
-    /// The settings.
+    /// The settings file is missing or invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// An address can't be had.
+    /// An address can't be bound.
     #[error(
-        "can't listen at {at}: {source}: see who else has that address, and that the settings name this machine's"
+        "can't listen at {address}: {source}: see who else has that address, and that the settings name this machine's"
     )]
     Listen {
-        /// Where.
-        at: std::net::SocketAddrV4,
-        /// Why.
+        /// The address.
+        address: SocketAddrV4,
+        /// The system's error.
         source: std::io::Error,
     },
-    /// The system gives too little.
+    /// The system denies a resource: a thread, a descriptor, a signal handler.
     #[error("can't start: {0}: see to the limits of this machine")]
     System(#[from] std::io::Error),
-    /// The records of the control state.
+    /// The write-ahead log can't be read or written.
     #[error(transparent)]
-    Records(#[from] ivyhatch_wal::RecordsError),
+    Records(#[from] RecordsError),
 }
 
-/// Runs a control node in the foreground until it is told to end.
+/// Runs a control node in the foreground until SIGTERM, and then until its state is handed over.
 pub fn run_control() -> ExitCode {
     run(control::run)
 }
 
-/// Runs a router in the foreground until it is told to end.
+/// Runs a router in the foreground until SIGTERM, and then until its requests have ended.
 pub fn run_router() -> ExitCode {
     run(router::run)
 }
 
 fn run<F: Future<Output = Result<(), RoleError>>>(role: impl FnOnce(Settings) -> F) -> ExitCode {
-    logging::start();
-    let ended = Settings::from_environment().map_err(RoleError::from).and_then(|settings| {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        tokio::task::LocalSet::new().block_on(&runtime, role(settings))
-    });
-    match ended {
+    logging::install();
+    match try_run(role) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            log::error!("event=failed error={:?}", error.to_string());
+            log::error!("event=role_failed error={:?}", error.to_string());
             ExitCode::FAILURE
         }
     }
 }
+
+fn try_run<F: Future<Output = Result<(), RoleError>>>(
+    role: impl FnOnce(Settings) -> F,
+) -> Result<(), RoleError> {
+    let settings = Settings::from_environment()?;
+    let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
+    LocalSet::new().block_on(&runtime, role(settings))
+}
--- a/system/src/logging.rs
+++ b/system/src/logging.rs
@@ -1,11 +1,12 @@
-//! The log: one line of key=value pairs an event, on standard error.
+//! The process's log: one line of key=value pairs for each event, on standard error.
 
-/// Starts it. Called once.
-pub fn start() {
-    let mut config = simplelog::ConfigBuilder::new();
-    config.set_target_level(simplelog::LevelFilter::Off).set_thread_level(simplelog::LevelFilter::Off);
-    config.set_location_level(simplelog::LevelFilter::Off);
-    let level = simplelog::LevelFilter::Info;
-    // It fails only where a log has been started before, in tests.
-    let _ = simplelog::WriteLogger::init(level, config.build(), std::io::stderr());
+use simplelog::{ConfigBuilder, LevelFilter, WriteLogger};
+
+/// Installs the logger. Called once, before the role starts.
+pub fn install() {
+    let mut config = ConfigBuilder::new();
+    config.set_target_level(LevelFilter::Off).set_thread_level(LevelFilter::Off);
+    config.set_location_level(LevelFilter::Off);
+    // Fails only where a logger is installed already, as in tests.
+    let _ = WriteLogger::init(LevelFilter::Info, config.build(), std::io::stderr());
 }
--- a/system/src/router/mod.rs
+++ b/system/src/router/mod.rs
@@ -3,8 +3,8 @@
 mod answer;
 mod clients;
 mod dispatch;
-mod sessions;
 mod upstream;
+mod watch_session;
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,11 +20,12 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
 use crate::clock::Clock;
-use crate::{RoleError, http, link};
+use crate::transport::socket;
+use crate::{RoleError, http_server as http};
 use clients::Clients;
 use dispatch::Dispatcher;
-use sessions::Sessions;
 use upstream::Upstream;
+use watch_session::WatchSession;
 
 /// After SIGTERM connections go on coming for so long: clients keep the directory's answers for some seconds.
 const STILL_TAKES: Duration = Duration::from_millis(3000);
@@ -44,7 +45,7 @@
     let mut hangup = signal(SignalKind::hangup())?;
     let front_at = settings.address("front", |listen| listen.front)?;
     let ready_at = settings.address("readiness", |listen| listen.readiness)?;
-    let bind = |at| link::listen(at).map_err(|source| RoleError::Listen { at, source });
+    let bind = |at| socket::listen(at).map_err(|source| RoleError::Listen { address: at, source });
     let (clients, readiness) = (bind(front_at)?, bind(ready_at)?);
     let descriptors = settings.limits.max_fds.saturating_sub(OWN_DESCRIPTORS).max(64);
     let router = Router {
@@ -61,7 +62,7 @@
     let dispatcher = Dispatcher::new(&settings, clock, upstream, seats.clone());
     let timers = dispatcher.clone();
     spawn_local(async move { timers.run_timers().await });
-    let sessions = Sessions::start(&settings, clock, router, dispatcher.clone());
+    let sessions = WatchSession::start(&settings, clock, router, dispatcher.clone());
     let (phase, phases) = watch::channel(Phase::Serving);
     let ready = (dispatcher.clone(), phases.clone());
     spawn_local(http::serve(readiness, move |call| {
@@ -73,13 +74,13 @@
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
-            _ = hangup.recv() => sessions.reread(),
+            _ = hangup.recv() => sessions.reload_settings(),
         }
     }
     let killed = Instant::now() + Duration::from_secs_f64(settings.bounds.grace_s.max(1.0));
     log::info!("event=ends role=router open={}", dispatcher.open());
     phase.send_replace(Phase::Stopping);
-    sessions.state(RouterState::Leaving);
+    sessions.set_state(RouterState::Leaving);
     sleep(STILL_TAKES).await;
     phase.send_replace(Phase::Closing);
     sleep(LAST_ONES).await;
@@ -92,16 +93,20 @@
     Ok(())
 }
 
-fn readiness_of(call: &http::Call, dispatcher: &Dispatcher, phase: &watch::Receiver<Phase>) -> http::Answer {
+fn readiness_of(
+    call: &http::HttpRequest,
+    dispatcher: &Dispatcher,
+    phase: &watch::Receiver<Phase>,
+) -> http::HttpResponse {
     let segments: Vec<&str> = call.segments.iter().map(String::as_str).collect();
     match (&call.method, segments.as_slice()) {
         (&Method::GET, ["-", "readyz"]) if *phase.borrow() != Phase::Serving => {
-            http::again("this router ends")
+            http::unavailable("this router ends")
         }
         (&Method::GET, ["-", "readyz"]) if !dispatcher.is_ready() => {
-            http::again("no configuration or no list of servers is known here yet")
+            http::unavailable("no configuration or no list of servers is known here yet")
         }
         (&Method::GET, ["-", "readyz"]) => http::json(StatusCode::OK, "{}".to_owned()),
-        _ => http::problem(StatusCode::NOT_FOUND, "this address answers GET /-/readyz"),
+        _ => http::error(StatusCode::NOT_FOUND, "this address answers GET /-/readyz"),
     }
 }
--- a/system/src/router/upstream/pool.rs
+++ b/system/src/router/upstream/pool.rs
@@ -17,8 +17,8 @@
 use tokio::time::{sleep, timeout};
 
 use crate::clock::Clock;
-use crate::link::tune;
 use crate::router::dispatch::{Launch, Service};
+use crate::transport::socket::set_options;
 
 /// The longest head of an answer, in bytes.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
@@ -164,7 +164,7 @@
         let began = self.clock.now();
         let stream = timeout(self.connect_timeout(region), TcpStream::connect(endpoint)).await.ok()?.ok()?;
         self.note_round_trip(region, Duration::from_nanos(self.clock.now() - began));
-        tune(&stream);
+        set_options(&stream);
         let mut builder = Builder::new();
         builder.max_buf_size(MAX_HEAD_BYTES);
         let (sender, driver) = builder.handshake(TokioIo::new(stream)).await.ok()?;
--- /dev/null
+++ b/system/src/router/watch_session.rs
@@ -0,0 +1,178 @@
+//! The router's watch sessions with control nodes: feeds the watch client, and carries out what it decides.
+//!
+//! One task each keeps a connection to a control node (see [`crate::outgoing`]), ticks, and applies configuration changes. All share one
+//! [`Host`] in the process's single thread.
+
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::time::Duration;
+
+use ivyhatch_protocol::Nanos;
+use ivyhatch_protocol::configuration::Change;
+use ivyhatch_protocol::ids::NodeId;
+use ivyhatch_protocol::settings::Settings;
+use ivyhatch_protocol::watch::{Router, RouterState, WatchResponse};
+use ivyhatch_routing::table::PreparedChange;
+use ivyhatch_routing::watch_client::{Input, Output, WatchClient};
+use tokio::net::tcp::ReadHalf;
+use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
+use tokio::task::{spawn_local, yield_now};
+use tokio::time::Instant;
+
+use super::dispatch::Dispatcher;
+use crate::clock::Clock;
+use crate::outgoing::{OutgoingConnections, SessionHandler};
+use crate::settings_reload::{PeriodicReload, reload_seeds};
+use crate::ticker::{TICK_INTERVAL, run_ticks};
+use crate::transport::reader::{ConnectionError, Received, read_messages_and_fragments};
+
+/// A session on which nothing is received for so long is closed.
+const SESSION_IDLE_TIMEOUT: Duration = Duration::from_millis(1800);
+/// A tick that is late by this much is logged: no other task ran in that time either.
+const STALL_THRESHOLD: Duration = Duration::from_millis(50);
+/// Routes and services of a change that are parsed before other tasks run: a tenth of a millisecond on a whole core.
+const ITEMS_PER_TURN: usize = 50;
+/// Watch sessions have the port behind that of the control nodes' own messages.
+const WATCH_PORT_OFFSET: u16 = 1;
+
+struct Host {
+    watch_client: RefCell<WatchClient>,
+    clock: Clock,
+    connections: Rc<OutgoingConnections>,
+    dispatcher: Dispatcher,
+    /// Changes to be applied, in their order. Unbounded: what waits in it was received on bounded connections.
+    changes: UnboundedSender<Change>,
+    is_configured: Cell<bool>,
+    periodic_reload: PeriodicReload,
+}
+
+/// A handle on the sessions.
+pub struct WatchSession(Rc<Host>);
+
+impl WatchSession {
+    /// Connects to the control nodes that the settings name, and begins to watch.
+    pub fn start(settings: &Settings, clock: Clock, router: Router, dispatcher: Dispatcher) -> Self {
+        let (changes, received_changes) = unbounded_channel();
+        let port = settings.inner_ports.0 + WATCH_PORT_OFFSET;
+        let host = Rc::new(Host {
+            watch_client: RefCell::new(WatchClient::new(router, &settings.seed_nodes(), clock.now())),
+            clock,
+            connections: Rc::new(OutgoingConnections::new(clock, settings.ip, port)),
+            dispatcher,
+            changes,
+            is_configured: Cell::new(false),
+            periodic_reload: PeriodicReload::default(),
+        });
+        spawn_local(host.clone().apply_changes(received_changes));
+        spawn_local(host.clone().tick());
+        Self(host)
+    }
+
+    /// Reports the router's state to the control plane.
+    pub fn set_state(&self, state: RouterState) {
+        self.0.handle_input(Input::State(state));
+    }
+
+    /// Takes the seeds of the settings file, after SIGHUP.
+    pub fn reload_settings(&self) {
+        if let Some(seeds) = reload_seeds() {
+            self.0.handle_input(Input::Seeds(seeds));
+        }
+    }
+}
+
+impl Host {
+    async fn tick(self: Rc<Self>) {
+        let mut due_at = Instant::now();
+        run_ticks(|| {
+            let delay = Instant::now().saturating_duration_since(due_at);
+            if delay >= STALL_THRESHOLD {
+                log::warn!("event=event_loop_stalled ms={}", delay.as_millis());
+            }
+            due_at = Instant::now() + TICK_INTERVAL;
+            self.handle_input(Input::Tick);
+            self.reload_seeds_without_contact();
+        })
+        .await;
+    }
+
+    /// Takes seeds from the settings file while no control node can be reached.
+    fn reload_seeds_without_contact(self: &Rc<Self>) {
+        if self.watch_client.borrow().control_plane_reachable() {
+            return;
+        }
+        if let Some(seeds) = self.periodic_reload.poll_seeds(self.clock.now()) {
+            self.handle_input(Input::Seeds(seeds));
+        }
+    }
+
+    fn handle_input(self: &Rc<Self>, input: Input) {
+        let mut outputs = Vec::new();
+        self.watch_client.borrow_mut().handle(self.clock.now(), input, &mut outputs);
+        let mut servers_changed = false;
+        for output in outputs {
+            match output {
+                Output::Links(nodes) => self.connections.connect_to(&nodes, self),
+                Output::Tell(node, message) => self.connections.send(node, &message),
+                // Its receiver is dropped only with the process.
+                Output::Configuration(change) => drop(self.changes.send(change)),
+                Output::Servers => servers_changed = true,
+                Output::Touch(reachable) => {
+                    self.dispatcher.set_quorum_reachable(reachable);
+                    servers_changed = true;
+                }
+                Output::Routers(count, index) => self.dispatcher.set_routers(count, index),
+                Output::Log(event, pairs) => log::info!("event={event} {pairs}"),
+            }
+        }
+        if servers_changed {
+            self.update_servers();
+        }
+    }
+
+    /// Hands the whole server list to the dispatcher. Once there are routes as well, the router is ready.
+    fn update_servers(self: &Rc<Self>) {
+        let watch_client = self.watch_client.borrow();
+        let servers = watch_client.list().servers(self.clock.now()).collect();
+        self.dispatcher.servers(servers, |zone| watch_client.evacuation(zone));
+        let is_ready = watch_client.is_ready() && self.is_configured.get();
+        drop(watch_client);
+        if is_ready && self.dispatcher.become_ready() {
+            self.handle_input(Input::State(RouterState::Ready));
+        }
+    }
+
+    /// Applies changes of the configuration one after the other. A change is parsed a few items at a time; in between requests are
+    /// served.
+    async fn apply_changes(self: Rc<Self>, mut changes: UnboundedReceiver<Change>) {
+        while let Some(change) = changes.recv().await {
+            let mut change = PreparedChange::new(change);
+            while !change.read(ITEMS_PER_TURN) {
+                yield_now().await;
+            }
+            self.dispatcher.configure(change);
+            self.is_configured.set(true);
+            self.update_servers();
+        }
+    }
+}
+
+impl SessionHandler for Host {
+    fn connected(self: &Rc<Self>, node: NodeId, connect_duration: Nanos) {
+        self.handle_input(Input::Linked(node, connect_duration));
+    }
+
+    async fn read(self: &Rc<Self>, node: NodeId, stream: &mut ReadHalf<'_>) -> Result<(), ConnectionError> {
+        let handle = |received: Received<WatchResponse>| {
+            self.handle_input(match received {
+                Received::Message(message) => Input::Message(node, message),
+                Received::Fragment => Input::Fragment(node),
+            });
+        };
+        read_messages_and_fragments(stream, SESSION_IDLE_TIMEOUT, handle).await
+    }
+
+    fn disconnected(self: &Rc<Self>, node: NodeId) {
+        self.handle_input(Input::Lost(node));
+    }
+}
--- /dev/null
+++ b/system/src/transport/frame_cache.rs
@@ -0,0 +1,54 @@
+//! The encoded form of large watch messages, shared by all connections that get the same message.
+//!
+//! Owned by the control role's host and used in its single thread. Holds the fragments of the last [`CACHED_MESSAGES`] messages; a
+//! send queue that still holds evicted fragments keeps them alive by its own reference.
+
+use std::collections::VecDeque;
+use std::rc::Rc;
+
+use ivyhatch_protocol::frame;
+use ivyhatch_protocol::watch::WatchResponse;
+
+/// Messages whose fragments are cached. All watch clients get a change at the same time, and few are further behind.
+const CACHED_MESSAGES: usize = 4;
+
+/// The fragments of one message, each an encoded frame.
+pub type Fragments = Rc<[Rc<Vec<u8>>]>;
+
+/// Fragments of the messages that were encoded last, oldest first.
+#[derive(Default)]
+pub struct FrameCache {
+    entries: VecDeque<(WatchResponse, Fragments)>,
+}
+
+impl FrameCache {
+    /// The fragments of a message, encoded unless they are cached.
+    pub fn fragments(&mut self, message: &WatchResponse) -> Fragments {
+        let cached = self.entries.iter().find(|(cached, _)| shares_content(cached, message));
+        if let Some((_, fragments)) = cached {
+            return fragments.clone();
+        }
+        let fragments: Fragments = frame::encode_fragments(message).into_iter().map(Rc::new).collect();
+        self.entries.push_back((message.clone(), fragments.clone()));
+        if self.entries.len() > CACHED_MESSAGES {
+            self.entries.pop_front();
+        }
+        fragments
+    }
+}
+
+/// Whether two messages are clones of one. Compares pointers to the shared content, as comparing the content would cost as much as
+/// encoding it.
+fn shares_content(one: &WatchResponse, other: &WatchResponse) -> bool {
+    match (one, other) {
+        (
+            WatchResponse::Snapshot { sequence, document },
+            WatchResponse::Snapshot { sequence: other_sequence, document: other_document },
+        ) => sequence == other_sequence && document.is_same(other_document),
+        (
+            WatchResponse::Change { from, to, change },
+            WatchResponse::Change { from: other_from, to: other_to, change: other_change },
+        ) => (from, to) == (other_from, other_to) && change.is_same(other_change),
+        _ => false,
+    }
+}
--- a/system/tests/cloud.rs
+++ b/system/tests/instance_list.rs
@@ -8,7 +8,9 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use ivyhatch_system::cloud::{Cloud, CloudError, KEPT_CONNECTION, WHOLE_LIST};
+use ivyhatch_system::instance_list::{
+    InstanceListClient, InstanceListError, READ_TIMEOUT, REUSED_CONNECTION_TIMEOUT,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
@@ -28,7 +30,7 @@
     /// Too many calls.
     TooMany,
     /// A part of a page, and nothing more.
-    PartitionId,
+    HalfPage,
 }
 
 /// A platform, with what it was asked: the number of the connection, and the path.
@@ -84,7 +86,7 @@
             }
             Reply::Close => return,
             Reply::TooMany => ("429 Too Many Requests", String::new()),
-            Reply::PartitionId => {
+            Reply::HalfPage => {
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"inst").await;
                 let _ = stream.read(&mut [0; 64]).await;
                 return;
@@ -113,12 +115,12 @@
     )
 }
 
-type Outcome = std::result::Result<Vec<String>, CloudError>;
+type Outcome = std::result::Result<Vec<String>, InstanceListError>;
 
 /// The whole list, by the servers' ids, and how long it took.
-async fn read(cloud: &mut Cloud) -> (Outcome, Duration) {
+async fn read(client: &mut InstanceListClient) -> (Outcome, Duration) {
     let began = Instant::now();
-    let read = cloud.read().await;
+    let read = client.read().await;
     (read.map(|servers| servers.into_iter().map(|server| server.id).collect()), began.elapsed())
 }
 
@@ -144,9 +146,9 @@
             Reply::Page("i-3", None),
         ])
         .await;
-        let mut cloud = Cloud::new(Ipv4Addr::LOCALHOST, platform.at);
-        expect_that!(ids(read(&mut cloud).await.0), elements_are![eq("i-1"), eq("i-2")]);
-        expect_that!(ids(read(&mut cloud).await.0), elements_are![eq("i-3")]);
+        let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.at);
+        expect_that!(ids(read(&mut client).await.0), elements_are![eq("i-1"), eq("i-2")]);
+        expect_that!(ids(read(&mut client).await.0), elements_are![eq("i-3")]);
         let asked = platform.asked();
         expect_that!(
             asked,
@@ -159,9 +161,9 @@
 fn the_connection_of_a_list_of_one_page_is_kept() {
     play(async {
         let platform = Platform::start([Reply::Page("i-1", None), Reply::Page("i-2", None)]).await;
-        let mut cloud = Cloud::new(Ipv4Addr::LOCALHOST, platform.at);
-        expect_that!(ids(read(&mut cloud).await.0), elements_are![eq("i-1")]);
-        expect_that!(ids(read(&mut cloud).await.0), elements_are![eq("i-2")]);
+        let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.at);
+        expect_that!(ids(read(&mut client).await.0), elements_are![eq("i-1")]);
+        expect_that!(ids(read(&mut client).await.0), elements_are![eq("i-2")]);
         expect_that!(platform.connections(), eq(&[1, 1]));
     });
 }
@@ -171,11 +173,14 @@
     play(async {
         let platform =
             Platform::start([Reply::Page("i-1", None), Reply::Silence, Reply::Page("i-2", None)]).await;
-        let mut cloud = Cloud::new(Ipv4Addr::LOCALHOST, platform.at);
-        ids(read(&mut cloud).await.0);
-        let (list, took) = read(&mut cloud).await;
+        let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.at);
+        ids(read(&mut client).await.0);
+        let (list, took) = read(&mut client).await;
         expect_that!(ids(list), elements_are![eq("i-2")]);
-        expect_that!(took, all![ge(KEPT_CONNECTION), lt(KEPT_CONNECTION + Duration::from_millis(50))]);
+        expect_that!(
+            took,
+            all![ge(REUSED_CONNECTION_TIMEOUT), lt(REUSED_CONNECTION_TIMEOUT + Duration::from_millis(50))]
+        );
         expect_that!(platform.connections(), eq(&[1, 1, 2]));
     });
 }
@@ -185,9 +190,9 @@
     play(async {
         let platform =
             Platform::start([Reply::Page("i-1", None), Reply::Close, Reply::Page("i-2", None)]).await;
-        let mut cloud = Cloud::new(Ipv4Addr::LOCALHOST, platform.at);
-        ids(read(&mut cloud).await.0);
-        let (list, took) = read(&mut cloud).await;
+        let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.at);
+        ids(read(&mut client).await.0);
+        let (list, took) = read(&mut client).await;
         expect_that!(ids(list), elements_are![eq("i-2")]);
         expect_that!(took, lt(Duration::from_millis(50)));
     });
@@ -196,24 +201,24 @@
 #[gtest]
 fn a_reading_ends_in_time_however_slow_its_pages_are() {
     play(async {
-        let slow = Reply::Late(KEPT_CONNECTION - Duration::from_millis(10), "i-1", Some("p-50"));
+        let slow = Reply::Late(REUSED_CONNECTION_TIMEOUT - Duration::from_millis(10), "i-1", Some("p-50"));
         let platform = Platform::start([slow; 20]).await;
-        let mut cloud = Cloud::new(Ipv4Addr::LOCALHOST, platform.at);
-        let (list, took) = read(&mut cloud).await;
-        expect_that!(list, err(matches_pattern!(CloudError::Late)));
-        expect_that!(took, all![ge(WHOLE_LIST), lt(WHOLE_LIST + Duration::from_millis(50))]);
+        let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.at);
+        let (list, took) = read(&mut client).await;
+        expect_that!(list, err(matches_pattern!(InstanceListError::Timeout)));
+        expect_that!(took, all![ge(READ_TIMEOUT), lt(READ_TIMEOUT + Duration::from_millis(50))]);
     });
 }
 
 #[gtest]
 fn a_platform_that_says_nothing_or_half_a_page_is_late() {
-    for reply in [Reply::Silence, Reply::PartitionId] {
+    for reply in [Reply::Silence, Reply::HalfPage] {
         play(async move {
             let platform = Platform::start([reply; 4]).await;
-            let mut cloud = Cloud::new(Ipv4Addr::LOCALHOST, platform.at);
-            let (list, took) = read(&mut cloud).await;
-            expect_that!(list, err(matches_pattern!(CloudError::Late)), "{reply:?}");
-            expect_that!(took, lt(WHOLE_LIST + Duration::from_millis(50)), "{reply:?}");
+            let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.at);
+            let (list, took) = read(&mut client).await;
+            expect_that!(list, err(matches_pattern!(InstanceListError::Timeout)), "{reply:?}");
+            expect_that!(took, lt(READ_TIMEOUT + Duration::from_millis(50)), "{reply:?}");
         });
     }
 }
@@ -221,12 +226,12 @@
 #[gtest]
 fn a_late_page_of_a_reading_that_was_given_up_is_no_page_of_the_next() {
     play(async {
-        let late = Reply::Late(WHOLE_LIST + Duration::from_millis(100), "i-old", Some("p-50"));
+        let late = Reply::Late(READ_TIMEOUT + Duration::from_millis(100), "i-old", Some("p-50"));
         let platform =
             Platform::start([late, Reply::Page("i-1", Some("p-50")), Reply::Page("i-2", None)]).await;
-        let mut cloud = Cloud::new(Ipv4Addr::LOCALHOST, platform.at);
-        expect_that!(read(&mut cloud).await.0, err(matches_pattern!(CloudError::Late)));
-        expect_that!(ids(read(&mut cloud).await.0), elements_are![eq("i-1"), eq("i-2")]);
+        let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.at);
+        expect_that!(read(&mut client).await.0, err(matches_pattern!(InstanceListError::Timeout)));
+        expect_that!(ids(read(&mut client).await.0), elements_are![eq("i-1"), eq("i-2")]);
         expect_that!(platform.connections(), eq(&[1, 2, 2]));
     });
 }
@@ -240,10 +245,10 @@
             Reply::Page("i-1", None),
         ])
         .await;
-        let mut cloud = Cloud::new(Ipv4Addr::LOCALHOST, platform.at);
-        let dropped = timeout(Duration::from_millis(20), cloud.read()).await;
+        let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.at);
+        let dropped = timeout(Duration::from_millis(20), client.read()).await;
         expect_that!(dropped, err(anything()));
-        expect_that!(ids(read(&mut cloud).await.0), elements_are![eq("i-1")]);
+        expect_that!(ids(read(&mut client).await.0), elements_are![eq("i-1")]);
         let asked = platform.asked();
         expect_that!(asked.last(), some(eq(&(2, FIRST.to_owned()))));
     });
@@ -253,11 +258,11 @@
 fn a_refusal_is_told_as_one() {
     play(async {
         let platform = Platform::start([Reply::TooMany, Reply::Page("i-1", None)]).await;
-        let mut cloud = Cloud::new(Ipv4Addr::LOCALHOST, platform.at);
-        let (list, _) = read(&mut cloud).await;
+        let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.at);
+        let (list, _) = read(&mut client).await;
         let too_many = hyper::StatusCode::TOO_MANY_REQUESTS;
-        expect_that!(list, err(matches_pattern!(CloudError::Refused(eq(&too_many)))));
-        expect_that!(ids(read(&mut cloud).await.0), elements_are![eq("i-1")]);
+        expect_that!(list, err(matches_pattern!(InstanceListError::Status(eq(&too_many)))));
+        expect_that!(ids(read(&mut client).await.0), elements_are![eq("i-1")]);
     });
 }
 
@@ -267,8 +272,8 @@
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("loopback");
         let SocketAddr::V4(at) = listener.local_addr().expect("it has one") else { unreachable!() };
         drop(listener);
-        let (list, took) = read(&mut Cloud::new(Ipv4Addr::LOCALHOST, at)).await;
-        expect_that!(list, err(matches_pattern!(CloudError::Unreached(_))));
+        let (list, took) = read(&mut InstanceListClient::new(Ipv4Addr::LOCALHOST, at)).await;
+        expect_that!(list, err(matches_pattern!(InstanceListError::Connection(_))));
         expect_that!(took, lt(Duration::from_millis(50)));
     });
 }
--- a/system/tests/link.rs
+++ b/system/tests/transport.rs
@@ -9,8 +9,9 @@
 use ivyhatch_protocol::frame::{Decoder, encode_fragments};
 use ivyhatch_protocol::ids::mix;
 use ivyhatch_protocol::watch::{Shared, WatchResponse};
-use ivyhatch_system::bulk::BulkFrames;
-use ivyhatch_system::link::{Received, Writer, read_fragments};
+use ivyhatch_system::transport::frame_cache::FrameCache;
+use ivyhatch_system::transport::reader::{Received, read_messages_and_fragments};
+use ivyhatch_system::transport::writer::Writer;
 use tokio::io::{AsyncReadExt, DuplexStream, duplex};
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep};
@@ -109,12 +110,12 @@
         let (mut to, from) = duplex(4 * 1024);
         let (writer, mut queue) = Writer::new();
         spawn_local(async move { queue.write_to(&mut to).await });
-        let mut frames = BulkFrames::default();
-        writer.send_bulk(&frames.of(&whole(&document(500).into())));
+        let mut frames = FrameCache::default();
+        writer.send_bulk(&frames.fragments(&whole(&document(500).into())));
         for sequence in 7..12 {
             let change =
                 WatchResponse::Change { from: sequence, to: sequence + 1, change: Shared::default() };
-            writer.send_bulk(&frames.of(&change));
+            writer.send_bulk(&frames.fragments(&change));
         }
         arrivals(from, Duration::from_secs(2)).await
     });
@@ -132,13 +133,13 @@
 #[gtest]
 fn a_message_that_goes_to_many_is_encoded_once() {
     let document = Shared::from(document(100));
-    let mut frames = BulkFrames::default();
-    let first = frames.of(&whole(&document));
+    let mut frames = FrameCache::default();
+    let first = frames.fragments(&whole(&document));
     for _ in 0..12 {
-        let again = frames.of(&whole(&document));
+        let again = frames.fragments(&whole(&document));
         expect_that!(Rc::ptr_eq(&first, &again), eq(true));
     }
-    let other = frames.of(&whole(&Shared::from((*document).clone())));
+    let other = frames.fragments(&whole(&Shared::from((*document).clone())));
     expect_that!(Rc::ptr_eq(&first, &other), eq(false), "another document, though it says the same");
 }
 
@@ -148,17 +149,19 @@
         let (mut to, mut from) = duplex(4 * 1024);
         let (writer, mut queue) = Writer::new();
         spawn_local(async move { queue.write_to(&mut to).await });
-        let mut frames = BulkFrames::default();
-        writer.send_bulk(&frames.of(&whole(&document(500).into())));
+        let mut frames = FrameCache::default();
+        writer.send_bulk(&frames.fragments(&whole(&document(500).into())));
         let (mut fragments, mut messages) = (0, 0);
         // The link ends by its silence.
-        let _ = read_fragments(&mut from, Duration::from_secs(2), |received: Received<WatchResponse>| {
-            match received {
+        let _ = read_messages_and_fragments(
+            &mut from,
+            Duration::from_secs(2),
+            |received: Received<WatchResponse>| match received {
                 Received::Message(_) => messages += 1,
                 Received::Fragment if messages == 0 => fragments += 1,
                 Received::Fragment => {}
-            }
-        })
+            },
+        )
         .await;
         drop(writer);
         (fragments, messages)
