--- a/system/src/control/admin_api.rs
+++ b/system/src/control/admin_api.rs
@@ -115,7 +115,7 @@
         return Err(InvalidCall::UnknownZone);
     }
     let active = request.method == Method::POST;
-    Ok(AdminRequest::Evacuate { zone: zone.to_owned(), active, changes: 0 })
+    Ok(AdminRequest::Evacuate { zone: zone.to_owned(), active, change_count: 0 })
 }
 
 fn to_http(response: AdminResponse) -> HttpResponse {
--- a/system/src/control/directory_api.rs
+++ b/system/src/control/directory_api.rs
@@ -25,6 +25,6 @@
     if addresses.is_empty() {
         return http_server::unavailable("no router is known here yet: ask another control node");
     }
-    let ttl_s = MAX_TTL_SECONDS.min(host.settings.bounds.ttl_max_s);
+    let ttl_s = MAX_TTL_SECONDS.min(host.settings.bounds.max_directory_ttl_s);
     http_server::json(StatusCode::OK, json!({"addresses": addresses, "ttl_s": ttl_s}).to_string())
 }
--- a/system/src/control/host.rs
+++ b/system/src/control/host.rs
@@ -65,7 +65,7 @@
             shutdown_complete: Notify::new(),
             control_plane: RefCell::new(ControlPlane::new(identity, stored, clock.now())),
             clock,
-            peers: Rc::new(OutgoingConnections::new(clock, settings.ip, settings.inner_ports.0)),
+            peers: Rc::new(OutgoingConnections::new(clock, settings.ip, settings.peer_ports.0)),
             admin_requests: RefCell::default(),
             last_id: Cell::new(0),
             disk,
--- a/system/src/control/identity.rs
+++ b/system/src/control/identity.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use ivyhatch_control::Identity;
-use ivyhatch_protocol::ids::{hash, mix};
+use ivyhatch_protocol::ids::{fnv1a_hash, hash_mix};
 use ivyhatch_protocol::settings::Settings;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
@@ -42,13 +42,13 @@
     let allocation = Box::new(0_u8);
     let random = RandomState::new().hash_one(unix_time);
     let process = format!("{}{:?}{:p}{unix_time:?}", settings.ip, std::process::id(), allocation);
-    mix(random ^ hash(process.as_bytes()))
+    hash_mix(random ^ fnv1a_hash(process.as_bytes()))
 }
 
 /// Time between two polls of the platform's instance list.
 fn poll_interval(settings: &Settings) -> Nanos {
     let rate_per_second = settings.cloud_api.rate_per_s.max(MIN_RATE_PER_SECOND);
-    let milliseconds = (settings.bounds.drain_ms / POLLS_PER_DRAIN)
+    let milliseconds = (settings.bounds.drain_timeout_ms / POLLS_PER_DRAIN)
         .max(MIN_POLL_INTERVAL_MS)
         .max(POLL_INTERVAL_MS_AT_RATE_OF_1 / rate_per_second);
     milliseconds as u64 * MILLISECOND
@@ -56,6 +56,6 @@
 
 /// Time that a shutdown may take.
 fn shutdown_timeout(settings: &Settings) -> Nanos {
-    let grace = Duration::try_from_secs_f64(settings.bounds.grace_s).unwrap_or_default();
+    let grace = Duration::try_from_secs_f64(settings.bounds.shutdown_grace_s).unwrap_or_default();
     grace.saturating_sub(SHUTDOWN_MARGIN).as_nanos() as u64
 }
--- a/system/src/control/mod.rs
+++ b/system/src/control/mod.rs
@@ -42,9 +42,9 @@
 
 impl Listeners {
     fn bind(settings: &Settings) -> Result<Self, RoleError> {
-        let admin = settings.address("control", |listen| listen.control)?;
-        let directory = settings.address("directory", |listen| listen.directory)?;
-        let inner = |offset: u16| SocketAddrV4::new(settings.ip, settings.inner_ports.0 + offset);
+        let admin = settings.listen_address("control", |listen| listen.control)?;
+        let directory = settings.listen_address("directory", |listen| listen.directory)?;
+        let inner = |offset: u16| SocketAddrV4::new(settings.ip, settings.peer_ports.0 + offset);
         let bind = |address| socket::listen(address).map_err(|source| RoleError::Listen { address, source });
         Ok(Self {
             admin: bind(admin)?,
--- a/system/src/disk.rs
+++ b/system/src/disk.rs
@@ -12,7 +12,7 @@
 
 use ivyhatch_control::stored::Stored;
 use ivyhatch_control::{Record, Token};
-use ivyhatch_wal::{CompactingLog, Log, RecordsError};
+use ivyhatch_wal::{CompactingWal, Wal, WalError};
 use speedy::{Readable, Writable};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
@@ -52,7 +52,7 @@
     ///
     /// # Errors
     /// Where the disk can't be read or written.
-    pub fn start(folder: &Path) -> Result<OpenedDisk, RecordsError> {
+    pub fn start(folder: &Path) -> Result<OpenedDisk, WalError> {
         let (log, stored, history_lost) = match open(folder) {
             Err(error) if error.is_set_aside() => {
                 log::error!("event=records_set_aside error={:?}", error.to_string());
@@ -66,12 +66,12 @@
         };
         let (requests, queued_requests) = channel();
         let (durable, durable_tokens) = unbounded_channel();
-        let writer = DiskWriter { log: CompactingLog::new(log), stored: stored.clone() };
+        let writer = DiskWriter { log: CompactingWal::new(log), stored: stored.clone() };
         thread::Builder::new()
             .name("disk".to_owned())
             .stack_size(THREAD_STACK_BYTES)
             .spawn(move || writer.run(&queued_requests, &durable))
-            .map_err(|source| RecordsError::Disk { path: folder.to_owned(), source })?;
+            .map_err(|source| WalError::Io { path: folder.to_owned(), source })?;
         Ok(OpenedDisk { disk: Self { requests }, stored, durable_tokens, history_lost })
     }
 
@@ -84,8 +84,8 @@
 
 /// Opens the file and decodes its records. A file with an unknown record is set aside whole: the record may hold a promise, and
 /// records written behind it would be unreadable as well.
-fn open(folder: &Path) -> Result<(Log, Stored), RecordsError> {
-    let (log, records) = Log::open(folder, FILE_NAME)?;
+fn open(folder: &Path) -> Result<(Wal, Stored), WalError> {
+    let (log, records) = Wal::open(folder, FILE_NAME)?;
     let mut stored = Stored::default();
     for (index, bytes) in records.iter().enumerate() {
         match decode(bytes) {
@@ -121,7 +121,7 @@
 
 /// The state of the disk's thread.
 struct DiskWriter {
-    log: CompactingLog,
+    log: CompactingWal,
     /// The state that the file holds once all requests taken so far are written; the content of the next compaction.
     stored: Stored,
 }
--- a/system/src/instance_list.rs
+++ b/system/src/instance_list.rs
@@ -83,8 +83,8 @@
             slots: instance.slots,
             // Every state but ready, known or not, means that the instance takes no new requests.
             draining: instance.state != READY_STATE,
-            cold_left_ms: instance.cold_left_ms.max(0.0) as u32,
-            remaining_ms: instance.remaining_ms.map(|left| left.max(0.0) as u32),
+            warm_up_remaining_ms: instance.cold_left_ms.max(0.0) as u32,
+            lifetime_remaining_ms: instance.remaining_ms.map(|left| left.max(0.0) as u32),
         }
     }
 }
--- a/system/src/lib.rs
+++ b/system/src/lib.rs
@@ -27,7 +27,7 @@
 use std::process::ExitCode;
 
 use ivyhatch_protocol::settings::{Settings, SettingsError};
-use ivyhatch_wal::RecordsError;
+use ivyhatch_wal::WalError;
 use tokio::runtime;
 use tokio::task::LocalSet;
 
@@ -52,7 +52,7 @@
     System(#[from] std::io::Error),
     /// The write-ahead log can't be read or written.
     #[error(transparent)]
-    Records(#[from] RecordsError),
+    Records(#[from] WalError),
 }
 
 /// Runs a control node in the foreground until SIGTERM, and then until its state is handed over.
--- a/system/src/router/dispatch/state.rs
+++ b/system/src/router/dispatch/state.rs
@@ -9,11 +9,11 @@
 use ivyhatch_balancer::{BackendId, Balancer, ClassId, RequestId, Stage};
 use ivyhatch_protocol::Nanos;
 use ivyhatch_protocol::configuration::Route;
-use ivyhatch_protocol::ids::{hash, mix};
+use ivyhatch_protocol::ids::{fnv1a_hash, hash_mix};
 use ivyhatch_protocol::settings::{Bounds, Settings};
 use ivyhatch_protocol::watch::Server;
 use ivyhatch_routing::placement::Placement;
-use ivyhatch_routing::table::Table;
+use ivyhatch_routing::route_table::RouteTable;
 use tokio::sync::oneshot;
 
 use super::attempt::{Call, Launch, Service, Ticket};
@@ -77,7 +77,7 @@
     pub(super) regions: Vec<String>,
     pub(super) home: u32,
     pub(super) bounds: Bounds,
-    pub(super) table: Table,
+    pub(super) table: RouteTable,
     pub(super) ready: bool,
     pub(super) quorum_reachable: bool,
     /// None as long as it is not known.
@@ -108,14 +108,14 @@
             settings.zones.values().cloned().chain([settings.region.clone()]).collect();
         let regions: Vec<String> = regions.into_iter().collect();
         let home = regions.iter().position(|region| *region == settings.region).unwrap_or(0) as u32;
-        let seed = hash(settings.node_name.as_bytes()) ^ u64::from(settings.ip.to_bits());
+        let seed = fnv1a_hash(settings.node_name.as_bytes()) ^ u64::from(settings.ip.to_bits());
         Self {
             clock,
             zones: settings.zones.clone(),
             regions,
             home,
             bounds: settings.bounds,
-            table: Table::default(),
+            table: RouteTable::default(),
             ready: false,
             quorum_reachable: true,
             routers: None,
@@ -132,6 +132,6 @@
 
     pub(super) fn draw(&mut self) -> f64 {
         self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        (mix(self.random) >> 11) as f64 / (1_u64 << 53) as f64
+        (hash_mix(self.random) >> 11) as f64 / (1_u64 << 53) as f64
     }
 }
--- a/system/src/router/watch_session.rs
+++ b/system/src/router/watch_session.rs
@@ -12,8 +12,8 @@
 use ivyhatch_protocol::ids::NodeId;
 use ivyhatch_protocol::settings::Settings;
 use ivyhatch_protocol::watch::{Router, RouterState, WatchResponse};
-use ivyhatch_routing::table::PreparedChange;
-use ivyhatch_routing::watch_client::{Input, Output, WatchClient};
+use ivyhatch_routing::route_table::PreparedChange;
+use ivyhatch_routing::watch_client::{Input, Output, QuorumContact, WatchClient};
 use tokio::net::tcp::ReadHalf;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::task::{spawn_local, yield_now};
@@ -53,7 +53,7 @@
     /// Connects to the control nodes that the settings name, and begins to watch.
     pub fn start(settings: &Settings, clock: Clock, router: Router, dispatcher: Dispatcher) -> Self {
         let (changes, received_changes) = unbounded_channel();
-        let port = settings.inner_ports.0 + WATCH_PORT_OFFSET;
+        let port = settings.peer_ports.0 + WATCH_PORT_OFFSET;
         let host = Rc::new(Host {
             watch_client: RefCell::new(WatchClient::new(router, &settings.seed_nodes(), clock.now())),
             clock,
@@ -112,17 +112,17 @@
         let mut servers_changed = false;
         for output in outputs {
             match output {
-                Output::Links(nodes) => self.connections.connect_to(&nodes, self),
-                Output::Tell(node, message) => self.connections.send(node, &message),
+                Output::SetConnections(nodes) => self.connections.connect_to(&nodes, self),
+                Output::Send(node, message) => self.connections.send(node, &message),
                 // Its receiver is dropped only with the process.
-                Output::Configuration(change) => drop(self.changes.send(change)),
-                Output::Servers => servers_changed = true,
-                Output::Touch(reachable) => {
-                    self.dispatcher.set_quorum_reachable(reachable);
+                Output::ConfigurationChanged(change) => drop(self.changes.send(change)),
+                Output::ServersChanged => servers_changed = true,
+                Output::QuorumContact(contact) => {
+                    self.dispatcher.set_quorum_reachable(contact == QuorumContact::Established);
                     servers_changed = true;
                 }
-                Output::Routers(count, index) => self.dispatcher.set_routers(count, index),
-                Output::Log(event, pairs) => log::info!("event={event} {pairs}"),
+                Output::RouterShare(share) => self.dispatcher.set_routers(share.count, share.index),
+                Output::Log(event) => log::info!("event={event}"),
             }
         }
         if servers_changed {
@@ -133,7 +133,7 @@
     /// Hands the whole server list to the dispatcher. Once there are routes as well, the router is ready.
     fn update_servers(self: &Rc<Self>) {
         let watch_client = self.watch_client.borrow();
-        let servers = watch_client.list().servers(self.clock.now()).collect();
+        let servers = watch_client.server_list().servers(self.clock.now()).collect();
         self.dispatcher.servers(servers, |zone| watch_client.evacuation(zone));
         let is_ready = watch_client.is_ready() && self.is_configured.get();
         drop(watch_client);
@@ -147,7 +147,7 @@
     async fn apply_changes(self: Rc<Self>, mut changes: UnboundedReceiver<Change>) {
         while let Some(change) = changes.recv().await {
             let mut change = PreparedChange::new(change);
-            while !change.read(ITEMS_PER_TURN) {
+            while !change.parse_items(ITEMS_PER_TURN) {
                 yield_now().await;
             }
             self.dispatcher.configure(change);
@@ -159,7 +159,7 @@
 
 impl SessionHandler for Host {
     fn connected(self: &Rc<Self>, node: NodeId, connect_duration: Nanos) {
-        self.handle_input(Input::Linked(node, connect_duration));
+        self.handle_input(Input::Connected { node, round_trip: connect_duration });
     }
 
     async fn read(self: &Rc<Self>, node: NodeId, stream: &mut ReadHalf<'_>) -> Result<(), ConnectionError> {
@@ -173,6 +173,6 @@
     }
 
     fn disconnected(self: &Rc<Self>, node: NodeId) {
-        self.handle_input(Input::Lost(node));
+        self.handle_input(Input::Disconnected(node));
     }
 }
--- a/system/src/transport/reader.rs
+++ b/system/src/transport/reader.rs
@@ -71,15 +71,15 @@
             return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into());
         }
         decoder.feed(&buffer[..read]);
-        let fragments_before = decoder.fragments_taken();
-        while let Some(message) = decoder.message()? {
-            if decoder.last_length() >= LARGE_MESSAGE_BYTES {
+        let fragments_before = decoder.fragments_received();
+        while let Some(message) = decoder.next_message()? {
+            if decoder.last_message_bytes() >= LARGE_MESSAGE_BYTES {
                 // Decoding took a while, and so does handling.
                 yield_now().await;
             }
             handle(Received::Message(message));
         }
-        if decoder.fragments_taken() > fragments_before {
+        if decoder.fragments_received() > fragments_before {
             handle(Received::Fragment);
         }
     }
