--- a/system/src/control/peers.rs
+++ b/system/src/control/peers.rs
@@ -27,11 +27,10 @@
         self.handle_input(Input::Connected(node));
     }
 
-    /// The other node sends nothing on this connection; reading shows when it closes.
+    /// The other node sends nothing on this connection: a read that returns, with bytes or without, ends it.
     async fn read(self: &Rc<Self>, _node: NodeId, stream: &mut ReadHalf<'_>) -> Result<(), ConnectionError> {
         let mut ignored = [0; 64];
-        stream.read(&mut ignored).await?;
-        Ok(())
+        stream.read(&mut ignored).await.map(drop).map_err(ConnectionError::from)
     }
 
     fn disconnected(self: &Rc<Self>, _node: NodeId) {}
