--- a/system/src/control/identity.rs
+++ b/system/src/control/identity.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use ivyhatch_control::Identity;
-use ivyhatch_protocol::ids::{fnv1a_hash, hash_mix};
+use ivyhatch_protocol::hash::{fnv1a_hash, hash_mix};
 use ivyhatch_protocol::settings::Settings;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
