--- a/cli/src/config.rs
+++ b/cli/src/config.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use clap::{Args, Subcommand};
-use ivyhatch_config::{Mistake, Read};
+use ivyhatch_config::{Log, Mistake, Read};
 use serde_json::json;
 
 use crate::unusable;
@@ -151,6 +151,10 @@
     Ok((read, text))
 }
 
+pub fn log_format(log: &Log) -> ivyhatch_node::LogFormat {
+    if log.format == "json" { ivyhatch_node::LogFormat::Json } else { ivyhatch_node::LogFormat::Text }
+}
+
 pub fn node(node: Node) -> ExitCode {
     let (Some(file), Some(name)) = (node.config, node.instance) else { return ivyhatch_node::run() };
     let seed = rand::random();
@@ -159,11 +163,14 @@
         Err(error) => return unusable(&error),
     };
     let instance = Some(name.clone());
-    ivyhatch_node::run_as(ivyhatch_node::Start {
-        configuration: Box::new(move || Ok(told(&file, &name, seed)?.1)),
-        level: log.level.parse().expect("checked"),
-        json: log.format == "json",
+    ivyhatch_node::run_with(ivyhatch_node::RunOptions {
+        configuration: Box::new(move || {
+            let unavailable = |reason| ivyhatch_node::ConfigurationUnavailable { reason };
+            Ok(told(&file, &name, seed).map_err(unavailable)?.1)
+        }),
+        log_level: log.level.parse().expect("checked"),
+        log_format: log_format(&log),
         instance,
-        control: node.control,
+        control_socket: node.control,
     })
 }
--- a/cli/src/fleet/agent.rs
+++ b/cli/src/fleet/agent.rs
@@ -13,7 +13,8 @@
         Ok(read) => read,
         Err(mistakes) => return config::tell(&mistakes, false),
     };
-    ivyhatch_node::log(read.config.log.level.parse().expect("checked"), read.config.log.format == "json");
+    let log = &read.config.log;
+    ivyhatch_node::init_logging(log.level.parse().expect("checked"), config::log_format(log));
     let program = match std::env::current_exe() {
         Ok(program) => program,
         Err(error) => return unusable(&format!("this program's own path: {error}")),
--- a/node/src/control.rs
+++ b/node/src/control.rs
@@ -15,8 +15,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
+use crate::client_listener::DrainPhase;
 use crate::driver::{Node, Seen};
-use crate::front::Phase;
 
 const BOUNDS: Bounds = Bounds { line: 4096, patience: Duration::from_secs(10), connections: 8 };
 
@@ -38,7 +38,7 @@
     pub name: String,
     pub at: SocketAddr,
     pub node: Node,
-    pub phase: watch::Sender<Phase>,
+    pub phase: watch::Sender<DrainPhase>,
     /// The node ends: nothing takes that back.
     pub ends: Cell<bool>,
     /// How long connections go on coming after a drain.
@@ -69,10 +69,9 @@
                 json!({"error": "the node ends, and that can't be taken back"})
             }
             Ask::Undrain {} => {
-                if self
-                    .phase
-                    .send_if_modified(|phase| std::mem::replace(phase, Phase::Serving) != Phase::Serving)
-                {
+                if self.phase.send_if_modified(|phase| {
+                    std::mem::replace(phase, DrainPhase::Serving) != DrainPhase::Serving
+                }) {
                     self.drains.set(self.drains.get().wrapping_add(1));
                     tracing::info!("{} takes again", self.name);
                 }
@@ -84,9 +83,9 @@
     /// As at an end, connections go on coming for a while; then idle ones are closed. Those that come all the same are
     /// served, each once.
     fn drain(self: &Rc<Self>) {
-        let begins = |phase: &mut Phase| {
-            *phase == Phase::Serving && {
-                *phase = Phase::Stopping;
+        let begins = |phase: &mut DrainPhase| {
+            *phase == DrainPhase::Serving && {
+                *phase = DrainPhase::Draining;
                 true
             }
         };
@@ -100,9 +99,9 @@
         spawn_local(async move {
             sleep(control.still_takes).await;
             if control.drains.get() == drain && !control.ends.get() {
-                control
-                    .phase
-                    .send_if_modified(|phase| std::mem::replace(phase, Phase::Closing) != Phase::Closing);
+                control.phase.send_if_modified(|phase| {
+                    std::mem::replace(phase, DrainPhase::ClosingIdle) != DrainPhase::ClosingIdle
+                });
             }
         });
     }
@@ -113,11 +112,11 @@
         let [served, refused, failed] = self.node.answers();
         let word = match (self.ends.get(), phase) {
             (true, _) => "stopping",
-            (false, Phase::Serving) => "serving",
+            (false, DrainPhase::Serving) => "serving",
             (false, _) => "draining",
         };
         // Drained once idle connections have been told to go and nothing is open.
-        let drained = word == "draining" && phase == Phase::Closing && open == 0;
+        let drained = word == "draining" && phase == DrainPhase::ClosingIdle && open == 0;
         json!({"name": self.name, "pid": std::process::id(), "version": env!("CARGO_PKG_VERSION"),
             "listen": self.at.to_string(), "phase": word, "drained": drained, "open": open,
             "answers": {"served": served, "refused": refused, "failed": failed},
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -16,10 +16,10 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
+use crate::discovery_schedule::{DiscoverySchedule, Failure};
 use crate::driver::{Listed, Node};
-use crate::pace::{Failure, Pace};
-use crate::sparing::Sparing;
-use crate::tap::hurry;
+use crate::log_rate_limit::LogRateLimiter;
+use crate::tcp_options::set_nodelay_if_possible;
 
 const PATH: &str = "/registry/instances";
 /// A list of thousands of backends fits.
@@ -102,7 +102,7 @@
     at: SocketAddr,
     rev: Option<u64>,
     link: Option<SendRequest<Empty<Bytes>>>,
-    pace: Pace,
+    pace: DiscoverySchedule,
     /// Times for the pace are since then.
     began: Instant,
 }
@@ -120,7 +120,7 @@
 
     /// Watches, at the address told last; never ends.
     pub async fn run(mut self, mut address: watch::Receiver<SocketAddr>) {
-        let mut sparing = Sparing::default();
+        let mut log_limiter = LogRateLimiter::default();
         loop {
             let pause = self.pace.pause(self.began.elapsed());
             let answer = tokio::select! {
@@ -136,14 +136,14 @@
                 None => {
                     self.move_to(*address.borrow_and_update());
                     self.pace.moved(self.began.elapsed());
-                    sparing = Sparing::default();
+                    log_limiter = LogRateLimiter::default();
                 }
                 Some(Ok((list, after))) => {
                     self.pace.brought();
                     self.take(list, after);
                 }
                 Some(Err(error)) => {
-                    sparing.say(|more| tracing::warn!("discovery: {error} ({more} more)"));
+                    log_limiter.log(|more| tracing::warn!("discovery: {error} ({more} more)"));
                     self.link = None;
                     let silent = matches!(error, CallError::Late);
                     self.pace.failed(if silent { Failure::Silent } else { Failure::Broken });
@@ -203,7 +203,7 @@
 }
 
 async fn link_over(stream: TcpStream) -> Result<SendRequest<Empty<Bytes>>, CallError> {
-    hurry(&stream);
+    set_nodelay_if_possible(&stream);
     let (link, connection) = handshake(TokioIo::new(stream)).await?;
     spawn_local(async move {
         if let Err(error) = connection.await {
@@ -219,12 +219,12 @@
     use tokio::task::LocalSet;
 
     use super::*;
-    use crate::tap::tests::unhurried;
+    use crate::tcp_options::tests::stream_that_rejects_nodelay;
 
     /// Two thirds of a fleet's calls ended before they were made, and no node heard of the servers that had gone.
     #[tokio::test]
     async fn a_call_goes_out_on_a_connection_that_cannot_be_hurried() {
-        let (ours, mut theirs) = unhurried();
+        let (ours, mut theirs) = stream_that_rejects_nodelay();
         let call = async {
             let mut link = link_over(ours).await.expect("a link");
             spawn_local(async move {
--- a/node/src/pace.rs
+++ b/node/src/discovery_schedule.rs
@@ -44,7 +44,7 @@
 
 /// How a call is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Turn {
+pub struct CallTimeouts {
     /// How long a watch asks discovery to wait for a change.
     pub hold: Duration,
     /// When the call is given up.
@@ -52,7 +52,7 @@
 }
 
 /// Paces a node's calls. All times are since some fixed moment.
-pub struct Pace {
+pub struct DiscoverySchedule {
     hold: Duration,
     again: (Duration, Duration),
     span: Duration,
@@ -69,7 +69,7 @@
     random: u64,
 }
 
-impl Pace {
+impl DiscoverySchedule {
     /// One of `nodes` that share a discovery and must ask at least every `within`. `seed` should differ from node to node.
     pub fn shared(nodes: u32, within: Duration, seed: u64) -> Self {
         let most = within / 2;
@@ -110,12 +110,12 @@
     }
 
     /// A call goes out, a watch or for the `whole` list.
-    pub fn turn(&mut self, now: Duration, whole: bool) -> Turn {
+    pub fn turn(&mut self, now: Duration, whole: bool) -> CallTimeouts {
         self.begun = true;
         let hold = self.hold.mul_f64(0.5 + 0.5 * self.draw());
         self.silent_watch = !whole;
         self.told_by = now + if whole { TOLD_SILENT } else { TOLD_SILENT.max(hold + TOLD_AFTER_WAIT) };
-        Turn { hold, patience: if whole { QUEUED } else { hold + OVERDUE } }
+        CallTimeouts { hold, patience: if whole { QUEUED } else { hold + OVERDUE } }
     }
 
     /// The call has brought a list.
@@ -172,7 +172,7 @@
     const NONE: Duration = Duration::ZERO;
     const SECOND: Duration = Duration::from_secs(1);
 
-    fn longest_pause(pace: &mut Pace) -> Duration {
+    fn longest_pause(pace: &mut DiscoverySchedule) -> Duration {
         (0..1000).map(|_| pace.pause(NONE)).max().unwrap_or_default()
     }
 
@@ -187,14 +187,14 @@
     #[test]
     fn calls_of_a_hundred_nodes_that_start_together_are_spread() {
         let calls: Vec<Duration> =
-            (0..100).map(|seed| Pace::shared(100, WITHIN, seed << 32).pause(NONE)).collect();
+            (0..100).map(|seed| DiscoverySchedule::shared(100, WITHIN, seed << 32).pause(NONE)).collect();
         assert!(crowd(&calls) < 35, "{calls:?}");
         assert!(calls.iter().max() < Some(&(WITHIN / 2)));
     }
 
     #[test]
     fn a_few_nodes_hardly_wait_and_failures_lengthen_the_span_up_to_half_of_what_is_asked() {
-        let mut pace = Pace::shared(3, WITHIN, 7);
+        let mut pace = DiscoverySchedule::shared(3, WITHIN, 7);
         assert!(longest_pause(&mut pace) <= 2 * EACH);
         (0..3).for_each(|_| pace.failed(Failure::Broken));
         let (first, last) = AGAIN_ASKED;
@@ -212,7 +212,7 @@
     #[test]
     fn a_discovery_of_the_nodes_own_is_asked_at_once_and_again_well_within_the_grace() {
         for grace in [NONE, SECOND / 4, SECOND / 2, SECOND, 10 * SECOND] {
-            let mut pace = Pace::own(grace, 9);
+            let mut pace = DiscoverySchedule::own(grace, 9);
             assert_eq!(pace.pause(NONE), NONE);
             pace.turn(NONE, true);
             (0..30).for_each(|_| pace.failed(Failure::Broken));
@@ -221,7 +221,7 @@
             assert!(longest <= most && longest < SECOND && pace.connect() <= most, "{grace:?}: {longest:?}");
             assert!(longest > AGAIN_PUSHED.0 / 2, "never a tight loop");
         }
-        assert_eq!(Pace::shared(u32::MAX, Duration::MAX, 1).span, EACH * (u32::MAX - 1));
+        assert_eq!(DiscoverySchedule::shared(u32::MAX, Duration::MAX, 1).span, EACH * (u32::MAX - 1));
     }
 
     /// On the other site's calm days six watches fell silent in one moment. They were given up together, 21 s later, and
@@ -231,7 +231,7 @@
         for nodes in [6, 100] {
             let mut again = Vec::new();
             for seed in 0..u64::from(nodes) {
-                let mut pace = Pace::shared(nodes, WITHIN, seed << 32);
+                let mut pace = DiscoverySchedule::shared(nodes, WITHIN, seed << 32);
                 let turn = pace.turn(SECOND, false);
                 assert!((HOLD_ASKED / 2..=HOLD_ASKED).contains(&turn.hold));
                 pace.failed(Failure::Silent);
@@ -250,7 +250,7 @@
     #[test]
     fn what_is_owed_is_tried_for_in_time_and_spared_afterwards() {
         let start = |moved: bool, whole: bool, seed| {
-            let mut pace = Pace::shared(300, WITHIN, seed);
+            let mut pace = DiscoverySchedule::shared(300, WITHIN, seed);
             let now = if moved {
                 pace.moved(NONE);
                 pace.turn(NONE, true);
@@ -286,7 +286,7 @@
         }
     }
 
-    fn longest_pause_at(pace: &mut Pace, now: Duration) -> Duration {
+    fn longest_pause_at(pace: &mut DiscoverySchedule, now: Duration) -> Duration {
         (0..100).map(|_| pace.pause(now)).max().unwrap_or_default()
     }
 
@@ -295,7 +295,7 @@
     fn failed_calls_are_made_again_within_what_the_settings_ask() {
         for within in [SECOND, 3 * SECOND, WITHIN, 60 * SECOND] {
             for nodes in [1, 3, 300] {
-                let mut pace = Pace::shared(nodes, within, 5);
+                let mut pace = DiscoverySchedule::shared(nodes, within, 5);
                 (0..30).for_each(|_| pace.failed(Failure::Broken));
                 assert!(longest_pause(&mut pace) <= within * 5 / 4, "{within:?}, {nodes}");
             }
@@ -306,7 +306,7 @@
     #[test]
     fn failed_calls_make_no_tight_loop_however_often_the_settings_ask() {
         for within in [NONE, Duration::from_millis(1), SECOND / 20] {
-            let mut pace = Pace::shared(300, within, 5);
+            let mut pace = DiscoverySchedule::shared(300, within, 5);
             for _ in 0..100 {
                 pace.failed(Failure::Broken);
                 assert!(pace.pause(NONE) >= AGAIN_PUSHED.0 / 2, "{within:?}");
@@ -317,14 +317,14 @@
     /// A call for the whole list does not wait at discovery, so that its silence counts sooner than a watch's.
     #[test]
     fn a_silent_call_for_the_whole_list_is_given_up_with_time_for_another() {
-        for mut pace in [Pace::shared(300, WITHIN, 3), Pace::own(SECOND, 3)] {
+        for mut pace in [DiscoverySchedule::shared(300, WITHIN, 3), DiscoverySchedule::own(SECOND, 3)] {
             let turn = pace.turn(NONE, true);
             assert!(turn.patience * 2 <= TOLD_SILENT);
             pace.failed(Failure::Silent);
             let next = turn.patience + pace.pause(turn.patience);
             assert!(next + SECOND < TOLD_SILENT, "{next:?}");
         }
-        let mut own = Pace::own(SECOND, 3);
+        let mut own = DiscoverySchedule::own(SECOND, 3);
         let turn = own.turn(NONE, false);
         assert!(turn.patience + SECOND < TOLD_SILENT);
     }
--- a/node/src/driver.rs
+++ b/node/src/driver.rs
@@ -17,7 +17,7 @@
 use ivyhatch_node_settings::Words;
 use tokio::sync::{Notify, oneshot};
 
-use crate::pace::Pace;
+use crate::discovery_schedule::DiscoverySchedule;
 use crate::prober::Probe;
 
 /// How long past a request's end the driver waits for the module before it answers by itself: longer than
@@ -438,13 +438,15 @@
     }
 
     /// How this node's calls to discovery are paced.
-    pub fn discovery_pace(&self, seed: u64) -> Pace {
+    pub fn discovery_pace(&self, seed: u64) -> DiscoverySchedule {
         let settings = &self.driver.borrow().settings;
         match settings.discovery {
-            Discovery::Asked => {
-                Pace::shared(settings.nodes, Duration::from_nanos(settings.rules.ask_within), seed)
-            }
-            _ => Pace::own(Duration::from_nanos(settings.rules.drain_grace), seed),
+            Discovery::Asked => DiscoverySchedule::shared(
+                settings.nodes,
+                Duration::from_nanos(settings.rules.ask_within),
+                seed,
+            ),
+            _ => DiscoverySchedule::own(Duration::from_nanos(settings.rules.drain_grace), seed),
         }
     }
 
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -3,16 +3,20 @@
 //! ivyhatch-node, a load-balancing node: the decisions of `ivyhatch-balancer` on real sockets. This file reads the
 //! configuration, starts the parts, heeds signals and ends the program.
 
+pub mod client_listener;
+pub mod connection_limits;
 mod control;
 mod discovery;
+mod discovery_schedule;
 mod driver;
-pub mod front;
-mod pace;
+pub mod hop_by_hop;
+mod log_rate_limit;
 mod prober;
-pub mod seats;
+mod read_ahead;
+mod response_byte_observer;
 mod server;
-pub mod sparing;
-pub mod tap;
+mod stream_observer;
+mod tcp_options;
 mod upstream;
 
 use std::cell::Cell;
@@ -29,8 +33,8 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
 
+use client_listener::DrainPhase;
 use driver::{Clock, Node};
-use front::Phase;
 use upstream::Upstream;
 
 /// After SIGTERM connections go on coming for a while, up to here.
@@ -38,7 +42,7 @@
 /// Connections that cross the closing of idle ones are taken up to here after that.
 const LAST_ONES: Duration = Duration::from_millis(100);
 const BACKLOG: u32 = 1024;
-/// Three standard streams, the runtime's three and two for signals, the listener, a client that waits for its seat, discovery (two
+/// Three standard streams, the runtime's three and two for signals, the listener, a client that waits for its connection, discovery (two
 /// while it moves), the configuration as it is read anew; and some to spare.
 const OWN_DESCRIPTORS: usize = 16;
 
@@ -59,25 +63,45 @@
     sockets: usize,
 }
 
-/// Where a node's configuration comes from, and how it logs.
-pub struct Start {
-    /// Gives the configuration, as `EDGE_CONFIG`'s file has it; called at the start and at each SIGHUP. The error is one line.
-    pub configuration: Configuration,
-    /// The least level that is written.
-    pub level: tracing::Level,
-    /// Whether lines are JSON objects.
-    pub json: bool,
-    /// Stands on every line; none for none.
+/// Where a node's configuration comes from, how it logs and where it is administered.
+pub struct RunOptions {
+    /// Reads the configuration.
+    pub configuration: ConfigurationSource,
+    /// The least severe level that is logged.
+    pub log_level: tracing::Level,
+    /// The form of log lines.
+    pub log_format: LogFormat,
+    /// The instance name that every log line carries, if any.
     pub instance: Option<String>,
-    /// Where the control socket listens; none for none.
-    pub control: Option<PathBuf>,
+    /// The path of the control socket, if there is to be one.
+    pub control_socket: Option<PathBuf>,
+}
+
+/// The form of log lines.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LogFormat {
+    /// Plain text.
+    Text,
+    /// One JSON object a line.
+    Json,
+}
+
+/// Reads the configuration's text, in the form of the file that `EDGE_CONFIG` names; called at the start and at each SIGHUP.
+pub type ConfigurationSource = Box<dyn Fn() -> Result<Vec<u8>, ConfigurationUnavailable>>;
+
+/// The configuration could not be read.
+#[derive(Debug, thiserror::Error)]
+#[error("{reason}")]
+pub struct ConfigurationUnavailable {
+    /// One line for the log: which file or setting, and why.
+    pub reason: String,
 }
 
 /// Why the node can't start.
 #[derive(Debug, thiserror::Error)]
 enum StartError {
     #[error("{0}")]
-    Unread(String),
+    Unread(#[from] ConfigurationUnavailable),
     #[error("configuration: {0}")]
     Malformed(#[from] serde_json::Error),
     #[error("configuration: seed {0:?} is not a hexadecimal number of 64 bits")]
@@ -97,30 +121,30 @@
 /// Runs a node in the foreground, as its configuration says that `EDGE_CONFIG` names, until SIGTERM or SIGINT. Called once,
 /// from the program's first thread.
 pub fn run() -> ExitCode {
-    run_as(Start {
+    run_with(RunOptions {
         configuration: Box::new(from_environment),
-        level: tracing::Level::INFO,
-        json: false,
+        log_level: tracing::Level::INFO,
+        log_format: LogFormat::Text,
         instance: None,
-        control: None,
+        control_socket: None,
     })
 }
 
-/// Sends this process's log to standard error, as text or as JSON objects. Called once.
-pub fn log(level: tracing::Level, json: bool) {
+/// Sends this process's log to standard error. Called once.
+pub fn init_logging(level: tracing::Level, format: LogFormat) {
     let log = tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr);
-    match json {
-        true => log.json().init(),
-        false => log.with_ansi(false).init(),
+    match format {
+        LogFormat::Json => log.json().init(),
+        LogFormat::Text => log.with_ansi(false).init(),
     }
 }
 
 /// Runs a node in the foreground until SIGTERM or SIGINT. Called once, from the program's first thread.
-pub fn run_as(start: Start) -> ExitCode {
-    log(start.level, start.json);
-    // All of the node runs in this thread, so that the span is around all that it says.
-    let span = start.instance.as_ref().map(|instance| tracing::error_span!("node", instance).entered());
-    let ended = serve_all(start.configuration, start.control);
+pub fn run_with(options: RunOptions) -> ExitCode {
+    init_logging(options.log_level, options.log_format);
+    // All of the node runs in this thread, so that the span is on all of its log lines.
+    let span = options.instance.as_ref().map(|instance| tracing::error_span!("node", instance).entered());
+    let ended = serve_all(options.configuration, options.control_socket);
     drop(span);
     match ended {
         Ok(()) => ExitCode::SUCCESS,
@@ -131,27 +155,25 @@
     }
 }
 
-/// Gives a configuration's text.
-pub type Configuration = Box<dyn Fn() -> Result<Vec<u8>, String>>;
-
-fn serve_all(configuration: Configuration, control: Option<PathBuf>) -> Result<(), StartError> {
+fn serve_all(configuration: ConfigurationSource, control: Option<PathBuf>) -> Result<(), StartError> {
     let config = parse(configuration())?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, serve(config, configuration, control))
 }
 
-fn from_environment() -> Result<Vec<u8>, String> {
-    let path = std::env::var("EDGE_CONFIG").map_err(|_| "EDGE_CONFIG is not set".to_owned())?;
-    std::fs::read(&path).map_err(|error| format!("configuration {path}: {error}"))
+fn from_environment() -> Result<Vec<u8>, ConfigurationUnavailable> {
+    let unavailable = |reason| ConfigurationUnavailable { reason };
+    let path = std::env::var("EDGE_CONFIG").map_err(|_| unavailable("EDGE_CONFIG is not set".to_owned()))?;
+    std::fs::read(&path).map_err(|error| unavailable(format!("configuration {path}: {error}")))
 }
 
-fn parse(text: Result<Vec<u8>, String>) -> Result<Config, StartError> {
-    Ok(serde_json::from_slice(&text.map_err(StartError::Unread)?)?)
+fn parse(text: Result<Vec<u8>, ConfigurationUnavailable>) -> Result<Config, StartError> {
+    Ok(serde_json::from_slice(&text?)?)
 }
 
 async fn serve(
     config: Config,
-    configuration: Configuration,
+    configuration: ConfigurationSource,
     control: Option<PathBuf>,
 ) -> Result<(), StartError> {
     // Heeded before anything else: unheeded, it would end the program.
@@ -180,7 +202,7 @@
     let listener =
         listen(config.listen).map_err(|source| StartError::Listen { at: config.listen, source })?;
     let at = listener.local_addr()?;
-    let (phase, phases) = watch::channel(Phase::Serving);
+    let (phase, phases) = watch::channel(DrainPhase::Serving);
     let control_at = control;
     let control = Rc::new(control::Control {
         name: config.name.clone(),
@@ -208,15 +230,19 @@
     asked_to_stop(&mut terminate, &mut interrupt).await;
     control.ends.set(true);
     tracing::info!("{} stops", config.name);
-    phase.send_replace(Phase::Stopping);
+    phase.send_replace(DrainPhase::Draining);
     node.stop_probing();
     sleep(STILL_TAKES).await;
-    phase.send_replace(Phase::Closing);
+    phase.send_replace(DrainPhase::ClosingIdle);
     sleep(LAST_ONES).await;
-    phase.send_replace(Phase::Closed);
+    phase.send_replace(DrainPhase::Closed);
     // Every connection ends by itself: a request that is half here when the last one has been taken may still come whole, have all
     // of its time, and its client some more to take the answer in.
-    let _ = timeout(seats::WHOLE_WITHIN + deadline + seats::TAKEN_WITHIN, served).await;
+    let _ = timeout(
+        connection_limits::REQUEST_READ_TIMEOUT + deadline + connection_limits::RESPONSE_WRITE_TIMEOUT,
+        served,
+    )
+    .await;
     if let Some(at) = control_at {
         let _ = std::fs::remove_file(at);
     }
@@ -225,7 +251,11 @@
 
 /// Reads the configuration anew at each SIGHUP. Discovery's address is taken from it at once; all else counts
 /// from the next start. With a file that can't be used everything stays as it is.
-async fn heed_reloads(mut hangup: Signal, address: watch::Sender<SocketAddr>, configuration: Configuration) {
+async fn heed_reloads(
+    mut hangup: Signal,
+    address: watch::Sender<SocketAddr>,
+    configuration: ConfigurationSource,
+) {
     while hangup.recv().await.is_some() {
         match reread(&configuration) {
             Ok(discovery) => {
@@ -237,7 +267,7 @@
     }
 }
 
-fn reread(configuration: &Configuration) -> Result<SocketAddr, StartError> {
+fn reread(configuration: &ConfigurationSource) -> Result<SocketAddr, StartError> {
     let config = parse(configuration())?;
     ivyhatch_node_settings::read(&config.settings).map_err(StartError::Settings)?;
     Ok(config.discovery)
--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -12,9 +12,10 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout_at};
 
+use crate::client_listener::{self, DrainPhase, RequestHandler};
+use crate::connection_limits::{ClientConnection, ConnectionLimiter, ConnectionTimeouts, UnreadInput};
 use crate::driver::{Asked, Call, Node, Reply};
-use crate::front::{self, Answers, Phase, end_to_end};
-use crate::seats::{Seat, Seats, Times};
+use crate::hop_by_hop::without_hop_by_hop_headers;
 use crate::upstream::MAX_BODY;
 
 const MAX_HEAD: usize = 32 * 1024;
@@ -71,34 +72,41 @@
 
 type Answer = Response<Full<Bytes>>;
 
-/// Serves until the phase is [`Phase::Closed`] and all connections have ended. At most `most` are open.
-pub async fn run(listener: TcpListener, node: Node, most: usize, phase: watch::Receiver<Phase>) {
-    front::run(listener, Seats::new(most, Times::default()), phase, MAX_HEAD, node).await;
+/// Serves until the phase is [`DrainPhase::Closed`] and all connections have ended. At most `most` are open.
+pub async fn run(listener: TcpListener, node: Node, most: usize, phase: watch::Receiver<DrainPhase>) {
+    client_listener::serve(
+        listener,
+        ConnectionLimiter::new(most, ConnectionTimeouts::default()),
+        phase,
+        MAX_HEAD,
+        node,
+    )
+    .await;
 }
 
-impl Answers for Node {
+impl RequestHandler for Node {
     type Body = Full<Bytes>;
 
     async fn answer(
         &self,
-        seat: Rc<Seat>,
+        connection: Rc<ClientConnection>,
         request: Request<Incoming>,
-        phase: watch::Receiver<Phase>,
+        phase: watch::Receiver<DrainPhase>,
     ) -> Answer {
-        answer(self, &seat, request, &phase).await
+        answer(self, &connection, request, &phase).await
     }
 }
 
 async fn answer(
     node: &Node,
-    seat: &Seat,
+    connection: &ClientConnection,
     request: Request<Incoming>,
-    phase: &watch::Receiver<Phase>,
+    phase: &watch::Receiver<DrainPhase>,
 ) -> Answer {
-    let whole_by = seat.arriving();
-    let serving = || *phase.borrow() == Phase::Serving;
+    let whole_by = connection.request_arriving();
+    let serving = || *phase.borrow() == DrainPhase::Serving;
     let (response, bad) = match request.uri().path() {
-        "/api" => match call(node, seat, request, whole_by).await {
+        "/api" => match call(node, connection, request, whole_by).await {
             Ok(response) => (response, false),
             Err(bad) => (plain(bad.status(), &bad.to_string()), true),
         },
@@ -111,23 +119,23 @@
     };
     let mut response = response;
     // Where one request made no sense there is no telling where the next one begins.
-    if bad || !serving() || seat.is_surplus() {
+    if bad || !serving() || connection.exceeds_idle_limit() {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
-    seat.answering(bad);
+    connection.response_started(if bad { UnreadInput::Possible } else { UnreadInput::None });
     response
 }
 
 async fn call(
     node: &Node,
-    seat: &Seat,
+    connection: &ClientConnection,
     request: Request<Incoming>,
     whole_by: Instant,
 ) -> Result<Answer, BadCall> {
     let came = node.clock().now();
     let (head, body) = request.into_parts();
     let headers = &head.headers;
-    check_framing(headers, &body, seat)?;
+    check_framing(headers, &body, connection)?;
     if !(1..=LONGEST_ID).contains(&required(headers, CALL_ID)?.len()) {
         return Err(BadCall::Unreadable(CALL_ID));
     }
@@ -156,19 +164,19 @@
         call: Call {
             method: head.method,
             target: head.uri,
-            headers: end_to_end(head.headers, &[CALL_ID, KEY]),
+            headers: without_hop_by_hop_headers(head.headers, &[CALL_ID, KEY]),
             body,
         },
     };
     let waiting = node.submit(asked).ok_or(BadCall::Taken(CALL_ID))?;
-    seat.open();
+    connection.request_accepted();
     Ok(worded(waiting.answer().await))
 }
 
 /// Transfer codings are not taken at all: where a length stands beside one, the parser drops it unseen, in
 /// either order, and what one side takes for a body is a request of its own to the other.
-fn check_framing(headers: &HeaderMap, body: &Incoming, seat: &Seat) -> Result<(), BadCall> {
-    if seat.doubled() {
+fn check_framing(headers: &HeaderMap, body: &Incoming, connection: &ClientConnection) -> Result<(), BadCall> {
+    if connection.has_duplicate_content_length() {
         return Err(BadCall::Unreadable("content-length"));
     }
     if headers.contains_key(header::TRANSFER_ENCODING) {
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -23,7 +23,9 @@
 
 use crate::driver::{Clock, Ending, Launch, Launcher, Node};
 use crate::prober::{Probe, Prober};
-use crate::tap::{Heard, Tap, hurry};
+use crate::response_byte_observer::ResponseByteObserver;
+use crate::stream_observer::ObservedStream;
+use crate::tcp_options::set_nodelay_if_possible;
 
 /// No body is larger, either way.
 pub const MAX_BODY: usize = 64 * 1024;
@@ -56,7 +58,7 @@
 /// A connection, and what is heard on it.
 pub(crate) struct Link {
     pub(crate) send: SendRequest<Full<Bytes>>,
-    heard: Heard,
+    heard: ResponseByteObserver,
 }
 
 struct Idle {
@@ -212,7 +214,7 @@
             }
             let Some(mut message) = self.message(launch) else { return Ending::bare(Outcome::Moot) };
             let heard = link.heard.clone();
-            heard.listen(&mut message);
+            heard.expect_response_to(&mut message);
             written.set(true);
             let ending = tokio::select! {
                 biased;
@@ -221,7 +223,7 @@
             };
             match ending {
                 Some(ending) => {
-                    let reset = ending.outcome == Outcome::Reset && !heard.anything();
+                    let reset = ending.outcome == Outcome::Reset && !heard.has_received_bytes();
                     rest.into_iter().for_each(|rest| self.aged.used(rest, reset));
                     return ending;
                 }
@@ -332,9 +334,9 @@
 }
 
 async fn link_over(stream: TcpStream, endpoint: SocketAddr, counted: Counted) -> Option<Link> {
-    hurry(&stream);
-    let heard = Heard::default();
-    let tap = Tap { stream, ear: heard.clone() };
+    set_nodelay_if_possible(&stream);
+    let heard = ResponseByteObserver::default();
+    let tap = ObservedStream { stream, observer: heard.clone() };
     let mut builder = Builder::new();
     builder.max_buf_size(MAX_HEAD).max_headers(MAX_LINES);
     let (send, connection) = builder.handshake(TokioIo::new(tap)).await.ok()?;
@@ -408,13 +410,13 @@
     use tokio::task::LocalSet;
 
     use super::*;
-    use crate::tap::tests::unhurried;
+    use crate::tcp_options::tests::stream_that_rejects_nodelay;
 
     /// A fleet's nodes could not set the option on connections that worked, and took every server that they probed for
     /// one that can't be reached.
     #[tokio::test]
     async fn a_connection_that_cannot_be_hurried_carries_its_exchange() {
-        let (ours, mut theirs) = unhurried();
+        let (ours, mut theirs) = stream_that_rejects_nodelay();
         let endpoint = SocketAddr::from(([127, 0, 0, 1], 9));
         let exchange = async {
             let link = link_over(ours, endpoint, Counted::new(&Rc::default())).await;
--- a/system/src/router/answer.rs
+++ b/system/src/router/answer.rs
@@ -9,7 +9,7 @@
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::header::HeaderMap;
 use hyper::{Response, StatusCode};
-use ivyhatch_node::seats::Seat;
+use ivyhatch_node::connection_limits::{ClientConnection, UnreadInput};
 use ivyhatch_protocol::Nanos;
 use tokio::sync::mpsc;
 
@@ -87,7 +87,7 @@
 /// A stream on its way to a client.
 pub struct Streamed {
     pieces: Pieces,
-    seat: Rc<Seat>,
+    connection: Rc<ClientConnection>,
     /// Dropped with the body: a client that leaves takes its request with it.
     _waiting: Waiting,
 }
@@ -99,8 +99,8 @@
     }
 
     /// A stream.
-    pub fn stream(pieces: Pieces, seat: Rc<Seat>, waiting: Waiting) -> Self {
-        Self::Stream(Streamed { pieces, seat, _waiting: waiting })
+    pub fn stream(pieces: Pieces, connection: Rc<ClientConnection>, waiting: Waiting) -> Self {
+        Self::Stream(Streamed { pieces, connection, _waiting: waiting })
     }
 }
 
@@ -116,7 +116,7 @@
             Self::Stream(stream) => stream.pieces.pieces.poll_recv(cx).map(|piece| match piece {
                 Some(piece) => Some(Ok(Frame::data(piece))),
                 None => {
-                    stream.seat.answering(false);
+                    stream.connection.response_started(UnreadInput::None);
                     (!stream.pieces.complete.get()).then_some(Err(Broken))
                 }
             }),
--- a/system/src/router/clients.rs
+++ b/system/src/router/clients.rs
@@ -8,8 +8,9 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Request, Response, StatusCode};
-use ivyhatch_node::front::{Answers, Phase, end_to_end};
-use ivyhatch_node::seats::{Seat, Seats};
+use ivyhatch_node::client_listener::{DrainPhase, RequestHandler};
+use ivyhatch_node::connection_limits::{ClientConnection, ConnectionLimiter, UnreadInput};
+use ivyhatch_node::hop_by_hop::without_hop_by_hop_headers;
 use ivyhatch_protocol::configuration::Route;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 use ivyhatch_routing::prompt::Prompt;
@@ -47,7 +48,7 @@
 /// Answers clients.
 pub struct Clients {
     dispatcher: Dispatcher,
-    seats: Rc<Seats>,
+    connections: Rc<ConnectionLimiter>,
 }
 
 /// What is wrong with a request.
@@ -89,19 +90,19 @@
 
 impl Clients {
     /// Answers by this dispatcher.
-    pub fn new(dispatcher: Dispatcher, seats: Rc<Seats>) -> Self {
-        Self { dispatcher, seats }
+    pub fn new(dispatcher: Dispatcher, connections: Rc<ConnectionLimiter>) -> Self {
+        Self { dispatcher, connections }
     }
 
     async fn call(
         &self,
-        seat: &Rc<Seat>,
+        connection: &Rc<ClientConnection>,
         request: Request<Incoming>,
         whole_by: Instant,
     ) -> Result<Answer, BadRequest> {
         let came = self.dispatcher.now();
         let (head, body) = request.into_parts();
-        if seat.doubled() {
+        if connection.has_duplicate_content_length() {
             return Err(BadRequest::Header("content-length"));
         }
         let id = single(&head.headers, ATTEMPT_ID).ok_or(BadRequest::Header(ATTEMPT_ID))?.to_owned();
@@ -141,12 +142,12 @@
             call,
         };
         let (waiting, answer) = self.dispatcher.submit(asked).ok_or(BadRequest::Taken)?;
-        seat.open();
+        connection.request_accepted();
         // The sender is dropped unused only if the request has vanished, which promises nothing.
         let reply = answer.await.unwrap_or(Reply::Failed(StatusCode::BAD_GATEWAY, "failed"));
         Ok(match reply {
             Reply::Stream(head, pieces) => {
-                let mut response = Response::new(AnswerBody::stream(pieces, seat.clone(), waiting));
+                let mut response = Response::new(AnswerBody::stream(pieces, connection.clone(), waiting));
                 (*response.status_mut(), *response.headers_mut()) = (head.status, head.headers);
                 return Ok(response);
             }
@@ -170,17 +171,17 @@
     }
 }
 
-impl Answers for Clients {
+impl RequestHandler for Clients {
     type Body = AnswerBody;
 
     async fn answer(
         &self,
-        seat: Rc<Seat>,
+        connection: Rc<ClientConnection>,
         request: Request<Incoming>,
-        phase: watch::Receiver<Phase>,
+        phase: watch::Receiver<DrainPhase>,
     ) -> Answer {
-        let whole_by = seat.arriving();
-        let (mut response, ends) = match self.call(&seat, request, whole_by).await {
+        let whole_by = connection.request_arriving();
+        let (mut response, ends) = match self.call(&connection, request, whole_by).await {
             Ok(response) => (response, false),
             Err(bad) => {
                 let mut response = plain(bad.status(), &bad.to_string());
@@ -190,19 +191,25 @@
                 (response, bad.ends_connection())
             }
         };
-        let ends = ends || *phase.borrow() != Phase::Serving || seat.is_surplus();
+        let ends = ends || *phase.borrow() != DrainPhase::Serving || connection.exceeds_idle_limit();
         let headers = response.headers_mut();
         if ends {
             headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
         } else {
-            let kept =
-                self.seats.times().idle.saturating_sub(Duration::from_secs(KEEP_MARGIN_S)).as_secs().max(1);
+            let kept = self
+                .connections
+                .timeouts()
+                .idle
+                .saturating_sub(Duration::from_secs(KEEP_MARGIN_S))
+                .as_secs()
+                .max(1);
             if let Ok(value) = HeaderValue::from_str(&format!("timeout={kept}")) {
                 headers.insert(HeaderName::from_static("keep-alive"), value);
             }
         }
         if !matches!(response.body(), AnswerBody::Stream(_)) {
-            seat.answering(ends && response.status() != StatusCode::OK);
+            let rejected = ends && response.status() != StatusCode::OK;
+            connection.response_started(if rejected { UnreadInput::Possible } else { UnreadInput::None });
         }
         response
     }
@@ -228,7 +235,7 @@
 
 /// The headers that go on to a server. What each attempt sets itself comes off.
 fn outgoing(headers: HeaderMap, route: &Route) -> HeaderMap {
-    let mut headers = end_to_end(headers, &[ATTEMPT_ID]);
+    let mut headers = without_hop_by_hop_headers(headers, &[ATTEMPT_ID]);
     for name in [DEADLINE, EXPECT_INSTANCE, PRIORITY] {
         headers.remove(name);
     }
--- a/system/src/router/dispatch/mod.rs
+++ b/system/src/router/dispatch/mod.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use ivyhatch_balancer::{Outcome, RequestId, Stage};
-use ivyhatch_node::seats::{Seats, Times};
+use ivyhatch_node::connection_limits::{ConnectionLimiter, ConnectionTimeouts};
 use ivyhatch_protocol::configuration::{Limits, Route};
 use ivyhatch_protocol::settings::Settings;
 use ivyhatch_protocol::watch::Server;
@@ -40,7 +40,7 @@
 pub struct Dispatcher {
     state: Rc<RefCell<DispatcherState>>,
     upstream: Rc<Upstream>,
-    seats: Rc<Seats>,
+    connections: Rc<ConnectionLimiter>,
     timer: Rc<Notify>,
     readied: Rc<Notify>,
     clock: Clock,
@@ -61,9 +61,14 @@
 
 impl Dispatcher {
     /// One that knows no route and no server yet.
-    pub fn new(settings: &Settings, clock: Clock, upstream: Rc<Upstream>, seats: Rc<Seats>) -> Self {
+    pub fn new(
+        settings: &Settings,
+        clock: Clock,
+        upstream: Rc<Upstream>,
+        connections: Rc<ConnectionLimiter>,
+    ) -> Self {
         let state = Rc::new(RefCell::new(DispatcherState::new(settings, clock)));
-        Self { state, upstream, seats, timer: Rc::default(), readied: Rc::default(), clock }
+        Self { state, upstream, connections, timer: Rc::default(), readied: Rc::default(), clock }
     }
 
     /// The present.
@@ -116,8 +121,10 @@
         }
         let limits = self.limits();
         let time = |ms: f64| Duration::from_millis(ms.clamp(100.0, 600_000.0) as u64);
-        self.seats
-            .set_times(Times { whole: time(limits.header_timeout_ms), idle: time(limits.idle_timeout_ms) });
+        self.connections.set_timeouts(ConnectionTimeouts {
+            request_read: time(limits.header_timeout_ms),
+            idle: time(limits.idle_timeout_ms),
+        });
     }
 
     /// Takes the list of servers in; `evacuation` tells whether a zone is evacuated, and how often that has changed.
--- a/system/src/router/mod.rs
+++ b/system/src/router/mod.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use hyper::{Method, StatusCode};
-use ivyhatch_node::front::{self, Phase};
-use ivyhatch_node::seats::{Seats, Times};
+use ivyhatch_node::client_listener::{self, DrainPhase};
+use ivyhatch_node::connection_limits::{ConnectionLimiter, ConnectionTimeouts};
 use ivyhatch_protocol::settings::Settings;
 use ivyhatch_protocol::watch::{Router, RouterState};
 use tokio::signal::unix::{SignalKind, signal};
@@ -57,19 +57,19 @@
     log::info!("event=starts role=router node={} zone={}", settings.ip, settings.zone);
     let upstream = Rc::new(Upstream::new(clock, descriptors / 2));
     spawn_local(upstream.clone().sweep());
-    let seats = Seats::new(descriptors / 2, Times::default());
-    let dispatcher = Dispatcher::new(&settings, clock, upstream, seats.clone());
+    let connections = ConnectionLimiter::new(descriptors / 2, ConnectionTimeouts::default());
+    let dispatcher = Dispatcher::new(&settings, clock, upstream, connections.clone());
     let timers = dispatcher.clone();
     spawn_local(async move { timers.run_timers().await });
     let sessions = Sessions::start(&settings, clock, router, dispatcher.clone());
-    let (phase, phases) = watch::channel(Phase::Serving);
+    let (phase, phases) = watch::channel(DrainPhase::Serving);
     let ready = (dispatcher.clone(), phases.clone());
     spawn_local(http::serve(readiness, move |call| {
         let answer = readiness_of(&call, &ready.0, &ready.1);
         async move { answer }
     }));
-    let answers = Clients::new(dispatcher.clone(), seats.clone());
-    let served = spawn_local(front::run(clients, seats, phases, LONGEST_HEAD, answers));
+    let answers = Clients::new(dispatcher.clone(), connections.clone());
+    let served = spawn_local(client_listener::serve(clients, connections, phases, LONGEST_HEAD, answers));
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
@@ -78,12 +78,12 @@
     }
     let killed = Instant::now() + Duration::from_secs_f64(settings.bounds.grace_s.max(1.0));
     log::info!("event=ends role=router open={}", dispatcher.open());
-    phase.send_replace(Phase::Stopping);
+    phase.send_replace(DrainPhase::Draining);
     sessions.state(RouterState::Leaving);
     sleep(STILL_TAKES).await;
-    phase.send_replace(Phase::Closing);
+    phase.send_replace(DrainPhase::ClosingIdle);
     sleep(LAST_ONES).await;
-    phase.send_replace(Phase::Closed);
+    phase.send_replace(DrainPhase::Closed);
     let _ = timeout_at(killed - BEFORE_KILL, served).await;
     if dispatcher.open() > 0 {
         sleep_until(killed - BEFORE_KILL).await;
@@ -92,10 +92,14 @@
     Ok(())
 }
 
-fn readiness_of(call: &http::Call, dispatcher: &Dispatcher, phase: &watch::Receiver<Phase>) -> http::Answer {
+fn readiness_of(
+    call: &http::Call,
+    dispatcher: &Dispatcher,
+    phase: &watch::Receiver<DrainPhase>,
+) -> http::Answer {
     let segments: Vec<&str> = call.segments.iter().map(String::as_str).collect();
     match (&call.method, segments.as_slice()) {
-        (&Method::GET, ["-", "readyz"]) if *phase.borrow() != Phase::Serving => {
+        (&Method::GET, ["-", "readyz"]) if *phase.borrow() != DrainPhase::Serving => {
             http::again("this router ends")
         }
         (&Method::GET, ["-", "readyz"]) if !dispatcher.is_ready() => {
--- a/system/src/router/upstream/mod.rs
+++ b/system/src/router/upstream/mod.rs
@@ -16,7 +16,7 @@
 use hyper::header::{HOST, HeaderValue};
 use hyper::{Request, Response, Uri};
 use ivyhatch_balancer::{BackendId, Outcome};
-use ivyhatch_node::front::end_to_end;
+use ivyhatch_node::hop_by_hop::without_hop_by_hop_headers;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 use ivyhatch_routing::engine::Load;
 use ivyhatch_routing::events::Events;
@@ -197,7 +197,7 @@
         let load = response::load(&head.headers);
         let keep_alive = response::keep_alive(&head.headers);
         let status = head.status;
-        let passed = Head { status, headers: end_to_end(head.headers, &[ATTEMPT_ID]) };
+        let passed = Head { status, headers: without_hop_by_hop_headers(head.headers, &[ATTEMPT_ID]) };
         match verdict {
             Verdict::Spoilt => Exchange::broken(Outcome::Spoilt),
             // It may have run, and the client must not be told that it did not.
