--- a/system/src/router/dispatch/services.rs
+++ b/system/src/router/dispatch/services.rs
@@ -8,7 +8,7 @@
     Balancer, ClassId, ClassSettings, Discovery, Event, Idempotency, LoadReporting, ZoneId,
 };
 use ivyhatch_protocol::configuration::Route;
-use ivyhatch_protocol::ids::fnv1a_hash;
+use ivyhatch_protocol::hash::fnv1a_hash;
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 use ivyhatch_routing::placement::{Placement, RegionSet, ServiceSettings, SharedPlacement, SlowStartLimit};
 use ivyhatch_routing::route_table::{PreparedChange, UnreadableItem};
