--- a/simulation/src/run/alterations.rs
+++ b/simulation/src/run/alterations.rs
@@ -5,7 +5,7 @@
 use ivyhatch_protocol::peer::{ConsensusMessage, PeerMessage};
 
 use super::{World, place};
-use crate::planted::Planted;
+use crate::injected_bugs::InjectedBug;
 
 impl World<'_> {
     /// A message as it is sent with a known fault put in; none where it is not sent.
@@ -16,10 +16,10 @@
         message: PeerMessage,
         events: &mut Vec<Input>,
     ) -> Option<PeerMessage> {
-        let Some(planted) = self.planted else { return Some(message) };
-        match (planted, message) {
+        let Some(injected_bug) = self.injected_bug else { return Some(message) };
+        match (injected_bug, message) {
             (
-                Planted::SkipsConfirmation,
+                InjectedBug::SkipsConfirmation,
                 PeerMessage::Consensus {
                     generation,
                     partition: part,
@@ -31,7 +31,7 @@
                 None
             }
             (
-                Planted::AcceptsLowerEpoch,
+                InjectedBug::AcceptsLowerEpoch,
                 PeerMessage::Consensus {
                     generation,
                     partition: part,
@@ -45,7 +45,7 @@
                 Some(PeerMessage::Consensus { generation, partition: part, message })
             }
             (
-                Planted::LeadsWithoutElection,
+                InjectedBug::LeadsWithoutElection,
                 PeerMessage::Consensus {
                     generation,
                     partition: part,
@@ -57,7 +57,7 @@
                 None
             }
             (
-                Planted::ChangesMembershipAlone,
+                InjectedBug::ChangesMembershipAlone,
                 PeerMessage::Consensus { generation, partition: part @ PartitionId::MEMBERSHIP, message },
             ) => {
                 let message = match message {
@@ -72,7 +72,10 @@
                 events.push(Input::Peer(to, PeerMessage::Consensus { generation, partition: part, message }));
                 None
             }
-            (Planted::CountsBeforeState, PeerMessage::StateTransferRequest { incarnation, generation }) => {
+            (
+                InjectedBug::CountsBeforeState,
+                PeerMessage::StateTransferRequest { incarnation, generation },
+            ) => {
                 let node = self.machines[place(to)].node.as_ref();
                 let disk = node.and_then(ControlPlane::replica)?.disk;
                 let partitions = Vec::new();
@@ -81,7 +84,7 @@
                 None
             }
             (
-                Planted::OldGenerationCounts,
+                InjectedBug::OldGenerationCounts,
                 PeerMessage::Consensus { partition: part, message, generation },
             ) => {
                 let receiver = self.machines.get(place(to)).and_then(|machine| machine.node.as_ref());
--- a/system/src/router/clients.rs
+++ b/system/src/router/clients.rs
@@ -13,7 +13,7 @@
 use ivyhatch_node::hop_by_hop::without_hop_by_hop_headers;
 use ivyhatch_protocol::configuration::Route;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
-use ivyhatch_routing::prefix_cache::Prompt;
+use ivyhatch_routing::prompt::Prompt;
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout_at};
 
