--- a/system/src/router/mod.rs
+++ b/system/src/router/mod.rs
@@ -1,112 +1,140 @@
-//! The role that takes clients' requests: carries out what the design and `ivyhatch-routing` decide.
+//! The router role: takes clients' requests and forwards them to servers.
+//!
+//! `ivyhatch-balancer` and `ivyhatch-routing` decide; this module's parts carry out what they decide, in one thread:
+//!
+//! - [`clients`]: reads requests and writes responses
+//! - [`dispatch`]: the request table, and the balancers of all services
+//! - [`upstream`]: attempts over connections to servers
+//! - [`watch_session`]: the configuration and the server list, from control nodes
+//! - [`readiness`]: whether clients may be sent here
 
 mod answer;
 mod clients;
 mod dispatch;
+mod readiness;
 mod upstream;
 mod watch_session;
 
+use std::net::SocketAddrV4;
 use std::rc::Rc;
 use std::time::Duration;
 
-use hyper::{Method, StatusCode};
-use ivyhatch_node::front::{self, Phase};
-use ivyhatch_node::seats::{Seats, Times};
+use ivyhatch_node::client_listener::{self, DrainPhase};
+use ivyhatch_node::connection_limits::{ConnectionLimiter, ConnectionTimeouts};
 use ivyhatch_protocol::settings::Settings;
 use ivyhatch_protocol::watch::{Router, RouterState};
+use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
-use tokio::task::spawn_local;
+use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
 use crate::clock::Clock;
 use crate::transport::socket;
-use crate::{RoleError, http_server as http};
+use crate::{RoleError, http_server};
 use clients::Clients;
 use dispatch::Dispatcher;
 use upstream::Upstream;
 use watch_session::WatchSession;
 
-/// After SIGTERM connections go on coming for so long: clients keep the directory's answers for some seconds.
-const STILL_TAKES: Duration = Duration::from_millis(3000);
-/// Connections that cross the closing of idle ones are taken up to here after that.
-const LAST_ONES: Duration = Duration::from_millis(100);
-/// The last answers have to be out this long before the process is killed.
-const BEFORE_KILL: Duration = Duration::from_millis(600);
-/// Descriptors that are kept for the process's own needs, and for files.
-const OWN_DESCRIPTORS: usize = 300;
-/// The longest head that is read; the configuration's limit is lower or equal.
-const LONGEST_HEAD: usize = 32 * 1024;
+/// After SIGTERM connections are still accepted for so long: clients cache the directory's responses for some seconds.
+const DRAIN_DURATION: Duration = Duration::from_millis(3000);
+/// Once idle connections are closed, new ones are accepted for so long: clients' connects may cross the closing.
+const CLOSING_DURATION: Duration = Duration::from_millis(100);
+/// The last responses are written this long before the process is killed.
+const KILL_MARGIN: Duration = Duration::from_millis(600);
+/// The least time between SIGTERM and the kill that is reckoned with, in seconds.
+const MIN_GRACE_S: f64 = 1.0;
+/// Descriptors reserved for the process's own needs, and for files.
+const RESERVED_DESCRIPTORS: usize = 300;
+/// The least number of descriptors for clients and servers together.
+const MIN_DESCRIPTORS: usize = 64;
+/// The longest request head that is read; the configuration's limit is lower or equal.
+const MAX_HEAD_BYTES: usize = 32 * 1024;
 
-/// Runs the role until the process is told to end.
+/// The role's listening sockets.
+struct Listeners {
+    clients: TcpListener,
+    client_address: SocketAddrV4,
+    readiness: TcpListener,
+}
+
+impl Listeners {
+    fn bind(settings: &Settings) -> Result<Self, RoleError> {
+        let client_address = settings.listen_address("front", |listen| listen.client)?;
+        let readiness_address = settings.listen_address("readiness", |listen| listen.readiness)?;
+        let bind = |address| socket::listen(address).map_err(|source| RoleError::Listen { address, source });
+        Ok(Self { clients: bind(client_address)?, client_address, readiness: bind(readiness_address)? })
+    }
+}
+
+/// Runs the role until SIGTERM, and then until its requests have ended.
+///
+/// # Errors
+/// Where the role can't start.
 pub async fn run(settings: Settings) -> Result<(), RoleError> {
     let clock = Clock::start();
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
-    let front_at = settings.listen_address("front", |listen| listen.client)?;
-    let ready_at = settings.listen_address("readiness", |listen| listen.readiness)?;
-    let bind = |at| socket::listen(at).map_err(|source| RoleError::Listen { address: at, source });
-    let (clients, readiness) = (bind(front_at)?, bind(ready_at)?);
-    let descriptors = settings.limits.max_fds.saturating_sub(OWN_DESCRIPTORS).max(64);
+    let listeners = Listeners::bind(&settings)?;
+    let descriptors = settings.limits.max_fds.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_DESCRIPTORS);
     let router = Router {
         node: settings.ip.into(),
-        client_address: front_at.to_string(),
+        client_address: listeners.client_address.to_string(),
         zone: settings.zone.clone(),
         region: settings.region.clone(),
         state: RouterState::Starting,
     };
-    log::info!("event=starts role=router node={} zone={}", settings.ip, settings.zone);
+    log::info!("event=role_started role=router node={} zone={}", settings.ip, settings.zone);
     let upstream = Rc::new(Upstream::new(clock, descriptors / 2));
     spawn_local(upstream.clone().sweep());
-    let seats = Seats::new(descriptors / 2, Times::default());
-    let dispatcher = Dispatcher::new(&settings, clock, upstream, seats.clone());
+    let connections = ConnectionLimiter::new(descriptors / 2, ConnectionTimeouts::default());
+    let dispatcher = Dispatcher::new(&settings, clock, upstream, connections.clone());
     let timers = dispatcher.clone();
     spawn_local(async move { timers.run_timers().await });
-    let sessions = WatchSession::start(&settings, clock, router, dispatcher.clone());
-    let (phase, phases) = watch::channel(Phase::Serving);
-    let ready = (dispatcher.clone(), phases.clone());
-    spawn_local(http::serve(readiness, move |call| {
-        let answer = readiness_of(&call, &ready.0, &ready.1);
-        async move { answer }
-    }));
-    let answers = Clients::new(dispatcher.clone(), seats.clone());
-    let served = spawn_local(front::run(clients, seats, phases, LONGEST_HEAD, answers));
+    let watch_session = WatchSession::start(&settings, clock, router, dispatcher.clone());
+    let (phase, phases) = watch::channel(DrainPhase::Serving);
+    spawn_readiness(listeners.readiness, &dispatcher, &phases);
+    let handler = Clients::new(dispatcher.clone(), connections.clone());
+    let server = client_listener::serve(listeners.clients, connections, phases, MAX_HEAD_BYTES, handler);
+    let server = spawn_local(server);
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
-            _ = hangup.recv() => sessions.reload_settings(),
+            _ = hangup.recv() => watch_session.reload_settings(),
         }
     }
-    let killed = Instant::now() + Duration::from_secs_f64(settings.bounds.shutdown_grace_s.max(1.0));
-    log::info!("event=ends role=router open={}", dispatcher.open());
-    phase.send_replace(Phase::Stopping);
-    sessions.set_state(RouterState::Draining);
-    sleep(STILL_TAKES).await;
-    phase.send_replace(Phase::Closing);
-    sleep(LAST_ONES).await;
-    phase.send_replace(Phase::Closed);
-    let _ = timeout_at(killed - BEFORE_KILL, served).await;
-    if dispatcher.open() > 0 {
-        sleep_until(killed - BEFORE_KILL).await;
-    }
-    log::info!("event=ended role=router open={}", dispatcher.open());
+    let grace = Duration::from_secs_f64(settings.bounds.shutdown_grace_s.max(MIN_GRACE_S));
+    let end_by = Instant::now() + grace - KILL_MARGIN;
+    shut_down(&dispatcher, &watch_session, &phase, server, end_by).await;
     Ok(())
 }
 
-fn readiness_of(
-    call: &http::HttpRequest,
+fn spawn_readiness(listener: TcpListener, dispatcher: &Dispatcher, phase: &watch::Receiver<DrainPhase>) {
+    let (dispatcher, phase) = (dispatcher.clone(), phase.clone());
+    spawn_local(http_server::serve(listener, move |request| {
+        std::future::ready(readiness::respond(&request, &dispatcher, &phase))
+    }));
+}
+
+/// Leaves the directory, drains client connections, and returns when all requests have ended, at `end_by` at the latest.
+async fn shut_down(
     dispatcher: &Dispatcher,
-    phase: &watch::Receiver<Phase>,
-) -> http::HttpResponse {
-    let segments: Vec<&str> = call.segments.iter().map(String::as_str).collect();
-    match (&call.method, segments.as_slice()) {
-        (&Method::GET, ["-", "readyz"]) if *phase.borrow() != Phase::Serving => {
-            http::unavailable("this router ends")
-        }
-        (&Method::GET, ["-", "readyz"]) if !dispatcher.is_ready() => {
-            http::unavailable("no configuration or no list of servers is known here yet")
-        }
-        (&Method::GET, ["-", "readyz"]) => http::json(StatusCode::OK, "{}".to_owned()),
-        _ => http::error(StatusCode::NOT_FOUND, "this address answers GET /-/readyz"),
+    watch_session: &WatchSession,
+    phase: &watch::Sender<DrainPhase>,
+    server: JoinHandle<()>,
+    end_by: Instant,
+) {
+    log::info!("event=shutdown_begun role=router open={}", dispatcher.open());
+    phase.send_replace(DrainPhase::Draining);
+    watch_session.set_state(RouterState::Draining);
+    sleep(DRAIN_DURATION).await;
+    phase.send_replace(DrainPhase::ClosingIdle);
+    sleep(CLOSING_DURATION).await;
+    phase.send_replace(DrainPhase::Closed);
+    let _ = timeout_at(end_by, server).await;
+    if dispatcher.open() > 0 {
+        sleep_until(end_by).await;
     }
+    log::info!("event=shutdown_complete role=router open={}", dispatcher.open());
 }
--- /dev/null
+++ b/system/src/router/readiness.rs
@@ -0,0 +1,27 @@
+//! The readiness interface: whether the platform may send clients here.
+
+use hyper::{Method, StatusCode};
+use ivyhatch_node::client_listener::DrainPhase;
+use tokio::sync::watch;
+
+use super::dispatch::Dispatcher;
+use crate::http_server::{self, HttpRequest, HttpResponse};
+
+/// Responds to `GET /-/readyz`: 200 once a configuration and a server list are known, and until the router drains.
+pub fn respond(
+    request: &HttpRequest,
+    dispatcher: &Dispatcher,
+    phase: &watch::Receiver<DrainPhase>,
+) -> HttpResponse {
+    let is_known = request.method == Method::GET && request.path() == ["-", "readyz"];
+    if !is_known {
+        return http_server::error(StatusCode::NOT_FOUND, "this address answers GET /-/readyz");
+    }
+    if *phase.borrow() != DrainPhase::Serving {
+        return http_server::unavailable("this router ends");
+    }
+    if !dispatcher.is_ready() {
+        return http_server::unavailable("no configuration or no list of servers is known here yet");
+    }
+    http_server::json(StatusCode::OK, "{}".to_owned())
+}
