--- a/cli/src/hunt.rs
+++ b/cli/src/hunt.rs
@@ -38,8 +38,10 @@
         Ok(from) => from,
         Err(error) => return unusable(&error),
     };
-    let against =
-        Policy::REFERENCES.into_iter().filter(|policy| arguments.truth || *policy != Policy::Truth).collect();
+    let against = Policy::REFERENCES
+        .into_iter()
+        .filter(|policy| arguments.truth || *policy != Policy::Omniscient)
+        .collect();
     let &Arguments { rounds, seed, least, .. } = arguments;
     let hunted = Hunt { from, against, rounds, seed, threads: threads(), least };
     let bar =
--- a/cli/src/lab.rs
+++ b/cli/src/lab.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use clap::{Args, Subcommand};
-use ivyhatch_lab::{DEFAULT_WORLD, Report, World, play};
+use ivyhatch_lab::{DEFAULT_WORLD, Report, World, simulate};
 
 use crate::{bar, experiment, hunt, sockets, unusable};
 
@@ -84,7 +84,7 @@
     for seed in lab.seed..lab.seed.saturating_add(lab.seeds) {
         let began = Instant::now();
         let bar = bar(100, lab.json, "{msg} [{bar:40}] {pos}%").with_message(format!("seed {seed}"));
-        let report = play(&world, seed, &mut |part| bar.set_position((part * 100.0) as u64));
+        let report = simulate(&world, seed, &mut |part| bar.set_position((part * 100.0) as u64));
         bar.finish_and_clear();
         broken += report.rules_broken;
         if lab.json {
--- a/cli/src/sockets.rs
+++ b/cli/src/sockets.rs
@@ -5,15 +5,15 @@
 use std::process::ExitCode;
 
 use clap::Args;
-use ivyhatch_lab::{Report, World, play};
-use ivyhatch_socket_lab::{Command, RigError, Snapshot};
+use ivyhatch_lab::{Report, World, simulate};
+use ivyhatch_socket_lab::{NodeCommand, Snapshot, SocketLabError};
 
 use crate::unusable;
 
 /// This program runs a node as well.
-fn node() -> Result<Command, String> {
+fn node() -> Result<NodeCommand, String> {
     let program = std::env::current_exe().map_err(|error| format!("this program's own file: {error}"))?;
-    Ok(Command { program, arguments: vec!["node".into()] })
+    Ok(NodeCommand { program, arguments: vec!["node".into()] })
 }
 
 /// Plays a world on sockets, until it is over or Ctrl-C comes; none for the latter.
@@ -27,7 +27,7 @@
     let runtime = runtime.map_err(|error| format!("can't start: {error}"))?;
     runtime.block_on(async {
         tokio::select! {
-            report = ivyhatch_socket_lab::play(world, seed, &node, watch) => report.map(Some).map_err(|error: RigError| error.to_string()),
+            report = ivyhatch_socket_lab::run(world, seed, &node, watch) => report.map(Some).map_err(|error: SocketLabError| error.to_string()),
             _ = tokio::signal::ctrl_c() => Ok(None),
         }
     })
@@ -35,7 +35,7 @@
 
 /// Plays a world in virtual time and on sockets, with the same clients, and puts both side by side.
 pub fn both(world: &World, seed: u64, json: bool) -> ExitCode {
-    let model = play(world, seed, &mut |_| {});
+    let model = simulate(world, seed, &mut |_| {});
     let bar = crate::bar((world.seconds * 10.0) as u64, json, "on sockets [{bar:40}] {elapsed}");
     let watched = bar.clone();
     let real = play_real(world, seed, move |now| watched.set_position((now.seconds * 10.0) as u64));
@@ -100,9 +100,9 @@
     let scale = demo.seconds / world.seconds;
     world.seconds = demo.seconds;
     world
-        .trouble
+        .faults
         .iter_mut()
-        .for_each(|trouble| (trouble.from, trouble.to) = (trouble.from * scale, trouble.to * scale));
+        .for_each(|fault| (fault.start_s, fault.end_s) = (fault.start_s * scale, fault.end_s * scale));
     if !demo.json {
         println!(
             "one real node in zone 0, nine stand-in servers in three zones, {} requests a second",
--- a/cli/tests/config.rs
+++ b/cli/tests/config.rs
@@ -7,7 +7,7 @@
 use std::process::{Command, Output, Stdio};
 
 use common::{Ends, fleet, listed};
-use ivyhatch_socket_lab::scripted::{Backend, Client, Discovery, Does, ok};
+use ivyhatch_socket_lab::scripted::{Backend, BackendReply, Client, Discovery, ok};
 use serde_json::{Value, json};
 
 fn ivyhatch(arguments: &[&str]) -> Output {
@@ -51,7 +51,7 @@
 
 #[test]
 fn a_node_runs_from_the_file_and_keeps_what_it_had_when_the_file_turns_bad() {
-    let backend = Backend::new(|_| Does::Writes(ok("served")));
+    let backend = Backend::new(|_| BackendReply::Write(ok("served")));
     let discovery = Discovery::new(json!([listed("s-0", &backend, "a")]));
     let file = tempfile::NamedTempFile::new().unwrap();
     std::fs::write(file.path(), fleet(&discovery.at.to_string())).unwrap();
--- a/cli/tests/control.rs
+++ b/cli/tests/control.rs
@@ -9,7 +9,7 @@
 use std::process::{Command, Stdio};
 
 use common::{Ends, fleet, listed};
-use ivyhatch_socket_lab::scripted::{Backend, Client, Discovery, Does, PATIENCE, ok, until};
+use ivyhatch_socket_lab::scripted::{Backend, BackendReply, Client, Discovery, PATIENCE, ok, until};
 use serde_json::{Value, json};
 
 struct Socket(BufReader<UnixStream>);
@@ -51,7 +51,7 @@
 fn a_drain_lets_all_go_and_is_taken_back() {
     let folder = tempfile::tempdir().unwrap();
     let (file, path) = (folder.path().join("fleet.toml"), folder.path().join("a-1.sock"));
-    let backend = Backend::new(|_| Does::Writes(ok("served")));
+    let backend = Backend::new(|_| BackendReply::Write(ok("served")));
     let discovery = Discovery::new(json!([listed("s-0", &backend, "a")]));
     std::fs::write(&file, fleet(&discovery.at.to_string())).unwrap();
     let mut node = start(&file, &path);
--- a/cli/tests/fleet.rs
+++ b/cli/tests/fleet.rs
@@ -13,7 +13,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use common::listed;
-use ivyhatch_socket_lab::scripted::{Backend, Client, Discovery, Does, ok, status, until};
+use ivyhatch_socket_lab::scripted::{Backend, BackendReply, Client, Discovery, ok, status, until};
 use serde_json::{Value, json};
 
 /// An agent with its nodes; all of them end with the test.
@@ -275,8 +275,8 @@
     let fails = Arc::new(AtomicBool::new(false));
     let failing = fails.clone();
     let backend = Backend::new(move |_| match failing.load(Ordering::SeqCst) {
-        true => Does::Writes(status(500, "")),
-        false => Does::Writes(ok("served")),
+        true => BackendReply::Write(status(500, "")),
+        false => BackendReply::Write(ok("served")),
     });
     let discovery = Discovery::new(json!([listed("s-0", &backend, "b")]));
     let site = Site::with(&[("a-1", "a"), ("b-1", "b")], &discovery.at.to_string());
--- a/cli/tests/golden_node.rs
+++ b/cli/tests/golden_node.rs
@@ -12,7 +12,7 @@
 
 use common::{Ends, fleet, listed};
 use golden::assert_golden;
-use ivyhatch_socket_lab::scripted::{Backend, Discovery, Does, PATIENCE, ok, status, until};
+use ivyhatch_socket_lab::scripted::{Backend, BackendReply, Discovery, PATIENCE, ok, status, until};
 use serde_json::{Value, json};
 use system_common::transcript::Transcript;
 
@@ -78,7 +78,7 @@
 fn node_answers_each_line_on_its_control_socket() {
     let folder = tempfile::tempdir().expect("a folder");
     let (file, path) = (folder.path().join("fleet.toml"), folder.path().join("a-1.sock"));
-    let backend = Backend::new(|_| Does::Writes(ok("served")));
+    let backend = Backend::new(|_| BackendReply::Write(ok("served")));
     let discovery = Discovery::new(json!([listed("s-0", &backend, "a")]));
     std::fs::write(&file, fleet(&discovery.at.to_string())).expect("written");
     let _node = start(&file, &path);
@@ -149,8 +149,8 @@
 fn node_answers_and_rejects_requests() {
     let folder = tempfile::tempdir().expect("a folder");
     let backend = Backend::new(|message| match message.value("x-call-class") {
-        Some("pay") => Does::Writes(status(500, "")),
-        _ => Does::Writes(ok("served")),
+        Some("pay") => BackendReply::Write(status(500, "")),
+        _ => BackendReply::Write(ok("served")),
     });
     let discovery = Discovery::new(json!([listed("s-0", &backend, "a")]));
     let (_node, at) = start_with_server(folder.path(), &backend, &discovery);
--- a/cli/tests/sockets.rs
+++ b/cli/tests/sockets.rs
@@ -5,25 +5,25 @@
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
 
-use ivyhatch_lab::{Group, Kind, Report, Trouble, World, play};
+use ivyhatch_lab::{Fault, FaultKind, Report, ServerGroup, World, simulate};
 
 /// A world of a few seconds, with little to do: what is tested is the sockets, on machines that do other things too.
-fn world(seconds: f64, trouble: Vec<Trouble>) -> World {
+fn world(seconds: f64, faults: Vec<Fault>) -> World {
     let text = include_str!("../../lab/worlds/demo.toml");
     let mut world = World::read(text).expect("sound");
-    (world.seconds, world.nodes, world.trouble) = (seconds, 3, trouble);
+    (world.seconds, world.nodes, world.faults) = (seconds, 3, faults);
     (world.clients.rate, world.clients.zone_shares) = (60.0, Vec::new());
-    world.servers = vec![Group { count: 9, cores: 2, ..Group::default() }];
+    world.servers = vec![ServerGroup { count: 9, cores: 2, ..ServerGroup::default() }];
     world
 }
 
 fn on_sockets(world: &World) -> Report {
-    let node = ivyhatch_socket_lab::Command {
+    let node = ivyhatch_socket_lab::NodeCommand {
         program: PathBuf::from(env!("CARGO_BIN_EXE_ivyhatch")),
         arguments: vec!["node".into()],
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    runtime.block_on(ivyhatch_socket_lab::play(world, 1, &node, |_| {})).expect("it plays")
+    runtime.block_on(ivyhatch_socket_lab::run(world, 1, &node, |_| {})).expect("it plays")
 }
 
 fn ends(report: &Report) -> u64 {
@@ -37,7 +37,7 @@
 #[test]
 fn a_world_on_sockets_serves_what_it_serves_in_virtual_time() {
     let world = world(5.0, vec![]);
-    let (model, real) = (play(&world, 1, &mut |_| {}), on_sockets(&world));
+    let (model, real) = (simulate(&world, 1, &mut |_| {}), on_sockets(&world));
     assert_eq!(real.rules_broken, 0, "{:?}", real.broken);
     for (one, other) in model.classes.iter().zip(&real.classes) {
         assert_eq!(one.asked, other.asked, "the same clients");
@@ -59,22 +59,20 @@
 
 #[test]
 fn troubles_on_sockets_leave_the_rules_kept_and_each_client_with_one_end() {
-    let server = |kind, from, to, servers: &[u32]| Trouble {
-        servers: servers.to_vec(),
-        ..Trouble::new(kind, from, to)
-    };
-    let trouble = vec![
-        server(Kind::Restart, 0.5, 2.0, &[0]),
-        server(Kind::Drain, 1.0, 3.0, &[1]),
-        Trouble { zone: 2, ..Trouble::new(Kind::ZoneCut, 1.5, 3.0) },
-        Trouble { nodes: vec![0], ..Trouble::new(Kind::NodeCrash, 2.0, 3.0) },
-        server(Kind::Hang, 3.0, 3.5, &[3]),
-        server(Kind::Errors, 3.0, 4.5, &[4]),
-        server(Kind::Liar, 3.5, 4.5, &[6]),
-        Trouble::new(Kind::ListDown, 3.5, 4.5),
+    let server =
+        |kind, from, to, servers: &[u32]| Fault { servers: servers.to_vec(), ..Fault::new(kind, from, to) };
+    let faults = vec![
+        server(FaultKind::Restart, 0.5, 2.0, &[0]),
+        server(FaultKind::Drain, 1.0, 3.0, &[1]),
+        Fault { zone: 2, ..Fault::new(FaultKind::ZonePartition, 1.5, 3.0) },
+        Fault { nodes: vec![0], ..Fault::new(FaultKind::NodeCrash, 2.0, 3.0) },
+        server(FaultKind::Hang, 3.0, 3.5, &[3]),
+        server(FaultKind::Errors, 3.0, 4.5, &[4]),
+        server(FaultKind::FalseReadiness, 3.5, 4.5, &[6]),
+        Fault::new(FaultKind::DiscoveryDown, 3.5, 4.5),
     ];
-    let mut world = world(5.0, trouble);
-    world.clients.hang_up = 0.05;
+    let mut world = world(5.0, faults);
+    world.clients.disconnect_ratio = 0.05;
     let report = on_sockets(&world);
     assert_eq!(report.rules_broken, 0, "{:?}", report.broken);
     assert_eq!(ends(&report), report.classes.iter().map(|class| class.asked).sum::<u64>());
@@ -86,8 +84,9 @@
 #[test]
 fn closed_clients_on_sockets_ask_again_as_soon_as_they_are_answered() {
     let mut world = world(4.0, vec![]);
-    (world.clients.rate, world.clients.closed, world.clients.zone_shares) = (0.0, 6, vec![2.0, 1.0, 0.0]);
-    let (model, real) = (play(&world, 1, &mut |_| {}), on_sockets(&world));
+    (world.clients.rate, world.clients.closed_clients, world.clients.zone_shares) =
+        (0.0, 6, vec![2.0, 1.0, 0.0]);
+    let (model, real) = (simulate(&world, 1, &mut |_| {}), on_sockets(&world));
     assert_eq!(real.rules_broken, 0, "{:?}", real.broken);
     let asked = |report: &Report| report.classes.iter().map(|class| class.asked).sum::<u64>() as f64;
     assert_eq!(ends(&real), asked(&real) as u64, "each came to one end");
@@ -99,10 +98,10 @@
 #[test]
 fn what_sockets_can_not_show_is_refused_with_the_reason() {
     let mut world = world(5.0, vec![]);
-    let node = ivyhatch_socket_lab::Command { program: "no-such-program".into(), arguments: Vec::new() };
+    let node = ivyhatch_socket_lab::NodeCommand { program: "no-such-program".into(), arguments: Vec::new() };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let refused = |world: &World| {
-        runtime.block_on(ivyhatch_socket_lab::play(world, 1, &node, |_| {})).unwrap_err().to_string()
+        runtime.block_on(ivyhatch_socket_lab::run(world, 1, &node, |_| {})).unwrap_err().to_string()
     };
     assert!(refused(&world).contains("no-such-program: No such file"), "{}", refused(&world));
     world.servers[0].count = 1000;
--- a/cli/tests/system_calls.rs
+++ b/cli/tests/system_calls.rs
@@ -264,7 +264,7 @@
     }
 }
 
-/// Does this in as many threads as there are clients.
+/// BackendReply this in as many threads as there are clients.
 fn side_by_side(does: impl Fn() + Sync) {
     thread::scope(|scope| {
         (0..CLIENTS).for_each(|_| drop(scope.spawn(&does)));
--- a/cli/tests/system_streams.rs
+++ b/cli/tests/system_streams.rs
@@ -175,8 +175,8 @@
 
 #[test]
 fn what_sheds_or_cannot_be_understood_is_passed_over_on_the_way() {
-    type Does = fn(&Asked) -> Vec<Step>;
-    let between: [Does; 4] = [
+    type BackendReply = fn(&Asked) -> Vec<Step>;
+    let between: [BackendReply; 4] = [
         |_| sheds(),
         |asked| vec![Step::Writes(whole(421, &id(asked.id()), b""))],
         |_| vec![Step::Closes],
--- a/experiments/src/hunt.rs
+++ b/experiments/src/hunt.rs
@@ -6,7 +6,7 @@
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use ivyhatch_lab::{Decider, Kind, Policy, Trouble, World, play, play_with};
+use ivyhatch_lab::{Fault, FaultKind, Policy, PolicyConfig, World, simulate, simulate_with};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -69,14 +69,14 @@
 
 fn score(world: &World, against: &[Policy]) -> Score {
     let mean = |policy: Policy| {
-        let served = |seed| play_with(world, &Decider::of(policy), seed, &mut |_| {}).served;
+        let served = |seed| simulate_with(world, &PolicyConfig::new(policy), seed, &mut |_| {}).served;
         (1..=SEEDS).map(served).sum::<f64>() / SEEDS as f64
     };
-    let own: Vec<_> = (1..=SEEDS).map(|seed| play(world, seed, &mut |_| {})).collect();
+    let own: Vec<_> = (1..=SEEDS).map(|seed| simulate(world, seed, &mut |_| {})).collect();
     let module = own.iter().map(|report| report.served).sum::<f64>() / SEEDS as f64;
     let best = against.iter().map(|policy| (*policy, mean(*policy))).max_by(|a, b| a.1.total_cmp(&b.1));
     let rules_broken = own.iter().map(|report| report.rules_broken).sum();
-    Score { module, best: best.unwrap_or((Policy::Module, module)), rules_broken }
+    Score { module, best: best.unwrap_or((Policy::Balancer, module)), rules_broken }
 }
 
 /// Scores worlds in parallel, in their order.
@@ -111,22 +111,22 @@
     rounded((value * 2f64.powf(random.random_range(-1.0..1.0))).clamp(least, most))
 }
 
-fn trouble(random: &mut ChaCha8Rng, world: &World) -> Trouble {
-    let kind = Kind::ALL[random.random_range(0..Kind::ALL.len())];
+fn random_fault(random: &mut ChaCha8Rng, world: &World) -> Fault {
+    let kind = FaultKind::ALL[random.random_range(0..FaultKind::ALL.len())];
     let from = rounded(world.seconds * random.random_range(0.0..0.7));
     let to = rounded(from + world.seconds * random.random_range(0.05..0.5));
     let servers: u32 = world.servers.iter().map(|group| group.count).sum();
     let mut some =
         |of: u32| -> Vec<u32> { (0..of).filter(|_| random.random_range(0.0..1.0) < 0.3).collect() };
     let (servers, nodes) = (some(servers), some(world.nodes));
-    Trouble {
+    Fault {
         servers,
         nodes,
         zone: random.random_range(0..world.zones),
-        part: rounded(random.random_range(0.05..if kind == Kind::Lossy { 0.4 } else { 0.9 })),
-        times: rounded(random.random_range(0.3..4.0)),
-        ms: rounded(random.random_range(2.0..150.0)),
-        ..Trouble::new(kind, from, to)
+        fraction: rounded(random.random_range(0.05..if kind == FaultKind::PacketLoss { 0.4 } else { 0.9 })),
+        rate_multiplier: rounded(random.random_range(0.3..4.0)),
+        added_latency_ms: rounded(random.random_range(2.0..150.0)),
+        ..Fault::new(kind, from, to)
     }
 }
 
@@ -137,12 +137,12 @@
         let group = random.random_range(0..world.servers.len().max(1));
         match random.random_range(0..16) {
             0..=3 => {
-                let more = trouble(random, &world);
-                world.trouble.push(more);
+                let more = random_fault(random, &world);
+                world.faults.push(more);
             }
-            4 if !world.trouble.is_empty() => {
-                let number = random.random_range(0..world.trouble.len());
-                world.trouble.remove(number);
+            4 if !world.faults.is_empty() => {
+                let number = random.random_range(0..world.faults.len());
+                world.faults.remove(number);
             }
             5 | 6 => world.clients.rate = scaled(random, world.clients.rate, 1.0, 5000.0),
             7 => world.nodes = random.random_range(1..=12),
@@ -154,23 +154,23 @@
             }
             11 => {
                 let class = &mut world.clients.classes[class];
-                class.elsewhere_ms = scaled(random, class.elsewhere_ms.max(1.0), 0.0, 2000.0);
+                class.downstream_ms = scaled(random, class.downstream_ms.max(1.0), 0.0, 2000.0);
             }
             12 if !world.servers.is_empty() => {
                 let group = &mut world.servers[group];
                 group.speed = scaled(random, group.speed, 0.1, 10.0);
             }
             13 => world.reports_on_answers = !world.reports_on_answers,
-            14 => world.clients.repeats = random.random_range(0..4),
+            14 => world.clients.retries = random.random_range(0..4),
             _ => world.jitter_ms = rounded(random.random_range(0.0..20.0)),
         }
     }
     let mut times = 1.0;
-    for trouble in &mut world.trouble {
-        trouble.nodes.retain(|node| *node < world.nodes);
-        trouble.zone %= world.zones;
-        if trouble.kind == Kind::Burst {
-            times *= trouble.times.max(1.0);
+    for fault in &mut world.faults {
+        fault.nodes.retain(|node| *node < world.nodes);
+        fault.zone %= world.zones;
+        if fault.kind == FaultKind::Burst {
+            times *= fault.rate_multiplier.max(1.0);
         }
     }
     let most = MOST_REQUESTS / (world.seconds * times);
@@ -188,8 +188,8 @@
             all.push(smaller);
         }
     };
-    for number in 0..world.trouble.len() {
-        with(&|world| drop(world.trouble.remove(number)));
+    for number in 0..world.faults.len() {
+        with(&|world| drop(world.faults.remove(number)));
     }
     for number in 0..world.clients.classes.len() {
         with(&|world| drop(world.clients.classes.remove(number)));
@@ -200,31 +200,34 @@
             with(&|world| {
                 world.servers.pop();
                 let left: u32 = world.servers.iter().map(|group| group.count).sum();
-                world.trouble.iter_mut().for_each(|trouble| trouble.servers.retain(|server| *server < left));
+                world.faults.iter_mut().for_each(|fault| fault.servers.retain(|server| *server < left));
             });
         }
         with(&|world| {
             let group = &mut world.servers[number];
-            (group.speed, group.errors, group.connections) = (1.0, 0.0, 0);
+            (group.speed, group.error_ratio, group.connections) = (1.0, 0.0, 0);
         });
     }
     with(&|world| world.jitter_ms = 0.0);
     with(&|world| world.loss = 0.0);
-    with(&|world| world.clients.repeats = 0);
-    with(&|world| world.clients.hang_up = 0.0);
+    with(&|world| world.clients.retries = 0);
+    with(&|world| world.clients.disconnect_ratio = 0.0);
     with(&|world| world.reports_on_answers = false);
-    with(&|world| world.discovery = ivyhatch_lab::Discovery { lag_ms: 0, jitter_ms: 0, whole_every: 0.0 });
+    with(&|world| {
+        world.discovery =
+            ivyhatch_lab::DiscoverySettings { lag_ms: 0, jitter_ms: 0, full_list_interval_s: 0.0 }
+    });
     with(&|world| world.nodes = world.nodes.div_ceil(2));
     with(&|world| world.seconds = rounded(world.seconds * 0.7));
-    for number in 0..world.trouble.len() {
+    for number in 0..world.faults.len() {
         with(&|world| {
-            let servers = &mut world.trouble[number].servers;
+            let servers = &mut world.faults[number].servers;
             servers.truncate(servers.len().div_ceil(2));
         });
         with(&|world| {
-            let trouble = &mut world.trouble[number];
-            (trouble.from, trouble.to) =
-                (trouble.from.round(), trouble.to.round().max(trouble.from.round() + 1.0));
+            let fault = &mut world.faults[number];
+            (fault.start_s, fault.end_s) =
+                (fault.start_s.round(), fault.end_s.round().max(fault.start_s.round() + 1.0));
         });
     }
     let same = |smaller: &World| format!("{smaller:?}") == format!("{world:?}");
--- a/experiments/src/page.rs
+++ b/experiments/src/page.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use ivyhatch_lab::BUCKETS;
+use ivyhatch_lab::SERIES_BUCKETS;
 use plotters::prelude::*;
 
 use crate::results::Results;
@@ -100,10 +100,10 @@
         let bucket = |number: usize| {
             let of = plays.iter().filter_map(|(_, report)| report.series.get(number));
             let (asked, served) = of.fold((0.0, 0.0), |sum, part| (sum.0 + part.0, sum.1 + part.1));
-            let at = (number as f64 + 0.5) / BUCKETS as f64 * plan.worlds[world].seconds;
+            let at = (number as f64 + 0.5) / SERIES_BUCKETS as f64 * plan.worlds[world].seconds;
             (asked > 0.0).then_some((at, served / asked))
         };
-        lines.push((variant, (0..BUCKETS).filter_map(bucket).collect()));
+        lines.push((variant, (0..SERIES_BUCKETS).filter_map(bucket).collect()));
     }
     plot("Served in time", ("seconds", "share of worth"), (0.0, 1.02), &lines, &|at| format!("{at:.0}"))
 }
--- a/experiments/src/run.rs
+++ b/experiments/src/run.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc;
 
-use ivyhatch_lab::{Report, World, play_with};
+use ivyhatch_lab::{Report, World, simulate_with};
 
 use crate::results::{Line, Results, ResultsError};
 use crate::spec::{Plan, Run};
@@ -82,7 +82,9 @@
 fn one(plan: &Plan, run: Run) -> Result<Report, String> {
     let world = &plan.worlds[run.world];
     match &plan.programs[run.variant] {
-        None => Ok(play_with(world, &plan.experiment.variants[run.variant].decider(), run.seed, &mut |_| {})),
+        None => {
+            Ok(simulate_with(world, &plan.experiment.variants[run.variant].decider(), run.seed, &mut |_| {}))
+        }
         Some(program) => other_build(program, world, run.seed),
     }
 }
--- a/experiments/src/spec.rs
+++ b/experiments/src/spec.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-use ivyhatch_lab::{BUILT_IN_WORLDS, Decider, Policy, Report, World, WorldError};
+use ivyhatch_lab::{BUILT_IN_WORLDS, Policy, PolicyConfig, Report, World, WorldError};
 use serde::Deserialize;
 
 /// An experiment, as its file words it.
@@ -58,22 +58,22 @@
     /// Who decides; the module without.
     #[serde(default)]
     pub policy: Policy,
-    /// See [`Decider::threshold`].
+    /// See [`PolicyConfig::threshold`].
     pub threshold: Option<f64>,
-    /// See [`Decider::attempts`].
+    /// See [`PolicyConfig::max_attempts`].
     pub attempts: Option<u32>,
-    /// See [`Decider::probes`].
+    /// See [`PolicyConfig::probes`].
     pub probes: Option<bool>,
-    /// See [`Decider::second_copies`].
+    /// See [`PolicyConfig::hedging`].
     pub second_copies: Option<bool>,
     /// Another build's `ivyhatch`, which plays its own module: its path, from the experiment's folder.
     pub program: Option<PathBuf>,
 }
 
 impl Variant {
-    pub(crate) fn decider(&self) -> Decider {
+    pub(crate) fn decider(&self) -> PolicyConfig {
         let &Self { policy, threshold, attempts, probes, second_copies, .. } = self;
-        Decider { policy, threshold, attempts, probes, second_copies }
+        PolicyConfig { policy, threshold, max_attempts: attempts, probes, hedging: second_copies }
     }
 }
 
@@ -310,7 +310,7 @@
             }
             let decider = serde_json::to_string(&variant.decider()).expect("plain data");
             let program = variant.program.as_ref().map(|program| folder.join(program));
-            if program.is_some() && variant.decider() != Decider::default() {
+            if program.is_some() && variant.decider() != PolicyConfig::default() {
                 let wanted = "with a program, neither a policy nor settings: it plays its own module";
                 return fail(format!("variant[{number}].program"), variant.name.clone(), wanted);
             }
--- a/experiments/src/summary.rs
+++ b/experiments/src/summary.rs
@@ -137,7 +137,7 @@
         for (number, variant) in experiment.variants.iter().enumerate() {
             let plays = reports(plan, results, world, number);
             played += plays.len();
-            if variant.policy == ivyhatch_lab::Policy::Module {
+            if variant.policy == ivyhatch_lab::Policy::Balancer {
                 module_rules_broken += plays.iter().map(|(_, report)| report.rules_broken).sum::<usize>();
             }
             for &measure in &experiment.measures {
--- a/experiments/tests/experiments.rs
+++ b/experiments/tests/experiments.rs
@@ -213,7 +213,7 @@
 fn a_hunt_finds_the_same_again_and_shrinks_it() {
     let mut from = World::read(DEFAULT_WORLD).expect("sound");
     from.seconds = 4.0;
-    from.trouble.clear();
+    from.faults.clear();
     let hunted = |threads, least| {
         let against = vec![Policy::Paper, Policy::LeastRequests];
         hunt(&Hunt { from: from.clone(), against, rounds: 2, seed: 5, threads, least }, &mut |_, _, _| {})
--- a/lab/src/arrivals.rs
+++ b/lab/src/arrivals.rs
@@ -2,12 +2,12 @@
 //! playing a world see the same clients.
 
 use crate::Nanos;
-use crate::random::Stream;
-use crate::world::{Kind, World, seconds};
+use crate::random::RandomStream;
+use crate::world::{FaultKind, World, seconds};
 
 /// Somebody who asks for something.
 #[derive(Clone, Debug)]
-pub struct Asks {
+pub struct ClientRequest {
     /// When, from the world's start.
     pub at: Nanos,
     /// To which zone's nodes it comes.
@@ -28,15 +28,15 @@
 pub struct Arrivals<'a> {
     world: &'a World,
     next: Nanos,
-    times: Stream,
-    zones: Stream,
-    work: Stream,
-    hang_ups: Stream,
-    tenants: Stream,
+    times: RandomStream,
+    zones: RandomStream,
+    work: RandomStream,
+    hang_ups: RandomStream,
+    tenants: RandomStream,
 }
 
 /// One of several by its share.
-fn by_share(stream: &mut Stream, shares: impl Iterator<Item = f64> + Clone) -> usize {
+fn by_share(stream: &mut RandomStream, shares: impl Iterator<Item = f64> + Clone) -> usize {
     let mut left = stream.unit() * shares.clone().sum::<f64>();
     let last = shares.clone().count().saturating_sub(1);
     let mut shares = shares;
@@ -50,7 +50,7 @@
 impl<'a> Arrivals<'a> {
     /// Those of a world with a seed.
     pub fn new(world: &'a World, seed: u64) -> Self {
-        let stream = |purpose| Stream::new(seed, purpose, 0);
+        let stream = |purpose| RandomStream::new(seed, purpose, 0);
         let (times, zones, work) = (stream("arrivals"), stream("zones"), stream("work"));
         Self { world, next: 0, times, zones, work, hang_ups: stream("hang-ups"), tenants: stream("tenants") }
     }
@@ -58,13 +58,13 @@
     /// How many times the usual rate comes then, of a tenant's requests or of everybody's.
     fn burst(&self, of: Option<u32>, at: Nanos) -> f64 {
         let bursts =
-            self.world.trouble.iter().filter(|trouble| trouble.kind == Kind::Burst && trouble.tenant == of);
-        let now = bursts.filter(|trouble| (trouble.span().0..trouble.span().1).contains(&at));
-        now.map(|trouble| trouble.times).product()
+            self.world.faults.iter().filter(|fault| fault.kind == FaultKind::Burst && fault.tenant == of);
+        let now = bursts.filter(|fault| (fault.span().0..fault.span().1).contains(&at));
+        now.map(|fault| fault.rate_multiplier).product()
     }
 
     /// What the next client wants who comes then: to this zone, or to any by its share.
-    pub fn draw(&mut self, at: Nanos, zone: Option<u32>) -> Asks {
+    pub fn draw(&mut self, at: Nanos, zone: Option<u32>) -> ClientRequest {
         let clients = &self.world.clients;
         let shares: Vec<f64> = clients
             .tenants
@@ -80,17 +80,17 @@
         let class = by_share(&mut self.work, clients.classes.iter().map(|class| class.share));
         let settings = &clients.classes[class];
         let work = self.work.about(settings.work_ms * 1e6);
-        let elsewhere = self.work.about(settings.elsewhere_ms * 1e6) as Nanos;
-        let hangs_up = clients.hang_up > 0.0 && self.hang_ups.unit() < clients.hang_up;
+        let elsewhere = self.work.about(settings.downstream_ms * 1e6) as Nanos;
+        let hangs_up = clients.disconnect_ratio > 0.0 && self.hang_ups.unit() < clients.disconnect_ratio;
         let leaves = hangs_up.then(|| self.hang_ups.unit());
-        Asks { at, zone, tenant, class, work, elsewhere, leaves }
+        ClientRequest { at, zone, tenant, class, work, elsewhere, leaves }
     }
 }
 
 impl Iterator for Arrivals<'_> {
-    type Item = Asks;
+    type Item = ClientRequest;
 
-    fn next(&mut self) -> Option<Asks> {
+    fn next(&mut self) -> Option<ClientRequest> {
         let (at, clients) = (self.next, &self.world.clients);
         if clients.rate <= 0.0 || at >= seconds(self.world.seconds) {
             return None;
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -21,14 +21,20 @@
 mod server;
 mod world;
 
-pub use arrivals::{Arrivals, Asks};
-pub use oracle::{Broken, GRACE, Oracle, Rule, SLACK};
-pub use play::{Decider, Progress, play, play_with};
-pub use random::Stream;
+pub use arrivals::{Arrivals, ClientRequest};
+pub use oracle::{ANSWER_SLACK, DRAIN_GRACE, Invariant, InvariantChecker, InvariantViolation};
+pub use play::{PolicyConfig, Progress, simulate, simulate_with};
+pub use random::RandomStream;
 pub use reference::Policy;
-pub use report::{BUCKETS, Books, ClassReport, Report};
-pub use server::{COLD, FALL_SPAN, Job, Server, State, TIP, Taken, WARM_AFTER};
-pub use world::{BACK, Class, Clients, Discovery, Group, Kind, Tenant, Trouble, World, WorldError};
+pub use report::{ClassReport, OutcomeRecorder, Report, SERIES_BUCKETS};
+pub use server::{
+    Admission, COLD_START_CAPACITY, Job, OVERLOAD_CRASH_MULTIPLE, OVERLOAD_WINDOW, Server, ServerState,
+    WARM_UP_PERIOD,
+};
+pub use world::{
+    DiscoverySettings, Fault, FaultKind, RECONNECT_DELAY, RequestClass, ServerGroup, Tenant, Workload, World,
+    WorldError,
+};
 
 /// A time or a span in nanoseconds of the world's clock.
 pub type Nanos = u64;
--- a/lab/src/oracle.rs
+++ b/lab/src/oracle.rs
@@ -9,13 +9,13 @@
 
 const MS: Nanos = 1_000_000;
 /// A final answer is in time up to here after the client's time.
-pub const SLACK: Nanos = 20 * MS;
+pub const ANSWER_SLACK: Nanos = 20 * MS;
 /// Nothing new is sent to a server from so long after the node was told that it drains or is gone.
-pub const GRACE: Nanos = 1000 * MS;
+pub const DRAIN_GRACE: Nanos = 1000 * MS;
 
 /// Which rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
-pub enum Rule {
+pub enum Invariant {
     /// One final answer a request, in time.
     Answer,
     /// No repeat beyond what the class allows.
@@ -30,9 +30,9 @@
 
 /// A broken rule, with what led up to it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Broken {
+pub struct InvariantViolation {
     /// Which.
-    pub rule: Rule,
+    pub rule: Invariant,
     /// When, on the world's clock.
     pub at: Nanos,
     /// All that happened to the request, and to the server that it concerns, in order.
@@ -51,7 +51,7 @@
 
 /// Keeps the books. Nodes, servers and requests go by number; times are on one clock, in nanoseconds.
 #[derive(Default)]
-pub struct Oracle {
+pub struct InvariantChecker {
     /// So much later a real clock may still show what was in time.
     leeway: Nanos,
     requests: HashMap<(usize, u64), Request>,
@@ -62,22 +62,22 @@
     /// What a node has taken too much of already: told once.
     over_bounds: HashSet<(usize, &'static str)>,
     /// The first that were broken.
-    pub broken: Vec<Broken>,
-    /// Broken rules beyond those that are kept.
+    pub broken: Vec<InvariantViolation>,
+    /// InvariantViolation rules beyond those that are kept.
     pub more: usize,
 }
 
 const KEPT: usize = 16;
 
-impl Oracle {
+impl InvariantChecker {
     /// One that lets pass what is late by no more than this, as a real clock and a shared machine may make it.
     pub fn with_leeway(leeway: Nanos) -> Self {
         Self { leeway, ..Self::default() }
     }
 
-    fn report(&mut self, rule: Rule, at: Nanos, events: Vec<String>) {
+    fn report(&mut self, rule: Invariant, at: Nanos, events: Vec<String>) {
         if self.broken.len() < KEPT {
-            self.broken.push(Broken { rule, at, events });
+            self.broken.push(InvariantViolation { rule, at, events });
         } else {
             self.more += 1;
         }
@@ -87,7 +87,7 @@
     pub fn holds(&mut self, node: usize, what: &'static str, held: u64, given: u64, now: Nanos) {
         if held > given && self.over_bounds.insert((node, what)) {
             let event = format!("{now}: node {node} holds {held} {what}; it was given {given}");
-            self.report(Rule::Bounds, now, vec![event]);
+            self.report(Invariant::Bounds, now, vec![event]);
         }
     }
 
@@ -142,7 +142,7 @@
         let knew = self.starts.keys().filter(|(_, of)| *of == server).count();
         let event =
             format!("{} ms: server {server}, cold, falls under its load; {knew} nodes knew", now / MS);
-        self.report(Rule::Cold, now, vec![event]);
+        self.report(Invariant::Cold, now, vec![event]);
     }
 
     /// A request's node has died: nobody owes it anything.
@@ -171,7 +171,7 @@
         let told = self.told.get(&(node, server)).copied();
         let Some(open) = self.requests.get_mut(&(node, request)) else {
             let event = format!("{} ms: node {node} sends request {request}, which has ended", now / MS);
-            return self.report(Rule::Answer, now, vec![event]);
+            return self.report(Invariant::Answer, now, vec![event]);
         };
         open.events.push(format!("{} ms: sent to server {server}", now / MS));
         let again = open.once && open.may_have_run.iter().any(|ran| *ran);
@@ -179,15 +179,15 @@
         open.may_have_run.push(true);
         let events = open.events.clone();
         if again {
-            self.report(Rule::Repeat, now, events.clone());
+            self.report(Invariant::Repeat, now, events.clone());
         }
         if ended {
-            self.report(Rule::Answer, now, events.clone());
+            self.report(Invariant::Answer, now, events.clone());
         }
-        if let Some(told) = told.filter(|told| now > told + GRACE + self.leeway) {
+        if let Some(told) = told.filter(|told| now > told + DRAIN_GRACE + self.leeway) {
             let mut events = events;
             events.insert(0, format!("{} ms: node {node} was told that server {server} leaves", told / MS));
-            self.report(Rule::Drain, now, events);
+            self.report(Invariant::Drain, now, events);
         }
     }
 
@@ -205,15 +205,15 @@
     pub fn answered(&mut self, node: usize, request: u64, refused: bool, now: Nanos) {
         let Some(open) = self.requests.get_mut(&(node, request)) else { return };
         open.events.push(format!("{} ms: answered{}", now / MS, if refused { ", refused" } else { "" }));
-        let (twice, late) = (open.answered, !open.left && now > open.not_after + SLACK + self.leeway);
+        let (twice, late) = (open.answered, !open.left && now > open.not_after + ANSWER_SLACK + self.leeway);
         let harm = refused && open.once && open.may_have_run.iter().any(|ran| *ran);
         open.answered = true;
         let events = open.events.clone();
         if twice || late {
-            self.report(Rule::Answer, now, events.clone());
+            self.report(Invariant::Answer, now, events.clone());
         }
         if harm {
-            self.report(Rule::Repeat, now, events);
+            self.report(Invariant::Repeat, now, events);
         }
     }
 
@@ -221,7 +221,7 @@
     pub fn over(&mut self, node: usize, request: u64, now: Nanos) {
         let Some(open) = self.requests.remove(&(node, request)) else { return };
         if !open.answered && !open.left {
-            self.report(Rule::Answer, now, open.events);
+            self.report(Invariant::Answer, now, open.events);
         }
     }
 }
@@ -230,8 +230,8 @@
 mod tests {
     use super::*;
 
-    fn rules(play: impl FnOnce(&mut Oracle)) -> Vec<Rule> {
-        let mut oracle = Oracle::default();
+    fn rules(play: impl FnOnce(&mut InvariantChecker)) -> Vec<Invariant> {
+        let mut oracle = InvariantChecker::default();
         oracle.taken(0, 1, true, 100 * MS, 0);
         play(&mut oracle);
         oracle.broken.iter().map(|broken| broken.rule).collect()
@@ -244,7 +244,7 @@
             o.ended(0, 1, 0, true, MS);
             o.sent(0, 1, 6, MS);
             o.answered(0, 1, false, 2 * MS);
-            o.over(0, 1, SLACK);
+            o.over(0, 1, ANSWER_SLACK);
         });
         assert_eq!(kept, []);
         let twice = rules(|o| {
@@ -252,15 +252,15 @@
             o.ended(0, 1, 0, false, MS);
             o.sent(0, 1, 6, MS);
         });
-        assert_eq!(twice, [Rule::Repeat]);
+        assert_eq!(twice, [Invariant::Repeat]);
         let harm = rules(|o| {
             o.sent(0, 1, 5, 0);
             o.answered(0, 1, true, MS);
         });
-        assert_eq!(harm, [Rule::Repeat]);
-        assert_eq!(rules(|o| o.over(0, 1, 200 * MS)), [Rule::Answer]);
-        assert_eq!(rules(|o| o.answered(0, 1, false, 100 * MS + SLACK + 1)), [Rule::Answer]);
-        assert_eq!(rules(|o| (0..2).for_each(|_| o.answered(0, 1, false, MS))), [Rule::Answer]);
+        assert_eq!(harm, [Invariant::Repeat]);
+        assert_eq!(rules(|o| o.over(0, 1, 200 * MS)), [Invariant::Answer]);
+        assert_eq!(rules(|o| o.answered(0, 1, false, 100 * MS + ANSWER_SLACK + 1)), [Invariant::Answer]);
+        assert_eq!(rules(|o| (0..2).for_each(|_| o.answered(0, 1, false, MS))), [Invariant::Answer]);
         let drained = |after| {
             rules(|o| {
                 o.told(0, 5, false, None, 0);
@@ -269,19 +269,19 @@
                 o.sent(0, 1, 5, after);
             })
         };
-        assert_eq!((drained(GRACE), drained(GRACE + 1)), (vec![], vec![Rule::Drain]));
+        assert_eq!((drained(DRAIN_GRACE), drained(DRAIN_GRACE + 1)), (vec![], vec![Invariant::Drain]));
         let back = rules(|o| {
             o.told(0, 5, false, None, 0);
             o.told(0, 5, true, Some(MS), 2 * MS);
-            o.sent(0, 1, 5, 2 * GRACE);
+            o.sent(0, 1, 5, 2 * DRAIN_GRACE);
         });
         assert_eq!(back, []);
         let off_list = rules(|o| {
             o.told_all(0, &[(4, true, None)], 6, 0);
-            o.sent(0, 1, 5, 2 * GRACE);
+            o.sent(0, 1, 5, 2 * DRAIN_GRACE);
         });
-        assert_eq!(off_list, [Rule::Drain]);
-        assert_eq!(rules(|o| o.rushed(5, MS)), [Rule::Cold]);
+        assert_eq!(off_list, [Invariant::Drain]);
+        assert_eq!(rules(|o| o.rushed(5, MS)), [Invariant::Cold]);
         let gone = rules(|o| {
             o.left(0, 1, MS);
             o.over(0, 1, 200 * MS);
@@ -291,6 +291,6 @@
             o.left(0, 1, MS);
             o.sent(0, 1, 5, 2 * MS);
         });
-        assert_eq!(late_send, [Rule::Answer]);
+        assert_eq!(late_send, [Invariant::Answer]);
     }
 }
--- a/lab/src/play/clients.rs
+++ b/lab/src/play/clients.rs
@@ -2,9 +2,9 @@
 
 use super::{Client, MS, Next, Open, Play, START};
 use crate::Nanos;
-use crate::arrivals::Asks;
-use crate::oracle::SLACK;
-use crate::world::BACK;
+use crate::arrivals::ClientRequest;
+use crate::oracle::ANSWER_SLACK;
+use crate::world::RECONNECT_DELAY;
 use ivyhatch_balancer::{Arrival, ClassId, Event, RequestId};
 
 impl Play<'_> {
@@ -32,10 +32,10 @@
         }
     }
 
-    fn comes(&mut self, asks: Asks, closed: bool) {
+    fn comes(&mut self, asks: ClientRequest, closed: bool) {
         let number = self.number();
         self.books.asked(&asks);
-        let repeats_left = self.world.clients.repeats;
+        let repeats_left = self.world.clients.retries;
         let client = Client { asks, first: self.now, repeats_left, closed, done: false, requests: 0 };
         self.clients.insert(number, client);
         self.tries(number);
@@ -59,9 +59,9 @@
     /// A client asks one of the nodes, as a plain front has it.
     pub(super) fn tries(&mut self, client: u64) {
         let Some(&Client { ref asks, first, repeats_left, .. }) = self.clients.get(&client) else { return };
-        let &Asks { class, zone, tenant, leaves, .. } = asks;
+        let &ClientRequest { class, zone, tenant, leaves, .. } = asks;
         let clients = &self.world.clients;
-        let repeat = clients.marks_repeats && repeats_left < clients.repeats;
+        let repeat = clients.marks_retries && repeats_left < clients.retries;
         let settings = &self.world.clients.classes[class];
         let not_after =
             (self.now + settings.patience(self.patience.unit())).min(first + settings.deadline_ms * MS);
@@ -71,8 +71,8 @@
         self.clients.get_mut(&client).expect("it asks").requests += 1;
         self.nodes[node].open += 1;
         self.most_open = self.most_open.max(self.nodes[node].open);
-        self.oracle.taken(node, request, settings.once, not_after, self.now);
-        self.at(not_after + 2 * SLACK, Next::Over(node, request));
+        self.oracle.taken(node, request, settings.non_idempotent, not_after, self.now);
+        self.at(not_after + 2 * ANSWER_SLACK, Next::Over(node, request));
         if let Some(part) = leaves {
             let stays = (not_after.saturating_sub(self.now) as f64 * part) as Nanos;
             self.at(self.now + stays, Next::Leaves(node, request));
@@ -92,7 +92,7 @@
             self.books.left(&client.asks);
         }
         self.tell(node, Event::ClientGone { request: RequestId(request) });
-        self.over_for(client, BACK);
+        self.over_for(client, RECONNECT_DELAY);
     }
 
     /// A client's node died under it, or there was none. A class that may be repeated, and has a repeat left, is asked
@@ -100,15 +100,15 @@
     pub(super) fn broken_off(&mut self, client: u64) {
         let Some(of) = self.clients.get_mut(&client) else { return };
         let settings = &self.world.clients.classes[of.asks.class];
-        let wait = self.world.clients.pause(BACK);
+        let wait = self.world.clients.pause(RECONNECT_DELAY);
         let time = self.now + wait < of.first + settings.deadline_ms * MS;
-        if time && of.repeats_left > 0 && !settings.once {
+        if time && of.repeats_left > 0 && !settings.non_idempotent {
             of.repeats_left -= 1;
             self.at(self.now + wait, Next::Tries(client));
             return;
         }
         self.books.failed(&of.asks);
-        self.over_for(client, BACK);
+        self.over_for(client, RECONNECT_DELAY);
     }
 
     /// The client has what it will get; a closed one asks for the next thing after a while.
@@ -162,11 +162,11 @@
                     return;
                 }
                 self.books.refused(&of.asks);
-                self.over_for(client, wait.max(BACK));
+                self.over_for(client, wait.max(RECONNECT_DELAY));
             }
             None => {
                 self.books.failed(&of.asks);
-                self.over_for(client, BACK);
+                self.over_for(client, RECONNECT_DELAY);
             }
         }
     }
--- a/lab/src/play/decider.rs
+++ b/lab/src/play/decider.rs
@@ -7,7 +7,7 @@
 /// Who decides at each node, and with which settings.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Decider {
+pub struct PolicyConfig {
     /// Who.
     #[serde(default)]
     pub policy: Policy,
@@ -15,19 +15,19 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub threshold: Option<f64>,
     /// Attempts that a request may have, 6 without.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub attempts: Option<u32>,
+    #[serde(rename = "attempts", default, skip_serializing_if = "Option::is_none")]
+    pub max_attempts: Option<u32>,
     /// Whether the module probes, true without.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub probes: Option<bool>,
     /// Whether the module may send a second copy while one is out, true without.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub second_copies: Option<bool>,
+    #[serde(rename = "second_copies", default, skip_serializing_if = "Option::is_none")]
+    pub hedging: Option<bool>,
 }
 
-impl Decider {
+impl PolicyConfig {
     /// A policy with the usual settings.
-    pub fn of(policy: Policy) -> Self {
+    pub fn new(policy: Policy) -> Self {
         Self { policy, ..Self::default() }
     }
 
@@ -42,10 +42,10 @@
         if self.threshold.is_some() && self.policy != Policy::Paper {
             return Err(("threshold", "only policy = \"paper\" has one to set"));
         }
-        if self.attempts.is_some_and(|attempts| !(1..=100).contains(&attempts)) {
+        if self.max_attempts.is_some_and(|attempts| !(1..=100).contains(&attempts)) {
             return Err(("attempts", "1 to 100"));
         }
-        if self.policy != Policy::Module && (self.probes.is_some() || self.second_copies.is_some()) {
+        if self.policy != Policy::Balancer && (self.probes.is_some() || self.hedging.is_some()) {
             return Err(("probes, second_copies", "only policy = \"module\" has them to set"));
         }
         Ok(())
--- a/lab/src/play/mod.rs
+++ b/lab/src/play/mod.rs
@@ -15,15 +15,15 @@
 
 use ivyhatch_balancer::{Action, Event, Member, Settings};
 
-pub use decider::Decider;
+pub use decider::PolicyConfig;
 use state::{Attempt, Client, Next, Node, Open, Probe, Try, Who, Work};
 
 use crate::Nanos;
-use crate::arrivals::{Arrivals, Asks};
-use crate::oracle::Oracle;
-use crate::random::Stream;
+use crate::arrivals::{Arrivals, ClientRequest};
+use crate::oracle::InvariantChecker;
+use crate::random::RandomStream;
 use crate::reference::Setup;
-use crate::report::{Books, Report};
+use crate::report::{OutcomeRecorder, Report};
 use crate::server::Server;
 use crate::world::{World, millis};
 
@@ -36,7 +36,7 @@
 
 struct Play<'a> {
     world: &'a World,
-    decider: &'a Decider,
+    decider: &'a PolicyConfig,
     settings: Settings,
     setup: Setup,
     now: Nanos,
@@ -62,17 +62,17 @@
     list_holds: bool,
     /// The list that is handed out while lists are stale, and how many troubles keep it so.
     stale: Option<(u32, usize)>,
-    oracle: Oracle,
-    books: Books,
+    oracle: InvariantChecker,
+    books: OutcomeRecorder,
     arrivals: Arrivals<'a>,
-    coming: Option<Asks>,
-    patience: Stream,
-    choices: Stream,
-    noise: Stream,
-    links: Stream,
-    lists: Stream,
-    errors: Stream,
-    seeds: Stream,
+    coming: Option<ClientRequest>,
+    patience: RandomStream,
+    choices: RandomStream,
+    noise: RandomStream,
+    links: RandomStream,
+    lists: RandomStream,
+    errors: RandomStream,
+    seeds: RandomStream,
     attempts: u64,
     crossed: u64,
     probes: u64,
@@ -82,13 +82,13 @@
 }
 
 /// Plays a world with a seed, the module deciding. Runs until all is answered; memory grows with nodes times servers.
-pub fn play(world: &World, seed: u64, progress: Progress) -> Report {
-    play_with(world, &Decider::default(), seed, progress)
+pub fn simulate(world: &World, seed: u64, progress: Progress) -> Report {
+    simulate_with(world, &PolicyConfig::default(), seed, progress)
 }
 
 /// Plays a world with a seed under any policy; see [`play`]. The same world, decider and seed give the same report, to the
 /// last byte of its JSON.
-pub fn play_with(world: &World, decider: &Decider, seed: u64, progress: Progress) -> Report {
+pub fn simulate_with(world: &World, decider: &PolicyConfig, seed: u64, progress: Progress) -> Report {
     let mut play = Play::new(world, decider, seed);
     let mut told = 0;
     while let Some(Reverse((at, _, next))) = play.queue.pop() {
@@ -181,8 +181,8 @@
             Next::ListFails(node, life) => self.list_fails(node, life),
             Next::Told(node, life, server, stage, since) => self.told(node, life, server, stage, since),
             Next::Whole => self.whole(),
-            Next::Begins(trouble) => self.trouble(trouble, true),
-            Next::Stops(trouble) => self.trouble(trouble, false),
+            Next::Begins(trouble) => self.apply_fault(trouble, true),
+            Next::Stops(trouble) => self.apply_fault(trouble, false),
             Next::Over(node, request) => {
                 self.oracle.over(node, request, self.now);
                 if let Some(open) = self.open.remove(&(node, request)) {
--- a/lab/src/play/servers.rs
+++ b/lab/src/play/servers.rs
@@ -3,7 +3,7 @@
 use super::links::Code;
 use super::{Attempt, MS, Next, Open, Play, Probe, Try, Work};
 use crate::Nanos;
-use crate::server::{Job, State, Taken};
+use crate::server::{Admission, Job, ServerState};
 use ivyhatch_balancer::{BackendId, Event, Outcome, Report as Figures, RequestId, Settlement};
 
 /// A connection over a cut is given up after this time, a probe after that.
@@ -25,7 +25,7 @@
             // Over a cut nothing comes up.
             None => self.at(self.now + CONNECT, Next::Ends(attempt, Code::Unreached)),
             // A machine that is there but runs nothing refuses at once.
-            Some(way) if state == State::Gone => {
+            Some(way) if state == ServerState::Gone => {
                 self.at(self.now + 2 * way, Next::Ends(attempt, Code::Unreached))
             }
             Some(way) => match self.connect(node, server, way) {
@@ -54,10 +54,10 @@
             Work::Probe => to.probe(id, self.now),
         };
         match taken {
-            Taken::Begins(done) => self.at(done, Next::Done(server, id)),
-            Taken::Waits => {}
-            Taken::Full => return false,
-            Taken::Falls { rushed } => {
+            Admission::Begins(done) => self.at(done, Next::Done(server, id)),
+            Admission::Waits => {}
+            Admission::Full => return false,
+            Admission::Falls { rushed } => {
                 self.falls(server, rushed);
                 return false;
             }
@@ -89,9 +89,9 @@
             return;
         }
         // It died while this was on its way.
-        let gone = to.state == State::Gone || to.started.is_some_and(|started| started > sent);
+        let gone = to.state == ServerState::Gone || to.started.is_some_and(|started| started > sent);
         let full = !gone && !self.give(server, Job { id: 0, work }, Work::Attempt(attempt), attempt.node);
-        let fell = full && self.servers[server as usize].state == State::Gone;
+        let fell = full && self.servers[server as usize].state == ServerState::Gone;
         if let Some(way) = self.way(attempt.node, server)
             && (gone || full)
         {
@@ -109,7 +109,7 @@
         let Some(open) = self.open.get(&(attempt.node, attempt.request)) else { return };
         let Some(client) = self.clients.get(&open.client) else { return };
         let elsewhere = client.asks.elsewhere;
-        let part = self.servers[server as usize].errors + self.servers[server as usize].group.errors;
+        let part = self.servers[server as usize].errors + self.servers[server as usize].group.error_ratio;
         let fails = part > 0.0 && self.errors.unit() < part;
         if let Some(way) = self.way(attempt.node, server) {
             let code = if fails { Code::Error } else { Code::Served };
@@ -128,7 +128,7 @@
         let now = self.now;
         let Some(&mut Try { server, sent, job, connected }) = self.made(attempt) else { return };
         let to = &self.servers[server as usize];
-        let died = to.state == State::Gone || to.started.is_some_and(|started| started > sent);
+        let died = to.state == ServerState::Gone || to.started.is_some_and(|started| started > sent);
         // What is on its way when a cut falls, or its server dies, never comes.
         if code.is_answer() && (died || self.is_cut(node, server)) {
             return;
@@ -184,7 +184,7 @@
         let now = self.now;
         let Some(way) = self.way(node, server) else { return };
         let to = &mut self.servers[server as usize];
-        if to.state == State::Gone {
+        if to.state == ServerState::Gone {
             return self.at(now + way, Next::ProbeEnds(id, Code::Unreached, 0));
         }
         if to.hangs || to.deaf {
@@ -200,7 +200,7 @@
     pub(super) fn probe_ends(&mut self, id: u64, code: Code, figure: u64) {
         let now = self.now;
         let Some(&Probe { node, server, .. }) = self.probes_out.get(&id) else { return };
-        let gone = self.servers[server as usize].state == State::Gone;
+        let gone = self.servers[server as usize].state == ServerState::Gone;
         if code == Code::Served && (gone || self.is_cut(node, server)) {
             return;
         }
--- a/lab/src/play/setup.rs
+++ b/lab/src/play/setup.rs
@@ -6,21 +6,21 @@
     Balancer, ClassSettings, Discovery, Effect, Event, Reports, RuleFigures, Settings, ZoneId,
 };
 
-use super::{Decider, MS, Next, Node, Play, START, Who};
+use super::{MS, Next, Node, Play, PolicyConfig, START, Who};
 use crate::arrivals::Arrivals;
-use crate::oracle::{GRACE, Oracle, SLACK};
-use crate::random::Stream;
+use crate::oracle::{ANSWER_SLACK, DRAIN_GRACE, InvariantChecker};
+use crate::random::RandomStream;
 use crate::reference::{Known, Policy, Reference, Setup};
-use crate::report::Books;
-use crate::server::{COLD, FALL_SPAN, Server, TIP, WARM_AFTER};
+use crate::report::OutcomeRecorder;
+use crate::server::{COLD_START_CAPACITY, OVERLOAD_CRASH_MULTIPLE, OVERLOAD_WINDOW, Server, WARM_UP_PERIOD};
 use crate::world::{LONGEST_PAUSE, World, seconds};
 
-fn settings(world: &World, decider: &Decider) -> Settings {
-    let class = |class: &crate::world::Class| ClassSettings {
-        aim: class.aim_ms * MS,
+fn settings(world: &World, decider: &PolicyConfig) -> Settings {
+    let class = |class: &crate::world::RequestClass| ClassSettings {
+        aim: class.latency_target_ms * MS,
         deadline: class.deadline_ms * MS,
-        worth: class.worth,
-        effect: if class.once { Effect::Once } else { Effect::Repeatable },
+        worth: class.value,
+        effect: if class.non_idempotent { Effect::Once } else { Effect::Repeatable },
         ..ClassSettings::default()
     };
     let mut settings = Settings {
@@ -30,45 +30,45 @@
         discovery: Discovery::Asked,
         reports: if world.reports_on_answers { Reports::Piggyback } else { Reports::Pull },
         probe_price: 0.01,
-        repeats_marked: world.clients.marks_repeats,
+        repeats_marked: world.clients.marks_retries,
         rules: RuleFigures {
-            answer_slack: SLACK,
+            answer_slack: ANSWER_SLACK,
             ask_within: 10_000 * MS,
-            drain_grace: GRACE,
-            start_capacity: COLD,
-            warm_after: WARM_AFTER,
-            tip_multiple: TIP,
-            fall_span: FALL_SPAN,
+            drain_grace: DRAIN_GRACE,
+            start_capacity: COLD_START_CAPACITY,
+            warm_after: WARM_UP_PERIOD,
+            tip_multiple: OVERLOAD_CRASH_MULTIPLE,
+            fall_span: OVERLOAD_WINDOW,
         },
         ..Settings::new(ZoneId(0), world.zones)
     };
     settings.limits.probes = decider.probes.unwrap_or(true);
-    settings.limits.attempts = decider.attempts.unwrap_or(6);
-    settings.limits.second_copies = decider.second_copies.unwrap_or(true);
+    settings.limits.attempts = decider.max_attempts.unwrap_or(6);
+    settings.limits.second_copies = decider.hedging.unwrap_or(true);
     settings.limits.retry_after = LONGEST_PAUSE;
     settings
 }
 
-fn setup(world: &World, decider: &Decider) -> Setup {
-    let known = |class: &crate::world::Class| Known {
-        once: class.once,
-        aim: class.aim_ms * MS,
+fn setup(world: &World, decider: &PolicyConfig) -> Setup {
+    let known = |class: &crate::world::RequestClass| Known {
+        once: class.non_idempotent,
+        aim: class.latency_target_ms * MS,
         work: class.work_ms * 1e6,
-        elsewhere: class.elsewhere_ms * 1e6,
+        elsewhere: class.downstream_ms * 1e6,
     };
     Setup {
         policy: decider.policy,
         home: 0,
         threshold: decider.threshold.unwrap_or(0.9),
-        attempts: decider.attempts.unwrap_or(6),
+        attempts: decider.max_attempts.unwrap_or(6),
         classes: world.clients.classes.iter().map(known).collect(),
         ways: Vec::new(),
     }
 }
 
 impl<'a> Play<'a> {
-    pub(super) fn new(world: &'a World, decider: &'a Decider, seed: u64) -> Self {
-        let stream = |purpose| Stream::new(seed, purpose, 0);
+    pub(super) fn new(world: &'a World, decider: &'a PolicyConfig, seed: u64) -> Self {
+        let stream = |purpose| RandomStream::new(seed, purpose, 0);
         let zone_nodes = |zone: u32| {
             let of: Vec<usize> =
                 (0..world.nodes).filter(|n| n % world.zones == zone).map(|n| n as usize).collect();
@@ -99,8 +99,8 @@
             lists_made: Vec::new(),
             list_holds: false,
             stale: None,
-            oracle: Oracle::default(),
-            books: Books::new(world),
+            oracle: InvariantChecker::default(),
+            books: OutcomeRecorder::new(world),
             arrivals: Arrivals::new(world, seed),
             coming: None,
             patience: stream("patience"),
@@ -117,8 +117,8 @@
             most_open: 0,
             most_connections: 0,
         };
-        for (number, trouble) in world.trouble.iter().enumerate() {
-            let (from, to) = trouble.span();
+        for (number, fault) in world.faults.iter().enumerate() {
+            let (from, to) = fault.span();
             play.at(START + from, Next::Begins(number));
             play.at(START + to, Next::Stops(number));
         }
@@ -141,8 +141,8 @@
             let members = play.lists_made[list].to_vec();
             play.tell(node, Event::Fleet { scope: ivyhatch_balancer::ListScope::Cached, members });
         }
-        if world.discovery.whole_every > 0.0 {
-            play.at(START + seconds(world.discovery.whole_every), Next::Whole);
+        if world.discovery.full_list_interval_s > 0.0 {
+            play.at(START + seconds(world.discovery.full_list_interval_s), Next::Whole);
         }
         play.coming = play.arrivals.next();
         if play.coming.is_some() {
@@ -156,7 +156,7 @@
     pub(super) fn decider_of(&mut self, node: usize) -> Who {
         let home = self.home(node);
         let seed = self.seeds.seed();
-        if self.decider.policy == Policy::Module {
+        if self.decider.policy == Policy::Balancer {
             let settings = Settings { home: ZoneId(home), ..self.settings.clone() };
             let balancer =
                 Balancer::new(settings, seed, self.now).expect("a checked world gives usable settings");
@@ -166,6 +166,6 @@
         let ways =
             (0..self.world.zones).map(|zone| if zone == home { cross / 10.0 } else { cross }).collect();
         let setup = Setup { home, ways, ..self.setup.clone() };
-        Who::Reference(Box::new(Reference::new(setup, Stream::new(seed, "reference", 0))))
+        Who::Reference(Box::new(Reference::new(setup, RandomStream::new(seed, "reference", 0))))
     }
 }
--- a/lab/src/play/state.rs
+++ b/lab/src/play/state.rs
@@ -6,7 +6,7 @@
 
 use super::links;
 use crate::Nanos;
-use crate::arrivals::Asks;
+use crate::arrivals::ClientRequest;
 use crate::reference::Reference;
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -71,7 +71,7 @@
 }
 
 pub(super) struct Client {
-    pub(super) asks: Asks,
+    pub(super) asks: ClientRequest,
     pub(super) first: Nanos,
     pub(super) repeats_left: u32,
     pub(super) closed: bool,
--- a/lab/src/play/troubles.rs
+++ b/lab/src/play/troubles.rs
@@ -3,18 +3,18 @@
 use super::links::Code;
 use super::{Attempt, MS, Next, Play, Try};
 use crate::Nanos;
-use crate::server::State;
-use crate::world::{Kind, seconds};
+use crate::server::ServerState;
+use crate::world::{FaultKind, seconds};
 use ivyhatch_balancer::{BackendId, Event, ListScope, Member, Stage, ZoneId};
 
 /// A call for the list that finds nobody fails after this time.
 const CALL: Nanos = 250 * MS;
 
-fn stage(state: State) -> Stage {
+fn stage(state: ServerState) -> Stage {
     match state {
-        State::Serving => Stage::InService,
-        State::Draining => Stage::Draining,
-        State::Gone => Stage::Gone,
+        ServerState::Serving => Stage::InService,
+        ServerState::Draining => Stage::Draining,
+        ServerState::Gone => Stage::Gone,
     }
 }
 
@@ -33,7 +33,7 @@
             return list;
         }
         if !std::mem::replace(&mut self.list_holds, true) {
-            let there = (0..).zip(&self.servers).filter(|(_, server)| server.state != State::Gone);
+            let there = (0..).zip(&self.servers).filter(|(_, server)| server.state != ServerState::Gone);
             let list = there.map(|(number, server)| self.member(number, stage(server.state), server.started));
             self.lists_made.push(list.collect());
         }
@@ -112,7 +112,7 @@
                 }
             }
         }
-        let next = self.now + seconds(self.world.discovery.whole_every);
+        let next = self.now + seconds(self.world.discovery.full_list_interval_s);
         if next < self.end {
             self.at(next, Next::Whole);
         }
@@ -158,27 +158,35 @@
         }
     }
 
-    pub(super) fn trouble(&mut self, number: usize, begins: bool) {
-        let trouble = self.world.trouble[number].clone();
-        let part = if begins { trouble.part } else { 0.0 };
+    pub(super) fn apply_fault(&mut self, number: usize, begins: bool) {
+        let fault = self.world.faults[number].clone();
+        let part = if begins { fault.fraction } else { 0.0 };
         let step = |count: &mut u32| *count = if begins { *count + 1 } else { *count - 1 };
-        let zone = trouble.zone as usize;
-        match trouble.kind {
+        let zone = fault.zone as usize;
+        match fault.kind {
             // Told by the arrivals.
-            Kind::Burst => {}
-            Kind::ZoneCut => step(&mut self.cut[zone]),
-            Kind::Far => self.farther[zone] += if begins { trouble.ms } else { -trouble.ms },
-            Kind::Lossy => self.lossy[zone] += if begins { trouble.part } else { -trouble.part },
-            Kind::Neighbour => {
-                trouble.servers.iter().for_each(|&s| self.servers[s as usize].neighbour = part)
+            FaultKind::Burst => {}
+            FaultKind::ZonePartition => step(&mut self.cut[zone]),
+            FaultKind::AddedLatency => {
+                self.farther[zone] += if begins { fault.added_latency_ms } else { -fault.added_latency_ms }
             }
-            Kind::Errors => trouble.servers.iter().for_each(|&s| self.servers[s as usize].errors = part),
-            Kind::Liar => trouble.servers.iter().for_each(|&s| self.servers[s as usize].lies = begins),
-            Kind::Hang => trouble.servers.iter().for_each(|&s| self.servers[s as usize].hangs = begins),
-            Kind::Deaf => trouble.servers.iter().for_each(|&s| self.servers[s as usize].deaf = begins),
-            Kind::Drain => trouble.servers.iter().for_each(|&server| self.drain(server, begins)),
-            Kind::Restart => trouble.servers.iter().for_each(|&server| self.restart(server, begins)),
-            Kind::ListDown => {
+            FaultKind::PacketLoss => {
+                self.lossy[zone] += if begins { fault.fraction } else { -fault.fraction }
+            }
+            FaultKind::NoisyNeighbour => {
+                fault.servers.iter().for_each(|&s| self.servers[s as usize].neighbour = part)
+            }
+            FaultKind::Errors => fault.servers.iter().for_each(|&s| self.servers[s as usize].errors = part),
+            FaultKind::FalseReadiness => {
+                fault.servers.iter().for_each(|&s| self.servers[s as usize].lies = begins)
+            }
+            FaultKind::Hang => fault.servers.iter().for_each(|&s| self.servers[s as usize].hangs = begins),
+            FaultKind::ProbeTimeout => {
+                fault.servers.iter().for_each(|&s| self.servers[s as usize].deaf = begins)
+            }
+            FaultKind::Drain => fault.servers.iter().for_each(|&server| self.drain(server, begins)),
+            FaultKind::Restart => fault.servers.iter().for_each(|&server| self.restart(server, begins)),
+            FaultKind::DiscoveryDown => {
                 step(&mut self.lists_down);
                 if self.lists_down == 1 && begins {
                     for node in 0..self.nodes.len() {
@@ -187,12 +195,12 @@
                     }
                 }
             }
-            Kind::ListStale => self.stale(begins),
-            Kind::NodeCrash => trouble.nodes.iter().for_each(|&node| match begins {
+            FaultKind::DiscoveryStale => self.stale(begins),
+            FaultKind::NodeCrash => fault.nodes.iter().for_each(|&node| match begins {
                 true => self.crash(node as usize),
                 false => self.revive(node as usize),
             }),
-            Kind::NodeStop => trouble.nodes.iter().for_each(|&node| match begins {
+            FaultKind::NodeShutdown => fault.nodes.iter().for_each(|&node| match begins {
                 true => self.nodes[node as usize].up = false,
                 // What it has not finished by then is lost, as with any process that is ended.
                 false => {
@@ -206,11 +214,11 @@
     fn drain(&mut self, server: u32, begins: bool) {
         let of = &mut self.servers[server as usize];
         match (begins, of.state) {
-            (true, State::Serving) => {
-                of.state = State::Draining;
+            (true, ServerState::Serving) => {
+                of.state = ServerState::Draining;
                 self.announce(server, 1, self.servers[server as usize].started);
             }
-            (false, State::Draining) => {
+            (false, ServerState::Draining) => {
                 of.die(self.now);
                 self.reset(server);
                 self.announce(server, 2, None);
--- a/lab/src/random.rs
+++ b/lab/src/random.rs
@@ -5,9 +5,9 @@
 use rand_chacha::rand_core::{Rng, SeedableRng};
 
 /// One purpose's draws.
-pub struct Stream(ChaCha8Rng);
+pub struct RandomStream(ChaCha8Rng);
 
-impl Stream {
+impl RandomStream {
     /// The stream of a purpose and a number within it, say of one server.
     pub fn new(seed: u64, purpose: &str, number: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
@@ -47,7 +47,7 @@
     #[test]
     fn purposes_and_numbers_draw_apart_and_the_same_again() {
         let draws = |purpose, number| {
-            let mut stream = Stream::new(7, purpose, number);
+            let mut stream = RandomStream::new(7, purpose, number);
             [stream.unit(), stream.unit(), stream.unit()]
         };
         assert_eq!(draws("arrivals", 0), draws("arrivals", 0));
--- a/lab/src/reference.rs
+++ b/lab/src/reference.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Nanos;
-use crate::random::Stream;
+use crate::random::RandomStream;
 use crate::server::Server;
 
 const MS: Nanos = 1_000_000;
@@ -20,7 +20,8 @@
 pub enum Policy {
     /// The decision module.
     #[default]
-    Module,
+    #[serde(rename = "module")]
+    Balancer,
     /// Any server of the list.
     Random,
     /// One server after the other.
@@ -28,19 +29,27 @@
     /// The server with the fewest of the node's own requests.
     LeastRequests,
     /// The better of two by the same count.
-    TwoChoices,
+    #[serde(rename = "two_choices")]
+    PowerOfTwoChoices,
     /// The paper's rule on fresh and true figures: home under the threshold, else the one best-scored zone under it,
     /// else home; round robin inside a zone.
     Paper,
     /// Sees each server as it truly is, takes the one that would answer first, and refuses what none would answer
     /// in time or without choking. Greedy, so no bound on what can be served.
-    Truth,
+    #[serde(rename = "truth")]
+    Omniscient,
 }
 
 impl Policy {
     /// All of them but the module.
-    pub const REFERENCES: [Self; 6] =
-        [Self::Random, Self::RoundRobin, Self::LeastRequests, Self::TwoChoices, Self::Paper, Self::Truth];
+    pub const REFERENCES: [Self; 6] = [
+        Self::Random,
+        Self::RoundRobin,
+        Self::LeastRequests,
+        Self::PowerOfTwoChoices,
+        Self::Paper,
+        Self::Omniscient,
+    ];
 }
 
 /// One class, as a reference policy knows it.
@@ -76,7 +85,7 @@
 /// One node's reference policy.
 pub(crate) struct Reference {
     setup: Setup,
-    random: Stream,
+    random: RandomStream,
     /// The servers in service, with their zones, and the own requests out to each.
     members: BTreeMap<BackendId, (u32, u32)>,
     /// The same servers zone by zone, for the picks that go round.
@@ -86,7 +95,7 @@
 }
 
 impl Reference {
-    pub(crate) fn new(setup: Setup, random: Stream) -> Self {
+    pub(crate) fn new(setup: Setup, random: RandomStream) -> Self {
         let zones = vec![Vec::new(); setup.ways.len()];
         Self { setup, random, members: BTreeMap::new(), zones, turn: 0, open: HashMap::new() }
     }
@@ -207,7 +216,7 @@
         servers: &[Server],
     ) -> Option<BackendId> {
         match self.setup.policy {
-            Policy::Module | Policy::Random => {
+            Policy::Balancer | Policy::Random => {
                 let all = self.all();
                 self.any(&all, tried)
             }
@@ -222,7 +231,7 @@
                 let round = all.iter().cycle().skip(start).take(all.len());
                 round.min_by_key(|id| (tried.contains(id), self.own(**id))).copied()
             }
-            Policy::TwoChoices => {
+            Policy::PowerOfTwoChoices => {
                 let all = self.all();
                 let (one, other) = (self.any(&all, tried)?, self.any(&all, tried)?);
                 Some(if self.own(other) < self.own(one) { other } else { one })
@@ -239,11 +248,11 @@
                     }
                 }
             }
-            Policy::Truth => {
+            Policy::Omniscient => {
                 let ends = |(&id, &(zone, _)): (&BackendId, &(u32, u32))| {
                     let server = servers.get(id.0 as usize)?;
                     let takes = server.expected(class.work, now) + 2.0 * self.setup.ways[zone as usize];
-                    let serves = server.state == crate::server::State::Serving;
+                    let serves = server.state == crate::server::ServerState::Serving;
                     let well = serves && !server.lies && !server.hangs && !server.crowds();
                     (well && !tried.contains(&id)).then_some((takes, id))
                 };
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -7,12 +7,12 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Nanos;
-use crate::arrivals::Asks;
-use crate::oracle::Broken;
+use crate::arrivals::ClientRequest;
+use crate::oracle::InvariantViolation;
 use crate::world::World;
 
 /// Parts that a play's time is cut into for its course over time.
-pub const BUCKETS: usize = 60;
+pub const SERIES_BUCKETS: usize = 60;
 
 /// One class's or zone's share of a play.
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -82,8 +82,8 @@
     pub rules_broken: usize,
     /// Their traces.
     #[serde(skip_serializing_if = "Vec::is_empty", default)]
-    pub broken: Vec<Broken>,
-    /// Worth asked for, and answered in time, by when it was first asked: [`BUCKETS`] parts of the play's time.
+    pub broken: Vec<InvariantViolation>,
+    /// Worth asked for, and answered in time, by when it was first asked: [`SERIES_BUCKETS`] parts of the play's time.
     pub series: Vec<(f64, f64)>,
     /// By class.
     pub classes: Vec<ClassReport>,
@@ -92,7 +92,7 @@
 }
 
 /// Counts what becomes of clients while a play goes on, however it is played.
-pub struct Books {
+pub struct OutcomeRecorder {
     name: String,
     seconds: f64,
     worth: Vec<f64>,
@@ -102,34 +102,34 @@
     series: Series,
 }
 
-impl Books {
+impl OutcomeRecorder {
     /// Those of a world, with nothing in them.
     pub fn new(world: &World) -> Self {
         let classes = &world.clients.classes;
         Self {
             name: world.name.clone(),
             seconds: world.seconds,
-            worth: classes.iter().map(|class| class.worth).collect(),
-            aims: classes.iter().map(|class| class.aim_ms * 1_000_000).collect(),
+            worth: classes.iter().map(|class| class.value).collect(),
+            aims: classes.iter().map(|class| class.latency_target_ms * 1_000_000).collect(),
             classes: classes.iter().map(|class| Tally::new(&class.name)).collect(),
             zones: (0..world.zones).map(|zone| Tally::new(&format!("zone {zone}"))).collect(),
             series: Series::new(0, crate::world::seconds(world.seconds)),
         }
     }
 
-    fn each(&mut self, asks: &Asks, mut count: impl FnMut(&mut ClassReport)) {
+    fn each(&mut self, asks: &ClientRequest, mut count: impl FnMut(&mut ClassReport)) {
         count(&mut self.classes[asks.class].report);
         count(&mut self.zones[asks.zone as usize].report);
     }
 
     /// Somebody asks for the first time.
-    pub fn asked(&mut self, asks: &Asks) {
+    pub fn asked(&mut self, asks: &ClientRequest) {
         self.each(asks, |part| part.asked += 1);
         self.series.asked(asks.at, self.worth[asks.class]);
     }
 
     /// It has its answer, so long after it first asked.
-    pub fn served(&mut self, asks: &Asks, took: Nanos) {
+    pub fn served(&mut self, asks: &ClientRequest, took: Nanos) {
         let in_time = took <= self.aims[asks.class];
         self.classes[asks.class].served(took, in_time);
         self.zones[asks.zone as usize].served(took, in_time);
@@ -139,17 +139,17 @@
     }
 
     /// It is refused for good.
-    pub fn refused(&mut self, asks: &Asks) {
+    pub fn refused(&mut self, asks: &ClientRequest) {
         self.each(asks, |part| part.refused += 1);
     }
 
     /// It fails, or gives up.
-    pub fn failed(&mut self, asks: &Asks) {
+    pub fn failed(&mut self, asks: &ClientRequest) {
         self.each(asks, |part| part.failed += 1);
     }
 
     /// It hangs up before its time.
-    pub fn left(&mut self, asks: &Asks) {
+    pub fn left(&mut self, asks: &ClientRequest) {
         self.each(asks, |part| part.left += 1);
         self.series.left(asks.at, self.worth[asks.class]);
     }
@@ -208,12 +208,12 @@
 
 impl Series {
     fn new(start: Nanos, span: Nanos) -> Self {
-        Self { start, span: span.max(1), buckets: vec![(0.0, 0.0); BUCKETS] }
+        Self { start, span: span.max(1), buckets: vec![(0.0, 0.0); SERIES_BUCKETS] }
     }
 
     fn bucket(&mut self, at: Nanos) -> &mut (f64, f64) {
-        let number = (u128::from(at - self.start) * BUCKETS as u128 / u128::from(self.span)) as usize;
-        &mut self.buckets[number.min(BUCKETS - 1)]
+        let number = (u128::from(at - self.start) * SERIES_BUCKETS as u128 / u128::from(self.span)) as usize;
+        &mut self.buckets[number.min(SERIES_BUCKETS - 1)]
     }
 
     fn asked(&mut self, at: Nanos, worth: f64) {
--- a/lab/src/server.rs
+++ b/lab/src/server.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use crate::Nanos;
-use crate::world::Group;
+use crate::world::ServerGroup;
 
 const SECOND: Nanos = 1_000_000_000;
 /// With so many waiting for each core ...
@@ -16,15 +16,15 @@
 const RESTS: Nanos = 3 * SECOND;
 const CHOKED_FOR: Nanos = 25 * SECOND;
 /// It starts with this part of its capacity ...
-pub const COLD: f64 = 0.33;
+pub const COLD_START_CAPACITY: f64 = 0.33;
 /// ... and is warm after that.
-pub const WARM_AFTER: Nanos = 6 * SECOND;
-/// While cold it falls over when, in any span of this length, [`TIP`] times its capacity reaches it ...
-pub const FALL_SPAN: Nanos = 2 * SECOND;
-/// See [`FALL_SPAN`].
-pub const TIP: f64 = 3.0;
+pub const WARM_UP_PERIOD: Nanos = 6 * SECOND;
+/// While cold it falls over when, in any span of this length, [`OVERLOAD_CRASH_MULTIPLE`] times its capacity reaches it ...
+pub const OVERLOAD_WINDOW: Nanos = 2 * SECOND;
+/// See [`OVERLOAD_WINDOW`].
+pub const OVERLOAD_CRASH_MULTIPLE: f64 = 3.0;
 /// ... and this much, in seconds of one core's work, for chance.
-const TIP_SLACK: f64 = 0.5;
+const OVERLOAD_ALLOWANCE_CORE_SECONDS: f64 = 0.5;
 /// Its figures are renewed this often.
 const REPORTS_EVERY: Nanos = 700_000_000;
 /// The time constant of the utilisation that policies with perfect sight see.
@@ -32,7 +32,7 @@
 
 /// Whether it takes requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum ServerState {
     /// It does.
     Serving,
     /// It finishes what it has.
@@ -52,7 +52,7 @@
 
 /// What became of work that was given.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Taken {
+pub enum Admission {
     /// A core works on it, until then.
     Begins(Nanos),
     /// No core is free.
@@ -69,9 +69,9 @@
 /// One server.
 pub struct Server {
     /// What it is made of.
-    pub group: Group,
+    pub group: ServerGroup,
     /// What it takes.
-    pub state: State,
+    pub state: ServerState,
     /// When it started, if during the day.
     pub started: Option<Nanos>,
     /// The part of it that a neighbour takes.
@@ -105,10 +105,10 @@
 
 impl Server {
     /// A warm server with nothing to do.
-    pub fn new(group: Group) -> Self {
+    pub fn new(group: ServerGroup) -> Self {
         Self {
             group,
-            state: State::Serving,
+            state: ServerState::Serving,
             started: None,
             neighbour: 0.0,
             lies: false,
@@ -147,7 +147,7 @@
     /// Is gone, with all that it had.
     pub fn die(&mut self, now: Nanos) {
         self.smooth(now);
-        self.state = State::Gone;
+        self.state = ServerState::Gone;
         self.running.clear();
         self.queue.clear();
         self.connections = 0;
@@ -186,7 +186,8 @@
 
     /// Whether one more waiting would have it choke, should it last.
     pub fn crowds(&self) -> bool {
-        let most = if self.group.chokes { CHOKES_AT } else { self.group.queue as usize };
+        let most =
+            if self.group.degrades_under_backlog { CHOKES_AT } else { self.group.queue_per_core as usize };
         self.queue.len() + 1 >= most * self.group.cores as usize
     }
 
@@ -198,23 +199,26 @@
 
     fn warm(&self, now: Nanos) -> f64 {
         self.started.map_or(1.0, |started| {
-            let age = now.saturating_sub(started) as f64 / WARM_AFTER as f64;
-            (COLD + (1.0 - COLD) * age).min(1.0)
+            let age = now.saturating_sub(started) as f64 / WARM_UP_PERIOD as f64;
+            (COLD_START_CAPACITY + (1.0 - COLD_START_CAPACITY) * age).min(1.0)
         })
     }
 
     /// Takes work; `informed` where its sender knew when the server started.
-    pub fn take(&mut self, job: Job, informed: bool, now: Nanos) -> Taken {
-        if self.state == State::Gone {
-            return Taken::Full;
+    pub fn take(&mut self, job: Job, informed: bool, now: Nanos) -> Admission {
+        if self.state == ServerState::Gone {
+            return Admission::Full;
         }
         if let Some(rushed) = self.rushed(job.work, informed, now) {
             self.die(now);
-            return Taken::Falls { rushed };
+            return Admission::Falls { rushed };
         }
         let (waiting, cores) = (self.queue.len(), self.group.cores as usize);
-        if self.state != State::Serving || self.lies || waiting >= self.group.queue as usize * cores {
-            return Taken::Full;
+        if self.state != ServerState::Serving
+            || self.lies
+            || waiting >= self.group.queue_per_core as usize * cores
+        {
+            return Admission::Full;
         }
         self.choke(waiting, now);
         self.add(job, now)
@@ -222,11 +226,11 @@
 
     fn rushed(&mut self, work: f64, informed: bool, now: Nanos) -> Option<bool> {
         let started = self.started?;
-        if now.saturating_sub(started) >= WARM_AFTER {
+        if now.saturating_sub(started) >= WARM_UP_PERIOD {
             self.rush.clear();
             return None;
         }
-        while self.rush.front().is_some_and(|(at, ..)| at + FALL_SPAN < now) {
+        while self.rush.front().is_some_and(|(at, ..)| at + OVERLOAD_WINDOW < now) {
             self.rush.pop_front();
         }
         self.rush.push_back((now, work, informed));
@@ -234,7 +238,8 @@
             self.rush.iter().filter(|(.., knew)| !informed || *knew).map(|(_, work, _)| work).sum()
         };
         let capacity = self.warm(now) * self.group.speed * f64::from(self.group.cores);
-        let bears = TIP * capacity * FALL_SPAN as f64 + TIP_SLACK * SECOND as f64;
+        let bears = OVERLOAD_CRASH_MULTIPLE * capacity * OVERLOAD_WINDOW as f64
+            + OVERLOAD_ALLOWANCE_CORE_SECONDS * SECOND as f64;
         (sum(false) > bears).then(|| sum(true) * 3.0 >= sum(false) * 2.0)
     }
 
@@ -242,7 +247,7 @@
         if self.running.is_empty() && now.saturating_sub(self.idle_since) >= RESTS {
             self.choked_until = 0;
         }
-        if !self.group.chokes || waiting < CHOKES_AT * self.group.cores as usize {
+        if !self.group.degrades_under_backlog || waiting < CHOKES_AT * self.group.cores as usize {
             self.crowded_since = None;
             return;
         }
@@ -253,14 +258,14 @@
         }
     }
 
-    fn add(&mut self, job: Job, now: Nanos) -> Taken {
+    fn add(&mut self, job: Job, now: Nanos) -> Admission {
         self.smooth(now);
         if self.running.len() < self.group.cores as usize {
             self.running.push(job.id);
-            return Taken::Begins(now + (job.work / self.pace(now)) as Nanos);
+            return Admission::Begins(now + (job.work / self.pace(now)) as Nanos);
         }
         self.queue.push_back(job);
-        Taken::Waits
+        Admission::Waits
     }
 
     /// A core has done a job, and takes the next: which, until when. False first where it no longer had the job.
@@ -282,7 +287,7 @@
 
     /// Nobody waits for a job any more. What has begun is stopped too, so the next begins.
     pub fn cancel(&mut self, id: u64, now: Nanos) -> Option<(u64, Nanos)> {
-        if !self.group.cancels {
+        if !self.group.cancels_abandoned_work {
             return None;
         }
         self.queue.retain(|job| job.id != id);
@@ -305,7 +310,7 @@
     }
 
     /// The work of answering a probe, which waits for a core as all work does.
-    pub fn probe(&mut self, id: u64, now: Nanos) -> Taken {
+    pub fn probe(&mut self, id: u64, now: Nanos) -> Admission {
         self.add(Job { id, work: self.group.probe_ms * 1e6 }, now)
     }
 
@@ -322,7 +327,12 @@
     use super::*;
 
     fn server() -> Server {
-        Server::new(Group { cores: 2, speed: 2.0, cancels: true, ..Group::default() })
+        Server::new(ServerGroup {
+            cores: 2,
+            speed: 2.0,
+            cancels_abandoned_work: true,
+            ..ServerGroup::default()
+        })
     }
 
     fn job(id: u64) -> Job {
@@ -333,11 +343,11 @@
     fn work_waits_for_a_core_and_too_much_is_sent_away() {
         let mut server = server();
         let taken: Vec<_> = (0..4).map(|id| server.take(job(id), true, 0)).collect();
-        let half = Taken::Begins(SECOND / 2);
-        assert_eq!(taken, [half, half, Taken::Waits, Taken::Waits]);
+        let half = Admission::Begins(SECOND / 2);
+        assert_eq!(taken, [half, half, Admission::Waits, Admission::Waits]);
         assert_eq!(server.finish(0, SECOND / 2), (true, Some((2, SECOND))));
         assert_eq!(server.finish(0, SECOND / 2), (false, None), "done once");
-        let full = (10..110).filter(|&id| server.take(job(id), true, SECOND / 2) == Taken::Full).count();
+        let full = (10..110).filter(|&id| server.take(job(id), true, SECOND / 2) == Admission::Full).count();
         assert_eq!(full, 100 - (2 * 12 - 1), "one waited already");
     }
 
@@ -345,7 +355,7 @@
     fn what_nobody_waits_for_makes_room_if_the_server_cancels() {
         for cancels in [true, false] {
             let mut server = server();
-            server.group.cancels = cancels;
+            server.group.cancels_abandoned_work = cancels;
             for id in 0..4 {
                 server.take(job(id), true, 0);
             }
@@ -373,7 +383,7 @@
         server.idle_since = 5 * SECOND;
         assert_eq!(
             server.take(job(40), true, 8 * SECOND),
-            Taken::Begins(8 * SECOND + SECOND / 2),
+            Admission::Begins(8 * SECOND + SECOND / 2),
             "well again"
         );
     }
@@ -383,17 +393,20 @@
         let mut server = server();
         server.take(job(0), true, 0);
         server.restart(SECOND);
-        let Taken::Begins(done) = server.take(job(1), true, SECOND) else { panic!("it has no work") };
+        let Admission::Begins(done) = server.take(job(1), true, SECOND) else { panic!("it has no work") };
         assert!((SECOND * 3 / 2..SECOND * 8 / 5).contains(&(done - SECOND)), "{done}");
         // A third of four units of work a second, times three, over two seconds, and the slack: 8.4.
         let mut take = |id, informed| server.take(job(id), informed, SECOND + id);
-        assert!((2..9).all(|id| !matches!(take(id, true), Taken::Falls { .. })));
-        assert_eq!(take(9, true), Taken::Falls { rushed: true });
-        assert_eq!((server.state, server.take(job(10), true, 2 * SECOND)), (State::Gone, Taken::Full));
+        assert!((2..9).all(|id| !matches!(take(id, true), Admission::Falls { .. })));
+        assert_eq!(take(9, true), Admission::Falls { rushed: true });
+        assert_eq!(
+            (server.state, server.take(job(10), true, 2 * SECOND)),
+            (ServerState::Gone, Admission::Full)
+        );
         server.restart(9 * SECOND);
         let fell = (0..9)
             .map(|id| server.take(job(id), id < 4, 9 * SECOND))
-            .find(|t| matches!(t, Taken::Falls { .. }));
-        assert_eq!(fell, Some(Taken::Falls { rushed: false }), "most came from those who did not know");
+            .find(|t| matches!(t, Admission::Falls { .. }));
+        assert_eq!(fell, Some(Admission::Falls { rushed: false }), "most came from those who did not know");
     }
 }
--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -28,55 +28,57 @@
     #[serde(default)]
     pub reports_on_answers: bool,
     /// The list of servers.
-    pub discovery: Discovery,
+    pub discovery: DiscoverySettings,
     /// Who asks.
-    pub clients: Clients,
+    pub clients: Workload,
     /// The servers, group by group; numbered through from 0.
-    pub servers: Vec<Group>,
+    pub servers: Vec<ServerGroup>,
     /// What goes wrong.
-    #[serde(default)]
-    pub trouble: Vec<Trouble>,
+    #[serde(rename = "trouble", default)] // wire name
+    pub faults: Vec<Fault>,
 }
 
 /// How the list of servers reaches the nodes.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Discovery {
+pub struct DiscoverySettings {
     /// A change is told so much later.
     pub lag_ms: u64,
     /// Up to so much later still, each node for itself; what a node is told keeps its order.
     #[serde(default)]
     pub jitter_ms: u64,
     /// The whole list is told again this often, in seconds; 0 for never.
-    #[serde(default)]
-    pub whole_every: f64,
+    #[serde(rename = "whole_every", default)]
+    pub full_list_interval_s: f64,
 }
 
 /// Who asks.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Clients {
+pub struct Workload {
     /// Requests a second over all nodes, without bursts; 0 where all clients are closed ones.
     pub rate: f64,
     /// Clients that ask again as soon as they have their answer, as a benchmark does.
-    #[serde(default)]
-    pub closed: u32,
+    #[serde(rename = "closed", default)]
+    pub closed_clients: u32,
     /// Which share of the clients comes to each zone's nodes; empty for all alike.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub zone_shares: Vec<f64>,
     /// Clients say of a repeat that it is one; else a node has to guess from how long they will wait.
-    #[serde(default)]
-    pub marks_repeats: bool,
+    #[serde(rename = "marks_repeats", default)]
+    pub marks_retries: bool,
     /// The part of the clients that leave early, at any time up to their deadline.
-    #[serde(default)]
-    pub hang_up: f64,
+    #[serde(rename = "hang_up", default)]
+    pub disconnect_ratio: f64,
     /// How often a client asks again after a refusal.
-    pub repeats: u32,
+    #[serde(rename = "repeats")]
+    pub retries: u32,
     /// How long it waits before, unless it is told when to come back.
-    pub repeat_after_ms: u64,
+    #[serde(rename = "repeat_after_ms")]
+    pub retry_delay_ms: u64,
     /// What is asked.
     #[serde(rename = "class")]
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// Whose requests they are; none for no tenants.
     #[serde(rename = "tenant", default, skip_serializing_if = "Vec::is_empty")]
     pub tenants: Vec<Tenant>,
@@ -85,12 +87,12 @@
 /// Longest pause that a client honours.
 pub(crate) const LONGEST_PAUSE: Nanos = 2_000_000_000;
 /// A client that finds no node, or whose node dies, and a closed one that failed, comes back after this time.
-pub const BACK: Nanos = 100_000_000;
+pub const RECONNECT_DELAY: Nanos = 100_000_000;
 
-impl Clients {
+impl Workload {
     /// How long a client waits before it asks again, where it was told to wait for so long.
     pub fn pause(&self, told: Nanos) -> Nanos {
-        told.min(LONGEST_PAUSE).max(self.repeat_after_ms * 1_000_000)
+        told.min(LONGEST_PAUSE).max(self.retry_delay_ms * 1_000_000)
     }
 
     /// The zone of each closed client, dealt out by the zones' shares.
@@ -100,7 +102,7 @@
         let sum: f64 = shares.iter().sum();
         let (mut dealt, mut upto) = (Vec::new(), 0.0);
         for (zone, share) in (0..).zip(shares) {
-            upto += share / sum * f64::from(self.closed);
+            upto += share / sum * f64::from(self.closed_clients);
             dealt.resize((upto.round() as usize).max(dealt.len()), zone);
         }
         dealt
@@ -120,7 +122,7 @@
 /// One class of requests.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Class {
+pub struct RequestClass {
     /// Its name.
     pub name: String,
     /// Its share of the requests; shares count against their sum.
@@ -128,18 +130,22 @@
     /// Work on a core of speed 1, on the mean.
     pub work_ms: f64,
     /// What an answer waits for elsewhere, on the mean; load adds nothing to it.
-    pub elsewhere_ms: f64,
+    #[serde(rename = "elsewhere_ms")]
+    pub downstream_ms: f64,
     /// An answer within this time counts.
-    pub aim_ms: u64,
+    #[serde(rename = "aim_ms")]
+    pub latency_target_ms: u64,
     /// The client gives up after this time.
     pub deadline_ms: u64,
     /// Worth of one.
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub value: f64,
     /// Must not run twice.
-    pub once: bool,
+    #[serde(rename = "once")]
+    pub non_idempotent: bool,
 }
 
-impl Class {
+impl RequestClass {
     /// How long a client of this class stays with one try, by a number drawn from 0 to 1.
     pub fn patience(&self, drawn: f64) -> Nanos {
         (self.deadline_ms as f64 * (0.7 + 0.3 * drawn)) as Nanos * 1_000_000
@@ -149,7 +155,7 @@
 /// Servers that are alike.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Group {
+pub struct ServerGroup {
     /// How many.
     pub count: u32,
     /// Cores of each.
@@ -157,11 +163,11 @@
     /// Speed of a core.
     pub speed: f64,
     /// It stops work that nobody waits for any more.
-    #[serde(default)]
-    pub cancels: bool,
+    #[serde(rename = "cancels", default)]
+    pub cancels_abandoned_work: bool,
     /// The part of its answers that are errors.
-    #[serde(default)]
-    pub errors: f64,
+    #[serde(rename = "errors", default)]
+    pub error_ratio: f64,
     /// Connections that it takes at a time; 0 for any number.
     #[serde(default)]
     pub connections: u32,
@@ -169,41 +175,41 @@
     #[serde(default)]
     pub handshake_ms: f64,
     /// Work of answering a probe.
-    #[serde(default = "probe_ms")]
+    #[serde(default = "default_probe_ms")]
     pub probe_ms: f64,
     /// Requests that may wait for each core; more are sent away.
-    #[serde(default = "queue")]
-    pub queue: u32,
+    #[serde(rename = "queue", default = "default_queue_per_core")]
+    pub queue_per_core: u32,
     /// It turns several times slower when many wait for a while.
-    #[serde(default = "chokes")]
-    pub chokes: bool,
+    #[serde(rename = "chokes", default = "degrades_by_default")]
+    pub degrades_under_backlog: bool,
 }
 
-fn probe_ms() -> f64 {
+fn default_probe_ms() -> f64 {
     4.0
 }
 
-fn queue() -> u32 {
+fn default_queue_per_core() -> u32 {
     12
 }
 
-fn chokes() -> bool {
+fn degrades_by_default() -> bool {
     true
 }
 
-impl Default for Group {
+impl Default for ServerGroup {
     fn default() -> Self {
         Self {
             count: 1,
             cores: 1,
             speed: 1.0,
-            cancels: false,
-            errors: 0.0,
+            cancels_abandoned_work: false,
+            error_ratio: 0.0,
             connections: 0,
             handshake_ms: 0.0,
-            probe_ms: probe_ms(),
-            queue: queue(),
-            chokes: chokes(),
+            probe_ms: default_probe_ms(),
+            queue_per_core: default_queue_per_core(),
+            degrades_under_backlog: degrades_by_default(),
         }
     }
 }
@@ -211,13 +217,15 @@
 /// Something that goes wrong from one time to another.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
+pub struct Fault {
     /// What.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// From when.
-    pub from: f64,
+    #[serde(rename = "from")]
+    pub start_s: f64,
     /// Until when.
-    pub to: f64,
+    #[serde(rename = "to")]
+    pub end_s: f64,
     /// Which servers it strikes.
     #[serde(default)]
     pub servers: Vec<u32>,
@@ -231,30 +239,33 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tenant: Option<u32>,
     /// The part of the machine that a neighbour takes, of the answers that are errors, of the messages that are lost.
-    #[serde(default)]
-    pub part: f64,
+    #[serde(rename = "part", default)]
+    pub fraction: f64,
     /// How many times the usual rate a burst brings.
-    #[serde(default)]
-    pub times: f64,
+    #[serde(rename = "times", default)]
+    pub rate_multiplier: f64,
     /// How much farther a zone is, one way.
-    #[serde(default)]
-    pub ms: f64,
+    #[serde(rename = "ms", default)]
+    pub added_latency_ms: f64,
 }
 
 /// What can go wrong.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum FaultKind {
     /// Another program takes a part of some servers.
-    Neighbour,
+    #[serde(rename = "neighbour")]
+    NoisyNeighbour,
     /// Some servers answer each request, and each probe, that they have room and refuse the request.
-    Liar,
+    #[serde(rename = "liar")]
+    FalseReadiness,
     /// Some servers drain, and leave at the end of it.
     Drain,
     /// Some servers are gone, and come back cold.
     Restart,
     /// A zone is cut off from the others.
-    ZoneCut,
+    #[serde(rename = "zone_cut")]
+    ZonePartition,
     /// More requests come.
     Burst,
     /// A part of some servers' answers are errors.
@@ -262,39 +273,45 @@
     /// Some servers take requests and probes and never answer.
     Hang,
     /// Some servers answer requests and no probe.
-    Deaf,
+    #[serde(rename = "deaf")]
+    ProbeTimeout,
     /// A zone is farther away from the others.
-    Far,
+    #[serde(rename = "far")]
+    AddedLatency,
     /// Messages to and from a zone are lost, and come a fifth of a second later.
-    Lossy,
+    #[serde(rename = "lossy")]
+    PacketLoss,
     /// No list is told, and calls for one fail.
-    ListDown,
+    #[serde(rename = "list_down")]
+    DiscoveryDown,
     /// Whole lists show what was true at its beginning, as from a replica that lags; changes are told all the same.
-    ListStale,
+    #[serde(rename = "list_stale")]
+    DiscoveryStale,
     /// Some nodes die with all that they hold, and come back knowing nothing.
     NodeCrash,
     /// Some nodes take nothing new and finish what they have, and come back knowing nothing.
-    NodeStop,
+    #[serde(rename = "node_stop")]
+    NodeShutdown,
 }
 
-impl Kind {
+impl FaultKind {
     /// All of them.
     pub const ALL: [Self; 15] = [
-        Self::Neighbour,
-        Self::Liar,
+        Self::NoisyNeighbour,
+        Self::FalseReadiness,
         Self::Drain,
         Self::Restart,
-        Self::ZoneCut,
+        Self::ZonePartition,
         Self::Burst,
         Self::Errors,
         Self::Hang,
-        Self::Deaf,
-        Self::Far,
-        Self::Lossy,
-        Self::ListDown,
-        Self::ListStale,
+        Self::ProbeTimeout,
+        Self::AddedLatency,
+        Self::PacketLoss,
+        Self::DiscoveryDown,
+        Self::DiscoveryStale,
         Self::NodeCrash,
-        Self::NodeStop,
+        Self::NodeShutdown,
     ];
 }
 
@@ -388,7 +405,7 @@
         within("loss", self.loss, 0.0, 0.5, "0 to 0.5")?;
         within("discovery.lag_ms", self.discovery.lag_ms as f64, 0.0, 3.6e6, "an hour at most")?;
         within("discovery.jitter_ms", self.discovery.jitter_ms as f64, 0.0, 3.6e6, "an hour at most")?;
-        within("discovery.whole_every", self.discovery.whole_every, 0.0, 86_400.0, "0 to 86400")?;
+        within("discovery.whole_every", self.discovery.full_list_interval_s, 0.0, 86_400.0, "0 to 86400")?;
         self.check_clients(&within)?;
         let count: u64 = self.servers.iter().map(|group| u64::from(group.count)).sum();
         if count > 100_000 {
@@ -398,36 +415,41 @@
             let field = |name: &str| format!("servers[{number}].{name}");
             within(&field("cores"), group.cores.into(), 1.0, 1024.0, "1 to 1024")?;
             within(&field("speed"), group.speed, TINY, 1e6, "above 0")?;
-            within(&field("errors"), group.errors, 0.0, 1.0, "0 to 1")?;
+            within(&field("errors"), group.error_ratio, 0.0, 1.0, "0 to 1")?;
             within(&field("handshake_ms"), group.handshake_ms, 0.0, 10_000.0, "0 to 10000")?;
             within(&field("probe_ms"), group.probe_ms, 0.0, 10_000.0, "0 to 10000")?;
         }
-        for (number, trouble) in self.trouble.iter().enumerate() {
+        for (number, fault) in self.faults.iter().enumerate() {
             let field = |name: &str| format!("trouble[{number}].{name}");
-            if !(0.0..trouble.to).contains(&trouble.from) {
-                return fail(field("from"), &trouble.from, "from 0, before to");
+            if !(0.0..fault.end_s).contains(&fault.start_s) {
+                return fail(field("from"), &fault.start_s, "from 0, before to");
             }
-            within(&field("to"), trouble.to, 0.0, 1e6, "a million seconds at most")?;
-            if let Some(server) = trouble.servers.iter().find(|server| u64::from(**server) >= count) {
+            within(&field("to"), fault.end_s, 0.0, 1e6, "a million seconds at most")?;
+            if let Some(server) = fault.servers.iter().find(|server| u64::from(**server) >= count) {
                 return fail(field("servers"), server, "the number of a server, from 0");
             }
-            if let Some(node) = trouble.nodes.iter().find(|node| **node >= self.nodes) {
+            if let Some(node) = fault.nodes.iter().find(|node| **node >= self.nodes) {
                 return fail(field("nodes"), node, "the number of a node, from 0");
             }
-            if let Some(tenant) =
-                trouble.tenant.filter(|tenant| *tenant as usize >= self.clients.tenants.len())
+            if let Some(tenant) = fault.tenant.filter(|tenant| *tenant as usize >= self.clients.tenants.len())
             {
                 return fail(field("tenant"), &tenant, "the number of a tenant, from 0");
             }
-            if trouble.zone >= self.zones {
-                return fail(field("zone"), &trouble.zone, "the number of a zone, from 0");
+            if fault.zone >= self.zones {
+                return fail(field("zone"), &fault.zone, "the number of a zone, from 0");
             }
-            match trouble.kind {
-                Kind::Neighbour => within(&field("part"), trouble.part, 0.0, 0.999, "0 up to 0.999")?,
-                Kind::Errors => within(&field("part"), trouble.part, 0.0, 1.0, "0 to 1")?,
-                Kind::Lossy => within(&field("part"), trouble.part, 0.0, 0.5, "0 to 0.5")?,
-                Kind::Burst => within(&field("times"), trouble.times, TINY, 1000.0, "above 0, 1000 at most")?,
-                Kind::Far => within(&field("ms"), trouble.ms, 0.0, 10_000.0, "0 to 10000")?,
+            match fault.kind {
+                FaultKind::NoisyNeighbour => {
+                    within(&field("part"), fault.fraction, 0.0, 0.999, "0 up to 0.999")?
+                }
+                FaultKind::Errors => within(&field("part"), fault.fraction, 0.0, 1.0, "0 to 1")?,
+                FaultKind::PacketLoss => within(&field("part"), fault.fraction, 0.0, 0.5, "0 to 0.5")?,
+                FaultKind::Burst => {
+                    within(&field("times"), fault.rate_multiplier, TINY, 1000.0, "above 0, 1000 at most")?
+                }
+                FaultKind::AddedLatency => {
+                    within(&field("ms"), fault.added_latency_ms, 0.0, 10_000.0, "0 to 10000")?
+                }
                 _ => {}
             }
         }
@@ -437,10 +459,10 @@
     fn check_clients(&self, within: &Within) -> Result<(), WorldError> {
         const TINY: f64 = f64::MIN_POSITIVE;
         let clients = &self.clients;
-        let least = if clients.closed == 0 { TINY } else { 0.0 };
+        let least = if clients.closed_clients == 0 { TINY } else { 0.0 };
         within("clients.rate", clients.rate, least, 1e7, "above 0, or 0 with closed clients")?;
-        within("clients.closed", clients.closed.into(), 0.0, 1e6, "a million at most")?;
-        within("clients.hang_up", clients.hang_up, 0.0, 1.0, "0 to 1")?;
+        within("clients.closed", clients.closed_clients.into(), 0.0, 1e6, "a million at most")?;
+        within("clients.hang_up", clients.disconnect_ratio, 0.0, 1.0, "0 to 1")?;
         within("clients.class", clients.classes.len() as f64, 1.0, 1000.0, "1 to 1000 of them")?;
         let shares = clients.zone_shares.len();
         if shares > 0 {
@@ -454,9 +476,9 @@
             let field = |name: &str| format!("clients.class[{number}].{name}");
             within(&field("share"), class.share, TINY, 1e9, "above 0")?;
             within(&field("work_ms"), class.work_ms, TINY, 1e6, "above 0")?;
-            within(&field("worth"), class.worth, TINY, 1e9, "above 0")?;
-            within(&field("elsewhere_ms"), class.elsewhere_ms, 0.0, 60_000.0, "0 to 60000")?;
-            let (aim, deadline) = (class.aim_ms as f64, class.deadline_ms as f64);
+            within(&field("worth"), class.value, TINY, 1e9, "above 0")?;
+            within(&field("elsewhere_ms"), class.downstream_ms, 0.0, 60_000.0, "0 to 60000")?;
+            let (aim, deadline) = (class.latency_target_ms as f64, class.deadline_ms as f64);
             within(&field("deadline_ms"), deadline, 1.0, 3.6e6, "above 0, an hour at most")?;
             within(&field("aim_ms"), aim, 1.0, deadline, "above 0, at most deadline_ms")?;
         }
@@ -469,21 +491,32 @@
     }
 
     /// The servers' groups, one entry a server.
-    pub(crate) fn each_server(&self) -> impl Iterator<Item = Group> + '_ {
+    pub(crate) fn each_server(&self) -> impl Iterator<Item = ServerGroup> + '_ {
         self.servers.iter().flat_map(|group| std::iter::repeat_n(*group, group.count as usize))
     }
 }
 
-impl Trouble {
+impl Fault {
     /// A trouble of this kind and time that strikes nobody yet.
-    pub fn new(kind: Kind, from: f64, to: f64) -> Self {
+    pub fn new(kind: FaultKind, start_s: f64, end_s: f64) -> Self {
         let (servers, nodes) = (Vec::new(), Vec::new());
-        Self { kind, from, to, servers, nodes, zone: 0, tenant: None, part: 0.5, times: 2.0, ms: 20.0 }
+        Self {
+            kind,
+            start_s,
+            end_s,
+            servers,
+            nodes,
+            zone: 0,
+            tenant: None,
+            fraction: 0.5,
+            rate_multiplier: 2.0,
+            added_latency_ms: 20.0,
+        }
     }
 
     /// From when until when, from the world's start.
     pub fn span(&self) -> (Nanos, Nanos) {
-        (seconds(self.from), seconds(self.to))
+        (seconds(self.start_s), seconds(self.end_s))
     }
 }
 
--- a/lab/tests/worlds.rs
+++ b/lab/tests/worlds.rs
@@ -1,21 +1,30 @@
 //! Whole worlds: the rules hold in all of them, the same seed gives the same play, and trouble shows where it strikes.
 
 use ivyhatch_lab::{
-    Class, Clients, DEFAULT_WORLD, Decider, Discovery, Group, Kind, Oracle, Policy, Report, Rule, Tenant,
-    Trouble, World, play, play_with,
+    DEFAULT_WORLD, DiscoverySettings, Fault, FaultKind, Invariant, InvariantChecker, Policy, PolicyConfig,
+    Report, RequestClass, ServerGroup, Tenant, Workload, World, simulate, simulate_with,
 };
 use proptest::prelude::*;
 
 fn played(world: &World, seed: u64) -> Report {
-    play(world, seed, &mut |_| {})
+    simulate(world, seed, &mut |_| {})
 }
 
-fn class(name: &str, work_ms: f64, once: bool) -> Class {
-    let (share, aim_ms, deadline_ms) = (0.5, 800, 2000);
-    Class { name: name.into(), share, work_ms, elsewhere_ms: 50.0, aim_ms, deadline_ms, worth: 1.0, once }
+fn class(name: &str, work_ms: f64, non_idempotent: bool) -> RequestClass {
+    let (share, latency_target_ms, deadline_ms) = (0.5, 800, 2000);
+    RequestClass {
+        name: name.into(),
+        share,
+        work_ms,
+        downstream_ms: 50.0,
+        latency_target_ms,
+        deadline_ms,
+        value: 1.0,
+        non_idempotent,
+    }
 }
 
-fn small(rate: f64, trouble: Vec<Trouble>) -> World {
+fn small(rate: f64, faults: Vec<Fault>) -> World {
     World {
         name: "small".into(),
         seconds: 12.0,
@@ -25,25 +34,25 @@
         jitter_ms: 0.0,
         loss: 0.0,
         reports_on_answers: false,
-        discovery: Discovery { lag_ms: 400, jitter_ms: 0, whole_every: 0.0 },
-        clients: Clients {
+        discovery: DiscoverySettings { lag_ms: 400, jitter_ms: 0, full_list_interval_s: 0.0 },
+        clients: Workload {
             rate,
-            repeats: 1,
-            repeat_after_ms: 200,
+            retries: 1,
+            retry_delay_ms: 200,
             classes: vec![class("read", 40.0, false), class("pay", 60.0, true)],
-            closed: 0,
+            closed_clients: 0,
             zone_shares: Vec::new(),
-            hang_up: 0.0,
-            marks_repeats: false,
+            disconnect_ratio: 0.0,
+            marks_retries: false,
             tenants: Vec::new(),
         },
-        servers: vec![Group { count: 9, cores: 2, ..Group::default() }],
-        trouble,
+        servers: vec![ServerGroup { count: 9, cores: 2, ..ServerGroup::default() }],
+        faults,
     }
 }
 
-fn trouble(kind: Kind, from: f64, to: f64) -> Trouble {
-    Trouble { servers: vec![0], nodes: vec![0], zone: 1, ..Trouble::new(kind, from, to) }
+fn fault(kind: FaultKind, from: f64, to: f64) -> Fault {
+    Fault { servers: vec![0], nodes: vec![0], zone: 1, ..Fault::new(kind, from, to) }
 }
 
 #[test]
@@ -62,7 +71,7 @@
 
 #[test]
 fn the_same_seed_gives_the_same_play() {
-    let world = small(100.0, vec![trouble(Kind::ZoneCut, 3.0, 6.0)]);
+    let world = small(100.0, vec![fault(FaultKind::ZonePartition, 3.0, 6.0)]);
     let text = |seed| format!("{:?}", played(&world, seed));
     assert_eq!(text(5), text(5));
     assert_ne!(text(5), text(6));
@@ -72,7 +81,7 @@
 #[test]
 fn a_trouble_that_changes_nothing_moves_nothing() {
     let calm = format!("{:?}", played(&small(100.0, vec![]), 3).classes);
-    let idle = Trouble { part: 0.0, ..trouble(Kind::Neighbour, 3.0, 6.0) };
+    let idle = Fault { fraction: 0.0, ..fault(FaultKind::NoisyNeighbour, 3.0, 6.0) };
     assert_eq!(format!("{:?}", played(&small(100.0, vec![idle]), 3).classes), calm);
 }
 
@@ -80,10 +89,10 @@
 fn trouble_shows_and_most_is_served_all_the_same() {
     let calm = played(&small(100.0, vec![]), 3);
     assert!(calm.served > 0.98, "{}", calm.served);
-    for kind in
-        Kind::ALL.into_iter().filter(|kind| !matches!(kind, Kind::Burst | Kind::ListDown | Kind::ListStale))
-    {
-        let report = played(&small(100.0, vec![trouble(kind, 3.0, 9.0)]), 3);
+    for kind in FaultKind::ALL.into_iter().filter(|kind| {
+        !matches!(kind, FaultKind::Burst | FaultKind::DiscoveryDown | FaultKind::DiscoveryStale)
+    }) {
+        let report = played(&small(100.0, vec![fault(kind, 3.0, 9.0)]), 3);
         assert_eq!(report.rules_broken, 0, "{kind:?}: {:?}", report.broken);
         assert_ne!(
             format!("{:?}", report.classes),
@@ -92,18 +101,25 @@
         );
         assert!(report.served > 0.85, "{kind:?}: {}", report.served);
     }
-    let flooded = played(&small(280.0, vec![trouble(Kind::Burst, 2.0, 10.0)]), 3);
+    let flooded = played(&small(280.0, vec![fault(FaultKind::Burst, 2.0, 10.0)]), 3);
     assert_eq!(flooded.rules_broken, 0, "{:?}", flooded.broken);
     assert!(flooded.served < 0.9 && flooded.served > 0.3, "{}", flooded.served);
 }
 
-fn troubles() -> impl Strategy<Value = Trouble> {
-    let kinds = prop::sample::select(Kind::ALL.to_vec());
+fn faults() -> impl Strategy<Value = Fault> {
+    let kinds = prop::sample::select(FaultKind::ALL.to_vec());
     let (servers, nodes) = (prop::collection::vec(0..9u32, 1..6), prop::collection::vec(0..6u32, 1..3));
     (kinds, 0.0..8.0, 0.2..6.0, servers, nodes, 0..3u32, 0.0..0.95, 0.2..5.0).prop_map(
-        |(kind, from, len, servers, nodes, zone, part, times)| {
-            let part = if kind == Kind::Lossy { part / 2.0 } else { part };
-            Trouble { servers, nodes, zone, part, times, ..Trouble::new(kind, from, from + len) }
+        |(kind, start_s, duration_s, servers, nodes, zone, fraction, rate_multiplier)| {
+            let fraction = if kind == FaultKind::PacketLoss { fraction / 2.0 } else { fraction };
+            Fault {
+                servers,
+                nodes,
+                zone,
+                fraction,
+                rate_multiplier,
+                ..Fault::new(kind, start_s, start_s + duration_s)
+            }
         },
     )
 }
@@ -114,7 +130,7 @@
 
     #[test]
     fn the_rules_hold_in_any_world(
-        trouble in prop::collection::vec(troubles(), 0..6),
+        faults in prop::collection::vec(faults(), 0..6),
         rate in 20.0..500.0f64,
         nodes in 1..6u32,
         zones in 1..4u32,
@@ -125,18 +141,18 @@
         connections in 0..40u32,
         seed in any::<u64>(),
     ) {
-        let fit = |t: Trouble| {
+        let fit = |t: Fault| {
             let at = t.nodes.iter().map(|node| node % nodes).collect();
-            Trouble { zone: t.zone % zones, nodes: at, ..t }
+            Fault { zone: t.zone % zones, nodes: at, ..t }
         };
-        let trouble = trouble.into_iter().map(fit).collect();
-        let mut world = small(rate, trouble);
+        let faults = faults.into_iter().map(fit).collect();
+        let mut world = small(rate, faults);
         (world.nodes, world.zones, world.discovery.lag_ms) = (nodes, zones, lag_ms);
-        (world.seconds, world.clients.repeats) = (8.0, repeats);
-        (world.clients.hang_up, world.jitter_ms, world.reports_on_answers) = (hang_up, jitter_ms, seed % 3 == 0);
-        (world.discovery.jitter_ms, world.discovery.whole_every) = (lag_ms / 3, if seed % 2 == 0 { 1.5 } else { 0.0 });
+        (world.seconds, world.clients.retries) = (8.0, repeats);
+        (world.clients.disconnect_ratio, world.jitter_ms, world.reports_on_answers) = (hang_up, jitter_ms, seed % 3 == 0);
+        (world.discovery.jitter_ms, world.discovery.full_list_interval_s) = (lag_ms / 3, if seed % 2 == 0 { 1.5 } else { 0.0 });
         let group = &mut world.servers[0];
-        (group.cancels, group.connections, group.handshake_ms) = (seed % 5 < 2, connections, 1.0);
+        (group.cancels_abandoned_work, group.connections, group.handshake_ms) = (seed % 5 < 2, connections, 1.0);
         world.check().expect("a sound world");
         let report = played(&world, seed);
         prop_assert_eq!(report.rules_broken, 0, "{:?}", report.broken);
@@ -179,7 +195,7 @@
     let mut world = small(600.0, vec![]);
     (world.nodes, world.servers[0].count, world.seconds) = (30, 60, 8.0);
     // Answers take their time: it is while the first are out that a node's own count misleads it.
-    world.clients.classes.iter_mut().for_each(|class| class.elsewhere_ms = 300.0);
+    world.clients.classes.iter_mut().for_each(|class| class.downstream_ms = 300.0);
     let report = played(&world, 1);
     assert_eq!(report.rules_broken, 0, "{:?}", report.broken);
     assert!(report.served > 0.95, "{}", report.served);
@@ -206,25 +222,29 @@
 /// A replica that lags answers with a list from before a drain: that takes no notice back.
 #[test]
 fn a_lagging_replica_brings_no_drained_server_back() {
-    let drain = Trouble { servers: vec![0, 4], ..Trouble::new(Kind::Drain, 4.0, 11.0) };
-    let mut world = small(100.0, vec![Trouble::new(Kind::ListStale, 3.0, 10.0), drain]);
-    world.discovery.whole_every = 1.5;
+    let drain = Fault { servers: vec![0, 4], ..Fault::new(FaultKind::Drain, 4.0, 11.0) };
+    let mut world = small(100.0, vec![Fault::new(FaultKind::DiscoveryStale, 3.0, 10.0), drain]);
+    world.discovery.full_list_interval_s = 1.5;
     let report = played(&world, 1);
     assert_eq!(report.rules_broken, 0, "{:?}", report.broken);
     assert!(report.served > 0.9, "{}", report.served);
     // The same with a policy that believes every list: the oracle sees it.
-    let believes = play_with(&world, &Decider::of(Policy::RoundRobin), 1, &mut |_| {});
-    assert!(believes.broken.iter().any(|broken| broken.rule == Rule::Drain), "{}", believes.rules_broken);
+    let believes = simulate_with(&world, &PolicyConfig::new(Policy::RoundRobin), 1, &mut |_| {});
+    assert!(
+        believes.broken.iter().any(|broken| broken.rule == Invariant::Drain),
+        "{}",
+        believes.rules_broken
+    );
 }
 
 /// Shares alike for a cold server and for warm ones push the cold one over; the module's do not.
 #[test]
 fn a_cold_server_is_pushed_over_by_even_shares_and_not_by_the_module() {
     let mut world =
-        small(420.0, vec![Trouble { servers: vec![0, 3], ..Trouble::new(Kind::Restart, 2.0, 4.0) }]);
+        small(420.0, vec![Fault { servers: vec![0, 3], ..Fault::new(FaultKind::Restart, 2.0, 4.0) }]);
     world.discovery.lag_ms = 50;
-    let even = play_with(&world, &Decider::of(Policy::RoundRobin), 1, &mut |_| {});
-    assert!(even.broken.iter().any(|broken| broken.rule == Rule::Cold), "{}", even.rules_broken);
+    let even = simulate_with(&world, &PolicyConfig::new(Policy::RoundRobin), 1, &mut |_| {});
+    assert!(even.broken.iter().any(|broken| broken.rule == Invariant::Cold), "{}", even.rules_broken);
     let module = played(&world, 1);
     assert_eq!(module.rules_broken, 0, "{:?}", module.broken);
 }
@@ -234,21 +254,22 @@
 fn references_serve_by_what_they_see() {
     let unlike = |rate| {
         let mut world = small(rate, vec![]);
-        let group = |speed| Group { count: 5, cores: 2, speed, ..Group::default() };
+        let group = |speed| ServerGroup { count: 5, cores: 2, speed, ..ServerGroup::default() };
         world.servers = vec![group(0.5), group(1.5)];
         world
     };
-    let served = |world: &World, policy| play_with(world, &Decider::of(policy), 2, &mut |_| {}).served;
+    let served =
+        |world: &World, policy| simulate_with(world, &PolicyConfig::new(policy), 2, &mut |_| {}).served;
     for policy in Policy::REFERENCES {
         let calm = served(&small(40.0, vec![]), policy);
         assert!(calm > 0.99, "{policy:?}: {calm}");
     }
-    let [random, least, module] =
-        [Policy::Random, Policy::LeastRequests, Policy::Module].map(|policy| served(&unlike(320.0), policy));
+    let [random, least, module] = [Policy::Random, Policy::LeastRequests, Policy::Balancer]
+        .map(|policy| served(&unlike(320.0), policy));
     assert!(random < 0.9 && least > 0.95 && module > 0.95, "{random} {least} {module}");
     // Beyond what the servers can do, who takes everything serves little of it in time.
-    let [least, module, truth] =
-        [Policy::LeastRequests, Policy::Module, Policy::Truth].map(|policy| served(&unlike(520.0), policy));
+    let [least, module, truth] = [Policy::LeastRequests, Policy::Balancer, Policy::Omniscient]
+        .map(|policy| served(&unlike(520.0), policy));
     assert!(least < 0.4 && module > 0.6 && truth > 0.7, "{least} {module} {truth}");
 }
 
@@ -260,7 +281,7 @@
     let refused: u64 = report.classes.iter().map(|class| class.refused).sum();
     let asked: u64 = report.classes.iter().map(|class| class.asked).sum();
     assert_eq!((report.rules_broken, report.attempts, refused), (0, 0, asked));
-    let mut world = small(1e-6, vec![Trouble::new(Kind::ZoneCut, 0.0, 1e5)]);
+    let mut world = small(1e-6, vec![Fault::new(FaultKind::ZonePartition, 0.0, 1e5)]);
     (world.zones, world.nodes, world.servers[0].count) = (1, 1, 1);
     let report = played(&world, 1);
     let one: u64 = report.classes.iter().map(|class| class.in_time).sum();
@@ -271,10 +292,10 @@
 #[test]
 fn a_hundred_thousand_open_requests_end_in_time() {
     let mut world = small(14_000.0, vec![]);
-    world.trouble = vec![Trouble { servers: (0..9).collect(), ..Trouble::new(Kind::Hang, 0.0, 100.0) }];
-    (world.nodes, world.clients.repeats, world.seconds) = (1, 0, 9.0);
+    world.faults = vec![Fault { servers: (0..9).collect(), ..Fault::new(FaultKind::Hang, 0.0, 100.0) }];
+    (world.nodes, world.clients.retries, world.seconds) = (1, 0, 9.0);
     world.clients.classes.iter_mut().for_each(|class| class.deadline_ms = 12_000);
-    let report = play_with(&world, &Decider::of(Policy::Random), 1, &mut |_| {});
+    let report = simulate_with(&world, &PolicyConfig::new(Policy::Random), 1, &mut |_| {});
     assert!(report.most_open >= 100_000, "{}", report.most_open);
     assert_eq!(report.rules_broken, 0, "{:?}", report.broken);
     assert_eq!(played(&world, 1).rules_broken, 0);
@@ -283,7 +304,7 @@
 #[test]
 fn closed_clients_keep_so_many_open_and_come_where_they_are_sent() {
     let mut world = small(0.0, vec![]);
-    (world.clients.closed, world.clients.zone_shares) = (12, vec![3.0, 1.0, 0.0]);
+    (world.clients.closed_clients, world.clients.zone_shares) = (12, vec![3.0, 1.0, 0.0]);
     let report = played(&world, 1);
     let asked: Vec<u64> = report.zones.iter().map(|zone| zone.asked).collect();
     assert!(asked[0] > 2 * asked[1] && asked[1] > 50 && asked[2] == 0, "{asked:?}");
@@ -293,7 +314,7 @@
 /// A tenant that floods is held to its share, and the other keeps its own.
 #[test]
 fn a_flood_of_one_tenant_leaves_the_other_served() {
-    let flood = Trouble { tenant: Some(0), times: 12.0, ..Trouble::new(Kind::Burst, 2.0, 12.0) };
+    let flood = Fault { tenant: Some(0), rate_multiplier: 12.0, ..Fault::new(FaultKind::Burst, 2.0, 12.0) };
     let mut world = small(100.0, vec![flood]);
     world.clients.tenants = vec![Tenant { share: 1.0, quota: 80.0 }, Tenant { share: 1.0, quota: 80.0 }];
     let report = played(&world, 1);
@@ -350,12 +371,12 @@
 
 #[test]
 fn a_node_that_holds_more_than_it_was_given_is_told_of_once() {
-    let mut oracle = Oracle::default();
+    let mut oracle = InvariantChecker::default();
     oracle.holds(0, "descriptors", 1024, 1024, 1);
     assert!(oracle.broken.is_empty());
     oracle.holds(0, "descriptors", 1025, 1024, 2);
     oracle.holds(0, "descriptors", 1026, 1024, 3);
     oracle.holds(1, "descriptors", 1026, 1024, 4);
     let told: Vec<_> = oracle.broken.iter().map(|broken| (broken.rule, broken.at)).collect();
-    assert_eq!(told, [(Rule::Bounds, 2), (Rule::Bounds, 4)]);
+    assert_eq!(told, [(Invariant::Bounds, 2), (Invariant::Bounds, 4)]);
 }
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -146,7 +146,7 @@
 
 /// A backend that serves all with this body.
 pub fn serving(body: &'static str) -> Backend {
-    Backend::new(move |_| Does::Writes(ok(body)))
+    Backend::new(move |_| BackendReply::Write(ok(body)))
 }
 
 pub fn get(id: &str, more: &str) -> String {
--- a/node/tests/crossings.rs
+++ b/node/tests/crossings.rs
@@ -22,9 +22,9 @@
 }
 
 /// Opens the jam, waits until a connection of the node's is up there and a while longer, and tells what came.
-fn comes_to(jam: Jam) -> Vec<String> {
+fn comes_to(jam: FullBacklogListener) -> Vec<String> {
     let filling = jam.filling();
-    let backend = jam.open(|_| Does::Writes(ok("late")));
+    let backend = jam.open(|_| BackendReply::Write(ok("late")));
     until("a connection is up", || backend.connections.load(Ordering::SeqCst) as usize > filling);
     thread::sleep(Duration::from_millis(300));
     backend.got.try_iter().filter_map(|message| message.value("x-call-id").map(str::to_owned)).collect()
@@ -34,7 +34,7 @@
 #[test]
 fn a_request_in_a_connect_obeys_a_drain_told_meanwhile() {
     for state in ["Terminating", "Gone"] {
-        let jam = Jam::new();
+        let jam = FullBacklogListener::new();
         let (node, discovery) = before(json!([target("s-0", jam.at(), "Ready")]), 8000, 100);
         let mut client = Client::to(node.at);
         client.write(&post("pay", "chosen", "", ""));
@@ -52,7 +52,7 @@
 /// The limit for connects ends the attempt, which never ran, and the request goes elsewhere. What comes up later carries nothing.
 #[test]
 fn a_connection_that_comes_up_after_its_attempt_was_given_up_carries_nothing() {
-    let (jam, other) = (Jam::new(), serving("other"));
+    let (jam, other) = (FullBacklogListener::new(), serving("other"));
     let list = json!([target("s-0", jam.at(), "Ready"), target("s-1", other.at, "Ready")]);
     let (node, _discovery) = before(list, 200, 500);
     let mut through_the_jam = 0;
@@ -66,7 +66,7 @@
     assert_eq!(through_the_jam, 0);
     assert_eq!(other.count(), 6);
     let filling = jam.filling();
-    let backend = jam.open(|_| Does::Writes(ok("late")));
+    let backend = jam.open(|_| BackendReply::Write(ok("late")));
     assert_eq!(node.ask(&post("pay", "next", "", "")).status(), 200);
     let ids: Vec<_> =
         backend.got.try_iter().filter_map(|m| m.value("x-call-id").map(str::to_owned)).collect();
--- a/node/tests/customers.rs
+++ b/node/tests/customers.rs
@@ -201,14 +201,14 @@
     }
 }
 
-fn always(does: Does) -> Backend {
+fn always(does: BackendReply) -> Backend {
     Backend::new(move |_| does.clone())
 }
 
 #[test]
 fn what_is_asked_is_served_once_and_what_makes_no_sense_is_told_off() {
     each(|customer| {
-        let backend = always(Does::Writes(ok("yes")));
+        let backend = always(BackendReply::Write(ok("yes")));
         let (node, _discovery) = customer.node(&[&backend]);
         let good = [customer.look("g1", customer.deadline_ms), customer.order("g2", customer.deadline_ms)];
         for text in &good {
@@ -234,7 +234,7 @@
 #[test]
 fn a_budget_of_nothing_is_refused_at_once() {
     each(|customer| {
-        let backend = always(Does::Writes(ok("yes")));
+        let backend = always(BackendReply::Write(ok("yes")));
         let (node, _discovery) = customer.node(&[&backend]);
         for (n, budget) in [0, 1, 3].into_iter().enumerate() {
             customer.check_refusal(&node.ask(&customer.look(&format!("z{n}"), budget)));
@@ -248,8 +248,8 @@
 #[test]
 fn what_never_ran_may_go_elsewhere() {
     each(|customer| {
-        let full = always(Does::Writes(status(503, "X-Rejected: 1\r\n")));
-        let serves = always(Does::Writes(ok("yes")));
+        let full = always(BackendReply::Write(status(503, "X-Rejected: 1\r\n")));
+        let serves = always(BackendReply::Write(ok("yes")));
         let (node, _discovery) = customer.node(&[&full, &serves]);
         let answer = node.ask(&customer.order("n1", customer.deadline_ms));
         let attempts = full.count() + serves.count();
@@ -264,7 +264,10 @@
 /// It may have run: it goes again only where its class lets it, and is refused only where trying again does no harm.
 #[test]
 fn what_may_have_run_goes_again_only_within_its_class() {
-    for (n, does) in [Does::Writes(status(500, "")), Does::Ends(String::new())].into_iter().enumerate() {
+    for (n, does) in [BackendReply::Write(status(500, "")), BackendReply::WriteThenClose(String::new())]
+        .into_iter()
+        .enumerate()
+    {
         each(move |customer| {
             let (first, second) = (always(does.clone()), always(does.clone()));
             let (node, _discovery) = customer.node(&[&first, &second]);
@@ -290,7 +293,7 @@
 #[test]
 fn silence_is_answered_in_time() {
     each(|customer| {
-        let backend = always(Does::Hangs);
+        let backend = always(BackendReply::Never);
         let (node, _discovery) = customer.node(&[&backend]);
         let budget = customer.deadline_ms.min(600);
         for text in [customer.order("s1", budget), customer.look("s2", budget)] {
--- a/node/tests/endings.rs
+++ b/node/tests/endings.rs
@@ -55,8 +55,8 @@
 fn the_last_request_has_its_whole_time_where_servers_hang_and_deadlines_are_short() {
     for (class, wanted) in [("read", 503), ("pay", 502)] {
         let backend = Backend::new(|message| match message.value("x-call-id") {
-            Some("last") => Does::Hangs,
-            _ => Does::Writes(ok("yes")),
+            Some("last") => BackendReply::Never,
+            _ => BackendReply::Write(ok("yes")),
         });
         let discovery = Discovery::new(json!([target("s-0", backend.at, "Ready")]));
         let mut config = config(discovery.at, json!([]));
@@ -90,8 +90,8 @@
     let gate = Arc::new(Gate::default());
     let waits = gate.clone();
     let backend = Backend::new(move |message| match message.value("x-call-id") {
-        Some("slow") => Does::Waits(waits.clone(), ok("slow")),
-        _ => Does::Writes(ok("yes")),
+        Some("slow") => BackendReply::WriteAtGate(waits.clone(), ok("slow")),
+        _ => BackendReply::Write(ok("yes")),
     });
     let (mut node, discovery) = Node::with(&[&backend]);
     let mut slow = Client::to(node.at);
--- a/node/tests/fleet.rs
+++ b/node/tests/fleet.rs
@@ -81,7 +81,8 @@
 
 #[test]
 fn servers_are_replaced_and_discovery_moves_while_nodes_are_restarted() {
-    let servers = || (0..SERVERS).map(|_| Backend::new(|_| Does::Writes(ok("yes")))).collect::<Vec<_>>();
+    let servers =
+        || (0..SERVERS).map(|_| Backend::new(|_| BackendReply::Write(ok("yes")))).collect::<Vec<_>>();
     let (old, new) = (servers(), servers());
     let mut known = list(&old, &new, 0);
     let mut discovery = Discovery::new(known.clone());
--- a/node/tests/hostile.rs
+++ b/node/tests/hostile.rs
@@ -13,7 +13,7 @@
 use serde_json::json;
 
 fn serving() -> Backend {
-    Backend::new(|_| Does::Writes(ok("yes")))
+    Backend::new(|_| BackendReply::Write(ok("yes")))
 }
 
 /// A node with room for few connections, a third of what these tests open: sixteen seats beside what is the node's own.
@@ -75,7 +75,7 @@
 fn a_connection_with_a_request_on_it_makes_no_room() {
     let gate = Arc::new(Gate::default());
     let waits = gate.clone();
-    let backend = Backend::new(move |_| Does::Waits(waits.clone(), ok("late")));
+    let backend = Backend::new(move |_| BackendReply::WriteAtGate(waits.clone(), ok("late")));
     let node = small(&backend);
     let mut open = Client::to(node.at);
     open.write(&get("o0", ""));
@@ -176,7 +176,7 @@
 fn the_id_of_an_open_request_is_turned_away() {
     let gate = Arc::new(Gate::default());
     let waits = gate.clone();
-    let backend = Backend::new(move |_| Does::Waits(waits.clone(), ok("mine")));
+    let backend = Backend::new(move |_| BackendReply::WriteAtGate(waits.clone(), ok("mine")));
     let (node, _discovery) = Node::with(&[&backend]);
     let mut owner = Client::to(node.at);
     owner.write(&post("pay", "d1", "", "mine"));
--- a/node/tests/leaving.rs
+++ b/node/tests/leaving.rs
@@ -40,7 +40,7 @@
         .enumerate()
         .map(|(n, behind)| {
             thread::spawn(move || {
-                let jam = Jam::new();
+                let jam = FullBacklogListener::new();
                 let (node, _discovery) = before(jam.at(), &[]);
                 let mut client = Client::to(node.at);
                 client.write(&(get("gone", "") + &behind));
@@ -48,7 +48,7 @@
                 drop(client);
                 thread::sleep(UNTIL);
                 let filling = jam.filling();
-                let backend = jam.open(|_| Does::Writes(ok("yes")));
+                let backend = jam.open(|_| BackendReply::Write(ok("yes")));
                 assert_eq!(node.ask(&get("stays", "")).status(), 200, "case {n}");
                 // The first one's connection comes up as the system tries again, a second or more after it began.
                 until("it is up", || backend.connections.load(Ordering::SeqCst) as usize >= filling + 2);
@@ -74,8 +74,10 @@
                 Backend::new(move |message| {
                     let first = !seen.swap(true, Ordering::SeqCst);
                     match message.value("x-call-id") {
-                        Some("first") if first => Does::Waits(gate.clone(), status(503, "X-Rejected: 1\r\n")),
-                        _ => Does::Writes(ok("yes")),
+                        Some("first") if first => {
+                            BackendReply::WriteAtGate(gate.clone(), status(503, "X-Rejected: 1\r\n"))
+                        }
+                        _ => BackendReply::Write(ok("yes")),
                     }
                 })
             });
@@ -114,7 +116,11 @@
     let waits = gate.clone();
     let backend = Backend::new(move |message| {
         let id = message.value("x-call-id").unwrap_or_default().to_owned();
-        if id == "p1" { Does::Waits(waits.clone(), ok(&id)) } else { Does::Writes(ok(&id)) }
+        if id == "p1" {
+            BackendReply::WriteAtGate(waits.clone(), ok(&id))
+        } else {
+            BackendReply::Write(ok(&id))
+        }
     });
     let (node, _discovery) = Node::with(&[&backend]);
     let mut client = Client::to(node.at);
@@ -137,7 +143,7 @@
 #[test]
 fn a_client_that_has_ended_its_sending_has_left() {
     for behind in behind() {
-        let backend = Backend::new(|_| Does::Hangs);
+        let backend = Backend::new(|_| BackendReply::Never);
         let (node, _discovery) = Node::with(&[&backend]);
         let mut client = Client::to(node.at);
         client.write(&(get("h1", "") + &behind));
--- a/node/tests/life.rs
+++ b/node/tests/life.rs
@@ -93,8 +93,8 @@
     let gate = Arc::new(Gate::default());
     let waits = gate.clone();
     let backend = Backend::new(move |message| match message.value("x-call-id") {
-        Some("slow") => Does::Waits(waits.clone(), ok("slow")),
-        _ => Does::Writes(ok("yes")),
+        Some("slow") => BackendReply::WriteAtGate(waits.clone(), ok("slow")),
+        _ => BackendReply::Write(ok("yes")),
     });
     let (mut node, _discovery) = Node::with(&[&backend]);
     let (mut slow, mut idle, mut kept) = (Client::to(node.at), Client::to(node.at), Client::to(node.at));
@@ -192,7 +192,7 @@
     for sockets in [32, 64, 256] {
         let gate = Arc::new(Gate::default());
         let waits = gate.clone();
-        let backend = Backend::new(move |_| Does::Waits(waits.clone(), ok("late")));
+        let backend = Backend::new(move |_| BackendReply::WriteAtGate(waits.clone(), ok("late")));
         let mut config = config(nowhere(), json!([target("s-0", backend.at, "Ready")]));
         config["limits"]["sockets"] = json!(sockets);
         config["settings"]["n-instances"] = json!(1);
--- a/node/tests/probing.rs
+++ b/node/tests/probing.rs
@@ -32,9 +32,9 @@
     let backend = Backend::new(move |message| {
         if is_probe(message) {
             counted.fetch_add(1, Ordering::SeqCst);
-            return Does::Writes(answer.clone());
+            return BackendReply::Write(answer.clone());
         }
-        Does::Writes(ok(name))
+        BackendReply::Write(ok(name))
     });
     (backend, probes)
 }
--- a/node/tests/serving.rs
+++ b/node/tests/serving.rs
@@ -8,13 +8,13 @@
 use common::*;
 use serde_json::json;
 
-fn always(does: Does) -> Backend {
+fn always(does: BackendReply) -> Backend {
     Backend::new(move |_| does.clone())
 }
 
 #[test]
 fn passes_a_call_on_unchanged_and_once() {
-    let backend = always(Does::Writes(ok("seated")));
+    let backend = always(BackendReply::Write(ok("seated")));
     let (node, _discovery) = Node::with(&[&backend]);
     let answer = node.ask(&post("join", "a1b2", "Idempotency-Key: k-77\r\nX-Budget-Ms-Not: 1\r\n", "lobby"));
     assert_eq!((answer.status(), answer.body.as_slice()), (200, b"seated".as_slice()));
@@ -34,7 +34,7 @@
 
 #[test]
 fn bad_input_is_answered_and_reaches_no_backend() {
-    let backend = always(Does::Writes(ok("no")));
+    let backend = always(BackendReply::Write(ok("no")));
     let (node, _discovery) = Node::with(&[&backend]);
     let large = "x".repeat(64 * 1024 + 1);
     let key = "Idempotency-Key: k\r\n";
@@ -69,16 +69,16 @@
 #[test]
 fn an_unsafe_call_that_may_have_run_fails() {
     let spoilt = [
-        Does::Writes(status(500, "")),
-        Does::Writes(status(503, "")),
-        Does::Writes(status(504, "X-Rejected: 0\r\n")),
-        Does::Writes(status(302, "")),
-        Does::Ends(String::new()),
-        Does::Ends("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_owned()),
-        Does::Ends("HTTP/1.1 200 OK\r\n\r\nwhole or half".to_owned()),
-        Does::Ends("noise\r\n\r\n".to_owned()),
-        Does::Writes(ok(&"x".repeat(64 * 1024 + 1))),
-        Does::Hangs,
+        BackendReply::Write(status(500, "")),
+        BackendReply::Write(status(503, "")),
+        BackendReply::Write(status(504, "X-Rejected: 0\r\n")),
+        BackendReply::Write(status(302, "")),
+        BackendReply::WriteThenClose(String::new()),
+        BackendReply::WriteThenClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_owned()),
+        BackendReply::WriteThenClose("HTTP/1.1 200 OK\r\n\r\nwhole or half".to_owned()),
+        BackendReply::WriteThenClose("noise\r\n\r\n".to_owned()),
+        BackendReply::Write(ok(&"x".repeat(64 * 1024 + 1))),
+        BackendReply::Never,
     ];
     for (n, does) in spoilt.into_iter().enumerate() {
         let (first, second) = (always(does.clone()), always(does));
@@ -92,8 +92,8 @@
 /// Turned away it never ran, so even an unsafe call goes elsewhere, or is refused where there is nobody.
 #[test]
 fn an_unsafe_call_that_never_ran_goes_elsewhere() {
-    let away = |code| always(Does::Writes(status(code, "X-Rejected: 1\r\n")));
-    let serves = always(Does::Writes(ok("paid")));
+    let away = |code| always(BackendReply::Write(status(code, "X-Rejected: 1\r\n")));
+    let serves = always(BackendReply::Write(ok("paid")));
     let (full, other) = (away(503), away(504));
     let (node, _discovery) = Node::with(&[&full, &serves]);
     for n in 0..8 {
@@ -111,7 +111,7 @@
     let dead = tokio::net::TcpSocket::new_v4().unwrap();
     dead.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let at = dead.local_addr().unwrap();
-    let serves = always(Does::Writes(ok("paid")));
+    let serves = always(BackendReply::Write(ok("paid")));
     let discovery = Discovery::new(json!([target("s-0", at, "Ready"), target("s-1", serves.at, "Ready")]));
     let node = Node::start(&config(discovery.at, json!([])));
     discovery.watched_from(1);
@@ -124,7 +124,7 @@
 /// A silent backend must not hold a request past its client's time.
 #[test]
 fn a_silent_backend_is_given_up() {
-    let backend = always(Does::Hangs);
+    let backend = always(BackendReply::Never);
     let (node, _discovery) = Node::with(&[&backend]);
     let answer = node.ask(&get("s1", "").replace("3000", "200"));
     assert_ne!(answer.status(), 200);
@@ -136,7 +136,7 @@
 /// and writing to it would turn an unsafe call into one that may have run.
 #[test]
 fn a_connection_closed_while_idle_is_not_used() {
-    let backend = always(Does::Ends(ok("paid")));
+    let backend = always(BackendReply::WriteThenClose(ok("paid")));
     let (node, _discovery) = Node::with(&[&backend]);
     let mut client = Client::to(node.at);
     for n in 1..=20 {
@@ -150,7 +150,7 @@
 /// Connections are used again: a new one costs the backend work.
 #[test]
 fn connections_are_kept() {
-    let backend = always(Does::Writes(ok("yes")));
+    let backend = always(BackendReply::Write(ok("yes")));
     let (node, _discovery) = Node::with(&[&backend]);
     let mut client = Client::to(node.at);
     for n in 0..10 {
@@ -166,7 +166,7 @@
 fn a_load_report_of_any_shape_does_no_harm() {
     for report in ["{\"util\":0.4}", "{\"util\":\"high\"}", "{\"util\":1e999}", "{", "[]", "\u{e9}"] {
         let text = format!("HTTP/1.1 200 OK\r\nX-Load-Report: {report}\r\nContent-Length: 2\r\n\r\nok");
-        let backend = always(Does::Writes(text));
+        let backend = always(BackendReply::Write(text));
         let (node, _discovery) = Node::with(&[&backend]);
         for n in 0..3 {
             assert_eq!(node.ask(&get(&format!("r{n}"), "")).status(), 200, "{report}");
@@ -181,8 +181,8 @@
     let first = AtomicBool::new(true);
     let waits = gate.clone();
     let backend = Backend::new(move |_| match first.swap(false, Ordering::SeqCst) {
-        true => Does::Waits(waits.clone(), ok("late")),
-        false => Does::Writes(ok("yes")),
+        true => BackendReply::WriteAtGate(waits.clone(), ok("late")),
+        false => BackendReply::Write(ok("yes")),
     });
     let (node, _discovery) = Node::with(&[&backend]);
     let mut client = Client::to(node.at);
@@ -218,8 +218,8 @@
     for (n, text) in spoilt.into_iter().enumerate() {
         let first = Arc::new(AtomicBool::new(true));
         let does = move |_: &Message| match first.swap(false, Ordering::SeqCst) {
-            true => Does::Writes(text.clone()),
-            false => Does::Writes(ok("good")),
+            true => BackendReply::Write(text.clone()),
+            false => BackendReply::Write(ok("good")),
         };
         let backend = Backend::new(does);
         let (node, _discovery) = Node::with(&[&backend]);
@@ -236,7 +236,10 @@
 fn what_comes_behind_an_answer_is_no_answer() {
     for behind in [ok("mine"), "noise".to_owned(), "HTTP/1.1 200 OK\r\n".to_owned()] {
         let backend = Backend::new(move |message| {
-            Does::Adds(ok(message.value("x-call-id").unwrap_or_default()), behind.clone())
+            BackendReply::WriteWithTrailingBytes(
+                ok(message.value("x-call-id").unwrap_or_default()),
+                behind.clone(),
+            )
         });
         let (node, _discovery) = Node::with(&[&backend]);
         let mut client = Client::to(node.at);
@@ -253,7 +256,9 @@
     let interim = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
     let gate = Arc::new(Gate::default());
     let waits = gate.clone();
-    let backend = Backend::new(move |_| Does::Then(interim.to_owned(), waits.clone(), ok("real")));
+    let backend = Backend::new(move |_| {
+        BackendReply::WriteThenWriteAtGate(interim.to_owned(), waits.clone(), ok("real"))
+    });
     let (node, _discovery) = Node::with(&[&backend]);
     let mut client = Client::to(node.at);
     client.write(&post("pay", "i1", "", ""));
@@ -269,10 +274,10 @@
 #[test]
 fn bad_requests_eject_no_backend() {
     let backend = Backend::new(|message| match message.value("x-call-id") {
-        Some(id) if id.starts_with("bad") => Does::Writes(status(400, "")),
-        _ => Does::Writes(ok("yes")),
+        Some(id) if id.starts_with("bad") => BackendReply::Write(status(400, "")),
+        _ => BackendReply::Write(ok("yes")),
     });
-    let other = always(Does::Writes(status(400, "")));
+    let other = always(BackendReply::Write(status(400, "")));
     let (node, _discovery) = Node::with(&[&backend, &other]);
     for n in 0..40 {
         assert_ne!(node.ask(&get(&format!("bad{n}"), "")).status(), 200);
@@ -286,8 +291,8 @@
     let (gate, first) = (Arc::new(Gate::default()), AtomicBool::new(true));
     let waits = gate.clone();
     let backend = Backend::new(move |_| match first.swap(false, Ordering::SeqCst) {
-        true => Does::Waits(waits.clone(), ok("late")),
-        false => Does::Writes(ok("good")),
+        true => BackendReply::WriteAtGate(waits.clone(), ok("late")),
+        false => BackendReply::Write(ok("good")),
     });
     let (node, _discovery) = Node::with(&[&backend]);
     assert_ne!(node.ask(&get("l1", "").replace("3000", "300")).status(), 200);
@@ -307,10 +312,10 @@
     let backend = Backend::new(move |_| {
         let now = count.get().expect("set before the first request").load(Ordering::SeqCst);
         if seen.swap(now, Ordering::SeqCst) != now {
-            return Does::Writes(ok("yes"));
+            return BackendReply::Write(ok("yes"));
         }
         breaks.fetch_add(1, Ordering::SeqCst);
-        Does::Ends(String::new())
+        BackendReply::WriteThenClose(String::new())
     });
     opened.set(backend.connections.clone()).unwrap();
     let (node, _discovery) = Node::with(&[&backend]);
--- a/socket-lab/src/clients.rs
+++ b/socket-lab/src/clients.rs
@@ -8,7 +8,7 @@
 use hyper::client::conn::http1::{SendRequest, handshake};
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
-use ivyhatch_lab::{Arrivals, Asks, BACK, SLACK};
+use ivyhatch_lab::{ANSWER_SLACK, Arrivals, ClientRequest, RECONNECT_DELAY};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
@@ -76,21 +76,21 @@
 }
 
 /// One client, from its first try to its end. Returns after how long a closed one asks for the next thing.
-async fn client(stage: Rc<Stage>, asks: Asks) -> Nanos {
+async fn client(stage: Rc<Stage>, asks: ClientRequest) -> Nanos {
     stage.books.borrow_mut().asked(&asks);
     let class = stage.world.clients.classes[asks.class].clone();
     let first = stage.now();
     let end_of_all = first + class.deadline_ms * MS;
-    let mut repeats_left = stage.world.clients.repeats;
+    let mut repeats_left = stage.world.clients.retries;
     loop {
         let patience = class.patience(stage.patience.borrow_mut().unit());
         let not_after = (stage.now() + patience).min(end_of_all);
-        let repeat = repeats_left < stage.world.clients.repeats;
+        let repeat = repeats_left < stage.world.clients.retries;
         let end = one_try(&stage, &asks, not_after, repeat).await;
         let now = stage.now();
         let wait = match end {
             End::Refused(pause) => stage.world.clients.pause(pause),
-            End::Broken if !class.once => stage.world.clients.pause(BACK),
+            End::Broken if !class.non_idempotent => stage.world.clients.pause(RECONNECT_DELAY),
             _ => Nanos::MAX,
         };
         if repeats_left > 0 && now.saturating_add(wait) < end_of_all {
@@ -107,8 +107,8 @@
         }
         return match end {
             End::Served => 0,
-            End::Refused(_) => wait.max(BACK),
-            _ => BACK,
+            End::Refused(_) => wait.max(RECONNECT_DELAY),
+            _ => RECONNECT_DELAY,
         };
     }
 }
@@ -123,7 +123,7 @@
     nodes.get((drawn * nodes.len() as f64) as usize).copied()
 }
 
-async fn one_try(stage: &Rc<Stage>, asks: &Asks, not_after: Nanos, repeat: bool) -> End {
+async fn one_try(stage: &Rc<Stage>, asks: &ClientRequest, not_after: Nanos, repeat: bool) -> End {
     let Some(node) = front(stage, asks.zone) else { return End::Broken };
     let Some(at) = stage.nodes[node].borrow().at else { return End::Broken };
     let number = stage.number();
@@ -133,7 +133,7 @@
     let now = stage.now();
     let budget = not_after.saturating_sub(now) / MS;
     let build = Request::builder()
-        .method(if class.once { "POST" } else { "GET" })
+        .method(if class.non_idempotent { "POST" } else { "GET" })
         .uri("/api")
         .header("Host", at.to_string())
         .header("X-Call-Id", &id)
@@ -144,11 +144,11 @@
         Some(tenant) => build.header("X-Caller", format!("t{tenant}")),
         None => build,
     };
-    let body = if class.once { Full::new(Bytes::from_static(b"{}")) } else { Full::default() };
+    let body = if class.non_idempotent { Full::new(Bytes::from_static(b"{}")) } else { Full::default() };
     let request = build.body(body).expect("a sound request");
-    stage.oracle.borrow_mut().taken(node, number, class.once, not_after, now);
+    stage.oracle.borrow_mut().taken(node, number, class.non_idempotent, not_after, now);
     stage.nodes[node].borrow_mut().open.push(number);
-    let stays = Duration::from_nanos(not_after.saturating_sub(now) + SLACK);
+    let stays = Duration::from_nanos(not_after.saturating_sub(now) + ANSWER_SLACK);
     let answer = async {
         let answer = connection.send_request(request).await?;
         let (parts, body) = answer.into_parts();
--- a/socket-lab/src/discovery.rs
+++ b/socket-lab/src/discovery.rs
@@ -11,19 +11,19 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
-use ivyhatch_lab::State;
+use ivyhatch_lab::ServerState;
 use serde_json::{Value, json};
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-use crate::RigError;
+use crate::SocketLabError;
 use crate::stage::{Body, Nanos, Stage, zone_name};
 
 /// A server as lists show it.
 #[derive(Clone, Copy)]
 pub(crate) struct Shown {
-    pub(crate) state: State,
+    pub(crate) state: ServerState,
     pub(crate) started: Option<Nanos>,
     /// The version that changed it.
     rev: u64,
@@ -41,7 +41,7 @@
 
 impl List {
     pub(crate) fn new(servers: usize) -> Self {
-        let shown = vec![Shown { state: State::Serving, started: None, rev: 1 }; servers];
+        let shown = vec![Shown { state: ServerState::Serving, started: None, rev: 1 }; servers];
         Self { rev: 1, shown, down: 0, stale: None }
     }
 
@@ -75,9 +75,9 @@
     let endpoints = stage.endpoints.borrow();
     let line = |(server, shown): &(usize, Shown)| {
         let state = match shown.state {
-            State::Serving => "Ready",
-            State::Draining => "Terminating",
-            State::Gone => "Gone",
+            ServerState::Serving => "Ready",
+            ServerState::Draining => "Terminating",
+            ServerState::Gone => "Gone",
         };
         json!({"uid": format!("s-{server}"), "endpoint": endpoints[*server][node].to_string(),
             "az": zone_name(stage.zone(*server)), "model": "m", "pod_group": server, "state": state,
@@ -91,14 +91,14 @@
 pub(crate) fn whole(stage: &Stage) -> Vec<(usize, Shown)> {
     let list = stage.list.borrow();
     let shown = list.stale.as_ref().map_or(&list.shown, |(_, shown)| shown);
-    shown.iter().copied().enumerate().filter(|(_, shown)| shown.state != State::Gone).collect()
+    shown.iter().copied().enumerate().filter(|(_, shown)| shown.state != ServerState::Gone).collect()
 }
 
-pub(crate) async fn listen_all(stage: &Rc<Stage>) -> Result<(), RigError> {
+pub(crate) async fn listen_all(stage: &Rc<Stage>) -> Result<(), SocketLabError> {
     for node in 0..stage.nodes.len() {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await;
-        let listener = listener.map_err(RigError::system("discovery's listener"))?;
-        let at = listener.local_addr().map_err(RigError::system("discovery's listener"))?;
+        let listener = listener.map_err(SocketLabError::system("discovery's listener"))?;
+        let at = listener.local_addr().map_err(SocketLabError::system("discovery's listener"))?;
         stage.nodes[node].borrow_mut().discovery = Some(at);
         let stage = stage.clone();
         spawn_local(async move {
@@ -141,8 +141,9 @@
     };
     let all = from.is_none_or(|from| from == 0);
     let lines = if all { whole(stage) } else { changes(from.unwrap_or(0)) };
-    let told =
-        lines.iter().map(|(server, shown)| (*server as u32, shown.state == State::Serving, shown.started));
+    let told = lines
+        .iter()
+        .map(|(server, shown)| (*server as u32, shown.state == ServerState::Serving, shown.started));
     let told: Vec<_> = told.collect();
     let (now, mut oracle) = (stage.now(), stage.oracle.borrow_mut());
     match all {
--- a/socket-lab/src/lib.rs
+++ b/socket-lab/src/lib.rs
@@ -37,7 +37,7 @@
 
 /// Why a world can't be played on sockets.
 #[derive(Debug, thiserror::Error)]
-pub enum RigError {
+pub enum SocketLabError {
     /// The system gave no socket, file or process.
     #[error("{what}: {error}")]
     System {
@@ -59,7 +59,7 @@
     World(String),
 }
 
-impl RigError {
+impl SocketLabError {
     pub(crate) fn system(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> Self {
         let what = what.into();
         move |error| Self::System { what, error }
@@ -68,7 +68,7 @@
 
 /// The command that runs a node: the program, and its arguments.
 #[derive(Clone, Debug)]
-pub struct Command {
+pub struct NodeCommand {
     /// The program.
     pub program: PathBuf,
     /// Its arguments.
@@ -83,19 +83,19 @@
 ///
 /// # Errors
 /// Where the world is too large for sockets, or the system gives none, or a node does not start.
-pub async fn play(
+pub async fn run(
     world: &World,
     seed: u64,
-    node: &Command,
+    node: &NodeCommand,
     watch: impl Fn(&Snapshot) + 'static,
-) -> Result<Report, RigError> {
+) -> Result<Report, SocketLabError> {
     let servers: usize = world.servers.iter().map(|group| group.count as usize).sum();
     if servers * world.nodes as usize > MOST_LISTENERS {
         let text = format!(
             "{servers} servers x {} nodes: at most {MOST_LISTENERS} listeners on sockets",
             world.nodes
         );
-        return Err(RigError::World(text));
+        return Err(SocketLabError::World(text));
     }
     let world = Rc::new(world.clone());
     LocalSet::new().run_until(play_local(world, seed, node, watch)).await
@@ -104,9 +104,9 @@
 async fn play_local(
     world: Rc<World>,
     seed: u64,
-    command: &Command,
+    command: &NodeCommand,
     watch: impl Fn(&Snapshot) + 'static,
-) -> Result<Report, RigError> {
+) -> Result<Report, SocketLabError> {
     let stage = Stage::new(world.clone(), seed);
     servers::listen_all(&stage).await?;
     discovery::listen_all(&stage).await?;
--- a/socket-lab/src/scripted.rs
+++ b/socket-lab/src/scripted.rs
@@ -67,19 +67,19 @@
 
 /// What a backend does with a request.
 #[derive(Clone)]
-pub enum Does {
+pub enum BackendReply {
     /// Writes these bytes and keeps the connection.
-    Writes(String),
+    Write(String),
     /// Writes these bytes and closes.
-    Ends(String),
+    WriteThenClose(String),
     /// Writes these bytes, and in one go with them some more.
-    Adds(String, String),
+    WriteWithTrailingBytes(String, String),
     /// Writes these bytes at once, and the others behind the gate.
-    Then(String, Arc<Gate>, String),
+    WriteThenWriteAtGate(String, Arc<Gate>, String),
     /// Says nothing and keeps the connection.
-    Hangs,
+    Never,
     /// Waits for the gate, then writes.
-    Waits(Arc<Gate>, String),
+    WriteAtGate(Arc<Gate>, String),
 }
 
 /// A 200 with this body.
@@ -128,12 +128,15 @@
 
 impl Backend {
     /// One that does this with each request.
-    pub fn new(does: impl Fn(&Message) -> Does + Send + Sync + 'static) -> Self {
+    pub fn new(does: impl Fn(&Message) -> BackendReply + Send + Sync + 'static) -> Self {
         Self::on(TcpListener::bind("127.0.0.1:0").unwrap(), does)
     }
 
     /// The same on a listener that is there.
-    pub fn on(listener: TcpListener, does: impl Fn(&Message) -> Does + Send + Sync + 'static) -> Self {
+    pub fn on(
+        listener: TcpListener,
+        does: impl Fn(&Message) -> BackendReply + Send + Sync + 'static,
+    ) -> Self {
         let at = listener.local_addr().unwrap();
         let (send, got) = channel();
         let connections = Arc::new(AtomicU32::new(0));
@@ -160,7 +163,12 @@
     }
 }
 
-fn attend(stream: TcpStream, does: &dyn Fn(&Message) -> Does, send: &Sender<Message>, ended: &AtomicU32) {
+fn attend(
+    stream: TcpStream,
+    does: &dyn Fn(&Message) -> BackendReply,
+    send: &Sender<Message>,
+    ended: &AtomicU32,
+) {
     let mut writer = stream.try_clone().unwrap();
     let mut reader = BufReader::new(stream);
     while let Some(message) = read_message(&mut reader) {
@@ -169,25 +177,25 @@
             return;
         }
         let written = match next {
-            Does::Writes(text) => writer.write_all(text.as_bytes()),
-            Does::Waits(gate, text) => {
+            BackendReply::Write(text) => writer.write_all(text.as_bytes()),
+            BackendReply::WriteAtGate(gate, text) => {
                 gate.wait();
                 writer.write_all(text.as_bytes())
             }
-            Does::Ends(text) => {
+            BackendReply::WriteThenClose(text) => {
                 let _ = writer.write_all(text.as_bytes());
                 let _ = writer.shutdown(Shutdown::Write);
                 let _ = std::io::copy(&mut reader, &mut std::io::sink());
                 ended.fetch_add(1, Ordering::SeqCst);
                 return;
             }
-            Does::Adds(text, more) => writer.write_all((text + &more).as_bytes()),
-            Does::Then(first, gate, text) => {
+            BackendReply::WriteWithTrailingBytes(text, more) => writer.write_all((text + &more).as_bytes()),
+            BackendReply::WriteThenWriteAtGate(first, gate, text) => {
                 let written = writer.write_all(first.as_bytes());
                 gate.wait();
                 written.and_then(|()| writer.write_all(text.as_bytes()))
             }
-            Does::Hangs => Ok(()),
+            BackendReply::Never => Ok(()),
         };
         if written.is_err() {
             return;
@@ -196,13 +204,13 @@
 }
 
 /// A listener whose queue is full: connections to it come up some time after it has been opened.
-pub struct Jam {
+pub struct FullBacklogListener {
     listener: TcpListener,
     /// Those that fill the queue.
     filling: Vec<TcpStream>,
 }
 
-impl Jam {
+impl FullBacklogListener {
     /// Fills the queue.
     pub fn new() -> Self {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_io().build().unwrap();
@@ -229,13 +237,13 @@
     }
 
     /// Lets all in that wait; from then on it is a backend.
-    pub fn open(self, does: impl Fn(&Message) -> Does + Send + Sync + 'static) -> Backend {
+    pub fn open(self, does: impl Fn(&Message) -> BackendReply + Send + Sync + 'static) -> Backend {
         drop(self.filling);
         Backend::on(self.listener, does)
     }
 }
 
-impl Default for Jam {
+impl Default for FullBacklogListener {
     fn default() -> Self {
         Self::new()
     }
--- a/socket-lab/src/servers.rs
+++ b/socket-lab/src/servers.rs
@@ -13,24 +13,24 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
-use ivyhatch_lab::{Job, State, Taken};
+use ivyhatch_lab::{Admission, Job, ServerState};
 use socket2::SockRef;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until};
 
-use crate::RigError;
+use crate::SocketLabError;
 use crate::stage::{Body, Nanos, START, Stage};
 
 const BACKLOG: u32 = 512;
 
-pub(crate) async fn listen_all(stage: &Rc<Stage>) -> Result<(), RigError> {
+pub(crate) async fn listen_all(stage: &Rc<Stage>) -> Result<(), SocketLabError> {
     for server in 0..stage.servers.len() {
         for node in 0..stage.nodes.len() {
             let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await;
-            let listener = listener.map_err(RigError::system("a server's listener"))?;
-            let at = listener.local_addr().map_err(RigError::system("a server's listener"))?;
+            let listener = listener.map_err(SocketLabError::system("a server's listener"))?;
+            let at = listener.local_addr().map_err(SocketLabError::system("a server's listener"))?;
             stage.endpoints.borrow_mut()[server].push(at);
             spawn_local(serve(stage.clone(), server, node, listener));
         }
@@ -46,7 +46,7 @@
     let Ok(at) = listener.local_addr() else { return };
     let mut listener = Some(listener);
     loop {
-        let gone = stage.servers[server].borrow().state == State::Gone;
+        let gone = stage.servers[server].borrow().state == ServerState::Gone;
         if gone {
             // Closed, so that the system refuses for it.
             listener = None;
@@ -62,7 +62,7 @@
         };
         if stage.is_cut(node, server) {
             let _stuffed = stuff(open).await;
-            while stage.is_cut(node, server) && stage.servers[server].borrow().state != State::Gone {
+            while stage.is_cut(node, server) && stage.servers[server].borrow().state != ServerState::Gone {
                 tokio::select! {
                     _ = cuts.changed() => {}
                     _ = life.changed() => {}
@@ -185,16 +185,16 @@
         Given::Probe => stage.servers[server].borrow_mut().probe(id, now),
     };
     match taken {
-        Taken::Full => return None,
-        Taken::Falls { rushed } => {
+        Admission::Full => return None,
+        Admission::Falls { rushed } => {
             if rushed {
                 stage.oracle.borrow_mut().rushed(server as u32, now);
             }
             crate::troubles::dies(stage, server);
             return None;
         }
-        Taken::Begins(end) => goes_on(stage, server, Some((id, end))),
-        Taken::Waits => {}
+        Admission::Begins(end) => goes_on(stage, server, Some((id, end))),
+        Admission::Waits => {}
     }
     stage.jobs.borrow_mut().insert(id, tell);
     Some(AtWork { stage: stage.clone(), server, job: id, done })
@@ -293,7 +293,7 @@
     sleep(Duration::from_nanos(asked.elsewhere)).await;
     let part = {
         let server = stage.servers[server].borrow();
-        server.errors + server.group.errors
+        server.errors + server.group.error_ratio
     };
     let fails = part > 0.0 && stage.errors.borrow_mut().unit() < part;
     let mut answer = if fails { plain(500, "error") } else { plain(200, format!("served by {server}")) };
--- a/socket-lab/src/stage.rs
+++ b/socket-lab/src/stage.rs
@@ -7,7 +7,9 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use hyper::client::conn::http1::SendRequest;
-use ivyhatch_lab::{Asks, Books, Oracle, Report, Server, State, Stream, World};
+use ivyhatch_lab::{
+    ClientRequest, InvariantChecker, OutcomeRecorder, RandomStream, Report, Server, ServerState, World,
+};
 use tokio::process::Child;
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
@@ -26,7 +28,7 @@
 pub struct Snapshot {
     /// Seconds since clients began to come.
     pub seconds: f64,
-    /// See [`Books::so_far`].
+    /// See [`OutcomeRecorder::so_far`].
     pub so_far: [u64; 5],
     /// Attempts, and those of them into another zone.
     pub attempts: (u64, u64),
@@ -80,14 +82,14 @@
     pub(crate) cut: watch::Sender<Vec<u32>>,
     pub(crate) farther: RefCell<Vec<f64>>,
     pub(crate) lossy: RefCell<Vec<f64>>,
-    pub(crate) oracle: RefCell<Oracle>,
-    pub(crate) books: RefCell<Books>,
-    pub(crate) links: RefCell<Stream>,
-    pub(crate) noise: RefCell<Stream>,
-    pub(crate) errors: RefCell<Stream>,
-    pub(crate) choices: RefCell<Stream>,
-    pub(crate) patience: RefCell<Stream>,
-    pub(crate) seeds: RefCell<Stream>,
+    pub(crate) oracle: RefCell<InvariantChecker>,
+    pub(crate) books: RefCell<OutcomeRecorder>,
+    pub(crate) links: RefCell<RandomStream>,
+    pub(crate) noise: RefCell<RandomStream>,
+    pub(crate) errors: RefCell<RandomStream>,
+    pub(crate) choices: RefCell<RandomStream>,
+    pub(crate) patience: RefCell<RandomStream>,
+    pub(crate) seeds: RefCell<RandomStream>,
     pub(crate) attempts: Cell<(u64, u64)>,
     pub(crate) probes: Cell<u64>,
     /// Descriptors and kilobytes of memory that one node held at most.
@@ -108,7 +110,7 @@
             file: None,
             open: Vec::new(),
         };
-        let stream = |purpose| RefCell::new(Stream::new(seed, purpose, 0));
+        let stream = |purpose| RefCell::new(RandomStream::new(seed, purpose, 0));
         Rc::new(Self {
             began: Cell::new(None),
             made: Instant::now(),
@@ -123,8 +125,8 @@
             cut: watch::channel(vec![0; zones]).0,
             farther: RefCell::new(vec![0.0; zones]),
             lossy: RefCell::new(vec![0.0; zones]),
-            oracle: RefCell::new(Oracle::with_leeway(LEEWAY)),
-            books: RefCell::new(Books::new(&world)),
+            oracle: RefCell::new(InvariantChecker::with_leeway(LEEWAY)),
+            books: RefCell::new(OutcomeRecorder::new(&world)),
             links: stream("links"),
             noise: stream("noise"),
             errors: stream("errors"),
@@ -205,7 +207,7 @@
             let of = (0..self.servers.len()).filter(|server| self.zone(*server) == zone);
             let of = of
                 .map(|server| self.servers[server].borrow())
-                .filter(|server| server.state == State::Serving);
+                .filter(|server| server.state == ServerState::Serving);
             let utils: Vec<f64> = of.map(|server| server.utilisation(now)).collect();
             let mean = utils.iter().sum::<f64>() / utils.len().max(1) as f64;
             (utils.len(), mean, self.cut.borrow()[zone] > 0)
@@ -223,7 +225,7 @@
     }
 
     pub(crate) fn finish(&self, seed: u64) -> Report {
-        let mut report = self.books.replace(Books::new(&self.world)).finish(seed);
+        let mut report = self.books.replace(OutcomeRecorder::new(&self.world)).finish(seed);
         let oracle = self.oracle.take();
         (report.attempts, report.crossed) = self.attempts.get();
         report.probes = self.probes.get();
@@ -240,6 +242,6 @@
     format!("z{zone}")
 }
 
-pub(crate) fn note(asks: &Asks, number: u64) -> Asked {
+pub(crate) fn note(asks: &ClientRequest, number: u64) -> Asked {
     Asked { number, work: asks.work, elsewhere: asks.elsewhere, attempts: 0 }
 }
--- a/socket-lab/src/troubles.rs
+++ b/socket-lab/src/troubles.rs
@@ -2,48 +2,50 @@
 
 use std::rc::Rc;
 
-use ivyhatch_lab::{Kind, State, Trouble};
+use ivyhatch_lab::{Fault, FaultKind, ServerState};
 use tokio::task::spawn_local;
 use tokio::time::sleep_until;
 
 use crate::stage::{Nanos, Stage};
-use crate::{Command, discovery, nodes};
+use crate::{NodeCommand, discovery, nodes};
 
-pub(crate) async fn run(stage: Rc<Stage>, command: Command) {
+pub(crate) async fn run(stage: Rc<Stage>, command: NodeCommand) {
     let mut steps: Vec<(Nanos, usize, bool)> = Vec::new();
-    for (number, trouble) in stage.world.trouble.iter().enumerate() {
-        let (from, to) = trouble.span();
+    for (number, fault) in stage.world.faults.iter().enumerate() {
+        let (from, to) = fault.span();
         steps.extend([(from, number, true), (to, number, false)]);
     }
     steps.sort_by_key(|step| step.0);
     for (at, number, begins) in steps {
         sleep_until(stage.instant(at)).await;
-        let trouble = stage.world.trouble[number].clone();
-        stage.tell(story(&trouble, begins));
-        strike(&stage, &trouble, begins, &command);
+        let fault = stage.world.faults[number].clone();
+        stage.tell(story(&fault, begins));
+        strike(&stage, &fault, begins, &command);
     }
 }
 
-fn story(trouble: &Trouble, begins: bool) -> String {
-    let (servers, nodes, zone) = (&trouble.servers, &trouble.nodes, trouble.zone);
-    let what = match trouble.kind {
-        Kind::Neighbour => format!("a neighbour takes {:.0} % of servers {servers:?}", trouble.part * 100.0),
-        Kind::Liar => format!("servers {servers:?} refuse all and report no load"),
-        Kind::Drain => format!("servers {servers:?} drain"),
-        Kind::Restart => format!("servers {servers:?} are down"),
-        Kind::ZoneCut => format!("zone {zone} is cut off"),
-        Kind::Burst => format!("{} times the usual load", trouble.times),
-        Kind::Errors => {
-            format!("{:.0} % of the answers of servers {servers:?} are errors", trouble.part * 100.0)
+fn story(fault: &Fault, begins: bool) -> String {
+    let (servers, nodes, zone) = (&fault.servers, &fault.nodes, fault.zone);
+    let what = match fault.kind {
+        FaultKind::NoisyNeighbour => {
+            format!("a neighbour takes {:.0} % of servers {servers:?}", fault.fraction * 100.0)
         }
-        Kind::Hang => format!("servers {servers:?} answer nothing"),
-        Kind::Deaf => format!("servers {servers:?} answer no probe"),
-        Kind::Far => format!("zone {zone} is {} ms farther away", trouble.ms),
-        Kind::Lossy => format!("{:.0} % loss to and from zone {zone}", trouble.part * 100.0),
-        Kind::ListDown => "discovery is down".into(),
-        Kind::ListStale => "whole lists are stale".into(),
-        Kind::NodeCrash => format!("nodes {nodes:?} are killed"),
-        Kind::NodeStop => format!("nodes {nodes:?} stop"),
+        FaultKind::FalseReadiness => format!("servers {servers:?} refuse all and report no load"),
+        FaultKind::Drain => format!("servers {servers:?} drain"),
+        FaultKind::Restart => format!("servers {servers:?} are down"),
+        FaultKind::ZonePartition => format!("zone {zone} is cut off"),
+        FaultKind::Burst => format!("{} times the usual load", fault.rate_multiplier),
+        FaultKind::Errors => {
+            format!("{:.0} % of the answers of servers {servers:?} are errors", fault.fraction * 100.0)
+        }
+        FaultKind::Hang => format!("servers {servers:?} answer nothing"),
+        FaultKind::ProbeTimeout => format!("servers {servers:?} answer no probe"),
+        FaultKind::AddedLatency => format!("zone {zone} is {} ms farther away", fault.added_latency_ms),
+        FaultKind::PacketLoss => format!("{:.0} % loss to and from zone {zone}", fault.fraction * 100.0),
+        FaultKind::DiscoveryDown => "discovery is down".into(),
+        FaultKind::DiscoveryStale => "whole lists are stale".into(),
+        FaultKind::NodeCrash => format!("nodes {nodes:?} are killed"),
+        FaultKind::NodeShutdown => format!("nodes {nodes:?} stop"),
     };
     if begins { what } else { format!("over: {what}") }
 }
@@ -55,45 +57,45 @@
     discovery::announce(stage, server);
 }
 
-fn strike(stage: &Rc<Stage>, trouble: &Trouble, begins: bool, command: &Command) {
-    let part = if begins { trouble.part } else { 0.0 };
-    let (zone, sign) = (trouble.zone as usize, if begins { 1.0 } else { -1.0 });
+fn strike(stage: &Rc<Stage>, fault: &Fault, begins: bool, command: &NodeCommand) {
+    let part = if begins { fault.fraction } else { 0.0 };
+    let (zone, sign) = (fault.zone as usize, if begins { 1.0 } else { -1.0 });
     let step = |count: &mut u32| *count = if begins { *count + 1 } else { *count - 1 };
     let each = |change: &dyn Fn(&mut ivyhatch_lab::Server)| {
-        trouble.servers.iter().for_each(|server| change(&mut stage.servers[*server as usize].borrow_mut()));
+        fault.servers.iter().for_each(|server| change(&mut stage.servers[*server as usize].borrow_mut()));
     };
-    match trouble.kind {
+    match fault.kind {
         // Told by the arrivals.
-        Kind::Burst => {}
-        Kind::Neighbour => each(&|server| server.neighbour = part),
-        Kind::Errors => each(&|server| server.errors = part),
-        Kind::Liar => each(&|server| server.lies = begins),
-        Kind::Hang => each(&|server| server.hangs = begins),
-        Kind::Deaf => each(&|server| server.deaf = begins),
-        Kind::ZoneCut => stage.cut.send_modify(|cut| step(&mut cut[zone])),
-        Kind::Far => stage.farther.borrow_mut()[zone] += sign * trouble.ms,
-        Kind::Lossy => stage.lossy.borrow_mut()[zone] += sign * trouble.part,
-        Kind::ListDown => step(&mut stage.list.borrow_mut().down),
-        Kind::ListStale => {
+        FaultKind::Burst => {}
+        FaultKind::NoisyNeighbour => each(&|server| server.neighbour = part),
+        FaultKind::Errors => each(&|server| server.errors = part),
+        FaultKind::FalseReadiness => each(&|server| server.lies = begins),
+        FaultKind::Hang => each(&|server| server.hangs = begins),
+        FaultKind::ProbeTimeout => each(&|server| server.deaf = begins),
+        FaultKind::ZonePartition => stage.cut.send_modify(|cut| step(&mut cut[zone])),
+        FaultKind::AddedLatency => stage.farther.borrow_mut()[zone] += sign * fault.added_latency_ms,
+        FaultKind::PacketLoss => stage.lossy.borrow_mut()[zone] += sign * fault.fraction,
+        FaultKind::DiscoveryDown => step(&mut stage.list.borrow_mut().down),
+        FaultKind::DiscoveryStale => {
             let mut list = stage.list.borrow_mut();
             let now = list.now();
             let (count, shown) = list.stale.take().unwrap_or((0, now));
             let count = if begins { count + 1 } else { count - 1 };
             list.stale = (count > 0).then_some((count, shown));
         }
-        Kind::Drain => trouble.servers.iter().for_each(|server| {
+        FaultKind::Drain => fault.servers.iter().for_each(|server| {
             let server = *server as usize;
             let state = stage.servers[server].borrow().state;
             match (begins, state) {
-                (true, State::Serving) => {
-                    stage.servers[server].borrow_mut().state = State::Draining;
+                (true, ServerState::Serving) => {
+                    stage.servers[server].borrow_mut().state = ServerState::Draining;
                     discovery::announce(stage, server);
                 }
-                (false, State::Draining) => dies(stage, server),
+                (false, ServerState::Draining) => dies(stage, server),
                 _ => {}
             }
         }),
-        Kind::Restart => trouble.servers.iter().for_each(|server| {
+        FaultKind::Restart => fault.servers.iter().for_each(|server| {
             let server = *server as usize;
             if begins {
                 dies(stage, server);
@@ -103,10 +105,10 @@
                 discovery::announce(stage, server);
             }
         }),
-        Kind::NodeCrash | Kind::NodeStop => {
-            for node in trouble.nodes.iter().map(|node| *node as usize) {
+        FaultKind::NodeCrash | FaultKind::NodeShutdown => {
+            for node in fault.nodes.iter().map(|node| *node as usize) {
                 let (stage, command) = (stage.clone(), command.clone());
-                let stops = trouble.kind == Kind::NodeStop;
+                let stops = fault.kind == FaultKind::NodeShutdown;
                 spawn_local(async move {
                     if begins && stops {
                         // The front sends it nobody any more; it finishes what it has.
