--- a/control/src/admin.rs
+++ b/control/src/admin.rs
@@ -9,7 +9,7 @@
 
 use crate::control_plane::ControlPlane;
 use crate::interface::{Output, RequestId};
-use crate::state::{self, Verdict};
+use crate::partition_state::{self, Decision};
 
 /// A request is answered within this: operators turn to another node after a second of silence.
 const REQUEST_TIMEOUT: Nanos = 920 * MILLISECOND;
@@ -96,7 +96,7 @@
         match request {
             AdminRequest::Evacuate { zone, active, .. } => {
                 let state = self.states.get(&PartitionId::of(&zone));
-                let changes = state.map_or(0, |state| state.zone_changes(&zone));
+                let changes = state.map_or(0, |state| state.evacuation_changes(&zone));
                 AdminRequest::Evacuate { zone, active, changes }
             }
             request => request,
@@ -172,7 +172,7 @@
             return;
         }
         // The same request is being agreed on already.
-        let digest = state::digest(&queued.request);
+        let digest = partition_state::digest(&queued.request);
         if let Some(open) = queue.open.as_mut().filter(|open| digest != 0 && open.digest == digest) {
             if !open.waiters.contains(&queued.waiter) {
                 open.waiters.push(queued.waiter);
@@ -186,7 +186,8 @@
     /// Does what is before the leader of a partition, one change at a time.
     pub(crate) fn drive(&mut self, part: PartitionId, out: &mut Vec<Output>) {
         loop {
-            let is_ready = self.partitions.get(&part).is_some_and(|partition| partition.ready().is_some());
+            let is_ready =
+                self.partitions.get(&part).is_some_and(|partition| partition.ready_ballot().is_some());
             let queue = self.queues.get_mut(&part).filter(|_| is_ready);
             let Some(queued) = queue.and_then(|queue| queue.requests.pop_front()) else { return };
             if self.now < queued.expires {
@@ -204,14 +205,14 @@
         let QueuedRequest { waiter, request, expires } = queued;
         let mut effects = Vec::new();
         let response = match state.decide(&request) {
-            Verdict::Set(value, response) => {
-                let digest = state::digest(&request);
+            Decision::Propose { value, response } => {
+                let digest = partition_state::digest(&request);
                 queue.open = Some(OpenChange { digest, response, waiters: vec![waiter] });
                 partition.propose(self.now, value, &mut effects);
                 return self.carry_out(part, effects, out);
             }
-            Verdict::Answer(response) => Some(response),
-            Verdict::Tell => None,
+            Decision::Respond(response) => Some(response),
+            Decision::ReadConfiguration => None,
         };
         // Also that nothing changes is said only by a leader that is sure to lead still.
         self.next_number += 1;
@@ -263,7 +264,7 @@
             let partition = self.partitions.get_mut(part);
             partition
                 .into_iter()
-                .for_each(|partition| late.iter().for_each(|number| partition.forget(*number)));
+                .for_each(|partition| late.iter().for_each(|number| partition.cancel_confirmation(*number)));
         }
         let late = self.pending.extract_if(.., |_, pending| now >= pending.expires);
         let text =
--- a/control/src/change_feed.rs
+++ b/control/src/change_feed.rs
@@ -6,7 +6,7 @@
 use ivyhatch_protocol::ids::PartitionId;
 use ivyhatch_protocol::watch::{EvacuationUpdate, Position, Shared, WatchResponse};
 
-use crate::state::State;
+use crate::partition_state::PartitionState;
 
 /// Changes of the configuration that are kept for those who are behind.
 const KEPT: usize = 64;
@@ -24,10 +24,12 @@
 
 impl ChangeFeed {
     /// Takes a decision in.
-    pub fn committed(&mut self, part: PartitionId, sequence: u64, state: &State) {
+    pub fn committed(&mut self, part: PartitionId, sequence: u64, state: &PartitionState) {
         match state {
-            State::Configured(configured) => self.configured(sequence, configured.document.clone()),
-            State::Evacuated(evacuated) => {
+            PartitionState::Configuration(configured) => {
+                self.configured(sequence, configured.document.clone())
+            }
+            PartitionState::Evacuations(evacuated) => {
                 let zone =
                     |(zone, (active, changes)): (&String, &(bool, u64))| (zone.clone(), *active, *changes);
                 let zones = evacuated.zones.iter().map(zone).collect();
--- a/control/src/control_plane.rs
+++ b/control/src/control_plane.rs
@@ -11,19 +11,20 @@
 use crate::Record;
 use crate::admin::{PartitionQueue, PendingRequest};
 use crate::change_feed::ChangeFeed;
+use crate::durable_state::DurableState;
 use crate::heartbeats::PeerState;
-use crate::interface::{Identity, Input, Output, RequestId, SessionId, Token};
-use crate::membership::StateCollection;
+use crate::interface::{Input, NodeConfig, Output, RequestId, SessionId, WriteToken};
+use crate::log_event::{FormatReason, LogEvent};
 use crate::partition::{Effect, PartitionReplica};
-use crate::routers::Routers;
-use crate::server_list::ListReader;
-use crate::state::State;
-use crate::stored::Stored;
+use crate::partition_state::PartitionState;
+use crate::router_registry::RouterRegistry;
+use crate::server_list_reader::ServerListReader;
+use crate::state_transfer::StateCollector;
 use crate::watch::WatchSession;
 
 /// The control plane of one control node.
 pub struct ControlPlane {
-    pub(crate) identity: Identity,
+    pub(crate) identity: NodeConfig,
     pub(crate) now: Nanos,
     pub(crate) started: Nanos,
     /// This replica; none without a disk.
@@ -31,24 +32,24 @@
     /// The disk was formatted on the first start of the whole system: only such a replica may found the first membership.
     pub(crate) may_bootstrap: bool,
     /// The record with which the disk is formatted, until it is handed to the embedder, and why that is needed.
-    unformatted: Option<(Record, &'static str)>,
+    unformatted: Option<(Record, FormatReason)>,
     pub(crate) status: ReplicaStatus,
     pub(crate) membership: Option<Membership>,
     /// The generation in which this replica became a voter with all the state that it needs.
     pub(crate) joined: Option<u64>,
     /// The write that holds the first membership, until it is on the disk: no other node is sent one that a loss of power undoes.
-    pub(crate) bootstrap_write: Option<Token>,
-    pub(crate) collection: StateCollection,
+    pub(crate) bootstrap_write: Option<WriteToken>,
+    pub(crate) collection: StateCollector,
     pub(crate) state_asked: Nanos,
     /// The write that holds the collected state, and the generation for which it was collected.
-    pub(crate) state_write: Option<(Token, u64)>,
+    pub(crate) state_write: Option<(WriteToken, u64)>,
     /// Decides on the next membership, for the present generation only.
     pub(crate) membership_partition: PartitionReplica,
     pub(crate) leaving_since: Option<Nanos>,
     pub(crate) peers: BTreeMap<NodeId, PeerState>,
     pub(crate) links: Vec<NodeId>,
     pub(crate) partitions: BTreeMap<PartitionId, PartitionReplica>,
-    pub(crate) states: BTreeMap<PartitionId, State>,
+    pub(crate) states: BTreeMap<PartitionId, PartitionState>,
     pub(crate) queues: BTreeMap<PartitionId, PartitionQueue>,
     /// Until when this node, once it has stepped down, does not start an election.
     pub(crate) backoff_until: BTreeMap<PartitionId, Nanos>,
@@ -56,13 +57,13 @@
     pub(crate) servers_asked: Nanos,
     pub(crate) feed: ChangeFeed,
     pub(crate) list: ServerList,
-    pub(crate) list_reader: ListReader,
-    pub(crate) routers: Routers,
+    pub(crate) list_reader: ServerListReader,
+    pub(crate) routers: RouterRegistry,
     pub(crate) sessions: BTreeMap<SessionId, WatchSession>,
     pub(crate) sessions_sent: Nanos,
     pub(crate) pending: BTreeMap<RequestId, PendingRequest>,
-    writes: BTreeMap<Token, Vec<(NodeId, PeerMessage)>>,
-    next_token: Token,
+    writes: BTreeMap<WriteToken, Vec<(NodeId, PeerMessage)>>,
+    next_token: WriteToken,
     pub(crate) next_number: u64,
     pub(crate) heartbeats: VecDeque<(u64, Nanos)>,
     pub(crate) heartbeat_at: Nanos,
@@ -73,14 +74,14 @@
 
 impl ControlPlane {
     /// A control node with what its disk holds.
-    pub fn new(identity: Identity, stored: Stored, now: Nanos) -> Self {
+    pub fn new(identity: NodeConfig, stored: DurableState, now: Nanos) -> Self {
         let here = |replica: &ReplicaId| replica.node == identity.node;
         let foreign = stored.replica.is_some_and(|(replica, _)| !here(&replica));
         // A disk that was formatted on another machine is a copy, or was moved: what it promised was promised by another replica.
-        let mut stored = if foreign { Stored::default() } else { stored };
+        let mut stored = if foreign { DurableState::default() } else { stored };
         let drawn = ReplicaId { node: identity.node, disk: mix(identity.incarnation) };
         let format = Record::Formatted { replica: drawn, first_start: identity.first_start };
-        let reason = if foreign { "another_machines_disk" } else { "empty_disk" };
+        let reason = if foreign { FormatReason::AnotherMachinesDisk } else { FormatReason::EmptyDisk };
         let unformatted = (identity.has_disk && stored.replica.is_none()).then_some((format, reason));
         unformatted.iter().for_each(|(record, _)| stored.apply(record.clone()));
         let mut partition = |part: PartitionId| {
@@ -99,7 +100,7 @@
             membership: stored.membership,
             joined: stored.joined,
             bootstrap_write: None,
-            collection: StateCollection::default(),
+            collection: StateCollector::default(),
             state_asked: 0,
             state_write: None,
             membership_partition,
@@ -107,15 +108,15 @@
             peers: BTreeMap::new(),
             links: Vec::new(),
             partitions,
-            states: PartitionId::all().map(|part| (part, State::empty(part))).collect(),
+            states: PartitionId::all().map(|part| (part, PartitionState::empty(part))).collect(),
             queues: PartitionId::all().map(|part| (part, PartitionQueue::default())).collect(),
             backoff_until: BTreeMap::new(),
             fetched_at: BTreeMap::new(),
             servers_asked: 0,
             feed: ChangeFeed::default(),
             list: ServerList::default(),
-            list_reader: ListReader::new(identity.list_every),
-            routers: Routers::default(),
+            list_reader: ServerListReader::new(identity.server_list_interval),
+            routers: RouterRegistry::default(),
             sessions: BTreeMap::new(),
             sessions_sent: 0,
             pending: BTreeMap::new(),
@@ -141,7 +142,7 @@
         for (part, (ballot, sequence)) in committed {
             let partition = self.partitions.get_mut(&part);
             let known = partition.and_then(|partition| partition.mark_committed(ballot, sequence));
-            if let Some(state) = known.and_then(|committed| State::read(part, &committed.value)) {
+            if let Some(state) = known.and_then(|committed| PartitionState::decode(part, &committed.value)) {
                 self.feed.committed(part, sequence, &state);
                 self.states.insert(part, state);
             }
@@ -153,7 +154,7 @@
         self.now = self.now.max(now);
         if let Some((formatted, reason)) = self.unformatted.take() {
             let replica = self.replica.unwrap_or_default();
-            out.push(Output::Log("formatted", format!("replica={replica} reason={reason}")));
+            out.push(Output::Log(LogEvent::DiskFormatted { replica, reason }));
             self.store(vec![formatted], Vec::new(), out);
         }
         match input {
@@ -163,12 +164,12 @@
             Input::Stored(token) => self.stored(token, out),
             Input::Admin(id, request) => self.admin_request(id, request, out),
             Input::AdminCancelled(id) => self.admin_cancelled(id),
-            Input::Follower(session, message) => self.follower_message(session, message, out),
-            Input::Closed(session) => self.session_closed(session),
+            Input::Watch(session, message) => self.follower_message(session, message, out),
+            Input::SessionClosed(session) => self.session_closed(session),
             Input::ServerList(read, servers) => self.server_list_read(read, servers, out),
             Input::ServerListFailed(read) => self.server_list_failed(read, out),
             Input::Seeds(seeds) => self.identity.seeds = seeds,
-            Input::Leave => self.leave(out),
+            Input::Drain => self.leave(out),
         }
         while let Some((from, message)) = self.inbox.pop_front() {
             self.peer_message(from, message, out);
@@ -211,7 +212,7 @@
                 self.on_forward(from, number, heard, request, out)
             }
             PeerMessage::ForwardResponse { number, response } => self.on_forwarded(number, response, out),
-            PeerMessage::RouterSessions(routers) => self.routers.tell(self.now, from, routers),
+            PeerMessage::RouterSessions(routers) => self.routers.apply_report(self.now, from, routers),
             PeerMessage::ServerList(news) => self.on_server_news(from, news, out),
             PeerMessage::ServerListRequest => self.send_server_list(from, out),
         }
@@ -295,14 +296,14 @@
         records: Vec<Record>,
         then: Vec<(NodeId, PeerMessage)>,
         out: &mut Vec<Output>,
-    ) -> Token {
+    ) -> WriteToken {
         self.next_token += 1;
         self.writes.insert(self.next_token, then);
         out.push(Output::Store(self.next_token, records));
         self.next_token
     }
 
-    fn stored(&mut self, token: Token, out: &mut Vec<Output>) {
+    fn stored(&mut self, token: WriteToken, out: &mut Vec<Output>) {
         if self.bootstrap_write == Some(token) {
             self.bootstrap_write = None;
         }
@@ -315,12 +316,12 @@
     }
 
     /// Where clients of a region should go.
-    pub fn directory(&self, region: &str) -> Vec<String> {
-        self.routers.near(region)
+    pub fn router_addresses(&self, region: &str) -> Vec<String> {
+        self.routers.addresses_for_region(region)
     }
 
     /// Whether a zone is one of the deployment's.
-    pub fn knows_zone(&self, zone: &str) -> bool {
+    pub fn has_zone(&self, zone: &str) -> bool {
         self.identity.zones.contains(zone)
     }
 
@@ -340,17 +341,17 @@
     }
 
     /// What is known to be committed of a partition: its number, and what it holds.
-    pub fn committed_state(&self, part: PartitionId) -> (u64, Option<&State>) {
-        (self.partitions.get(&part).map_or(0, PartitionReplica::sequence), self.states.get(&part))
+    pub fn committed_state(&self, part: PartitionId) -> (u64, Option<&PartitionState>) {
+        (self.partitions.get(&part).map_or(0, PartitionReplica::committed_sequence), self.states.get(&part))
     }
 
     /// The ballot under which this node leads a partition now, if it does.
-    pub fn leads(&self, part: PartitionId) -> Option<Ballot> {
-        self.partitions.get(&part).and_then(PartitionReplica::leads)
+    pub fn leader_ballot(&self, part: PartitionId) -> Option<Ballot> {
+        self.partitions.get(&part).and_then(PartitionReplica::leader_ballot)
     }
 
     /// The list of servers as it is known here.
-    pub fn list(&self) -> &ServerList {
+    pub fn server_list(&self) -> &ServerList {
         &self.list
     }
 
--- a/control/src/stored.rs
+++ b/control/src/durable_state.rs
@@ -9,7 +9,7 @@
 
 /// All that the records say together.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Stored {
+pub struct DurableState {
     /// The replica as which the disk was formatted, and whether that was on the first start of the whole system.
     pub replica: Option<(ReplicaId, bool)>,
     /// The newest membership, once there is one.
@@ -22,7 +22,7 @@
     pub committed: BTreeMap<PartitionId, (Ballot, u64)>,
 }
 
-impl Stored {
+impl DurableState {
     /// Takes one more record in.
     pub fn apply(&mut self, record: Record) {
         match record {
@@ -66,7 +66,7 @@
     }
 }
 
-impl FromIterator<Record> for Stored {
+impl FromIterator<Record> for DurableState {
     fn from_iter<I: IntoIterator<Item = Record>>(records: I) -> Self {
         let mut stored = Self::default();
         records.into_iter().for_each(|record| stored.apply(record));
--- a/control/src/heartbeats.rs
+++ b/control/src/heartbeats.rs
@@ -9,6 +9,7 @@
 use crate::admin::FORWARD_MAX_AGE;
 use crate::control_plane::ControlPlane;
 use crate::interface::Output;
+use crate::log_event::LogEvent;
 use crate::partition::PartitionReplica;
 
 /// Pause between two heartbeats.
@@ -77,7 +78,7 @@
         let has_quorum = self.has_quorum();
         if has_quorum != self.quorum_since.is_some() {
             self.quorum_since = has_quorum.then_some(self.now);
-            out.push(Output::Log("quorum", format!("in_contact={has_quorum}")));
+            out.push(Output::Log(LogEvent::QuorumContact { in_contact: has_quorum }));
             self.heartbeat_at = 0;
         }
     }
@@ -98,14 +99,14 @@
         let links: Vec<NodeId> = self.peers.keys().copied().collect();
         if links != self.links {
             self.links.clone_from(&links);
-            out.push(Output::Links(links));
+            out.push(Output::ConnectTo(links));
         }
     }
 
     pub(crate) fn connected(&mut self, node: NodeId, out: &mut Vec<Output>) {
         self.peers.entry(node).or_default();
         self.heartbeat(out);
-        out.push(Output::Send(node, PeerMessage::RouterSessions(self.routers.own())));
+        out.push(Output::Send(node, PeerMessage::RouterSessions(self.routers.local_routers())));
     }
 
     pub(crate) fn note_heard(&mut self, from: NodeId, out: &mut Vec<Output>) {
@@ -144,14 +145,14 @@
             reachable: reachable.map(|(node, _)| *node).collect(),
             has_quorum: self.has_quorum(),
             reads_list: self.can_read_server_list(),
-            committed: self.partitions.values().map(PartitionReplica::sequence).collect(),
+            committed: self.partitions.values().map(PartitionReplica::committed_sequence).collect(),
             servers: self.list.position(),
         };
         self.send_to_all(&PeerMessage::Heartbeat(heartbeat), out);
     }
 
     pub(crate) fn on_heartbeat(&mut self, from: NodeId, heartbeat: Heartbeat, out: &mut Vec<Output>) {
-        self.routers.alive(self.now, from);
+        self.routers.keep_report_alive(self.now, from);
         self.learn_nodes(&heartbeat.reachable);
         self.fetch_missing(from, &heartbeat, out);
         if heartbeat.generation < self.generation() {
@@ -183,7 +184,7 @@
     /// Asks for what another node has committed and this one has not heard of.
     fn fetch_missing(&mut self, from: NodeId, heartbeat: &Heartbeat, out: &mut Vec<Output>) {
         for (part, sequence) in PartitionId::all().zip(&heartbeat.committed) {
-            let after = self.partitions.get(&part).map_or(0, PartitionReplica::sequence);
+            let after = self.partitions.get(&part).map_or(0, PartitionReplica::committed_sequence);
             if after < *sequence && self.fetched_at.get(&part).is_none_or(|at| self.now >= at + ASK_AGAIN) {
                 self.fetched_at.insert(part, self.now);
                 let (generation, message) = (self.generation(), ConsensusMessage::Fetch { after });
--- a/control/src/interface.rs
+++ b/control/src/interface.rs
@@ -1,4 +1,4 @@
-//! What goes into the control plane of a node and what comes out of it.
+//! The inputs and outputs of a control node, and how it is configured.
 
 use std::collections::BTreeSet;
 
@@ -8,86 +8,88 @@
 use ivyhatch_protocol::watch::{Server, WatchRequest, WatchResponse};
 
 use crate::Record;
-use crate::server_list::ReadId;
+use crate::log_event::LogEvent;
+use crate::server_list_reader::ReadId;
 
-/// An operator's request, as the embedder numbers them.
+/// An operator's request. The embedder numbers them, and uses no number twice in a process.
 pub type RequestId = u64;
-/// A session of a follower, as the embedder numbers them.
+/// A watch session, that is, one connection of a router. The embedder numbers them, and uses no number twice in a process.
 pub type SessionId = u64;
-/// A write, numbered in the order in which writes have to reach the disk.
-pub type Token = u64;
+/// A write to the disk, numbered in the order in which writes have to become durable.
+pub type WriteToken = u64;
 
-/// Who a control node is.
+/// The configuration of a control node.
 #[derive(Clone, Debug)]
-pub struct Identity {
-    /// Its machine.
+pub struct NodeConfig {
+    /// The node: the address of its machine.
     pub node: NodeId,
     /// The zone of its machine.
     pub zone: String,
-    /// Drawn by chance at each start of the process.
+    /// Tells this process from earlier ones of the same node; a random number.
     pub incarnation: u64,
-    /// Whether it has a disk: it can be a voter only with one.
+    /// Whether the node has a disk. It can be a voter only with one.
     pub has_disk: bool,
-    /// The very first start of the whole system.
+    /// Whether this is the very first start of the whole system.
     pub first_start: bool,
-    /// Control nodes that the settings name.
+    /// Control nodes that the settings name: the first that are contacted.
     pub seeds: Vec<NodeId>,
-    /// The zones that there are.
+    /// All zones of the deployment.
     pub zones: BTreeSet<String>,
-    /// Pause between two readings of the platform's list.
-    pub list_every: Nanos,
-    /// Once told to end, the process waits no longer than this for its successor.
-    pub grace: Nanos,
+    /// Interval between two reads of the platform's list of servers.
+    pub server_list_interval: Nanos,
+    /// A draining node waits no longer than this for a successor.
+    pub drain_timeout: Nanos,
 }
 
-/// What a control node hears.
+/// What happens to a control node.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time has passed. Comes every 100 ms or so.
+    /// Time has passed. Expected about every 100 ms.
     Tick,
-    /// The link to another control node is open.
+    /// A connection to another control node is open.
     Connected(NodeId),
-    /// Another control node has sent a message.
+    /// A message from another control node.
     Peer(NodeId, PeerMessage),
-    /// A write, and all before it, is on the disk.
-    Stored(Token),
-    /// An operator's request.
+    /// The write with this token, and all before it, are durable.
+    Stored(WriteToken),
+    /// A request from an operator.
     Admin(RequestId, AdminRequest),
-    /// The operator has given a request up: it is not begun any more.
+    /// The operator no longer waits for the response: the request is dropped unless it has been proposed already.
     AdminCancelled(RequestId),
-    /// A follower has sent a message on its session.
-    Follower(SessionId, WatchRequest),
-    /// A session has ended.
-    Closed(SessionId),
-    /// The platform has handed out the whole list of servers.
+    /// A message on a watch session; the first one opens the session.
+    Watch(SessionId, WatchRequest),
+    /// A watch session has ended.
+    SessionClosed(SessionId),
+    /// The platform's list of servers, complete.
     ServerList(ReadId, Vec<Server>),
-    /// The platform could not be asked.
+    /// The platform's list could not be read.
     ServerListFailed(ReadId),
-    /// The settings name these seeds now.
+    /// The settings name other seeds now.
     Seeds(Vec<NodeId>),
-    /// The process has been told to end.
-    Leave,
+    /// Graceful shutdown begins; [`Output::Drained`] ends it.
+    Drain,
 }
 
-/// What a control node wants done.
+/// What a control node wants done. The embedder carries outputs out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send a message to another control node.
+    /// Send a message to another control node. Messages may be lost; those on one connection must stay in order.
     Send(NodeId, PeerMessage),
-    /// Keep links open to these, and to no others.
-    Links(Vec<NodeId>),
-    /// Store these records, behind all earlier ones.
-    Store(Token, Vec<Record>),
-    /// Answer the operator.
+    /// Keep connections open to these control nodes, and to no others.
+    ConnectTo(Vec<NodeId>),
+    /// Append these records to the disk, after all earlier ones, and report [`Input::Stored`] once they are durable.
+    Store(WriteToken, Vec<Record>),
+    /// Respond to an operator.
     Respond(RequestId, AdminResponse),
-    /// Send a message to a follower.
-    Follower(SessionId, WatchResponse),
-    /// Close a session.
-    Close(SessionId),
-    /// Ask the platform for the whole list of servers. Whatever reading is still under way is given up.
+    /// Send a message on a watch session.
+    Watch(SessionId, WatchResponse),
+    /// Close a watch session.
+    CloseSession(SessionId),
+    /// Read the platform's list of servers, and report [`Input::ServerList`] or [`Input::ServerListFailed`]. A read in flight is
+    /// cancelled.
     ReadServerList(ReadId),
-    /// Nobody needs this process any longer: it may end now.
-    Left,
-    /// A line for the log: the event's name, and its key=value pairs.
-    Log(&'static str, String),
+    /// The state of this replica is no longer needed: the process may exit.
+    Drained,
+    /// Write a line to the log.
+    Log(LogEvent),
 }
--- a/control/src/leadership.rs
+++ b/control/src/leadership.rs
@@ -8,9 +8,10 @@
 use crate::admin::PartitionQueue;
 use crate::control_plane::ControlPlane;
 use crate::interface::Output;
+use crate::log_event::LogEvent;
 use crate::membership;
+use crate::partition_state::PartitionState;
 use crate::server_list_duty;
-use crate::state::State;
 
 /// A leader that a higher ballot has made step down waits for so long before its next election, times its place in the order.
 const ELECTION_BACKOFF: Nanos = 300 * MILLISECOND;
@@ -61,7 +62,7 @@
     /// A partition's leadership has ended. Requests that came to this node go to the new leader; those of others are forwarded
     /// anew by them.
     pub(crate) fn stepped_down(&mut self, part: PartitionId, out: &mut Vec<Output>) {
-        out.push(Output::Log("stepped_down", format!("part={}", part.0)));
+        out.push(Output::Log(LogEvent::SteppedDown { partition: part }));
         if let Some(queue) = self.queues.get_mut(&part) {
             *queue = PartitionQueue::default();
         }
@@ -78,17 +79,13 @@
     /// A value of a partition is committed: it is stored as such, sent on, and handed out.
     pub(crate) fn committed(&mut self, part: PartitionId, value: AcceptedValue, out: &mut Vec<Output>) {
         let (ballot, sequence) = (value.ballot, value.sequence);
-        let Some(state) = State::read(part, &value.value) else {
-            out.push(Output::Log(
-                "foreign_state",
-                format!("part={} remedy=bring_all_to_one_release", part.0),
-            ));
+        let Some(state) = PartitionState::decode(part, &value.value) else {
+            out.push(Output::Log(LogEvent::StateUndecodable { partition: part }));
             return;
         };
-        if let State::Configured(configured) = &state {
+        if let PartitionState::Configuration(configured) = &state {
             let revision = configured.document.revision;
-            let pairs = format!("revision={revision} sequence={sequence} ballot={ballot}");
-            out.push(Output::Log("configuration", pairs));
+            out.push(Output::Log(LogEvent::Configuration { revision, sequence, ballot }));
         }
         self.feed.committed(part, sequence, &state);
         self.states.insert(part, state);
@@ -97,7 +94,7 @@
         if accepted.is_some_and(|accepted| (accepted.ballot, accepted.sequence) == (ballot, sequence)) {
             self.store(vec![Record::Committed(part, ballot, sequence)], Vec::new(), out);
         }
-        if self.leads(part) != Some(ballot) {
+        if self.leader_ballot(part) != Some(ballot) {
             return;
         }
         let (generation, message) = (self.generation(), ConsensusMessage::Commit { ballot, sequence });
--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -4,30 +4,33 @@
 //! writes and responses come out; the time is the steady clock's, told by whoever embeds it.
 //!
 //! Reading order: [`partition`] agrees on one partition among the voters, [`membership`] tells who votes and how a replica takes
-//! another's seat, [`state`] says what a request does to a partition, [`server_list`] when to read the
-//! platform's list, [`routers`] keeps the routers' sessions, [`change_feed`] what
+//! another's seat, [`partition_state`] says what a request does to a partition, [`server_list_reader`] when to read the
+//! platform's list, [`router_registry`] keeps the routers' sessions, [`change_feed`] what
 //! followers are sent, [`interface`] what goes in and comes out, and [`ControlPlane`] holds all of it together, one module for each
 //! concern.
 
 mod admin;
 pub mod change_feed;
 mod control_plane;
+pub mod durable_state;
 mod heartbeats;
 pub mod interface;
 mod leadership;
+pub mod log_event;
 pub mod membership;
 pub mod partition;
+pub mod partition_state;
 mod reconfiguration;
 pub mod report;
-pub mod routers;
-pub mod server_list;
+pub mod router_registry;
 mod server_list_duty;
-pub mod state;
-pub mod stored;
+pub mod server_list_reader;
+pub mod state_transfer;
 mod watch;
 
 pub use control_plane::ControlPlane;
-pub use interface::{Identity, Input, Output, RequestId, SessionId, Token};
+pub use interface::{Input, NodeConfig, Output, RequestId, SessionId, WriteToken};
+pub use log_event::{FormatReason, LogEvent, ServerListSource};
 
 use ivyhatch_protocol::ids::{Ballot, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{AcceptedValue, Membership};
--- /dev/null
+++ b/control/src/log_event.rs
@@ -0,0 +1,197 @@
+//! Events for the operator's log, as types; [`LogEvent::name`] and `Display` give their text form.
+
+use std::fmt;
+
+use ivyhatch_protocol::ids::{Ballot, PartitionId, ReplicaId};
+use ivyhatch_protocol::peer::ReplicaStatus;
+use ivyhatch_protocol::watch::Server;
+
+/// Why a disk is formatted at the start of a process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FormatReason {
+    /// It holds no records.
+    EmptyDisk,
+    /// It was formatted on another machine: a copy, or a disk that was moved. Its promises are another replica's.
+    AnotherMachinesDisk,
+}
+
+impl fmt::Display for FormatReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::EmptyDisk => "empty_disk",
+            Self::AnotherMachinesDisk => "another_machines_disk",
+        })
+    }
+}
+
+/// Where a version of the server list came from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ServerListSource {
+    /// Read by this node for itself, before any control node has the reader's role.
+    Bootstrap,
+    /// Read from the platform by this node, in the reader's role.
+    Platform,
+    /// Replicated from another control node.
+    Peer,
+}
+
+impl fmt::Display for ServerListSource {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::Bootstrap => "bootstrap",
+            Self::Platform => "platform",
+            Self::Peer => "peer",
+        })
+    }
+}
+
+/// Something that an operator may want to know. `docs/operators/system.md` says what to do about each event.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum LogEvent {
+    /// The disk has been formatted as this replica's.
+    DiskFormatted {
+        /// The new replica.
+        replica: ReplicaId,
+        /// Why.
+        reason: FormatReason,
+    },
+    /// Contact with a quorum of the voters was made or lost.
+    QuorumContact {
+        /// Whether there is contact now.
+        in_contact: bool,
+    },
+    /// The status of this replica in the membership has changed.
+    ReplicaStatus {
+        /// The new status.
+        status: ReplicaStatus,
+        /// The membership's generation; 0 for none.
+        generation: u64,
+    },
+    /// A newer membership is in force.
+    Membership {
+        /// Its generation.
+        generation: u64,
+        /// Its voters.
+        voters: Vec<ReplicaId>,
+    },
+    /// A membership was committed that this release can't decode.
+    MembershipUndecodable {
+        /// What the decoder says.
+        error: String,
+    },
+    /// A value was committed that this release can't decode.
+    StateUndecodable {
+        /// Its partition.
+        partition: PartitionId,
+    },
+    /// This node no longer leads a partition, nor contends for it.
+    SteppedDown {
+        /// The partition.
+        partition: PartitionId,
+    },
+    /// A configuration was committed.
+    Configuration {
+        /// Its revision, as operators number them.
+        revision: u64,
+        /// The number of the partition's change.
+        sequence: u64,
+        /// The ballot that it was committed under.
+        ballot: Ballot,
+    },
+    /// This node has begun or ended to read the platform's list of servers.
+    ServerListReader {
+        /// The ballot that it reads under; `None` where it no longer reads.
+        ballot: Option<Ballot>,
+    },
+    /// Another node has read the list under a higher ballot: this one has to renew its own before it reads on.
+    ServerListReaderSuperseded {
+        /// The higher ballot.
+        superseded_by: Ballot,
+    },
+    /// A read of the platform's list has failed.
+    ServerListReadFailed {
+        /// Failures since the last success.
+        consecutive_failures: u32,
+    },
+    /// A newer version of the server list is in force.
+    ServerList {
+        /// Where it came from.
+        source: ServerListSource,
+        /// The reader's ballot.
+        ballot: Ballot,
+        /// The number of the version under that ballot.
+        number: u64,
+        /// How many servers it has.
+        servers: usize,
+    },
+    /// A server is new or has changed.
+    ServerChanged(Server),
+}
+
+impl LogEvent {
+    /// The event's name.
+    pub fn name(&self) -> &'static str {
+        match self {
+            Self::DiskFormatted { .. } => "disk_formatted",
+            Self::QuorumContact { .. } => "quorum",
+            Self::ReplicaStatus { .. } => "replica",
+            Self::Membership { .. } => "membership",
+            Self::MembershipUndecodable { .. } => "membership_undecodable",
+            Self::StateUndecodable { .. } => "state_undecodable",
+            Self::SteppedDown { .. } => "stepped_down",
+            Self::Configuration { .. } => "configuration",
+            Self::ServerListReader { .. } | Self::ServerListReaderSuperseded { .. } => "server_list_reader",
+            Self::ServerListReadFailed { .. } => "server_list_read_failed",
+            Self::ServerList { .. } => "server_list",
+            Self::ServerChanged(_) => "server_changed",
+        }
+    }
+}
+
+/// The event's fields, as `key=value` pairs with a space between them.
+impl fmt::Display for LogEvent {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::DiskFormatted { replica, reason } => write!(f, "replica={replica} reason={reason}"),
+            Self::QuorumContact { in_contact } => write!(f, "in_contact={in_contact}"),
+            Self::ReplicaStatus { status, generation } => {
+                write!(f, "status={status:?} generation={generation}")
+            }
+            Self::Membership { generation, voters } => {
+                let voters: Vec<String> = voters.iter().map(ReplicaId::to_string).collect();
+                write!(f, "generation={generation} voters={}", voters.join(","))
+            }
+            Self::MembershipUndecodable { error } => {
+                write!(f, "error={error:?} remedy=bring_all_to_one_release")
+            }
+            Self::StateUndecodable { partition } => {
+                write!(f, "partition={} remedy=bring_all_to_one_release", partition.0)
+            }
+            Self::SteppedDown { partition } => write!(f, "partition={}", partition.0),
+            Self::Configuration { revision, sequence, ballot } => {
+                write!(f, "revision={revision} sequence={sequence} ballot={ballot}")
+            }
+            Self::ServerListReader { ballot: Some(ballot) } => write!(f, "active=true ballot={ballot}"),
+            Self::ServerListReader { ballot: None } => write!(f, "active=false"),
+            Self::ServerListReaderSuperseded { superseded_by } => {
+                write!(f, "active=false superseded_by={superseded_by}")
+            }
+            Self::ServerListReadFailed { consecutive_failures } => {
+                write!(f, "consecutive_failures={consecutive_failures}")
+            }
+            Self::ServerList { source, ballot, number, servers } => {
+                write!(f, "source={source} ballot={ballot} number={number} servers={servers}")
+            }
+            Self::ServerChanged(server) => write_server(f, server),
+        }
+    }
+}
+
+fn write_server(f: &mut fmt::Formatter<'_>, server: &Server) -> fmt::Result {
+    let Server { id, zone, draining, cold_left_ms, .. } = server;
+    write!(f, "id={id} zone={zone} draining={draining} warm_up_remaining_ms={cold_left_ms}")?;
+    match server.remaining_ms {
+        Some(remaining_ms) => write!(f, " lifetime_remaining_ms={remaining_ms}"),
+        None => Ok(()),
+    }
+}
--- a/control/src/partition.rs
+++ b/control/src/partition.rs
@@ -114,7 +114,7 @@
     }
 
     /// The number of the last change that is known to be committed.
-    pub fn sequence(&self) -> u64 {
+    pub fn committed_sequence(&self) -> u64 {
         self.committed.as_ref().map_or(0, |committed| committed.sequence)
     }
 
@@ -124,7 +124,7 @@
     }
 
     /// The leader's ballot, once it knows the partition's value and no proposal is open.
-    pub fn ready(&self) -> Option<Ballot> {
+    pub fn ready_ballot(&self) -> Option<Ballot> {
         match &self.role {
             Role::Leader { ballot, proposal: None, .. } => Some(*ballot),
             _ => None,
@@ -132,7 +132,7 @@
     }
 
     /// The leader's ballot, once a quorum has promised it.
-    pub fn leads(&self) -> Option<Ballot> {
+    pub fn leader_ballot(&self) -> Option<Ballot> {
         match &self.role {
             Role::Leader { ballot, .. } => Some(*ballot),
             _ => None,
@@ -164,17 +164,21 @@
     }
 
     /// Another replica has this ballot: a lower one of this replica's has ended, and its next one is higher.
-    pub fn outdated(&mut self, ballot: Ballot, out: &mut Vec<Effect>) {
+    pub fn observe_ballot(&mut self, ballot: Ballot, out: &mut Vec<Effect>) {
         self.counter = self.counter.max(ballot.counter);
         if self.role.ballot().is_some_and(|own| own < ballot) {
             self.step_down(out);
         }
     }
 
-    /// Proposes a value. Only while [`PartitionReplica::ready`].
+    /// Proposes a value. Only while [`PartitionReplica::ready_ballot`].
     pub fn propose(&mut self, now: Nanos, value: Vec<u8>, out: &mut Vec<Effect>) {
-        let Some(ballot) = self.ready() else { return };
-        self.send_proposal(now, AcceptedValue { ballot, sequence: self.sequence() + 1, value }, out);
+        let Some(ballot) = self.ready_ballot() else { return };
+        self.send_proposal(
+            now,
+            AcceptedValue { ballot, sequence: self.committed_sequence() + 1, value },
+            out,
+        );
     }
 
     fn send_proposal(&mut self, now: Nanos, value: AcceptedValue, out: &mut Vec<Effect>) {
@@ -192,7 +196,7 @@
     }
 
     /// Forgets a confirmation that nobody waits for any longer.
-    pub fn forget(&mut self, number: u64) {
+    pub fn cancel_confirmation(&mut self, number: u64) {
         if let Role::Leader { confirmations, .. } = &mut self.role {
             confirmations.remove(&number);
         }
@@ -239,7 +243,7 @@
             }
             ConsensusMessage::Accepted { ballot, sequence } => self.on_accepted(from, ballot, sequence, out),
             ConsensusMessage::Confirmed { ballot, number } => self.on_confirmed(from, ballot, number, out),
-            ConsensusMessage::Reject { promised } => self.outdated(promised, out),
+            ConsensusMessage::Reject { promised } => self.observe_ballot(promised, out),
             ConsensusMessage::Commit { ballot, sequence } => self.on_commit(from, ballot, sequence, out),
             ConsensusMessage::Fetch { after } => {
                 if let Some(committed) = self.committed.clone().filter(|value| value.sequence > after) {
@@ -289,8 +293,8 @@
     fn on_commit(&mut self, from: NodeId, ballot: Ballot, sequence: u64, out: &mut Vec<Effect>) {
         match self.accepted_as(ballot, sequence) {
             Some(value) => self.commit(value, out),
-            None if sequence > self.sequence() => {
-                let after = self.sequence();
+            None if sequence > self.committed_sequence() => {
+                let after = self.committed_sequence();
                 out.push(Effect::Send(from, ConsensusMessage::Fetch { after }));
             }
             None => {}
@@ -300,7 +304,7 @@
     /// Promises a ballot. Leadership under a lower one ends.
     fn promise(&mut self, ballot: Ballot, out: &mut Vec<Effect>) {
         self.state.promised = self.state.promised.max(ballot);
-        self.outdated(ballot, out);
+        self.observe_ballot(ballot, out);
     }
 
     fn on_promise(
@@ -360,7 +364,7 @@
     /// Notes what is committed; an older value changes nothing. One under a higher ballot than this leader's tells that a quorum has
     /// promised that ballot: what is open here may have been committed by another leader, and would never be answered.
     fn commit(&mut self, value: AcceptedValue, out: &mut Vec<Effect>) {
-        self.outdated(value.ballot, out);
+        self.observe_ballot(value.ballot, out);
         let newer = |known: &AcceptedValue| (value.sequence, value.ballot) > (known.sequence, known.ballot);
         if self.committed.as_ref().is_none_or(newer) {
             self.committed = Some(value.clone());
--- a/control/src/reconfiguration.rs
+++ b/control/src/reconfiguration.rs
@@ -11,8 +11,10 @@
 use crate::control_plane::ControlPlane;
 use crate::heartbeats::{ASK_AGAIN, HEARTBEAT_INTERVAL};
 use crate::interface::Output;
-use crate::membership::{self, Candidate, StateCollection, VoterHealth};
+use crate::log_event::LogEvent;
+use crate::membership::{self, Candidate, VoterHealth};
 use crate::partition::PartitionReplica;
+use crate::state_transfer::StateCollector;
 
 /// The founder waits for so long after its start, so that all who start with it are voters.
 const BOOTSTRAP_DELAY: Nanos = 1500 * MILLISECOND;
@@ -55,7 +57,7 @@
     fn set_status(&mut self, status: ReplicaStatus, out: &mut Vec<Output>) {
         if std::mem::replace(&mut self.status, status) != status {
             let generation = self.generation();
-            out.push(Output::Log("replica", format!("status={status:?} generation={generation}")));
+            out.push(Output::Log(LogEvent::ReplicaStatus { status, generation }));
         }
     }
 
@@ -76,16 +78,15 @@
         if membership.generation <= self.generation() {
             return;
         }
-        let voters: Vec<String> = membership.voters.iter().map(|voter| voter.replica.to_string()).collect();
-        let pairs = format!("generation={} voters={}", membership.generation, voters.join(","));
-        out.push(Output::Log("membership", pairs));
+        let voters = membership.voters.iter().map(|voter| voter.replica).collect();
+        out.push(Output::Log(LogEvent::Membership { generation: membership.generation, voters }));
         let is_first = membership.generation == FIRST_GENERATION;
         self.membership = Some(membership.clone());
         let write = self.store(vec![Record::Membership(membership)], Vec::new(), out);
         self.bootstrap_write = is_first.then_some(write);
         let (node, incarnation) = (self.identity.node, self.identity.incarnation);
         self.membership_partition = PartitionReplica::new(node, incarnation, AcceptorState::default());
-        self.collection = StateCollection::default();
+        self.collection = StateCollector::default();
         self.state_asked = 0;
         self.set_voters(out);
         self.set_status(self.status_in_membership(), out);
@@ -138,7 +139,7 @@
         match next {
             None => partition.step_down(&mut effects),
             Some(_) if !partition.is_contending() => partition.start_election(now, &mut effects),
-            Some(next) if partition.ready().is_some() => {
+            Some(next) if partition.ready_ballot().is_some() => {
                 let value = next.write_to_vec().unwrap_or_default();
                 partition.propose(now, value, &mut effects);
             }
@@ -193,8 +194,8 @@
                 self.send_to_all(&PeerMessage::Membership(membership), out);
             }
             Err(error) => {
-                let pairs = format!("error={error:?} remedy=bring_all_to_one_release");
-                out.push(Output::Log("foreign_membership", pairs));
+                let error = error.to_string();
+                out.push(Output::Log(LogEvent::MembershipUndecodable { error }));
             }
         }
     }
@@ -290,9 +291,9 @@
 
     pub(crate) fn end_if_left(&mut self, out: &mut Vec<Output>) {
         let Some(since) = self.leaving_since else { return };
-        let patience_ends = self.now >= since + self.identity.grace;
+        let patience_ends = self.now >= since + self.identity.drain_timeout;
         if patience_ends || (self.now >= since + HAND_OVER && !self.is_needed()) {
-            out.push(Output::Left);
+            out.push(Output::Drained);
         }
     }
 
--- a/control/src/report.rs
+++ b/control/src/report.rs
@@ -28,11 +28,11 @@
     /// The zone of its machine.
     pub zone: String,
     /// Whether it has a seat in the membership.
-    pub has_seat: bool,
+    pub is_voter: bool,
     /// Its status, as it says; none where it is not heard, or its machine has another replica now.
     pub status: Option<ReplicaStatus>,
     /// Whether it has been told to end.
-    pub is_leaving: bool,
+    pub is_draining: bool,
     /// How many changes, over all partitions, it has not heard of that this node has.
     pub changes_behind: u64,
 }
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PartitionReport {
     /// The partition.
-    pub part: PartitionId,
+    pub partition: PartitionId,
     /// The number of its last committed change.
     pub committed: u64,
     /// The node that leads it, or would start the next election.
@@ -64,7 +64,11 @@
     }
 
     fn report_partition(&self, part: PartitionId) -> PartitionReport {
-        PartitionReport { part, committed: self.committed_state(part).0, leader: self.leader(part) }
+        PartitionReport {
+            partition: part,
+            committed: self.committed_state(part).0,
+            leader: self.leader(part),
+        }
     }
 
     fn report_voter(&self, voter: &Voter) -> ReplicaReport {
@@ -73,9 +77,9 @@
             return ReplicaReport {
                 replica: *replica,
                 zone: zone.clone(),
-                has_seat: true,
+                is_voter: true,
                 status: Some(self.status),
-                is_leaving: self.leaving_since.is_some(),
+                is_draining: self.leaving_since.is_some(),
                 changes_behind: 0,
             };
         }
@@ -87,9 +91,9 @@
     /// A replica without a seat.
     fn report_other(&self, node: NodeId) -> Option<ReplicaReport> {
         let (replica, heartbeat) = (self.replica_of(node)?, self.current_heartbeat(node)?);
-        let is_voter =
+        let has_seat =
             self.membership.as_ref().is_some_and(|known: &Membership| known.voter(replica).is_some());
-        (!is_voter).then(|| self.report_heard(replica, &heartbeat.zone, false, Some(heartbeat)))
+        (!has_seat).then(|| self.report_heard(replica, &heartbeat.zone, false, Some(heartbeat)))
     }
 
     fn current_heartbeat(&self, node: NodeId) -> Option<&Heartbeat> {
@@ -101,19 +105,19 @@
         &self,
         replica: ReplicaId,
         zone: &str,
-        has_seat: bool,
+        is_voter: bool,
         heartbeat: Option<&Heartbeat>,
     ) -> ReplicaReport {
         let behind = |heartbeat: &Heartbeat| -> u64 {
-            let own = self.partitions.values().map(|partition| partition.sequence());
+            let own = self.partitions.values().map(|partition| partition.committed_sequence());
             own.zip(&heartbeat.committed).map(|(own, its)| own.saturating_sub(*its)).sum()
         };
         ReplicaReport {
             replica,
             zone: zone.to_owned(),
-            has_seat,
+            is_voter,
             status: heartbeat.map(|heartbeat| heartbeat.status),
-            is_leaving: heartbeat.is_some_and(|heartbeat| heartbeat.leaving),
+            is_draining: heartbeat.is_some_and(|heartbeat| heartbeat.leaving),
             changes_behind: heartbeat.map_or(0, behind),
         }
     }
--- /dev/null
+++ b/control/src/router_registry.rs
@@ -0,0 +1,162 @@
+//! The routers that are known: those with a session on this node, and those that other control nodes report.
+//!
+//! Each control node sends all others the routers that have a session with it, so that each knows all routers.
+
+use std::collections::BTreeMap;
+
+use ivyhatch_protocol::ids::NodeId;
+use ivyhatch_protocol::watch::{Router, RouterState};
+use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
+
+/// A session on which nothing was received for this long does not count any more: three heartbeats of a router.
+pub const SESSION_TIMEOUT: Nanos = 1500 * MILLISECOND;
+/// The report of another control node counts for this long after that node was heard from last.
+const REPORT_TIMEOUT: Nanos = 3 * SECOND;
+/// A router that has gone counts for this long in the division of shared quotas: it may come back at any moment, or be partitioned
+/// from the control nodes and still serve.
+const RECENTLY_SEEN: Nanos = 60 * SECOND;
+/// A router that drains is usually restarted at the same address. For this long after it was seen draining it stands for its
+/// region in the directory, where that region has no other.
+const DRAINING_RETENTION: Nanos = 3 * SECOND;
+/// The largest number of addresses in an answer of the directory.
+pub const MAX_DIRECTORY_ADDRESSES: usize = 64;
+
+/// A router with a session on this node.
+#[derive(Debug)]
+struct LocalRouter {
+    router: Router,
+    last_received_at: Nanos,
+}
+
+/// The routers with a session on another control node.
+#[derive(Debug)]
+struct PeerReport {
+    routers: Vec<Router>,
+    received_at: Nanos,
+}
+
+/// A router that was draining when it was seen last.
+#[derive(Debug)]
+struct DrainingRouter {
+    router: Router,
+    seen_at: Nanos,
+}
+
+/// A router's rank among the routers that share quotas.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RouterRank {
+    /// The number of routers that are known or were lately; at least 1.
+    pub count: usize,
+    /// The index of the router among these, from 0, in the order of addresses.
+    pub index: usize,
+}
+
+/// All routers that are known on this node.
+#[derive(Debug, Default)]
+pub struct RouterRegistry {
+    local: BTreeMap<NodeId, LocalRouter>,
+    reported_by_peers: BTreeMap<NodeId, PeerReport>,
+    last_seen: BTreeMap<NodeId, Nanos>,
+    draining: BTreeMap<NodeId, DrainingRouter>,
+}
+
+impl RouterRegistry {
+    /// Records that a router was heard from on its session. Returns whether that is news for other control nodes: the router is
+    /// new, has changed, or had timed out.
+    pub fn record_local(&mut self, now: Nanos, router: Router) -> bool {
+        let current = LocalRouter { router: router.clone(), last_received_at: now };
+        let previous = self.local.insert(router.node, current);
+        previous.is_none_or(|previous| {
+            previous.router != router || now >= previous.last_received_at + SESSION_TIMEOUT
+        })
+    }
+
+    /// Removes a router whose session has ended. Returns whether it was known.
+    pub fn remove_local(&mut self, node: NodeId) -> bool {
+        self.local.remove(&node).is_some()
+    }
+
+    /// The local router at this address.
+    pub fn local(&self, node: NodeId) -> Option<&Router> {
+        self.local.get(&node).map(|local| &local.router)
+    }
+
+    /// The routers with a session on this node, as other control nodes are sent them.
+    pub fn local_routers(&self) -> Vec<Router> {
+        self.local.values().map(|local| local.router.clone()).collect()
+    }
+
+    /// Drops local routers and reports that have timed out. Returns whether there were any such local routers.
+    pub fn expire(&mut self, now: Nanos) -> bool {
+        let count_before = self.local.len();
+        self.local.retain(|_, local| now < local.last_received_at + SESSION_TIMEOUT);
+        self.reported_by_peers.retain(|_, report| now < report.received_at + REPORT_TIMEOUT);
+        self.local.len() != count_before
+    }
+
+    /// Replaces the report of another control node.
+    pub fn apply_report(&mut self, now: Nanos, from: NodeId, routers: Vec<Router>) {
+        self.reported_by_peers.insert(from, PeerReport { routers, received_at: now });
+    }
+
+    /// Extends the report of another control node, from which a heartbeat has been received.
+    pub fn keep_report_alive(&mut self, now: Nanos, from: NodeId) {
+        if let Some(report) = self.reported_by_peers.get_mut(&from) {
+            report.received_at = now;
+        }
+    }
+
+    /// All routers. Of several entries for one, the local one wins, then the one whose state is further on.
+    fn all(&self) -> BTreeMap<NodeId, &Router> {
+        let mut all: BTreeMap<NodeId, &Router> = BTreeMap::new();
+        for router in self.reported_by_peers.values().flat_map(|report| &report.routers) {
+            let known = all.entry(router.node).or_insert(router);
+            if router.state > known.state {
+                *known = router;
+            }
+        }
+        all.extend(self.local.iter().map(|(node, local)| (*node, &local.router)));
+        all
+    }
+
+    /// Records which routers are there now, for [`RouterRegistry::rank`] and for the directory. Called on each tick.
+    pub fn refresh(&mut self, now: Nanos) {
+        let all: Vec<Router> = self.all().into_values().cloned().collect();
+        for router in all {
+            self.last_seen.insert(router.node, now);
+            match router.state {
+                RouterState::Ready => drop(self.draining.remove(&router.node)),
+                RouterState::Leaving => {
+                    self.draining.insert(router.node, DrainingRouter { router, seen_at: now });
+                }
+                RouterState::Starting => {}
+            }
+        }
+        self.last_seen.retain(|_, seen_at| now < *seen_at + RECENTLY_SEEN);
+        self.draining.retain(|_, draining| now < draining.seen_at + DRAINING_RETENTION);
+    }
+
+    /// The number of routers that are known or were lately, and a router's index among them.
+    pub fn rank(&self, node: NodeId) -> RouterRank {
+        RouterRank { count: self.last_seen.len().max(1), index: self.last_seen.range(..node).count() }
+    }
+
+    /// The addresses that the directory gives to clients of a region: its ready routers, or all ready routers where it has none. A
+    /// region whose routers all drain keeps these for a moment: they still accept connections or are being restarted, and requests
+    /// that are bound to the region must not leave it.
+    pub fn addresses_for_region(&self, region: &str) -> Vec<String> {
+        let all = self.all();
+        let ready = || all.values().copied().filter(|router| router.state == RouterState::Ready);
+        let ready_in_region: Vec<&Router> = ready().filter(|router| router.region == region).collect();
+        let draining = self.draining.values().map(|draining| &draining.router);
+        let draining_in_region: Vec<&Router> = draining.filter(|router| router.region == region).collect();
+        let chosen = if !ready_in_region.is_empty() {
+            ready_in_region
+        } else if !draining_in_region.is_empty() {
+            draining_in_region
+        } else {
+            ready().collect()
+        };
+        chosen.into_iter().map(|router| router.front.clone()).take(MAX_DIRECTORY_ADDRESSES).collect()
+    }
+}
--- a/control/src/server_list_duty.rs
+++ b/control/src/server_list_duty.rs
@@ -7,7 +7,8 @@
 
 use crate::control_plane::ControlPlane;
 use crate::interface::Output;
-use crate::server_list::{self, Duty, ReadId};
+use crate::log_event::{LogEvent, ServerListSource};
+use crate::server_list_reader::{self, ReadId, ReaderRole};
 
 /// The duty's name: it lies with the leader of the partition into which this falls.
 const DUTY: &str = "platform-list";
@@ -27,69 +28,69 @@
     }
 
     /// What this node knows of the duty.
-    fn list_duty(&self) -> Duty {
+    fn list_duty(&self) -> ReaderRole {
         let heartbeats = self.peers.values().filter_map(|peer| peer.heartbeat.as_ref());
         let (known, number) = self.list.position();
         let newest = heartbeats.map(|heartbeat| heartbeat.servers.0).chain([known]).max().unwrap_or_default();
-        Duty {
-            owned: self.leads(partition()).filter(|_| self.has_quorum()),
-            newest,
-            newest_in_touch: newest.node == self.identity.node || self.is_bidirectional(newest.node),
+        ReaderRole {
+            ballot: self.leader_ballot(partition()).filter(|_| self.has_quorum()),
+            highest_ballot: newest,
+            highest_is_reachable: newest.node == self.identity.node || self.is_bidirectional(newest.node),
             has_list: number > 0,
         }
     }
 
     pub(crate) fn check_list_duty(&mut self, out: &mut Vec<Output>) {
         let duty = self.list_duty();
-        self.drive_list_reader(server_list::Input::Checked(duty), None, out);
+        self.drive_list_reader(server_list_reader::Input::Tick(duty), None, out);
     }
 
     pub(crate) fn server_list_read(&mut self, read: ReadId, servers: Vec<Server>, out: &mut Vec<Output>) {
         let duty = self.list_duty();
-        self.drive_list_reader(server_list::Input::Answered(read, duty), Some(servers), out);
+        self.drive_list_reader(server_list_reader::Input::ReadSucceeded(read, duty), Some(servers), out);
     }
 
     pub(crate) fn server_list_failed(&mut self, read: ReadId, out: &mut Vec<Output>) {
-        self.drive_list_reader(server_list::Input::Failed(read), None, out);
+        self.drive_list_reader(server_list_reader::Input::ReadFailed(read), None, out);
     }
 
     fn drive_list_reader(
         &mut self,
-        input: server_list::Input,
+        input: server_list_reader::Input,
         mut servers: Option<Vec<Server>>,
         out: &mut Vec<Output>,
     ) {
         let mut outputs = Vec::new();
-        let before = self.list_reader.reads_under();
+        let before = self.list_reader.reading_ballot();
         self.list_reader.handle(self.now, input, &mut outputs);
-        let after = self.list_reader.reads_under();
+        let after = self.list_reader.reading_ballot();
         if after != before {
-            let pairs =
-                after.map_or_else(|| "reads=false".into(), |ballot| format!("reads=true ballot={ballot}"));
-            out.push(Output::Log("list_duty", pairs));
+            out.push(Output::Log(LogEvent::ServerListReader { ballot: after }));
         }
         for output in outputs {
             match output {
-                server_list::Output::Read(read) => out.push(Output::ReadServerList(read)),
-                server_list::Output::Publish(ballot) => {
+                server_list_reader::Output::Read(read) => out.push(Output::ReadServerList(read)),
+                server_list_reader::Output::Publish(ballot) => {
                     self.publish_list(ballot, servers.take().unwrap_or_default(), out);
                 }
-                server_list::Output::Renew(newest) => self.renew_list_duty(newest, out),
-                server_list::Output::Failing(failures) => {
-                    out.push(Output::Log("list_failed", format!("in_a_row={failures}")));
+                server_list_reader::Output::RenewBallot { superseded_by: newest } => {
+                    self.renew_list_duty(newest, out)
+                }
+                server_list_reader::Output::ReadFailing { consecutive_failures } => {
+                    out.push(Output::Log(LogEvent::ServerListReadFailed { consecutive_failures }));
                 }
                 // The others are told at once, so that one of them begins.
-                server_list::Output::Leave => self.heartbeat(out),
+                server_list_reader::Output::YieldRole => self.heartbeat(out),
             }
         }
     }
 
     /// Another node has led the duty's partition since: this one steps down, and starts an election at its next tick.
     fn renew_list_duty(&mut self, newest: Ballot, out: &mut Vec<Output>) {
-        out.push(Output::Log("list_duty", format!("reads=false deposed_by={newest}")));
+        out.push(Output::Log(LogEvent::ServerListReaderSuperseded { superseded_by: newest }));
         let Some(duty) = self.partitions.get_mut(&partition()) else { return };
         let mut effects = Vec::new();
-        duty.outdated(newest, &mut effects);
+        duty.observe_ballot(newest, &mut effects);
         self.carry_out(partition(), effects, out);
     }
 
@@ -99,14 +100,14 @@
             // For those who follow this node: until there is a quorum nobody has the duty.
             if !servers.is_empty() {
                 self.list.read(self.now, ballot, servers);
-                self.log_list("first", out);
+                self.log_list(ServerListSource::Bootstrap, out);
             }
             return;
         }
         let Some(news) = self.list.read(self.now, ballot, servers) else { return };
-        self.log_list("read", out);
+        self.log_list(ServerListSource::Platform, out);
         let changed = news.upsert.iter().filter(|_| news.from.is_some());
-        out.extend(changed.map(|server| Output::Log("server", describe(server))));
+        out.extend(changed.map(|server| Output::Log(LogEvent::ServerChanged(server.clone()))));
         self.send_to_all(&PeerMessage::ServerList(news), out);
     }
 
@@ -115,7 +116,7 @@
         if !self.list.follow(self.now, news) {
             out.push(Output::Send(from, PeerMessage::ServerListRequest));
         } else if before != self.list.position() {
-            self.log_list("followed", out);
+            self.log_list(ServerListSource::Peer, out);
         }
     }
 
@@ -125,15 +126,9 @@
         }
     }
 
-    fn log_list(&self, how: &str, out: &mut Vec<Output>) {
+    fn log_list(&self, source: ServerListSource, out: &mut Vec<Output>) {
         let (ballot, number) = self.list.position();
-        let pairs = format!("how={how} ballot={ballot} number={number} servers={}", self.list.len());
-        out.push(Output::Log("servers", pairs));
+        let servers = self.list.len();
+        out.push(Output::Log(LogEvent::ServerList { source, ballot, number, servers }));
     }
 }
-
-fn describe(server: &Server) -> String {
-    let Server { id, zone, draining, cold_left_ms, .. } = server;
-    let left = server.remaining_ms.map_or_else(String::new, |left| format!(" remaining_ms={left}"));
-    format!("id={id} zone={zone} draining={draining} cold_left_ms={cold_left_ms}{left}")
-}
--- a/control/src/watch.rs
+++ b/control/src/watch.rs
@@ -7,6 +7,7 @@
 
 use crate::control_plane::ControlPlane;
 use crate::interface::{Output, SessionId};
+use crate::router_registry::RouterRank;
 
 /// Pause between two signs of life to followers.
 const PROGRESS_INTERVAL: Nanos = 500 * MILLISECOND;
@@ -31,8 +32,8 @@
 impl ControlPlane {
     /// Ends sessions that have fallen silent, and tells other control nodes of those that stand.
     pub(crate) fn tend_sessions(&mut self, out: &mut Vec<Output>) {
-        self.routers.note(self.now);
-        let changed = self.routers.drop_silent(self.now);
+        self.routers.refresh(self.now);
+        let changed = self.routers.expire(self.now);
         self.end_silent_sessions(out);
         if changed || self.now >= self.sessions_sent + SESSIONS_INTERVAL {
             self.send_sessions(out);
@@ -55,22 +56,22 @@
                 (session.router, session.is_primary) = (Some(router.node), primary);
                 session.position = position;
                 session.sent_at = 0;
-                if self.routers.heard(now, router) {
+                if self.routers.record_local(now, router) {
                     self.send_sessions(out);
                 }
             }
             WatchRequest::Heartbeat { state } => {
                 let node = session.router;
-                let known = self.routers.own().into_iter().find(|router| Some(router.node) == node);
+                let known = node.and_then(|node| self.routers.local(node)).cloned();
                 if let Some(router) = known
-                    && self.routers.heard(now, Router { state, ..router })
+                    && self.routers.record_local(now, Router { state, ..router })
                 {
                     self.send_sessions(out);
                 }
             }
             WatchRequest::Fetch { position } => {
                 let news = self.since(&position);
-                out.extend(news.into_iter().map(|news| Output::Follower(id, news)));
+                out.extend(news.into_iter().map(|news| Output::Watch(id, news)));
             }
         }
     }
@@ -80,7 +81,7 @@
         let Some(session) = self.sessions.remove(&id) else { return };
         let others = self.sessions.values().any(|other| other.router == session.router);
         if let Some(node) = session.router.filter(|_| !others) {
-            self.routers.ended(node);
+            self.routers.remove_local(node);
             self.sessions_sent = 0;
         }
     }
@@ -88,13 +89,13 @@
     fn end_silent_sessions(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
         let silent = self.sessions.iter().filter(|(_, session)| now >= session.heard + SESSION_TIMEOUT);
-        out.extend(silent.map(|(id, _)| Output::Close(*id)));
+        out.extend(silent.map(|(id, _)| Output::CloseSession(*id)));
         self.sessions.retain(|_, session| now < session.heard + SESSION_TIMEOUT);
     }
 
     fn send_sessions(&mut self, out: &mut Vec<Output>) {
         self.sessions_sent = self.now;
-        self.send_to_all(&PeerMessage::RouterSessions(self.routers.own()), out);
+        self.send_to_all(&PeerMessage::RouterSessions(self.routers.local_routers()), out);
     }
 
     fn since(&self, position: &Position) -> Vec<WatchResponse> {
@@ -129,11 +130,11 @@
             let Some(session) = self.sessions.get(&id) else { continue };
             if session.is_primary && session.position != position {
                 let news = self.since(&session.position);
-                out.extend(news.into_iter().map(|news| Output::Follower(id, news)));
+                out.extend(news.into_iter().map(|news| Output::Watch(id, news)));
             }
             let control_nodes = control_nodes.clone();
-            let (place, routers) = session.router.map_or((0, 0), |node| self.routers.place(node));
-            let (place, routers) = (place as u32, if settled { routers as u32 } else { 0 });
+            let rank = session.router.map_or_else(RouterRank::default, |node| self.routers.rank(node));
+            let (place, routers) = (rank.index as u32, if settled { rank.count as u32 } else { 0 });
             let heads = WatchResponse::Progress {
                 position: position.clone(),
                 has_quorum,
@@ -141,7 +142,7 @@
                 router_index: place,
                 control_nodes,
             };
-            out.push(Output::Follower(id, heads));
+            out.push(Output::Watch(id, heads));
             if let Some(session) = self.sessions.get_mut(&id) {
                 if session.is_primary {
                     session.position.clone_from(&position);
--- a/control/tests/bootstrap.rs
+++ b/control/tests/bootstrap.rs
@@ -4,8 +4,8 @@
 
 use common::{NODES, hear, hear_and_store, heartbeat, identity, logged, membership, records, replica};
 use googletest::prelude::*;
-use ivyhatch_control::stored::Stored;
-use ivyhatch_control::{ControlPlane, Output, Record};
+use ivyhatch_control::durable_state::DurableState;
+use ivyhatch_control::{ControlPlane, LogEvent, Output, Record};
 use ivyhatch_protocol::ids::NodeId;
 use ivyhatch_protocol::peer::{Heartbeat, PeerMessage, ReplicaStatus};
 
@@ -23,7 +23,7 @@
 }
 
 fn founder() -> ControlPlane {
-    ControlPlane::new(identity(1, true), Stored::default(), 0)
+    ControlPlane::new(identity(1, true), DurableState::default(), 0)
 }
 
 fn memberships_sent(out: &[Output]) -> Vec<NodeId> {
@@ -75,14 +75,14 @@
 
 #[gtest]
 fn one_whose_disk_was_lost_is_no_voter_of_the_membership_that_names_its_address() {
-    let mut wiped = ControlPlane::new(identity(2, false), Stored::default(), 0);
+    let mut wiped = ControlPlane::new(identity(2, false), DurableState::default(), 0);
     hear(&mut wiped, 100, &[(1, PeerMessage::Membership(membership()))]);
     expect_that!(wiped.status(), eq(ReplicaStatus::Learner));
 }
 
 #[gtest]
 fn a_disk_that_was_formatted_after_the_first_start_founds_nothing() {
-    let mut wiped = ControlPlane::new(identity(1, false), Stored::default(), 0);
+    let mut wiped = ControlPlane::new(identity(1, false), DurableState::default(), 0);
     hear(&mut wiped, 100, &[fresh(2, 1), fresh(3, 1)]);
     hear(&mut wiped, 1_600, &[fresh(2, 2), fresh(3, 2)]);
     expect_that!(wiped.membership(), none());
@@ -99,10 +99,13 @@
 
 #[gtest]
 fn a_disk_that_was_formatted_on_another_machine_is_formatted_anew() {
-    let stored: Stored = records(3, membership()).into_iter().collect();
+    let stored: DurableState = records(3, membership()).into_iter().collect();
     let mut copy = ControlPlane::new(identity(4, false), stored, 0);
     expect_that!(copy.status(), eq(ReplicaStatus::Uninitialized));
     let out = hear(&mut copy, 100, &[]);
-    expect_that!(logged(&out, "formatted"), some(contains_substring("another_machines_disk")));
+    expect_that!(
+        logged(&out, "disk_formatted").map(LogEvent::to_string),
+        some(contains_substring("another_machines_disk"))
+    );
     expect_that!(copy.replica().map(|replica| replica.node), some(eq(NodeId(4))));
 }
--- a/control/tests/common/cluster.rs
+++ b/control/tests/common/cluster.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use ivyhatch_control::stored::Stored;
-use ivyhatch_control::{ControlPlane, Identity, Input, Output, Record, RequestId, Token};
+use ivyhatch_control::durable_state::DurableState;
+use ivyhatch_control::{ControlPlane, Input, NodeConfig, Output, Record, RequestId, WriteToken};
 use ivyhatch_protocol::ids::NodeId;
 use ivyhatch_protocol::peer::{AdminRequest, AdminResponse, PeerMessage, ReplicaStatus};
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
@@ -16,13 +16,13 @@
 enum Event {
     Tick(u64),
     Arrives(NodeId, PeerMessage),
-    Stored(u64, Token, Vec<Record>),
+    Stored(u64, WriteToken, Vec<Record>),
 }
 
 struct Member {
     plane: ControlPlane,
     incarnation: u64,
-    disk: Stored,
+    disk: DurableState,
     /// Bytes that other nodes have sent to it.
     received: u64,
 }
@@ -44,16 +44,16 @@
     pub fn founded() -> Self {
         let mut cluster = Self::default();
         for node in 1..=3 {
-            cluster.start(node, node, Stored::default(), true);
+            cluster.start(node, node, DurableState::default(), true);
         }
         cluster.run_until("the membership is founded", |cluster| (1..=3).all(|node| cluster.votes(node)));
         cluster
     }
 
     /// Starts a node in the zone of this one, with what is on its disk.
-    pub fn start(&mut self, node: u32, zone: u32, disk: Stored, first_start: bool) {
+    pub fn start(&mut self, node: u32, zone: u32, disk: DurableState, first_start: bool) {
         self.starts += 1;
-        let identity = Identity {
+        let identity = NodeConfig {
             node: NodeId(node),
             zone: format!("zone-{zone}"),
             incarnation: self.starts << 32,
@@ -61,8 +61,8 @@
             first_start,
             seeds: (1..=3).map(NodeId).collect(),
             zones: BTreeSet::from(["zone-1".to_owned()]),
-            list_every: SECOND,
-            grace: 6 * SECOND,
+            server_list_interval: SECOND,
+            drain_timeout: 6 * SECOND,
         };
         let incarnation = identity.incarnation;
         let plane = ControlPlane::new(identity, disk.clone(), self.now);
@@ -71,7 +71,7 @@
     }
 
     /// Stops a node; what its disk holds.
-    pub fn stop(&mut self, node: u32) -> Stored {
+    pub fn stop(&mut self, node: u32) -> DurableState {
         self.members.remove(&NodeId(node)).expect("it runs").disk
     }
 
@@ -79,7 +79,7 @@
         &self.members[&NodeId(node)].plane
     }
 
-    pub fn disk(&self, node: u32) -> &Stored {
+    pub fn disk(&self, node: u32) -> &DurableState {
         &self.members[&NodeId(node)].disk
     }
 
--- a/control/tests/common/mod.rs
+++ b/control/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use ivyhatch_control::{ControlPlane, Identity, Input, Output, Record};
+use ivyhatch_control::{ControlPlane, Input, LogEvent, NodeConfig, Output, Record};
 use ivyhatch_protocol::ids::{NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{ConsensusMessage, Heartbeat, Membership, PeerMessage, ReplicaStatus, Voter};
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
@@ -25,8 +25,8 @@
     Membership { generation: 1, voters: (1..=3).map(voter).collect(), previous: Vec::new() }
 }
 
-pub fn identity(node: u32, first_start: bool) -> Identity {
-    Identity {
+pub fn identity(node: u32, first_start: bool) -> NodeConfig {
+    NodeConfig {
         node: NodeId(node),
         zone: zone(node),
         incarnation: 11,
@@ -34,8 +34,8 @@
         first_start,
         seeds: NODES.to_vec(),
         zones: BTreeSet::from(["a".to_owned()]),
-        list_every: SECOND,
-        grace: GRACE,
+        server_list_interval: SECOND,
+        drain_timeout: GRACE,
     }
 }
 
@@ -101,10 +101,10 @@
     out.iter().filter_map(message).collect()
 }
 
-/// The pairs of the first log line of this event.
-pub fn logged<'a>(out: &'a [Output], event: &str) -> Option<&'a str> {
+/// The first log event of this name.
+pub fn logged<'a>(out: &'a [Output], name: &str) -> Option<&'a LogEvent> {
     out.iter().find_map(|output| match output {
-        Output::Log(name, pairs) if *name == event => Some(pairs.as_str()),
+        Output::Log(event) if event.name() == name => Some(event),
         _ => None,
     })
 }
--- a/control/tests/elections.rs
+++ b/control/tests/elections.rs
@@ -5,7 +5,7 @@
 
 use common::{hear, heartbeat, identity, membership, starts_election, voter};
 use googletest::prelude::*;
-use ivyhatch_control::stored::Stored;
+use ivyhatch_control::durable_state::DurableState;
 use ivyhatch_control::{ControlPlane, Input};
 use ivyhatch_protocol::MILLISECOND;
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId};
@@ -61,7 +61,7 @@
 
 #[gtest]
 fn a_learner_starts_no_election() {
-    let mut node = ControlPlane::new(identity(1, false), Stored::default(), 0);
+    let mut node = ControlPlane::new(identity(1, false), DurableState::default(), 0);
     hear(&mut node, 100, &[(2, PeerMessage::Membership(membership()))]);
     expect_that!(node.status(), eq(ReplicaStatus::Learner));
     for part in PartitionId::all() {
--- a/control/tests/golden_records.rs
+++ b/control/tests/golden_records.rs
@@ -11,8 +11,8 @@
 
 use googletest::prelude::*;
 use ivyhatch_control::Record;
-use ivyhatch_control::state::{Configured, Evacuated, State};
-use ivyhatch_control::stored::Stored;
+use ivyhatch_control::durable_state::DurableState;
+use ivyhatch_control::partition_state::{ConfigurationState, EvacuationState, PartitionState};
 use ivyhatch_protocol::configuration::Document;
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{AcceptedValue, AcceptorState, Membership, Voter};
@@ -56,15 +56,18 @@
     first_membership().with_replacement(replica(3), replica(4), "south-b")
 }
 
-fn configured() -> Configured {
+fn configured() -> ConfigurationState {
     let text =
         br#"{"revision":7,"routes":[{"name":"chat","host":"chat.example"}],"tenants":[],"owner":"platform"}"#;
-    Configured { document: Document::read(text).expect("a readable configuration"), taken: vec![11, 0xffee] }
+    ConfigurationState {
+        document: Document::read(text).expect("a readable configuration"),
+        applied_digests: vec![11, 0xffee],
+    }
 }
 
-fn evacuated() -> Evacuated {
+fn evacuated() -> EvacuationState {
     let zones = [("north-a".to_owned(), (false, 2)), ("south-a".to_owned(), (true, 3))];
-    Evacuated { zones: BTreeMap::from(zones) }
+    EvacuationState { zones: BTreeMap::from(zones) }
 }
 
 fn accepted(counter: u64, sequence: u64, value: &impl Writable<speedy::LittleEndian>) -> AcceptedValue {
@@ -82,7 +85,7 @@
             Record::Promised(PartitionId::CONFIGURATION, ballot(3)),
             Record::Promised(ONLY_PROMISED, ballot(4)),
         ],
-        vec![Record::Accepted(PartitionId::CONFIGURATION, accepted(3, 1, &Configured::default()))],
+        vec![Record::Accepted(PartitionId::CONFIGURATION, accepted(3, 1, &ConfigurationState::default()))],
         vec![
             Record::Committed(PartitionId::CONFIGURATION, ballot(3), 1),
             Record::Accepted(PartitionId::CONFIGURATION, accepted(5, 2, &configured())),
@@ -99,13 +102,13 @@
 }
 
 /// What the records of [`writes`] say together.
-fn expected_state() -> Stored {
+fn expected_state() -> DurableState {
     let proposed = second_membership().with_replacement(replica(1), replica(5), "north-c");
     let state = |promised: u64, accepted: Option<AcceptedValue>| AcceptorState {
         promised: ballot(promised),
         accepted,
     };
-    Stored {
+    DurableState {
         replica: Some((replica(1), true)),
         membership: Some(second_membership()),
         joined: Some(1),
@@ -146,7 +149,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let (log, found) = Log::open(folder.path(), FILE_NAME).expect("a new file");
     assert!(found.is_empty());
-    let (mut log, mut stored) = (CompactingLog::new(log), Stored::default());
+    let (mut log, mut stored) = (CompactingLog::new(log), DurableState::default());
     for records in writes {
         records.iter().for_each(|record| stored.apply(record.clone()));
         let written = log.write(&encode(records), || encode(&stored.records())).expect("a durable write");
@@ -176,7 +179,7 @@
     records.iter().map(|bytes| decode(bytes)).collect()
 }
 
-fn read_state(folder: &Path) -> Stored {
+fn read_state(folder: &Path) -> DurableState {
     read_records(folder).into_iter().collect()
 }
 
@@ -242,9 +245,9 @@
     let stored = read_state(folder.path());
     let value =
         |part: PartitionId| stored.partitions[&part].accepted.as_ref().expect("a value").value.clone();
-    let read = |part: PartitionId| State::read(part, &value(part));
-    expect_that!(read(PartitionId::CONFIGURATION), some(eq(&State::Configured(configured()))));
-    expect_that!(read(EVACUATIONS), some(eq(&State::Evacuated(evacuated()))));
+    let read = |part: PartitionId| PartitionState::decode(part, &value(part));
+    expect_that!(read(PartitionId::CONFIGURATION), some(eq(&PartitionState::Configuration(configured()))));
+    expect_that!(read(EVACUATIONS), some(eq(&PartitionState::Evacuations(evacuated()))));
     let membership = Membership::read_from_buffer(&value(PartitionId::MEMBERSHIP)).expect("a membership");
     expect_that!(membership.generation, eq(3));
     expect_that!(membership.previous, eq(&second_membership().voters));
--- a/control/tests/list_duty.rs
+++ b/control/tests/list_duty.rs
@@ -100,7 +100,7 @@
         first.tick(&order()[1..], none);
         let ballot = first.prepares().expect("it begins a ballot");
         first.promise(order()[2], ballot);
-        assert_eq!(first.node.leads(part()), Some(ballot));
+        assert_eq!(first.node.leader_ballot(part()), Some(ballot));
         first
     }
 }
@@ -132,7 +132,7 @@
 #[gtest]
 fn an_owner_that_was_deposed_without_hearing_of_it_begins_a_new_epoch() {
     let mut first = First::leads();
-    let own = first.node.leads(part()).expect("it leads");
+    let own = first.node.leader_ballot(part()).expect("it leads");
     // The second could not reach this one, led with the third's promise, read the list, and stood back when it heard this one.
     let other = Ballot { counter: own.counter + 1, node: order()[1], incarnation: 22 };
     first.hear(Input::Peer(order()[2], told(other)));
@@ -145,13 +145,13 @@
     let begun = begun.expect("it notices, and begins a new ballot");
     expect_that!(begun, gt(other));
     first.promise(order()[2], begun);
-    expect_that!(first.node.leads(part()), some(eq(begun)));
+    expect_that!(first.node.leader_ballot(part()), some(eq(begun)));
 }
 
 #[gtest]
 fn it_notices_by_the_others_beats_too() {
     let mut first = First::leads();
-    let own = first.node.leads(part()).expect("it leads");
+    let own = first.node.leader_ballot(part()).expect("it leads");
     let other = Ballot { counter: own.counter + 1, node: order()[1], incarnation: 22 };
     first.out.clear();
     first.tick(&order()[1..], (other, 1));
--- a/control/tests/list_gap.rs
+++ b/control/tests/list_gap.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use googletest::prelude::*;
-use ivyhatch_control::server_list::{ANSWER_LIMIT, MOST_FAILURES, RETRY, ReadId};
-use ivyhatch_control::stored::Stored;
-use ivyhatch_control::{ControlPlane, Identity, Input, Output, Record, Token};
+use ivyhatch_control::durable_state::DurableState;
+use ivyhatch_control::server_list_reader::{MAX_CONSECUTIVE_FAILURES, READ_TIMEOUT, RETRY_INTERVAL, ReadId};
+use ivyhatch_control::{ControlPlane, Input, NodeConfig, Output, Record, WriteToken};
 use ivyhatch_protocol::ids::{NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{Membership, PeerMessage, Voter};
 use ivyhatch_protocol::watch::Server;
@@ -29,15 +29,15 @@
 /// The highest age of the list while the platform answers in time; `docs/design/list-reader.md` adds it up.
 const BOUND: Nanos = LIST_EVERY + 1600 * MILLISECOND;
 /// The same where the next reader's first call is lost.
-const BOUND_LOST_CALL: Nanos = BOUND + ANSWER_LIMIT + TICK;
+const BOUND_LOST_CALL: Nanos = BOUND + READ_TIMEOUT + TICK;
 /// The same where the reader, which is well, can't reach the platform: as many calls as it makes, and the pauses between them.
-const BOUND_UNREACHED: Nanos = BOUND + MOST_FAILURES as u64 * (UNREACHED + RETRY + TICK);
+const BOUND_UNREACHED: Nanos = BOUND + MAX_CONSECUTIVE_FAILURES as u64 * (UNREACHED + RETRY_INTERVAL + TICK);
 
 #[derive(Debug)]
 enum Happening {
     Tick(usize, u64),
     Arrives { from: usize, to: usize, life: u64, message: PeerMessage },
-    Synced(usize, u64, Token, Vec<Record>),
+    Synced(usize, u64, WriteToken, Vec<Record>),
     Read(usize, u64, ReadId),
     ReadFailed(usize, u64, ReadId),
     LinkUp(usize, usize),
@@ -158,7 +158,7 @@
     /// When the platform showed what a machine has.
     fn shown(&self, machine: usize) -> Nanos {
         let node = self.machines[machine].node.as_ref().expect("observers stay up");
-        let steps = node.list().servers(self.now).filter_map(|server| server.id.parse::<u64>().ok());
+        let steps = node.server_list().servers(self.now).filter_map(|server| server.id.parse::<u64>().ok());
         steps.max().unwrap_or(0) * STEP
     }
 
@@ -251,7 +251,7 @@
         let size = self.machines.len();
         let this = &mut self.machines[machine];
         this.life += 1;
-        let identity = Identity {
+        let identity = NodeConfig {
             node: address(machine),
             zone: String::new(),
             incarnation: this.life * 10 + machine as u64,
@@ -259,10 +259,10 @@
             first_start: false,
             seeds: (0..size.min(3)).map(address).collect(),
             zones: BTreeSet::new(),
-            list_every: LIST_EVERY,
-            grace: 0,
+            server_list_interval: LIST_EVERY,
+            drain_timeout: 0,
         };
-        let stored: Stored = this.disk.iter().cloned().collect();
+        let stored: DurableState = this.disk.iter().cloned().collect();
         this.node = Some(ControlPlane::new(identity, stored, self.now));
         let life = this.life;
         self.after(0, Happening::Tick(machine, life));
--- a/control/tests/long_histories.rs
+++ b/control/tests/long_histories.rs
@@ -6,7 +6,7 @@
 
 use cluster::Cluster;
 use googletest::prelude::*;
-use ivyhatch_control::stored::Stored;
+use ivyhatch_control::durable_state::DurableState;
 use ivyhatch_protocol::ids::PartitionId;
 use ivyhatch_protocol::peer::{AdminRequest, AdminResponse};
 use ivyhatch_protocol::{Nanos, SECOND};
@@ -60,7 +60,7 @@
     (cluster.now() - started, cluster.received(node))
 }
 
-fn stored_bytes(stored: &Stored) -> u64 {
+fn stored_bytes(stored: &DurableState) -> u64 {
     stored.records().iter().map(|record| record.write_to_vec().map_or(0, |bytes| bytes.len() as u64)).sum()
 }
 
@@ -110,7 +110,7 @@
 fn node_that_has_lost_its_disk_votes_again_in_bounded_time() {
     holds_for_each_history("wipe", WIPE_LIMIT, 3, |cluster| {
         cluster.stop(3);
-        cluster.start(3, 3, Stored::default(), false);
+        cluster.start(3, 3, DurableState::default(), false);
     });
 }
 
@@ -118,7 +118,7 @@
 fn successor_votes_in_bounded_time() {
     holds_for_each_history("replacement", REPLACEMENT_LIMIT, SUCCESSOR, |cluster| {
         cluster.stop(3);
-        cluster.start(SUCCESSOR, 3, Stored::default(), false);
+        cluster.start(SUCCESSOR, 3, DurableState::default(), false);
     });
 }
 
--- a/control/tests/partition.rs
+++ b/control/tests/partition.rs
@@ -50,5 +50,5 @@
     out.clear();
     partition.handle(0, NodeId(2), ConsensusMessage::Committed(committed.clone()), true, &mut out);
     expect_that!(out, elements_are![eq(&Effect::Committed(committed))]);
-    expect_that!(partition.leads(), some(eq(ballot)));
+    expect_that!(partition.leader_ballot(), some(eq(ballot)));
 }
--- a/control/tests/reconfiguration.rs
+++ b/control/tests/reconfiguration.rs
@@ -4,7 +4,7 @@
 
 use common::{GRACE, hear, hear_and_store, heartbeat, identity, membership, replica, sent_to, voter, zone};
 use googletest::prelude::*;
-use ivyhatch_control::stored::Stored;
+use ivyhatch_control::durable_state::DurableState;
 use ivyhatch_control::{ControlPlane, Input, Output, Record};
 use ivyhatch_protocol::MILLISECOND;
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId};
@@ -295,11 +295,11 @@
 }
 
 fn left(out: &[Output]) -> bool {
-    out.contains(&Output::Left)
+    out.contains(&Output::Drained)
 }
 
 fn leave(node: &mut ControlPlane, at_ms: u64) {
-    node.handle(at_ms * MILLISECOND, Input::Leave, &mut Vec::new());
+    node.handle(at_ms * MILLISECOND, Input::Drain, &mut Vec::new());
 }
 
 #[gtest]
@@ -346,7 +346,7 @@
 
 #[gtest]
 fn a_node_without_a_seat_ends_soon() {
-    let mut node = ControlPlane::new(identity(SUCCESSOR, false), Stored::default(), 0);
+    let mut node = ControlPlane::new(identity(SUCCESSOR, false), DurableState::default(), 0);
     leave(&mut node, 100);
     expect_true!(left(&hear_and_store(&mut node, 600, &[])));
 }
--- a/simulation/src/disk.rs
+++ b/simulation/src/disk.rs
@@ -3,25 +3,25 @@
 
 use std::collections::VecDeque;
 
-use ivyhatch_control::stored::Stored;
-use ivyhatch_control::{Record, Token};
+use ivyhatch_control::durable_state::DurableState;
+use ivyhatch_control::{Record, WriteToken};
 
 /// A machine's disk, and the process's writes to it.
 #[derive(Debug, Default)]
 pub struct Disk {
-    stored: Stored,
-    queue: VecDeque<(Token, Vec<Record>)>,
-    block: Vec<(Token, Vec<Record>)>,
+    stored: DurableState,
+    queue: VecDeque<(WriteToken, Vec<Record>)>,
+    block: Vec<(WriteToken, Vec<Record>)>,
 }
 
 impl Disk {
     /// What it holds.
-    pub fn stored(&self) -> &Stored {
+    pub fn stored(&self) -> &DurableState {
         &self.stored
     }
 
     /// A write is asked for.
-    pub fn write(&mut self, token: Token, records: Vec<Record>) {
+    pub fn write(&mut self, token: WriteToken, records: Vec<Record>) {
         self.queue.push_back((token, records));
     }
 
@@ -35,7 +35,7 @@
     }
 
     /// The block that is being written is on the disk; these writes have ended.
-    pub fn end(&mut self) -> Vec<Token> {
+    pub fn end(&mut self) -> Vec<WriteToken> {
         let block = std::mem::take(&mut self.block);
         let mut tokens = Vec::with_capacity(block.len());
         for (token, records) in block {
--- a/simulation/src/run.rs
+++ b/simulation/src/run.rs
@@ -11,7 +11,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use ivyhatch_control::server_list::ReadId;
+use ivyhatch_control::server_list_reader::ReadId;
 use ivyhatch_control::{Input, RequestId, SessionId};
 use ivyhatch_protocol::ids::NodeId;
 use ivyhatch_protocol::peer::{AdminRequest, AdminResponse, PeerMessage};
@@ -256,7 +256,7 @@
             Happening::Settings(follower) => self.settings_read(follower),
             Happening::Leave(machine) => {
                 if self.runs(machine, None, || Happening::Leave(machine)) {
-                    self.hear(machine, Input::Leave);
+                    self.hear(machine, Input::Drain);
                 }
             }
             Happening::Sample => {
--- a/simulation/src/run/machines.rs
+++ b/simulation/src/run/machines.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use ivyhatch_control::server_list::ReadId;
-use ivyhatch_control::state::State;
-use ivyhatch_control::{ControlPlane, Identity, Input, Output};
+use ivyhatch_control::partition_state::PartitionState;
+use ivyhatch_control::server_list_reader::ReadId;
+use ivyhatch_control::{ControlPlane, Input, NodeConfig, Output};
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{ConsensusMessage, Membership, PeerMessage};
 use ivyhatch_protocol::watch::Server;
@@ -27,7 +27,7 @@
 const GRACE: Nanos = 6_500 * MILLISECOND;
 
 /// Whether a disk says that it belongs to a voter of the first membership.
-fn first_generation(stored: &ivyhatch_control::stored::Stored) -> bool {
+fn first_generation(stored: &ivyhatch_control::durable_state::DurableState) -> bool {
     let voter = stored.replica.zip(stored.membership.as_ref());
     voter
         .and_then(|((replica, _), membership)| membership.voter(replica))
@@ -106,7 +106,7 @@
 
     pub(super) fn revision(&self) -> u64 {
         match self.node.as_ref().and_then(|node| node.committed_state(PartitionId::CONFIGURATION).1) {
-            Some(State::Configured(configured)) => configured.document.revision,
+            Some(PartitionState::Configuration(configured)) => configured.document.revision,
             _ => 0,
         }
     }
@@ -115,7 +115,7 @@
     pub(super) fn summary(&self) -> Vec<u64> {
         let Some(node) = &self.node else { return Vec::new() };
         let zones = (0..3).map(zone).flat_map(|zone| match node.committed_state(PartitionId::of(&zone)).1 {
-            Some(State::Evacuated(evacuated)) => {
+            Some(PartitionState::Evacuations(evacuated)) => {
                 let (active, changes) = evacuated.zones.get(&zone).copied().unwrap_or_default();
                 [u64::from(active), changes]
             }
@@ -128,7 +128,7 @@
     }
 
     pub(super) fn reads_list(&self) -> bool {
-        self.node.as_ref().is_some_and(|node| node.leads(PartitionId::of("platform-list")).is_some())
+        self.node.as_ref().is_some_and(|node| node.leader_ballot(PartitionId::of("platform-list")).is_some())
     }
 }
 
@@ -161,7 +161,7 @@
             (stored.replica, stored.membership, stored.joined) =
                 (Some((before.0, false)), before.1, before.2);
         }
-        let identity = Identity {
+        let identity = NodeConfig {
             node: address(machine),
             zone: zone(this.place),
             incarnation: draw(self.plan.seed, [5, machine as u64, this.life, 0]),
@@ -169,8 +169,8 @@
             first_start: first,
             seeds,
             zones: (0..3).map(zone).collect(),
-            list_every: 500 * MILLISECOND,
-            grace: GRACE,
+            server_list_interval: 500 * MILLISECOND,
+            drain_timeout: GRACE,
         };
         this.node = Some(ControlPlane::new(identity, stored, now));
         (this.seen, this.list) = ([0; PARTS], (Ballot::default(), 0));
@@ -303,7 +303,7 @@
             Said::Follower(id, message) => {
                 let held = || Happening::Arrives(from, to, life, Said::Follower(id, message.clone()));
                 if self.runs(to, Some(life), held) && self.has_session(id) {
-                    self.hear(to, Input::Follower(id, message));
+                    self.hear(to, Input::Watch(id, message));
                 }
             }
             Said::Peer(message) => {
@@ -430,7 +430,7 @@
                     self.tell(machine, place(to), message);
                 }
             }
-            Output::Links(to) => {
+            Output::ConnectTo(to) => {
                 let this = &mut self.machines[machine];
                 this.linked.retain(|place| to.contains(&address(*place)));
                 this.wants = to;
@@ -451,15 +451,17 @@
                 let after = (3 + self.below(10)) * MILLISECOND;
                 self.after(after, Happening::Answer(id, answer));
             }
-            Output::Follower(id, message) => self.tell_follower(machine, id, message),
-            Output::Close(id) => self.close(machine, id),
-            Output::Left => self.left(machine),
+            Output::Watch(id, message) => self.tell_follower(machine, id, message),
+            Output::CloseSession(id) => self.close(machine, id),
+            Output::Drained => self.left(machine),
             Output::ReadServerList(read) => {
                 let life = self.machines[machine].life;
                 let after = (3 + self.below(30)) * MILLISECOND;
                 self.after(after, Happening::Listed(machine, life, read));
             }
-            Output::Log(event, pairs) => self.note(|| format!("node {machine} event={event} {pairs}")),
+            Output::Log(event) => {
+                self.note(|| format!("node {machine} event={} {event}", event.name()));
+            }
         }
     }
 
--- a/simulation/src/run/observation.rs
+++ b/simulation/src/run/observation.rs
@@ -1,7 +1,7 @@
 //! What the judge is shown of a control node: what it has in force, and whom it votes for.
 
 use ivyhatch_control::ControlPlane;
-use ivyhatch_control::state::State;
+use ivyhatch_control::partition_state::PartitionState;
 use ivyhatch_protocol::ids::{Ballot, PartitionId, hash, mix};
 use ivyhatch_protocol::peer::{ConsensusMessage, PeerMessage};
 use speedy::Writable;
@@ -42,25 +42,25 @@
             }
             *seen = sequence;
             match state {
-                Some(State::Configured(configured)) => {
+                Some(PartitionState::Configuration(configured)) => {
                     let document = &configured.document;
                     let digest = digest(document);
                     self.oracle.seen(who, part, sequence, digest);
                     self.oracle.in_force(sequence, document.revision, digest);
                 }
-                Some(State::Evacuated(evacuated)) => {
+                Some(PartitionState::Evacuations(evacuated)) => {
                     let bytes = evacuated.write_to_vec().unwrap_or_default();
                     self.oracle.seen(who, part, sequence, hash(&bytes));
                 }
                 None => {}
             }
         }
-        let position = node.list().position();
+        let position = node.server_list().position();
         if position != this.list {
             this.list = position;
             let (ballot, number) = position;
             if ballot != Ballot::default() {
-                let told = node.list().servers(self.now);
+                let told = node.server_list().servers(self.now);
                 let digest =
                     told.fold(0, |sum, one| mix(sum ^ hash(one.id.as_bytes()) ^ u64::from(one.draining)));
                 let reader = mix(ballot.incarnation ^ mix(u64::from(ballot.node.0)));
--- a/simulation/src/run/routers.rs
+++ b/simulation/src/run/routers.rs
@@ -172,7 +172,7 @@
 
     pub(super) fn session_closed(&mut self, machine: usize, life: u64, id: SessionId) {
         if self.runs(machine, Some(life), || Happening::SessionClosed(machine, life, id)) {
-            self.hear(machine, ivyhatch_control::Input::Closed(id));
+            self.hear(machine, ivyhatch_control::Input::SessionClosed(id));
         }
     }
 
--- a/simulation/src/search.rs
+++ b/simulation/src/search.rs
@@ -13,9 +13,9 @@
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use ivyhatch_control::membership::StateCollection;
+use ivyhatch_control::durable_state::DurableState;
 use ivyhatch_control::partition::PartitionReplica;
-use ivyhatch_control::stored::Stored;
+use ivyhatch_control::state_transfer::StateCollector;
 use ivyhatch_protocol::ids::{NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{AcceptorState, ConsensusMessage, Membership, Voter};
 
@@ -121,7 +121,7 @@
             previous: Vec::new(),
         };
         let member = |number: usize| {
-            let disk = Stored { membership: Some(membership.clone()), ..Stored::default() };
+            let disk = DurableState { membership: Some(membership.clone()), ..DurableState::default() };
             let mut partition = PartitionReplica::new(node(number), 1, AcceptorState::default());
             partition.set_voters(&membership.nodes().collect::<Vec<_>>(), &mut Vec::new());
             Member {
@@ -132,7 +132,7 @@
                 incarnation: 1,
                 disk,
                 writes: VecDeque::new(),
-                collection: StateCollection::default(),
+                collection: StateCollector::default(),
                 collected: false,
             }
         };
@@ -181,7 +181,7 @@
 
     /// Whether a node leads.
     pub fn leads(&self, number: usize) -> bool {
-        self.members[number].partition.leads().is_some()
+        self.members[number].partition.leader_ballot().is_some()
     }
 
     /// Drops what would change nothing if it came.
@@ -195,10 +195,10 @@
             match message {
                 ConsensusMessage::Reject { .. } => false,
                 ConsensusMessage::Promise { ballot, .. } => {
-                    !older && partition.is_contending() && partition.leads() != Some(*ballot)
+                    !older && partition.is_contending() && partition.leader_ballot() != Some(*ballot)
                 }
                 ConsensusMessage::Accepted { ballot, .. } => {
-                    !older && partition.leads() == Some(*ballot) && partition.ready().is_none()
+                    !older && partition.leader_ballot() == Some(*ballot) && partition.ready_ballot().is_none()
                 }
                 ConsensusMessage::Prepare { ballot } => !older && *ballot >= promised,
                 ConsensusMessage::Accept(value) => !older && value.ballot >= promised,
@@ -244,7 +244,7 @@
             if !member.writes.is_empty() {
                 steps.push(Step::Sync(number));
             }
-            if votes && self.budget.proposals > 0 && member.partition.ready().is_some() {
+            if votes && self.budget.proposals > 0 && member.partition.ready_ballot().is_some() {
                 steps.push(Step::Propose(number));
             }
             let elects = number < 2 || number >= self.newest().voters.len();
@@ -283,7 +283,7 @@
     /// Whether no member has promised a higher ballot than this leader's, under a newer membership or its own.
     fn is_highest(&self, number: usize) -> bool {
         let member = &self.members[number];
-        let Some(ballot) = member.partition.leads() else { return false };
+        let Some(ballot) = member.partition.leader_ballot() else { return false };
         let newest = self.members.iter().map(|member| member.membership.generation).max();
         newest == Some(member.membership.generation)
             && self.members.iter().all(|member| member.partition.state().promised <= ballot)
--- a/simulation/src/search/member.rs
+++ b/simulation/src/search/member.rs
@@ -3,9 +3,9 @@
 use std::collections::VecDeque;
 
 use ivyhatch_control::Record;
-use ivyhatch_control::membership::StateCollection;
+use ivyhatch_control::durable_state::DurableState;
 use ivyhatch_control::partition::PartitionReplica;
-use ivyhatch_control::stored::Stored;
+use ivyhatch_control::state_transfer::StateCollector;
 use ivyhatch_protocol::ids::{NodeId, ReplicaId};
 use ivyhatch_protocol::peer::{Membership, Voter};
 
@@ -25,9 +25,9 @@
     pub(super) joined: Option<u64>,
     pub(super) partition: PartitionReplica,
     pub(super) incarnation: u64,
-    pub(super) disk: Stored,
+    pub(super) disk: DurableState,
     pub(super) writes: VecDeque<Write>,
-    pub(super) collection: StateCollection,
+    pub(super) collection: StateCollector,
     pub(super) collected: bool,
 }
 
--- a/simulation/src/search/transitions.rs
+++ b/simulation/src/search/transitions.rs
@@ -1,9 +1,9 @@
 //! What each step of a search does.
 
 use ivyhatch_control::Record;
-use ivyhatch_control::membership::StateCollection;
+use ivyhatch_control::durable_state::DurableState;
 use ivyhatch_control::partition::{Effect, PartitionReplica};
-use ivyhatch_control::stored::Stored;
+use ivyhatch_control::state_transfer::StateCollector;
 use ivyhatch_protocol::ids::{NodeId, ReplicaId};
 use ivyhatch_protocol::peer::ConsensusMessage;
 
@@ -74,7 +74,7 @@
         let newest = self.newest().clone();
         let member = &mut self.members[number];
         let (replica, joined) = (member.replica, member.joined);
-        member.disk = Stored { membership: Some(newest), ..Stored::default() };
+        member.disk = DurableState { membership: Some(newest), ..DurableState::default() };
         if self.fault == Fault::VotesAfterWipe {
             member.disk.joined = joined;
         } else {
@@ -89,7 +89,7 @@
         member.writes.clear();
         member.membership = member.disk.membership.clone().unwrap_or_default();
         member.joined = member.disk.joined;
-        member.collection = StateCollection::default();
+        member.collection = StateCollector::default();
         member.collected = false;
         let state = member.disk.partitions.get(&PART).cloned().unwrap_or_default();
         member.partition = PartitionReplica::new(node(number), member.incarnation, state);
@@ -114,7 +114,7 @@
         let early = self.fault == Fault::VotesBeforeState;
         let member = &mut self.members[number];
         member.membership = newest.clone();
-        member.collection = StateCollection::default();
+        member.collection = StateCollector::default();
         member.collected = false;
         let voters: Vec<NodeId> = newest.nodes().collect();
         member.partition.set_voters(&voters, &mut Vec::new());
@@ -195,11 +195,15 @@
         }
         let member = &self.members[number];
         let last = self.committed.keys().next_back().copied().unwrap_or_default();
-        let behind =
-            member.partition.ready().is_some() && member.partition.sequence() < last && member.votes();
+        let behind = member.partition.ready_ballot().is_some()
+            && member.partition.committed_sequence() < last
+            && member.votes();
         // A former leader may still think that it is ready; a proposal of its is rejected. What a quorum can promise must be known.
         (behind && self.is_highest(number)).then(|| {
-            format!("leader {number} is ready at {}, and {last} is committed", member.partition.sequence())
+            format!(
+                "leader {number} is ready at {}, and {last} is committed",
+                member.partition.committed_sequence()
+            )
         })
     }
 }
--- a/system/src/control.rs
+++ b/system/src/control.rs
@@ -8,9 +8,9 @@
 
 use hyper::header::IF_MATCH;
 use hyper::{Method, StatusCode};
-use ivyhatch_control::server_list::ReadId;
-use ivyhatch_control::stored::Stored;
-use ivyhatch_control::{ControlPlane, Identity, Input, Output, RequestId, SessionId, Token};
+use ivyhatch_control::durable_state::DurableState;
+use ivyhatch_control::server_list_reader::ReadId;
+use ivyhatch_control::{ControlPlane, Input, NodeConfig, Output, RequestId, SessionId, WriteToken};
 use ivyhatch_protocol::ids::{NodeId, hash, mix};
 use ivyhatch_protocol::peer::{AdminRequest, AdminResponse, PeerMessage};
 use ivyhatch_protocol::settings::Settings;
@@ -101,7 +101,7 @@
             let opened = Disk::start(folder)?;
             (Some(opened.disk), opened.stored, Some(opened.written), opened.history_lost)
         }
-        None => (None, Stored::default(), None, false),
+        None => (None, DurableState::default(), None, false),
     };
     let (list, wanted) = mpsc::unbounded_channel();
     let mut identity = identity(&settings, disk.is_some());
@@ -153,7 +153,7 @@
     });
     loop {
         tokio::select! {
-            _ = terminate.recv() => host.hear(Input::Leave),
+            _ = terminate.recv() => host.hear(Input::Drain),
             _ = hangup.recv() => host.reread(),
             () = host.left.notified() => break,
         }
@@ -162,7 +162,7 @@
     Ok(())
 }
 
-fn identity(settings: &Settings, has_disk: bool) -> Identity {
+fn identity(settings: &Settings, has_disk: bool) -> NodeConfig {
     // No two lives may share a number. The address, the process, the time and a place in memory differ between them.
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
     let place = Box::new(0_u8);
@@ -171,7 +171,7 @@
         mix(drawn ^ hash(format!("{}{:?}{:p}{unix:?}", settings.ip, std::process::id(), place).as_bytes()));
     let bounds = &settings.bounds;
     let pace = (bounds.drain_ms / 6.0).max(LIST_LEAST).max(10_000.0 / settings.cloud_api.rate_per_s.max(0.1));
-    Identity {
+    NodeConfig {
         node: settings.ip.into(),
         zone: settings.zone.clone(),
         incarnation: life,
@@ -179,8 +179,8 @@
         first_start: settings.first_start,
         seeds: settings.seed_nodes(),
         zones: settings.zones.keys().cloned().collect::<BTreeSet<_>>(),
-        list_every: pace as u64 * MILLISECOND,
-        grace: grace(settings),
+        server_list_interval: pace as u64 * MILLISECOND,
+        drain_timeout: grace(settings),
     }
 }
 
@@ -206,7 +206,7 @@
                     self.peers.borrow_mut().remove(&to);
                 }
             }
-            Output::Links(to) => self.dial(&to),
+            Output::ConnectTo(to) => self.dial(&to),
             Output::Store(token, records) => match &self.disk {
                 Some(disk) => disk.write(token, records),
                 None => {
@@ -217,16 +217,16 @@
                 // Who has gone meanwhile needs none.
                 let _ = self.requests.borrow_mut().remove(&id).map(|waits| waits.send(answer));
             }
-            Output::Follower(id, message) => {
+            Output::Watch(id, message) => {
                 let sent = self.sessions.borrow().get(&id).map(|writer| self.tell_follower(writer, &message));
                 if sent == Some(false) {
                     self.sessions.borrow_mut().remove(&id);
                 }
             }
-            Output::Close(id) => drop(self.sessions.borrow_mut().remove(&id)),
+            Output::CloseSession(id) => drop(self.sessions.borrow_mut().remove(&id)),
             Output::ReadServerList(read) => drop(self.list.send(read)),
-            Output::Left => self.left.notify_one(),
-            Output::Log(event, pairs) => log::info!("event={event} {pairs}"),
+            Output::Drained => self.left.notify_one(),
+            Output::Log(event) => log::info!("event={} {event}", event.name()),
         }
     }
 
@@ -320,7 +320,7 @@
         let (writer, mut queue) = Writer::new();
         self.sessions.borrow_mut().insert(id, writer);
         let (mut reading, mut writing) = stream.split();
-        let take = |message: WatchRequest| self.hear(Input::Follower(id, message));
+        let take = |message: WatchRequest| self.hear(Input::Watch(id, message));
         let ended = tokio::select! {
             ended = link::read(&mut reading, FOLLOWER_SILENT, take) => ended,
             ended = queue.write_to(&mut writing) => ended.map_err(link::LinkError::from),
@@ -329,10 +329,10 @@
             log::warn!("event=refused_follower error={:?}", error.to_string());
         }
         self.sessions.borrow_mut().remove(&id);
-        self.hear(Input::Closed(id));
+        self.hear(Input::SessionClosed(id));
     }
 
-    async fn heed_disk(self: Rc<Self>, mut told: mpsc::UnboundedReceiver<Token>) {
+    async fn heed_disk(self: Rc<Self>, mut told: mpsc::UnboundedReceiver<WriteToken>) {
         while let Some(token) = told.recv().await {
             self.hear(Input::Stored(token));
         }
@@ -395,7 +395,7 @@
                 let zone = call.query("zone").unwrap_or("");
                 let region = call.query("region").filter(|region| !region.is_empty());
                 let region = region.unwrap_or_else(|| self.settings.region_of(zone));
-                let addresses = self.plane.borrow().directory(region);
+                let addresses = self.plane.borrow().router_addresses(region);
                 if addresses.is_empty() {
                     return http::again("no router is known here yet: ask another control node");
                 }
@@ -431,7 +431,7 @@
                 }
             }
             (&Method::POST | &Method::DELETE, ["-", "evacuations", zone]) => {
-                if !self.plane.borrow().knows_zone(zone) {
+                if !self.plane.borrow().has_zone(zone) {
                     return http::problem(
                         StatusCode::NOT_FOUND,
                         "no such zone: name one of the settings' zones",
--- a/system/src/disk.rs
+++ b/system/src/disk.rs
@@ -6,8 +6,8 @@
 use std::thread;
 use std::time::Duration;
 
-use ivyhatch_control::stored::Stored;
-use ivyhatch_control::{Record, Token};
+use ivyhatch_control::durable_state::DurableState;
+use ivyhatch_control::{Record, WriteToken};
 use ivyhatch_wal::{CompactingLog, Log, RecordsError};
 use speedy::{Readable, Writable};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
@@ -21,7 +21,7 @@
 const THREAD_STACK: usize = 256 * 1024;
 
 /// A write for the disk.
-type Write = (Token, Vec<Record>);
+type Write = (WriteToken, Vec<Record>);
 
 /// The way to the disk's thread.
 pub struct Disk(Sender<Write>);
@@ -31,9 +31,9 @@
     /// Takes writes.
     pub disk: Disk,
     /// What the file says.
-    pub stored: Stored,
+    pub stored: DurableState,
     /// The tokens of writes that are durable, in order.
-    pub written: UnboundedReceiver<Token>,
+    pub written: UnboundedReceiver<WriteToken>,
     /// A file was there and could not be used: what this replica has promised is forgotten, also on a first start.
     pub history_lost: bool,
 }
@@ -67,7 +67,7 @@
     }
 
     /// Has records written, behind all others.
-    pub fn write(&self, token: Token, records: Vec<Record>) {
+    pub fn write(&self, token: WriteToken, records: Vec<Record>) {
         // The thread ends only with the process.
         let _ = self.0.send((token, records));
     }
@@ -75,9 +75,9 @@
 
 /// Opens the file and decodes its records. A file with one that this release does not know is set aside whole: what is missing
 /// may have been a promise, and records written behind it would be out of reach as well.
-fn open(folder: &Path) -> Result<(Log, Stored), RecordsError> {
+fn open(folder: &Path) -> Result<(Log, DurableState), RecordsError> {
     let (log, records) = Log::open(folder, FILE_NAME)?;
-    let mut stored = Stored::default();
+    let mut stored = DurableState::default();
     for (index, bytes) in records.iter().enumerate() {
         match decode(bytes) {
             Ok(record) => stored.apply(record),
@@ -105,11 +105,11 @@
 struct DiskWriter {
     log: CompactingLog,
     /// What the file says once all that was taken is written.
-    stored: Stored,
+    stored: DurableState,
 }
 
 impl DiskWriter {
-    fn run(mut self, writes: &Receiver<Write>, done: &UnboundedSender<Token>) {
+    fn run(mut self, writes: &Receiver<Write>, done: &UnboundedSender<WriteToken>) {
         while let Ok(first) = writes.recv() {
             let batch = Batch::gather(first, writes);
             batch.records.iter().for_each(|record| self.stored.apply(record.clone()));
@@ -142,7 +142,7 @@
 
 /// Writes that go to the disk together.
 struct Batch {
-    tokens: Vec<Token>,
+    tokens: Vec<WriteToken>,
     records: Vec<Record>,
     encoded: Vec<Vec<u8>>,
 }
--- a/system/src/status.rs
+++ b/system/src/status.rs
@@ -21,9 +21,9 @@
         "node": report.replica.node.to_string(),
         "replica": report.replica.to_string(),
         "zone": report.zone,
-        "has_seat": report.has_seat,
+        "has_seat": report.is_voter,
         "status": report.status.map_or("unreachable", word),
-        "is_leaving": report.is_leaving,
+        "is_leaving": report.is_draining,
         "changes_behind": report.changes_behind,
     })
 }
@@ -39,7 +39,7 @@
 
 fn partition(report: &PartitionReport) -> Value {
     json!({
-        "partition": report.part.0,
+        "partition": report.partition.0,
         "committed": report.committed,
         "leader": report.leader.map(|node| node.to_string()),
     })
--- a/system/tests/stored_codecs.rs
+++ b/system/tests/stored_codecs.rs
@@ -4,7 +4,7 @@
 
 use googletest::prelude::*;
 use ivyhatch_control::Record;
-use ivyhatch_control::state::{Configured, Evacuated, State};
+use ivyhatch_control::partition_state::{ConfigurationState, EvacuationState, PartitionState};
 use ivyhatch_protocol::configuration::Document;
 use ivyhatch_protocol::ids::{Ballot, PartitionId};
 use proptest::collection::vec;
@@ -24,14 +24,14 @@
 
 fn check_all(bytes: &[u8]) -> std::result::Result<(), TestCaseError> {
     check::<Record>(bytes)?;
-    check::<Configured>(bytes)?;
-    check::<Evacuated>(bytes)?;
+    check::<ConfigurationState>(bytes)?;
+    check::<EvacuationState>(bytes)?;
     for part in [PartitionId::CONFIGURATION, PartitionId(1)] {
-        let is_read = State::read(part, bytes).is_some();
+        let is_read = PartitionState::decode(part, bytes).is_some();
         let is_readable = if part == PartitionId::CONFIGURATION {
-            check::<Configured>(bytes)?
+            check::<ConfigurationState>(bytes)?
         } else {
-            check::<Evacuated>(bytes)?
+            check::<EvacuationState>(bytes)?
         };
         prop_assert_eq!(is_read, is_readable);
     }
@@ -42,8 +42,8 @@
 fn samples() -> Vec<Vec<u8>> {
     let document = Document::read(br#"{"revision":7,"routes":[{"name":"a"},{"name":"b"}],"limits":{"x":1}}"#)
         .expect("a readable configuration");
-    let configured = Configured { document, taken: vec![1, 2, 3] };
-    let mut evacuated = Evacuated::default();
+    let configured = ConfigurationState { document, applied_digests: vec![1, 2, 3] };
+    let mut evacuated = EvacuationState::default();
     evacuated.zones.insert("za".to_owned(), (true, 3));
     evacuated.zones.insert("zb".to_owned(), (false, 2));
     vec![
@@ -83,6 +83,6 @@
 fn the_samples_are_sound() {
     let samples = samples();
     expect_that!(check::<Record>(&samples[0]), ok(eq(&true)));
-    expect_that!(check::<Configured>(&samples[1]), ok(eq(&true)));
-    expect_that!(check::<Evacuated>(&samples[2]), ok(eq(&true)));
+    expect_that!(check::<ConfigurationState>(&samples[1]), ok(eq(&true)));
+    expect_that!(check::<EvacuationState>(&samples[2]), ok(eq(&true)));
 }
