--- a/control/src/log_event.rs
+++ b/control/src/log_event.rs
@@ -188,9 +188,9 @@
 }
 
 fn write_server(f: &mut fmt::Formatter<'_>, server: &Server) -> fmt::Result {
-    let Server { id, zone, draining, cold_left_ms, .. } = server;
-    write!(f, "id={id} zone={zone} draining={draining} warm_up_remaining_ms={cold_left_ms}")?;
-    match server.remaining_ms {
+    let Server { id, zone, draining, warm_up_remaining_ms, .. } = server;
+    write!(f, "id={id} zone={zone} draining={draining} warm_up_remaining_ms={warm_up_remaining_ms}")?;
+    match server.lifetime_remaining_ms {
         Some(remaining_ms) => write!(f, " lifetime_remaining_ms={remaining_ms}"),
         None => Ok(()),
     }
--- a/control/src/partition_state.rs
+++ b/control/src/partition_state.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use ivyhatch_protocol::configuration::{Change, ConfigurationError, Document};
-use ivyhatch_protocol::ids::{PartitionId, hash};
+use ivyhatch_protocol::ids::{PartitionId, fnv1a_hash};
 use ivyhatch_protocol::peer::{AdminRequest, AdminResponse};
 use speedy::{Readable, Writable};
 
@@ -56,10 +56,10 @@
 /// The digest by which a repeated request is recognised; 0 for requests that change nothing.
 pub fn digest(request: &AdminRequest) -> u64 {
     match request {
-        AdminRequest::Put { base, body } => hash(body) ^ base.rotate_left(17),
-        AdminRequest::Patch { base, body } => !(hash(body) ^ base.rotate_left(17)),
+        AdminRequest::Put { base, body } => fnv1a_hash(body) ^ base.rotate_left(17),
+        AdminRequest::Patch { base, body } => !(fnv1a_hash(body) ^ base.rotate_left(17)),
         AdminRequest::Read => 0,
-        AdminRequest::Evacuate { zone, active, .. } => hash(zone.as_bytes()) ^ u64::from(*active),
+        AdminRequest::Evacuate { zone, active, .. } => fnv1a_hash(zone.as_bytes()) ^ u64::from(*active),
     }
 }
 
@@ -94,14 +94,15 @@
     pub fn decide(&self, request: &AdminRequest) -> Decision {
         match (self, request) {
             (Self::Configuration(configuration), AdminRequest::Put { base, body }) => {
-                configuration.decide(*base, digest(request), |_| Document::read(body))
+                configuration.decide(*base, digest(request), |_| Document::parse(body))
             }
             (Self::Configuration(configuration), AdminRequest::Patch { base, body }) => {
-                configuration.decide(*base, digest(request), |current| Ok(current.with(&Change::read(body)?)))
+                configuration
+                    .decide(*base, digest(request), |current| Ok(current.with_change(&Change::parse(body)?)))
             }
             (Self::Configuration(_), AdminRequest::Read) => Decision::ReadConfiguration,
-            (Self::Evacuations(evacuations), AdminRequest::Evacuate { zone, active, changes }) => {
-                evacuations.decide(zone, *active, *changes)
+            (Self::Evacuations(evacuations), AdminRequest::Evacuate { zone, active, change_count }) => {
+                evacuations.decide(zone, *active, *change_count)
             }
             _ => Decision::Respond(AdminResponse::Invalid("this part does not hold that".to_owned())),
         }
@@ -126,7 +127,7 @@
             Ok(document) => document,
             Err(error) => return Decision::Respond(AdminResponse::Invalid(error.to_string())),
         };
-        if let Err(error) = document.checked(revision) {
+        if let Err(error) = document.validate(revision) {
             return Decision::Respond(AdminResponse::Invalid(error.to_string()));
         }
         let response = AdminResponse::Applied { revision: document.revision };
--- a/control/src/report.rs
+++ b/control/src/report.rs
@@ -117,7 +117,7 @@
             zone: zone.to_owned(),
             is_voter,
             status: heartbeat.map(|heartbeat| heartbeat.status),
-            is_draining: heartbeat.is_some_and(|heartbeat| heartbeat.leaving),
+            is_draining: heartbeat.is_some_and(|heartbeat| heartbeat.draining),
             changes_behind: heartbeat.map_or(0, behind),
         }
     }
--- a/control/src/router_registry.rs
+++ b/control/src/router_registry.rs
@@ -126,7 +126,7 @@
             self.last_seen.insert(router.node, now);
             match router.state {
                 RouterState::Ready => drop(self.draining.remove(&router.node)),
-                RouterState::Leaving => {
+                RouterState::Draining => {
                     self.draining.insert(router.node, DrainingRouter { router, seen_at: now });
                 }
                 RouterState::Starting => {}
@@ -157,6 +157,6 @@
         } else {
             ready().collect()
         };
-        chosen.into_iter().map(|router| router.front.clone()).take(MAX_DIRECTORY_ADDRESSES).collect()
+        chosen.into_iter().map(|router| router.client_address.clone()).take(MAX_DIRECTORY_ADDRESSES).collect()
     }
 }
--- a/control/src/server_list_duty.rs
+++ b/control/src/server_list_duty.rs
@@ -3,7 +3,7 @@
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId};
 use ivyhatch_protocol::peer::PeerMessage;
 use ivyhatch_protocol::server_list::ServerList;
-use ivyhatch_protocol::watch::{Server, ServerListUpdate};
+use ivyhatch_protocol::watch::{Server, ServerListPosition, ServerListUpdate};
 
 use crate::control_plane::ControlPlane;
 use crate::interface::Output;
@@ -15,7 +15,7 @@
 
 /// The partition whose leader has the duty.
 pub(crate) fn partition() -> PartitionId {
-    PartitionId::of(DUTY)
+    PartitionId::for_key(DUTY)
 }
 
 impl ControlPlane {
@@ -30,8 +30,9 @@
     /// What this node knows of the duty.
     fn list_duty(&self) -> ReaderRole {
         let heartbeats = self.peers.values().filter_map(|peer| peer.heartbeat.as_ref());
-        let (known, number) = self.list.position();
-        let newest = heartbeats.map(|heartbeat| heartbeat.servers.0).chain([known]).max().unwrap_or_default();
+        let ServerListPosition { ballot: known, number } = self.list.position();
+        let newest =
+            heartbeats.map(|heartbeat| heartbeat.server_list.ballot).chain([known]).max().unwrap_or_default();
         ReaderRole {
             ballot: self.leader_ballot(partition()).filter(|_| self.has_quorum()),
             highest_ballot: newest,
@@ -99,12 +100,12 @@
         if ballot == Ballot::default() {
             // For those who follow this node: until there is a quorum nobody has the duty.
             if !servers.is_empty() {
-                self.list.read(self.now, ballot, servers);
+                self.list.apply_platform_list(self.now, ballot, servers);
                 self.log_list(ServerListSource::Bootstrap, out);
             }
             return;
         }
-        let Some(news) = self.list.read(self.now, ballot, servers) else { return };
+        let Some(news) = self.list.apply_platform_list(self.now, ballot, servers) else { return };
         self.log_list(ServerListSource::Platform, out);
         let changed = news.upsert.iter().filter(|_| news.from.is_some());
         out.extend(changed.map(|server| Output::Log(LogEvent::ServerChanged(server.clone()))));
@@ -113,7 +114,7 @@
 
     pub(crate) fn on_server_news(&mut self, from: NodeId, news: ServerListUpdate, out: &mut Vec<Output>) {
         let before = self.list.position();
-        if !self.list.follow(self.now, news) {
+        if !self.list.apply_update(self.now, news) {
             out.push(Output::Send(from, PeerMessage::ServerListRequest));
         } else if before != self.list.position() {
             self.log_list(ServerListSource::Peer, out);
@@ -122,12 +123,12 @@
 
     pub(crate) fn send_server_list(&mut self, to: NodeId, out: &mut Vec<Output>) {
         if self.has_list() {
-            out.push(Output::Send(to, PeerMessage::ServerList(self.list.whole(self.now))));
+            out.push(Output::Send(to, PeerMessage::ServerList(self.list.full_update(self.now))));
         }
     }
 
     fn log_list(&self, source: ServerListSource, out: &mut Vec<Output>) {
-        let (ballot, number) = self.list.position();
+        let ServerListPosition { ballot, number } = self.list.position();
         let servers = self.list.len();
         out.push(Output::Log(LogEvent::ServerList { source, ballot, number, servers }));
     }
--- a/control/tests/golden_records.rs
+++ b/control/tests/golden_records.rs
@@ -16,7 +16,7 @@
 use ivyhatch_protocol::configuration::Document;
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{AcceptedValue, AcceptorState, Membership, Voter};
-use ivyhatch_wal::{CompactingLog, Log, MIN_COMPACTION_LENGTH};
+use ivyhatch_wal::{CompactingWal, MIN_COMPACTION_BYTES, Wal};
 use speedy::{Readable, Writable};
 use tempfile::TempDir;
 
@@ -44,7 +44,7 @@
 }
 
 fn voter(last: u8, zone: &str) -> Voter {
-    Voter { replica: replica(last), zone: zone.to_owned(), joined: 1 }
+    Voter { replica: replica(last), zone: zone.to_owned(), joined_generation: 1 }
 }
 
 fn first_membership() -> Membership {
@@ -60,7 +60,7 @@
     let text =
         br#"{"revision":7,"routes":[{"name":"chat","host":"chat.example"}],"tenants":[],"owner":"platform"}"#;
     ConfigurationState {
-        document: Document::read(text).expect("a readable configuration"),
+        document: Document::parse(text).expect("a readable configuration"),
         applied_digests: vec![11, 0xffee],
     }
 }
@@ -127,7 +127,7 @@
 
 /// A write that makes the file long enough to be compacted, and leaves the state as it was before.
 fn write_that_is_compacted() -> Vec<Record> {
-    let overwritten = vec![0; MIN_COMPACTION_LENGTH as usize];
+    let overwritten = vec![0; MIN_COMPACTION_BYTES as usize];
     vec![
         Record::Accepted(EVACUATIONS, AcceptedValue { ballot: ballot(4), sequence: 8, value: overwritten }),
         Record::Accepted(EVACUATIONS, accepted(4, 9, &evacuated())),
@@ -147,9 +147,9 @@
 /// Writes to a new file as a control node's disk does, and returns the bytes of the file.
 fn write_file(writes: &[Vec<Record>]) -> Vec<u8> {
     let folder = tempfile::tempdir().expect("a folder");
-    let (log, found) = Log::open(folder.path(), FILE_NAME).expect("a new file");
+    let (log, found) = Wal::open(folder.path(), FILE_NAME).expect("a new file");
     assert!(found.is_empty());
-    let (mut log, mut stored) = (CompactingLog::new(log), DurableState::default());
+    let (mut log, mut stored) = (CompactingWal::new(log), DurableState::default());
     for records in writes {
         records.iter().for_each(|record| stored.apply(record.clone()));
         let written = log.write(&encode(records), || encode(&stored.records())).expect("a durable write");
@@ -175,7 +175,7 @@
 
 /// Opens the file in a data folder as a control node's disk does.
 fn read_records(folder: &Path) -> Vec<Record> {
-    let (_, records) = Log::open(folder, FILE_NAME).expect("a file that can be read");
+    let (_, records) = Wal::open(folder, FILE_NAME).expect("a file that can be read");
     records.iter().map(|bytes| decode(bytes)).collect()
 }
 
--- a/routing/src/table.rs
+++ b/routing/src/route_table.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use ivyhatch_protocol::configuration::{Change, Item, Limits, Route, Service};
+use ivyhatch_protocol::configuration::{Change, Item, RequestLimits, Route, Service};
 use serde::de::DeserializeOwned;
 
 const ROUTES: &str = "routes";
@@ -23,11 +23,11 @@
 
 /// The routes, services and limits in force.
 #[derive(Debug, Default)]
-pub struct Table {
+pub struct RouteTable {
     routes: HashMap<String, Rc<Route>>,
     places: HashMap<String, HashMap<String, Rc<Route>>>,
     services: HashMap<String, Service>,
-    limits: Limits,
+    limits: RequestLimits,
 }
 
 /// A change whose items are being read, some at a time.
@@ -39,7 +39,7 @@
     unread_services: std::vec::IntoIter<Item>,
     routes: Vec<Rc<Route>>,
     services: Vec<Service>,
-    limits: Option<Limits>,
+    limits: Option<RequestLimits>,
     unreadable: Vec<UnreadableItem>,
 }
 
@@ -56,15 +56,15 @@
             limits: None,
             unreadable: Vec::new(),
         };
-        if let Some(limits) = change.rest.remove(LIMITS) {
+        if let Some(limits) = change.other_fields.remove(LIMITS) {
             prepared.limits = prepared.parse(LIMITS, LIMITS, limits.as_deref().unwrap_or("{}"));
         }
         prepared
     }
 
     /// Reads at most so many of the items. Whether all have been read.
-    pub fn read(&mut self, most: usize) -> bool {
-        for _ in 0..most {
+    pub fn parse_items(&mut self, max_items: usize) -> bool {
+        for _ in 0..max_items {
             if let Some(item) = self.unread_routes.next() {
                 let route = self.parse(ROUTES, &item.name, &item.json).map(Rc::new);
                 self.routes.extend(route);
@@ -90,7 +90,7 @@
     }
 }
 
-impl Table {
+impl RouteTable {
     /// Takes a change in. Items that can't be read are told, and left as they were.
     pub fn apply(&mut self, change: &Change) -> Vec<UnreadableItem> {
         self.commit(PreparedChange::new(change.clone()))
@@ -98,7 +98,7 @@
 
     /// Takes a change in, with whatever has not been read of it yet. Items that can't be read are told, and left as they were.
     pub fn commit(&mut self, mut change: PreparedChange) -> Vec<UnreadableItem> {
-        change.read(usize::MAX);
+        change.parse_items(usize::MAX);
         change.removed_routes.iter().for_each(|name| self.remove_route(name));
         change.removed_services.iter().for_each(|name| drop(self.services.remove(name)));
         // Two routes may change places: all of them leave theirs before any takes one.
@@ -161,13 +161,13 @@
     }
 
     /// The limits.
-    pub fn limits(&self) -> Limits {
+    pub fn limits(&self) -> RequestLimits {
         self.limits
     }
 }
 
 /// The service to which a request of this route goes: by weight, `draw` from 0 to 1 deciding.
-pub fn target(route: &Route, draw: f64) -> Option<&str> {
+pub fn select_service(route: &Route, draw: f64) -> Option<&str> {
     if route.split.is_empty() {
         return route.service.as_deref();
     }
