--- a/simulation/src/run/routers.rs
+++ b/simulation/src/run/routers.rs
@@ -11,8 +11,8 @@
 use super::describe::follower_message;
 use super::{CONTACT, Happening, Said, TICK, World, address, place};
 use crate::demand::{digest, zone};
+use crate::injected_bugs::InjectedBug;
 use crate::oracle::FollowerView;
-use crate::planted::Planted;
 
 /// Unanswered bytes end a session after this.
 const UNANSWERED: Nanos = 2_500 * MILLISECOND;
@@ -66,7 +66,7 @@
     pub(super) fn summary(&self) -> Vec<u64> {
         let Some(follower) = &self.follower else { return Vec::new() };
         let zones = (0..3).map(zone).flat_map(|zone| {
-            let EvacuationState { active, changes } = follower.evacuation(&zone);
+            let EvacuationState { active, change_count: changes } = follower.evacuation(&zone);
             [u64::from(active), changes]
         });
         [follower.document().revision, follower.sequence()].into_iter().chain(zones).collect()
@@ -175,7 +175,7 @@
 
     pub(super) fn session_closed(&mut self, machine: usize, life: u64, id: SessionId) {
         if self.runs(machine, Some(life), || Happening::SessionClosed(machine, life, id)) {
-            self.hear(machine, ivyhatch_control::Input::Closed(id));
+            self.hear(machine, ivyhatch_control::Input::SessionClosed(id));
         }
     }
 
@@ -236,8 +236,8 @@
         let Some(session) = session.filter(|_| this.life == life) else { return };
         session.heard = self.now;
         self.note(|| format!("{machine} -> follower {follower} {}", follower_message(&message)));
-        let message = match (self.planted, message, &self.routers[follower].follower) {
-            (Some(Planted::AppliesOverGap), WatchResponse::Change { to, change, .. }, Some(known)) => {
+        let message = match (self.injected_bug, message, &self.routers[follower].follower) {
+            (Some(InjectedBug::AppliesOverGap), WatchResponse::Change { to, change, .. }, Some(known)) => {
                 WatchResponse::Change { from: known.sequence(), to, change }
             }
             (_, message, _) => message,
--- a/system/src/router/upstream/response.rs
+++ b/system/src/router/upstream/response.rs
@@ -7,7 +7,7 @@
 use hyper::http::response::Parts;
 use ivyhatch_balancer::Outcome;
 use ivyhatch_protocol::{Nanos, SECOND};
-use ivyhatch_routing::time_to_first_token::LoadReport;
+use ivyhatch_routing::load_report::LoadReport;
 
 use super::pool::DEFAULT_KEEP_ALIVE;
 use crate::router::clients::ATTEMPT_ID;
@@ -106,5 +106,5 @@
 
 /// What a broken answer was: a connection that ended, or one that brought what is no answer.
 pub fn broken(error: &hyper::Error) -> Outcome {
-    if error.is_parse() { Outcome::Spoilt } else { Outcome::Reset }
+    if error.is_parse() { Outcome::InvalidResponse } else { Outcome::Reset }
 }
