--- a/system/src/control/admin_api.rs
+++ b/system/src/control/admin_api.rs
@@ -111,7 +111,7 @@
 
 /// `POST` and `DELETE /-/evacuations/ZONE`.
 fn evacuation_request(host: &Host, request: &HttpRequest, zone: &str) -> Result<AdminRequest, InvalidCall> {
-    if !host.query(|control_plane| control_plane.knows_zone(zone)) {
+    if !host.query(|control_plane| control_plane.has_zone(zone)) {
         return Err(InvalidCall::UnknownZone);
     }
     let active = request.method == Method::POST;
--- a/system/src/control/directory_api.rs
+++ b/system/src/control/directory_api.rs
@@ -21,7 +21,7 @@
     let zone = request.query("zone").unwrap_or("");
     let region = request.query("region").filter(|region| !region.is_empty());
     let region = region.unwrap_or_else(|| host.settings.region_of(zone));
-    let addresses = host.query(|control_plane| control_plane.directory(region));
+    let addresses = host.query(|control_plane| control_plane.router_addresses(region));
     if addresses.is_empty() {
         return http_server::unavailable("no router is known here yet: ask another control node");
     }
--- a/system/src/control/host.rs
+++ b/system/src/control/host.rs
@@ -7,9 +7,9 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use ivyhatch_control::server_list::ReadId;
-use ivyhatch_control::stored::Stored;
-use ivyhatch_control::{ControlPlane, Identity, Input, Output, RequestId};
+use ivyhatch_control::durable_state::DurableState;
+use ivyhatch_control::server_list_reader::ReadId;
+use ivyhatch_control::{ControlPlane, Input, NodeConfig, Output, RequestId};
 use ivyhatch_protocol::peer::AdminResponse;
 use ivyhatch_protocol::settings::Settings;
 use tokio::sync::mpsc::UnboundedSender;
@@ -46,10 +46,10 @@
     pub settings: Settings,
     /// The clock of the process.
     pub clock: Clock,
-    /// Who this control node is.
-    pub identity: Identity,
+    /// Who the control node is, and its time limits.
+    pub node_config: NodeConfig,
     /// What its disk holds.
-    pub stored: Stored,
+    pub stored: DurableState,
     /// Its disk; none on a machine without one.
     pub disk: Option<Disk>,
     /// Takes reads of the platform's instance list.
@@ -59,11 +59,11 @@
 impl Host {
     /// A host whose state machine starts now.
     pub fn new(parts: HostParts) -> Self {
-        let HostParts { settings, clock, identity, stored, disk, list_reads } = parts;
+        let HostParts { settings, clock, node_config, stored, disk, list_reads } = parts;
         Self {
             watch_sessions: WatchSessions::default(),
             shutdown_complete: Notify::new(),
-            control_plane: RefCell::new(ControlPlane::new(identity, stored, clock.now())),
+            control_plane: RefCell::new(ControlPlane::new(node_config, stored, clock.now())),
             clock,
             peers: Rc::new(OutgoingConnections::new(clock, settings.ip, settings.peer_ports.0)),
             admin_requests: RefCell::default(),
@@ -87,18 +87,18 @@
     fn execute(self: &Rc<Self>, output: Output) {
         match output {
             Output::Send(node, message) => self.peers.send(node, &message),
-            Output::Links(nodes) => self.peers.connect_to(&nodes, self),
+            Output::ConnectTo(nodes) => self.peers.connect_to(&nodes, self),
             Output::Store(token, records) => match &self.disk {
                 Some(disk) => disk.write(token, records),
                 None => log::error!("event=data_dir_missing remedy=give_the_role_machines_with_a_disk"),
             },
             Output::Respond(id, response) => self.respond(id, response),
-            Output::Follower(id, message) => self.watch_sessions.send(id, &message),
-            Output::Close(id) => self.watch_sessions.close(id),
+            Output::Watch(id, message) => self.watch_sessions.send(id, &message),
+            Output::CloseSession(id) => self.watch_sessions.close(id),
             // Its receiver is dropped only with the process.
             Output::ReadServerList(read) => drop(self.list_reads.send(read)),
-            Output::Left => self.shutdown_complete.notify_one(),
-            Output::Log(event, pairs) => log::info!("event={event} {pairs}"),
+            Output::Drained => self.shutdown_complete.notify_one(),
+            Output::Log(event) => log::info!("event={} {event}", event.name()),
         }
     }
 
--- a/system/src/control/mod.rs
+++ b/system/src/control/mod.rs
@@ -5,8 +5,8 @@
 mod admin_api;
 mod directory_api;
 mod host;
-mod identity;
 mod instance_list_reader;
+mod node_config;
 mod peers;
 mod status;
 mod watch_server;
@@ -15,9 +15,9 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-use ivyhatch_control::server_list::ReadId;
-use ivyhatch_control::stored::Stored;
-use ivyhatch_control::{Input, Token};
+use ivyhatch_control::durable_state::DurableState;
+use ivyhatch_control::server_list_reader::ReadId;
+use ivyhatch_control::{Input, WriteToken};
 use ivyhatch_protocol::settings::Settings;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
@@ -79,7 +79,7 @@
     }));
     loop {
         tokio::select! {
-            _ = terminate.recv() => host.handle_input(Input::Leave),
+            _ = terminate.recv() => host.handle_input(Input::Drain),
             _ = hangup.recv() => if let Some(seeds) = reload_seeds() {
                 host.handle_input(Input::Seeds(seeds));
             },
@@ -96,23 +96,23 @@
     clock: Clock,
     opened: Option<OpenedDisk>,
     list_reads: UnboundedSender<ReadId>,
-) -> (Rc<Host>, Option<UnboundedReceiver<Token>>) {
-    let mut identity = identity::identity(&settings, opened.is_some());
+) -> (Rc<Host>, Option<UnboundedReceiver<WriteToken>>) {
+    let mut node_config = node_config::node_config(&settings, opened.is_some());
     let (disk, stored, durable_tokens) = match opened {
         Some(opened) => {
             // A node that had a file is not on its first start, whatever the settings say.
-            identity.first_start &= !opened.history_lost;
+            node_config.first_start &= !opened.history_lost;
             (Some(opened.disk), opened.stored, Some(opened.durable_tokens))
         }
-        None => (None, Stored::default(), None),
+        None => (None, DurableState::default(), None),
     };
     log::info!(
         "event=role_started role=control node={} zone={} incarnation={:x}",
-        identity.node,
+        node_config.node,
         settings.zone,
-        identity.incarnation
+        node_config.incarnation
     );
-    let host = Host::new(HostParts { settings, clock, identity, stored, disk, list_reads });
+    let host = Host::new(HostParts { settings, clock, node_config, stored, disk, list_reads });
     (Rc::new(host), durable_tokens)
 }
 
@@ -130,7 +130,7 @@
     }));
 }
 
-async fn report_durable_writes(host: Rc<Host>, mut tokens: UnboundedReceiver<Token>) {
+async fn report_durable_writes(host: Rc<Host>, mut tokens: UnboundedReceiver<WriteToken>) {
     while let Some(token) = tokens.recv().await {
         host.handle_input(Input::Stored(token));
     }
--- a/system/src/control/identity.rs
+++ b/system/src/control/node_config.rs
@@ -1,10 +1,10 @@
-//! What a control node is configured with: its identity, its drawn incarnation, and its bounds in time.
+//! What the state machine is configured with: who the node is, its drawn incarnation, and its bounds in time.
 
 use std::collections::hash_map::RandomState;
 use std::hash::BuildHasher;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use ivyhatch_control::Identity;
+use ivyhatch_control::NodeConfig;
 use ivyhatch_protocol::hash::{fnv1a_hash, hash_mix};
 use ivyhatch_protocol::settings::Settings;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
@@ -20,9 +20,9 @@
 /// A process that shuts down ends this long before it would be killed.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(1500);
 
-/// The identity of this process. Its incarnation differs at each call.
-pub fn identity(settings: &Settings, has_disk: bool) -> Identity {
-    Identity {
+/// The configuration of this process. Its incarnation differs at each call.
+pub fn node_config(settings: &Settings, has_disk: bool) -> NodeConfig {
+    NodeConfig {
         node: settings.ip.into(),
         zone: settings.zone.clone(),
         incarnation: draw_incarnation(settings),
@@ -30,8 +30,8 @@
         first_start: settings.first_start,
         seeds: settings.seed_nodes(),
         zones: settings.zones.keys().cloned().collect(),
-        list_every: poll_interval(settings),
-        grace: shutdown_timeout(settings),
+        server_list_interval: poll_interval(settings),
+        drain_timeout: shutdown_timeout(settings),
     }
 }
 
--- a/system/src/control/watch_server.rs
+++ b/system/src/control/watch_server.rs
@@ -29,7 +29,7 @@
     let id = host.next_id();
     let mut queue = host.watch_sessions.open(id);
     let (mut reading, mut writing) = stream.split();
-    let handle = |message: WatchRequest| host.handle_input(Input::Follower(id, message));
+    let handle = |message: WatchRequest| host.handle_input(Input::Watch(id, message));
     let ended = tokio::select! {
         ended = read_messages(&mut reading, SESSION_IDLE_TIMEOUT, handle) => ended,
         ended = queue.write_to(&mut writing) => ended.map_err(ConnectionError::from),
@@ -38,5 +38,5 @@
         log::warn!("event=watch_client_protocol_error error={:?}", error.to_string());
     }
     host.watch_sessions.close(id);
-    host.handle_input(Input::Closed(id));
+    host.handle_input(Input::SessionClosed(id));
 }
--- a/system/src/disk.rs
+++ b/system/src/disk.rs
@@ -10,8 +10,8 @@
 use std::thread;
 use std::time::Duration;
 
-use ivyhatch_control::stored::Stored;
-use ivyhatch_control::{Record, Token};
+use ivyhatch_control::durable_state::DurableState;
+use ivyhatch_control::{Record, WriteToken};
 use ivyhatch_wal::{CompactingWal, Wal, WalError};
 use speedy::{Readable, Writable};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
@@ -26,7 +26,7 @@
 
 /// Records to be written, and the token by which their durability is reported.
 struct WriteRequest {
-    token: Token,
+    token: WriteToken,
     records: Vec<Record>,
 }
 
@@ -40,9 +40,9 @@
     /// Takes writes.
     pub disk: Disk,
     /// The state that the file holds.
-    pub stored: Stored,
+    pub stored: DurableState,
     /// The tokens of durable writes, in order.
-    pub durable_tokens: UnboundedReceiver<Token>,
+    pub durable_tokens: UnboundedReceiver<WriteToken>,
     /// A file was there and could not be used: this replica's promises are lost, also on a first start.
     pub history_lost: bool,
 }
@@ -76,7 +76,7 @@
     }
 
     /// Queues records behind all earlier ones. The token is reported once they are durable.
-    pub fn write(&self, token: Token, records: Vec<Record>) {
+    pub fn write(&self, token: WriteToken, records: Vec<Record>) {
         // The receiver is dropped only with the process.
         let _ = self.requests.send(WriteRequest { token, records });
     }
@@ -84,9 +84,9 @@
 
 /// Opens the file and decodes its records. A file with an unknown record is set aside whole: the record may hold a promise, and
 /// records written behind it would be unreadable as well.
-fn open(folder: &Path) -> Result<(Wal, Stored), WalError> {
+fn open(folder: &Path) -> Result<(Wal, DurableState), WalError> {
     let (log, records) = Wal::open(folder, FILE_NAME)?;
-    let mut stored = Stored::default();
+    let mut stored = DurableState::default();
     for (index, bytes) in records.iter().enumerate() {
         match decode(bytes) {
             Ok(record) => stored.apply(record),
@@ -123,11 +123,11 @@
 struct DiskWriter {
     log: CompactingWal,
     /// The state that the file holds once all requests taken so far are written; the content of the next compaction.
-    stored: Stored,
+    stored: DurableState,
 }
 
 impl DiskWriter {
-    fn run(mut self, requests: &Receiver<WriteRequest>, durable: &UnboundedSender<Token>) {
+    fn run(mut self, requests: &Receiver<WriteRequest>, durable: &UnboundedSender<WriteToken>) {
         while let Ok(first) = requests.recv() {
             let batch = Batch::gather(first, requests);
             batch.records.iter().for_each(|record| self.stored.apply(record.clone()));
@@ -160,7 +160,7 @@
 
 /// Requests that are written together.
 struct Batch {
-    tokens: Vec<Token>,
+    tokens: Vec<WriteToken>,
     records: Vec<Record>,
     encoded: Vec<Vec<u8>>,
 }
