--- a/system/src/status.rs
+++ b/system/src/control/status.rs
@@ -1,11 +1,11 @@
-//! The answer to `GET /-/status` on the control address.
+//! The JSON form of a control node's report, the response to `GET /-/status`.
 
 use ivyhatch_control::report::{PartitionReport, ReplicaReport, Report};
 use ivyhatch_protocol::peer::ReplicaStatus;
 use serde_json::{Value, json};
 
-/// A report as JSON.
-pub fn text(report: &Report) -> String {
+/// A report as JSON text.
+pub fn to_json(report: &Report) -> String {
     json!({
         "node": report.node.to_string(),
         "has_quorum": report.has_quorum,
@@ -21,14 +21,14 @@
         "node": report.replica.node.to_string(),
         "replica": report.replica.to_string(),
         "zone": report.zone,
-        "has_seat": report.has_seat,
-        "status": report.status.map_or("unreachable", word),
-        "is_leaving": report.is_leaving,
+        "has_seat": report.is_voter,
+        "status": report.status.map_or("unreachable", status_name),
+        "is_leaving": report.is_draining,
         "changes_behind": report.changes_behind,
     })
 }
 
-fn word(status: ReplicaStatus) -> &'static str {
+fn status_name(status: ReplicaStatus) -> &'static str {
     match status {
         ReplicaStatus::Uninitialized => "uninitialized",
         ReplicaStatus::Learner => "learner",
@@ -39,7 +39,7 @@
 
 fn partition(report: &PartitionReport) -> Value {
     json!({
-        "partition": report.part.0,
+        "partition": report.partition.0,
         "committed": report.committed,
         "leader": report.leader.map(|node| node.to_string()),
     })
