--- /dev/null
+++ b/protocol/src/configuration/parse.rs
@@ -0,0 +1,121 @@
+//! Parsing of configurations and changes from JSON, with their items kept as text.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use serde::Deserialize;
+use serde_json::value::RawValue;
+
+use super::error::ConfigurationError;
+use super::{Change, Document, Item};
+
+/// The deepest nesting of arrays and objects. The JSON parsers of other programs that read the configuration have similar limits.
+pub(super) const MAX_NESTING: usize = 127;
+
+type Fields = BTreeMap<String, Box<RawValue>>;
+
+impl Document {
+    /// Parses the body of a PUT request.
+    ///
+    /// # Errors
+    /// Where it is no JSON object with a revision and with distinct names in each section. [`Document::validate`] checks the rest.
+    pub fn parse(body: &[u8]) -> Result<Self, ConfigurationError> {
+        let mut fields: Fields = serde_json::from_slice(body)?;
+        let mut document = Self { revision: take_revision(&mut fields)?, ..Self::default() };
+        for (name, raw) in fields {
+            match parse_items(&raw) {
+                Some(items) => {
+                    check_names(&name, &items)?;
+                    document.sections.insert(name, items);
+                }
+                None => {
+                    document.other_fields.insert(name, raw.get().to_owned());
+                }
+            }
+        }
+        Ok(document)
+    }
+}
+
+impl Change {
+    /// Parses the body of a PATCH request.
+    ///
+    /// # Errors
+    /// Where it is no JSON object with a revision, with lists of items under `upsert` and lists of names under `remove`.
+    pub fn parse(body: &[u8]) -> Result<Self, ConfigurationError> {
+        let mut fields: Fields = serde_json::from_slice(body)?;
+        let mut change = Self { revision: take_revision(&mut fields)?, ..Self::default() };
+        if let Some(raw) = fields.remove("upsert") {
+            change.upsert = parse_upsert(&raw)?;
+        }
+        if let Some(raw) = fields.remove("remove") {
+            change.remove = serde_json::from_str(raw.get())
+                .map_err(|error| ConfigurationError::RemoveNotNames(error.to_string()))?;
+        }
+        for (name, raw) in fields {
+            change.other_fields.insert(name, Some(raw.get().to_owned()));
+        }
+        Ok(change)
+    }
+}
+
+fn take_revision(fields: &mut Fields) -> Result<u64, ConfigurationError> {
+    let raw = fields.remove("revision").ok_or(ConfigurationError::MissingRevision)?;
+    raw.get().parse().map_err(|_| ConfigurationError::RevisionNotInteger(raw.get().to_owned()))
+}
+
+fn parse_upsert(raw: &RawValue) -> Result<BTreeMap<String, Vec<Item>>, ConfigurationError> {
+    let sections: Fields = serde_json::from_str(raw.get())?;
+    let mut upsert = BTreeMap::new();
+    for (section, raw) in sections {
+        let items = parse_items(&raw)
+            .ok_or_else(|| ConfigurationError::UpsertNotItems { section: section.clone() })?;
+        check_names(&section, &items)?;
+        upsert.insert(section, items);
+    }
+    Ok(upsert)
+}
+
+/// The items of a list of objects that all have names; none for any other value.
+fn parse_items(raw: &RawValue) -> Option<Vec<Item>> {
+    let list: Vec<Box<RawValue>> = serde_json::from_str(raw.get()).ok()?;
+    list.iter().map(|raw| parse_item(raw)).collect()
+}
+
+fn parse_item(raw: &RawValue) -> Option<Item> {
+    #[derive(Deserialize)]
+    struct Named {
+        name: String,
+    }
+    let Named { name } = serde_json::from_str(raw.get()).ok()?;
+    Some(Item { name, json: raw.get().to_owned() })
+}
+
+fn check_names(section: &str, items: &[Item]) -> Result<(), ConfigurationError> {
+    let mut names = BTreeSet::new();
+    match items.iter().find(|item| !names.insert(&item.name)) {
+        Some(item) => {
+            Err(ConfigurationError::DuplicateName { section: section.to_owned(), name: item.name.clone() })
+        }
+        None => Ok(()),
+    }
+}
+
+/// How deep arrays and objects are nested in a JSON text.
+pub(super) fn nesting_depth(json: &str) -> usize {
+    let (mut depth, mut max_depth) = (0_usize, 0);
+    let (mut in_string, mut is_escaped) = (false, false);
+    for byte in json.bytes() {
+        match byte {
+            _ if is_escaped => is_escaped = false,
+            b'\\' if in_string => is_escaped = true,
+            b'"' => in_string = !in_string,
+            b'[' | b'{' if !in_string => {
+                depth += 1;
+                max_depth = max_depth.max(depth);
+            }
+            b']' | b'}' if !in_string => depth = depth.saturating_sub(1),
+            _ => {}
+        }
+    }
+    max_depth
+}
--- a/protocol/src/configuration/schema.rs
+++ b/protocol/src/configuration/schema.rs
@@ -1,77 +1,78 @@
-//! The view of a configuration by which requests are routed.
+//! The typed view of a configuration, by which requests are routed. Unknown fields are ignored.
+//!
+//! A field keeps its name in the configuration as a `serde` attribute where the code uses the standard term.
 
 use serde::Deserialize;
 
-/// What a route's requests are.
+/// How the requests of a route may be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize, strum::Display)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum RouteKind {
-    /// May run more than once.
+    /// Idempotent: a request may be retried, and executed more than once.
     Safe,
-    /// May run once for each try of a client.
+    /// Not idempotent: a request may be executed once for each attempt of the client.
     Unsafe,
-    /// Answered by a series of events; as `unsafe` unless it may be resumed.
+    /// Answered by server-sent events. Not idempotent, unless [`Route::resumable`].
     Streaming,
 }
 
-/// A service's part of a route.
+/// A service's weight in a traffic split.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-#[serde(expecting = "struct Split")]
-pub struct WeightedService {
-    /// The service.
+pub struct Split {
+    /// The name of the service.
     pub service: String,
-    /// Its weight against the others'.
+    /// The service's weight, relative to the sum of all weights of the route.
     pub weight: f64,
 }
 
-/// A route.
+/// A route: which requests it matches, and how they are served.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Route {
-    /// Its name.
+    /// The name of the route.
     pub name: String,
-    /// The host that its requests name.
+    /// The host that requests name; case does not matter.
     pub host: String,
-    /// How their paths begin.
+    /// The beginning of the path of requests. The longest matching prefix counts.
     pub path_prefix: String,
-    /// What they are.
+    /// How requests may be executed.
     pub route_kind: RouteKind,
-    /// The longest that one is held, in milliseconds.
+    /// Milliseconds from the arrival of a request until it is given up.
     pub timeout_ms: f64,
-    /// An answer within this earns its full worth.
+    /// The latency target in milliseconds (SLO): the time within which a response, or the first event of a stream, is on time.
     #[serde(rename = "target_ms", default)]
     pub latency_target_ms: f64,
-    /// Its rank; 0 goes first.
+    /// The priority of requests; 0 is the highest. Lower priorities are shed first.
     #[serde(default)]
     pub priority: u32,
-    /// The service, where there is one.
+    /// The only service; none where there is a `split`.
     pub service: Option<String>,
-    /// The services, where there are several.
+    /// The services, by weight.
     #[serde(default)]
-    pub split: Vec<WeightedService>,
-    /// Servers that one try may be sent to.
-    #[serde(rename = "max_tries", default = "one")]
+    pub split: Vec<Split>,
+    /// The highest number of servers that one request may be sent to, the first one included.
+    #[serde(rename = "max_tries", default = "default_max_attempts")]
     pub max_attempts: u32,
-    /// Servers keep something of its requests for the next ones.
+    /// Whether servers keep state of a session (a prefix cache, say), so that its requests should go to the same one (affinity).
     #[serde(default)]
     pub sticky: bool,
-    /// A stream may go on at another server.
+    /// Whether a stream that breaks off can be resumed at another server.
     #[serde(default)]
     pub resumable: bool,
-    /// The longest pause between events at which an answer is in time.
+    /// The longest gap between two events of a stream that is on time, in milliseconds; 0 for none.
     #[serde(rename = "gap_aim_ms", default)]
     pub event_gap_target_ms: f64,
-    /// The regions in which its requests may be served; any where there are none.
+    /// The regions in which requests may be served; empty for all.
     #[serde(default)]
     pub home_regions: Vec<String>,
 }
 
-fn one() -> u32 {
+fn default_max_attempts() -> u32 {
     1
 }
 
 impl Route {
-    /// Whether a request may run more than once.
+    /// Whether a request may be executed more than once.
     pub fn is_idempotent(&self) -> bool {
         match self.route_kind {
             RouteKind::Safe => true,
@@ -80,60 +81,61 @@
         }
     }
 
-    /// The services that it leads to, with their weights.
+    /// The services of the route, with their weights.
     pub fn targets(&self) -> Vec<(&str, f64)> {
         match &self.service {
             Some(service) if self.split.is_empty() => vec![(service, 1.0)],
-            _ => self.split.iter().map(|part| (part.service.as_str(), part.weight)).collect(),
+            _ => self.split.iter().map(|target| (target.service.as_str(), target.weight)).collect(),
         }
     }
 }
 
-/// What is known of a service's engines.
+/// The capacity of an inference engine.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 pub struct Engine {
-    /// Requests that run at once.
+    /// The number of requests that are decoded concurrently.
     pub slots: f64,
-    /// Tokens that are kept, for running requests and for prompts that may come again.
+    /// The capacity of the KV cache in tokens, for running requests and cached prefixes.
     pub cache_tokens: f64,
 }
 
-/// A service.
+/// A service: a group of servers that are interchangeable.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// The name of the service.
     pub name: String,
-    /// Where its health is asked for.
+    /// The path of health checks.
     #[serde(default)]
     pub health_path: String,
-    /// Connections that a server accepts from all callers together.
-    #[serde(rename = "max_conns", default = "many")]
+    /// The number of connections that a server accepts from all routers together.
+    #[serde(rename = "max_conns", default = "default_max_connections")]
     pub max_connections: f64,
-    /// A server is cold for so many seconds after its start ...
+    /// The warm-up (slow start) of a server after its start, in seconds.
     #[serde(rename = "cold_s", default)]
     pub warm_up_s: f64,
-    /// ... and bears so many requests a second meanwhile.
+    /// The rate of a server during its warm-up, in requests per second from all routers together; 0 for no limit.
     #[serde(rename = "cold_per_s", default)]
     pub warm_up_rate_per_s: f64,
-    /// Its engines, where it is a model's.
+    /// The capacity of the servers' inference engines; none for other servers.
     pub engine: Option<Engine>,
 }
 
-fn many() -> f64 {
+fn default_max_connections() -> f64 {
     1000.0
 }
 
-/// What clients may send, and for how long.
+/// Limits of clients' requests and connections.
+// `expecting` keeps the name by which error texts have always called the object.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default, expecting = "struct Limits")]
 pub struct RequestLimits {
-    /// The longest head, in bytes.
+    /// The longest request head, in bytes.
     pub max_header_bytes: f64,
-    /// The longest body, in bytes.
+    /// The longest request body, in bytes.
     pub max_body_bytes: f64,
-    /// The longest that a head may take to come, in milliseconds.
+    /// The longest time until a request head is complete, in milliseconds.
     pub header_timeout_ms: f64,
-    /// The longest that a connection may be idle, in milliseconds.
+    /// The longest time for which a connection may be idle, in milliseconds.
     pub idle_timeout_ms: f64,
 }
 
@@ -148,18 +150,18 @@
     }
 }
 
-/// The view of a configuration by which requests are routed.
+/// The typed view of a configuration.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct Configuration {
-    /// Its version.
+    /// The revision.
     pub revision: u64,
-    /// Its routes.
+    /// The routes.
     #[serde(default)]
     pub routes: Vec<Route>,
-    /// Its services.
+    /// The services.
     #[serde(default)]
     pub services: Vec<Service>,
-    /// Its limits.
+    /// Limits of requests.
     #[serde(default)]
     pub limits: RequestLimits,
 }
--- a/protocol/src/hash.rs
+++ b/protocol/src/hash.rs
@@ -4,9 +4,13 @@
 //! chance, not an adversary.
 
 /// The offset basis of 64-bit FNV-1a.
-pub(crate) const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 /// The prime of 64-bit FNV-1a.
-pub(crate) const FNV_PRIME: u64 = 0x0100_0000_01b3;
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
+/// Multiplier for one 64-bit word of a checksum: 2^64 divided by the golden ratio.
+const WORD_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Bits by which a checksum is rotated after each word.
+const WORD_ROTATION: u32 = 29;
 
 /// 64-bit FNV-1a, followed by [`hash_mix`] so that every input bit affects every output bit.
 pub fn fnv1a_hash(bytes: &[u8]) -> u64 {
@@ -21,3 +25,18 @@
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     z ^ (z >> 31)
 }
+
+/// The checksum of frames and of write-ahead log blocks: FNV-1a over 64-bit words with rotation, mixed and folded to 32 bits.
+/// Detects damage by chance; a sender can forge it.
+pub fn checksum(bytes: &[u8]) -> u32 {
+    let mut hash = FNV_OFFSET_BASIS ^ bytes.len() as u64;
+    let (words, remainder) = bytes.as_chunks::<8>();
+    for word in words {
+        hash = (hash ^ u64::from_le_bytes(*word)).wrapping_mul(WORD_MULTIPLIER).rotate_left(WORD_ROTATION);
+    }
+    for byte in remainder {
+        hash = (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
+    }
+    let mixed = hash_mix(hash);
+    (mixed ^ (mixed >> 32)) as u32
+}
--- /dev/null
+++ b/protocol/src/settings/mod.rs
@@ -0,0 +1,149 @@
+//! The settings file with which the platform starts a process. Unknown fields are ignored.
+//!
+//! A field keeps its name in the file as a `serde` attribute where the code uses the standard term.
+
+mod bounds;
+mod error;
+
+use std::collections::BTreeMap;
+use std::net::{Ipv4Addr, SocketAddrV4};
+use std::path::{Path, PathBuf};
+
+use figment::Figment;
+use figment::providers::{Format, Json};
+use serde::Deserialize;
+
+pub use self::bounds::{Bounds, FaultTolerance, ResourceLimits};
+pub use self::error::SettingsError;
+use crate::ids::NodeId;
+
+/// The environment variable with the path of the settings file.
+pub const SETTINGS_PATH_VARIABLE: &str = "IVYHATCH_SETTINGS";
+
+/// The addresses of the listeners that a role may have.
+#[derive(Clone, Debug, Default, Deserialize)]
+pub struct Listen {
+    /// Requests of clients.
+    #[serde(rename = "front")]
+    pub client: Option<SocketAddrV4>,
+    /// Readiness checks of the platform.
+    pub readiness: Option<SocketAddrV4>,
+    /// Requests of the operator.
+    pub control: Option<SocketAddrV4>,
+    /// Queries of clients for the addresses of routers.
+    pub directory: Option<SocketAddrV4>,
+}
+
+/// The platform's API for the list of servers.
+#[derive(Clone, Copy, Debug, Deserialize)]
+pub struct CloudApi {
+    /// The address of the API.
+    pub address: SocketAddrV4,
+    /// Calls per second that the API accepts from all nodes together.
+    #[serde(default = "default_rate_per_s")]
+    pub rate_per_s: f64,
+    /// The longest time by which an answer of the API is out of date, in milliseconds.
+    #[serde(rename = "lag_ms", default)]
+    pub staleness_ms: f64,
+}
+
+fn default_rate_per_s() -> f64 {
+    1.0
+}
+
+/// The settings of a process.
+#[derive(Clone, Debug, Deserialize)]
+pub struct Settings {
+    /// The name of the machine.
+    pub node_name: String,
+    /// The name of the role in the deploy file.
+    #[serde(default)]
+    pub role: String,
+    /// The address of the machine; see [`NodeId`].
+    pub ip: Ipv4Addr,
+    /// The zone of the machine.
+    pub zone: String,
+    /// The region of the machine.
+    pub region: String,
+    /// The region of each zone of the deployment.
+    pub zones: BTreeMap<String, String>,
+    /// The addresses at which the process listens.
+    pub listen: Listen,
+    /// The first and the last port for connections between nodes.
+    #[serde(rename = "inner_ports")]
+    pub peer_ports: (u16, u16),
+    /// Addresses of control nodes to contact first.
+    #[serde(default)]
+    pub seeds: Vec<SocketAddrV4>,
+    /// Whether this is the first start of the whole deployment: control nodes may create the first membership.
+    #[serde(default)]
+    pub first_start: bool,
+    /// The resources of the process.
+    #[serde(default)]
+    pub limits: ResourceLimits,
+    /// The directory on the machine's disk; none where the machine has no disk.
+    #[serde(default)]
+    pub data_dir: Option<PathBuf>,
+    /// The faults that the deployment has to tolerate.
+    #[serde(rename = "tolerate", default)]
+    pub fault_tolerance: FaultTolerance,
+    /// The bounds that the deployment has to keep.
+    #[serde(default)]
+    pub bounds: Bounds,
+    /// The platform's API for the list of servers.
+    pub cloud_api: CloudApi,
+}
+
+impl Settings {
+    /// Reads the file that [`SETTINGS_PATH_VARIABLE`] names.
+    ///
+    /// # Errors
+    /// [`SettingsError::Unset`] if the variable is not set; otherwise as [`Settings::from_file`].
+    pub fn from_environment() -> Result<Self, SettingsError> {
+        let path = std::env::var(SETTINGS_PATH_VARIABLE).map_err(|_| SettingsError::Unset)?;
+        Self::from_file(Path::new(&path))
+    }
+
+    /// Reads a file.
+    ///
+    /// # Errors
+    /// [`SettingsError::Unreadable`], or as [`Settings::from_text`].
+    pub fn from_file(path: &Path) -> Result<Self, SettingsError> {
+        let displayed_path = path.display().to_string();
+        let text = std::fs::read_to_string(path)
+            .map_err(|source| SettingsError::Unreadable { path: displayed_path.clone(), source })?;
+        Self::from_text(&text, &displayed_path)
+    }
+
+    /// Parses the text of a file. `path` is for the error only.
+    ///
+    /// # Errors
+    /// [`SettingsError::Malformed`] if the text is no JSON, or a field is missing or of the wrong type.
+    pub fn from_text(text: &str, path: &str) -> Result<Self, SettingsError> {
+        // Figment names the field at fault, which serde_json does not.
+        let parsed = Figment::from(Json::string(text)).extract();
+        parsed.map_err(|error| SettingsError::Malformed { path: path.to_owned(), source: Box::new(error) })
+    }
+
+    /// The control nodes among the seeds.
+    pub fn seed_nodes(&self) -> Vec<NodeId> {
+        self.seeds.iter().map(|seed| NodeId::from(*seed.ip())).collect()
+    }
+
+    /// The address of a listener that the role needs. `field` is the name of the listener in the file.
+    ///
+    /// # Errors
+    /// [`SettingsError::MissingAddress`] if the settings have none.
+    pub fn listen_address(
+        &self,
+        field: &'static str,
+        select: impl Fn(&Listen) -> Option<SocketAddrV4>,
+    ) -> Result<SocketAddrV4, SettingsError> {
+        select(&self.listen).ok_or_else(|| SettingsError::MissingAddress { field, role: self.role.clone() })
+    }
+
+    /// The region of a zone; the zone's own name where the settings don't list it.
+    pub fn region_of<'a>(&'a self, zone: &'a str) -> &'a str {
+        self.zones.get(zone).map_or(zone, String::as_str)
+    }
+}
--- a/protocol/tests/frame.rs
+++ b/protocol/tests/frame.rs
@@ -2,10 +2,9 @@
 
 use googletest::prelude::*;
 use ivyhatch_protocol::frame::{
-    Decoder, FRAGMENT_BYTES, FrameError, MAX_MESSAGE_BYTES, PROTOCOL_VERSION, checksum, encode,
-    encode_fragments,
+    Decoder, FRAGMENT_BYTES, FrameError, MAX_MESSAGE_BYTES, PROTOCOL_VERSION, encode, encode_fragments,
 };
-use ivyhatch_protocol::hash::hash_mix;
+use ivyhatch_protocol::hash::{checksum, hash_mix};
 use ivyhatch_protocol::watch::WatchRequest;
 
 fn want() -> WatchRequest {
--- a/protocol/tests/golden_configuration.rs
+++ b/protocol/tests/golden_configuration.rs
@@ -7,7 +7,7 @@
 use googletest::prelude::*;
 use ivyhatch_protocol::configuration::{
     Change, Configuration, ConfigurationError, Document, Engine, RequestLimits, Route, RouteKind, Service,
-    WeightedService,
+    Split,
 };
 
 const CONFIGURATION: &str = include_str!("golden/configuration.json");
@@ -23,8 +23,8 @@
     Change::parse(PATCH.as_bytes()).expect("a golden patch that can be read")
 }
 
-fn split(service: &str, weight: f64) -> WeightedService {
-    WeightedService { service: service.to_owned(), weight }
+fn split(service: &str, weight: f64) -> Split {
+    Split { service: service.to_owned(), weight }
 }
 
 /// A route that names only the required fields.
--- a/protocol/tests/properties.rs
+++ b/protocol/tests/properties.rs
@@ -7,7 +7,8 @@
 
 use googletest::prelude::*;
 use ivyhatch_protocol::configuration::{Change, Document, Item};
-use ivyhatch_protocol::frame::{Decoder, FrameError, MAX_MESSAGE_BYTES, PROTOCOL_VERSION, checksum, encode};
+use ivyhatch_protocol::frame::{Decoder, FrameError, MAX_MESSAGE_BYTES, PROTOCOL_VERSION, encode};
+use ivyhatch_protocol::hash::checksum;
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId};
 use ivyhatch_protocol::peer::PeerMessage;
 use ivyhatch_protocol::settings::{Settings, SettingsError};
--- a/wal/src/block.rs
+++ b/wal/src/block.rs
@@ -1,6 +1,6 @@
 //! The bytes of a records file: a header, then blocks of records, each with its length and checksum.
 
-use ivyhatch_protocol::frame::checksum;
+use ivyhatch_protocol::hash::checksum;
 
 /// The format that this release writes. Format 1 had neither a file header nor numbers of blocks; its files are read, and are
 /// replaced at once.
--- a/wal/tests/log.rs
+++ b/wal/tests/log.rs
@@ -123,7 +123,7 @@
     let later = {
         let mut bytes = three(folder.path())[..12].to_vec();
         bytes[4] = 99;
-        let sum = ivyhatch_protocol::frame::checksum(&bytes);
+        let sum = ivyhatch_protocol::hash::checksum(&bytes);
         bytes.extend_from_slice(&sum.to_le_bytes());
         bytes.extend_from_slice(b"whatever comes then");
         bytes
@@ -141,7 +141,7 @@
     body.extend_from_slice(record);
     let mut block = b"IVHL".to_vec();
     block.extend_from_slice(&(body.len() as u32).to_le_bytes());
-    block.extend_from_slice(&ivyhatch_protocol::frame::checksum(&body).to_le_bytes());
+    block.extend_from_slice(&ivyhatch_protocol::hash::checksum(&body).to_le_bytes());
     block.extend_from_slice(&body);
     block
 }
