--- a/protocol/src/peer/consensus.rs
+++ b/protocol/src/peer/consensus.rs
@@ -96,7 +96,7 @@
     Confirm {
         /// The leader's ballot.
         ballot: Ballot,
-        /// Returned in the answer; tells apart the leader's successive requests.
+        /// Returned in the answer; distinguishes the leader's successive requests.
         request_id: u64,
     },
     /// From a voter whose highest promise is the leader's ballot, in answer to [`ConsensusMessage::Confirm`].
--- a/protocol/tests/compression.rs
+++ b/protocol/tests/compression.rs
@@ -1,10 +1,10 @@
-//! Compression: the same bytes come back, and bytes that were not compressed give an error and bounded memory.
+//! Compression: round trips, and rejection of bytes that no compression has made.
 
 use googletest::prelude::*;
 use ivyhatch_protocol::compression::{CompressionError, compress, decompress};
 use ivyhatch_protocol::hash::hash_mix;
 
-/// Bytes that look like chance, from a seed, out of an alphabet of this size.
+/// Pseudo-random bytes out of an alphabet of this size.
 fn bytes(seed: u64, length: usize, alphabet: u64) -> Vec<u8> {
     (0..length as u64).map(|at| (hash_mix(seed ^ hash_mix(at)) % alphabet) as u8).collect()
 }
@@ -22,7 +22,7 @@
 }
 
 #[gtest]
-fn what_was_compressed_comes_back() {
+fn compressed_bytes_decompress_to_the_original() {
     for alphabet in [1, 2, 4, 256] {
         for length in (0..70).chain([254, 255, 256, 269, 270, 271, 1000, 70_000, 200_000]) {
             let bytes = bytes(length as u64, length, alphabet);
@@ -34,7 +34,7 @@
 }
 
 #[gtest]
-fn repeats_at_any_distance_come_back() {
+fn repeats_within_and_beyond_the_window_decompress_to_the_original() {
     for gap in [1, 2, 3, 5, 4096, 65_530, 65_535, 65_536, 65_540, 131_072] {
         let pattern = bytes(1, 300, 256);
         let bytes = [pattern.clone(), bytes(2, gap - 1, 256), pattern.clone(), pattern].concat();
@@ -43,7 +43,7 @@
 }
 
 #[gtest]
-fn a_configuration_shrinks_to_a_third_or_less() {
+fn configuration_compresses_to_a_third_or_less() {
     let bytes = routes(2000);
     let compressed = compress(&bytes);
     expect_that!(compressed.len(), le(bytes.len() / 3));
@@ -51,7 +51,7 @@
 }
 
 #[gtest]
-fn what_was_cut_short_or_announced_wrongly_is_refused() {
+fn truncated_bytes_and_wrong_lengths_are_rejected() {
     let bytes = routes(20);
     let compressed = compress(&bytes);
     for cut in 0..compressed.len() {
@@ -65,7 +65,7 @@
 }
 
 #[gtest]
-fn any_bytes_give_at_most_the_announced_length() {
+fn arbitrary_bytes_decompress_to_the_announced_length_or_fail() {
     for seed in 0..20_000 {
         let mut bytes = bytes(seed, (seed % 97) as usize, 1 + hash_mix(seed) % 256);
         if seed % 2 == 0 {
--- a/protocol/tests/configuration.rs
+++ b/protocol/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration: each kind of invalid one, changes by name, and what is given back.
+//! The operator's configuration: validation, changes by item, round trips.
 
 use googletest::prelude::*;
 use ivyhatch_protocol::configuration::{Change, ConfigurationError, Document};
@@ -16,14 +16,14 @@
     Document::parse(WHOLE.as_bytes()).expect("a sound configuration")
 }
 
-/// The whole configuration with one text replaced by another, checked against version 5.
+/// Validates the configuration with one text replaced by another; the current revision is 5.
 fn checked_with(from: &str, to: &str) -> std::result::Result<(), ConfigurationError> {
     assert!(WHOLE.contains(from), "{from} does not stand there");
     Document::parse(WHOLE.replace(from, to).as_bytes())?.validate(5).map(drop)
 }
 
 #[gtest]
-fn a_sound_one_is_taken_and_given_back_with_all_that_was_sent() {
+fn valid_configuration_is_accepted_and_returned_with_all_its_fields() {
     let view = whole().validate(5).expect("sound");
     expect_that!(view.routes.len(), eq(2));
     expect_that!(view.routes[0].targets(), elements_are![eq(&("s", 90.0)), eq(&("t", 10.0))]);
@@ -35,7 +35,7 @@
 }
 
 #[gtest]
-fn each_kind_of_invalid_one_is_refused_with_its_field() {
+fn invalid_configuration_is_rejected_with_the_field_at_fault() {
     use ConfigurationError as E;
     let cut = Document::parse(&WHOLE.as_bytes()[..WHOLE.len() - 40]);
     expect_that!(cut, err(matches_pattern!(E::Unreadable(_))));
@@ -82,7 +82,7 @@
 }
 
 #[gtest]
-fn a_change_adds_replaces_and_removes_by_name() {
+fn change_adds_replaces_and_removes_items_by_name() {
     let change = br#"{"revision":9,"upsert":{"routes":[{"name":"c","host":"h.example","path_prefix":"/c/","route_kind":"safe",
         "timeout_ms":1,"service":"s"}],"tenants":[{"name":"x","quota":4}]},"remove":{"routes":["b","not-there"]}}"#;
     let changed = whole().with_change(&Change::parse(change).expect("a sound change"));
@@ -102,7 +102,7 @@
 }
 
 #[gtest]
-fn what_leads_from_one_version_to_another_leads_there() {
+fn diff_applied_to_its_base_gives_the_other_document() {
     let other = Document::parse(
         WHOLE
             .replace(r#""revision":7"#, r#""revision":8"#)
@@ -120,7 +120,7 @@
 }
 
 #[gtest]
-fn only_nesting_counts_toward_the_depth_that_is_refused() {
+fn nesting_limit_ignores_siblings_and_brackets_in_strings() {
     let with = |field: &str| {
         let text = WHOLE.replacen('{', &format!("{{\"unknown\":{field},"), 1);
         Document::parse(text.as_bytes()).and_then(|document| document.validate(5)).map(drop)
--- a/protocol/tests/frame.rs
+++ b/protocol/tests/frame.rs
@@ -1,4 +1,4 @@
-//! Messages in a stream of bytes: pieces of any size, other versions, garbage, damage.
+//! Frames: chunks of any size, foreign bytes, other versions, damage, fragments, compression.
 
 use googletest::prelude::*;
 use ivyhatch_protocol::frame::{
@@ -7,11 +7,11 @@
 use ivyhatch_protocol::hash::{checksum, hash_mix};
 use ivyhatch_protocol::watch::WatchRequest;
 
-fn want() -> WatchRequest {
+fn request() -> WatchRequest {
     WatchRequest::Fetch { position: Default::default() }
 }
 
-/// A message that does not shrink, as it never repeats itself.
+/// A message that compression does not make shorter.
 fn incompressible(length: usize) -> Vec<u8> {
     (0..length as u64).map(|at| hash_mix(at) as u8).collect()
 }
@@ -23,24 +23,24 @@
 }
 
 #[gtest]
-fn messages_come_whole_from_pieces_of_any_size() {
-    let bytes: Vec<u8> = (0..5).flat_map(|_| encode(&want())).collect();
+fn messages_are_decoded_from_chunks_of_any_size() {
+    let bytes: Vec<u8> = (0..5).flat_map(|_| encode(&request())).collect();
     for size in [1, 2, 3, 7, 64, bytes.len()] {
-        let (mut decoder, mut came) = (Decoder::default(), 0);
+        let (mut decoder, mut received) = (Decoder::default(), 0);
         for piece in bytes.chunks(size) {
             decoder.feed(piece);
             while let Some(message) = decoder.next_message::<WatchRequest>().expect("sound") {
-                expect_that!(message, eq(&want()));
-                came += 1;
+                expect_that!(message, eq(&request()));
+                received += 1;
             }
         }
-        expect_that!(came, eq(5));
+        expect_that!(received, eq(5));
     }
 }
 
 #[gtest]
-fn what_is_no_message_of_ours_is_told_by_kind() {
-    let good = encode(&want());
+fn malformed_frame_is_rejected_with_a_typed_error() {
+    let good = encode(&request());
     let with = |at: usize, byte: u8| {
         let mut bytes = good.clone();
         bytes[at] = byte;
@@ -58,20 +58,20 @@
     );
     expect_that!(with(good.len() - 1, good[good.len() - 1] ^ 1), err(eq(&FrameError::ChecksumMismatch)));
     expect_that!(decoded(&good[..good.len() - 1]), ok(none()));
-    // Sound by its checksum, and no message.
+    // The checksum matches, and the body is no message.
     expect_that!(decoded(&encode(&255_u32)), err(matches_pattern!(FrameError::Undecodable(_))));
 }
 
 #[gtest]
-fn a_small_message_is_not_fragmented() {
-    expect_that!(encode_fragments(&want()), elements_are![eq(&encode(&want()))]);
+fn message_that_fits_one_fragment_is_one_frame() {
+    expect_that!(encode_fragments(&request()), elements_are![eq(&encode(&request()))]);
     let fits = incompressible(FRAGMENT_BYTES - 4);
     expect_that!(encode_fragments(&fits), elements_are![eq(&encode(&fits))]);
     expect_that!(encode_fragments(&incompressible(FRAGMENT_BYTES - 3)).len(), eq(2));
 }
 
 #[gtest]
-fn other_messages_come_between_the_fragments_of_a_large_one() {
+fn messages_between_fragments_are_decoded_before_the_fragmented_one() {
     let large = incompressible(5 * FRAGMENT_BYTES);
     let between = b"between".to_vec();
     let fragments = encode_fragments(&large);
@@ -79,23 +79,23 @@
     for cut in [1, 7, 4096, 3 * FRAGMENT_BYTES] {
         let bytes: Vec<u8> =
             fragments.iter().flat_map(|fragment| [fragment.clone(), encode(&between)].concat()).collect();
-        let (mut decoder, mut came) = (Decoder::default(), Vec::new());
+        let (mut decoder, mut received) = (Decoder::default(), Vec::new());
         for piece in bytes.chunks(cut) {
             decoder.feed(piece);
             while let Some(message) = decoder.next_message::<Vec<u8>>().expect("sound") {
-                came.push(message);
+                received.push(message);
             }
         }
-        expect_that!(came.len(), eq(7), "pieces of {cut}");
-        expect_that!(came[..5].iter().all(|message| *message == between), eq(true));
-        expect_that!(came[5] == large, eq(true), "whole once its last fragment has come");
-        expect_that!(came[6], eq(&between));
+        expect_that!(received.len(), eq(7), "pieces of {cut}");
+        expect_that!(received[..5].iter().all(|message| *message == between), eq(true));
+        expect_that!(received[5] == large, eq(true), "whole once its last fragment has come");
+        expect_that!(received[6], eq(&between));
         expect_that!(decoder.fragments_received(), eq(6));
     }
 }
 
 #[gtest]
-fn each_fragment_is_checked_and_all_together_are_bounded() {
+fn damaged_fragment_and_endless_fragments_are_rejected() {
     let fragments = encode_fragments(&incompressible(3 * FRAGMENT_BYTES));
     let mut damaged = fragments[1].clone();
     damaged[100] ^= 1;
@@ -112,7 +112,7 @@
 }
 
 #[gtest]
-fn a_long_message_that_repeats_itself_is_compressed() {
+fn long_repetitive_message_is_compressed_and_damage_in_it_is_rejected() {
     let long = "all routes look alike; ".repeat(40_000);
     let frame = encode(&long);
     expect_that!(frame.len(), le(long.len() / 100));
@@ -121,7 +121,7 @@
         decoder.feed(&bytes);
         expect_that!(decoder.next_message::<String>().expect("sound") == Some(long.clone()), eq(true));
     }
-    // Sound by its checksum, and decompresses to nothing that was sent.
+    // The checksum matches, and the compressed body is damaged.
     let (head, body) = frame.split_at(12);
     for (at, byte) in [(3, 0xff), (2, 1)] {
         let mut body = body.to_vec();
--- a/protocol/tests/properties.rs
+++ b/protocol/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Any bytes give a typed error or a message that is encoded and decoded again as the same one; nothing panics, and nothing
-//! takes more memory than its bytes warrant.
+//! Properties of all decoders on arbitrary and corrupted input: the result is a typed error or a value that round-trips; there are
+//! no panics, and memory is bounded by the length of the input.
 //!
 //! A longer run: `PROPTEST_CASES=100000 cargo test --release -p ivyhatch-protocol --test properties`.
 
@@ -23,8 +23,8 @@
 
 const FRAME_HEADER: usize = 12;
 
-/// A frame around any body, sound by its header.
-fn framed(body: &[u8]) -> Vec<u8> {
+/// A frame with a valid header around any body.
+fn frame_around(body: &[u8]) -> Vec<u8> {
     let mut bytes = 0x6976_u16.to_le_bytes().to_vec();
     bytes.extend_from_slice(&PROTOCOL_VERSION.to_le_bytes());
     bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
@@ -39,12 +39,12 @@
     decoder.next_message()
 }
 
-/// Whatever decodes is encoded and decoded again as the same message.
+/// A body that can be decoded round-trips.
 fn check_body<M>(body: &[u8]) -> std::result::Result<(), TestCaseError>
 where
     M: for<'a> Readable<'a, LittleEndian> + Writable<LittleEndian> + PartialEq + Debug,
 {
-    match decoded::<M>(&framed(body)) {
+    match decoded::<M>(&frame_around(body)) {
         Ok(Some(message)) => {
             let again = decoded::<M>(&encode(&message));
             prop_assert_eq!(again, Ok(Some(message)));
@@ -125,18 +125,18 @@
     frames.iter().map(|frame| frame[FRAME_HEADER..].to_vec()).collect()
 }
 
-/// What becomes of bytes.
+/// A corruption of bytes.
 #[derive(Clone, Debug)]
-enum Harm {
+enum Corruption {
     Truncate(Index),
     Byte(Index, u8),
-    /// Where a length may stand.
+    /// Overwrites four bytes, which may be a length.
     Word(Index, u32),
     Insert(Index, Vec<u8>),
     Duplicate(Index, Index),
 }
 
-impl Harm {
+impl Corruption {
     fn apply(&self, bytes: &mut Vec<u8>) {
         if bytes.is_empty() {
             return;
@@ -165,7 +165,7 @@
     }
 }
 
-fn any_harm() -> impl Strategy<Value = Harm> {
+fn any_corruption() -> impl Strategy<Value = Corruption> {
     let index = any::<Index>;
     let word = prop_oneof![
         0..64_u32,
@@ -175,27 +175,27 @@
         any::<u32>()
     ];
     prop_oneof![
-        index().prop_map(Harm::Truncate),
-        (index(), any::<u8>()).prop_map(|(at, byte)| Harm::Byte(at, byte)),
-        (index(), word).prop_map(|(at, word)| Harm::Word(at, word)),
-        (index(), vec(any::<u8>(), 1..12)).prop_map(|(at, more)| Harm::Insert(at, more)),
-        (index(), index()).prop_map(|(one, two)| Harm::Duplicate(one, two)),
+        index().prop_map(Corruption::Truncate),
+        (index(), any::<u8>()).prop_map(|(at, byte)| Corruption::Byte(at, byte)),
+        (index(), word).prop_map(|(at, word)| Corruption::Word(at, word)),
+        (index(), vec(any::<u8>(), 1..12)).prop_map(|(at, more)| Corruption::Insert(at, more)),
+        (index(), index()).prop_map(|(one, two)| Corruption::Duplicate(one, two)),
     ]
 }
 
-/// Bytes of which many are small, as tags and lengths are.
+/// Bytes many of which are small, like tags and lengths.
 fn any_body() -> impl Strategy<Value = Vec<u8>> {
     let byte = prop_oneof![3 => Just(0_u8), 3 => 0..12_u8, 1 => any::<u8>()];
     vec(byte, 0..200)
 }
 
-fn harmed(mut bytes: Vec<u8>, harms: &[Harm]) -> Vec<u8> {
-    harms.iter().for_each(|harm| harm.apply(&mut bytes));
+fn corrupted(mut bytes: Vec<u8>, corruptions: &[Corruption]) -> Vec<u8> {
+    corruptions.iter().for_each(|corruption| corruption.apply(&mut bytes));
     bytes
 }
 
-/// Feeds a stream in pieces, and takes messages until there are none or the stream is of no further use.
-fn drain<M: for<'a> Readable<'a, LittleEndian>>(bytes: &[u8], piece: usize) -> usize {
+/// Decodes a stream in chunks until its end or the first error; the number of messages.
+fn decode_all<M: for<'a> Readable<'a, LittleEndian>>(bytes: &[u8], piece: usize) -> usize {
     let (mut decoder, mut count) = (Decoder::default(), 0);
     for piece in bytes.chunks(piece) {
         decoder.feed(piece);
@@ -212,40 +212,40 @@
 
 proptest! {
     #[test]
-    fn any_body_is_an_error_or_the_same_message_again(body in any_body()) {
+    fn arbitrary_body_is_rejected_or_round_trips(body in any_body()) {
         check_all_messages(&body)?;
     }
 
     #[test]
-    fn a_harmed_body_is_an_error_or_the_same_message_again(which in any::<Index>(), harms in vec(any_harm(), 0..4)) {
+    fn corrupted_body_is_rejected_or_round_trips(which in any::<Index>(), corruptions in vec(any_corruption(), 0..4)) {
         let bodies = sample_bodies();
-        check_all_messages(&harmed(bodies[which.index(bodies.len())].clone(), &harms))?;
+        check_all_messages(&corrupted(bodies[which.index(bodies.len())].clone(), &corruptions))?;
     }
 
     #[test]
-    fn any_stream_ends_in_messages_or_a_typed_error(
+    fn arbitrary_stream_gives_messages_or_a_typed_error(
         stream in vec(any::<u8>(), 0..400),
-        is_marked in any::<bool>(),
+        has_magic in any::<bool>(),
         piece in 1..50_usize,
     ) {
-        let stream = if is_marked { [&0x6976_u16.to_le_bytes()[..], &stream].concat() } else { stream };
-        drain::<PeerMessage>(&stream, piece);
-        drain::<WatchRequest>(&stream, piece);
-        drain::<WatchResponse>(&stream, piece);
+        let stream = if has_magic { [&0x6976_u16.to_le_bytes()[..], &stream].concat() } else { stream };
+        decode_all::<PeerMessage>(&stream, piece);
+        decode_all::<WatchRequest>(&stream, piece);
+        decode_all::<WatchResponse>(&stream, piece);
     }
 
     #[test]
-    fn a_harmed_stream_gives_no_more_messages_than_were_sent(
+    fn corrupted_stream_gives_no_more_messages_than_were_sent(
         which in any::<Index>(),
-        harms in vec(any_harm(), 1..4),
+        corruptions in vec(any_corruption(), 1..4),
         piece in 1..50_usize,
     ) {
         let bodies = sample_bodies();
-        let frame = framed(&bodies[which.index(bodies.len())]);
-        let longest = harmed([frame.clone(), frame.clone(), frame].concat(), &harms);
-        let count = drain::<PeerMessage>(&longest, piece).max(drain::<WatchResponse>(&longest, piece));
+        let frame = frame_around(&bodies[which.index(bodies.len())]);
+        let longest = corrupted([frame.clone(), frame.clone(), frame].concat(), &corruptions);
+        let count = decode_all::<PeerMessage>(&longest, piece).max(decode_all::<WatchResponse>(&longest, piece));
         // Each duplication may add what the stream had before it.
-        prop_assert!(count <= 3 << harms.len(), "{count} messages");
+        prop_assert!(count <= 3 << corruptions.len(), "{count} messages");
     }
 }
 
@@ -264,7 +264,7 @@
     "tolerate":{"machines":1},"bounds":{"drain_ms":3000,"grace_s":8,"budget_ratio":0.2},
     "cloud_api":{"address":"10.200.0.79:8169","rate_per_s":40.0,"lag_ms":800}}"#;
 
-/// A text that has much of JSON.
+/// Tokens of JSON and of our fields in any order.
 fn any_json() -> impl Strategy<Value = Vec<u8>> {
     let token = prop_oneof![
         prop::sample::select(vec![
@@ -299,13 +299,13 @@
 fn check_configuration(body: &[u8]) -> std::result::Result<(), TestCaseError> {
     if let Ok(document) = Document::parse(body) {
         prop_assert_eq!(Document::parse(document.to_json().as_bytes()), Ok(document.clone()));
-        // Whether it makes sense is another question: it is told by a typed error.
+        // The document need not be valid; validation must not panic.
         let _ = document.validate(0);
         let before = Document::parse(CONFIGURATION.as_bytes()).expect("sound");
-        let mut there = before.with_change(&before.diff(&document));
-        there.sections.retain(|name, items| !items.is_empty() || document.sections.contains_key(name));
-        prop_assert_eq!(names(&there), names(&document));
-        prop_assert_eq!(there.other_fields, document.other_fields);
+        let mut changed = before.with_change(&before.diff(&document));
+        changed.sections.retain(|name, items| !items.is_empty() || document.sections.contains_key(name));
+        prop_assert_eq!(names(&changed), names(&document));
+        prop_assert_eq!(changed.other_fields, document.other_fields);
     }
     if let Ok(change) = Change::parse(body) {
         let changed = Document::parse(CONFIGURATION.as_bytes()).expect("sound").with_change(&change);
@@ -315,7 +315,7 @@
     Ok(())
 }
 
-/// Items by section, in an order of their own: a change keeps the order of those that were there.
+/// Items by section, sorted: a change keeps the order of the items that it does not replace.
 fn names(document: &Document) -> Vec<(String, Vec<(String, String)>)> {
     let by_name = |items: &Vec<Item>| {
         let mut pairs: Vec<_> = items.iter().map(|item| (item.name.clone(), item.json.clone())).collect();
@@ -327,22 +327,22 @@
 
 proptest! {
     #[test]
-    fn any_text_is_a_configuration_that_is_given_back_or_a_typed_error(text in any_json()) {
+    fn arbitrary_text_is_rejected_or_a_configuration_that_round_trips(text in any_json()) {
         check_configuration(&text)?;
     }
 
     #[test]
-    fn a_harmed_configuration_or_change_is_given_back_or_a_typed_error(
+    fn corrupted_configuration_or_change_is_rejected_or_round_trips(
         is_change in any::<bool>(),
-        harms in vec(any_harm(), 0..4),
+        corruptions in vec(any_corruption(), 0..4),
     ) {
         let text = if is_change { CHANGE } else { CONFIGURATION };
-        check_configuration(&harmed(text.as_bytes().to_vec(), &harms))?;
+        check_configuration(&corrupted(text.as_bytes().to_vec(), &corruptions))?;
     }
 
     #[test]
-    fn any_settings_are_read_or_a_typed_error(text in any_json(), harms in vec(any_harm(), 0..3)) {
-        for bytes in [text, harmed(SETTINGS.as_bytes().to_vec(), &harms)] {
+    fn arbitrary_settings_are_read_or_rejected_as_malformed(text in any_json(), corruptions in vec(any_corruption(), 0..3)) {
+        for bytes in [text, corrupted(SETTINGS.as_bytes().to_vec(), &corruptions)] {
             let read = Settings::from_text(&String::from_utf8_lossy(&bytes), "node.json");
             if let Err(error) = read {
                 prop_assert!(matches!(error, SettingsError::Malformed { .. }), "{error}");
@@ -352,9 +352,9 @@
 }
 
 #[gtest]
-fn the_samples_are_sound() {
+fn samples_are_valid_messages_and_files() {
     for body in sample_bodies() {
-        let frame = framed(&body);
+        let frame = frame_around(&body);
         let is_known = matches!(decoded::<PeerMessage>(&frame), Ok(Some(_)))
             || matches!(decoded::<WatchRequest>(&frame), Ok(Some(_)))
             || matches!(decoded::<WatchResponse>(&frame), Ok(Some(_)))
@@ -368,16 +368,19 @@
 }
 
 #[gtest]
-fn a_message_with_bytes_behind_it_is_no_message() {
+fn message_with_trailing_bytes_is_rejected() {
     let want = WatchRequest::Fetch { position: Position::default() };
     let mut body = encode(&want)[FRAME_HEADER..].to_vec();
-    expect_that!(decoded::<WatchRequest>(&framed(&body)), ok(some(eq(&want))));
+    expect_that!(decoded::<WatchRequest>(&frame_around(&body)), ok(some(eq(&want))));
     body.push(0);
-    expect_that!(decoded::<WatchRequest>(&framed(&body)), err(matches_pattern!(FrameError::Undecodable(_))));
+    expect_that!(
+        decoded::<WatchRequest>(&frame_around(&body)),
+        err(matches_pattern!(FrameError::Undecodable(_)))
+    );
 }
 
 #[gtest]
-fn deep_and_endless_json_is_a_typed_error() {
+fn deeply_nested_and_unterminated_json_is_rejected() {
     const DEPTH: usize = 200_000;
     for (open, close) in [("[", "]"), (r#"{"a":"#, "}")] {
         let nested = format!("{}1{}", open.repeat(DEPTH), close.repeat(DEPTH));
@@ -400,7 +403,7 @@
     }
 }
 
-/// The most address space that this process has had, in bytes.
+/// The peak virtual memory of this process, in bytes.
 fn peak_memory() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").expect("the state of this process");
     let line = status.lines().find_map(|line| line.strip_prefix("VmPeak:")).expect("its peak");
@@ -409,19 +412,19 @@
 }
 
 #[gtest]
-fn a_length_that_lies_takes_no_memory() {
-    // What tests at the same time may take, and far below what any of these lengths names.
+fn false_length_allocates_no_memory() {
+    // Above what concurrent tests allocate, and far below any of these lengths.
     const ALLOWANCE: u64 = 1 << 30;
     let before = peak_memory();
     for body in sample_bodies() {
         for at in 0..body.len() {
             for length in [u32::MAX, u32::MAX / 2, 0x1000_0000, MAX_MESSAGE_BYTES as u32] {
-                let mut lying = body.clone();
-                let end = lying.len().min(at + 4);
-                lying[at..end].copy_from_slice(&length.to_le_bytes()[..end - at]);
-                check_all_messages(&lying).expect("an error or the same message again");
-                // The length of the frame itself: it waits for bytes that never come, or is refused.
-                let mut frame = framed(&lying);
+                let mut corrupted = body.clone();
+                let end = corrupted.len().min(at + 4);
+                corrupted[at..end].copy_from_slice(&length.to_le_bytes()[..end - at]);
+                check_all_messages(&corrupted).expect("an error or the same message again");
+                // In the header, the decoder waits for the rest of the body or rejects the length.
+                let mut frame = frame_around(&corrupted);
                 frame[4..8].copy_from_slice(&length.to_le_bytes());
                 let read = decoded::<PeerMessage>(&frame);
                 expect_that!(matches!(read, Ok(None) | Err(FrameError::MessageTooLong { .. })), is_true());
