--- a/control/tests/golden_records.rs
+++ b/control/tests/golden_records.rs
@@ -149,7 +149,7 @@
     let (mut log, mut stored) = (CompactingWal::new(log), Stored::default());
     for records in writes {
         records.iter().for_each(|record| stored.apply(record.clone()));
-        let written = log.write(&encode(records), || encode(&stored.records())).expect("a durable write");
+        let written = log.append(&encode(records), || encode(&stored.records())).expect("a durable write");
         assert!(written.compaction_error.is_none());
     }
     read_file(folder.path())
--- a/system/src/disk.rs
+++ b/system/src/disk.rs
@@ -81,7 +81,7 @@
     for (index, bytes) in records.iter().enumerate() {
         match decode(bytes) {
             Ok(record) => stored.apply(record),
-            Err(reason) => return Err(log.reject(index, reason)),
+            Err(reason) => return Err(log.reject_record(index, reason)),
         }
     }
     Ok((log, stored))
@@ -126,7 +126,7 @@
     fn write(&mut self, records: &[Vec<u8>]) {
         let stored = &self.stored;
         loop {
-            match self.log.write(records, || encode(&stored.records())) {
+            match self.log.append(records, || encode(&stored.records())) {
                 Ok(written) => {
                     if let Some(error) = written.compaction_error {
                         log::warn!("event=compaction_failed error={:?}", error.to_string());
--- a/wal/src/compaction.rs
+++ b/wal/src/compaction.rs
@@ -1,101 +1,106 @@
-//! A log that stays short: it is replaced by a snapshot of its state when it has grown much longer than that.
+//! A log that is rewritten with a snapshot of its state when it has grown much longer than that.
 
+use crate::directory::Directory;
 use crate::error::WalError;
-use crate::storage::{Directory, Storage};
+use crate::storage::Storage;
 use crate::wal::Wal;
 
-/// A shorter file is never replaced.
+/// A shorter file is never rewritten, in bytes.
 pub const MIN_COMPACTION_BYTES: u64 = 2 << 20;
-/// A file is replaced when it is so many times as long as a snapshot ...
+/// A file is rewritten at this multiple of its snapshot's length ...
 const GROWTH_FACTOR: u64 = 6;
-/// ... or this long: the file, its last write and its replacement have to fit on a disk of 64 MB together.
+/// ... or at this length in bytes, whichever is less: the file, its last block and its replacement have to fit on a disk of 64 MB.
 pub const MAX_COMPACTION_BYTES: u64 = 24 << 20;
-/// A file that is longer than [`MAX_COMPACTION_BYTES`] by its state alone is replaced at this many times its snapshot.
-const GROWTH_FACTOR_OF_LARGE_STATE: u64 = 2;
-/// After a compaction that failed the next one is tried when the file has grown by this.
-const RETRY_GROWTH: u64 = 256 << 10;
+/// A file whose snapshot alone comes near [`MAX_COMPACTION_BYTES`] is rewritten at this multiple of the snapshot's length.
+const LARGE_STATE_GROWTH_FACTOR: u64 = 2;
+/// After a compaction that failed, the next one is attempted when the file has grown by this, in bytes.
+const RETRY_GROWTH_BYTES: u64 = 256 << 10;
 
-/// A log, and when it is to be compacted next.
+/// A log that compacts itself.
 #[derive(Debug)]
 pub struct CompactingWal<S: Storage = Directory> {
-    log: Wal<S>,
+    wal: Wal<S>,
+    /// The length of the file at which it is rewritten, in bytes.
     compact_at: u64,
-    /// A write has failed, so that the next one is a replacement of the file.
-    needs_replacement: bool,
+    /// Whether the last append failed, so that the next one rewrites the file.
+    needs_rewrite: bool,
 }
 
-/// What a write has done.
+/// The outcome of an append that succeeded.
 #[derive(Debug)]
-pub struct WriteOutcome {
-    /// Why the compaction that was due has failed. The write itself is durable all the same.
+pub struct AppendOutcome {
+    /// Why the compaction that was due has failed. The records are durable all the same, and a later append attempts it again.
     pub compaction_error: Option<WalError>,
 }
 
 impl<S: Storage> CompactingWal<S> {
     /// Compacts this log from now on.
-    pub fn new(log: Wal<S>) -> Self {
-        Self { log, compact_at: MIN_COMPACTION_BYTES, needs_replacement: false }
+    pub fn new(wal: Wal<S>) -> Self {
+        Self { wal, compact_at: MIN_COMPACTION_BYTES, needs_rewrite: false }
     }
 
-    /// The length of the file in bytes, as far as it is sound and durable.
+    /// The length of the durable part of the file, in bytes.
     pub fn length(&self) -> u64 {
-        self.log.length()
+        self.wal.length()
     }
 
-    /// Writes records. When this returns without an error, they are durable. `snapshot` gives the records that say all that the
-    /// file has to say, these ones included; it is called only when the file is to be replaced.
+    /// Appends records; they are durable when this returns without an error. `snapshot` gives records that can replace all records
+    /// of the log, the appended ones included; it is called only when the file is to be rewritten.
     ///
     /// # Errors
-    /// Where the records are not known to be durable. The same call is to be made again until it succeeds.
-    pub fn write(
+    /// Where the records may not be durable. The caller has to repeat the same call until it succeeds, and must not append
+    /// anything else before.
+    pub fn append(
         &mut self,
         records: &[Vec<u8>],
         snapshot: impl Fn() -> Vec<Vec<u8>>,
-    ) -> Result<WriteOutcome, WalError> {
-        if self.needs_replacement {
-            return self.retry(records, snapshot).map(|()| WriteOutcome { compaction_error: None });
+    ) -> Result<AppendOutcome, WalError> {
+        if self.needs_rewrite {
+            self.retry(records, snapshot)?;
+            return Ok(AppendOutcome { compaction_error: None });
         }
-        if let Err(error) = self.log.append(records) {
-            self.needs_replacement = true;
+        if let Err(error) = self.wal.append(records) {
+            self.needs_rewrite = true;
             return Err(error);
         }
-        Ok(WriteOutcome { compaction_error: self.compact(snapshot).err() })
+        Ok(AppendOutcome { compaction_error: self.compact_if_due(snapshot).err() })
     }
 
-    /// After a write that failed: a new file is tried first, as the present one may be beyond use, and then the present one, as
-    /// there may be no room for two.
+    /// Repeats an append that failed: by a rewrite, as the present file may be beyond use; else by another append, as the disk may
+    /// have no space for a second file.
     fn retry(&mut self, records: &[Vec<u8>], snapshot: impl Fn() -> Vec<Vec<u8>>) -> Result<(), WalError> {
-        let Err(error) = self.replace(&snapshot()) else { return Ok(()) };
-        if self.log.append(records).is_err() {
+        let Err(error) = self.rewrite(&snapshot()) else { return Ok(()) };
+        if self.wal.append(records).is_err() {
             return Err(error);
         }
-        self.needs_replacement = false;
+        self.needs_rewrite = false;
         Ok(())
     }
 
-    fn compact(&mut self, snapshot: impl Fn() -> Vec<Vec<u8>>) -> Result<(), WalError> {
-        if self.log.length() < self.compact_at {
+    fn compact_if_due(&mut self, snapshot: impl Fn() -> Vec<Vec<u8>>) -> Result<(), WalError> {
+        if self.wal.length() < self.compact_at {
             return Ok(());
         }
+        // The state may have grown since the last rewrite.
         let records = snapshot();
-        self.compact_at = compaction_length(&records);
-        if self.log.length() < self.compact_at {
+        self.compact_at = compaction_threshold(&records);
+        if self.wal.length() < self.compact_at {
             return Ok(());
         }
-        self.replace(&records).inspect_err(|_| self.compact_at = self.log.length() + RETRY_GROWTH)
+        self.rewrite(&records).inspect_err(|_| self.compact_at = self.wal.length() + RETRY_GROWTH_BYTES)
     }
 
-    fn replace(&mut self, records: &[Vec<u8>]) -> Result<(), WalError> {
-        self.log.rewrite(records)?;
-        self.needs_replacement = false;
-        self.compact_at = compaction_length(records);
+    fn rewrite(&mut self, records: &[Vec<u8>]) -> Result<(), WalError> {
+        self.wal.rewrite(records)?;
+        self.needs_rewrite = false;
+        self.compact_at = compaction_threshold(records);
         Ok(())
     }
 }
 
-/// The length at which a file with a snapshot like this one is replaced.
-fn compaction_length(snapshot: &[Vec<u8>]) -> u64 {
+/// The length at which a file with this snapshot is rewritten, in bytes.
+fn compaction_threshold(snapshot: &[Vec<u8>]) -> u64 {
     let length: u64 = snapshot.iter().map(|record| record.len() as u64).sum();
-    let wanted = (length * GROWTH_FACTOR).min(MAX_COMPACTION_BYTES);
-    wanted.max(length * GROWTH_FACTOR_OF_LARGE_STATE).max(MIN_COMPACTION_BYTES)
+    let threshold = (length * GROWTH_FACTOR).min(MAX_COMPACTION_BYTES);
+    threshold.max(length * LARGE_STATE_GROWTH_FACTOR).max(MIN_COMPACTION_BYTES)
 }
--- a/wal/src/lib.rs
+++ b/wal/src/lib.rs
@@ -1,26 +1,48 @@
-//! An append-only file of checksummed records: carries out writes, decides nothing about what they mean.
+//! A write-ahead log in one file: an append-only sequence of checksummed blocks of records. Carries out writes; what a record
+//! means is the caller's.
 //!
-//! Each [`Wal::append`] is one block with a checksum, written in one go and synced before the call returns. Nothing is written
-//! behind a block that is not durable, so a crash can tear only the last block: such a block was never confirmed, and is cut off.
-//! Any other damage means that something confirmed may be missing: then nothing of the file counts, the file is set aside under
-//! another name, and the caller is told so.
+//! # Crash model
 //!
-//! A file is made, and replaced, by writing another one beside it, which is synced and renamed; then the folder is synced. A
-//! loss of power before that leaves either file under the name, and both are sound and say all that was confirmed. Until the
-//! folder is synced nothing is appended, as the file that was written to might not be the one that keeps the name.
+//! The process may be killed, and the machine may lose power, at any moment. A loss of power may keep or lose, each by itself,
+//! every name that was changed since the last sync of its directory and every write since the last sync of its file; a lost write
+//! may be kept in part or leave zeros. Synced bytes are never changed by a crash; that they are is damage of the disk, which
+//! checksums detect.
 //!
-//! - `block`: the bytes of a file
-//! - `storage`: the file operations, a trait, so that tests can lose names and bytes one by one
-//! - `log`: an open file
-//! - `compacting`: when a file is replaced by a shorter one
+//! # Durability
+//!
+//! - Records are durable when [`Wal::append`], [`Wal::rewrite`] or [`CompactingWal::append`] returns without an error. After an
+//!   error they may or may not be in the file; all earlier records stay durable.
+//! - Records that [`Wal::open`] returns are durable: they are synced before it returns.
+//! - A block is appended only after the one before it is durable, so a crash can tear only the last block. A torn block was never
+//!   acknowledged, and [`Wal::open`] truncates it. All other damage means that acknowledged records may be lost: the file is set
+//!   aside under another name, and none of its records count.
+//! - A file is created, and rewritten, as a temporary file that is synced and renamed over the log's name; then the directory is
+//!   synced. Nothing is appended before that, as a loss of power could bring back the file that had the name before.
+//!
+//! # The caller's duty
+//!
+//! - Acknowledge nothing to others before the call that writes it has returned without an error.
+//! - Open a log in one process and by one [`Wal`] at a time.
+//! - After [`WalError::is_set_aside`], open again for an empty log, and treat all state as lost.
+//!
+//! # Modules
+//!
+//! - `wal`: an open log
+//! - `compaction`: a log that is rewritten when it has grown long
+//! - `format`: the bytes of a file
+//! - `storage`: the file operations that a log needs, as a trait for tests that lose names and bytes one by one
+//! - `directory`: these operations on a file system
+//! - `error`: why a log can't be opened or written
 
-mod block;
 mod compaction;
+mod directory;
 mod error;
+mod format;
 mod storage;
 mod wal;
 
-pub use compaction::{CompactingWal, MAX_COMPACTION_BYTES, MIN_COMPACTION_BYTES, WriteOutcome};
+pub use compaction::{AppendOutcome, CompactingWal, MAX_COMPACTION_BYTES, MIN_COMPACTION_BYTES};
+pub use directory::Directory;
 pub use error::WalError;
-pub use storage::{Directory, Storage};
+pub use storage::Storage;
 pub use wal::{OpenedWal, Wal};
--- a/wal/src/wal.rs
+++ b/wal/src/wal.rs
@@ -1,99 +1,93 @@
-//! An open file of records.
+//! An open log.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
-use crate::block::{self, Contents, MAX_BODY_LENGTH};
+use crate::directory::Directory;
 use crate::error::WalError;
-use crate::storage::{Directory, Storage};
+use crate::format::{
+    DecodedBlocks, DecodedFile, EncodedFile, MAX_BODY_LENGTH, body_length, decode_file, encode_block,
+    encode_file,
+};
+use crate::storage::Storage;
 
-/// Files that were set aside and are kept; a further one replaces the last of these.
+/// The number of files that are kept after they were set aside. A further one replaces the last of them.
 const MAX_SET_ASIDE: u32 = 4;
 
-/// How far the file under the log's name can be relied on.
+/// Whether the file under the log's name can be written to.
 #[derive(Debug)]
 enum State<F> {
-    /// All of it is sound and durable.
+    /// The whole file is valid and durable.
     Ready(F),
-    /// A write failed: behind the sound bytes there may be others.
+    /// An append failed: there may be bytes behind the durable ones.
     TailUnknown(F),
-    /// A replacement failed between its rename and the sync of the folder: which file a loss of power would leave under the
-    /// name is not known, so neither is written to.
+    /// A rewrite failed after it began to rename its file. Which file a loss of power would leave under the name is unknown, so
+    /// that an append to either could be lost.
     NameUnknown,
 }
 
-/// An open file of records.
+/// An open log.
 #[derive(Debug)]
 pub struct Wal<S: Storage = Directory> {
     storage: S,
     name: String,
     state: State<S::File>,
-    /// Bytes that are sound and durable.
+    /// The length of the durable part of the file, in bytes.
     length: u64,
-    /// The blocks in them.
+    /// The number of blocks in the durable part.
     block_count: u32,
 }
 
-/// A log, and the records that it held when it was opened, in order.
+/// A log, and the records that it had when it was opened, in the order in which they were appended.
 pub type OpenedWal<S> = (Wal<S>, Vec<Vec<u8>>);
 
 impl Wal {
-    /// Opens the file of this name in a folder. Either is made where there is none.
+    /// Opens the log of this name in a directory. Creates a directory or file that is missing.
     ///
     /// # Errors
     /// As [`Wal::open_in`].
-    pub fn open(folder: &Path, name: &str) -> Result<OpenedWal<Directory>, WalError> {
-        Self::open_in(Directory::new(folder), name)
+    pub fn open(directory: &Path, name: &str) -> Result<OpenedWal<Directory>, WalError> {
+        Self::open_in(Directory::new(directory), name)
     }
 }
 
 impl<S: Storage> Wal<S> {
-    /// Opens the file of this name, and makes one where there is none. What is returned as read is durable, as are the names of
-    /// the file and its folder.
+    /// Opens the log of this name, and creates a file that is missing. The records that are returned are durable, as are the names
+    /// of the file and of its directory.
     ///
     /// # Errors
-    /// Where the disk refuses, or the file is damaged or of another format. In these two cases it has been set aside, and the
-    /// next call starts an empty one.
+    /// [`WalError::Damaged`] and [`WalError::UnsupportedFormat`] after the file was set aside: the next call creates an empty log.
+    /// [`WalError::Io`] and [`WalError::DiskFull`] where an operation failed.
     pub fn open_in(storage: S, name: &str) -> Result<OpenedWal<S>, WalError> {
-        let failed = |source| WalError::from_io(storage.path(name), source);
-        storage.create_directory().map_err(failed)?;
-        // A replacement that was never put in place holds nothing that counts, and does no harm where it can't be removed.
-        let _ = storage.remove(&replacement_name(name));
-        let found = storage.open(name).map_err(failed)?;
-        let Some(mut file) = found else {
+        let io_error = |source| WalError::from_io(storage.path(name), source);
+        storage.create_directory().map_err(io_error)?;
+        // The file of a rewrite that was not completed has no records that count, and does no harm if it can't be removed.
+        let _ = storage.remove(&temporary_name(name));
+        let Some(mut file) = storage.open(name).map_err(io_error)? else {
             return Ok((Self::create_with(storage, name, &[])?, Vec::new()));
         };
-        let bytes = storage.read(&mut file).map_err(failed)?;
-        match block::decode_file(&bytes) {
-            Contents::Sound(_) if bytes.is_empty() => {
+        let bytes = storage.read(&mut file).map_err(io_error)?;
+        match decode_file(&bytes) {
+            DecodedFile::Current(_) if bytes.is_empty() => {
                 Ok((Self::create_with(storage, name, &[])?, Vec::new()))
             }
-            Contents::Sound(sound) => {
-                let length = sound.length as u64;
-                if sound.length < bytes.len() {
-                    storage.truncate(&mut file, length).map_err(failed)?;
-                }
-                // A process that was killed may have left bytes or a name that were not synced yet. Whoever has read them acts
-                // on them, so a later loss of power must not take them back.
-                storage.sync(&mut file).and_then(|()| storage.sync_directory()).map_err(failed)?;
-                let (state, block_count) = (State::Ready(file), sound.block_count);
-                Ok((Self { storage, name: name.to_owned(), state, length, block_count }, sound.records))
+            DecodedFile::Current(blocks) => {
+                let has_torn_block = blocks.length < bytes.len();
+                Self::recover(storage, name, file, blocks, has_torn_block)
             }
-            Contents::SoundWithoutNumbers(sound) => {
-                let log = Self::create_with(storage, name, &sound.records)?;
-                Ok((log, sound.records))
+            DecodedFile::Unnumbered(blocks) => {
+                let wal = Self::create_with(storage, name, &blocks.records)?;
+                Ok((wal, blocks.records))
             }
-            Contents::Damaged { offset } => {
-                let path = storage.path(name);
-                Err(set_aside(&storage, name).map_or_else(failed, |set_aside| WalError::Damaged {
+            DecodedFile::Damaged { offset } => {
+                Err(set_aside_or_io_error(&storage, name, |path, set_aside| WalError::Damaged {
                     path,
                     offset,
                     set_aside,
                 }))
             }
-            Contents::UnsupportedFormat { version } => {
-                let path = storage.path(name);
-                Err(set_aside(&storage, name).map_or_else(failed, |set_aside| WalError::UnsupportedFormat {
+            DecodedFile::UnsupportedFormat { version } => {
+                Err(set_aside_or_io_error(&storage, name, |path, set_aside| WalError::UnsupportedFormat {
                     path,
                     version,
                     set_aside,
@@ -102,34 +96,57 @@
         }
     }
 
-    /// A new file with these records. It gets its name only when it is durable, so that a file without a sound header is
-    /// damaged and not just young.
+    /// Makes a file durable as far as its blocks are valid.
+    ///
+    /// A process that was killed may have left bytes or a name that were not synced. The caller acts on the records that it reads,
+    /// so a later loss of power must not take them back.
+    fn recover(
+        storage: S,
+        name: &str,
+        mut file: S::File,
+        blocks: DecodedBlocks,
+        has_torn_block: bool,
+    ) -> Result<OpenedWal<S>, WalError> {
+        let DecodedBlocks { records, length, block_count } = blocks;
+        let length = length as u64;
+        let truncated = if has_torn_block { storage.truncate(&mut file, length) } else { Ok(()) };
+        truncated
+            .and_then(|()| storage.sync(&mut file))
+            .and_then(|()| storage.sync_directory())
+            .map_err(|source| WalError::from_io(storage.path(name), source))?;
+        let state = State::Ready(file);
+        Ok((Self { storage, name: name.to_owned(), state, length, block_count }, records))
+    }
+
+    /// Creates the file with these records. It gets its name only after it is durable, so that a file without a valid header is
+    /// damaged rather than new.
     fn create_with(storage: S, name: &str, records: &[Vec<u8>]) -> Result<Self, WalError> {
         let state = State::NameUnknown;
-        let mut log = Self { storage, name: name.to_owned(), state, length: 0, block_count: 0 };
-        log.rewrite(records)?;
-        Ok(log)
+        let mut wal = Self { storage, name: name.to_owned(), state, length: 0, block_count: 0 };
+        wal.rewrite(records)?;
+        Ok(wal)
     }
 
-    /// The length of the file in bytes, as far as it is sound and durable.
+    /// The length of the durable part of the file, in bytes.
     pub fn length(&self) -> u64 {
         self.length
     }
 
-    /// Appends records as one block. When this returns without an error, they are durable.
+    /// Appends records as one block; they are durable when this returns without an error. After a crash either all of them are in
+    /// the log or none.
     ///
     /// # Errors
-    /// Where the disk refuses them, or there are too many for one block. All records from before stay valid; the next call
-    /// first cuts off what this one may have written.
+    /// [`WalError::Io`] and [`WalError::DiskFull`] where an operation failed: the records may or may not be in the file, and the
+    /// next append first truncates them. [`WalError::BatchTooLong`] where they do not fit in a block. Earlier records stay durable.
     pub fn append(&mut self, records: &[Vec<u8>]) -> Result<(), WalError> {
         self.check_length(records)?;
         let mut bytes = Vec::new();
-        block::encode_block(records, self.block_count, &mut bytes);
+        encode_block(records, self.block_count, &mut bytes);
         self.append_bytes(&bytes).map_err(|source| self.io_error(source))
     }
 
     fn append_bytes(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.cut_unknown_tail()?;
+        self.truncate_unknown_tail()?;
         let State::Ready(mut file) = std::mem::replace(&mut self.state, State::NameUnknown) else {
             return Err(io::Error::other(
                 "a replacement of the file has failed and must be tried again first",
@@ -147,8 +164,8 @@
         Ok(())
     }
 
-    /// Makes a file sound again whose last write has failed.
-    fn cut_unknown_tail(&mut self) -> io::Result<()> {
+    /// Removes what an append that failed may have written.
+    fn truncate_unknown_tail(&mut self) -> io::Result<()> {
         let State::TailUnknown(file) = &mut self.state else { return Ok(()) };
         self.storage.truncate(file, self.length)?;
         self.storage.sync(file)?;
@@ -159,54 +176,59 @@
         Ok(())
     }
 
-    /// Puts a file with just these records in place of the present one. When this returns without an error, it is durable.
+    /// Replaces the file by one with just these records; it is durable when this returns without an error.
     ///
     /// # Errors
-    /// Where the disk refuses, or there are too many records for one block. The present file then stays valid.
+    /// [`WalError::Io`] and [`WalError::DiskFull`] where an operation failed: after a crash the log has either its earlier records or
+    /// these. If the rename was begun, appends fail until a rewrite succeeds. [`WalError::BatchTooLong`] where the records do not
+    /// fit in a block.
     pub fn rewrite(&mut self, records: &[Vec<u8>]) -> Result<(), WalError> {
         self.check_length(records)?;
-        let (bytes, block_count) = block::encode_file(records);
-        self.replace_with(&bytes).map_err(|source| self.io_error(source))?;
+        let EncodedFile { bytes, block_count } = encode_file(records);
+        self.replace_file(&bytes).map_err(|source| self.io_error(source))?;
         self.block_count = block_count;
         Ok(())
     }
 
-    fn replace_with(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let file = match self.write_replacement(bytes) {
+    fn replace_file(&mut self, bytes: &[u8]) -> io::Result<()> {
+        let temporary = temporary_name(&self.name);
+        let file = match self.write_temporary(&temporary, bytes) {
             Ok(file) => file,
             Err(error) => {
-                // Room that a half-written file takes may be what the disk lacks. The next replacement overwrites it anyway.
-                let _ = self.storage.remove(&replacement_name(&self.name));
+                // The disk may be full because of the incomplete file. If this fails, the next rewrite overwrites it.
+                let _ = self.storage.remove(&temporary);
                 return Err(error);
             }
         };
-        // From here on a write to the present file could be a write to one without a name.
+        // From here on the present file may have no name.
         self.state = State::NameUnknown;
-        self.storage.rename(&replacement_name(&self.name), &self.name)?;
+        self.storage.rename(&temporary, &self.name)?;
         self.storage.sync_directory()?;
         self.state = State::Ready(file);
         self.length = bytes.len() as u64;
         Ok(())
     }
 
-    fn write_replacement(&self, bytes: &[u8]) -> io::Result<S::File> {
-        let mut file = self.storage.create(&replacement_name(&self.name))?;
+    fn write_temporary(&self, name: &str, bytes: &[u8]) -> io::Result<S::File> {
+        let mut file = self.storage.create(name)?;
         self.storage.write(&mut file, 0, bytes)?;
         self.storage.sync(&mut file)?;
         Ok(file)
     }
 
-    /// Keeps the file under another name, as its records can't be decoded. Opening again then starts an empty one.
-    pub fn reject(self, index: usize, reason: String) -> WalError {
-        let path = self.storage.path(&self.name);
-        match set_aside(&self.storage, &self.name) {
-            Ok(set_aside) => WalError::UndecodableRecord { path, index, reason, set_aside },
-            Err(source) => WalError::from_io(path, source),
-        }
+    /// Sets the file aside because the caller can't decode the record at this index, counted from 0 in the order of
+    /// [`OpenedWal`]. Returns the error to report: [`WalError::UndecodableRecord`], or why the file could not be renamed.
+    pub fn reject_record(self, index: usize, reason: String) -> WalError {
+        set_aside_or_io_error(&self.storage, &self.name, |path, set_aside| WalError::UndecodableRecord {
+            path,
+            index,
+            reason,
+            set_aside,
+        })
     }
 
     fn check_length(&self, records: &[Vec<u8>]) -> Result<(), WalError> {
-        let length = block::body_length(records);
+        let length = body_length(records);
         if length > MAX_BODY_LENGTH {
             let path = self.storage.path(&self.name);
             return Err(WalError::BatchTooLong { path, length, limit: MAX_BODY_LENGTH });
@@ -219,11 +241,25 @@
     }
 }
 
-fn replacement_name(name: &str) -> String {
+/// The name of the file that a rewrite makes before it has the log's name.
+fn temporary_name(name: &str) -> String {
     format!("{name}.new")
 }
 
-/// Gives a file that can't be used a name under which it is kept.
+/// Sets the file aside and returns the error for that, which is made of the paths that the file had and has.
+fn set_aside_or_io_error<S: Storage>(
+    storage: &S,
+    name: &str,
+    error: impl FnOnce(PathBuf, PathBuf) -> WalError,
+) -> WalError {
+    let path = storage.path(name);
+    match set_aside(storage, name) {
+        Ok(set_aside) => error(path, set_aside),
+        Err(source) => WalError::from_io(path, source),
+    }
+}
+
+/// Renames a file that can't be used, so that it is kept for the operator. Returns its new path.
 fn set_aside<S: Storage>(storage: &S, name: &str) -> io::Result<PathBuf> {
     let mut target = String::new();
     for number in 1..=MAX_SET_ASIDE {
--- a/wal/tests/compaction.rs
+++ b/wal/tests/compaction.rs
@@ -35,7 +35,7 @@
     for number in 0..count {
         let records = vec![document(number, length)];
         let before = log.length();
-        let written = log.write(&records, || records.clone()).expect("written");
+        let written = log.append(&records, || records.clone()).expect("written");
         expect_that!(written.compaction_error, none());
         let appended = before + length as u64 + BLOCK_OVERHEAD;
         longest.file = longest.file.max(log.length());
--- a/wal/tests/log.rs
+++ b/wal/tests/log.rs
@@ -41,7 +41,7 @@
     let bytes = three(folder.path());
     let last = bytes.len() - (BLOCK_HEADER + RECORD_HEADER + "three".len());
     for cut in last..bytes.len() {
-        // WriteOutcome in part, and written in full length with a hole in it.
+        // Written in part, and written in full length with a hole in it.
         let mut hole = bytes.clone();
         hole[cut..].fill(0);
         for harmed in [&bytes[..cut], &hole[..]] {
@@ -195,7 +195,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let bytes = three(folder.path());
     let (log, _) = Wal::open(folder.path(), "log").expect("sound");
-    let error = log.reject(2, "unknown tag 9".to_owned());
+    let error = log.reject_record(2, "unknown tag 9".to_owned());
     expect_true!(error.is_set_aside());
     expect_that!(error, displays_as(contains_substring("record 2 can't be decoded (unknown tag 9)")));
     expect_that!(reopened(folder.path()), ok(is_empty()));
--- a/wal/tests/power_loss.rs
+++ b/wal/tests/power_loss.rs
@@ -132,7 +132,7 @@
         let all: Records = confirmed.iter().chain(&next).cloned().collect();
         let mut is_written = false;
         for _ in 0..MAX_OPERATIONS {
-            match log.write(&next, || all.clone()) {
+            match log.append(&next, || all.clone()) {
                 Ok(_) => {
                     is_written = true;
                     break;
@@ -220,20 +220,20 @@
     let (log, _) = Wal::open_in(disk.clone(), NAME).expect("opened");
     let mut log = CompactingWal::new(log);
     let first = records(0..3);
-    log.write(&first, || first.clone()).expect("there is room");
+    log.append(&first, || first.clone()).expect("there is room");
     // Room for a part of the next block, and for no second file.
     disk.set_capacity(Some(disk.used() + 7));
     let next = records(3..4);
     let all = records(0..4);
     for _ in 0..3 {
-        expect_that!(log.write(&next, || all.clone()), err(matches_pattern!(WalError::DiskFull { .. })));
+        expect_that!(log.append(&next, || all.clone()), err(matches_pattern!(WalError::DiskFull { .. })));
         for after in disk.after_power_loss() {
             expect_that!(reopened(&after).expect("a sound file"), eq(&first));
         }
     }
     // Room for the block and still for no second file: the present file takes it.
     disk.set_capacity(Some(disk.used() + 40));
-    expect_that!(log.write(&next, || all.clone()), ok(anything()));
+    expect_that!(log.append(&next, || all.clone()), ok(anything()));
     for after in disk.after_power_loss() {
         expect_that!(reopened(&after).expect("a sound file"), eq(&all));
     }
