--- a/balancer/src/advice.rs
+++ b/balancer/src/advice.rs
@@ -2,7 +2,7 @@
 //! changes while it runs.
 
 use crate::api::*;
-use crate::policy::figures::HANDFUL;
+use crate::policy::figures::MIN_LOAD_LIMIT;
 use crate::state::*;
 
 /// What an embedder advises. Without one the module goes by what it has learned.
@@ -24,7 +24,7 @@
 impl Balancer {
     /// Goes by this advice from now on.
     pub fn set_advisor(&mut self, advice: Box<dyn PlacementAdvisor>) {
-        self.advice = Some(advice);
+        self.advisor = Some(advice);
     }
 
     /// So many nodes share the backends from now on.
@@ -34,8 +34,8 @@
 
     /// So many repeats may be saved up from now on, where all nodes together have a bound of their own.
     pub fn set_max_retry_tokens(&mut self, saved: f64) {
-        self.saved = Some(saved.max(0.0));
-        self.retry_tokens = self.retry_tokens.min(self.retries_saved());
+        self.max_retry_tokens = Some(saved.max(0.0));
+        self.retry_tokens = self.retry_tokens.min(self.retry_token_limit());
     }
 
     /// A class more; its number is the next one.
@@ -43,42 +43,42 @@
         let id = ClassId(self.classes.len() as u32);
         self.classes.push(ClassView::new(&class));
         self.settings.classes.push(class);
-        self.held.add_class();
+        self.pending.add_class();
         id
     }
 
-    pub(crate) fn advised(&self, request: &Request, backend: &Backend) -> bool {
+    pub(crate) fn advisor_allows(&self, request: &Request, backend: &Backend) -> bool {
         let to = backend.member.backend;
-        self.advice.as_ref().is_none_or(|advice| advice.allows(self.now, request.id, to))
+        self.advisor.as_ref().is_none_or(|advice| advice.allows(self.now, request.id, to))
     }
 
-    pub(crate) fn advise_sent(&self, request: RequestId, to: BackendId) {
-        self.advice.iter().for_each(|advice| advice.on_sent(self.now, request, to));
+    pub(crate) fn notify_advisor(&self, request: RequestId, to: BackendId) {
+        self.advisor.iter().for_each(|advice| advice.on_sent(self.now, request, to));
     }
 
-    pub(crate) fn may_stay(&self, id: RequestId) -> bool {
-        self.advice.as_ref().is_none_or(|advice| advice.home_zone_allowed(id))
+    pub(crate) fn home_zone_allowed(&self, id: RequestId) -> bool {
+        self.advisor.as_ref().is_none_or(|advice| advice.home_zone_allowed(id))
     }
 
     fn advised_delay(&self, request: &Request, backend: &Backend) -> Option<f64> {
-        self.advice.as_ref()?.expected_delay(self.now, request.id, backend.member.backend)
+        self.advisor.as_ref()?.expected_delay(self.now, request.id, backend.member.backend)
     }
 
     /// Whether the embedder tells what this backend can take.
-    pub(crate) fn is_advised(&self, request: &Request, backend: &Backend) -> bool {
+    pub(crate) fn has_advised_delay(&self, request: &Request, backend: &Backend) -> bool {
         self.advised_delay(request, backend).is_some()
     }
 
     /// The time that an answer is expected to take from this backend.
-    pub(crate) fn expected(&self, request: &Request, backend: &Backend) -> f64 {
+    pub(crate) fn expected_delay(&self, request: &Request, backend: &Backend) -> f64 {
         self.advised_delay(request, backend).unwrap_or_else(|| {
             let slowness = backend.slowness(self.now, &self.settings.rules);
-            slowness * self.delay(request.class, backend.load(self.crowd()))
+            slowness * self.expected_latency(request.class, backend.load(self.nodes_per_zone()))
         })
     }
 
     /// Whether the request may be sent to one more backend. What was never written was not sent.
-    pub(crate) fn attempts_left(&self, request: &Request) -> bool {
+    pub(crate) fn has_attempts_left(&self, request: &Request) -> bool {
         let Some(most) = self.settings.classes[request.class].max_attempts else {
             return (request.attempts.len() as u32) < self.settings.limits.max_attempts;
         };
@@ -86,11 +86,11 @@
             |attempt: &&Attempt| matches!(attempt.outcome, Some(Outcome::ConnectFailed | Outcome::NotSent));
         let unsent = request.attempts.iter().filter(unsent).count();
         // Those that can't be reached are bounded as well: a request must not go through all of them.
-        request.attempts.len() - unsent < most as usize && (unsent as f64) < HANDFUL
+        request.attempts.len() - unsent < most as usize && (unsent as f64) < MIN_LOAD_LIMIT
     }
 
     /// What one more attempt costs of the budget for repeats: nothing where the last one reached nobody.
-    pub(crate) fn retry_cost(&self, request: &Request) -> f64 {
+    pub(crate) fn retry_token_cost(&self, request: &Request) -> f64 {
         let unsent =
             |attempt: &Attempt| matches!(attempt.outcome, Some(Outcome::ConnectFailed | Outcome::NotSent));
         let bounded = self.settings.classes[request.class].max_attempts.is_some();
@@ -98,21 +98,21 @@
     }
 
     /// How long a request that was never sent may be held.
-    pub(crate) fn patience(&self, class: usize, wait: Nanos) -> Nanos {
+    pub(crate) fn max_queue_time(&self, class: usize, wait: Nanos) -> Nanos {
         self.settings.classes[class].max_queue_time.unwrap_or(wait / 2).min(wait)
     }
 
     /// Whether it is too late to send a request again.
-    pub(crate) fn too_late(&self, request: &Request) -> bool {
+    pub(crate) fn is_too_late_to_retry(&self, request: &Request) -> bool {
         let class = &self.settings.classes[request.class];
-        self.now >= if class.retry_past_target { request.not_after } else { request.aim_end }
+        self.now >= if class.retry_past_target { request.not_after } else { request.target_at }
     }
 
     /// A stream has broken off: it is open again, with a new aim.
-    pub(crate) fn go_on(&mut self, id: RequestId, aim_end: Nanos) {
-        self.stand(id, Phase::Open);
+    pub(crate) fn reopen_stream(&mut self, id: RequestId, aim_end: Nanos) {
+        self.set_phase(id, RequestPhase::Open);
         if let Some(request) = self.requests.get_mut(&id) {
-            request.aim_end = aim_end.min(request.not_after);
+            request.target_at = aim_end.min(request.not_after);
         }
     }
 }
--- a/balancer/src/notices.rs
+++ b/balancer/src/notices.rs
@@ -9,19 +9,19 @@
 use crate::api::{BackendId, BackendState, ListScope, Member, Nanos};
 
 /// No replica lags longer: a whole list from then on is younger than the notice.
-const BINDS: Nanos = 300_000_000_000;
+const NOTICE_VALIDITY: Nanos = 300_000_000_000;
 
 struct Notice {
     /// The start of the life that ends.
     online_since: Option<Nanos>,
-    told: Nanos,
+    received_at: Nanos,
 }
 
 /// The notices that bind.
 #[derive(Default)]
-pub(crate) struct Notices(BTreeMap<BackendId, Notice>);
+pub(crate) struct RemovalNotices(BTreeMap<BackendId, Notice>);
 
-impl Notices {
+impl RemovalNotices {
     /// How many bind.
     #[cfg(test)]
     pub(crate) fn len(&self) -> usize {
@@ -37,12 +37,12 @@
         started: impl Fn(BackendId) -> Option<Nanos>,
         now: Nanos,
     ) {
-        self.0.retain(|_, notice| notice.told + BINDS > now);
+        self.0.retain(|_, notice| notice.received_at + NOTICE_VALIDITY > now);
         for member in members {
             if member.state != BackendState::InService {
                 // A line that says "gone" need not say since when it was there.
                 let online_since = member.online_since.max(started(member.backend));
-                self.0.entry(member.backend).or_insert(Notice { online_since, told: now });
+                self.0.entry(member.backend).or_insert(Notice { online_since, received_at: now });
                 continue;
             }
             let Some(notice) = self.0.get(&member.backend) else { continue };
@@ -63,7 +63,7 @@
 
     /// The stage of backend 1 after lines told one after another, each with its time in seconds.
     fn after(lines: &[(Nanos, ListScope, BackendState, Option<Nanos>)]) -> BackendState {
-        let mut notices = Notices::default();
+        let mut notices = RemovalNotices::default();
         let mut last = Member::default();
         for &(at, scope, stage, online_since) in lines {
             let mut members =
--- a/balancer/src/policy/mod.rs
+++ b/balancer/src/policy/mod.rs
@@ -29,53 +29,56 @@
         self.now = self.now.max(now);
         match event {
             Event::Start => {
-                self.retry_tokens = self.retries_saved();
+                self.retry_tokens = self.retry_token_limit();
                 if self.settings.discovery == Discovery::OnRequest {
                     actions.push(Action::Watch);
                 }
             }
-            Event::Membership { scope, members } => self.fleet(scope, members),
-            Event::DiscoveryFailed => self.ask_later(),
-            Event::Request(arrival) => self.arrive(arrival, actions),
-            Event::StreamInterrupted { request, target_at: aim_end } => self.go_on(request, aim_end),
-            Event::AttemptEnded(settlement) => self.settle(settlement, actions),
-            Event::StreamStarted { request } => self.stand(request, Phase::Streaming),
+            Event::Membership { scope, members } => self.on_membership(scope, members),
+            Event::DiscoveryFailed => self.schedule_poll(),
+            Event::Request(arrival) => self.on_arrival(arrival, actions),
+            Event::StreamInterrupted { request, target_at: aim_end } => self.reopen_stream(request, aim_end),
+            Event::AttemptEnded(settlement) => self.on_attempt_end(settlement, actions),
+            Event::StreamStarted { request } => self.set_phase(request, RequestPhase::Streaming),
             Event::ProbeEnded { backend, outcome, report, .. } => {
-                self.probed(backend, outcome, report, actions)
+                self.on_probe_end(backend, outcome, report, actions)
             }
-            Event::ClientDisconnected { request } => self.forget(request),
+            Event::ClientDisconnected { request } => self.end_request(request),
             Event::Timer { .. } => self.housekeeping(actions),
         }
-        self.probe(actions);
-        self.arm(actions);
+        self.send_probes(actions);
+        self.arm_timer(actions);
     }
 
-    fn tick(&self) -> Nanos {
-        TICK.min(self.settings.rules.answer_grace / 2).max(self.settings.quantum).max(MS)
+    fn housekeeping_interval(&self) -> Nanos {
+        HOUSEKEEPING_INTERVAL.min(self.settings.rules.answer_grace / 2).max(self.settings.quantum).max(MS)
     }
 
     /// Asks for the next wake-up only while something waits for one: at full size a timer that always ran
     /// cost more than all requests together (it cut full-size days off as too slow).
-    fn arm(&mut self, actions: &mut Vec<Action>) {
-        let held = (!self.held.is_empty()).then(|| self.now + self.tick());
-        let Some(next) =
-            held.into_iter().chain(self.ask_at.map(|at| at.max(self.now + MS))).chain(self.probe_at()).min()
+    fn arm_timer(&mut self, actions: &mut Vec<Action>) {
+        let held = (!self.pending.is_empty()).then(|| self.now + self.housekeeping_interval());
+        let Some(next) = held
+            .into_iter()
+            .chain(self.poll_at.map(|at| at.max(self.now + MS)))
+            .chain(self.next_probe_at())
+            .min()
         else {
             return;
         };
-        if self.armed.is_none_or(|at| at <= self.now || next < at) {
-            self.armed = Some(next);
+        if self.timer_at.is_none_or(|at| at <= self.now || next < at) {
+            self.timer_at = Some(next);
             actions.push(Action::Timer { after: next - self.now, token: 0 });
         }
     }
 
     fn housekeeping(&mut self, actions: &mut Vec<Action>) {
-        if self.ask_at.is_some_and(|at| self.now >= at) {
-            self.ask_at = None;
+        if self.poll_at.is_some_and(|at| self.now >= at) {
+            self.poll_at = None;
             actions.push(Action::Watch);
         }
-        self.refresh(actions);
-        self.pump(actions);
-        self.expire(actions);
+        self.refresh_overflow_zones(actions);
+        self.dispatch_pending(actions);
+        self.expire_pending(actions);
     }
 }
--- a/balancer/src/policy/zones.rs
+++ b/balancer/src/policy/zones.rs
@@ -6,57 +6,67 @@
 use crate::state::*;
 
 impl Balancer {
-    pub(super) fn threshold(&self) -> f64 {
-        if self.many() { SHARED_THRESHOLD } else { THRESHOLD }
+    pub(super) fn overflow_threshold(&self) -> f64 {
+        if self.has_many_nodes() { SHARED_OVERFLOW_THRESHOLD } else { OVERFLOW_THRESHOLD }
     }
 
     /// A zone's utilisation: smoothed reports, raised by the own sends since they were made. Never lowered:
     /// a zone reported full would look free in a moment's lull.
     pub(crate) fn utilisation(&self, zone: ZoneId) -> Option<f64> {
         let view = self.zones.get(zone.0 as usize)?;
-        let ZoneSum { used, size, usable, known, .. } = self.sum(zone);
+        let ZoneUtilisation {
+            used_weight: used,
+            total_weight: size,
+            usable_backends: usable,
+            reporting_backends: known,
+            ..
+        } = self.zone_utilisation(zone);
         // Too few figures to stand for the others.
-        if self.probes.is_some() && known < QUORUM.min(usable.div_ceil(2)) {
+        if self.probe_scheduler.is_some() && known < MIN_REPORTING_BACKENDS.min(usable.div_ceil(2)) {
             return None;
         }
-        let own = view.own;
+        let own = view.in_flight;
         (size > 0.0).then(|| {
-            used / size * ((own + size) / (view.own_before(self.now, UTIL_SMOOTHING) + size)).max(1.0)
+            used / size
+                * ((own + size) / (view.smoothed_in_flight_at(self.now, UTILISATION_TIME_CONSTANT) + size))
+                    .max(1.0)
         })
     }
 
-    fn sum(&self, zone: ZoneId) -> ZoneSum {
-        let known = self.sums[zone.0 as usize].get().filter(|sum| self.now < sum.until);
-        known.unwrap_or_else(|| self.sum_up(zone))
+    fn zone_utilisation(&self, zone: ZoneId) -> ZoneUtilisation {
+        let known =
+            self.cached_zone_utilisation[zone.0 as usize].get().filter(|sum| self.now < sum.valid_until);
+        known.unwrap_or_else(|| self.compute_zone_utilisation(zone))
     }
 
     /// Whether so few of a zone's backends were reached by the last probes that it counts as cut off: its old
     /// figures, or none, would make it look free.
-    fn is_dark(&self, zone: ZoneId) -> bool {
-        let dark = self.sum(zone).dark as f64;
-        dark > 0.0 && dark >= DARK_SHARE * self.zones[zone.0 as usize].listed
+    fn is_unreachable(&self, zone: ZoneId) -> bool {
+        let dark = self.zone_utilisation(zone).unreachable_backends as f64;
+        dark > 0.0 && dark >= UNREACHABLE_SHARE * self.zones[zone.0 as usize].in_service
     }
 
     /// Scores the other zones. Those under the threshold come first, by score; an unseen zone qualifies
     /// lowest, so that one send learns its figures.
-    pub(super) fn refresh(&mut self, actions: &mut Vec<Action>) {
+    pub(super) fn refresh_overflow_zones(&mut self, actions: &mut Vec<Action>) {
         if self.now < self.refresh_at {
             return;
         }
-        self.refresh_at = self.now + REFRESH + (self.draw() * REFRESH as f64 * 0.1) as Nanos;
-        self.value_classes();
-        self.measure_capacity();
+        self.refresh_at =
+            self.now + REFRESH_INTERVAL + (self.random_unit() * REFRESH_INTERVAL as f64 * 0.1) as Nanos;
+        self.update_class_values();
+        self.measure_served_capacity();
         for zone in &mut self.zones {
             // Forgotten slowly, so that a link that has become slow shows.
-            zone.least_elapsed = zone.least_elapsed.map(|least| least * 1.002);
+            zone.min_latency = zone.min_latency.map(|least| least * 1.002);
         }
-        let (home, threshold) = (self.settings.home, self.threshold());
-        let seen = |zone: &ZoneId| self.zones[zone.0 as usize].least_elapsed;
+        let (home, threshold) = (self.settings.home, self.overflow_threshold());
+        let seen = |zone: &ZoneId| self.zones[zone.0 as usize].min_latency;
         let others = (0..self.settings.zones).map(ZoneId).filter(|&zone| zone != home);
         let farthest = others.clone().filter_map(|zone| seen(&zone)).fold(1.0, f64::max);
         // A zone little better than home would send as much back: both would pay for the crossing.
         let worth_it = match self.utilisation(home) {
-            Some(util) if !self.many() => threshold.min(util - CROSSING),
+            Some(util) if !self.has_many_nodes() => threshold.min(util - MIN_OVERFLOW_GAIN),
             _ => threshold,
         };
         let mut scored: Vec<(bool, f64, ZoneId)> = others
@@ -65,37 +75,41 @@
                     let headroom = 1.0 - util;
                     let saved = (farthest - latency.unwrap_or(farthest)) / farthest;
                     (
-                        util < worth_it && !self.is_dark(zone),
-                        WEIGHT_HEADROOM * headroom + WEIGHT_LATENCY * saved,
+                        util < worth_it && !self.is_unreachable(zone),
+                        HEADROOM_WEIGHT * headroom + LATENCY_WEIGHT * saved,
                         zone,
                     )
                 }
-                (None, _) => (!self.is_dark(zone), -1.0, zone),
+                (None, _) => (!self.is_unreachable(zone), -1.0, zone),
             })
             .collect();
         scored.sort_by(|a, b| b.0.cmp(&a.0).then(b.1.total_cmp(&a.1)).then(a.2.cmp(&b.2)));
-        self.qualified = scored.iter().filter(|score| score.0).count();
-        self.overflow = scored.into_iter().map(|score| score.2).collect();
-        if self.settings.weights != Weights::Live && self.many() && self.now >= self.share_at {
-            self.share_at = self.now + SECOND;
+        self.qualified_zones = scored.iter().filter(|score| score.0).count();
+        self.overflow_zones = scored.into_iter().map(|score| score.2).collect();
+        if self.settings.weights != Weights::Live
+            && self.has_many_nodes()
+            && self.now >= self.overflow_share_at
+        {
+            self.overflow_share_at = self.now + SECOND;
             for zone in 0..self.settings.zones {
                 let util = self.utilisation(ZoneId(zone)).unwrap_or(0.0).min(0.95);
-                self.zones[zone as usize].held = util / (1.0 - util);
+                self.zones[zone as usize].load_per_core = util / (1.0 - util);
             }
-            self.share_out();
+            self.update_overflow_share();
         }
-        if self.many() {
-            self.count_overdue();
+        if self.has_many_nodes() {
+            self.record_overdue_attempts();
         }
-        self.weigh_probes();
-        self.say_tally(actions);
+        self.update_probe_interest();
+        self.log_counters(actions);
         let spilling = self.utilisation(home).is_some_and(|util| util >= threshold);
-        if std::mem::replace(&mut self.zones[home.0 as usize].spilling, spilling) != spilling {
-            let to = self.overflow.first().map_or(home.0, |zone| zone.0);
+        if std::mem::replace(&mut self.zones[home.0 as usize].is_overflowing, spilling) != spilling {
+            let to = self.overflow_zones.first().map_or(home.0, |zone| zone.0);
             let does = if spilling { "spills" } else { "serves" };
-            let (util, ZoneSum { known, usable, .. }) = (self.utilisation(home), self.sum(home));
+            let (util, ZoneUtilisation { reporting_backends: known, usable_backends: usable, .. }) =
+                (self.utilisation(home), self.zone_utilisation(home));
             let util = util.unwrap_or(f64::NAN);
-            self.log(actions, || {
+            self.log_rate_limited(actions, || {
                 let by = format!("at {util:.2} by {known} of {usable} backends");
                 format!("home zone {does} {by}; the best other one is {to}")
             });
@@ -104,32 +118,33 @@
 
     /// Whether a request waits for a place at home that others are about to leave, rather than cross: home is
     /// far from its threshold by its reports, and the wait short against the aim.
-    fn stays_a_moment(&self, id: RequestId) -> bool {
-        let calm = !self.many() && self.utilisation(self.settings.home).is_some_and(|util| util < CALM);
+    fn waits_for_home(&self, id: RequestId) -> bool {
+        let calm = !self.has_many_nodes()
+            && self.utilisation(self.settings.home).is_some_and(|util| util < WAIT_FOR_HOME_UTILISATION);
         let first = self.requests.get(&id).filter(|request| request.attempts.is_empty());
         calm && first.is_some_and(|request| {
             let aim = self.settings.classes[request.class].latency_target;
-            self.now + aim < request.aim_end + (PATIENCE * aim as f64) as Nanos
+            self.now + aim < request.target_at + (WAIT_FOR_HOME_SHARE * aim as f64) as Nanos
         })
     }
 
     /// The backend for a request by the design, or none if it is better held.
-    pub(super) fn choose(&mut self, id: RequestId) -> Option<BackendId> {
+    pub(super) fn choose_backend(&mut self, id: RequestId) -> Option<BackendId> {
         let home = self.settings.home;
         // Exception: many nodes that all left an over-used zone at once would pile onto the next; so each
         // request leaves by chance, and the share follows the excess.
-        let under = if self.many() {
-            self.draw() >= self.zones[home.0 as usize].spill
+        let under = if self.has_many_nodes() {
+            self.random_unit() >= self.zones[home.0 as usize].overflow_share
         } else {
-            self.utilisation(home).is_none_or(|util| util < self.threshold())
+            self.utilisation(home).is_none_or(|util| util < self.overflow_threshold())
         };
         if under && let Some(to) = self.pick(id, home) {
             return Some(to);
         }
-        if under && self.may_stay(id) && self.stays_a_moment(id) {
+        if under && self.home_zone_allowed(id) && self.waits_for_home(id) {
             return None;
         }
-        let target = self.overflow.first().copied().filter(|_| self.qualified > 0);
+        let target = self.overflow_zones.first().copied().filter(|_| self.qualified_zones > 0);
         if let Some(to) = target.and_then(|zone| self.pick(id, zone)) {
             return Some(to);
         }
@@ -137,6 +152,9 @@
             return Some(to);
         }
         // Exception: home can take nothing in time (full, ejected, cold or empty): any zone that can.
-        self.overflow.iter().filter(|&&zone| !self.is_dark(zone)).find_map(|&zone| self.pick(id, zone))
+        self.overflow_zones
+            .iter()
+            .filter(|&&zone| !self.is_unreachable(zone))
+            .find_map(|&zone| self.pick(id, zone))
     }
 }
--- a/balancer/src/tally.rs
+++ b/balancer/src/tally.rs
@@ -4,83 +4,83 @@
 use crate::state::*;
 
 /// How often the log says what was counted.
-const EVERY: Nanos = 5 * SECOND;
+const LOG_INTERVAL: Nanos = 5 * SECOND;
 const OUTCOMES: usize = 9;
 
 /// Why a request was ended without an answer.
 #[derive(Clone, Copy)]
-pub(crate) enum Why {
+pub(crate) enum RejectReason {
     /// Its aim had passed when it came.
-    Past,
+    PastTarget,
     /// Held until no backend could answer it in time.
-    Held,
+    QueueTimeout,
     /// Its attempt did not serve, and there is no other.
-    Tried,
+    AttemptsFailed,
 }
 
 /// Counts since the last line.
 #[derive(Default)]
-pub(crate) struct Tally {
-    said: Nanos,
-    pub(crate) asked: u32,
-    ended: [u32; 3],
+pub(crate) struct Counters {
+    logged_at: Nanos,
+    pub(crate) arrivals: u32,
+    unserved: [u32; 3],
     outcomes: [u32; OUTCOMES],
-    beyond: u32,
+    sent_beyond_subset: u32,
     sent: u32,
 }
 
-impl Tally {
-    pub(crate) fn ended(&mut self, why: Why) {
-        self.ended[why as usize] += 1;
+impl Counters {
+    pub(crate) fn count_unserved(&mut self, why: RejectReason) {
+        self.unserved[why as usize] += 1;
     }
 
-    pub(crate) fn outcome(&mut self, outcome: Outcome) {
+    pub(crate) fn count_outcome(&mut self, outcome: Outcome) {
         self.outcomes[outcome as usize] += 1;
     }
 
     /// A send, to one of the node's subset or beyond it.
-    pub(crate) fn sent(&mut self, beyond: bool) {
+    pub(crate) fn count_send(&mut self, beyond: bool) {
         self.sent += 1;
-        self.beyond += u32::from(beyond);
+        self.sent_beyond_subset += u32::from(beyond);
     }
 }
 
 impl Balancer {
     /// Says what was counted, and how old the load reports are.
-    pub(crate) fn say_tally(&mut self, actions: &mut Vec<Action>) {
-        if self.now < self.tally.said + EVERY {
+    pub(crate) fn log_counters(&mut self, actions: &mut Vec<Action>) {
+        if self.now < self.counters.logged_at + LOG_INTERVAL {
             return;
         }
-        let tally = std::mem::take(&mut self.tally);
-        self.tally.said = self.now;
-        if tally.said == 0 {
+        let tally = std::mem::take(&mut self.counters);
+        self.counters.logged_at = self.now;
+        if tally.logged_at == 0 {
             return;
         }
         let [served, error, spoilt, full, late, unconnected, reset, _, _] = tally.outcomes;
-        let [past, held, tried] = tally.ended;
+        let [past, held, tried] = tally.unserved;
         let uses: Vec<String> = (0..self.settings.zones)
             .map(|zone| match self.utilisation(ZoneId(zone)) {
                 Some(util) => format!("{util:.2}"),
                 None => "?".to_owned(),
             })
             .collect();
-        let window = |zone: &Zone| format!("{:.1}/{:.0}", zone.window.size, zone.own);
+        let window = |zone: &ZoneView| format!("{:.1}/{:.0}", zone.window.size, zone.in_flight);
         let windows: Vec<String> = self.zones.iter().map(window).collect();
         actions.push(Action::Log(format!(
             "in {} s: {} asked; ended {past} past, {held} held, {tried} tried; {} sent, {} beyond \
              the subset: {served} served, {error} error, {spoilt} spoilt, {full} full, {late} late, {unconnected} \
              unconnected, {reset} reset; {} of {} ejected; zones use {}; spills {:.2}; windows {}",
-            EVERY / SECOND,
-            tally.asked,
+            LOG_INTERVAL / SECOND,
+            tally.arrivals,
             tally.sent,
-            tally.beyond,
-            self.ejected,
-            self.in_service,
+            tally.sent_beyond_subset,
+            self.ejected_count,
+            self.in_service_count,
             uses.join(" "),
-            self.zones[self.settings.home.0 as usize].spill,
+            self.zones[self.settings.home.0 as usize].overflow_share,
             windows.join(" ")
         )));
-        if let Some(ages) = self.probes.as_ref().map(|probes| probes.ages(self.now)) {
+        if let Some(ages) = self.probe_scheduler.as_ref().map(|probes| probes.ages(self.now)) {
             actions.push(Action::Log(format!(
                 "load reports: {} of {} probed backends ({} listed) known, the oldest {} ms old; {} unreached; {} probes so far",
                 ages.known,
--- a/balancer/src/view.rs
+++ b/balancer/src/view.rs
@@ -6,75 +6,76 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::api::*;
-use crate::held::{self, Held};
-use crate::notices::Notices;
+use crate::held::{self, PendingQueue};
+use crate::notices::RemovalNotices;
 use crate::policy::figures::*;
 use crate::state::*;
-use crate::tally::Tally;
+use crate::tally::Counters;
 
 impl Balancer {
     /// A node that knows nothing yet. `seed` drives its jitter.
     pub fn new(settings: Settings, seed: u64, now: Nanos) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let other = Zone { window: Window::new(WINDOW_AWAY, true), ..Zone::default() };
+        let other =
+            ZoneView { window: ConcurrencyWindow::new(INITIAL_REMOTE_WINDOW, true), ..ZoneView::default() };
         let mut zones = vec![other; settings.zones as usize];
-        zones[settings.home.0 as usize].window = Window::new(HANDFUL, false);
+        zones[settings.home.0 as usize].window = ConcurrencyWindow::new(MIN_LOAD_LIMIT, false);
         let least = settings
             .classes
             .iter()
             .map(|class| class.latency_target as f64 / 16.0)
             .fold(f64::INFINITY, f64::min);
         let classes = settings.classes.iter().map(ClassView::new).collect();
-        let tenants = vec![Rate::default(); settings.tenant_quotas.len()];
-        let probes = Self::scheduler(&settings, seed, now);
-        let held = Held::new(settings.classes.len());
+        let tenants = vec![RateEstimator::default(); settings.tenant_quotas.len()];
+        let probes = Self::new_probe_scheduler(&settings, seed, now);
+        let held = PendingQueue::new(settings.classes.len());
         let in_zone = vec![Vec::new(); settings.zones as usize];
         let sums = vec![Cell::new(None); settings.zones as usize];
         Ok(Self {
             settings,
-            tenants,
-            strain: Strain::default(),
-            short: Rate::default(),
-            unserved: Rate::default(),
+            tenant_arrivals: tenants,
+            congestion: CongestionSignal::default(),
+            suspected_retries: RateEstimator::default(),
+            unserved: RateEstimator::default(),
             seed,
-            random: seed ^ 0x9e37_79b9_7f4a_7c15,
+            random_state: seed ^ 0x9e37_79b9_7f4a_7c15,
             now,
             requests: BTreeMap::new(),
-            held,
-            in_zone: in_zone.clone(),
-            subsets: in_zone,
-            in_service: 0,
-            ejected: 0,
-            failing: (0.0, 0),
-            refreshes: 0,
-            sums,
+            pending: held,
+            zone_backends: in_zone.clone(),
+            zone_subsets: in_zone,
+            in_service_count: 0,
+            ejected_count: 0,
+            total_failure_rate: (0.0, 0),
+            refresh_count: 0,
+            cached_zone_utilisation: sums,
             backends: BTreeMap::new(),
             zones,
             classes,
-            base: least,
-            samples: 0.0,
-            overflow: Vec::new(),
-            qualified: 0,
+            latency_per_load: least,
+            load_samples: 0.0,
+            overflow_zones: Vec::new(),
+            qualified_zones: 0,
             refresh_at: now,
             retry_tokens: 1.0,
-            notices: Notices::default(),
-            ask_at: None,
-            ask_failures: 0,
-            log_at: 0,
-            armed: None,
-            kind_size: BTreeMap::new(),
-            listed_at: None,
-            list_period: 1.0,
-            share_at: 0,
-            probes,
-            tally: Tally::default(),
-            saved: None,
-            advice: None,
+            removal_notices: RemovalNotices::default(),
+            poll_at: None,
+            discovery_failures: 0,
+            next_log_at: 0,
+            timer_at: None,
+            idle_weights: BTreeMap::new(),
+            list_received_at: None,
+            list_interval_s: 1.0,
+            overflow_share_at: 0,
+            probe_scheduler: probes,
+            counters: Counters::default(),
+            max_retry_tokens: None,
+            advisor: None,
         })
     }
 
     /// Takes a list in: backends come, change and go, and the `subset` lowest lots of each zone are found.
-    pub(crate) fn take_list(&mut self, scope: ListScope, members: Vec<Member>, subset: usize) {
+    pub(crate) fn apply_membership(&mut self, scope: ListScope, members: Vec<Member>, subset: usize) {
         if scope != ListScope::Changes {
             let named: BTreeSet<BackendId> = members.iter().map(|member| member.backend).collect();
             for backend in self.backends.values_mut() {
@@ -85,13 +86,13 @@
         }
         let live = self.settings.weights == Weights::Live;
         for member in members.iter().filter(|member| live && member.weight.is_finite()) {
-            let known = self.kind_size.entry(member.machine_kind).or_insert(0.0);
+            let known = self.idle_weights.entry(member.machine_kind).or_insert(0.0);
             *known = known.max(member.weight);
         }
         for mut member in members {
             let told = member.weight;
             if live {
-                member.weight = self.kind_size.get(&member.machine_kind).copied().unwrap_or(1.0);
+                member.weight = self.idle_weights.get(&member.machine_kind).copied().unwrap_or(1.0);
             }
             let backend = self.backends.entry(member.backend).or_insert_with(|| Backend::new(member));
             if backend.member.online_since != member.online_since {
@@ -99,96 +100,117 @@
                 *backend = Backend { in_flight, ..Backend::new(member) };
             }
             backend.member = member;
-            backend.lot =
+            backend.subset_rank =
                 hash_mix(self.seed ^ u64::from(member.backend.0).wrapping_mul(0xd6e8_feb8_6659_fd93));
-            backend.held = (live && told > 0.0).then(|| (member.weight / told - 1.0).max(0.0));
+            backend.listed_load = (live && told > 0.0).then(|| (member.weight / told - 1.0).max(0.0));
         }
         self.backends
             .retain(|_, backend| backend.member.state != BackendState::Removed || backend.in_flight > 0);
-        self.in_zone.iter_mut().for_each(Vec::clear);
+        self.zone_backends.iter_mut().for_each(Vec::clear);
         for (&id, backend) in &self.backends {
-            let members = self.in_zone.get_mut(backend.member.zone.0 as usize);
+            let members = self.zone_backends.get_mut(backend.member.zone.0 as usize);
             members.into_iter().for_each(|members| members.push(id));
         }
-        self.sums.iter().for_each(|sum| sum.set(None));
+        self.cached_zone_utilisation.iter().for_each(|sum| sum.set(None));
         let in_service = |b: &&Backend| b.member.state == BackendState::InService;
-        self.in_service = self.backends.values().filter(in_service).count();
-        self.ejected = self.backends.values().filter(|b| b.health != Health::Healthy).count();
-        for ((view, members), own) in self.zones.iter_mut().zip(&self.in_zone).zip(&mut self.subsets) {
+        self.in_service_count = self.backends.values().filter(in_service).count();
+        self.ejected_count = self.backends.values().filter(|b| b.health != Health::Healthy).count();
+        for ((view, members), own) in
+            self.zones.iter_mut().zip(&self.zone_backends).zip(&mut self.zone_subsets)
+        {
             let of = |id: &BackendId| self.backends.get(id);
             let mut lots: Vec<u64> =
-                members.iter().filter_map(of).filter(in_service).map(|b| b.lot).collect();
-            view.listed = lots.len() as f64;
-            view.subset = match subset.checked_sub(1).filter(|&last| last < lots.len()) {
+                members.iter().filter_map(of).filter(in_service).map(|b| b.subset_rank).collect();
+            view.in_service = lots.len() as f64;
+            view.subset_cutoff = match subset.checked_sub(1).filter(|&last| last < lots.len()) {
                 Some(last) => *lots.select_nth_unstable(last).1,
                 None => u64::MAX,
             };
             own.clear();
-            own.extend(members.iter().filter(|id| of(id).is_some_and(|b| b.lot <= view.subset)));
+            own.extend(
+                members.iter().filter(|id| of(id).is_some_and(|b| b.subset_rank <= view.subset_cutoff)),
+            );
         }
         // What crowds no backend, of each node's even part of them.
-        let (home, crowd) = (self.settings.home.0 as usize, self.crowd());
-        let part = HANDFUL * self.zones[home].listed / crowd;
-        self.zones[home].window.start_at(part);
-        self.list_probed();
+        let (home, crowd) = (self.settings.home.0 as usize, self.nodes_per_zone());
+        let part = MIN_LOAD_LIMIT * self.zones[home].in_service / crowd;
+        self.zones[home].window.raise_initial_size(part);
+        self.update_probe_candidates();
     }
 
     /// Sums the reports of a zone's usable backends up, and keeps the sum until the time changes it; events that
     /// do call `unsettle`.
-    pub(crate) fn sum_up(&self, zone: ZoneId) -> ZoneSum {
-        let members = &self.in_zone[zone.0 as usize];
-        let mut sum = ZoneSum { used: 0.0, size: 0.0, usable: 0, known: 0, dark: 0, until: Nanos::MAX };
+    pub(crate) fn compute_zone_utilisation(&self, zone: ZoneId) -> ZoneUtilisation {
+        let members = &self.zone_backends[zone.0 as usize];
+        let mut sum = ZoneUtilisation {
+            used_weight: 0.0,
+            total_weight: 0.0,
+            usable_backends: 0,
+            reporting_backends: 0,
+            unreachable_backends: 0,
+            valid_until: Nanos::MAX,
+        };
         let mut add = |backend: &Backend| {
-            sum.dark += usize::from(backend.dark && backend.member.state == BackendState::InService);
-            if let Some(change) = self.usable_changes(backend) {
-                sum.until = sum.until.min(change);
+            sum.unreachable_backends +=
+                usize::from(backend.unreachable && backend.member.state == BackendState::InService);
+            if let Some(change) = self.usable_changes_at(backend) {
+                sum.valid_until = sum.valid_until.min(change);
             }
-            let usable = self.usable(backend) && backend.member.state == BackendState::InService;
-            sum.usable += usize::from(usable);
-            if self.usable(backend) && backend.util.younger_than(self.now, UTIL_TRUST) {
-                sum.until = sum.until.min(backend.util.at.unwrap_or(self.now) + UTIL_TRUST);
-                sum.known += usize::from(usable);
-                sum.used += backend.util.value * backend.size();
-                sum.size += backend.size();
+            let usable = self.is_usable(backend) && backend.member.state == BackendState::InService;
+            sum.usable_backends += usize::from(usable);
+            if self.is_usable(backend) && backend.utilisation.is_fresh(self.now, UTILISATION_MAX_AGE) {
+                sum.valid_until = sum
+                    .valid_until
+                    .min(backend.utilisation.updated_at.unwrap_or(self.now) + UTILISATION_MAX_AGE);
+                sum.reporting_backends += usize::from(usable);
+                sum.used_weight += backend.utilisation.value * backend.weight();
+                sum.total_weight += backend.weight();
             }
         };
-        if members.len() > SCAN {
+        if members.len() > MAX_SCANNED_BACKENDS {
             // One walk through all is quicker than as many look-ups.
             self.backends.values().filter(|backend| backend.member.zone == zone).for_each(add);
-            sum.until = sum.until.min(self.now + REFRESH);
+            sum.valid_until = sum.valid_until.min(self.now + REFRESH_INTERVAL);
         } else {
             members.iter().filter_map(|id| self.backends.get(id)).for_each(&mut add);
         }
-        self.sums[zone.0 as usize].set(Some(sum));
+        self.cached_zone_utilisation[zone.0 as usize].set(Some(sum));
         sum
     }
 
     /// Something has changed what is known of a zone's use. That of a large one stands until its time is over:
     /// it would be summed up for every answer otherwise.
-    pub(crate) fn unsettle(&self, zone: ZoneId) {
-        if self.in_zone.get(zone.0 as usize).is_some_and(|members| members.len() <= SCAN) {
-            self.sums[zone.0 as usize].set(None);
+    pub(crate) fn invalidate_zone_utilisation(&self, zone: ZoneId) {
+        if self
+            .zone_backends
+            .get(zone.0 as usize)
+            .is_some_and(|members| members.len() <= MAX_SCANNED_BACKENDS)
+        {
+            self.cached_zone_utilisation[zone.0 as usize].set(None);
         }
     }
 
     /// Notes where a request stands from now on; one that is held no longer leaves the orders of those that
     /// are. What has ended stays ended.
-    pub(crate) fn stand(&mut self, id: RequestId, phase: Phase) {
-        let Some(request) = self.requests.get_mut(&id).filter(|r| r.phase != Phase::Ended) else { return };
+    pub(crate) fn set_phase(&mut self, id: RequestId, phase: RequestPhase) {
+        let Some(request) = self.requests.get_mut(&id).filter(|r| r.phase != RequestPhase::Ended) else {
+            return;
+        };
         request.phase = phase;
         let unsent = |a: &Attempt| matches!(a.outcome, Some(Outcome::ConnectFailed | Outcome::NotSent));
-        match (phase, request.hold) {
-            (Phase::Held, None) => {
+        match (phase, request.queue_entry) {
+            (RequestPhase::Queued, None) => {
                 let never_sent = request.attempts.iter().all(unsent);
-                let end = if never_sent { request.half } else { request.not_after };
-                let (band, again) = (held::band(request.class, request.over), !request.attempts.is_empty());
+                let end = if never_sent { request.queue_until } else { request.not_after };
+                let (band, again) =
+                    (held::band(request.class, request.over_quota), !request.attempts.is_empty());
                 let aim = held::aim(request.class, again);
-                request.hold = Some(self.held.put(id, band, aim, request.aim_end, end));
+                request.queue_entry = Some(self.pending.insert(id, band, aim, request.target_at, end));
             }
-            (Phase::Held, _) | (_, None) => {}
+            (RequestPhase::Queued, _) | (_, None) => {}
             (_, Some(hold)) => {
-                request.hold = None;
-                self.held.take(id, hold);
+                request.queue_entry = None;
+                self.pending.remove(id, hold);
             }
         }
     }
@@ -206,10 +228,13 @@
             backend: *id,
             zone: backend.member.zone,
             in_flight: backend.in_flight,
-            utilisation: backend.util.at.map(|at| (backend.util.value, now.saturating_sub(at))),
+            utilisation: backend
+                .utilisation
+                .updated_at
+                .map(|at| (backend.utilisation.value, now.saturating_sub(at))),
             slowness: backend.slowness(now, &self.settings.rules),
             ejected: backend.health != Health::Healthy,
-            capacity_share: backend.ramp(now, &self.settings.rules),
+            capacity_share: backend.capacity_share(now, &self.settings.rules),
         };
         self.backends.iter().map(figures).collect()
     }
@@ -290,15 +315,19 @@
             }
             node.handle(now + SECOND / 4 * 3, Event::Timer { token: 0 }, &mut actions);
         }
-        let cold: usize = node.backends.values().map(|backend| backend.cold_sends.len()).sum();
+        let cold: usize = node.backends.values().map(|backend| backend.slow_start_sends.len()).sum();
         assert!(node.backends.len() <= 31, "{} backends", node.backends.len());
-        assert_eq!(node.in_zone.iter().map(Vec::len).sum::<usize>(), node.backends.len());
+        assert_eq!(node.zone_backends.iter().map(Vec::len).sum::<usize>(), node.backends.len());
         assert!(node.requests.len() <= 3, "{} requests", node.requests.len());
         assert!(cold <= 31 * 3 * 30, "{cold} sends to cold backends");
-        assert!(node.kind_size.len() <= 2);
+        assert!(node.idle_weights.len() <= 2);
         // A notice binds for five minutes: so many were told in that time, and as many went missing.
-        assert!(node.notices.len() <= 320, "{} notices", node.notices.len());
-        assert!(node.probes.as_ref().is_some_and(|probes| probes.kept().count() <= 31));
-        assert_eq!(node.zones.iter().map(|zone| zone.own).sum::<f64>(), 0.0, "attempts that nobody makes");
+        assert!(node.removal_notices.len() <= 320, "{} notices", node.removal_notices.len());
+        assert!(node.probe_scheduler.as_ref().is_some_and(|probes| probes.kept().count() <= 31));
+        assert_eq!(
+            node.zones.iter().map(|zone| zone.in_flight).sum::<f64>(),
+            0.0,
+            "attempts that nobody makes"
+        );
     }
 }
