--- /dev/null
+++ b/balancer/src/api/attempt.rs
@@ -0,0 +1,67 @@
+//! The end of an attempt at a request, and the load report that may come with it.
+
+use super::ids::RequestId;
+use super::time::Nanos;
+
+/// A backend's load as it reports it; a figure that is not reported is absent.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct LoadReport {
+    /// Share of its cores in use, 1 for all.
+    pub utilisation: Option<f64>,
+    /// Requests served a second.
+    pub requests_per_second: Option<f64>,
+    /// Requests in flight.
+    pub in_flight: Option<f64>,
+}
+
+/// How an attempt or a probe ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Outcome {
+    /// Served.
+    Served,
+    /// The backend returned an error.
+    Error,
+    /// The response cannot be used, and says nothing of the backend's health.
+    InvalidResponse,
+    /// Rejected by the backend without being processed.
+    Rejected,
+    /// No response in time.
+    TimedOut,
+    /// No connection was established.
+    ConnectFailed,
+    /// The connection was reset while the attempt was in flight.
+    Reset,
+    /// Cancelled by this node.
+    Cancelled,
+    /// Never written to a connection.
+    NotSent,
+}
+
+impl Outcome {
+    /// Whether the attempt may have taken effect at the backend.
+    pub fn may_have_run(self) -> bool {
+        !matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotSent)
+    }
+
+    /// Whether nothing of the attempt reached the backend.
+    pub(crate) fn never_reached_backend(self) -> bool {
+        matches!(self, Self::ConnectFailed | Self::NotSent)
+    }
+}
+
+/// The end of one attempt.
+#[derive(Clone, Copy, Debug)]
+pub struct AttemptEnd {
+    /// The request.
+    pub request: RequestId,
+    /// The attempt's number, from 0 in the order of the sends.
+    pub attempt: u32,
+    /// How it ended.
+    pub outcome: Outcome,
+    /// Time since the send, in nanoseconds.
+    pub elapsed: Nanos,
+    /// The request has had its final answer, by this attempt or earlier.
+    pub request_ended: bool,
+    /// The backend's load report; empty where none came.
+    pub report: LoadReport,
+}
--- /dev/null
+++ b/balancer/src/api/settings_validation.rs
@@ -0,0 +1,65 @@
+//! Validation of [`Settings`].
+
+use std::fmt;
+
+use super::settings::{ClassSettings, Settings};
+
+/// Settings that cannot be used: which field, and why.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct SettingsError {
+    /// The field at fault, by its name in the settings.
+    pub field: &'static str,
+    /// What is wrong with it.
+    pub problem: &'static str,
+}
+
+impl fmt::Display for SettingsError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "settings: {}: {}", self.field, self.problem)
+    }
+}
+
+impl std::error::Error for SettingsError {}
+
+const NEGATIVE: &str = "must be finite and not negative";
+
+fn require(condition: bool, field: &'static str, problem: &'static str) -> Result<(), SettingsError> {
+    if condition { Ok(()) } else { Err(SettingsError { field, problem }) }
+}
+
+fn is_amount(value: f64) -> bool {
+    value.is_finite() && value >= 0.0
+}
+
+impl ClassSettings {
+    fn validate(&self) -> Result<(), SettingsError> {
+        let has_times = self.latency_target != 0 && self.deadline != 0;
+        require(has_times, "classes", "aim and deadline must be above 0")?;
+        let has_values = is_amount(self.value) && is_amount(self.late_value_share);
+        require(has_values, "classes", "worth and late share must be finite and not negative")
+    }
+}
+
+impl Settings {
+    /// Checks that the settings can be used.
+    ///
+    /// # Errors
+    ///
+    /// Names the first field whose value is out of its range.
+    pub fn validate(&self) -> Result<(), SettingsError> {
+        require(self.zones != 0, "zones", "there must be at least one")?;
+        require(self.home.0 < self.zones, "home", "is not one of the zones")?;
+        require(self.nodes != 0, "nodes", "there must be at least one")?;
+        require(!self.classes.is_empty(), "classes", "there must be at least one")?;
+        self.classes.iter().try_for_each(ClassSettings::validate)?;
+        require(self.limits.max_attempts != 0, "limits.attempts", "must be at least 1")?;
+        let multiple = self.rules.overload_multiple;
+        require(is_amount(multiple) && multiple != 0.0, "rules.tip_multiple", "must be finite and above 0")?;
+        let initial = self.rules.initial_capacity;
+        require(is_amount(initial) && initial <= 1.0, "rules.start_capacity", "must lie between 0 and 1")?;
+        require(self.tenant_quotas.iter().all(|&quota| is_amount(quota)), "tenants", NEGATIVE)?;
+        require(is_amount(self.over_quota_value), "over_share_worth", NEGATIVE)?;
+        require(is_amount(self.probe_cost), "probe_price", NEGATIVE)?;
+        require(is_amount(self.worst_class_weight), "worst_class_goal", NEGATIVE)
+    }
+}
--- /dev/null
+++ b/balancer/src/api/time.rs
@@ -0,0 +1,9 @@
+//! The unit of time.
+
+/// A moment or a span in nanoseconds; moments are on the embedder's monotonic clock.
+pub type Nanos = u64;
+
+/// One millisecond.
+pub(crate) const MILLISECOND: Nanos = 1_000_000;
+/// One second.
+pub(crate) const SECOND: Nanos = 1000 * MILLISECOND;
--- /dev/null
+++ b/balancer/src/counters.rs
@@ -0,0 +1,43 @@
+//! Counters for the operators' log. No decision is made by them.
+
+use crate::api::{Nanos, Outcome};
+
+/// Why a request ended unserved.
+#[derive(Clone, Copy)]
+pub(crate) enum RejectReason {
+    /// Its latency target had passed when it came.
+    PastTarget,
+    /// Queued until no backend could serve it in time.
+    QueueTimeout,
+    /// Its attempts failed and it may not be retried.
+    AttemptsFailed,
+}
+
+/// Counts since [`Counters::since`].
+#[derive(Default)]
+pub(crate) struct Counters {
+    /// When they were last logged and reset; 0 for never.
+    pub(crate) since: Nanos,
+    pub(crate) arrivals: u32,
+    /// By [`RejectReason`].
+    pub(crate) unserved: [u32; 3],
+    /// By [`Outcome`].
+    pub(crate) outcomes: [u32; 9],
+    pub(crate) sent: u32,
+    pub(crate) sent_outside_subset: u32,
+}
+
+impl Counters {
+    pub(crate) fn count_unserved(&mut self, reason: RejectReason) {
+        self.unserved[reason as usize] += 1;
+    }
+
+    pub(crate) fn count_outcome(&mut self, outcome: Outcome) {
+        self.outcomes[outcome as usize] += 1;
+    }
+
+    pub(crate) fn count_send(&mut self, outside_subset: bool) {
+        self.sent += 1;
+        self.sent_outside_subset += u32::from(outside_subset);
+    }
+}
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -1,17 +1,42 @@
+//! The load-balancing core: one node's decisions as a deterministic state machine without I/O.
+//!
+//! An embedder owns a [`Balancer`], hands it [`Event`]s with the time by [`Balancer::handle`], and carries
+//! out the [`Action`]s that it appends. The core has no clock, no sockets and no threads; the same
+//! settings, seed and events give the same actions. It decides which backend gets each request, when
+//! requests are queued, retried or rejected, which backends are ejected or warmed up slowly, and when the
+//! embedder is to probe or to ask discovery.
+//!
+//! `api/` is the interface, `policy/` every decision, `state/` what a node keeps; the modules beside them
+//! keep the state in step with the events.
+
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
-#![doc = include_str!("../../README.md")]
 
-mod advice;
+mod advisor;
 pub mod api;
-mod held;
-mod learning;
-mod notices;
+mod counters;
+mod embedder_settings;
+mod estimators;
+mod latency_model;
+mod load_reports;
+mod membership;
+mod pending_queue;
 mod policy;
+mod random;
+mod removal_notices;
+mod reporting;
+mod served_capacity;
 mod state;
-mod tally;
-mod view;
+mod zone_utilisation;
+
+#[cfg(test)]
+mod bounded_state_tests;
 
-pub use advice::PlacementAdvisor;
-pub use api::*;
-pub use state::{Balancer, hash_mix};
+pub use advisor::PlacementAdvisor;
+pub use api::{
+    Action, Arrival, AttemptEnd, BackendId, BackendSnapshot, BackendState, ClassId, ClassSettings, Discovery,
+    Event, Idempotency, IdempotencyScope, Limits, ListScope, LoadReport, LoadReporting, Member, Nanos,
+    Outcome, RequestId, RuleSettings, Settings, SettingsError, Weights, ZoneId,
+};
+pub use random::hash_mix;
+pub use state::Balancer;
--- /dev/null
+++ b/balancer/src/policy/backend_choice.rs
@@ -0,0 +1,86 @@
+//! The choice of a backend inside a zone.
+
+use super::tuning::{
+    FAILURE_PENALTY, MAX_SCANNED_BACKENDS, MIN_SHARED_SLOWNESS, PICK_JITTER, PICK_SAMPLE_SIZE,
+    REPEATED_BACKEND_PENALTY, SHARED_PICK_JITTER, SLOWNESS_DECAY_TIME_CONSTANT,
+};
+use crate::api::{BackendId, RequestId, ZoneId};
+use crate::random::{ID_MULTIPLIER, PickJitter, SPLITMIX_INCREMENT, hash_mix};
+use crate::state::{Backend, Balancer, Request};
+
+/// The candidate of the lowest cost so far.
+#[derive(Default)]
+struct Best(Option<(f64, BackendId)>);
+
+impl Best {
+    fn offer(&mut self, cost: f64, backend: BackendId) {
+        if self.0.is_none_or(|(lowest, _)| cost < lowest) {
+            self.0 = Some((cost, backend));
+        }
+    }
+}
+
+impl Balancer {
+    /// Among the permitted backends that would serve the request in time: with few nodes the one of the
+    /// lowest expected latency; with many, of the node's subset, the one of the lowest own load times
+    /// slowness.
+    pub(super) fn choose_in_zone(&self, id: RequestId, zone: ZoneId) -> Option<BackendId> {
+        let all = self.zone_backends.get(zone.0 as usize)?;
+        if !self.has_many_nodes() {
+            return self.choose_among(id, all);
+        }
+        // Many nodes on all backends would fill their connection tables: each keeps to a random subset. It
+        // leaves that only when none of it takes requests: in a jam all nodes would try all backends, and
+        // none could rest.
+        let subset = self.zone_subsets.get(zone.0 as usize)?;
+        let takes_requests = |backend: &Backend| self.is_usable(backend) && backend.is_in_service();
+        let subset_takes_requests = subset.iter().any(|id| self.backends.get(id).is_some_and(takes_requests));
+        self.choose_among(id, if subset_takes_requests { subset } else { all })
+    }
+
+    fn choose_among(&self, id: RequestId, candidates: &[BackendId]) -> Option<BackendId> {
+        let request = self.requests.get(&id)?;
+        let seed = self.random.state() ^ id.0.wrapping_mul(ID_MULTIPLIER);
+        let mut jitter = PickJitter::new(seed);
+        let mut best = Best::default();
+        if candidates.len() <= MAX_SCANNED_BACKENDS {
+            candidates.iter().for_each(|&to| self.consider(request, to, &mut jitter, &mut best));
+            return best.0.map(|(_, to)| to);
+        }
+        // Of very many a sample is looked at; where none of it has room, a second one.
+        let mut position = seed;
+        for look in 0..2 * PICK_SAMPLE_SIZE {
+            if look == PICK_SAMPLE_SIZE && best.0.is_some() {
+                break;
+            }
+            position = position.wrapping_add(SPLITMIX_INCREMENT);
+            let index = (hash_mix(position) % candidates.len() as u64) as usize;
+            self.consider(request, candidates[index], &mut jitter, &mut best);
+        }
+        best.0.map(|(_, to)| to)
+    }
+
+    fn consider(&self, request: &Request, to: BackendId, jitter: &mut PickJitter, best: &mut Best) {
+        let Some(backend) = self.backends.get(&to) else { return };
+        if self.is_usable(backend) && self.admits(request, backend) && self.permits_send(request, backend) {
+            best.offer(self.send_cost(request, backend, jitter.next_unit()), to);
+        }
+    }
+
+    /// What a send there would cost: own load where nodes are many, else latency in nanoseconds. Failures
+    /// weigh like latency, as failing fast must not look idle; they are forgotten, or no trial would be
+    /// made.
+    fn send_cost(&self, request: &Request, backend: &Backend, jitter: f64) -> f64 {
+        let failure_rate = backend.failure_rate.decayed(self.now, SLOWNESS_DECAY_TIME_CONSTANT);
+        let was_tried = request.attempts.iter().any(|attempt| attempt.backend == backend.member.backend);
+        let repeat_penalty = if was_tried { REPEATED_BACKEND_PENALTY } else { 0.0 };
+        let penalty = 1.0 + FAILURE_PENALTY * failure_rate + repeat_penalty;
+        if self.has_many_nodes() {
+            let slowness = backend.slowness(self.now, &self.settings.rules).max(MIN_SHARED_SLOWNESS);
+            let load = (f64::from(backend.in_flight) + 1.0) * slowness;
+            load * penalty * (1.0 + SHARED_PICK_JITTER * jitter)
+        } else {
+            self.expected_delay(request, backend) * penalty * (1.0 + PICK_JITTER * jitter)
+        }
+    }
+}
--- a/balancer/src/policy/discovery.rs
+++ b/balancer/src/policy/discovery.rs
@@ -1,48 +1,62 @@
-//! The list of backends, what its weights say, and when discovery is asked again.
+//! Discovery: lists of backends, what their weights say, and when discovery is asked again.
 
-use super::figures::*;
-use crate::api::*;
-use crate::state::*;
+use super::tuning::{
+    DISCOVERY_BACKOFF, LIST_INTERVAL_SMOOTHING, MAX_DISCOVERY_DOUBLINGS, MAX_LIST_INTERVAL_S,
+    MIN_REPORT_WEIGHT, SUBSET_SIZE, UTILISATION_TIME_CONSTANT,
+};
+use crate::api::{ListScope, Member, Nanos, SECOND, Weights};
+use crate::state::Balancer;
+
+/// The loads that a list gives for a zone's backends.
+#[derive(Clone, Copy, Default)]
+struct ListedLoads {
+    backends: f64,
+    load: f64,
+}
 
 impl Balancer {
+    /// Applies a list of backends.
     pub(super) fn on_membership(&mut self, scope: ListScope, mut members: Vec<Member>) {
         if scope != ListScope::Cached {
             self.discovery_failures = 0;
         }
-        let started = |id| self.backends.get(&id).and_then(|backend| backend.member.online_since);
-        self.removal_notices.apply(scope, &mut members, started, self.now);
+        let started_at = |id| self.backends.get(&id).and_then(|backend| backend.member.online_since);
+        self.removal_notices.apply(scope, &mut members, started_at, self.now);
         self.apply_membership(scope, members, SUBSET_SIZE);
         if self.settings.weights == Weights::Live && scope != ListScope::Cached {
             self.apply_live_weights();
         }
     }
 
-    /// What a list's live weights say, which reach all nodes alike and late.
-    pub(super) fn apply_live_weights(&mut self) {
-        let period =
+    /// Learns the load that a list's live weights stand for; they reach all nodes alike, and late.
+    fn apply_live_weights(&mut self) {
+        let interval_s =
             self.list_received_at.map_or(1.0, |at| self.now.saturating_sub(at) as f64 / SECOND as f64);
-        self.list_interval_s += (period.min(3.0) - self.list_interval_s) * 0.2;
+        self.list_interval_s +=
+            (interval_s.min(MAX_LIST_INTERVAL_S) - self.list_interval_s) * LIST_INTERVAL_SMOOTHING;
         self.list_received_at = Some(self.now);
-        let mut sums = vec![(0.0, 0.0); self.zones.len()];
-        for backend in self.backends.values_mut().filter(|b| b.member.state == BackendState::InService) {
-            if let (Some(sum), Some(held)) =
-                (sums.get_mut(backend.member.zone.0 as usize), backend.listed_load)
-            {
-                *sum = (sum.0 + 1.0, sum.1 + held);
-                backend.utilisation.update(self.now, held / (1.0 + held), UTILISATION_TIME_CONSTANT, 0.05);
-            }
+        let mut by_zone = vec![ListedLoads::default(); self.zones.len()];
+        for backend in self.backends.values_mut().filter(|backend| backend.is_in_service()) {
+            let Some(zone) = by_zone.get_mut(backend.member.zone.0 as usize) else { continue };
+            let Some(load) = backend.listed_load else { continue };
+            zone.backends += 1.0;
+            zone.load += load;
+            let utilisation = load / (1.0 + load);
+            backend.utilisation.update(self.now, utilisation, UTILISATION_TIME_CONSTANT, MIN_REPORT_WEIGHT);
         }
-        for (zone, &(count, total)) in self.zones.iter_mut().zip(&sums) {
-            zone.load_per_core = total / f64::max(count, 1.0);
+        for (zone, listed) in self.zones.iter_mut().zip(&by_zone) {
+            zone.load_per_core = listed.load / f64::max(listed.backends, 1.0);
         }
-        self.cached_zone_utilisation.iter().for_each(|sum| sum.set(None));
+        self.cached_zone_utilisation.iter().for_each(|utilisation| utilisation.set(None));
         self.update_overflow_share();
     }
 
+    /// After a failed call: asks again after an exponential backoff with jitter.
     pub(super) fn schedule_poll(&mut self) {
-        let wait =
-            (DISCOVERY_BACKOFF << self.discovery_failures.min(4)) as f64 * (0.75 + 0.5 * self.random_unit());
+        let doublings = self.discovery_failures.min(MAX_DISCOVERY_DOUBLINGS);
+        let jitter = 0.75 + 0.5 * self.random.next_unit();
+        let backoff = (DISCOVERY_BACKOFF << doublings) as f64 * jitter;
         self.discovery_failures += 1;
-        self.poll_at = Some(self.now + wait as Nanos);
+        self.poll_at = Some(self.now + backoff as Nanos);
     }
 }
--- a/balancer/src/policy/mod.rs
+++ b/balancer/src/policy/mod.rs
@@ -1,47 +1,50 @@
-//! Every decision of the balancer, a file for each concern. The interface (settings, events, actions, ids) is
-//! in `api.rs`, what a node keeps in `state.rs`, its view of the backends in `view.rs`, what it learns from
-//! answers in `learning.rs`.
+//! Every decision of the balancer, a file for each concern. The interface is in `api/`, what a node keeps
+//! in `state/`, what it learns in `latency_model.rs` and its neighbours.
 //!
-//! Reading order: `handle` here shows what each event sets off; then `ledger` with the contract gate,
-//! `backends`, `zones`, which is the design, `pick`, `health`, `slow_start`, `admission`, `window`,
-//! `retries`, `discovery`. All constants stand in `figures`.
+//! Reading order: `handle` here shows what each event sets off; then `arrival`, `send_rules` with the
+//! contract that every send has to keep, `overflow`, which is the design, `zone_scoring`, `backend_choice`
+//! and `admission`. All constants stand in `tuning`.
 
 mod admission;
-mod backends;
+mod advice;
+mod arrival;
+mod backend_choice;
+mod backend_load;
+mod completion;
+mod concurrency_window;
 mod discovery;
-pub(crate) mod figures;
-mod health;
-mod ledger;
-mod pick;
-mod probes;
-mod retries;
+mod dispatch;
+mod load_probes;
+mod outlier_ejection;
+mod overflow;
+mod pending_requests;
+mod priorities;
+mod request_phase;
+mod retry_budget;
+mod send_rules;
 mod slow_start;
-mod window;
-mod zones;
+pub(crate) mod tuning;
+mod zone_scoring;
 
-use crate::api::*;
-use crate::state::*;
-use figures::*;
+use crate::api::{Action, Discovery, Event, MILLISECOND, Nanos};
+use crate::state::{Balancer, RequestPhase};
+use tuning::HOUSEKEEPING_INTERVAL;
 
 impl Balancer {
-    /// Takes one event in and adds what is to be done. A clock that steps back stands still.
+    /// Handles one event and appends the actions to carry out, in order. A clock that steps back counts as
+    /// standing still. The next event may come at any time, also at the same `now`.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
-            Event::Start => {
-                self.retry_tokens = self.retry_token_limit();
-                if self.settings.discovery == Discovery::OnRequest {
-                    actions.push(Action::Watch);
-                }
-            }
+            Event::Start => self.on_start(actions),
             Event::Membership { scope, members } => self.on_membership(scope, members),
             Event::DiscoveryFailed => self.schedule_poll(),
             Event::Request(arrival) => self.on_arrival(arrival, actions),
-            Event::StreamInterrupted { request, target_at: aim_end } => self.reopen_stream(request, aim_end),
-            Event::AttemptEnded(settlement) => self.on_attempt_end(settlement, actions),
+            Event::StreamInterrupted { request, target_at } => self.reopen_stream(request, target_at),
+            Event::AttemptEnded(end) => self.on_attempt_end(end, actions),
             Event::StreamStarted { request } => self.set_phase(request, RequestPhase::Streaming),
             Event::ProbeEnded { backend, outcome, report, .. } => {
-                self.on_probe_end(backend, outcome, report, actions)
+                self.on_probe_end(backend, outcome, report, actions);
             }
             Event::ClientDisconnected { request } => self.end_request(request),
             Event::Timer { .. } => self.housekeeping(actions),
@@ -50,25 +53,10 @@
         self.arm_timer(actions);
     }
 
-    fn housekeeping_interval(&self) -> Nanos {
-        HOUSEKEEPING_INTERVAL.min(self.settings.rules.answer_grace / 2).max(self.settings.quantum).max(MS)
-    }
-
-    /// Asks for the next wake-up only while something waits for one: at full size a timer that always ran
-    /// cost more than all requests together (it cut full-size days off as too slow).
-    fn arm_timer(&mut self, actions: &mut Vec<Action>) {
-        let held = (!self.pending.is_empty()).then(|| self.now + self.housekeeping_interval());
-        let Some(next) = held
-            .into_iter()
-            .chain(self.poll_at.map(|at| at.max(self.now + MS)))
-            .chain(self.next_probe_at())
-            .min()
-        else {
-            return;
-        };
-        if self.timer_at.is_none_or(|at| at <= self.now || next < at) {
-            self.timer_at = Some(next);
-            actions.push(Action::Timer { after: next - self.now, token: 0 });
+    fn on_start(&mut self, actions: &mut Vec<Action>) {
+        self.retry_tokens = self.retry_token_limit();
+        if self.settings.discovery == Discovery::OnRequest {
+            actions.push(Action::Watch);
         }
     }
 
@@ -81,4 +69,25 @@
         self.dispatch_pending(actions);
         self.expire_pending(actions);
     }
+
+    fn housekeeping_interval(&self) -> Nanos {
+        HOUSEKEEPING_INTERVAL
+            .min(self.settings.rules.answer_grace / 2)
+            .max(self.settings.quantum)
+            .max(MILLISECOND)
+    }
+
+    /// Asks for the next timer only while something waits for one: at full size a timer that always ran
+    /// cost more than all requests together (it cut full-size days off as too slow).
+    fn arm_timer(&mut self, actions: &mut Vec<Action>) {
+        let queue_at = (!self.pending.is_empty()).then(|| self.now + self.housekeeping_interval());
+        let poll_at = self.poll_at.map(|at| at.max(self.now + MILLISECOND));
+        let Some(next) = [queue_at, poll_at, self.next_probe_at()].into_iter().flatten().min() else {
+            return;
+        };
+        if self.timer_at.is_none_or(|at| at <= self.now || next < at) {
+            self.timer_at = Some(next);
+            actions.push(Action::Timer { after: next - self.now, token: 0 });
+        }
+    }
 }
--- /dev/null
+++ b/balancer/src/policy/pending_requests.rs
@@ -0,0 +1,102 @@
+//! Pending requests: sent as backends get capacity, rejected while a rejection is still early (load
+//! shedding).
+
+use std::collections::BTreeSet;
+
+use super::tuning::{
+    ADMISSION_SHARE, IDLE_LOAD, MAX_DISPATCH_MISSES, MAX_SCANNED_BACKENDS, RETRY_ADMISSION_SHARE,
+};
+use crate::api::{Action, Nanos, RequestId};
+use crate::counters::RejectReason;
+use crate::pending_queue::{Band, TargetGroup};
+use crate::state::{Backend, Balancer};
+
+/// The next request of a band in the pending queue.
+struct NextInBand {
+    /// What a unit of its work adds to the goal.
+    value_density: f64,
+    request: RequestId,
+    band: Band,
+    /// No backend has headroom for any of the band.
+    is_blocked: bool,
+}
+
+impl Balancer {
+    /// Sends pending requests, the most valuable first. Looks at no more than
+    /// `MAX_DISPATCH_MISSES` + 1 requests beside those that it sends.
+    pub(super) fn dispatch_pending(&mut self, actions: &mut Vec<Action>) {
+        if self.pending.is_empty() {
+            return;
+        }
+        let mut bands = self.first_of_bands();
+        let mut misses = 0;
+        while misses <= MAX_DISPATCH_MISSES
+            && let Some(index) = most_valuable(&bands)
+        {
+            let NextInBand { request, band, is_blocked, .. } = bands[index];
+            let to = if is_blocked { None } else { self.choose_backend(request) };
+            let was_sent = to.is_some_and(|to| self.send(request, to, actions));
+            if !was_sent {
+                misses += 1;
+                // Sends only take capacity away: a band without headroom has none for the rest of this.
+                bands[index].is_blocked = is_blocked || !self.any_backend_has_headroom(band);
+            }
+            match self.pending.next_in_band(band, Some(request)) {
+                Some(next) => bands[index].request = next,
+                None => drop(bands.swap_remove(index)),
+            }
+        }
+    }
+
+    fn first_of_bands(&self) -> Vec<NextInBand> {
+        let first = |band: Band| {
+            let request = self.pending.next_in_band(band, None)?;
+            let value_density = self.band_value_density(band);
+            Some(NextInBand { value_density, request, band, is_blocked: false })
+        };
+        Band::all(self.classes.len()).filter_map(first).collect()
+    }
+
+    fn band_value_density(&self, band: Band) -> f64 {
+        let factor = if band.over_quota { self.settings.over_quota_value } else { 1.0 };
+        self.classes[band.class].value_density * factor
+    }
+
+    /// Whether some backend might be sent a request of this band, whatever time it has left.
+    fn any_backend_has_headroom(&self, band: Band) -> bool {
+        let takes = |backend: &Backend| self.is_usable(backend) && self.has_headroom(band, backend);
+        self.has_many_nodes()
+            || self.backends.len() > MAX_SCANNED_BACKENDS
+            || self.backends.values().any(takes)
+    }
+
+    /// Rejects the pending requests that no backend could serve in time any more, and those that were never
+    /// sent while a rejection is still early.
+    pub(super) fn expire_pending(&mut self, actions: &mut Vec<Action>) {
+        if self.pending.is_empty() {
+            return;
+        }
+        let interval = self.housekeeping_interval();
+        let mut expired = BTreeSet::new();
+        for class in 0..self.classes.len() {
+            for (is_retry, budget_share) in [(false, ADMISSION_SHARE), (true, RETRY_ADMISSION_SHARE)] {
+                let min_latency = (self.expected_latency(class, IDLE_LOAD) / budget_share) as Nanos;
+                let by = self.now + (min_latency + interval);
+                self.pending.collect_targets_by(TargetGroup { class, is_retry }, by, &mut expired);
+            }
+        }
+        self.pending.collect_expired_by(self.now + interval, &mut expired);
+        let retry_after = self.settings.limits.max_retry_after;
+        for (_, id) in expired {
+            self.end_unserved(id, RejectReason::QueueTimeout, retry_after, actions);
+        }
+    }
+}
+
+/// The band to dispatch from next; of two of the same value the one whose request is older.
+fn most_valuable(bands: &[NextInBand]) -> Option<usize> {
+    (0..bands.len()).min_by(|&a, &b| {
+        let (a, b) = (&bands[a], &bands[b]);
+        b.value_density.total_cmp(&a.value_density).then(a.request.cmp(&b.request))
+    })
+}
--- /dev/null
+++ b/balancer/src/policy/priorities.rs
@@ -0,0 +1,82 @@
+//! Priorities: what each class's work is worth, how much load it may put on a backend, and tenants' quotas.
+
+use super::tuning::{
+    ADMISSION_SHARE, LOWER_PRIORITY_SHARE, MAX_QUEUEING_RATIO, MIN_CLASS_RATE, MIN_LOAD_LIMIT,
+    QUOTA_TOLERANCE,
+};
+use crate::state::Balancer;
+
+/// Divisors are this at least: no class is worth an infinite amount.
+const EPSILON: f64 = 1e-9;
+
+/// A class's requests a second.
+#[derive(Clone, Copy)]
+struct ClassRates {
+    arrivals: f64,
+    served: f64,
+}
+
+impl ClassRates {
+    fn served_share(self) -> f64 {
+        if self.arrivals > 0.0 { self.served / self.arrivals } else { 1.0 }
+    }
+}
+
+impl Balancer {
+    /// Updates what a unit of each class's work adds to the goal, and each class's load limit.
+    pub(super) fn update_class_values(&mut self) {
+        let now = self.now;
+        let rates = self.classes.iter().map(|class| ClassRates {
+            arrivals: class.arrivals.per_second(now),
+            served: class.served.per_second(now),
+        });
+        let rates: Vec<ClassRates> = rates.collect();
+        self.update_value_densities(&rates);
+        self.update_load_limits(&rates);
+    }
+
+    /// A class is worth its value; the worst-served one more, by the settings.
+    fn update_value_densities(&mut self, rates: &[ClassRates]) {
+        let worst_class_weight = self.settings.worst_class_weight.min(1.0);
+        let offered: f64 =
+            rates.iter().zip(&self.settings.classes).map(|(rate, class)| rate.arrivals * class.value).sum();
+        let worst = rates.iter().map(|rate| rate.served_share()).fold(1.0, f64::min);
+        for ((view, class), rate) in self.classes.iter_mut().zip(&self.settings.classes).zip(rates) {
+            let mut value = (1.0 - worst_class_weight) * class.value / offered.max(EPSILON);
+            if rate.served_share() <= worst {
+                value += worst_class_weight / rate.arrivals.max(EPSILON);
+            }
+            view.value_density =
+                if self.settings.value_per_work { value } else { value / view.idle_latency.max(1.0) };
+        }
+    }
+
+    /// A valuable class with a tight latency target would find all load limits reached by lesser ones with
+    /// a wide target, so each class may use a part of the next more valuable one's limit.
+    fn update_load_limits(&mut self, rates: &[ClassRates]) {
+        let mut limit = f64::INFINITY;
+        let by_value = self.classes_by_value();
+        for class in by_value.into_iter().filter(|&class| rates[class].arrivals > MIN_CLASS_RATE) {
+            let target = self.settings.classes[class].latency_target as f64;
+            let max_latency = MAX_QUEUEING_RATIO * self.classes[class].idle_latency;
+            let before_queueing = self.load_for_latency(class, max_latency).max(MIN_LOAD_LIMIT);
+            let within_target = self.load_for_latency(class, ADMISSION_SHARE * target);
+            limit = (limit * LOWER_PRIORITY_SHARE).min(before_queueing).min(within_target);
+            self.classes[class].load_limit = limit;
+        }
+    }
+
+    /// Share of a tenant's requests that is over this node's part of its quota; 0 for no known tenant.
+    pub(super) fn over_quota_fraction(&self, tenant: usize) -> f64 {
+        let arrivals = self.tenant_arrivals.get(tenant);
+        let Some((arrivals, quota)) = arrivals.zip(self.settings.tenant_quotas.get(tenant)) else {
+            return 0.0;
+        };
+        if self.settings.over_quota_value >= 1.0 {
+            return 0.0;
+        }
+        let nodes = f64::from(self.settings.nodes);
+        let within_quota = quota / nodes / arrivals.per_second(self.now).max(EPSILON);
+        (1.0 - QUOTA_TOLERANCE * within_quota).max(0.0)
+    }
+}
--- /dev/null
+++ b/balancer/src/policy/retry_budget.rs
@@ -0,0 +1,55 @@
+//! Retries, within their budget.
+
+use super::tuning::MAX_RETRY_TOKENS;
+use crate::api::{Action, RequestId};
+use crate::counters::RejectReason;
+use crate::state::{Balancer, Request};
+
+impl Balancer {
+    /// Most retry tokens that a node may save up: many nodes together must not save a storm.
+    pub(crate) fn retry_token_limit(&self) -> f64 {
+        self.max_retry_tokens.unwrap_or((MAX_RETRY_TOKENS / self.nodes_per_zone()).max(1.0))
+    }
+
+    /// After an attempt that did not serve: retries where the send rules and the budget allow it. Where no
+    /// backend has room this moment the retry is queued: most have some before the latency target has
+    /// passed.
+    pub(super) fn retry_or_end(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id).filter(|request| !request.has_attempt_in_flight()) else {
+            return;
+        };
+        let is_late = self.is_too_late_to_retry(request);
+        let token_cost = self.retry_token_cost(request);
+        let is_affordable = self.retry_tokens >= token_cost || self.is_free_retry(request);
+        if is_late || !is_affordable || !self.any_backend_permits(request) {
+            let retry_after = if is_late { self.settings.limits.max_retry_after } else { 0 };
+            self.end_unserved(id, RejectReason::AttemptsFailed, retry_after, actions);
+            return;
+        }
+        self.retry_tokens = (self.retry_tokens - token_cost).max(0.0);
+        self.dispatch_or_queue(id, actions);
+    }
+
+    /// An attempt that was rejected at once has cost little: with many nodes its first retry is free.
+    fn is_free_retry(&self, request: &Request) -> bool {
+        let was_never_run = request.attempts.len() == 1 && !request.attempts[0].may_have_run();
+        was_never_run && self.has_many_nodes()
+    }
+
+    fn any_backend_permits(&self, request: &Request) -> bool {
+        self.permits_attempt(request)
+            && self.backends.values().any(|backend| self.permits_send(request, backend))
+    }
+
+    /// Retry tokens that one more attempt costs: none where the last one did not reach its backend.
+    fn retry_token_cost(&self, request: &Request) -> f64 {
+        let has_own_bound = self.settings.classes[request.class].max_attempts.is_some();
+        let last_unreached = request.attempts.last().is_some_and(|attempt| attempt.never_reached_backend());
+        if has_own_bound && last_unreached { 0.0 } else { 1.0 }
+    }
+
+    fn is_too_late_to_retry(&self, request: &Request) -> bool {
+        let class = &self.settings.classes[request.class];
+        self.now >= if class.retry_past_target { request.not_after } else { request.target_at }
+    }
+}
--- a/balancer/src/policy/slow_start.rs
+++ b/balancer/src/policy/slow_start.rs
@@ -1,39 +1,64 @@
-//! Slow start: what may be sent to a cold backend.
+//! Slow start: how much a backend that is warming up may be sent.
 
-use super::figures::*;
-use crate::state::*;
+use super::tuning::{MIN_CAPACITY_SHARE, SLOW_START_BUDGET_SHARE, SUBSET_SIZE};
+use crate::api::{Nanos, RuleSettings, SECOND};
+use crate::random::{SPLITMIX_INCREMENT, hash_mix};
+use crate::state::{Backend, Balancer, Request, ZoneView};
+
+impl Backend {
+    /// Share of its capacity that it surely has by now; 1 when warm.
+    pub(crate) fn capacity_share(&self, now: Nanos, rules: &RuleSettings) -> f64 {
+        let Some(online_since) = self.member.online_since else { return 1.0 };
+        let progress = now.saturating_sub(online_since) as f64 / rules.warm_up_time.max(1) as f64;
+        (rules.initial_capacity + (1.0 - rules.initial_capacity) * progress).clamp(MIN_CAPACITY_SHARE, 1.0)
+    }
+}
 
 impl Balancer {
-    /// Whether this node's share of a cold backend's budget has room.
+    /// Whether the request fits into this node's part of the budget of a backend that is warming up.
     pub(super) fn fits_slow_start_budget(&self, backend: &Backend, request: &Request) -> bool {
-        let rules = &self.settings.rules;
-        let ramp = backend.capacity_share(self.now, rules);
-        if ramp >= 1.0 {
+        let capacity_share = backend.capacity_share(self.now, &self.settings.rules);
+        if capacity_share >= 1.0 {
             return true;
         }
-        let since = self.now.saturating_sub(rules.overload_window + self.settings.quantum);
-        let recent = backend.slow_start_sends.iter().rev().take_while(|(at, _)| *at >= since);
-        let spent: f64 = recent.map(|(_, cost)| cost).sum();
-        let span = rules.overload_window as f64 / SECOND as f64;
-        // Only nodes with it in their subset send there, and these divide the budget.
         let zone = self.zones.get(backend.member.zone.0 as usize).copied().unwrap_or_default();
+        // Only nodes that have it in their subset send there, and they divide the budget.
         if self.has_many_nodes() && backend.subset_rank > zone.subset_cutoff {
             return false;
         }
+        let spent = self.spent_slow_start_work(backend);
+        let budget = self.slow_start_budget(backend, &zone, capacity_share);
+        spent + request.slow_start_work <= budget
+            || (spent == 0.0 && self.is_drawn_for_slow_start(backend, budget / request.slow_start_work))
+    }
+
+    /// Work sent to it within the rules' window, in nanoseconds on a standard core.
+    fn spent_slow_start_work(&self, backend: &Backend) -> f64 {
+        let window_start =
+            self.now.saturating_sub(self.settings.rules.overload_window + self.settings.quantum);
+        let recent = backend.slow_start_sends.iter().rev().take_while(|send| send.sent_at >= window_start);
+        recent.map(|send| send.work).sum()
+    }
+
+    fn slow_start_budget(&self, backend: &Backend, zone: &ZoneView, capacity_share: f64) -> f64 {
+        let rules = &self.settings.rules;
+        let window_s = rules.overload_window as f64 / SECOND as f64;
         let users = if self.has_many_nodes() { (zone.in_service / SUBSET_SIZE as f64).max(1.0) } else { 1.0 };
-        let budget = SLOW_START_BUDGET_SHARE
+        SLOW_START_BUDGET_SHARE
             * rules.overload_multiple
-            * ramp
+            * capacity_share
             * backend.weight()
             * zone.served_per_capacity
-            * span
-            * users;
-        // A budget under one request is spent by chance, or many nodes' first sends would exceed it together;
-        // one of a zone's nodes or so always tries, as no figure may come from elsewhere.
-        let epoch = self.now / rules.overload_window.max(1);
-        let lot = hash_mix(backend.subset_rank ^ epoch.wrapping_mul(0x9e37_79b9_7f4a_7c15)) as f64
-            / u64::MAX as f64;
-        spent + request.slow_start_work <= budget
-            || (spent == 0.0 && lot <= (budget / request.slow_start_work).max(1.0 / self.nodes_per_zone()))
+            * window_s
+            * users
+    }
+
+    /// A budget under one request is spent by chance, or many nodes' first sends would exceed it together;
+    /// one of a zone's nodes or so always tries, as no report may come from elsewhere.
+    fn is_drawn_for_slow_start(&self, backend: &Backend, requests_in_budget: f64) -> bool {
+        let window_number = self.now / self.settings.rules.overload_window.max(1);
+        let seed = backend.subset_rank ^ window_number.wrapping_mul(SPLITMIX_INCREMENT);
+        let drawn = hash_mix(seed) as f64 / u64::MAX as f64;
+        drawn <= requests_in_budget.max(1.0 / self.nodes_per_zone())
     }
 }
--- /dev/null
+++ b/balancer/src/served_capacity.rs
@@ -0,0 +1,68 @@
+//! Measures how much work this node serves for each unit of used capacity.
+
+use crate::policy::tuning::{
+    CAPACITY_FALL_RATE, CAPACITY_RISE_RATE, MIN_MEASURED_UTILISATION, UTILISATION_MAX_AGE,
+};
+use crate::state::{Backend, Balancer};
+
+/// Backends for each of which a measurement is skipped once more: the walk through very many is rare.
+const BACKENDS_PER_SKIP: usize = 1024;
+
+/// Work served by a set of backends, and the capacity in use there.
+#[derive(Clone, Copy, Default)]
+struct ServedCapacity {
+    served_work: f64,
+    used_capacity: f64,
+}
+
+impl ServedCapacity {
+    fn add(&mut self, other: Self) {
+        self.served_work += other.served_work;
+        self.used_capacity += other.used_capacity;
+    }
+
+    fn per_unit(self) -> f64 {
+        if self.used_capacity > 0.0 { self.served_work / self.used_capacity } else { 0.0 }
+    }
+}
+
+impl Balancer {
+    /// Measures each zone, so that the parts of all nodes add up to one capacity. The measure falls slowly:
+    /// little is served in a jam, and backends that are warming up are the way out of it.
+    pub(crate) fn measure_served_capacity(&mut self) {
+        let interval = 1 + self.backends.len() / BACKENDS_PER_SKIP;
+        self.refresh_count += 1;
+        if !self.refresh_count.is_multiple_of(interval) {
+            return;
+        }
+        let by_zone = self.served_capacity_by_zone();
+        let mut total = ServedCapacity::default();
+        by_zone.iter().for_each(|zone| total.add(*zone));
+        let even_part = total.per_unit() / f64::from(self.settings.nodes);
+        for (zone, measured) in self.zones.iter_mut().zip(by_zone) {
+            let change = measured.per_unit().max(even_part) - zone.served_per_capacity;
+            let rate = if change > 0.0 { CAPACITY_RISE_RATE } else { CAPACITY_FALL_RATE };
+            let step = interval as f64 * rate;
+            zone.served_per_capacity += change * step.min(1.0);
+        }
+    }
+
+    /// Over the warm backends with a recent report.
+    fn served_capacity_by_zone(&self) -> Vec<ServedCapacity> {
+        let mut by_zone = vec![ServedCapacity::default(); self.zones.len()];
+        let (now, rules) = (self.now, &self.settings.rules);
+        let is_measured = |backend: &&Backend| {
+            backend.capacity_share(now, rules) >= 1.0
+                && backend.utilisation.is_fresh(now, UTILISATION_MAX_AGE)
+        };
+        for backend in self.backends.values().filter(is_measured) {
+            if let Some(zone) = by_zone.get_mut(backend.member.zone.0 as usize) {
+                zone.add(ServedCapacity {
+                    served_work: backend.served_work.per_second(now),
+                    used_capacity: backend.weight() * backend.utilisation.value.max(MIN_MEASURED_UTILISATION),
+                });
+            }
+        }
+        by_zone
+    }
+}
--- /dev/null
+++ b/balancer/src/state/backend.rs
@@ -0,0 +1,74 @@
+//! A backend as this node sees it.
+
+use std::collections::VecDeque;
+
+use crate::api::{BackendState, Member, Nanos};
+use crate::estimators::{Ewma, RateEstimator};
+
+/// Outlier detection's state of a backend.
+#[derive(Clone, Copy, Default, PartialEq, Eq)]
+pub(crate) enum Health {
+    #[default]
+    Healthy,
+    Ejected {
+        until: Nanos,
+    },
+    /// Gets one trial request at a time.
+    HalfOpen {
+        served_trials: u32,
+    },
+}
+
+/// A send to a backend during its slow start.
+pub(crate) struct SlowStartSend {
+    pub(crate) sent_at: Nanos,
+    /// In nanoseconds on a standard core.
+    pub(crate) work: f64,
+}
+
+/// A backend as this node sees it.
+#[derive(Default)]
+pub(crate) struct Backend {
+    pub(crate) member: Member,
+    /// This node's attempts in flight there.
+    pub(crate) in_flight: u32,
+    /// Reported utilisation, 1 for all cores in use.
+    pub(crate) utilisation: Ewma,
+    /// This node's attempts in flight there when `utilisation` was reported, smoothed alike.
+    pub(crate) in_flight_at_report: f64,
+    /// Latency as a multiple of the expected one.
+    pub(crate) latency_ratio: Ewma,
+    /// Work served for this node, in nanoseconds a second.
+    pub(crate) served_work: RateEstimator,
+    /// Share of its attempts that fail.
+    pub(crate) failure_rate: Ewma,
+    pub(crate) consecutive_failures: u32,
+    pub(crate) consecutive_rejections: u32,
+    /// After a rejection it gets nothing before this.
+    pub(crate) backoff_until: Nanos,
+    pub(crate) health: Health,
+    /// Ejections so far, less those that were followed by a recovery.
+    pub(crate) ejections: u32,
+    pub(crate) slow_start_sends: VecDeque<SlowStartSend>,
+    /// Requests in flight for each core, by the list's live weight.
+    pub(crate) listed_load: Option<f64>,
+    /// The last probe did not reach it, and it has served nothing since.
+    pub(crate) unreachable: bool,
+    /// This node's random rank of it: the lowest ranks of a zone are the node's subset.
+    pub(crate) subset_rank: u64,
+}
+
+impl Backend {
+    pub(crate) fn new(member: Member) -> Self {
+        Self { member, ..Self::default() }
+    }
+
+    pub(crate) fn is_in_service(&self) -> bool {
+        self.member.state == BackendState::InService
+    }
+
+    /// Its weight, 1 where the listed one is not usable.
+    pub(crate) fn weight(&self) -> f64 {
+        if self.member.weight.is_finite() && self.member.weight > 0.0 { self.member.weight } else { 1.0 }
+    }
+}
--- /dev/null
+++ b/balancer/src/state/balancer.rs
@@ -0,0 +1,182 @@
+//! The state of one node.
+
+use std::cell::Cell;
+use std::collections::BTreeMap;
+
+use ivyhatch_load_probing::Scheduler;
+
+use super::backend::Backend;
+use super::class::{ClassView, INITIAL_LATENCY_FRACTION};
+use super::congestion::CongestionSignal;
+use super::request::Request;
+use super::window::ConcurrencyWindow;
+use super::zone::{ZoneUtilisation, ZoneView};
+use crate::advisor::PlacementAdvisor;
+use crate::api::{BackendId, Nanos, RequestId, Settings, SettingsError, ZoneId};
+use crate::counters::Counters;
+use crate::estimators::RateEstimator;
+use crate::pending_queue::PendingQueue;
+use crate::policy::tuning::{INITIAL_REMOTE_WINDOW, MIN_LOAD_LIMIT};
+use crate::random::SplitMix64;
+use crate::removal_notices::RemovalNotices;
+
+/// The sum of all backends' failure rates, which is renewed rarely where backends are many.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct FailureRateSum {
+    pub(crate) value: f64,
+    pub(crate) computed_at: Nanos,
+}
+
+/// One node's load balancer, a state machine without I/O. Deterministic: the same settings, seed and events
+/// give the same actions.
+pub struct Balancer {
+    pub(crate) settings: Settings,
+    pub(crate) seed: u64,
+    pub(crate) random: SplitMix64,
+    /// The time of the present event.
+    pub(crate) now: Nanos,
+    pub(crate) requests: BTreeMap<RequestId, Request>,
+    /// The requests in [`RequestPhase::Queued`](super::RequestPhase::Queued).
+    pub(crate) pending: PendingQueue,
+    pub(crate) backends: BTreeMap<BackendId, Backend>,
+    pub(crate) zones: Vec<ZoneView>,
+    /// The backends of each zone, by id.
+    pub(crate) zone_backends: Vec<Vec<BackendId>>,
+    /// The node's subset of each zone: the backends of the lowest ranks.
+    pub(crate) zone_subsets: Vec<Vec<BackendId>>,
+    /// Number of backends in service.
+    pub(crate) in_service_count: usize,
+    /// Number of backends that are not healthy.
+    pub(crate) ejected_count: usize,
+    pub(crate) total_failure_rate: FailureRateSum,
+    /// Refreshes of the overflow zones so far.
+    pub(crate) refresh_count: usize,
+    /// Each zone's utilisation, as long as it is valid.
+    pub(crate) cached_zone_utilisation: Vec<Cell<Option<ZoneUtilisation>>>,
+    pub(crate) classes: Vec<ClassView>,
+    /// Latency in nanoseconds that each request of a backend's load adds where its cores are the
+    /// bottleneck.
+    pub(crate) latency_per_load: f64,
+    /// Weight of the samples in `latency_per_load`.
+    pub(crate) load_samples: f64,
+    /// Requests a second of each tenant.
+    pub(crate) tenant_arrivals: Vec<RateEstimator>,
+    pub(crate) congestion: CongestionSignal,
+    /// Arrivals a second with so little time left that they may be retries.
+    pub(crate) suspected_retries: RateEstimator,
+    /// Requests a second that ended unserved in time for a retry.
+    pub(crate) unserved: RateEstimator,
+    /// The other zones, the best first.
+    pub(crate) overflow_zones: Vec<ZoneId>,
+    /// How many of them, from the first on, have spare capacity.
+    pub(crate) qualified_zones: usize,
+    /// When the overflow zones are scored again.
+    pub(crate) refresh_at: Nanos,
+    pub(crate) retry_tokens: f64,
+    pub(crate) removal_notices: RemovalNotices,
+    /// When discovery is asked again after a failure.
+    pub(crate) poll_at: Option<Nanos>,
+    pub(crate) discovery_failures: u32,
+    pub(crate) next_log_at: Nanos,
+    /// When the last requested timer comes due.
+    pub(crate) timer_at: Option<Nanos>,
+    /// The largest live weight of each machine kind so far: that of an idle backend.
+    pub(crate) idle_weights: BTreeMap<u32, f64>,
+    pub(crate) list_received_at: Option<Nanos>,
+    /// Mean time between two lists, in seconds.
+    pub(crate) list_interval_s: f64,
+    /// When the overflow share is updated next.
+    pub(crate) overflow_share_at: Nanos,
+    /// `None` where the settings allow no probes or nothing is gained by them.
+    pub(crate) probe_scheduler: Option<Scheduler>,
+    pub(crate) counters: Counters,
+    /// The embedder's bound on saved retry tokens.
+    pub(crate) max_retry_tokens: Option<f64>,
+    pub(crate) advisor: Option<Box<dyn PlacementAdvisor>>,
+}
+
+impl Balancer {
+    /// A node that knows nothing but its settings. `seed` drives its jitter.
+    ///
+    /// # Errors
+    ///
+    /// Settings that [`Settings::validate`] refuses.
+    pub fn new(settings: Settings, seed: u64, now: Nanos) -> Result<Self, SettingsError> {
+        settings.validate()?;
+        let class_count = settings.classes.len();
+        let zone_count = settings.zones as usize;
+        let shortest_target =
+            settings.classes.iter().map(|class| class.latency_target as f64).fold(f64::INFINITY, f64::min);
+        Ok(Self {
+            seed,
+            random: SplitMix64::new(seed),
+            now,
+            requests: BTreeMap::new(),
+            pending: PendingQueue::new(class_count),
+            backends: BTreeMap::new(),
+            zones: initial_zones(&settings),
+            zone_backends: vec![Vec::new(); zone_count],
+            zone_subsets: vec![Vec::new(); zone_count],
+            in_service_count: 0,
+            ejected_count: 0,
+            total_failure_rate: FailureRateSum::default(),
+            refresh_count: 0,
+            cached_zone_utilisation: vec![Cell::new(None); zone_count],
+            classes: settings.classes.iter().map(ClassView::new).collect(),
+            latency_per_load: shortest_target * INITIAL_LATENCY_FRACTION,
+            load_samples: 0.0,
+            tenant_arrivals: vec![RateEstimator::default(); settings.tenant_quotas.len()],
+            congestion: CongestionSignal::default(),
+            suspected_retries: RateEstimator::default(),
+            unserved: RateEstimator::default(),
+            overflow_zones: Vec::new(),
+            qualified_zones: 0,
+            refresh_at: now,
+            retry_tokens: 1.0,
+            removal_notices: RemovalNotices::default(),
+            poll_at: None,
+            discovery_failures: 0,
+            next_log_at: 0,
+            timer_at: None,
+            idle_weights: BTreeMap::new(),
+            list_received_at: None,
+            list_interval_s: 1.0,
+            overflow_share_at: 0,
+            probe_scheduler: Self::new_probe_scheduler(&settings, seed, now),
+            counters: Counters::default(),
+            max_retry_tokens: None,
+            advisor: None,
+            settings,
+        })
+    }
+
+    /// Number of requests that the node keeps: open ones, and ended ones with an attempt in flight.
+    pub fn open_requests(&self) -> usize {
+        self.requests.len()
+    }
+
+    /// Requests a second that come to this node.
+    pub(crate) fn arrival_rate(&self) -> f64 {
+        self.classes.iter().map(|class| class.arrivals.per_second(self.now)).sum()
+    }
+
+    /// The classes, the one of the highest value for each unit of work first.
+    pub(crate) fn classes_by_value(&self) -> Vec<usize> {
+        let mut order: Vec<usize> = (0..self.classes.len()).collect();
+        order.sort_by(|&a, &b| self.classes[b].value_density.total_cmp(&self.classes[a].value_density));
+        order
+    }
+
+    /// Number of nodes that share a zone's backends, whose load moves with this node's.
+    pub(crate) fn nodes_per_zone(&self) -> f64 {
+        (f64::from(self.settings.nodes) / f64::from(self.settings.zones)).max(1.0)
+    }
+}
+
+fn initial_zones(settings: &Settings) -> Vec<ZoneView> {
+    let window = ConcurrencyWindow::past_slow_start(INITIAL_REMOTE_WINDOW);
+    let remote = ZoneView { window, ..ZoneView::default() };
+    let mut zones = vec![remote; settings.zones as usize];
+    zones[settings.home.0 as usize].window = ConcurrencyWindow::in_slow_start(MIN_LOAD_LIMIT);
+    zones
+}
--- a/balancer/tests/advice.rs
+++ b/balancer/tests/advice.rs
@@ -1,4 +1,5 @@
-//! What an embedder advises, and what of a node's settings changes while it runs. Without advice all is as it was.
+//! What an embedder advises, and what of a node's settings changes while it runs. Without advice all is as
+//! it was.
 
 mod common;
 
@@ -135,7 +136,8 @@
     assert_eq!(*word.sends.borrow(), sends);
 }
 
-/// What was held goes out together as it is let go: none of it may pass a bound that the first of it has reached.
+/// What was held goes out together as it is let go: none of it may pass a bound that the first of it has
+/// reached.
 #[test]
 fn what_is_sent_within_one_event_is_taken_into_account() {
     let (mut node, word) = advised(settings(Idempotency::Idempotent));
--- a/balancer/tests/any_sequence.rs
+++ b/balancer/tests/any_sequence.rs
@@ -220,7 +220,8 @@
         }
     }
 
-    /// A failure of discovery, a client that hangs up, the end of an attempt that nobody made, or that of a probe.
+    /// A failure of discovery, a client that hangs up, the end of an attempt that nobody made, or that of a
+    /// probe.
     fn rare_event(&mut self, step: u64) -> Event {
         match self.draw.below(4) {
             0 => Event::DiscoveryFailed,
--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -178,7 +178,8 @@
     actions.iter().any(|action| matches!(action, Action::Fail { .. }))
 }
 
-/// A backend whose answers take `idle` while cores are free, and `each` for every request on it beyond that.
+/// A backend whose answers take `idle` while cores are free, and `each` for every request on it beyond
+/// that.
 pub struct Queue {
     pub idle: Nanos,
     pub each: Nanos,
--- a/balancer/tests/contract.rs
+++ b/balancer/tests/contract.rs
@@ -208,7 +208,7 @@
     let cold = |actions: Vec<Action>| usize::from(sent(&actions) == Some(BackendId(9)));
     let taken: usize =
         (0..500).map(|turn| cold(ask(&mut node, Some(if turn % 2 == 0 { MS } else { 39 * MS })).1)).sum();
-    // One warm backend does a second's work a second at half use, so the share is 0.4 x 2 x 0.34 x 2: in 2 s
-    // that is room for 1.07 s of work, 18 pairs counted as 20 and 39 ms.
+    // One warm backend does a second's work a second at half use, so the share is 0.4 x 2 x 0.34 x 2: in 2
+    // s that is room for 1.07 s of work, 18 pairs counted as 20 and 39 ms.
     assert!((1..=40).contains(&taken), "{taken} to the cold backend");
 }
--- a/balancer/tests/many.rs
+++ b/balancer/tests/many.rs
@@ -198,8 +198,8 @@
         Self { node, out, attempts, tenants, made: [0; 2], asked: [0; 2], whose: Default::default() }
     }
 
-    /// So many requests a second for so many seconds, whose clients wait for five. Each attempt ends as `ends` says of
-    /// its backend.
+    /// So many requests a second for so many seconds, whose clients wait for five. Each attempt ends as
+    /// `ends` says of its backend.
     fn run(
         &mut self,
         rate: u64,
@@ -252,8 +252,9 @@
     Traffic::of(Node::new(given, (0..60).map(|b| member(b, b / 20)).collect()))
 }
 
-/// The calm day of 300 nodes: a burst filled all servers, each node's share of the arrivals fell by a half a second, and
-/// what had been sent stayed there for ten seconds: 12 of 100 requests in time for the rest of the day.
+/// The calm day of 300 nodes: a burst filled all servers, each node's share of the arrivals fell by a half
+/// a second, and what had been sent stayed there for ten seconds: 12 of 100 requests in time for the rest
+/// of the day.
 #[test]
 fn a_jam_holds_no_more_of_a_nodes_requests_than_its_window() {
     let mut node = of_a_hundred();
@@ -269,8 +270,9 @@
     assert!(after.sent > after.asked * 9 / 10, "{} of {} after the jam", after.sent, after.asked);
 }
 
-/// The fleet days: the share taken was bound by what had been served of all that was asked, the refused included. It
-/// grew by 15 % in three seconds once a jam was over, and servers stood idle for the rest of the day.
+/// The fleet days: the share taken was bound by what had been served of all that was asked, the refused
+/// included. It grew by 15 % in three seconds once a jam was over, and servers stood idle for the rest of
+/// the day.
 #[test]
 fn a_node_that_refused_in_a_jam_takes_all_again_within_seconds_of_its_end() {
     let mut node = of_a_hundred();
@@ -284,7 +286,8 @@
     assert!(after > 0.9, "{after} sent eight seconds after the jam");
 }
 
-/// Each of ten nodes to a server took one more a round: in a round the server held twice as much, and jammed.
+/// Each of ten nodes to a server took one more a round: in a round the server held twice as much, and
+/// jammed.
 #[test]
 fn a_window_that_is_too_small_grows_by_a_part_of_itself() {
     let mut node = of_a_hundred();
@@ -298,7 +301,8 @@
     assert!(after.sent < before.sent * 5 / 2, "{} sent, then {}", before.sent, after.sent);
 }
 
-/// A node that started in a jam took its times for usual, saw no time left for any answer, and sent nothing ever again.
+/// A node that started in a jam took its times for usual, saw no time left for any answer, and sent nothing
+/// ever again.
 #[test]
 fn a_node_that_starts_in_a_jam_sends_once_it_is_over() {
     let mut node = of_a_hundred();
@@ -350,7 +354,8 @@
     assert!(to_slow * 2 < even, "{to_slow} to the slow one, an even part is {even}");
 }
 
-/// The same bound took the errors of bad servers for a lack of room, and refused what well ones would have served.
+/// The same bound took the errors of bad servers for a lack of room, and refused what well ones would have
+/// served.
 #[test]
 fn errors_of_some_servers_are_no_jam() {
     let mut node = of_a_hundred();
@@ -445,7 +450,8 @@
     assert!(part(1) > 1.5 * part(0), "{taken:?} of {asked:?}");
 }
 
-/// Incident i58b577: in a jam nearly nothing was served, so that new servers, the way out, got nearly nothing.
+/// Incident i58b577: in a jam nearly nothing was served, so that new servers, the way out, got nearly
+/// nothing.
 #[test]
 fn a_jam_does_not_take_the_budget_of_new_servers() {
     let given = Settings { nodes: 3, ..settings(Idempotency::Idempotent) };
--- a/balancer/tests/probing.rs
+++ b/balancer/tests/probing.rs
@@ -1,4 +1,5 @@
-//! Load reports by probe: what they may cost, and what a figure that lies, is old or does not come may not do.
+//! Load reports by probe: what they may cost, and what a figure that lies, is old or does not come may not
+//! do.
 
 mod common;
 use common::*;
@@ -248,8 +249,8 @@
     assert_eq!(known.len(), 6, "all that is known is probed");
 }
 
-/// Three nodes, each at home in a zone of its own, all zones just at the threshold: what one spills comes back as
-/// what the others spill, for the price of two crossings.
+/// Three nodes, each at home in a zone of its own, all zones just at the threshold: what one spills comes
+/// back as what the others spill, for the price of two crossings.
 #[test]
 fn zones_at_the_threshold_do_not_swap_their_load() {
     const GAPS: [Nanos; 4] = [MS, 4 * MS, 2 * MS, 3 * MS];
--- a/balancer/tests/recorded.rs
+++ b/balancer/tests/recorded.rs
@@ -1,8 +1,8 @@
-//! The same events give the same actions as in the build that was recorded. Caches, indexes and queues are there
-//! to decide sooner, never otherwise.
+//! The same events give the same actions as in the build that was recorded. Caches, indexes and queues are
+//! there to decide sooner, never otherwise.
 //!
-//! Where a change means to decide otherwise, `RECORD=1 cargo test --test recorded` writes the record anew; say
-//! in the commit which decisions moved, and why.
+//! Where a change means to decide otherwise, `RECORD=1 cargo test --test recorded` writes the record anew;
+//! say in the commit which decisions moved, and why.
 
 #[path = "common/world.rs"]
 mod world;
--- a/balancer/tests/size.rs
+++ b/balancer/tests/size.rs
@@ -1,4 +1,5 @@
-//! The decision module as its users see it: the deploy file names all of it, and each of its files has one concern.
+//! The decision module as its users see it: the deploy file names all of it, and each of its files has one
+//! concern.
 
 const ROOT: &str = env!("CARGO_MANIFEST_DIR");
 
@@ -10,7 +11,8 @@
     listed.split('"').skip(1).step_by(2).map(str::to_owned).collect()
 }
 
-/// A file beyond this does several jobs. The bound on the whole module's lines has been withdrawn by its users.
+/// A file beyond this does several jobs. The bound on the whole module's lines has been withdrawn by its
+/// users.
 const MAX_FILE_LINES: usize = 400;
 /// As `rustfmt.toml` sets it; string literals and comments are not wrapped by the formatter.
 const MAX_LINE_COLUMNS: usize = 110;
--- a/balancer/tests/troubles.rs
+++ b/balancer/tests/troubles.rs
@@ -172,8 +172,8 @@
     );
 }
 
-/// Guards against first tries of impatient clients taken for late repeats: a repeat may be given what is left
-/// of the client's time, which is more than its first try had.
+/// Guards against first tries of impatient clients taken for late repeats: a repeat may be given what is
+/// left of the client's time, which is more than its first try had.
 #[test]
 fn a_first_try_shorter_than_repeats_is_taken() {
     let marked = |repeats_marked| Settings {
@@ -298,7 +298,8 @@
 }
 
 /// Incident sev5594: most of an answer's time is spent waiting elsewhere. Set against the load alone, every
-/// backend that had little to do looked ten times slow, got one request at a time, and so went on looking slow.
+/// backend that had little to do looked ten times slow, got one request at a time, and so went on looking
+/// slow.
 #[test]
 fn a_backend_with_little_to_do_does_not_look_slow() {
     let mut node = Node::new(settings(Idempotency::Idempotent), fleet(1));
@@ -309,8 +310,8 @@
     assert!(busy >= 5 && again >= 5, "{busy} at once, after a lull {again}");
 }
 
-/// Incident sev5594: with a wide aim a backend was filled until its answers just met it. One that has several
-/// requests waiting for each core for a second or two turns slower, and stays so long after.
+/// Incident sev5594: with a wide aim a backend was filled until its answers just met it. One that has
+/// several requests waiting for each core for a second or two turns slower, and stays so long after.
 #[test]
 fn a_wide_aim_is_no_licence_to_crowd_a_backend() {
     let given = Settings {
@@ -340,8 +341,8 @@
     assert!((150..=250).contains(&after), "refused after {after} ms");
 }
 
-/// A studio that sent several times its share was served alike with those that kept to theirs: of a few nodes
-/// none told them apart.
+/// A studio that sent several times its share was served alike with those that kept to theirs: of a few
+/// nodes none told them apart.
 #[test]
 fn a_tenant_that_floods_leaves_room_for_the_others() {
     let given = Settings {
@@ -361,8 +362,8 @@
     assert!(parts[1] > 1.5 * parts[0], "{parts:?}");
 }
 
-/// A node refused two in five at once for nine seconds: its clients had come to wait for less time, and all of
-/// them passed for repeats that come too late.
+/// A node refused two in five at once for nine seconds: its clients had come to wait for less time, and all
+/// of them passed for repeats that come too late.
 #[test]
 fn clients_that_come_to_wait_less_long_are_no_late_repeats() {
     let mut node = Node::new(settings(Idempotency::Idempotent), fleet(2));
--- a/scripts/fleet-count.py
+++ b/scripts/fleet-count.py
@@ -6,8 +6,8 @@
 import sys
 
 NAMES = (
-    "asked", "past", "held", "tried", "sent", "beyond", "served", "error", "spoilt", "full", "late",
-    "unconnected", "reset",
+    "arrivals", "past_target", "queue_timeout", "attempts_failed", "sent", "outside_subset", "served", "error",
+    "invalid_response", "rejected", "timed_out", "connect_failed", "reset",
 )
 
 
@@ -21,7 +21,7 @@
                 continue
             at = float(time[1])
             span = int(at / 5 + 0.5) * 5
-            counted = re.search(r"in \d+ s: (.*); (\d+) of (\d+) ejected; zones use (.*); spills ([\d.]+); windows (.*)", line)
+            counted = re.search(r"in \d+ s: (.*); (\d+) of (\d+) ejected; zone utilisation (.*); overflow share ([\d.]+); windows (.*)", line)
             if counted:
                 spans[span]["nodes"] += 1
                 for name in NAMES:
@@ -43,8 +43,8 @@
                     for name, value in zip(("known", "probed", "unreached", "probes"), probes.groups()):
                         spans[span][name] += int(value)
             else:
-                told = re.sub(r"^.*(INFO|WARN) \S+ ", "", line.strip())
-                events[int(at / 5) * 5][re.sub(r"[\d.]+", "#", told)[:60]] += 1
+                event = re.sub(r"^.*(INFO|WARN) \S+ ", "", line.strip())
+                events[int(at / 5) * 5][re.sub(r"[\d.]+", "#", event)[:60]] += 1
     names = ("nodes",) + NAMES + ("ejected", "known", "probed", "unreached", "probes")
     print("to   " + " ".join(f"{name[:8]:>8}" for name in names) + "  windows, out in them (sums), use of zones, spilled (means)")
     for span in sorted(spans):
@@ -53,8 +53,8 @@
         text = f"{row['window']:.0f} {row['out']} | " + " ".join(f"{mean:.2f}" for mean in means)
         print(f"{span:<4} " + " ".join(f"{row[name]:8}" for name in names) + f"  {text} | {row['spill'] / max(row['nodes'], 1):.2f}")
     for span in sorted(events):
-        for told, count in events[span].most_common(8):
-            print(f"{span:<4} {count:6} {told}")
+        for event, count in events[span].most_common(8):
+            print(f"{span:<4} {count:6} {event}")
 
 
 if __name__ == "__main__":
