--- a/system/src/router/upstream/mod.rs
+++ b/system/src/router/upstream/mod.rs
@@ -16,10 +16,10 @@
 use hyper::header::{HOST, HeaderValue};
 use hyper::{Request, Response, Uri};
 use ivyhatch_balancer::{BackendId, Outcome};
-use ivyhatch_node::front::end_to_end;
+use ivyhatch_node::hop_by_hop::without_hop_by_hop_headers;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 use ivyhatch_routing::event_stream::EventStreamParser;
-use ivyhatch_routing::time_to_first_token::LoadReport;
+use ivyhatch_routing::load_report::LoadReport;
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{sleep_until, timeout};
 
@@ -197,7 +197,7 @@
         let load = response::load(&head.headers);
         let keep_alive = response::keep_alive(&head.headers);
         let status = head.status;
-        let passed = Head { status, headers: end_to_end(head.headers, &[ATTEMPT_ID]) };
+        let passed = Head { status, headers: without_hop_by_hop_headers(head.headers, &[ATTEMPT_ID]) };
         match verdict {
             Verdict::Spoilt => Exchange::broken(Outcome::InvalidResponse),
             // It may have run, and the client must not be told that it did not.
