--- a/agent/src/agent/runner.rs
+++ b/agent/src/agent/runner.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use ivyhatch_admin_protocol::{Bounds, listen, serve};
-use ivyhatch_config::Agent as AgentSettings;
+use ivyhatch_config::AgentSettings;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
--- a/agent/src/agent/supervisor.rs
+++ b/agent/src/agent/supervisor.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use ivyhatch_admin_protocol::ask;
-use ivyhatch_config::Instance as InstanceConfig;
+use ivyhatch_config::InstanceSettings;
 use serde_json::{Value, json};
 use tokio::process::Command;
 use tokio::sync::Notify;
@@ -38,7 +38,7 @@
 
 /// An instance with what the agent knows of it.
 pub(super) struct Supervised {
-    pub(super) config: InstanceConfig,
+    pub(super) config: InstanceSettings,
     pub(super) files: InstanceFiles,
     lifecycle: RefCell<InstanceLifecycle>,
     pid: Cell<Option<i32>>,
@@ -51,7 +51,7 @@
 
 impl Supervised {
     pub(super) fn new(
-        config: InstanceConfig,
+        config: InstanceSettings,
         state_folder: &Path,
         settings: LifecycleSettings,
         desired_state: DesiredState,
--- a/agent/tests/golden_socket.rs
+++ b/agent/tests/golden_socket.rs
@@ -84,7 +84,7 @@
         let state = agent.state();
         std::fs::write(&file, FILE.replace("STATE", state.to_str().expect("text"))).expect("written");
         std::fs::create_dir_all(state.join("run")).expect("a folder");
-        let read = ivyhatch_config::read(&file, std::iter::empty()).expect("a sound file");
+        let read = ivyhatch_config::load(&file, std::iter::empty()).expect("a sound file");
         let options = AgentOptions { config: read.config, file, program, socket: agent.socket() };
         agent.answer_as_node("a-1");
         let (stop, stopped) = oneshot::channel();
--- a/cli/src/config.rs
+++ b/cli/src/config.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use clap::{Args, Subcommand};
-use ivyhatch_config::{Log, Mistake, Read};
+use ivyhatch_config::{Diagnostic, LoadedConfig, LogSettings};
 use serde_json::json;
 
 use crate::unusable;
@@ -57,11 +57,11 @@
     instance: Option<String>,
 }
 
-pub fn read(file: &Path) -> Result<Read, Vec<Mistake>> {
+pub fn read(file: &Path) -> Result<LoadedConfig, Vec<Diagnostic>> {
     // A variable that is no text can't be one of ours.
     let variables = std::env::vars_os()
         .filter_map(|(name, value)| Some((name.into_string().ok()?, value.into_string().ok()?)));
-    ivyhatch_config::read(file, variables)
+    ivyhatch_config::load(file, variables)
 }
 
 pub fn run(command: &Config) -> ExitCode {
@@ -79,7 +79,7 @@
                     (_, Some(text)) => format!("default {text}"),
                     (_, None) => "may be missing".to_owned(),
                 };
-                println!("{}: {} ({}; {without})", info.field, info.purpose, info.wanted);
+                println!("{}: {} ({}; {without})", info.field, info.purpose, info.expected);
             }
             ExitCode::SUCCESS
         }
@@ -101,7 +101,7 @@
     }
 }
 
-pub fn tell(mistakes: &[Mistake], as_json: bool) -> ExitCode {
+pub fn tell(mistakes: &[Diagnostic], as_json: bool) -> ExitCode {
     for mistake in mistakes {
         match as_json {
             true => println!("{}", json!(mistake)),
@@ -133,7 +133,7 @@
 }
 
 /// What the node is told now; read anew at each SIGHUP, so the file may have changed, and may have become wrong.
-fn told(file: &Path, name: &str, seed: u64) -> Result<(Read, Vec<u8>), String> {
+fn told(file: &Path, name: &str, seed: u64) -> Result<(LoadedConfig, Vec<u8>), String> {
     let read = read(file).map_err(|mistakes| {
         let more = mistakes.len() - 1;
         let first = mistakes.first().map_or(String::new(), ToString::to_string);
@@ -147,11 +147,11 @@
             known.join(", ")
         ));
     };
-    let text = read.config.node(instance, seed).to_string().into_bytes();
+    let text = read.config.node_configuration(instance, seed).to_string().into_bytes();
     Ok((read, text))
 }
 
-pub fn log_format(log: &Log) -> ivyhatch_node::LogFormat {
+pub fn log_format(log: &LogSettings) -> ivyhatch_node::LogFormat {
     if log.format == "json" { ivyhatch_node::LogFormat::Json } else { ivyhatch_node::LogFormat::Text }
 }
 
--- /dev/null
+++ b/config/src/effective_settings.rs
@@ -0,0 +1,45 @@
+//! The values in force, with their origins.
+
+use serde::Serialize;
+
+use crate::field_path::join;
+use crate::node::Node;
+use crate::origin::Origin;
+use crate::schema::{FILE, Field, Kind};
+
+/// A value in force.
+#[derive(Clone, Debug, PartialEq, Serialize)]
+pub struct Setting {
+    /// The path of its field, as in `limits.sockets` or `instance[n0].zone`.
+    pub field: String,
+    /// The value.
+    pub value: serde_json::Value,
+    /// Where it was given.
+    pub origin: Origin,
+}
+
+/// All values in force, in the order of the schema.
+pub(crate) fn effective_settings(root: &Node) -> Vec<Setting> {
+    let mut settings = Vec::new();
+    collect(root, FILE, "", &mut settings);
+    settings
+}
+
+fn collect(node: &Node, fields: &'static [Field], path: &str, settings: &mut Vec<Setting>) {
+    for field in fields {
+        let Some(given) = node.field(field.name) else { continue };
+        let path = join(path, field.name);
+        match field.kind {
+            Kind::Table(inner) => collect(given, inner, &path, settings),
+            Kind::TableList(inner) => {
+                for (index, entry) in node.entries(field.name).iter().enumerate() {
+                    collect(entry, inner, &format!("{path}[{}]", entry.label(index)), settings);
+                }
+            }
+            _ => {
+                let (value, origin) = (given.to_json(), given.origin.clone());
+                settings.push(Setting { field: path, value, origin });
+            }
+        }
+    }
+}
--- /dev/null
+++ b/config/src/name.rs
@@ -0,0 +1,11 @@
+//! The form of a name.
+
+const MAX_NAME_BYTES: usize = 64;
+
+/// Whether this may be the name of an instance, a zone or a class: it stands in logs, paths and commands.
+pub(crate) fn is_name(text: &str) -> bool {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    text.len() <= MAX_NAME_BYTES
+        && text.starts_with(|c: char| c.is_ascii_alphanumeric())
+        && text.chars().all(is_allowed)
+}
--- /dev/null
+++ b/config/src/validate/relations.rs
@@ -0,0 +1,94 @@
+//! Rules between fields: unique names, known zones, and what the fields of a class have to do with each other.
+
+use std::collections::BTreeMap;
+
+use crate::diagnostic::Diagnostics;
+use crate::node::Node;
+use crate::origin::Origin;
+use crate::suggestion::closest;
+
+/// Validates the rules between fields.
+pub(super) fn validate(root: &Node, diagnostics: &mut Diagnostics) {
+    for list in ["class", "tenant", "instance"] {
+        validate_unique(root, list, "name", |_| true, diagnostics);
+    }
+    // Port 0 stands for any free port.
+    validate_unique(root, "instance", "listen", |address| !address.ends_with(":0"), diagnostics);
+    if root.entries("class").is_empty() {
+        let expected = "at least one [[class]], for what clients ask";
+        diagnostics.report(&root.origin, "class", "none", expected);
+    }
+    validate_zones(root, diagnostics);
+    for (index, class) in root.entries("class").iter().enumerate() {
+        let path = format!("class[{}]", class.label(index));
+        validate_latency_target(class, &path, diagnostics);
+        validate_idempotency_key(class, &path, diagnostics);
+    }
+}
+
+fn validate_unique(
+    root: &Node,
+    list: &str,
+    field: &str,
+    is_compared: impl Fn(&str) -> bool,
+    diagnostics: &mut Diagnostics,
+) {
+    let mut seen: BTreeMap<&str, &Origin> = BTreeMap::new();
+    for (index, entry) in root.entries(list).iter().enumerate() {
+        let Some(given) = entry.field(field) else { continue };
+        let Some(text) = given.text().filter(|text| is_compared(text)) else { continue };
+        match seen.get(text) {
+            Some(first) => {
+                let path = format!("{list}[{}].{field}", entry.label(index));
+                let expected = format!("another one: {first} has it already");
+                diagnostics.report(&given.origin, &path, format!("{text:?} once more"), expected);
+            }
+            None => drop(seen.insert(text, &given.origin)),
+        }
+    }
+}
+
+/// Each instance stands in a zone of the fleet.
+fn validate_zones(root: &Node, diagnostics: &mut Diagnostics) {
+    let fleet_zones = root.field("fleet").map_or(&[][..], |fleet| fleet.entries("zones"));
+    let zones: Vec<&str> = fleet_zones.iter().filter_map(Node::text).collect();
+    for (index, instance) in root.entries("instance").iter().enumerate() {
+        let Some(zone) = instance.field("zone") else { continue };
+        let Some(name) = zone.text().filter(|name| !zones.contains(name)) else { continue };
+        let expected = match closest(name, zones.iter().copied()) {
+            Some(closest) => format!("did you mean \"{closest}\"?"),
+            None => format!("one of fleet.zones: {}", zones.join(", ")),
+        };
+        let path = format!("instance[{}].zone", instance.label(index));
+        diagnostics.report(&zone.origin, &path, format!("{name:?} is no zone of the fleet"), expected);
+    }
+}
+
+/// A class's latency target is not beyond its deadline.
+fn validate_latency_target(class: &Node, path: &str, diagnostics: &mut Diagnostics) {
+    let (Some(target), Some(deadline)) = (class.field("aim_ms"), class.field("deadline_ms")) else { return };
+    let (Some(target_ms), Some(deadline_ms)) = (target.integer(), deadline.integer()) else { return };
+    if target_ms > deadline_ms {
+        let expected = format!("deadline_ms, {deadline_ms}, at most");
+        diagnostics.report(&target.origin, &format!("{path}.aim_ms"), target_ms.to_string(), expected);
+    }
+}
+
+/// Classes that are idempotent by key, and only these, say where and how long keys are remembered.
+fn validate_idempotency_key(class: &Node, path: &str, diagnostics: &mut Diagnostics) {
+    let is_keyed = class.field("effect").and_then(Node::text) == Some("by_key");
+    for name in ["key_scope", "window_ms"] {
+        let path = format!("{path}.{name}");
+        match (is_keyed, class.field(name)) {
+            (true, None) => {
+                let expected = "classes with effect = \"by_key\" need it";
+                diagnostics.report(&class.origin, &path, "missing", expected);
+            }
+            (false, Some(given)) => {
+                let expected = "only classes with effect = \"by_key\" have it";
+                diagnostics.report(&given.origin, &path, given.display(), expected);
+            }
+            _ => {}
+        }
+    }
+}
--- a/config/tests/config.rs
+++ b/config/tests/config.rs
@@ -1,8 +1,8 @@
-//! Configurations with every kind of mistake, and those without.
+//! Configurations with every kind of error, and valid ones.
 
 use std::path::{Path, PathBuf};
 
-use ivyhatch_config::{Mistake, Origin, Read, read};
+use ivyhatch_config::{Diagnostic, LoadedConfig, Origin, load};
 use proptest::prelude::*;
 
 struct Folder(tempfile::TempDir);
@@ -18,20 +18,20 @@
         self.0.path().join(name)
     }
 
-    fn read(&self, environment: &[(&str, &str)]) -> Result<Read, Vec<Mistake>> {
+    fn load(&self, environment: &[(&str, &str)]) -> Result<LoadedConfig, Vec<Diagnostic>> {
         let variables = environment.iter().map(|(name, value)| ((*name).to_owned(), (*value).to_owned()));
-        read(&self.path("main.toml"), variables)
+        load(&self.path("main.toml"), variables)
     }
 
-    /// The mistakes, without the folder's name.
-    fn mistakes(&self, environment: &[(&str, &str)]) -> Vec<String> {
+    /// The errors as text, without the folder's name.
+    fn errors(&self, environment: &[(&str, &str)]) -> Vec<String> {
         let folder = format!("{}/", self.0.path().display());
-        let mistakes = self.read(environment).expect_err("it has mistakes");
-        mistakes.iter().map(|mistake| mistake.to_string().replace(&folder, "")).collect()
+        let diagnostics = self.load(environment).expect_err("it has errors");
+        diagnostics.iter().map(|diagnostic| diagnostic.to_string().replace(&folder, "")).collect()
     }
 }
 
-const SOUND: &str = r#"version = 1
+const VALID: &str = r#"version = 1
 [fleet]
 zones = ["a", "b"]
 discovery = "127.0.0.1:8500"
@@ -45,11 +45,8 @@
 zone = "a"
 "#;
 
-#[test]
-fn every_mistake_is_told_at_once_with_its_place_and_its_mend() {
-    let folder = Folder::new(&[(
-        "main.toml",
-        r#"version = 1
+/// A file with an error of each kind.
+const FAULTY: &str = r#"version = 1
 colour = "red"
 [fleet]
 zones = ["north", "south", "north"]
@@ -80,8 +77,11 @@
 name = "n1"
 listen = "127.0.0.1:9000"
 labels = { tier = 3 }
-"#,
-    )]);
+"#;
+
+#[test]
+fn all_errors_are_reported_at_once_with_place_and_expected_value() {
+    let folder = Folder::new(&[("main.toml", FAULTY)]);
     let name = "a name of letters, digits, '-', '_' and '.', 64 at most, a letter or digit first";
     let hour = "a whole number from 1 to 3600000";
     let expected = [
@@ -106,36 +106,36 @@
         "main.toml:30:1: instance[n1].listen: \"127.0.0.1:9000\" once more; wanted: another one: main.toml:26:1 has it already".into(),
         "main.toml:31:1: instance[n1].labels: a table; wanted: words by name, as in { tier = \"front\" }".into(),
     ];
-    let told = folder.mistakes(&[]);
-    for (told, expected) in told.iter().zip(&expected) {
-        assert_eq!(told, expected);
+    let errors = folder.errors(&[]);
+    for (error, expected) in errors.iter().zip(&expected) {
+        assert_eq!(error, expected);
     }
-    assert_eq!(told.len(), expected.len(), "{told:#?}");
+    assert_eq!(errors.len(), expected.len(), "{errors:#?}");
 }
 
 #[test]
-fn a_version_that_is_not_known_is_all_that_is_told() {
+fn unknown_version_is_the_only_error_reported() {
     let folder = Folder::new(&[("main.toml", "version = 2\nnew_thing = 3\n")]);
-    let told = folder.mistakes(&[]);
-    assert_eq!(told.len(), 1, "{told:?}");
-    assert!(told[0].starts_with("main.toml:1:1: version: this program can't read version 2"), "{told:?}");
+    let errors = folder.errors(&[]);
+    assert_eq!(errors.len(), 1, "{errors:?}");
+    assert!(errors[0].starts_with("main.toml:1:1: version: this program can't read version 2"), "{errors:?}");
 }
 
 #[test]
-fn what_a_file_says_goes_before_what_it_includes() {
+fn file_takes_precedence_over_what_it_includes() {
     let folder = Folder::new(&[
-        ("main.toml", &format!("include = [\"one.toml\", \"./two.toml\"]\n{SOUND}[limits]\nsockets = 500\n")),
+        ("main.toml", &format!("include = [\"one.toml\", \"./two.toml\"]\n{VALID}[limits]\nsockets = 500\n")),
         ("one.toml", "[limits]\nsockets = 600\nattempts = 4\n[[instance]]\nname = \"n1\"\nzone = \"b\"\n"),
         ("two.toml", "[limits]\nattempts = 5\nidle_ms = 700\n[[instance]]\nname = \"n2\"\nzone = \"b\"\n"),
     ]);
-    let read = folder.read(&[("IVYHATCH_LIMITS__IDLE_MS", "900")]).expect("sound");
-    let limits = &read.config.limits;
+    let loaded = folder.load(&[("IVYHATCH_LIMITS__IDLE_MS", "900")]).expect("valid");
+    let limits = &loaded.config.limits;
     assert_eq!((limits.sockets, limits.attempts, limits.idle_ms, limits.memory_mb), (500, 4, 900, 192));
-    let names: Vec<&str> = read.config.instances.iter().map(|instance| instance.name.as_str()).collect();
+    let names: Vec<&str> = loaded.config.instances.iter().map(|instance| instance.name.as_str()).collect();
     assert_eq!(names, ["n0", "n1", "n2"]);
-    assert_eq!(read.files, ["main.toml", "one.toml", "two.toml"].map(|name| folder.path(name)));
+    assert_eq!(loaded.files, ["main.toml", "one.toml", "two.toml"].map(|name| folder.path(name)));
     let origin = |field: &str| {
-        let setting = read.settings.iter().find(|setting| setting.field == field).expect(field);
+        let setting = loaded.settings.iter().find(|setting| setting.field == field).expect(field);
         setting.origin.clone()
     };
     let place = |name, line, column| Origin::File { file: folder.path(name), line, column };
@@ -147,33 +147,39 @@
 }
 
 #[test]
-fn inclusions_that_can_not_be_are_told_where_they_are_asked_for() {
+fn impossible_inclusions_are_reported_where_they_are_included() {
     let folder = Folder::new(&[
-        ("main.toml", &format!("include = [\"one.toml\",\n  \"gone.toml\", \"broken.toml\"]\n{SOUND}")),
+        ("main.toml", &format!("include = [\"one.toml\",\n  \"gone.toml\", \"broken.toml\"]\n{VALID}")),
         ("one.toml", "include = [\"main.toml\"]\n"),
         ("broken.toml", "[limits\n"),
     ]);
-    let told = folder.mistakes(&[]);
-    assert_eq!(told.len(), 3, "{told:?}");
-    assert!(told[0].starts_with("main.toml:2:3: include: gone.toml can't be read: No such file"), "{told:?}");
-    assert!(told[1].starts_with("one.toml:1:12: include: main.toml includes itself in the end"), "{told:?}");
-    assert!(told[2].starts_with("broken.toml:1:"), "{told:?}");
+    let errors = folder.errors(&[]);
+    assert_eq!(errors.len(), 3, "{errors:?}");
+    assert!(
+        errors[0].starts_with("main.toml:2:3: include: gone.toml can't be read: No such file"),
+        "{errors:?}"
+    );
+    assert!(
+        errors[1].starts_with("one.toml:1:12: include: main.toml includes itself in the end"),
+        "{errors:?}"
+    );
+    assert!(errors[2].starts_with("broken.toml:1:"), "{errors:?}");
 }
 
 #[test]
-fn a_second_instance_of_a_name_in_another_file_is_a_mistake() {
+fn repeated_instance_name_in_another_file_is_an_error() {
     let folder = Folder::new(&[
-        ("main.toml", &format!("include = [\"one.toml\"]\n{SOUND}")),
+        ("main.toml", &format!("include = [\"one.toml\"]\n{VALID}")),
         ("one.toml", "[[instance]]\nname = \"n0\"\nzone = \"b\"\n"),
     ]);
-    let told = folder.mistakes(&[]);
+    let errors = folder.errors(&[]);
     let expected = "one.toml:2:1: instance[n0].name: \"n0\" once more; wanted: another one: main.toml:12:1 has it already";
-    assert_eq!(told, [expected]);
+    assert_eq!(errors, [expected]);
 }
 
 #[test]
-fn the_environment_overrides_and_is_checked_as_files_are() {
-    let folder = Folder::new(&[("main.toml", SOUND)]);
+fn environment_overrides_and_is_validated_like_files() {
+    let folder = Folder::new(&[("main.toml", VALID)]);
     let good = [
         ("IVYHATCH_INSTANCE__n0__LISTEN", "127.0.0.1:9000"),
         ("IVYHATCH_FLEET__ZONES", "[\"a\", \"c\"]"),
@@ -181,7 +187,7 @@
         ("IVYHATCH_FLEET__NAME", "7"),
         ("OTHER", "thing"),
     ];
-    let config = folder.read(&good).expect("sound").config;
+    let config = folder.load(&good).expect("valid").config;
     assert_eq!(config.instances[0].listen.port(), 9000);
     assert_eq!(
         (config.fleet.zones, config.log.format, config.fleet.name),
@@ -194,10 +200,10 @@
         ("IVYHATCH_LIMITS__CORES", "fast"),
         ("IVYHATCH_INSTANCE__n9__ZONE", "a"),
     ];
-    let mut told = folder.mistakes(&bad);
-    told.sort();
+    let mut errors = folder.errors(&bad);
+    errors.sort();
     assert_eq!(
-        told,
+        errors,
         [
             "$IVYHATCH_INSTANCE__n9__ZONE: instance.n9: there is none of this name; wanted: did you mean \"n0\"?",
             "$IVYHATCH_LIMITS: limits: no single value; wanted: IVYHATCH_LIMITS__FIELD, one of CORES, MEMORY_MB, SOCKETS, ATTEMPTS, MAY_CANCEL, SECOND_COPIES, PROBES, LONGEST_PAUSE_MS, IDLE_MS, CONNECT_MS",
@@ -208,19 +214,19 @@
     );
 }
 
-/// What a node is told from the repository's own file is what the settings' reader takes, figure by figure.
+/// The node configuration of the repository's own file is what the settings' parser accepts, figure by figure.
 #[test]
-fn a_node_can_be_told_what_the_file_says() {
+fn node_configuration_of_the_deploy_file_is_accepted_by_node_settings() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/ivyhatch.toml");
     let keyed = ("IVYHATCH_CLASS__find-race__EFFECT".to_owned(), "by_key".to_owned());
     let more = [("KEY_SCOPE", "zone"), ("WINDOW_MS", "9000")];
     let more = more.map(|(field, value)| (format!("IVYHATCH_CLASS__find-race__{field}"), value.to_owned()));
-    let config = read(&file, more.into_iter().chain([keyed])).expect("sound").config;
+    let config = load(&file, more.into_iter().chain([keyed])).expect("valid").config;
     assert_eq!(config.instances.len(), 3);
     for instance in &config.instances {
-        let told = config.node(instance, 7);
-        assert_eq!(told["seed"], "0000000000000007");
-        let site = ivyhatch_node_settings::read(&told["settings"]).expect("settings");
+        let configuration = config.node_configuration(instance, 7);
+        assert_eq!(configuration["seed"], "0000000000000007");
+        let site = ivyhatch_node_settings::read(&configuration["settings"]).expect("settings");
         let settings = site.settings;
         assert_eq!((settings.zones, settings.nodes, settings.limits.max_attempts), (3, 3, 3));
         assert_eq!(settings.limits.max_retry_after, 1_000_000_000);
@@ -234,31 +240,31 @@
     }
 }
 
-/// What reading costs; printed, and not judged.
+/// The time to load a configuration; printed, without a bound.
 #[test]
 #[ignore = "a measurement"]
-fn cost() {
+fn loading_cost() {
     for count in [100, 1000, 10_000] {
         let instances = (1..count).map(|n| format!("[[instance]]\nname = \"i{n}\"\nzone = \"b\"\n"));
-        let folder = Folder::new(&[("main.toml", &(SOUND.to_owned() + &instances.collect::<String>()))]);
+        let folder = Folder::new(&[("main.toml", &(VALID.to_owned() + &instances.collect::<String>()))]);
         let begun = std::time::Instant::now();
-        let read = folder.read(&[]).expect("sound");
-        println!("{} instances: {:?}", read.config.instances.len(), begun.elapsed());
+        let loaded = folder.load(&[]).expect("valid");
+        println!("{} instances: {:?}", loaded.config.instances.len(), begun.elapsed());
     }
 }
 
 proptest! {
-    /// Whatever stands in a file, it is read or its mistakes are told within it.
+    /// Any file is loaded, or its errors are reported with places within it.
     #[test]
-    fn any_text_is_read_or_told_of(cut in 0..SOUND.len(), insert in "[\\[\\]a-z=\"0-9 .\n{}-]{0,12}") {
-        let text = format!("{}{insert}{}", &SOUND[..cut], &SOUND[cut..]);
+    fn any_text_is_loaded_or_reported_within_the_file(cut in 0..VALID.len(), insert in "[\\[\\]a-z=\"0-9 .\n{}-]{0,12}") {
+        let text = format!("{}{insert}{}", &VALID[..cut], &VALID[cut..]);
         let folder = Folder::new(&[("main.toml", &text)]);
-        for mistake in folder.read(&[]).err().unwrap_or_default() {
-            let Origin::File { line, column, .. } = mistake.at else { panic!("{mistake}") };
+        for diagnostic in folder.load(&[]).err().unwrap_or_default() {
+            let Origin::File { line, column, .. } = diagnostic.origin else { panic!("{diagnostic}") };
             let lines: Vec<&str> = text.split('\n').collect();
             prop_assert!((1..=lines.len()).contains(&line), "{} of {}", line, lines.len());
             prop_assert!(column <= lines[line - 1].chars().count() + 1);
-            prop_assert!(!mistake.to_string().contains('\n'), "one line");
+            prop_assert!(!diagnostic.to_string().contains('\n'), "one line");
         }
     }
 }
