--- a/wal/tests/compaction.rs
+++ b/wal/tests/compaction.rs
@@ -1,4 +1,4 @@
-//! How long a file gets over many writes, on a real disk.
+//! The length of a file over many appends, on a real disk.
 //!
 //! Figures: `cargo test --release -p ivyhatch-wal --test compaction -- --nocapture`.
 
@@ -10,25 +10,25 @@
 
 const NAME: &str = "log";
 const DOCUMENT_LENGTH: usize = 50_000;
-/// What a block adds to its records, at most.
+/// The most bytes that a block adds to its records.
 const BLOCK_OVERHEAD: u64 = 64;
-/// Machines have a disk of this size.
+/// The size of a machine's disk, in bytes.
 const DISK_LENGTH: u64 = 64 << 20;
 
-/// A document that is another one for each number, and does not shrink by itself.
+/// A document that differs for each number.
 fn document(number: u32, length: usize) -> Vec<u8> {
     (0..length as u32).map(|at| (at.wrapping_mul(31).wrapping_add(number * 7) >> 3) as u8).collect()
 }
 
-/// The longest that the file, and the folder at any moment, has been.
+/// The greatest lengths at any moment, in bytes.
 #[derive(Debug, Default)]
 struct Longest {
     file: u64,
-    /// While a file is replaced, both stand on the disk.
+    /// Of the file and its replacement together, during a rewrite.
     with_replacement: u64,
 }
 
-/// Writes this many documents, each in place of the one before.
+/// Appends this many documents, each of which replaces the state.
 fn write_documents(folder: &std::path::Path, count: u32, length: usize) -> Longest {
     let (log, _) = Wal::open(folder, NAME).expect("opened");
     let (mut log, mut longest) = (CompactingWal::new(log), Longest::default());
@@ -47,7 +47,7 @@
 }
 
 #[gtest]
-fn the_file_stays_short_over_thousands_of_changes() {
+fn file_length_stays_bounded_over_thousands_of_appends() {
     for count in [10, 300, 3_000] {
         let folder = tempfile::tempdir().expect("a folder");
         let longest = write_documents(folder.path(), count, DOCUMENT_LENGTH);
@@ -70,8 +70,8 @@
 }
 
 #[gtest]
-fn the_largest_state_fits_on_the_disk_with_its_replacement() {
-    // The largest body of an operator's call.
+fn largest_state_and_its_replacement_fit_on_the_disk() {
+    // The largest body of an operator's request.
     let length = 16 << 20;
     let folder = tempfile::tempdir().expect("a folder");
     let longest = write_documents(folder.path(), 6, length);
--- a/wal/tests/model/mod.rs
+++ b/wal/tests/model/mod.rs
@@ -1,5 +1,5 @@
-//! A model of a disk: what a process sees, and what a loss of power leaves, name by name and write by write. Any operation can
-//! be made to fail, or to be the last one of the process.
+//! A disk in memory that implements the crash model of `ivyhatch_wal`: it enumerates all disks that a loss of power may leave,
+//! and injects a crash or an error at any operation.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 
 use ivyhatch_wal::Storage;
 
-/// A change of a file that is not synced yet.
+/// A change of a file since its last sync.
 #[derive(Clone, Debug)]
 enum Pending {
     Write { offset: usize, bytes: Vec<u8> },
@@ -30,7 +30,7 @@
         }
     }
 
-    /// What a loss of power may leave of it: nothing, all, its first half, or its length with a hole in the second half.
+    /// What a loss of power may leave of the change: nothing, all, its first half, or its first half followed by zeros.
     fn outcomes(&self) -> Vec<Option<Pending>> {
         let mut outcomes = vec![None, Some(self.clone())];
         if let Self::Write { offset, bytes } = self {
@@ -95,7 +95,7 @@
         self.names.values().map(|inode| self.inodes[*inode].bytes().len()).sum()
     }
 
-    /// All sets of names that a loss of power may leave: each changed name by itself is as it was or as it is.
+    /// All sets of names that a loss of power may leave: each changed name is kept or lost by itself.
     fn names_after_power_loss(&self) -> Vec<Names> {
         let mut all = vec![Names::new()];
         let keys = self.names.keys().chain(self.durable_names.keys());
@@ -119,14 +119,14 @@
     }
 }
 
-/// What is to go wrong.
+/// An injected fault.
 #[derive(Clone, Copy, Debug)]
-pub enum Trouble {
-    /// The process ends in the midst of this operation, counted from 0.
+pub enum Fault {
+    /// The process is killed within this operation, counted from 0.
     CrashAt(usize),
-    /// This operation fails once, after it was done in part.
+    /// This operation fails, after it was done in part.
     FailAt(usize, ErrorKind),
-    /// These operations fail, from the first up to before the second.
+    /// The operations from the first up to, and without, the second fail.
     FailFrom(usize, usize, ErrorKind),
 }
 
@@ -134,18 +134,18 @@
 struct Model {
     files: RefCell<Files>,
     operations: Cell<usize>,
-    trouble: Cell<Option<Trouble>>,
+    fault: Cell<Option<Fault>>,
     capacity: Cell<Option<usize>>,
 }
 
-/// A disk in memory. Copies are the same disk.
+/// A disk in memory. Clones are the same disk.
 #[derive(Clone, Debug, Default)]
 pub struct ModelDisk(Rc<Model>);
 
-/// What an operation may do.
+/// How far an operation gets.
 enum Permit {
     Whole,
-    /// Half of it, and then it fails.
+    /// It is done in part, and fails.
     Half(ErrorKind),
     None(ErrorKind),
 }
@@ -155,13 +155,13 @@
         Self(Rc::new(Model { files: RefCell::new(files), ..Model::default() }))
     }
 
-    pub fn with_trouble(trouble: Trouble) -> Self {
+    pub fn with_fault(fault: Fault) -> Self {
         let disk = Self::default();
-        disk.0.trouble.set(Some(trouble));
+        disk.0.fault.set(Some(fault));
         disk
     }
 
-    /// Files may have so many bytes together.
+    /// Limits the total length of all files, in bytes.
     pub fn set_capacity(&self, bytes: Option<usize>) {
         self.0.capacity.set(bytes);
     }
@@ -191,7 +191,7 @@
         for names in files.names_after_power_loss() {
             let mut inodes: Vec<Vec<Inode>> = vec![Vec::new()];
             for (number, choices) in contents.iter().enumerate() {
-                // A file without a name makes no difference.
+                // The contents of a file without a name make no difference.
                 let count = if names.values().any(|inode| *inode == number) { choices.len() } else { 1 };
                 inodes = inodes
                     .into_iter()
@@ -215,17 +215,17 @@
     fn permit(&self) -> Permit {
         let number = self.0.operations.get();
         self.0.operations.set(number + 1);
-        match self.0.trouble.get() {
-            Some(Trouble::CrashAt(at)) if number == at => Permit::Half(ErrorKind::Other),
-            Some(Trouble::CrashAt(at)) if number > at => Permit::None(ErrorKind::Other),
-            Some(Trouble::FailAt(at, kind)) if number == at => Permit::Half(kind),
-            Some(Trouble::FailFrom(from, to, kind)) if (from..to).contains(&number) => Permit::None(kind),
+        match self.0.fault.get() {
+            Some(Fault::CrashAt(at)) if number == at => Permit::Half(ErrorKind::Other),
+            Some(Fault::CrashAt(at)) if number > at => Permit::None(ErrorKind::Other),
+            Some(Fault::FailAt(at, kind)) if number == at => Permit::Half(kind),
+            Some(Fault::FailFrom(from, to, kind)) if (from..to).contains(&number) => Permit::None(kind),
             _ => Permit::Whole,
         }
     }
 
-    /// Does an operation that is done whole or not at all. One that fails has been done all the same, as may be.
-    fn operate<T>(&self, operation: impl FnOnce(&mut Files) -> T) -> io::Result<T> {
+    /// Runs an operation that may take effect although it fails.
+    fn run_partially<T>(&self, operation: impl FnOnce(&mut Files) -> T) -> io::Result<T> {
         match self.permit() {
             Permit::Whole => Ok(operation(&mut self.0.files.borrow_mut())),
             Permit::Half(kind) => {
@@ -236,8 +236,8 @@
         }
     }
 
-    /// Does an operation that has not happened where it fails.
-    fn operate_or_not<T>(&self, operation: impl FnOnce(&mut Files) -> T) -> io::Result<T> {
+    /// Runs an operation that takes no effect where it fails.
+    fn run_atomically<T>(&self, operation: impl FnOnce(&mut Files) -> T) -> io::Result<T> {
         match self.permit() {
             Permit::Whole => Ok(operation(&mut self.0.files.borrow_mut())),
             Permit::Half(kind) | Permit::None(kind) => Err(kind.into()),
@@ -257,11 +257,11 @@
     }
 
     fn open(&self, name: &str) -> io::Result<Option<usize>> {
-        self.operate_or_not(|files| files.names.get(name).copied())
+        self.run_atomically(|files| files.names.get(name).copied())
     }
 
     fn create(&self, name: &str) -> io::Result<usize> {
-        self.operate(|files| {
+        self.run_partially(|files| {
             files.inodes.push(Inode::default());
             let inode = files.inodes.len() - 1;
             files.names.insert(name.to_owned(), inode);
@@ -270,7 +270,7 @@
     }
 
     fn read(&self, file: &mut usize) -> io::Result<Vec<u8>> {
-        self.operate_or_not(|files| files.inodes[*file].bytes())
+        self.run_atomically(|files| files.inodes[*file].bytes())
     }
 
     fn write(&self, file: &mut usize, offset: u64, bytes: &[u8]) -> io::Result<()> {
@@ -281,11 +281,11 @@
             Permit::None(kind) => Err((0, kind)),
         };
         let mut files = self.0.files.borrow_mut();
-        let room = self.0.capacity.get().map_or(usize::MAX, |capacity| capacity.saturating_sub(files.used()));
+        let free = self.0.capacity.get().map_or(usize::MAX, |capacity| capacity.saturating_sub(files.used()));
         let (length, result) = match written {
-            Ok(length) if length > room => (room, Err(ErrorKind::StorageFull.into())),
+            Ok(length) if length > free => (free, Err(ErrorKind::StorageFull.into())),
             Ok(length) => (length, Ok(())),
-            Err((length, kind)) => (length.min(room), Err(kind.into())),
+            Err((length, kind)) => (length.min(free), Err(kind.into())),
         };
         if length > 0 {
             files.inodes[*file].pending.push(Pending::Write { offset, bytes: bytes[..length].to_vec() });
@@ -295,11 +295,11 @@
 
     fn truncate(&self, file: &mut usize, length: u64) -> io::Result<()> {
         let length = length as usize;
-        self.operate(|files| files.inodes[*file].pending.push(Pending::Truncate { length }))
+        self.run_partially(|files| files.inodes[*file].pending.push(Pending::Truncate { length }))
     }
 
     fn sync(&self, file: &mut usize) -> io::Result<()> {
-        self.operate_or_not(|files| {
+        self.run_atomically(|files| {
             let inode = &mut files.inodes[*file];
             inode.durable = inode.bytes();
             inode.pending.clear();
@@ -307,7 +307,7 @@
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
-        self.operate(|files| {
+        self.run_partially(|files| {
             if let Some(inode) = files.names.remove(from) {
                 files.names.insert(to.to_owned(), inode);
             }
@@ -315,16 +315,16 @@
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
-        self.operate(|files| {
+        self.run_partially(|files| {
             files.names.remove(name);
         })
     }
 
     fn exists(&self, name: &str) -> io::Result<bool> {
-        self.operate_or_not(|files| files.names.contains_key(name))
+        self.run_atomically(|files| files.names.contains_key(name))
     }
 
     fn sync_directory(&self) -> io::Result<()> {
-        self.operate_or_not(|files| files.durable_names = files.names.clone())
+        self.run_atomically(|files| files.durable_names = files.names.clone())
     }
 }
--- a/wal/tests/power_loss.rs
+++ b/wal/tests/power_loss.rs
@@ -1,5 +1,5 @@
-//! Crashes at every operation, losses of power that keep or lose each name and each unsynced write by itself, and disks that
-//! refuse: what was confirmed is there at the next start, and the file is sound.
+//! Crashes at every operation, losses of power that keep or lose each name and each unsynced write by itself, and disk operations
+//! that fail: acknowledged records survive, and the file is valid.
 
 mod model;
 
@@ -7,7 +7,7 @@
 
 use googletest::prelude::*;
 use ivyhatch_wal::{CompactingWal, Wal, WalError};
-use model::{ModelDisk, Trouble};
+use model::{Fault, ModelDisk};
 
 const NAME: &str = "log";
 /// More operations than the longest script has.
@@ -23,40 +23,40 @@
     numbers.map(record).collect()
 }
 
-/// What a process has been told, and what it was told nothing about yet.
+/// The records that the log has acknowledged, and those of the call that has not returned successfully.
 #[derive(Clone, Debug, Default)]
 struct Outcome {
-    confirmed: Records,
+    acknowledged: Records,
     in_flight: Records,
 }
 
 impl Outcome {
-    /// Whether a file with these records is what may be left: all that was confirmed, and of the rest all or nothing.
+    /// Whether a crash may leave these records: all acknowledged ones, and all or none of those in flight.
     fn allows(&self, found: &Records) -> bool {
-        let with_rest: Records = self.confirmed.iter().chain(&self.in_flight).cloned().collect();
-        *found == self.confirmed || *found == with_rest
+        let with_rest: Records = self.acknowledged.iter().chain(&self.in_flight).cloned().collect();
+        *found == self.acknowledged || *found == with_rest
     }
 }
 
-/// Opens the log, appends, replaces the file twice, and appends again, until the disk refuses.
+/// Opens the log, appends, rewrites the file twice, and appends again, until an operation fails.
 fn run_script(disk: &ModelDisk) -> Outcome {
     let mut outcome = Outcome::default();
     let Ok((mut log, found)) = Wal::open_in(disk.clone(), NAME) else { return outcome };
-    outcome.confirmed = found;
+    outcome.acknowledged = found;
     for step in 0..8_usize {
         let written = if step % 3 == 2 {
-            // The replacement says the same as the file it replaces.
+            // The rewritten file has the same records.
             outcome.in_flight.clear();
-            log.rewrite(&outcome.confirmed)
+            log.rewrite(&outcome.acknowledged)
         } else {
-            let first = outcome.confirmed.len();
+            let first = outcome.acknowledged.len();
             outcome.in_flight = records(first..first + 2);
             log.append(&outcome.in_flight)
         };
         if written.is_err() {
             return outcome;
         }
-        outcome.confirmed.append(&mut outcome.in_flight);
+        outcome.acknowledged.append(&mut outcome.in_flight);
     }
     outcome
 }
@@ -66,10 +66,10 @@
 }
 
 #[gtest]
-fn every_power_loss_keeps_what_was_confirmed() {
+fn acknowledged_records_survive_a_power_loss_at_any_operation() {
     let mut disks = 0;
     for crash_at in 0..MAX_OPERATIONS {
-        let disk = ModelDisk::with_trouble(Trouble::CrashAt(crash_at));
+        let disk = ModelDisk::with_fault(Fault::CrashAt(crash_at));
         let outcome = run_script(&disk);
         for after in disk.after_power_loss() {
             disks += 1;
@@ -91,7 +91,7 @@
 #[gtest]
 fn records_read_after_a_kill_survive_a_power_loss_right_after_it() {
     for crash_at in 0..MAX_OPERATIONS {
-        let disk = ModelDisk::with_trouble(Trouble::CrashAt(crash_at));
+        let disk = ModelDisk::with_fault(Fault::CrashAt(crash_at));
         let outcome = run_script(&disk);
         let killed = disk.after_kill();
         let read = reopened(&killed).expect("a sound file");
@@ -108,9 +108,9 @@
 }
 
 #[gtest]
-fn a_second_run_after_any_crash_keeps_what_both_confirmed() {
+fn records_acknowledged_before_and_after_a_crash_survive_a_power_loss() {
     for first_crash in 0..40 {
-        let disk = ModelDisk::with_trouble(Trouble::CrashAt(first_crash));
+        let disk = ModelDisk::with_fault(Fault::CrashAt(first_crash));
         run_script(&disk);
         for after in std::iter::once(disk.after_kill()).chain(disk.after_power_loss()) {
             let outcome = run_script(&after);
@@ -122,50 +122,50 @@
     }
 }
 
-/// Writes with a state that grows, and tries again what was refused. Gives what was confirmed, and how often it was refused.
-fn write_persistently(disk: &ModelDisk, writes: usize) -> (Records, Vec<WalError>) {
+/// Appends with a state that grows, and retries what failed. Returns the acknowledged records and the errors.
+fn append_with_retries(disk: &ModelDisk, writes: usize) -> (Records, Vec<WalError>) {
     let opened = (0..MAX_OPERATIONS).find_map(|_| Wal::open_in(disk.clone(), NAME).ok());
-    let (log, mut confirmed) = opened.expect("opened once the disk is well");
+    let (log, mut acknowledged) = opened.expect("opened once the disk is well");
     let (mut log, mut errors) = (CompactingWal::new(log), Vec::new());
     for number in 0..writes {
         let next = records(number..number + 1);
-        let all: Records = confirmed.iter().chain(&next).cloned().collect();
-        let mut is_written = false;
+        let all: Records = acknowledged.iter().chain(&next).cloned().collect();
+        let mut is_appended = false;
         for _ in 0..MAX_OPERATIONS {
             match log.append(&next, || all.clone()) {
                 Ok(_) => {
-                    is_written = true;
+                    is_appended = true;
                     break;
                 }
                 Err(error) => {
-                    // Nothing that was confirmed may be at risk while the disk refuses.
+                    // A failed append puts no acknowledged record at risk.
                     for after in disk.after_power_loss() {
                         let found = reopened(&after).expect("a sound file");
                         expect_true!(
-                            found == confirmed || found == all,
-                            "{error}: left {found:?} of {confirmed:?}"
+                            found == acknowledged || found == all,
+                            "{error}: left {found:?} of {acknowledged:?}"
                         );
                     }
                     errors.push(error);
                 }
             }
         }
-        assert!(is_written, "never written: {errors:?}");
-        confirmed = all;
+        assert!(is_appended, "never written: {errors:?}");
+        acknowledged = all;
     }
-    (confirmed, errors)
+    (acknowledged, errors)
 }
 
 #[gtest]
-fn a_disk_that_refuses_any_operation_loses_nothing_that_was_confirmed() {
+fn failed_disk_operations_lose_no_acknowledged_records() {
     for kind in [ErrorKind::StorageFull, ErrorKind::Other] {
         for fail_at in 0..MAX_OPERATIONS {
             for length in [1, 2, 3, 5, 9] {
-                let disk = ModelDisk::with_trouble(Trouble::FailFrom(fail_at, fail_at + length, kind));
-                expect_kept(&disk);
+                let disk = ModelDisk::with_fault(Fault::FailFrom(fail_at, fail_at + length, kind));
+                expect_acknowledged_records_survive(&disk);
             }
-            let disk = ModelDisk::with_trouble(Trouble::FailAt(fail_at, kind));
-            expect_kept(&disk);
+            let disk = ModelDisk::with_fault(Fault::FailAt(fail_at, kind));
+            expect_acknowledged_records_survive(&disk);
             if disk.operations() <= fail_at {
                 break;
             }
@@ -173,19 +173,19 @@
     }
 }
 
-fn expect_kept(disk: &ModelDisk) {
-    let (confirmed, _) = write_persistently(disk, 6);
+fn expect_acknowledged_records_survive(disk: &ModelDisk) {
+    let (acknowledged, _) = append_with_retries(disk, 6);
     for after in disk.after_power_loss() {
-        expect_that!(reopened(&after).expect("a sound file"), eq(&confirmed));
+        expect_that!(reopened(&after).expect("a sound file"), eq(&acknowledged));
     }
 }
 
 #[gtest]
-fn appends_after_a_replacement_that_failed_at_any_step_are_durable() {
+fn appends_after_a_rewrite_that_failed_at_any_step_are_durable() {
     for kind in [ErrorKind::StorageFull, ErrorKind::Other] {
         for fail_at in 0..MAX_OPERATIONS {
-            let disk = ModelDisk::with_trouble(Trouble::FailAt(fail_at, kind));
-            go_on_after_errors(&disk);
+            let disk = ModelDisk::with_fault(Fault::FailAt(fail_at, kind));
+            append_and_rewrite_despite_errors(&disk);
             if disk.operations() <= fail_at {
                 break;
             }
@@ -193,19 +193,19 @@
     }
 }
 
-/// Appends and replaces by turns, whatever is refused, and looks after each step at what a loss of power would leave.
-fn go_on_after_errors(disk: &ModelDisk) {
+/// Appends and rewrites by turns, whether they succeed or not, and checks after each step what a loss of power would leave.
+fn append_and_rewrite_despite_errors(disk: &ModelDisk) {
     let opened = (0..MAX_OPERATIONS).find_map(|_| Wal::open_in(disk.clone(), NAME).ok());
-    let (mut log, mut confirmed) = opened.expect("opened once the disk is well");
+    let (mut log, mut acknowledged) = opened.expect("opened once the disk is well");
     for step in 0..9_usize {
         let next = if step % 3 == 1 { Vec::new() } else { records(step..step + 1) };
-        let written = if next.is_empty() { log.rewrite(&confirmed) } else { log.append(&next) };
+        let written = if next.is_empty() { log.rewrite(&acknowledged) } else { log.append(&next) };
         let outcome = match written {
             Ok(()) => {
-                confirmed.extend(next);
-                Outcome { confirmed: confirmed.clone(), in_flight: Vec::new() }
+                acknowledged.extend(next);
+                Outcome { acknowledged: acknowledged.clone(), in_flight: Vec::new() }
             }
-            Err(_) => Outcome { confirmed: confirmed.clone(), in_flight: next },
+            Err(_) => Outcome { acknowledged: acknowledged.clone(), in_flight: next },
         };
         for after in disk.after_power_loss() {
             let found = reopened(&after).expect("a sound file");
@@ -215,13 +215,13 @@
 }
 
 #[gtest]
-fn a_full_disk_is_a_typed_error_and_writes_go_on_once_there_is_room() {
+fn full_disk_is_a_typed_error_and_appends_succeed_once_there_is_space() {
     let disk = ModelDisk::default();
     let (log, _) = Wal::open_in(disk.clone(), NAME).expect("opened");
     let mut log = CompactingWal::new(log);
     let first = records(0..3);
     log.append(&first, || first.clone()).expect("there is room");
-    // Room for a part of the next block, and for no second file.
+    // Space for a part of the next block, and for no second file.
     disk.set_capacity(Some(disk.used() + 7));
     let next = records(3..4);
     let all = records(0..4);
@@ -231,7 +231,7 @@
             expect_that!(reopened(&after).expect("a sound file"), eq(&first));
         }
     }
-    // Room for the block and still for no second file: the present file takes it.
+    // Space for the block and still for no second file: the block is appended to the present file.
     disk.set_capacity(Some(disk.used() + 40));
     expect_that!(log.append(&next, || all.clone()), ok(anything()));
     for after in disk.after_power_loss() {
@@ -240,7 +240,7 @@
 }
 
 #[gtest]
-fn a_stale_replacement_is_of_no_account_and_removed() {
+fn stale_temporary_file_is_ignored_and_removed() {
     let disk = ModelDisk::default();
     let (mut log, _) = Wal::open_in(disk.clone(), NAME).expect("opened");
     log.append(&records(0..2)).expect("written");
--- a/wal/tests/properties.rs
+++ b/wal/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Any records come back, and any bytes in their place give a typed error or records that were written.
+//! Properties of a log: arbitrary records round-trip, and corrupted or arbitrary files give a typed error or records that were written.
 //!
 //! A longer run: `PROPTEST_CASES=100000 cargo test --release -p ivyhatch-wal --test properties`.
 
@@ -15,19 +15,19 @@
 
 type Records = Vec<Vec<u8>>;
 
-/// What becomes of a file.
+/// A corruption of a file.
 #[derive(Clone, Debug)]
-enum Harm {
+enum Corruption {
     Truncate(Index),
     FlipBit(Index, u8),
     Overwrite(Index, Vec<u8>),
     Insert(Index, Vec<u8>),
     Remove(Index, Index),
-    /// A range is written once more at another place.
+    /// Copies a range to another offset.
     Duplicate(Index, Index, Index),
 }
 
-impl Harm {
+impl Corruption {
     fn apply(&self, bytes: &mut Vec<u8>) {
         if bytes.is_empty() {
             return;
@@ -61,19 +61,19 @@
     }
 }
 
-fn any_harm() -> impl Strategy<Value = Harm> {
+fn any_corruption() -> impl Strategy<Value = Corruption> {
     let index = any::<Index>;
     prop_oneof![
-        index().prop_map(Harm::Truncate),
-        (index(), any::<u8>()).prop_map(|(at, bit)| Harm::FlipBit(at, bit)),
-        (index(), vec(any::<u8>(), 1..40)).prop_map(|(at, with)| Harm::Overwrite(at, with)),
-        (index(), vec(any::<u8>(), 1..40)).prop_map(|(at, more)| Harm::Insert(at, more)),
-        (index(), index()).prop_map(|(one, two)| Harm::Remove(one, two)),
-        (index(), index(), index()).prop_map(|(one, two, at)| Harm::Duplicate(one, two, at)),
+        index().prop_map(Corruption::Truncate),
+        (index(), any::<u8>()).prop_map(|(at, bit)| Corruption::FlipBit(at, bit)),
+        (index(), vec(any::<u8>(), 1..40)).prop_map(|(at, with)| Corruption::Overwrite(at, with)),
+        (index(), vec(any::<u8>(), 1..40)).prop_map(|(at, more)| Corruption::Insert(at, more)),
+        (index(), index()).prop_map(|(one, two)| Corruption::Remove(one, two)),
+        (index(), index(), index()).prop_map(|(one, two, at)| Corruption::Duplicate(one, two, at)),
     ]
 }
 
-/// Appended blocks, the first of them as a snapshot.
+/// Blocks: the first is written by a rewrite, the others are appended.
 fn any_blocks() -> impl Strategy<Value = Vec<Records>> {
     vec(vec(vec(any::<u8>(), 0..60), 1..4), 1..6)
 }
@@ -89,7 +89,7 @@
 
 proptest! {
     #[test]
-    fn records_come_back_in_order(blocks in any_blocks()) {
+    fn reopened_log_returns_arbitrary_records_in_order(blocks in any_blocks()) {
         let folder = tempfile::tempdir().expect("a folder");
         write_blocks(folder.path(), &blocks);
         let (_, found) = Wal::open(folder.path(), NAME).expect("sound");
@@ -97,19 +97,19 @@
     }
 
     #[test]
-    fn a_harmed_file_gives_a_typed_error_or_a_beginning_of_what_was_written(
+    fn corrupted_file_gives_a_typed_error_or_a_prefix_of_the_blocks(
         blocks in any_blocks(),
-        harms in vec(any_harm(), 1..4),
+        corruptions in vec(any_corruption(), 1..4),
     ) {
         let folder = tempfile::tempdir().expect("a folder");
         let mut bytes = write_blocks(folder.path(), &blocks);
-        harms.iter().for_each(|harm| harm.apply(&mut bytes));
-        fs::write(folder.path().join(NAME), &bytes).expect("harmed");
+        corruptions.iter().for_each(|corruption| corruption.apply(&mut bytes));
+        fs::write(folder.path().join(NAME), &bytes).expect("a corrupted file");
         match Wal::open(folder.path(), NAME) {
             Ok((mut log, found)) => {
-                // An empty file is a new one; no other has lost its snapshot or a part of a block.
-                let beginnings = (0..=blocks.len()).map(|count| blocks[..count].concat());
-                let allowed: Vec<Records> = beginnings.skip(usize::from(!bytes.is_empty())).collect();
+                // An empty file is a new one; any other file has at least its first block, and whole blocks only.
+                let prefixes = (0..=blocks.len()).map(|count| blocks[..count].concat());
+                let allowed: Vec<Records> = prefixes.skip(usize::from(!bytes.is_empty())).collect();
                 prop_assert!(allowed.contains(&found), "{found:?}");
                 log.append(&[b"more".to_vec()]).expect("goes on");
                 let (_, again) = Wal::open(folder.path(), NAME).expect("sound");
@@ -125,7 +125,7 @@
     }
 
     #[test]
-    fn any_bytes_give_a_typed_error_or_records(bytes in vec(any::<u8>(), 0..300), magic in 0..3_usize) {
+    fn arbitrary_bytes_give_a_typed_error_or_records(bytes in vec(any::<u8>(), 0..300), magic in 0..3_usize) {
         let folder = tempfile::tempdir().expect("a folder");
         let bytes = [[&b""[..], b"IVHR", b"IVHL"][magic].to_vec(), bytes].concat();
         fs::write(folder.path().join(NAME), &bytes).expect("written");
@@ -137,7 +137,7 @@
 }
 
 #[gtest]
-fn a_file_cut_off_at_any_byte_gives_whole_blocks_or_a_typed_error() {
+fn file_truncated_at_any_byte_gives_whole_blocks_or_a_typed_error() {
     let blocks: Vec<Records> = (1..5_u8).map(|number| vec![vec![number; 9], vec![number; 2]]).collect();
     let folder = tempfile::tempdir().expect("a folder");
     let bytes = write_blocks(folder.path(), &blocks);
--- a/wal/tests/log.rs
+++ b/wal/tests/wal.rs
@@ -1,4 +1,4 @@
-//! The file: what a crash may leave of it, damage, and rewriting. The bytes on the disk are harmed one at a time.
+//! The file of a log: torn blocks, damage of single bytes, format versions, rewrites.
 
 use std::fs;
 use std::path::Path;
@@ -14,12 +14,12 @@
     text.as_bytes().to_vec()
 }
 
-fn three(folder: &Path) -> Vec<u8> {
+fn write_three_blocks(folder: &Path) -> Vec<u8> {
     let (mut log, found) = Wal::open(folder, "log").expect("a new file");
     assert!(found.is_empty());
     log.append(&[record("one")]).expect("written");
     log.append(&[record("two"), record("and a half")]).expect("written");
-    log.append(&[record("three")]).expect("written");
+    log.append(&[record("write_three_blocks")]).expect("written");
     fs::read(folder.join("log")).expect("the file")
 }
 
@@ -28,24 +28,24 @@
 }
 
 #[gtest]
-fn what_was_written_comes_back_in_order() {
+fn reopened_log_returns_all_records_in_order() {
     let folder = tempfile::tempdir().expect("a folder");
-    three(folder.path());
-    let all = ["one", "two", "and a half", "three"].map(record);
+    write_three_blocks(folder.path());
+    let all = ["one", "two", "and a half", "write_three_blocks"].map(record);
     expect_that!(reopened(folder.path()), ok(eq(&all.to_vec())));
 }
 
 #[gtest]
-fn a_last_block_that_is_torn_anywhere_is_cut_off_and_written_over() {
+fn torn_last_block_is_truncated_and_overwritten() {
     let folder = tempfile::tempdir().expect("a folder");
-    let bytes = three(folder.path());
-    let last = bytes.len() - (BLOCK_HEADER + RECORD_HEADER + "three".len());
+    let bytes = write_three_blocks(folder.path());
+    let last = bytes.len() - (BLOCK_HEADER + RECORD_HEADER + "write_three_blocks".len());
     for cut in last..bytes.len() {
-        // Written in part, and written in full length with a hole in it.
+        // Truncated, and of full length with zeros at its end.
         let mut hole = bytes.clone();
         hole[cut..].fill(0);
-        for harmed in [&bytes[..cut], &hole[..]] {
-            fs::write(folder.path().join("log"), harmed).expect("harmed");
+        for corrupted in [&bytes[..cut], &hole[..]] {
+            fs::write(folder.path().join("log"), corrupted).expect("a corrupted file");
             let (mut log, found) = Wal::open(folder.path(), "log").expect("the rest is sound");
             expect_that!(found.len(), eq(3), "cut at {cut}");
             log.append(&[record("four")]).expect("written");
@@ -58,24 +58,24 @@
 #[gtest]
 fn damage_before_the_last_block_sets_the_file_aside() {
     let folder = tempfile::tempdir().expect("a folder");
-    let bytes = three(folder.path());
-    let last = bytes.len() - (BLOCK_HEADER + RECORD_HEADER + "three".len());
+    let bytes = write_three_blocks(folder.path());
+    let last = bytes.len() - (BLOCK_HEADER + RECORD_HEADER + "write_three_blocks".len());
     for at in 0..last {
-        let mut harmed = bytes.clone();
-        harmed[at] ^= 0x10;
-        fs::write(folder.path().join("log"), &harmed).expect("harmed");
+        let mut corrupted = bytes.clone();
+        corrupted[at] ^= 0x10;
+        fs::write(folder.path().join("log"), &corrupted).expect("a corrupted file");
         let Err(WalError::Damaged { set_aside, .. }) = reopened(folder.path()) else {
             fail!("not found at {at}").and_log_failure();
             continue;
         };
         // The next start has an empty file, and the damaged one stands beside it.
         expect_that!(reopened(folder.path()), ok(is_empty()));
-        expect_that!(fs::read(set_aside).expect("set aside"), eq(&harmed));
+        expect_that!(fs::read(set_aside).expect("set aside"), eq(&corrupted));
     }
 }
 
 #[gtest]
-fn damage_in_a_snapshot_is_no_torn_block() {
+fn damage_in_a_snapshot_is_not_taken_for_a_torn_block() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("log");
     let (mut log, _) = Wal::open(folder.path(), "log").expect("a new file");
@@ -83,13 +83,13 @@
     drop(log);
     let bytes = fs::read(&path).expect("the file");
     for at in 0..bytes.len() {
-        let mut harmed = bytes.clone();
-        harmed[at] ^= 0x01;
-        fs::write(&path, &harmed).expect("harmed");
+        let mut corrupted = bytes.clone();
+        corrupted[at] ^= 0x01;
+        fs::write(&path, &corrupted).expect("a corrupted file");
         expect_that!(reopened(folder.path()), err(matches_pattern!(WalError::Damaged { .. })), "at {at}");
         fs::write(&path, &bytes[..at]).expect("cut off");
         if at == 0 {
-            // An empty file is one that was made and never written.
+            // An empty file is a new one.
             expect_that!(reopened(folder.path()), ok(is_empty()));
         } else {
             expect_that!(
@@ -102,7 +102,7 @@
 }
 
 #[gtest]
-fn files_that_are_set_aside_are_kept_up_to_a_bound() {
+fn set_aside_files_are_kept_up_to_a_maximum() {
     let folder = tempfile::tempdir().expect("a folder");
     for number in 0..6_u8 {
         fs::write(folder.path().join("log"), [number; 20]).expect("no file of records");
@@ -118,10 +118,10 @@
 }
 
 #[gtest]
-fn a_file_of_a_later_format_is_set_aside_with_both_versions_named() {
+fn file_of_an_unknown_format_version_is_set_aside_with_both_versions_in_the_error() {
     let folder = tempfile::tempdir().expect("a folder");
     let later = {
-        let mut bytes = three(folder.path())[..12].to_vec();
+        let mut bytes = write_three_blocks(folder.path())[..12].to_vec();
         bytes[4] = 99;
         let sum = ivyhatch_protocol::hash::checksum(&bytes);
         bytes.extend_from_slice(&sum.to_le_bytes());
@@ -135,7 +135,7 @@
     expect_that!(fs::read(folder.path().join("log.set-aside-1")).expect("kept"), eq(&later));
 }
 
-/// A block as the format without a file header had it.
+/// A block in format version 1.
 fn block_without_number(record: &[u8]) -> Vec<u8> {
     let mut body = (record.len() as u32).to_le_bytes().to_vec();
     body.extend_from_slice(record);
@@ -147,7 +147,7 @@
 }
 
 #[gtest]
-fn a_file_without_a_header_is_read_and_replaced_by_one_with_it() {
+fn file_of_format_version_1_is_read_and_rewritten_as_version_2() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("log");
     let all = ["one", "two"].map(record).to_vec();
@@ -156,7 +156,7 @@
     expect_that!(reopened(folder.path()), ok(eq(&all)));
     expect_that!(fs::read(&path).expect("the file")[..4], eq(b"IVHR"));
     expect_that!(reopened(folder.path()), ok(eq(&all)));
-    // Its last block may be torn. Its first one was durable before anything was said: what is left of one is damage.
+    // The last block may be torn. The first one was durable before the log was used, so a part of it is damage.
     fs::write(&path, &old[..old.len() - 1]).expect("cut off");
     expect_that!(reopened(folder.path()), ok(eq(&all[..1].to_vec())));
     fs::write(&path, &old[..15]).expect("cut off");
@@ -165,23 +165,23 @@
 }
 
 #[gtest]
-fn a_block_that_stands_twice_or_in_another_place_is_damage() {
+fn duplicated_moved_or_missing_block_is_damage() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("log");
-    let bytes = three(folder.path());
+    let bytes = write_three_blocks(folder.path());
     let first_end = FILE_HEADER + BLOCK_HEADER + RECORD_HEADER + "one".len();
-    let last = bytes.len() - (BLOCK_HEADER + RECORD_HEADER + "three".len());
+    let last = bytes.len() - (BLOCK_HEADER + RECORD_HEADER + "write_three_blocks".len());
     let (head, first, middle, end) =
         (&bytes[..FILE_HEADER], &bytes[FILE_HEADER..first_end], &bytes[first_end..last], &bytes[last..]);
-    let harmed = [
+    let corrupted = [
         [head, first, middle, end, first].concat(),
         [head, first, middle, end, end].concat(),
         [head, first, first, middle, end].concat(),
         [head, middle, first, end].concat(),
         [head, middle, end].concat(),
     ];
-    for (number, harmed) in harmed.iter().enumerate() {
-        fs::write(&path, harmed).expect("harmed");
+    for (number, corrupted) in corrupted.iter().enumerate() {
+        fs::write(&path, corrupted).expect("a corrupted file");
         expect_that!(
             reopened(folder.path()),
             err(matches_pattern!(WalError::Damaged { .. })),
@@ -191,9 +191,9 @@
 }
 
 #[gtest]
-fn rejected_records_are_set_aside_with_their_place() {
+fn rejected_record_sets_the_file_aside_and_names_its_index() {
     let folder = tempfile::tempdir().expect("a folder");
-    let bytes = three(folder.path());
+    let bytes = write_three_blocks(folder.path());
     let (log, _) = Wal::open(folder.path(), "log").expect("sound");
     let error = log.reject_record(2, "unknown tag 9".to_owned());
     expect_true!(error.is_set_aside());
@@ -203,9 +203,9 @@
 }
 
 #[gtest]
-fn a_write_that_no_block_takes_is_refused_and_harms_nothing() {
+fn batch_over_the_block_limit_is_rejected_and_changes_nothing() {
     let folder = tempfile::tempdir().expect("a folder");
-    three(folder.path());
+    write_three_blocks(folder.path());
     let (mut log, found) = Wal::open(folder.path(), "log").expect("sound");
     let huge = vec![vec![0_u8; 33 << 20]];
     expect_that!(log.append(&huge), err(matches_pattern!(WalError::BatchTooLong { .. })));
@@ -214,9 +214,9 @@
 }
 
 #[gtest]
-fn a_rewritten_file_holds_just_what_it_was_given_and_goes_on() {
+fn rewritten_log_has_only_the_new_records_and_accepts_appends() {
     let folder = tempfile::tempdir().expect("a folder");
-    three(folder.path());
+    write_three_blocks(folder.path());
     let (mut log, _) = Wal::open(folder.path(), "log").expect("sound");
     let before = log.length();
     log.rewrite(&[record("all")]).expect("rewritten");
@@ -226,9 +226,9 @@
 }
 
 #[gtest]
-fn what_a_crash_left_beside_the_file_is_of_no_account() {
+fn temporary_file_left_by_a_crash_is_ignored_and_removed() {
     let folder = tempfile::tempdir().expect("a folder");
-    three(folder.path());
+    write_three_blocks(folder.path());
     fs::write(folder.path().join("log.new"), b"half").expect("left behind");
     expect_that!(reopened(folder.path()).expect("sound").len(), eq(4));
     let (mut log, _) = Wal::open(folder.path(), "log").expect("sound");
