--- a/agent/src/agent.rs
+++ b/agent/src/agent.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use ivyhatch_admin_protocol::{Bounds, ask, listen, serve};
+use ivyhatch_admin_protocol::{ConnectionLimits, call, listen, serve};
 use ivyhatch_config::{Config, Instance as Told};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -23,8 +23,11 @@
 use crate::store::{Change, Command as Asked, Outcome, Store, StoreError};
 
 /// Commands over a large fleet ask for each instance by itself, all at once.
-const BOUNDS: Bounds =
-    Bounds { line: 1 << 20, patience: Duration::from_secs(30), connections: Semaphore::MAX_PERMITS };
+const LIMITS: ConnectionLimits = ConnectionLimits {
+    max_line_bytes: 1 << 20,
+    idle_timeout: Duration::from_secs(30),
+    max_connections: Semaphore::MAX_PERMITS,
+};
 
 /// How an agent runs.
 #[derive(Clone, Debug)]
@@ -200,7 +203,7 @@
         spawn_local(agent.clone().keep(kept.clone()));
     }
     tracing::info!("keeps {} instances; asked at {}", agent.kept.len(), agent.options.socket.display());
-    serve(listener, BOUNDS, move |ask| agent.answer(ask)).await;
+    serve(listener, LIMITS, move |ask| agent.answer(ask)).await;
     Ok(())
 }
 
@@ -254,7 +257,7 @@
 
     /// A process of an earlier agent's: by what that one wrote down, or by who answers at the node's socket.
     async fn find(&self, kept: &Kept, within: Duration) -> Option<Process> {
-        let state = ask(&kept.places.socket, &json!({"op": "state"}), within).await.ok();
+        let state = call(&kept.places.socket, &json!({"op": "state"}), within).await.ok();
         let process = Process::find(&kept.places).or_else(|| {
             let pid = state.as_ref()?["pid"].as_i64()?;
             Process::adopt(i32::try_from(pid).ok()?, &kept.places)
@@ -269,7 +272,7 @@
 
     /// Asks the node how it is.
     async fn listen_to(&self, kept: &Kept, process: &mut Option<Process>, within: Duration) {
-        let Ok(state) = ask(&kept.places.socket, &json!({"op": "state"}), within).await else { return };
+        let Ok(state) = call(&kept.places.socket, &json!({"op": "state"}), within).await else { return };
         // What is no state, or another node's, says nothing of this one.
         let phase = state["phase"].as_str().map(str::to_owned);
         if state["name"] != kept.told.name || state["pid"].as_i64() != kept.pid.get().map(i64::from) {
@@ -313,9 +316,9 @@
                         }
                         Err(error) => event = Some(Event::NotStarted(format!("can't be started: {error}"))),
                     },
-                    Action::Drain => drop(ask(&kept.places.socket, &json!({"op": "drain"}), within).await),
+                    Action::Drain => drop(call(&kept.places.socket, &json!({"op": "drain"}), within).await),
                     Action::Undrain => {
-                        drop(ask(&kept.places.socket, &json!({"op": "undrain"}), within).await)
+                        drop(call(&kept.places.socket, &json!({"op": "undrain"}), within).await)
                     }
                     Action::Terminate => process.iter().for_each(Process::terminate),
                     Action::Kill => process.iter().for_each(Process::kill),
--- a/cli/src/fleet/command.rs
+++ b/cli/src/fleet/command.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use ivyhatch_admin_protocol::{WireError, ask};
+use ivyhatch_admin_protocol::{CallError, call};
 use ivyhatch_agent::{Outcome, Phase, Refusal, Shown, Wanted};
 use serde_json::json;
 use tokio::time::sleep;
@@ -62,9 +62,11 @@
         verb => json!({"op": "apply", "id": format!("{id}/{name}"), "by": by, "against": against,
             "changes": [{"instance": name, "wanted": verb.wanted()}]}),
     };
-    match ask(socket, &what, left()).await {
-        Err(error @ WireError::Late(_)) => return End::TimedOut(format!("{error}; it may have been taken")),
-        Err(error @ WireError::Nobody(_)) => return End::Unknown(error.to_string()),
+    match call(socket, &what, left()).await {
+        Err(error @ CallError::TimedOut(_)) => {
+            return End::TimedOut(format!("{error}; it may have been taken"));
+        }
+        Err(error @ CallError::Unreachable(_)) => return End::Unknown(error.to_string()),
         Err(error) => return End::Unknown(format!("{error}; it may have been taken")),
         Ok(answer) => {
             if let Some(error) = answer.get("error") {
--- a/cli/src/fleet/query.rs
+++ b/cli/src/fleet/query.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use ivyhatch_admin_protocol::ask;
+use ivyhatch_admin_protocol::call;
 use ivyhatch_agent::{Phase, Shown, Status};
 use serde_json::json;
 use tokio::task::JoinSet;
@@ -25,7 +25,7 @@
 
 /// Of one instance, or of all: who waits for one need not have all of them read out again and again.
 pub(super) async fn status_of(socket: &Path, instance: Option<&str>) -> Result<Status, String> {
-    let answer = ask(socket, &json!({"op": "status", "instance": instance}), SAYS)
+    let answer = call(socket, &json!({"op": "status", "instance": instance}), SAYS)
         .await
         .map_err(|error| error.to_string())?;
     match answer.get("error") {
--- a/cli/src/fleet/show.rs
+++ b/cli/src/fleet/show.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use ivyhatch_admin_protocol::ask;
+use ivyhatch_admin_protocol::call;
 use ivyhatch_agent::Shown;
 use serde_json::{Value, json};
 
@@ -107,7 +107,7 @@
             };
             for shown in status.instances.iter().filter(|shown| selects(&show.selectors, shown)) {
                 let what = json!({"op": "logs", "instance": shown.name, "lines": lines});
-                match ask(&socket, &what, SAYS).await.map(|answer| answer["lines"].as_array().cloned()) {
+                match call(&socket, &what, SAYS).await.map(|answer| answer["lines"].as_array().cloned()) {
                     Ok(Some(lines)) => {
                         lines.iter().filter_map(Value::as_str).for_each(|line| match show.agents.json {
                             true => println!("{}", json!({"instance": shown.name, "line": line})),
--- a/node/src/control.rs
+++ b/node/src/control.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ivyhatch_admin_protocol::Bounds;
+use ivyhatch_admin_protocol::ConnectionLimits;
 use serde::Deserialize;
 use serde_json::{Value, json};
 use tokio::net::UnixListener;
@@ -18,7 +18,8 @@
 use crate::client_listener::DrainPhase;
 use crate::driver::{Node, Seen};
 
-const BOUNDS: Bounds = Bounds { line: 4096, patience: Duration::from_secs(10), connections: 8 };
+const LIMITS: ConnectionLimits =
+    ConnectionLimits { max_line_bytes: 4096, idle_timeout: Duration::from_secs(10), max_connections: 8 };
 
 #[derive(Deserialize)]
 #[serde(tag = "op", rename_all = "snake_case", deny_unknown_fields)]
@@ -49,7 +50,7 @@
 }
 
 pub async fn run(listener: UnixListener, control: Rc<Control>) {
-    ivyhatch_admin_protocol::serve(listener, BOUNDS, move |ask| control.answer(ask)).await;
+    ivyhatch_admin_protocol::serve(listener, LIMITS, move |ask| control.answer(ask)).await;
 }
 
 impl Control {
