--- a/cli/src/sockets.rs
+++ b/cli/src/sockets.rs
@@ -6,7 +6,7 @@
 
 use clap::Args;
 use ivyhatch_lab::{Report, World, simulate};
-use ivyhatch_socket_lab::{NodeCommand, Snapshot, SocketLabError};
+use ivyhatch_socket_lab::{NodeCommand, Snapshot, SocketLabError, ZoneSnapshot};
 
 use crate::unusable;
 
@@ -166,32 +166,33 @@
     fn show(&self, now: &Snapshot) {
         let mut lines = Vec::new();
         let before = self.last.replace(Some(now.clone()));
-        let (asked, attempts) = before.map_or(([0; 5], (0, 0)), |before| (before.so_far, before.attempts));
-        let more = |part: usize| now.so_far[part] - asked[part];
-        let zone = |(number, (servers, util, cut)): (usize, &(usize, f64, bool))| {
-            let cut = if *cut { " CUT" } else { "" };
-            format!("zone {number}: {servers} servers {:>3.0} %{cut}", util * 100.0)
+        let (outcomes, attempts) =
+            before.map_or_else(Default::default, |before| (before.outcomes, before.attempts));
+        let zone = |(number, zone): (usize, &ZoneSnapshot)| {
+            let partitioned = if zone.partitioned { " CUT" } else { "" };
+            let (servers, percent) = (zone.servers_in_service, zone.mean_utilization * 100.0);
+            format!("zone {number}: {servers} servers {percent:>3.0} %{partitioned}")
         };
         let zones: Vec<String> = now.zones.iter().enumerate().map(zone).collect();
         lines.push(format!("{:>5.1} s  {}", now.seconds, zones.join("   ")));
         lines.push(format!(
             "         asked {:>3}, in time {:>3}, late {}, refused {}, failed {}; {} attempts, {} into another zone",
-            more(0),
-            more(1),
-            more(2),
-            more(3),
-            more(4),
-            now.attempts.0 - attempts.0,
-            now.attempts.1 - attempts.1
+            now.outcomes.requests - outcomes.requests,
+            now.outcomes.in_time - outcomes.in_time,
+            now.outcomes.late - outcomes.late,
+            now.outcomes.rejected - outcomes.rejected,
+            now.outcomes.failed - outcomes.failed,
+            now.attempts.total - attempts.total,
+            now.attempts.cross_zone - attempts.cross_zone
         ));
         let mut out = std::io::stdout().lock();
         let live = out.is_terminal();
         if live && self.drawn.get() > 0 {
             let _ = write!(out, "\x1b[{}A\x1b[J", self.drawn.get());
         }
-        // News stay; the table moves on below them.
-        for news in &now.news {
-            let _ = writeln!(out, "{:>5.1} s  >> {news}", now.seconds);
+        // Fault events stay; the table moves on below them.
+        for event in &now.fault_events {
+            let _ = writeln!(out, "{:>5.1} s  >> {event}", now.seconds);
         }
         if live || now.seconds.fract() < 0.5 {
             for line in &lines {
--- a/cli/tests/common/mod.rs
+++ b/cli/tests/common/mod.rs
@@ -25,6 +25,6 @@
 
 /// A server as the list has it.
 pub fn listed(uid: &str, backend: &Backend, zone: &str) -> Value {
-    json!({"uid": uid, "endpoint": backend.at.to_string(), "az": zone, "model": "k", "pod_group": 0, "state": "Ready",
+    json!({"uid": uid, "endpoint": backend.address.to_string(), "az": zone, "model": "k", "pod_group": 0, "state": "Ready",
         "capacity_hint": 1.0, "boot_ms": 0})
 }
--- a/cli/tests/config.rs
+++ b/cli/tests/config.rs
@@ -54,7 +54,7 @@
     let backend = Backend::new(|_| BackendReply::Write(ok("served")));
     let discovery = Discovery::new(json!([listed("s-0", &backend, "a")]));
     let file = tempfile::NamedTempFile::new().unwrap();
-    std::fs::write(file.path(), fleet(&discovery.at.to_string())).unwrap();
+    std::fs::write(file.path(), fleet(&discovery.address.to_string())).unwrap();
     let wrong = ivyhatch(&["node", "--config", file.path().to_str().unwrap(), "--instance", "b-1"]);
     assert_eq!(wrong.status.code(), Some(3));
     assert!(String::from_utf8_lossy(&wrong.stderr).contains("no instance \"b-1\"; there are a-1"));
@@ -76,17 +76,17 @@
         line["fields"]["message"].as_str().unwrap().to_owned()
     };
     let at = says("serves at ").split_once("serves at ").unwrap().1.parse().unwrap();
-    discovery.watched_from(1);
+    discovery.wait_for_watch_from(1);
     let get =
         "GET /api HTTP/1.1\r\nHost: h\r\nX-Call-Id: 1\r\nX-Call-Class: find\r\nX-Budget-Ms: 2000\r\n\r\n";
-    assert_eq!(Client::to(at).ask(get).expect("an answer").status(), 200);
+    assert_eq!(Client::connect(at).round_trip(get).expect("an answer").status(), 200);
     std::fs::write(file.path(), fleet("nowhere")).unwrap();
     let signal =
         |name: &str| Command::new("kill").args([name, &node.0.id().to_string()]).status().unwrap().success();
     assert!(signal("-HUP"));
     assert!(says("the old configuration stays").contains("fleet.discovery"));
     let again = get.replace("Id: 1", "Id: 2");
-    assert_eq!(Client::to(at).ask(&again).expect("an answer").status(), 200);
+    assert_eq!(Client::connect(at).round_trip(&again).expect("an answer").status(), 200);
     assert!(signal("-TERM"));
     assert_eq!(node.0.wait().unwrap().code(), Some(0));
 }
--- a/cli/tests/control.rs
+++ b/cli/tests/control.rs
@@ -9,7 +9,7 @@
 use std::process::{Command, Stdio};
 
 use common::{Ends, fleet, listed};
-use ivyhatch_socket_lab::scripted::{Backend, BackendReply, Client, Discovery, PATIENCE, ok, until};
+use ivyhatch_socket_lab::scripted::{Backend, BackendReply, Client, Discovery, TEST_TIMEOUT, ok, wait_until};
 use serde_json::{Value, json};
 
 struct Socket(BufReader<UnixStream>);
@@ -17,7 +17,7 @@
 impl Socket {
     fn to(path: &Path) -> Self {
         let stream = UnixStream::connect(path).expect("it listens");
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Self(BufReader::new(stream))
     }
 
@@ -53,10 +53,10 @@
     let (file, path) = (folder.path().join("fleet.toml"), folder.path().join("a-1.sock"));
     let backend = Backend::new(|_| BackendReply::Write(ok("served")));
     let discovery = Discovery::new(json!([listed("s-0", &backend, "a")]));
-    std::fs::write(&file, fleet(&discovery.at.to_string())).unwrap();
+    std::fs::write(&file, fleet(&discovery.address.to_string())).unwrap();
     let mut node = start(&file, &path);
-    until("it listens", || UnixStream::connect(&path).is_ok());
-    discovery.watched_from(1);
+    wait_until("it listens", || UnixStream::connect(&path).is_ok());
+    discovery.wait_for_watch_from(1);
     let mut socket = Socket::to(&path);
     let state = socket.op("state");
     assert_eq!(
@@ -65,9 +65,9 @@
     );
     assert_eq!(state["pid"], node.0.id());
     let at: SocketAddr = state["listen"].as_str().unwrap().parse().unwrap();
-    let (mut idle, mut busy) = (Client::to(at), Client::to(at));
+    let (mut idle, mut busy) = (Client::connect(at), Client::connect(at));
     for (id, client) in [("i", &mut idle), ("b", &mut busy)] {
-        assert_eq!(client.ask(&get(id)).expect("an answer").status(), 200);
+        assert_eq!(client.round_trip(&get(id)).expect("an answer").status(), 200);
     }
     let servers = socket.op("servers");
     let server = &servers["servers"][0];
@@ -76,20 +76,24 @@
         (&json!("s-0"), &json!("a"), &json!(false))
     );
     assert_eq!(socket.op("drain")["phase"], "draining");
-    let answer = busy.ask(&get("b2")).expect("one that comes all the same is served");
+    let answer = busy.round_trip(&get("b2")).expect("one that comes all the same is served");
     assert_eq!((answer.status(), answer.value("connection")), (200, Some("close")));
     assert!(idle.read().is_none(), "an idle connection is closed");
-    until("it has drained", || socket.op("state")["drained"] == json!(true));
-    assert_eq!(Client::to(at).ask(READY).expect("an answer").status(), 503);
-    assert_eq!(Client::to(at).ask(&get("late")).expect("an answer").status(), 200, "nobody is turned away");
+    wait_until("it has drained", || socket.op("state")["drained"] == json!(true));
+    assert_eq!(Client::connect(at).round_trip(READY).expect("an answer").status(), 503);
+    assert_eq!(
+        Client::connect(at).round_trip(&get("late")).expect("an answer").status(),
+        200,
+        "nobody is turned away"
+    );
     assert_eq!(socket.op("drain")["phase"], "draining", "twice is once");
     let state = socket.op("undrain");
     assert_eq!((&state["phase"], &state["drained"]), (&json!("serving"), &json!(false)));
-    let mut kept = Client::to(at);
+    let mut kept = Client::connect(at);
     for id in ["k1", "k2"] {
-        assert_eq!(kept.ask(&get(id)).expect("kept again").status(), 200);
+        assert_eq!(kept.round_trip(&get(id)).expect("kept again").status(), 200);
     }
-    assert_eq!(kept.ask(READY).expect("an answer").status(), 200);
+    assert_eq!(kept.round_trip(READY).expect("an answer").status(), 200);
     drop(kept);
     socket.op("drain");
     let ended = Command::new("kill").args(["-TERM", &node.0.id().to_string()]).status().unwrap();
@@ -106,7 +110,7 @@
     // What a node that was killed left there.
     drop(std::os::unix::net::UnixListener::bind(&path).unwrap());
     let _node = start(&file, &path);
-    until("it listens", || UnixStream::connect(&path).is_ok());
+    wait_until("it listens", || UnixStream::connect(&path).is_ok());
     let mut socket = Socket::to(&path);
     for line in ["garbage", "{}", "{\"op\":\"explode\"}", "{\"op\":\"drain\",\"hard\":true}", "\u{e9}"] {
         assert!(socket.ask(line)["error"].is_string(), "{line}");
@@ -117,7 +121,7 @@
     assert_eq!(socket.op("state")["phase"], "serving");
     drop(silent);
     let mut endless = UnixStream::connect(&path).unwrap();
-    endless.set_read_timeout(Some(PATIENCE)).unwrap();
+    endless.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let _ = endless.write_all(&[b'x'; 5000]);
     let mut rest = Vec::new();
     let _ = endless.read_to_end(&mut rest);
--- a/cli/tests/fleet.rs
+++ b/cli/tests/fleet.rs
@@ -13,7 +13,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use common::listed;
-use ivyhatch_socket_lab::scripted::{Backend, BackendReply, Client, Discovery, ok, status, until};
+use ivyhatch_socket_lab::scripted::{Backend, BackendReply, Client, Discovery, ok, status, wait_until};
 use serde_json::{Value, json};
 
 /// An agent with its nodes; all of them end with the test.
@@ -132,12 +132,12 @@
 #[test]
 fn what_is_killed_or_hangs_is_started_again_and_an_agent_finds_what_outlived_it() {
     let mut site = Site::new(&FOUR);
-    until("all are ready", || site.all_ready());
+    wait_until("all are ready", || site.all_ready());
     let before = site.pids();
     signal("-KILL", before["a-1"]);
     signal("-STOP", before["b-1"]);
-    until("the silent one is told of", || site.status()["b-1"]["phase"] == "unresponsive");
-    until("both are new", || {
+    wait_until("the silent one is told of", || site.status()["b-1"]["phase"] == "unresponsive");
+    wait_until("both are new", || {
         site.all_ready() && site.pids()["a-1"] != before["a-1"] && site.pids()["b-1"] != before["b-1"]
     });
     let now = site.pids();
@@ -149,7 +149,7 @@
     site.kill();
     signal("-KILL", now["a-2"]);
     site.start();
-    until("what was wanted is there", || {
+    wait_until("what was wanted is there", || {
         let status = site.status();
         let phase = |name: &str| status.get(name).map(|line| line["phase"].clone()).unwrap_or_default();
         ["a-1", "a-2", "b-1"].iter().all(|name| phase(name) == "ready") && phase("b-2") == "stopped"
@@ -164,7 +164,7 @@
 #[test]
 fn each_command_has_one_result_for_each_instance() {
     let site = Site::new(&FOUR);
-    until("all are ready", || site.all_ready());
+    wait_until("all are ready", || site.all_ready());
     let dry = site.run(&["drain", "all", "--dry-run"]);
     assert!(
         String::from_utf8_lossy(&dry.stdout).contains("takes away 2 of zone a, of whose 2 0 would serve")
@@ -196,7 +196,7 @@
 #[test]
 fn of_two_commands_at_once_one_wins_and_the_other_is_told() {
     let site = Site::new(&FOUR);
-    until("all are ready", || site.all_ready());
+    wait_until("all are ready", || site.all_ready());
     let command = |verb: &str, by: &str| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_ivyhatch"));
         command.args([verb, "a-1", "--json", "--by", by, "--config"]).arg(site.file());
@@ -216,7 +216,7 @@
 #[test]
 fn an_agent_that_does_not_answer_holds_up_none() {
     let site = Site::new(&[("a-1", "a"), ("a-2", "a")]);
-    until("all are ready", || site.all_ready());
+    wait_until("all are ready", || site.all_ready());
     let folder = tempfile::tempdir().unwrap();
     let paths = ["hangs", "garbage", "gone"].map(|name| folder.path().join(name));
     let hangs = UnixListener::bind(&paths[0]).unwrap();
@@ -246,7 +246,7 @@
 #[test]
 fn a_rollout_goes_zone_by_zone_and_stops_where_one_does_not_come_back() {
     let site = Site::new(&FOUR);
-    until("all are ready", || site.all_ready());
+    wait_until("all are ready", || site.all_ready());
     let before = site.pids();
     let whole = site.run(&["rollout", "all", "--watch", "0.2", "--json"]);
     assert_eq!(results(&whole), each(&["a-1", "a-2", "b-1", "b-2"], "done"));
@@ -279,8 +279,8 @@
         false => BackendReply::Write(ok("served")),
     });
     let discovery = Discovery::new(json!([listed("s-0", &backend, "b")]));
-    let site = Site::with(&[("a-1", "a"), ("b-1", "b")], &discovery.at.to_string());
-    until("all are ready", || site.all_ready());
+    let site = Site::with(&[("a-1", "a"), ("b-1", "b")], &discovery.address.to_string());
+    wait_until("all are ready", || site.all_ready());
     let at: SocketAddr = site.status()["b-1"]["said"][0]["listen"].as_str().unwrap().parse().unwrap();
     let ended = Arc::new(AtomicBool::new(false));
     let ends = ended.clone();
@@ -292,14 +292,14 @@
             let text = format!(
                 "GET /api HTTP/1.1\r\nHost: h\r\nX-Call-Id: {n}\r\nX-Call-Class: find\r\nX-Budget-Ms: 900\r\n\r\n"
             );
-            Client::to(at).ask(&text);
+            Client::connect(at).round_trip(&text);
             std::thread::sleep(std::time::Duration::from_millis(5));
         }
     });
     let mut command = Command::new(env!("CARGO_BIN_EXE_ivyhatch"));
     command.args(["rollout", "all", "--watch", "1.5", "--json", "--config"]).arg(site.file());
     let rollout = command.stdin(Stdio::null()).stdout(Stdio::piped()).spawn().unwrap();
-    until("the first zone is restarted", || site.status()["a-1"]["starts"] == 2);
+    wait_until("the first zone is restarted", || site.status()["a-1"]["starts"] == 2);
     fails.store(true, Ordering::SeqCst);
     let output = rollout.wait_with_output().unwrap();
     ended.store(true, Ordering::SeqCst);
--- a/cli/tests/golden_node.rs
+++ b/cli/tests/golden_node.rs
@@ -12,7 +12,7 @@
 
 use common::{Ends, fleet, listed};
 use golden::assert_golden;
-use ivyhatch_socket_lab::scripted::{Backend, BackendReply, Discovery, PATIENCE, ok, status, until};
+use ivyhatch_socket_lab::scripted::{Backend, BackendReply, Discovery, TEST_TIMEOUT, ok, status, wait_until};
 use serde_json::{Value, json};
 use system_common::transcript::Transcript;
 
@@ -35,7 +35,7 @@
 impl Socket {
     fn to(path: &Path) -> Self {
         let stream = UnixStream::connect(path).expect("it listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a timeout");
         Self(BufReader::new(stream))
     }
 
@@ -80,13 +80,13 @@
     let (file, path) = (folder.path().join("fleet.toml"), folder.path().join("a-1.sock"));
     let backend = Backend::new(|_| BackendReply::Write(ok("served")));
     let discovery = Discovery::new(json!([listed("s-0", &backend, "a")]));
-    std::fs::write(&file, fleet(&discovery.at.to_string())).expect("written");
+    std::fs::write(&file, fleet(&discovery.address.to_string())).expect("written");
     let _node = start(&file, &path);
-    until("it listens", || UnixStream::connect(&path).is_ok());
-    discovery.watched_from(1);
+    wait_until("it listens", || UnixStream::connect(&path).is_ok());
+    discovery.wait_for_watch_from(1);
     let mut socket = Socket::to(&path);
     let servers = r#"{"op":"servers"}"#;
-    until("its server is known", || !socket.ask_value(servers)["servers"][0].is_null());
+    wait_until("its server is known", || !socket.ask_value(servers)["servers"][0].is_null());
     let state = r#"{"op":"state"}"#;
     let mut text = String::new();
     for line in [
@@ -133,13 +133,14 @@
 /// Starts a node with one server; returns it with where clients call it, once it knows the server.
 fn start_with_server(folder: &Path, backend: &Backend, discovery: &Discovery) -> (Ends, SocketAddr) {
     let (file, path) = (folder.join("fleet.toml"), folder.join("a-1.sock"));
-    std::fs::write(&file, format!("{}{CLASSES}", fleet(&discovery.at.to_string()))).expect("written");
+    std::fs::write(&file, format!("{}{CLASSES}", fleet(&discovery.address.to_string()))).expect("written");
     let node = start(&file, &path);
-    until("it listens", || UnixStream::connect(&path).is_ok());
-    discovery.watched_from(1);
+    wait_until("it listens", || UnixStream::connect(&path).is_ok());
+    discovery.wait_for_watch_from(1);
     let mut socket = Socket::to(&path);
-    until("its server is known", || {
-        socket.ask_value(r#"{"op":"servers"}"#)["servers"][0]["endpoint"] == json!(backend.at.to_string())
+    wait_until("its server is known", || {
+        socket.ask_value(r#"{"op":"servers"}"#)["servers"][0]["endpoint"]
+            == json!(backend.address.to_string())
     });
     let listen = socket.ask_value(r#"{"op":"state"}"#)["listen"].as_str().expect("an address").parse();
     (node, listen.expect("an address"))
@@ -204,10 +205,10 @@
     let folder = tempfile::tempdir().expect("a folder");
     let (file, path) = (folder.path().join("fleet.toml"), folder.path().join("a-1.sock"));
     let discovery = Discovery::new(json!([]));
-    std::fs::write(&file, format!("{}{CLASSES}", fleet(&discovery.at.to_string()))).expect("written");
+    std::fs::write(&file, format!("{}{CLASSES}", fleet(&discovery.address.to_string()))).expect("written");
     let _node = start(&file, &path);
-    until("it listens", || UnixStream::connect(&path).is_ok());
-    discovery.watched_from(1);
+    wait_until("it listens", || UnixStream::connect(&path).is_ok());
+    discovery.wait_for_watch_from(1);
     let mut socket = Socket::to(&path);
     let listen = socket.ask_value(r#"{"op":"state"}"#)["listen"].as_str().expect("an address").parse();
     let at: SocketAddr = listen.expect("an address");
--- a/cli/tests/system_common/calls.rs
+++ b/cli/tests/system_common/calls.rs
@@ -166,7 +166,7 @@
 
     /// Leaves with a reset.
     pub fn reset(self) {
-        ivyhatch_socket_lab::scripted::Client::over(self.0.into_inner()).reset();
+        ivyhatch_socket_lab::scripted::Client::from_stream(self.0.into_inner()).reset();
     }
 
     /// Whether the connection has ended, with nothing more on it.
--- a/cli/tests/system_common/faults.rs
+++ b/cli/tests/system_common/faults.rs
@@ -308,7 +308,7 @@
         Fault::Mute => Some(false),
         Fault::Reset => {
             let stream = stream.try_clone().ok()?;
-            ivyhatch_socket_lab::scripted::Client::over(stream).reset();
+            ivyhatch_socket_lab::scripted::Client::from_stream(stream).reset();
             None
         }
         _ => {
--- a/cli/tests/system_common/platform.rs
+++ b/cli/tests/system_common/platform.rs
@@ -41,7 +41,7 @@
                     let mut before = String::new();
                     while let Some(message) = read_message(&mut reader) {
                         let mut state = state.lock().unwrap();
-                        let own = answer(&mut state, &message.first);
+                        let own = answer(&mut state, &message.start_line);
                         // The copy comes in the place of the answer, which follows it.
                         let copy = std::mem::replace(&mut before, own.clone());
                         let text = if state.repeats { copy + &own } else { own };
--- a/cli/tests/system_common/server.rs
+++ b/cli/tests/system_common/server.rs
@@ -122,7 +122,7 @@
                     return;
                 }
                 Step::Resets => {
-                    ivyhatch_socket_lab::scripted::Client::over(writer).reset();
+                    ivyhatch_socket_lab::scripted::Client::from_stream(writer).reset();
                     return;
                 }
             }
@@ -149,8 +149,8 @@
 pub fn renamed(message: &Message, id: &str) -> Message {
     let mut message = message.clone();
     let named =
-        message.headers.iter_mut().filter(|(name, _)| name.eq_ignore_ascii_case("ivyhatch-attempt-id"));
-    named.for_each(|(_, value)| id.clone_into(value));
+        message.headers.iter_mut().filter(|header| header.name.eq_ignore_ascii_case("ivyhatch-attempt-id"));
+    named.for_each(|header| id.clone_into(&mut header.value));
     message
 }
 
--- a/cli/tests/system_requests.rs
+++ b/cli/tests/system_requests.rs
@@ -96,7 +96,7 @@
         [("/a/x", 0), ("/a/b/x", 1), ("/a/", 0), ("/a/b/", 1), ("/a/bc", 0)].into_iter().enumerate()
     {
         assert_eq!(ask(at, &get(&format!("r{number}"), path)).head.status, 200, "{path}");
-        assert_eq!(servers[to].next().message.first, format!("GET {path} HTTP/1.1"));
+        assert_eq!(servers[to].next().message.start_line, format!("GET {path} HTTP/1.1"));
     }
     for path in ["/", "/a", "/b/x", "/A/x"] {
         assert_eq!(ask(at, &get("r9", path)).head.status, 404, "{path}");
@@ -142,7 +142,7 @@
     for (id, bytes) in [("r1", by_length), ("r2", chunked)] {
         assert_eq!(client.ask(&bytes).head.status, 200);
         let came = server.next().message;
-        assert_eq!(came.first, format!("PUT {path} HTTP/1.1"));
+        assert_eq!(came.start_line, format!("PUT {path} HTTP/1.1"));
         assert!(came.body == body, "{id}: {} bytes", came.body.len());
         for (name, value) in [
             ("host", "h.example"),
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -26,7 +26,7 @@
 pub use play::{PolicyConfig, Progress, simulate, simulate_with};
 pub use random::RandomStream;
 pub use reference::Policy;
-pub use report::{ClassReport, OutcomeRecorder, Report, SERIES_BUCKETS};
+pub use report::{ClassReport, OutcomeCounts, OutcomeRecorder, Report, SERIES_BUCKETS};
 pub use server::{
     Admission, COLD_START_CAPACITY, Job, OVERLOAD_CRASH_MULTIPLE, OVERLOAD_WINDOW, Server, ServerState,
     WARM_UP_PERIOD,
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -91,6 +91,21 @@
     pub zones: Vec<ClassReport>,
 }
 
+/// Outcomes of clients' requests over all classes.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct OutcomeCounts {
+    /// Requests, retries not counted.
+    pub requests: u64,
+    /// Served within the class's latency target.
+    pub in_time: u64,
+    /// Served later than that.
+    pub late: u64,
+    /// Rejected with no retry left.
+    pub rejected: u64,
+    /// Failed, timed out, or abandoned by the client.
+    pub failed: u64,
+}
+
 /// Counts what becomes of clients while a play goes on, however it is played.
 pub struct OutcomeRecorder {
     name: String,
@@ -154,17 +169,17 @@
         self.series.left(asks.at, self.worth[asks.class]);
     }
 
-    /// What has become of all so far: asked, served in time, served late, refused, failed or left.
-    pub fn so_far(&self) -> [u64; 5] {
+    /// Outcomes of all requests so far.
+    pub fn outcome_counts(&self) -> OutcomeCounts {
         let sum =
             |count: fn(&ClassReport) -> u64| self.classes.iter().map(|class| count(&class.report)).sum();
-        [
-            sum(|c| c.asked),
-            sum(|c| c.in_time),
-            sum(|c| c.late),
-            sum(|c| c.refused),
-            sum(|c| c.failed + c.left),
-        ]
+        OutcomeCounts {
+            requests: sum(|class| class.asked),
+            in_time: sum(|class| class.in_time),
+            late: sum(|class| class.late),
+            rejected: sum(|class| class.refused),
+            failed: sum(|class| class.failed + class.left),
+        }
     }
 
     /// The report, as far as clients know it; the rest of it is 0.
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -91,11 +91,13 @@
 
     /// A node that discovery tells of these backends, as `s-0`, `s-1` and so on.
     pub fn with(backends: &[&Backend]) -> (Self, Discovery) {
-        let targets: Vec<Value> =
-            (0..).zip(backends).map(|(n, backend)| target(&format!("s-{n}"), backend.at, "Ready")).collect();
+        let targets: Vec<Value> = (0..)
+            .zip(backends)
+            .map(|(n, backend)| target(&format!("s-{n}"), backend.address, "Ready"))
+            .collect();
         let discovery = Discovery::new(json!(targets));
-        let node = Self::start(&config(discovery.at, json!([])));
-        discovery.watched_from(1);
+        let node = Self::start(&config(discovery.address, json!([])));
+        discovery.wait_for_watch_from(1);
         (node, discovery)
     }
 
@@ -133,7 +135,7 @@
     }
 
     pub fn ask(&self, text: &str) -> Message {
-        Client::to(self.at).ask(text).expect("an answer")
+        Client::connect(self.at).round_trip(text).expect("an answer")
     }
 }
 
--- a/node/tests/crossings.rs
+++ b/node/tests/crossings.rs
@@ -13,11 +13,11 @@
 /// A node before this list, with so much time for a connect and so much grace for drains.
 fn before(targets: Value, connect_ms: u64, grace_ms: u64) -> (Node, Discovery) {
     let discovery = Discovery::new(targets);
-    let mut config = config(discovery.at, json!([]));
+    let mut config = config(discovery.address, json!([]));
     config["settings"]["policy-limits"]["connect-timeout-ns"] = json!(connect_ms * 1_000_000);
     config["settings"]["rules"]["drain-grace-ns"] = json!(grace_ms * 1_000_000);
     let node = Node::start(&config);
-    discovery.watched_from(1);
+    discovery.wait_for_watch_from(1);
     (node, discovery)
 }
 
@@ -25,9 +25,9 @@
 fn comes_to(jam: FullBacklogListener) -> Vec<String> {
     let filling = jam.filling();
     let backend = jam.open(|_| BackendReply::Write(ok("late")));
-    until("a connection is up", || backend.connections.load(Ordering::SeqCst) as usize > filling);
+    wait_until("a connection is up", || backend.connections.load(Ordering::SeqCst) as usize > filling);
     thread::sleep(Duration::from_millis(300));
-    backend.got.try_iter().filter_map(|message| message.value("x-call-id").map(str::to_owned)).collect()
+    backend.requests.try_iter().filter_map(|message| message.value("x-call-id").map(str::to_owned)).collect()
 }
 
 /// Chosen before the notice, and its connection up long after the grace: nothing is written there, and it is served elsewhere.
@@ -35,13 +35,13 @@
 fn a_request_in_a_connect_obeys_a_drain_told_meanwhile() {
     for state in ["Terminating", "Gone"] {
         let jam = FullBacklogListener::new();
-        let (node, discovery) = before(json!([target("s-0", jam.at(), "Ready")]), 8000, 100);
-        let mut client = Client::to(node.at);
+        let (node, discovery) = before(json!([target("s-0", jam.address(), "Ready")]), 8000, 100);
+        let mut client = Client::connect(node.at);
         client.write(&post("pay", "chosen", "", ""));
-        until("the connect is on its way", || node.sockets_to(jam.at()) > 0);
+        wait_until("the connect is on its way", || node.sockets_to(jam.address()) > 0);
         let other = serving("other");
-        discovery.set(json!([target("s-0", jam.at(), state), target("s-1", other.at, "Ready")]));
-        discovery.watched_from(discovery.rev());
+        discovery.set(json!([target("s-0", jam.address(), state), target("s-1", other.address, "Ready")]));
+        discovery.wait_for_watch_from(discovery.revision());
         assert!(comes_to(jam).is_empty(), "{state}: written past the grace");
         let answer = client.read().expect("an answer");
         // Unsent it may go elsewhere, or be refused; it has not failed.
@@ -53,23 +53,23 @@
 #[test]
 fn a_connection_that_comes_up_after_its_attempt_was_given_up_carries_nothing() {
     let (jam, other) = (FullBacklogListener::new(), serving("other"));
-    let list = json!([target("s-0", jam.at(), "Ready"), target("s-1", other.at, "Ready")]);
+    let list = json!([target("s-0", jam.address(), "Ready"), target("s-1", other.address, "Ready")]);
     let (node, _discovery) = before(list, 200, 500);
     let mut through_the_jam = 0;
     for n in 0..6 {
-        let mut client = Client::to(node.at);
+        let mut client = Client::connect(node.at);
         client.write(&post("pay", &format!("c{n}"), "", ""));
         assert_eq!(client.read().expect("an answer").status(), 200, "request {n}");
-        through_the_jam += node.sockets_to(jam.at());
+        through_the_jam += node.sockets_to(jam.address());
     }
     // Given up, they are closed: none is left on its way.
     assert_eq!(through_the_jam, 0);
-    assert_eq!(other.count(), 6);
+    assert_eq!(other.drain_requests(), 6);
     let filling = jam.filling();
     let backend = jam.open(|_| BackendReply::Write(ok("late")));
     assert_eq!(node.ask(&post("pay", "next", "", "")).status(), 200);
     let ids: Vec<_> =
-        backend.got.try_iter().filter_map(|m| m.value("x-call-id").map(str::to_owned)).collect();
+        backend.requests.try_iter().filter_map(|m| m.value("x-call-id").map(str::to_owned)).collect();
     assert!(ids.iter().all(|id| id == "next"), "{ids:?} of {filling} fillers");
 }
 
@@ -78,18 +78,18 @@
 fn an_older_whole_list_behind_a_notice_brings_nobody_back() {
     for state in ["Terminating", "Gone"] {
         let (old, other) = (serving("old"), serving("other"));
-        let (ready, there) = (target("s-0", old.at, "Ready"), target("s-1", other.at, "Ready"));
+        let (ready, there) = (target("s-0", old.address, "Ready"), target("s-1", other.address, "Ready"));
         let (node, discovery) = before(json!([ready, there]), 1000, 500);
-        let notice = json!({"rev": 2, "all": false, "targets": [target("s-0", old.at, state)]});
+        let notice = json!({"rev": 2, "all": false, "targets": [target("s-0", old.address, state)]});
         discovery.set_text(2, notice.to_string());
-        discovery.watched_from(2);
+        discovery.wait_for_watch_from(2);
         let older = json!({"rev": 3, "all": true, "targets": [ready, there]});
         discovery.set_text(3, older.to_string());
-        discovery.watched_from(3);
+        discovery.wait_for_watch_from(3);
         for n in 0..12 {
             assert_eq!(node.ask(&get(&format!("o{n}"), "")).body, b"other", "{state}");
         }
-        assert_eq!(old.count(), 0, "{state}");
+        assert_eq!(old.drain_requests(), 0, "{state}");
     }
 }
 
@@ -98,10 +98,10 @@
 fn an_answer_that_is_taken_in_late_is_whole_when_the_node_has_ended() {
     let body: &'static str = Box::leak("x".repeat(60 * 1024).into_boxed_str());
     let backend = serving(body);
-    let (mut node, _discovery) = before(json!([target("s-0", backend.at, "Ready")]), 1000, 500);
-    let mut client = Client::to(node.at);
+    let (mut node, _discovery) = before(json!([target("s-0", backend.address, "Ready")]), 1000, 500);
+    let mut client = Client::connect(node.at);
     client.write(&get("w1", ""));
-    backend.next();
+    backend.next_request();
     node.signal("-TERM");
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
     let answer = client.read().expect("an answer");
--- a/node/tests/customers.rs
+++ b/node/tests/customers.rs
@@ -115,7 +115,7 @@
 
 impl Customer {
     fn config(&self, discovery: &Discovery) -> Value {
-        let mut config = config(discovery.at, json!([]));
+        let mut config = config(discovery.address, json!([]));
         let settings = &mut config["settings"];
         let class = |name: &str, effect: &str| {
             json!({"name": name, "effect": effect, "key-scope": self.scope, "window-ns": 10_000_000_000u64,
@@ -140,14 +140,14 @@
     /// A node before these backends; the second one is in another zone and another cell where there is one.
     fn node(&self, backends: &[&Backend]) -> (Node, Discovery) {
         let line = |(n, backend): (usize, &&Backend)| {
-            let mut line = target(&format!("s-{n}"), backend.at, "Ready");
+            let mut line = target(&format!("s-{n}"), backend.address, "Ready");
             line["az"] = json!(if n > 0 && self.zones > 1 { "b" } else { "a" });
             line["pod_group"] = json!(n);
             line
         };
         let discovery = Discovery::new(backends.iter().enumerate().map(line).collect());
         let node = Node::start(&self.config(&discovery));
-        discovery.watched_from(1);
+        discovery.wait_for_watch_from(1);
         (node, discovery)
     }
 
@@ -220,13 +220,13 @@
                 customer.name
             );
         }
-        assert_eq!(backend.count(), 2, "{}", customer.name);
+        assert_eq!(backend.drain_requests(), 2, "{}", customer.name);
         let bad = [good[0].replace("look", "lock"), good[1].replace("X-Budget-Ms", "X-No-Budget")];
         for text in bad.iter().chain([good[0].replace("acme", "nobody")].iter().filter(|_| customer.tenants))
         {
             assert_eq!(node.ask(text).status(), 400, "{}: {text}", customer.name);
         }
-        assert_eq!(backend.count(), 0, "{}", customer.name);
+        assert_eq!(backend.drain_requests(), 0, "{}", customer.name);
     });
 }
 
@@ -240,7 +240,7 @@
             customer.check_refusal(&node.ask(&customer.look(&format!("z{n}"), budget)));
             customer.check_refusal(&node.ask(&customer.order(&format!("y{n}"), budget)));
         }
-        assert_eq!(backend.count(), 0, "{}", customer.name);
+        assert_eq!(backend.drain_requests(), 0, "{}", customer.name);
     });
 }
 
@@ -252,7 +252,7 @@
         let serves = always(BackendReply::Write(ok("yes")));
         let (node, _discovery) = customer.node(&[&full, &serves]);
         let answer = node.ask(&customer.order("n1", customer.deadline_ms));
-        let attempts = full.count() + serves.count();
+        let attempts = full.drain_requests() + serves.drain_requests();
         assert!(attempts as u64 <= customer.attempts, "{}: {attempts} attempts", customer.name);
         if answer.status() != 200 {
             customer.check_refusal(&answer);
@@ -272,7 +272,7 @@
             let (first, second) = (always(does.clone()), always(does.clone()));
             let (node, _discovery) = customer.node(&[&first, &second]);
             let answer = node.ask(&customer.order("m1", customer.deadline_ms));
-            let (at_first, at_second) = (first.count(), second.count());
+            let (at_first, at_second) = (first.drain_requests(), second.drain_requests());
             assert!(at_first + at_second >= 1, "{} {n}: it was sent", customer.name);
             assert!(customer.effect != "once" || at_first + at_second == 1, "{} {n}: twice", customer.name);
             let crossed = at_first > 0 && at_second > 0;
@@ -297,18 +297,18 @@
         let (node, _discovery) = customer.node(&[&backend]);
         let budget = customer.deadline_ms.min(600);
         for text in [customer.order("s1", budget), customer.look("s2", budget)] {
-            let mut client = Client::to(node.at);
+            let mut client = Client::connect(node.at);
             let asked = Instant::now();
-            let answer = client.ask(&text).expect("an answer");
+            let answer = client.round_trip(&text).expect("an answer");
             let took = asked.elapsed();
             assert_ne!(answer.status(), 200, "{}", customer.name);
             // The rules' slack on sockets is 70 ms here; a loaded machine gets more.
             assert!(took < Duration::from_millis(budget + 500), "{}: {took:?} of {budget} ms", customer.name);
             assert!(
-                client.ask("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n").is_some(),
+                client.round_trip("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n").is_some(),
                 "one answer, whole"
             );
         }
-        assert!(backend.count() <= 2, "{}", customer.name);
+        assert!(backend.drain_requests() <= 2, "{}", customer.name);
     });
 }
--- a/node/tests/endings.rs
+++ b/node/tests/endings.rs
@@ -11,19 +11,19 @@
 
 /// A client whose connection stands idle.
 fn idle(node: &Node, id: &str) -> Client {
-    let mut client = Client::to(node.at);
-    assert_eq!(client.ask(&get(id, "")).expect("an answer").status(), 200);
+    let mut client = Client::connect(node.at);
+    assert_eq!(client.round_trip(&get(id, "")).expect("an answer").status(), 200);
     client
 }
 
 fn told_to_end(node: &Node) {
     node.signal("-TERM");
-    until("the node has heard", || node.logged("stops"));
+    wait_until("the node has heard", || node.logged("stops"));
 }
 
 /// Returns once the node takes no more connections.
 fn takes_no_more(node: &Node) {
-    until("the listener is gone", || TcpStream::connect(node.at).is_err());
+    wait_until("the listener is gone", || TcpStream::connect(node.at).is_err());
 }
 
 /// A part of the request is there when idle connections are closed. The node closed that one too, and the client could not know
@@ -39,10 +39,10 @@
         let (part, rest) = text.split_at(end);
         client.write(part);
         // The node reads what had come before it hears of the signal: an answer on the other connection is younger.
-        assert_eq!(bystander.ask(&get("i2", "")).expect("an answer").status(), 200);
+        assert_eq!(bystander.round_trip(&get("i2", "")).expect("an answer").status(), 200);
         told_to_end(&node);
         assert!(bystander.read().is_none(), "idle connections are closed");
-        let answer = client.ask(rest).unwrap_or_else(|| panic!("case {n}: no answer"));
+        let answer = client.round_trip(rest).unwrap_or_else(|| panic!("case {n}: no answer"));
         assert_eq!((answer.status(), answer.body.as_slice()), (200, b"paid".as_slice()), "case {n}");
         assert!(client.read().is_none(), "the connection ends with its answer");
         assert_eq!(node.child.wait().unwrap().code(), Some(0));
@@ -58,25 +58,25 @@
             Some("last") => BackendReply::Never,
             _ => BackendReply::Write(ok("yes")),
         });
-        let discovery = Discovery::new(json!([target("s-0", backend.at, "Ready")]));
-        let mut config = config(discovery.at, json!([]));
+        let discovery = Discovery::new(json!([target("s-0", backend.address, "Ready")]));
+        let mut config = config(discovery.address, json!([]));
         for n in 0..3 {
             config["settings"]["classes"][n]["deadline-ns"] = json!(400_000_000u64);
             config["settings"]["classes"][n]["on-time-ns"] = json!(300_000_000u64);
         }
         let mut node = Node::start(&config);
-        discovery.watched_from(1);
+        discovery.wait_for_watch_from(1);
         let text = if class == "read" { get("last", "") } else { post("pay", "last", "", "stakes") };
         let (part, rest) = text.split_at(60);
         let (mut bystander, mut client) = (idle(&node, "i0"), idle(&node, "i1"));
         client.write(part);
-        assert_eq!(bystander.ask(&get("i2", "")).expect("an answer").status(), 200);
+        assert_eq!(bystander.round_trip(&get("i2", "")).expect("an answer").status(), 200);
         told_to_end(&node);
         takes_no_more(&node);
         // Well after the node has begun to wait for its last requests, and well within the time that a request may take to come.
         std::thread::sleep(Duration::from_millis(200));
         let asked = Instant::now();
-        let answer = client.ask(rest).unwrap_or_else(|| panic!("{class}: no answer"));
+        let answer = client.round_trip(rest).unwrap_or_else(|| panic!("{class}: no answer"));
         assert_eq!(answer.status(), wanted);
         // It can't be sooner for the class that may run once: it may have run.
         assert!(class == "read" || asked.elapsed() > Duration::from_millis(300), "{:?}", asked.elapsed());
@@ -94,12 +94,12 @@
         _ => BackendReply::Write(ok("yes")),
     });
     let (mut node, discovery) = Node::with(&[&backend]);
-    let mut slow = Client::to(node.at);
+    let mut slow = Client::connect(node.at);
     slow.write(&post("pay", "slow", "", ""));
-    assert_eq!(backend.next().value("x-call-id"), Some("slow"));
+    assert_eq!(backend.next_request().value("x-call-id"), Some("slow"));
     told_to_end(&node);
     node.signal("-TERM");
-    node.reconfigure(&config(discovery.at, json!([])).to_string());
+    node.reconfigure(&config(discovery.address, json!([])).to_string());
     node.signal("-INT");
     takes_no_more(&node);
     node.signal("-TERM");
@@ -117,7 +117,7 @@
         let pid = child.id().to_string();
         assert!(std::process::Command::new("kill").args(["-TERM", &pid]).status().unwrap().success());
         let mut status = None;
-        until("it ends", || {
+        wait_until("it ends", || {
             status = child.try_wait().unwrap();
             status.is_some()
         });
@@ -135,9 +135,9 @@
     let (mut node, discovery) = Node::with(&[&old]);
     let mut kept = idle(&node, "k0");
     told_to_end(&node);
-    discovery.set(json!([target("s-0", old.at, "Terminating"), target("s-1", new.at, "Ready")]));
-    discovery.watched_from(discovery.rev());
-    assert_eq!(kept.ask(&get("k1", "")).expect("an answer").body, b"new");
+    discovery.set(json!([target("s-0", old.address, "Terminating"), target("s-1", new.address, "Ready")]));
+    discovery.wait_for_watch_from(discovery.revision());
+    assert_eq!(kept.round_trip(&get("k1", "")).expect("an answer").body, b"new");
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
 }
 
@@ -147,7 +147,7 @@
     let backend = serving("yes");
     let (mut node, _discovery) = Node::with(&[&backend]);
     told_to_end(&node);
-    let mut silent = Client::to(node.at);
+    let mut silent = Client::connect(node.at);
     // Taken in the same order, so that the silent one is known by then.
     assert_eq!(node.ask(&get("s0", "")).status(), 200);
     takes_no_more(&node);
--- a/node/tests/fleet.rs
+++ b/node/tests/fleet.rs
@@ -25,9 +25,9 @@
 /// The list once `replaced` servers drain and as many new ones have come.
 fn list(old: &[Backend], new: &[Backend], replaced: usize) -> Value {
     let state = |n| if n < replaced { "Terminating" } else { "Ready" };
-    let before = (0..).zip(old).map(|(n, server)| target(&format!("old-{n}"), server.at, state(n)));
+    let before = (0..).zip(old).map(|(n, server)| target(&format!("old-{n}"), server.address, state(n)));
     let after =
-        (0..).zip(&new[..replaced]).map(|(n, server)| target(&format!("new-{n}"), server.at, "Ready"));
+        (0..).zip(&new[..replaced]).map(|(n, server)| target(&format!("new-{n}"), server.address, "Ready"));
     before.chain(after).collect()
 }
 
@@ -59,12 +59,12 @@
         let mut client = match kept.take() {
             Some((there, client)) if there == to => client,
             _ => match std::net::TcpStream::connect(to) {
-                Ok(stream) => Client::over(stream),
+                Ok(stream) => Client::from_stream(stream),
                 // Between two lives nobody listens.
                 Err(_) => continue,
             },
         };
-        match client.try_ask(&get(&id, "")) {
+        match client.try_round_trip(&get(&id, "")) {
             Some(answer) => {
                 assert_eq!(answer.status(), 200, "{id}");
                 served.fetch_add(1, Ordering::SeqCst);
@@ -87,11 +87,13 @@
     let mut known = list(&old, &new, 0);
     let mut discovery = Discovery::new(known.clone());
     let ends = Arc::new(Ends::default());
-    let mut nodes: Vec<Node> = (0..NODES).map(|_| Node::start(&configured(discovery.at, &known))).collect();
+    let mut nodes: Vec<Node> =
+        (0..NODES).map(|_| Node::start(&configured(discovery.address, &known))).collect();
     let told = |discovery: &Discovery, count: usize| {
-        let mark = format!("from={}&", discovery.rev());
-        until("all nodes have the list", || {
-            discovery.calls.lock().unwrap().iter().filter(|call| call.contains(&mark)).count() >= count
+        let mark = format!("from={}&", discovery.revision());
+        wait_until("all nodes have the list", || {
+            discovery.watch_requests.lock().unwrap().iter().filter(|call| call.contains(&mark)).count()
+                >= count
         });
     };
     told(&discovery, NODES);
@@ -107,7 +109,7 @@
     // Of two more answers the second one's request came after this call.
     let go_on = |asking: &[Asking]| {
         let from: Vec<u64> = asking.iter().map(|one| one.served.load(Ordering::SeqCst)).collect();
-        until("each client goes on", || {
+        wait_until("each client goes on", || {
             asking.iter().zip(&from).all(|(one, from)| one.served.load(Ordering::SeqCst) >= from + 2)
         });
     };
@@ -117,7 +119,9 @@
         if replaced == 3 {
             // The new address knows what the old one never said.
             discovery = Discovery::new(known.clone());
-            nodes.iter().for_each(|node| node.reconfigure(&configured(discovery.at, &known).to_string()));
+            nodes
+                .iter()
+                .for_each(|node| node.reconfigure(&configured(discovery.address, &known).to_string()));
         } else {
             discovery.set(known.clone());
         }
@@ -125,20 +129,20 @@
         // What had been sent before has ended by then.
         go_on(&asking);
         for server in &old[..replaced] {
-            server.count();
+            server.drain_requests();
         }
         for number in restarted..(NODES * replaced / SERVERS) {
             nodes[number].signal("-TERM");
-            until("it has heard", || nodes[number].logged("stops"));
+            wait_until("it has heard", || nodes[number].logged("stops"));
             // The front sends no more new ones; what is under way is answered.
             *asking[number].at.lock().unwrap() = None;
             assert_eq!(nodes[number].child.wait().unwrap().code(), Some(0));
-            nodes[number] = Node::start(&configured(discovery.at, &known));
+            nodes[number] = Node::start(&configured(discovery.address, &known));
             *asking[number].at.lock().unwrap() = Some(nodes[number].at);
         }
         restarted = NODES * replaced / SERVERS;
         go_on(&asking);
-        let after: usize = old[..replaced].iter().map(Backend::count).sum();
+        let after: usize = old[..replaced].iter().map(Backend::drain_requests).sum();
         assert_eq!(after, 0, "sent to servers that every node knew to drain");
     }
     ends.stop.store(true, Ordering::SeqCst);
@@ -151,5 +155,5 @@
         "taken and never answered: {:?}",
         ends.lost.lock().unwrap()
     );
-    assert!(new.iter().all(|server| server.count() > 0), "all new servers are used");
+    assert!(new.iter().all(|server| server.drain_requests() > 0), "all new servers are used");
 }
--- a/node/tests/hostile.rs
+++ b/node/tests/hostile.rs
@@ -18,14 +18,14 @@
 
 /// A node with room for few connections, a third of what these tests open: sixteen seats beside what is the node's own.
 fn small(backend: &Backend) -> Node {
-    let discovery = Discovery::new(json!([target("s-0", backend.at, "Ready")]));
-    let mut config = config(discovery.at, json!([target("s-0", backend.at, "Ready")]));
+    let discovery = Discovery::new(json!([target("s-0", backend.address, "Ready")]));
+    let mut config = config(discovery.address, json!([target("s-0", backend.address, "Ready")]));
     config["limits"]["sockets"] = json!(48);
     Node::start(&config)
 }
 
 fn silent(node: &Node, count: usize) -> Vec<Client> {
-    (0..count).map(|_| Client::to(node.at)).collect()
+    (0..count).map(|_| Client::connect(node.at)).collect()
 }
 
 #[test]
@@ -44,8 +44,8 @@
     let node = small(&backend);
     let mut kept = Vec::new();
     for n in 0..40 {
-        let mut client = Client::to(node.at);
-        assert_eq!(client.ask(&get(&format!("i{n}"), "")).expect("an answer").status(), 200);
+        let mut client = Client::connect(node.at);
+        assert_eq!(client.round_trip(&get(&format!("i{n}"), "")).expect("an answer").status(), 200);
         kept.push(client);
     }
 }
@@ -58,8 +58,8 @@
     let asked = Cell::new(0);
     let ask = || {
         let n = asked.replace(asked.get() + 1);
-        let mut client = Client::to(node.at);
-        let answer = client.ask(&get(&format!("m{n}"), "")).expect("an answer");
+        let mut client = Client::connect(node.at);
+        let answer = client.round_trip(&get(&format!("m{n}"), "")).expect("an answer");
         assert_eq!(answer.status(), 200);
         (client, answer.value("connection").is_some_and(|value| value == "close"))
     };
@@ -68,7 +68,7 @@
     let (mut surplus, closes) = ask();
     assert!(closes && surplus.is_closed());
     drop(kept);
-    until("there is room again", || !ask().1);
+    wait_until("there is room again", || !ask().1);
 }
 
 #[test]
@@ -77,9 +77,9 @@
     let waits = gate.clone();
     let backend = Backend::new(move |_| BackendReply::WriteAtGate(waits.clone(), ok("late")));
     let node = small(&backend);
-    let mut open = Client::to(node.at);
+    let mut open = Client::connect(node.at);
     open.write(&get("o0", ""));
-    assert_eq!(backend.next().value("x-call-id"), Some("o0"));
+    assert_eq!(backend.next_request().value("x-call-id"), Some("o0"));
     let mut crowd = silent(&node, 48);
     crowd.iter_mut().take(8).for_each(|client| assert!(client.is_closed()));
     gate.open();
@@ -95,7 +95,7 @@
     let head = "GET /api HTTP/1.1\r\nX-Drop: ".to_owned();
     let body = post("pay", "t1", "", "").replace("Content-Length: 0", "Content-Length: 60000");
     for (text, wanted) in [(head, None), (body, Some(408))] {
-        let mut client = Client::to(node.at);
+        let mut client = Client::connect(node.at);
         client.write(&text);
         let mut trickle = client.stream();
         thread::spawn(move || {
@@ -110,7 +110,7 @@
     }
     // Either is owed its end within 3 s; the margin is for slow machines.
     assert!(started.elapsed() < Duration::from_secs(8));
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.drain_requests(), 0);
 }
 
 /// A request with two lengths may hide another one: each side would see a different end.
@@ -124,11 +124,11 @@
         (format!("Content-Length: {}\r\n", chunked.len()), "Transfer-Encoding: chunked\r\n");
     for headers in [format!("{length}{coding}"), format!("{coding}{length}"), coding.to_owned()] {
         let text = post("pay", "c1", "", "").replace("Content-Length: 0\r\n", &headers) + &chunked;
-        let mut client = Client::to(node.at);
-        assert_eq!(client.ask(&text).expect("an answer").status(), 411, "{headers}");
+        let mut client = Client::connect(node.at);
+        assert_eq!(client.round_trip(&text).expect("an answer").status(), 411, "{headers}");
         assert!(client.is_closed(), "nothing behind it is taken for a request");
     }
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.drain_requests(), 0);
 }
 
 #[test]
@@ -147,11 +147,11 @@
         ("99999999999999999999999999", 400),
     ] {
         let text = post("pay", "l1", "", "").replace("Length: 0", &format!("Length: {length}"));
-        let mut client = Client::to(node.at);
-        assert_eq!(client.ask(&text).expect("an answer").status(), wanted, "{length}");
+        let mut client = Client::connect(node.at);
+        assert_eq!(client.round_trip(&text).expect("an answer").status(), wanted, "{length}");
         assert!(client.is_closed(), "{length}");
     }
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.drain_requests(), 0);
 }
 
 /// The error is not lost in a reset while the client still sends.
@@ -160,7 +160,7 @@
     let backend = serving();
     let (node, _discovery) = Node::with(&[&backend]);
     let mut stream = TcpStream::connect(node.at).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let length = 60_000_000;
     let text = post("pay", "b1", "", "").replace("Length: 0", &format!("Length: {length}"));
     stream.write_all(text.as_bytes()).unwrap();
@@ -178,11 +178,11 @@
     let waits = gate.clone();
     let backend = Backend::new(move |_| BackendReply::WriteAtGate(waits.clone(), ok("mine")));
     let (node, _discovery) = Node::with(&[&backend]);
-    let mut owner = Client::to(node.at);
+    let mut owner = Client::connect(node.at);
     owner.write(&post("pay", "d1", "", "mine"));
-    assert_eq!(backend.next().value("x-call-id"), Some("d1"));
+    assert_eq!(backend.next_request().value("x-call-id"), Some("d1"));
     assert_eq!(node.ask(&post("pay", "d1", "", "theirs")).status(), 409);
     gate.open();
     assert_eq!(owner.read().expect("an answer").body, b"mine");
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.drain_requests(), 0);
 }
--- a/node/tests/leaving.rs
+++ b/node/tests/leaving.rs
@@ -21,13 +21,13 @@
 
 /// A node that knows of nothing but this backend, and waits for connections for longer than anybody here.
 fn before(at: std::net::SocketAddr, more: &[&Backend]) -> (Node, Discovery) {
-    let listed = std::iter::once(at).chain(more.iter().map(|backend| backend.at));
+    let listed = std::iter::once(at).chain(more.iter().map(|backend| backend.address));
     let targets: Vec<_> = (0..).zip(listed).map(|(n, at)| target(&format!("s-{n}"), at, "Ready")).collect();
     let discovery = Discovery::new(json!(targets));
-    let mut config = config(discovery.at, json!([]));
+    let mut config = config(discovery.address, json!([]));
     config["settings"]["policy-limits"]["connect-timeout-ns"] = json!(8_000_000_000u64);
     let node = Node::start(&config);
-    discovery.watched_from(1);
+    discovery.wait_for_watch_from(1);
     (node, discovery)
 }
 
@@ -41,21 +41,21 @@
         .map(|(n, behind)| {
             thread::spawn(move || {
                 let jam = FullBacklogListener::new();
-                let (node, _discovery) = before(jam.at(), &[]);
-                let mut client = Client::to(node.at);
+                let (node, _discovery) = before(jam.address(), &[]);
+                let mut client = Client::connect(node.at);
                 client.write(&(get("gone", "") + &behind));
-                until("the connect is on its way", || node.sockets_to(jam.at()) > 0);
+                wait_until("the connect is on its way", || node.sockets_to(jam.address()) > 0);
                 drop(client);
                 thread::sleep(UNTIL);
                 let filling = jam.filling();
                 let backend = jam.open(|_| BackendReply::Write(ok("yes")));
                 assert_eq!(node.ask(&get("stays", "")).status(), 200, "case {n}");
                 // The first one's connection comes up as the system tries again, a second or more after it began.
-                until("it is up", || backend.connections.load(Ordering::SeqCst) as usize >= filling + 2);
+                wait_until("it is up", || backend.connections.load(Ordering::SeqCst) as usize >= filling + 2);
                 thread::sleep(UNTIL);
                 assert_eq!(node.ask(&get("later", "")).status(), 200, "case {n}");
                 let ids: Vec<_> =
-                    backend.got.try_iter().map(|m| m.value("x-call-id").map(str::to_owned)).collect();
+                    backend.requests.try_iter().map(|m| m.value("x-call-id").map(str::to_owned)).collect();
                 assert_eq!(ids, [Some("stays".to_owned()), Some("later".to_owned())], "case {n}");
             })
         })
@@ -82,12 +82,12 @@
                 })
             });
             let (node, _discovery) = Node::with(&[&backends[0], &backends[1]]);
-            let mut client = Client::to(node.at);
+            let mut client = Client::connect(node.at);
             client.write(&(post("pay", "first", "", "") + &behind));
             let mut got = 0;
             let mut ids = |wanted: usize| {
-                until("it comes", || {
-                    got += backends.iter().map(Backend::count).sum::<usize>();
+                wait_until("it comes", || {
+                    got += backends.iter().map(Backend::drain_requests).sum::<usize>();
                     got >= wanted
                 });
                 got
@@ -102,7 +102,7 @@
                 assert_eq!(ids(2), 2, "case {n}");
             } else {
                 gate.open();
-                until("it has gone to both", || ids(2) >= 2);
+                wait_until("it has gone to both", || ids(2) >= 2);
             }
         }
     }
@@ -123,9 +123,9 @@
         }
     });
     let (node, _discovery) = Node::with(&[&backend]);
-    let mut client = Client::to(node.at);
+    let mut client = Client::connect(node.at);
     client.write(&get("p1", ""));
-    backend.next();
+    backend.next_request();
     // In two parts, so that one is read ahead of the other.
     let next = get("p2", "");
     let (head, tail) = next.split_at(40);
@@ -145,9 +145,9 @@
     for behind in behind() {
         let backend = Backend::new(|_| BackendReply::Never);
         let (node, _discovery) = Node::with(&[&backend]);
-        let mut client = Client::to(node.at);
+        let mut client = Client::connect(node.at);
         client.write(&(get("h1", "") + &behind));
-        backend.next();
+        backend.next_request();
         client.stream().shutdown(Shutdown::Write).unwrap();
         assert!(client.is_closed(), "its connection is let go, long before its time is up");
     }
--- a/node/tests/probing.rs
+++ b/node/tests/probing.rs
@@ -22,7 +22,7 @@
 }
 
 fn is_probe(message: &Message) -> bool {
-    message.first.starts_with("GET /stats ")
+    message.start_line.starts_with("GET /stats ")
 }
 
 /// A backend that answers a probe with this, and requests with its name; and how many probes it got.
@@ -44,7 +44,7 @@
 }
 
 fn in_zone(uid: &str, backend: &Backend, zone: &str) -> Value {
-    let mut target = target(uid, backend.at, "Ready");
+    let mut target = target(uid, backend.address, "Ready");
     target["az"] = json!(zone);
     target
 }
@@ -62,11 +62,11 @@
         .map(|(n, (zone, (backend, _)))| in_zone(&format!("s-{n}"), backend, zone))
         .collect();
     let discovery = Discovery::new(json!(targets));
-    let node = Node::start(&pulled(discovery.at, json!([])));
-    until("the figures have come", || node.logged("by 3 of 3 backends; the best other one is 1"));
-    let mut client = Client::to(node.at);
+    let node = Node::start(&pulled(discovery.address, json!([])));
+    wait_until("the figures have come", || node.logged("by 3 of 3 backends; the best other one is 1"));
+    let mut client = Client::connect(node.at);
     for n in 0..20 {
-        let answer = client.ask(&get(&format!("r{n}"), "")).expect("an answer");
+        let answer = client.round_trip(&get(&format!("r{n}"), "")).expect("an answer");
         assert_eq!(String::from_utf8_lossy(&answer.body), "away");
     }
 }
@@ -76,14 +76,14 @@
     for (how, allowed) in [("pull", false), ("silent", true)] {
         let (backend, probes) = reporting("home", report("0.5"));
         let discovery = Discovery::new(json!([in_zone("s-0", &backend, "a")]));
-        let mut config = pulled(discovery.at, json!([]));
+        let mut config = pulled(discovery.address, json!([]));
         config["settings"]["policy-limits"]["probes"] = json!(allowed);
         config["settings"]["report"]["how"] = json!(how);
         let node = Node::start(&config);
-        discovery.watched_from(1);
-        let mut client = Client::to(node.at);
+        discovery.wait_for_watch_from(1);
+        let mut client = Client::connect(node.at);
         for n in 0..50 {
-            assert_eq!(client.ask(&get(&format!("r{n}"), "")).expect("an answer").status(), 200);
+            assert_eq!(client.round_trip(&get(&format!("r{n}"), "")).expect("an answer").status(), 200);
         }
         assert_eq!(probes.load(Ordering::SeqCst), 0, "{how} {allowed}");
     }
@@ -101,9 +101,9 @@
         let (home, probes) = reporting("home", text.clone());
         let (away, _) = reporting("away", report("0.05"));
         let discovery = Discovery::new(json!([in_zone("s-0", &home, "a"), in_zone("s-1", &away, "b")]));
-        let node = Node::start(&pulled(discovery.at, json!([])));
+        let node = Node::start(&pulled(discovery.address, json!([])));
         // The second one shows that the first has been taken in.
-        until("two probes", || probes.load(Ordering::SeqCst) >= 2);
+        wait_until("two probes", || probes.load(Ordering::SeqCst) >= 2);
         let answer = node.ask(&get("r0", ""));
         assert_eq!(String::from_utf8_lossy(&answer.body), "home", "{:.60}", text);
     }
@@ -142,15 +142,15 @@
 fn probes_that_hang_stand_in_nobodys_way() {
     let (at, told) = hanging();
     let discovery = Discovery::new(json!([target("s-0", at, "Ready")]));
-    let node = Node::start(&pulled(discovery.at, json!([])));
-    let mut client = Client::to(node.at);
+    let node = Node::start(&pulled(discovery.address, json!([])));
+    let mut client = Client::connect(node.at);
     for round in 0..3 {
-        assert_eq!(told.recv_timeout(PATIENCE), Ok("probe"));
+        assert_eq!(told.recv_timeout(TEST_TIMEOUT), Ok("probe"));
         for n in 0..10 {
-            let answer = client.ask(&get(&format!("r{round}-{n}"), "")).expect("an answer");
+            let answer = client.round_trip(&get(&format!("r{round}-{n}"), "")).expect("an answer");
             assert_eq!(answer.status(), 200, "served while a probe hangs");
         }
-        assert_eq!(told.recv_timeout(PATIENCE), Ok("closed"), "given up before there is another");
+        assert_eq!(told.recv_timeout(TEST_TIMEOUT), Ok("closed"), "given up before there is another");
     }
 }
 
@@ -158,10 +158,10 @@
 fn probing_stops_at_once_when_the_node_is_asked_to_stop() {
     let (at, told) = hanging();
     let discovery = Discovery::new(json!([target("s-0", at, "Ready")]));
-    let mut node = Node::start(&pulled(discovery.at, json!([])));
-    assert_eq!(told.recv_timeout(PATIENCE), Ok("probe"));
+    let mut node = Node::start(&pulled(discovery.address, json!([])));
+    assert_eq!(told.recv_timeout(TEST_TIMEOUT), Ok("probe"));
     node.signal("-TERM");
-    assert_eq!(told.recv_timeout(PATIENCE), Ok("closed"));
+    assert_eq!(told.recv_timeout(TEST_TIMEOUT), Ok("closed"));
     assert!(node.child.wait().expect("its end").success());
     assert!(!told.try_iter().any(|what| what == "probe"), "a probe after the signal");
 }
@@ -173,13 +173,13 @@
     let (at, told) = hanging();
     let mut first = target("s-0", at, "Ready");
     let discovery = Discovery::new(json!([first]));
-    let _node = Node::start(&pulled(discovery.at, json!([])));
-    assert_eq!(told.recv_timeout(PATIENCE), Ok("probe"));
+    let _node = Node::start(&pulled(discovery.address, json!([])));
+    assert_eq!(told.recv_timeout(TEST_TIMEOUT), Ok("probe"));
     first["boot_ms"] = json!(1_700_000_000_000u64);
     discovery.set(json!([first]));
-    assert_eq!(told.recv_timeout(PATIENCE), Ok("closed"));
-    assert_eq!(told.recv_timeout(PATIENCE), Ok("probe"), "the new life is asked");
+    assert_eq!(told.recv_timeout(TEST_TIMEOUT), Ok("closed"));
+    assert_eq!(told.recv_timeout(TEST_TIMEOUT), Ok("probe"), "the new life is asked");
     first["state"] = json!("Terminating");
     discovery.set(json!([first]));
-    assert_eq!(told.recv_timeout(PATIENCE), Ok("closed"));
+    assert_eq!(told.recv_timeout(TEST_TIMEOUT), Ok("closed"));
 }
--- a/node/tests/serving.rs
+++ b/node/tests/serving.rs
@@ -18,8 +18,8 @@
     let (node, _discovery) = Node::with(&[&backend]);
     let answer = node.ask(&post("join", "a1b2", "Idempotency-Key: k-77\r\nX-Budget-Ms-Not: 1\r\n", "lobby"));
     assert_eq!((answer.status(), answer.body.as_slice()), (200, b"seated".as_slice()));
-    let got = backend.next();
-    assert_eq!(got.first, "POST /api HTTP/1.1");
+    let got = backend.next_request();
+    assert_eq!(got.start_line, "POST /api HTTP/1.1");
     assert_eq!(got.body, b"lobby");
     assert_eq!(got.values("x-call-id"), ["a1b2"]);
     assert_eq!(got.values("idempotency-key"), ["k-77"]);
@@ -28,8 +28,8 @@
     assert!(budget.parse::<u64>().unwrap() <= 3000, "{budget}");
     let answer = node.ask(&get("a1b3", ""));
     assert_eq!(answer.status(), 200);
-    assert_eq!(backend.next().first, "GET /api?x=1 HTTP/1.1");
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.next_request().start_line, "GET /api?x=1 HTTP/1.1");
+    assert_eq!(backend.drain_requests(), 0);
 }
 
 #[test]
@@ -60,8 +60,8 @@
     }
     assert_eq!(node.ask("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n").status(), 200);
     assert_eq!(node.ask(&get("last", "")).status(), 200);
-    assert_eq!(backend.next().value("x-call-id"), Some("last"));
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.next_request().value("x-call-id"), Some("last"));
+    assert_eq!(backend.drain_requests(), 0);
 }
 
 /// Each of these may have run. An unsafe call then gets no other attempt and no refusal, which would tell the
@@ -85,7 +85,7 @@
         let (node, _discovery) = Node::with(&[&first, &second]);
         let answer = node.ask(&post("pay", "u1", "", "").replace("3000", "700"));
         assert_eq!(answer.status(), 502, "case {n}");
-        assert_eq!(first.count() + second.count(), 1, "case {n}");
+        assert_eq!(first.drain_requests() + second.drain_requests(), 1, "case {n}");
     }
 }
 
@@ -99,7 +99,7 @@
     for n in 0..8 {
         assert_eq!(node.ask(&post("pay", &format!("p{n}"), "", "")).status(), 200);
     }
-    assert_eq!(serves.count(), 8);
+    assert_eq!(serves.drain_requests(), 8);
     let (node, _discovery) = Node::with(&[&other]);
     assert_eq!(node.ask(&post("pay", "p9", "", "")).status(), 503);
 }
@@ -112,13 +112,14 @@
     dead.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let at = dead.local_addr().unwrap();
     let serves = always(BackendReply::Write(ok("paid")));
-    let discovery = Discovery::new(json!([target("s-0", at, "Ready"), target("s-1", serves.at, "Ready")]));
-    let node = Node::start(&config(discovery.at, json!([])));
-    discovery.watched_from(1);
+    let discovery =
+        Discovery::new(json!([target("s-0", at, "Ready"), target("s-1", serves.address, "Ready")]));
+    let node = Node::start(&config(discovery.address, json!([])));
+    discovery.wait_for_watch_from(1);
     for n in 0..8 {
         assert_eq!(node.ask(&post("pay", &format!("p{n}"), "", "")).status(), 200);
     }
-    assert_eq!(serves.count(), 8);
+    assert_eq!(serves.drain_requests(), 8);
 }
 
 /// A silent backend must not hold a request past its client's time.
@@ -138,11 +139,11 @@
 fn a_connection_closed_while_idle_is_not_used() {
     let backend = always(BackendReply::WriteThenClose(ok("paid")));
     let (node, _discovery) = Node::with(&[&backend]);
-    let mut client = Client::to(node.at);
+    let mut client = Client::connect(node.at);
     for n in 1..=20 {
-        let answer = client.ask(&post("pay", &format!("p{n}"), "", "")).expect("an answer");
+        let answer = client.round_trip(&post("pay", &format!("p{n}"), "", "")).expect("an answer");
         assert_eq!(answer.status(), 200, "call {n}");
-        until("the node closes its end", || backend.closed.load(Ordering::SeqCst) == n);
+        wait_until("the node closes its end", || backend.closed.load(Ordering::SeqCst) == n);
     }
     assert_eq!(backend.connections.load(Ordering::SeqCst), 20);
 }
@@ -152,9 +153,9 @@
 fn connections_are_kept() {
     let backend = always(BackendReply::Write(ok("yes")));
     let (node, _discovery) = Node::with(&[&backend]);
-    let mut client = Client::to(node.at);
+    let mut client = Client::connect(node.at);
     for n in 0..10 {
-        assert_eq!(client.ask(&get(&format!("k{n}"), "")).expect("an answer").status(), 200);
+        assert_eq!(client.round_trip(&get(&format!("k{n}"), "")).expect("an answer").status(), 200);
         // An answer's connection rests first.
         std::thread::sleep(std::time::Duration::from_millis(50));
     }
@@ -185,15 +186,15 @@
         false => BackendReply::Write(ok("yes")),
     });
     let (node, _discovery) = Node::with(&[&backend]);
-    let mut client = Client::to(node.at);
+    let mut client = Client::connect(node.at);
     client.write(&get("g1", ""));
-    assert_eq!(backend.next().value("x-call-id"), Some("g1"));
+    assert_eq!(backend.next_request().value("x-call-id"), Some("g1"));
     drop(client);
     gate.open();
     let answer = node.ask(&get("g2", ""));
     assert_eq!((answer.status(), answer.body.as_slice()), (200, b"yes".as_slice()));
-    assert_eq!(backend.next().value("x-call-id"), Some("g2"));
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.next_request().value("x-call-id"), Some("g2"));
+    assert_eq!(backend.drain_requests(), 0);
 }
 
 /// A spoilt answer is a failed attempt that may have run; its connection is of no further use, and the request
@@ -242,9 +243,9 @@
             )
         });
         let (node, _discovery) = Node::with(&[&backend]);
-        let mut client = Client::to(node.at);
+        let mut client = Client::connect(node.at);
         for n in 0..6 {
-            let answer = client.ask(&get(&format!("w{n}"), "")).expect("an answer");
+            let answer = client.round_trip(&get(&format!("w{n}"), "")).expect("an answer");
             assert_eq!((answer.status(), answer.body), (200, format!("w{n}").into_bytes()));
         }
     }
@@ -260,9 +261,9 @@
         BackendReply::WriteThenWriteAtGate(interim.to_owned(), waits.clone(), ok("real"))
     });
     let (node, _discovery) = Node::with(&[&backend]);
-    let mut client = Client::to(node.at);
+    let mut client = Client::connect(node.at);
     client.write(&post("pay", "i1", "", ""));
-    backend.next();
+    backend.next_request();
     // Longer than an answer that has begun may take to become whole.
     std::thread::sleep(std::time::Duration::from_millis(300));
     gate.open();
@@ -319,9 +320,9 @@
     });
     opened.set(backend.connections.clone()).unwrap();
     let (node, _discovery) = Node::with(&[&backend]);
-    let mut client = Client::to(node.at);
+    let mut client = Client::connect(node.at);
     for n in 0..14 {
-        let answer = client.ask(&get(&format!("q{n}"), "")).expect("an answer");
+        let answer = client.round_trip(&get(&format!("q{n}"), "")).expect("an answer");
         assert_eq!((answer.status(), answer.body.as_slice()), (200, b"yes".as_slice()));
         std::thread::sleep(std::time::Duration::from_millis(150));
     }
--- a/node/tests/silence.rs
+++ b/node/tests/silence.rs
@@ -12,12 +12,12 @@
 const TOLD_MOVED: Duration = Duration::from_secs(4);
 
 fn replaced(old: &Backend, new: &Backend) -> Value {
-    json!([target("s-0", old.at, "Terminating"), target("s-1", new.at, "Ready")])
+    json!([target("s-0", old.address, "Terminating"), target("s-1", new.address, "Ready")])
 }
 
 /// The same of a site whose discovery has to be asked, or is the node's own.
 fn of(kind: &str, discovery: &Discovery, known: Value) -> Value {
-    let mut config = config(discovery.at, known);
+    let mut config = config(discovery.address, known);
     config["settings"]["discovery"] = json!(kind);
     config
 }
@@ -31,7 +31,7 @@
     discovery.fall_silent(0);
     let silent = Instant::now();
     discovery.set(replaced(&old, &new));
-    discovery.watched_from(discovery.rev());
+    discovery.wait_for_watch_from(discovery.revision());
     assert!(silent.elapsed() + Duration::from_secs(1) < TOLD, "{:?}", silent.elapsed());
     assert_eq!(node.ask(&get("w1", "")).body, b"new");
 }
@@ -49,7 +49,7 @@
         let mut config = of(kind, &discovery, json!([]));
         config["known"] = Value::Null;
         let node = Node::start(&config);
-        discovery.watched_from(1);
+        discovery.wait_for_watch_from(1);
         assert!(from.elapsed() + Duration::from_secs(1) < TOLD, "{kind}: {:?}", from.elapsed());
         assert_eq!(node.ask(&get("l1", "")).body, b"new", "{kind}");
     }
@@ -60,14 +60,14 @@
 fn a_move_to_a_discovery_that_hangs_at_first_is_over_before_it_counts() {
     for kind in ["on_request", "pushed"] {
         let (old, new) = (serving("old"), serving("new"));
-        let first = Discovery::new(json!([target("s-0", old.at, "Ready")]));
+        let first = Discovery::new(json!([target("s-0", old.address, "Ready")]));
         let node = Node::start(&of(kind, &first, json!([])));
-        first.watched_from(1);
+        first.wait_for_watch_from(1);
         let second = Discovery::new(replaced(&old, &new));
         second.fall_silent(1);
         let from = Instant::now();
         node.reconfigure(&of(kind, &second, json!([])).to_string());
-        second.watched_from(1);
+        second.wait_for_watch_from(1);
         assert!(from.elapsed() < TOLD_MOVED, "{kind}: {:?}", from.elapsed());
         assert_eq!(node.ask(&get("m1", "")).body, b"new", "{kind}");
     }
@@ -77,17 +77,17 @@
 #[test]
 fn a_list_that_trickles_at_a_new_address_keeps_the_last_good_one() {
     let (old, new) = (serving("old"), serving("new"));
-    let first = Discovery::new(json!([target("s-0", old.at, "Ready")]));
+    let first = Discovery::new(json!([target("s-0", old.address, "Ready")]));
     let node = Node::start(&of("on_request", &first, json!([])));
-    first.watched_from(1);
+    first.wait_for_watch_from(1);
     let second = Discovery::new(replaced(&old, &new));
     second.trickle(true);
     node.reconfigure(&of("on_request", &second, json!([])).to_string());
-    until("it is given up", || node.logged("no answer in time"));
+    wait_until("it is given up", || node.logged("no answer in time"));
     assert_eq!(node.ask(&get("t0", "")).body, b"old");
-    let calls = second.calls.lock().unwrap().len();
+    let calls = second.watch_requests.lock().unwrap().len();
     assert!((1..=3).contains(&calls), "{calls} calls in three seconds: no tight loop");
     second.trickle(false);
-    second.watched_from(1);
+    second.wait_for_watch_from(1);
     assert_eq!(node.ask(&get("t1", "")).body, b"new");
 }
--- a/socket-lab/src/lib.rs
+++ b/socket-lab/src/lib.rs
@@ -19,6 +19,7 @@
 mod nodes;
 pub mod scripted;
 mod servers;
+mod snapshot;
 mod stage;
 mod troubles;
 mod usage;
@@ -32,7 +33,7 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::sleep;
 
-pub use stage::Snapshot;
+pub use snapshot::{AttemptCounts, Snapshot, ZoneSnapshot};
 use stage::Stage;
 
 /// Why a world can't be played on sockets.
--- /dev/null
+++ b/socket-lab/src/scripted/mod.rs
@@ -0,0 +1,35 @@
+//! Peers for tests that follow a script byte by byte: a server that writes half a response, a discovery service with a
+//! malformed list, a client that sends nothing. They use threads and blocking sockets, so that a test reads from top to
+//! bottom, and panic when an awaited event does not come within [`TEST_TIMEOUT`].
+
+mod backend;
+mod client;
+mod discovery;
+mod message;
+
+use std::thread;
+use std::time::Duration;
+
+pub use backend::{Backend, BackendReply, FullBacklogListener, Gate, ok, status};
+pub use client::Client;
+pub use discovery::Discovery;
+pub use message::{Header, Message, read_message};
+
+/// Time after which a wait fails its test.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// Waits until a condition holds.
+///
+/// # Panics
+/// If it does not hold within [`TEST_TIMEOUT`]; `what` names the condition.
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    for _ in 0..TEST_TIMEOUT.as_millis() / POLL_INTERVAL.as_millis() {
+        if condition() {
+            return;
+        }
+        thread::sleep(POLL_INTERVAL);
+    }
+    panic!("in vain: {what}");
+}
--- a/socket-lab/src/servers.rs
+++ b/socket-lab/src/servers.rs
@@ -242,8 +242,10 @@
         Some((*asked, asked.attempts - 1))
     });
     if let Some((asked, _)) = asked {
-        let (all, crossed) = stage.attempts.get();
-        stage.attempts.set((all + 1, crossed + u64::from(stage.zone(node) != stage.zone(server))));
+        let mut attempts = stage.attempts.get();
+        attempts.total += 1;
+        attempts.cross_zone += u64::from(stage.zone(node) != stage.zone(server));
+        stage.attempts.set(attempts);
         stage.oracle.borrow_mut().sent(node, asked.number, server as u32, stage.now());
     }
     sleep(stage.way(node, server)).await;
--- a/socket-lab/src/stage.rs
+++ b/socket-lab/src/stage.rs
@@ -15,6 +15,7 @@
 use tokio::time::Instant;
 
 use crate::discovery::List;
+use crate::snapshot::{AttemptCounts, Snapshot, ZoneSnapshot};
 
 pub(crate) type Nanos = u64;
 pub(crate) type Body = http_body_util::Full<bytes::Bytes>;
@@ -23,25 +24,6 @@
 /// A real clock, and a machine that is shared, may show so much later what was in time. As much as the protocol allows.
 const LEEWAY: Nanos = 50_000_000;
 
-/// How a play stands.
-#[derive(Clone, Debug)]
-pub struct Snapshot {
-    /// Seconds since clients began to come.
-    pub seconds: f64,
-    /// See [`OutcomeRecorder::so_far`].
-    pub so_far: [u64; 5],
-    /// Attempts, and those of them into another zone.
-    pub attempts: (u64, u64),
-    /// By zone: servers in service, their mean utilisation as it truly is, whether the zone is cut off.
-    pub zones: Vec<(usize, f64, bool)>,
-    /// Nodes that are up.
-    pub nodes: usize,
-    /// Broken rules so far.
-    pub rules_broken: usize,
-    /// What went wrong, or right again, since the last one.
-    pub news: Vec<String>,
-}
-
 pub(crate) struct Node {
     pub(crate) child: Option<Child>,
     /// Where clients reach it; none while it is down.
@@ -90,7 +72,7 @@
     pub(crate) choices: RefCell<RandomStream>,
     pub(crate) patience: RefCell<RandomStream>,
     pub(crate) seeds: RefCell<RandomStream>,
-    pub(crate) attempts: Cell<(u64, u64)>,
+    pub(crate) attempts: Cell<AttemptCounts>,
     pub(crate) probes: Cell<u64>,
     /// Descriptors and kilobytes of memory that one node held at most.
     pub(crate) most_used: Cell<(u64, u64)>,
@@ -133,7 +115,7 @@
             choices: stream("fronts"),
             patience: stream("patience"),
             seeds: stream("nodes"),
-            attempts: Cell::new((0, 0)),
+            attempts: Cell::default(),
             probes: Cell::new(0),
             most_used: Cell::default(),
             news: RefCell::default(),
@@ -210,24 +192,29 @@
                 .filter(|server| server.state == ServerState::Serving);
             let utils: Vec<f64> = of.map(|server| server.utilisation(now)).collect();
             let mean = utils.iter().sum::<f64>() / utils.len().max(1) as f64;
-            (utils.len(), mean, self.cut.borrow()[zone] > 0)
+            ZoneSnapshot {
+                servers_in_service: utils.len(),
+                mean_utilization: mean,
+                partitioned: self.cut.borrow()[zone] > 0,
+            }
         };
         let oracle = self.oracle.borrow();
         Snapshot {
             seconds: (now - START) as f64 / 1e9,
-            so_far: self.books.borrow().so_far(),
+            outcomes: self.books.borrow().outcome_counts(),
             attempts: self.attempts.get(),
             zones: (0..self.world.zones as usize).map(zone).collect(),
             nodes: self.nodes.iter().filter(|node| node.borrow().at.is_some()).count(),
             rules_broken: oracle.broken.len() + oracle.more,
-            news: self.news.take(),
+            fault_events: self.news.take(),
         }
     }
 
     pub(crate) fn finish(&self, seed: u64) -> Report {
         let mut report = self.books.replace(OutcomeRecorder::new(&self.world)).finish(seed);
         let oracle = self.oracle.take();
-        (report.attempts, report.crossed) = self.attempts.get();
+        let attempts = self.attempts.get();
+        (report.attempts, report.crossed) = (attempts.total, attempts.cross_zone);
         report.probes = self.probes.get();
         (report.most_descriptors, report.most_memory_kb) = self.most_used.get();
         report.chokes = self.servers.iter().map(|server| server.borrow().chokes).sum();
