--- a/wal/tests/log.rs
+++ b/wal/tests/log.rs
@@ -41,7 +41,7 @@
     let bytes = three(folder.path());
     let last = bytes.len() - (BLOCK_HEADER + RECORD_HEADER + "three".len());
     for cut in last..bytes.len() {
-        // WriteOutcome in part, and written in full length with a hole in it.
+        // Written in part, and written in full length with a hole in it.
         let mut hole = bytes.clone();
         hole[cut..].fill(0);
         for harmed in [&bytes[..cut], &hole[..]] {
@@ -123,7 +123,7 @@
     let later = {
         let mut bytes = three(folder.path())[..12].to_vec();
         bytes[4] = 99;
-        let sum = ivyhatch_protocol::frame::checksum(&bytes);
+        let sum = ivyhatch_protocol::hash::checksum(&bytes);
         bytes.extend_from_slice(&sum.to_le_bytes());
         bytes.extend_from_slice(b"whatever comes then");
         bytes
@@ -141,7 +141,7 @@
     body.extend_from_slice(record);
     let mut block = b"IVHL".to_vec();
     block.extend_from_slice(&(body.len() as u32).to_le_bytes());
-    block.extend_from_slice(&ivyhatch_protocol::frame::checksum(&body).to_le_bytes());
+    block.extend_from_slice(&ivyhatch_protocol::hash::checksum(&body).to_le_bytes());
     block.extend_from_slice(&body);
     block
 }
@@ -195,7 +195,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let bytes = three(folder.path());
     let (log, _) = Wal::open(folder.path(), "log").expect("sound");
-    let error = log.reject(2, "unknown tag 9".to_owned());
+    let error = log.reject_record(2, "unknown tag 9".to_owned());
     expect_true!(error.is_set_aside());
     expect_that!(error, displays_as(contains_substring("record 2 can't be decoded (unknown tag 9)")));
     expect_that!(reopened(folder.path()), ok(is_empty()));
