--- a/load-probing/src/budget.rs
+++ b/load-probing/src/budget.rs
@@ -1,43 +1,42 @@
-//! What arrivals earn and probes spend.
+//! The budget of probes.
 
-/// Probes saved up: each arrival earns a part of one. Firm: what was never earned is never spent.
+/// A token bucket: each request adds a fraction of a token, and each probe takes a whole one.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Budget {
-    per_request: f64,
-    saved: f64,
-    most: f64,
+pub(crate) struct ProbeBudget {
+    probes_per_request: f64,
+    saved_probes: f64,
+    max_saved_probes: f64,
 }
 
-impl Budget {
-    /// A budget that begins full. `per_request` probes are earned by an arrival, at most `most` saved up; both are
-    /// numbers of probes, finite and not negative.
-    pub fn new(per_request: f64, most: f64) -> Self {
-        Self { per_request, saved: most, most }
+impl ProbeBudget {
+    /// A full budget. Both numbers are finite and not negative.
+    pub fn new(probes_per_request: f64, max_saved_probes: f64) -> Self {
+        Self { probes_per_request, saved_probes: max_saved_probes, max_saved_probes }
     }
 
-    /// Changes what an arrival earns from now on; what is saved stays.
-    pub fn earn_by(&mut self, per_request: f64) {
-        if per_request.is_finite() && per_request >= 0.0 {
-            self.per_request = per_request;
+    /// Changes what a request adds from now on. A value that is negative or not finite changes nothing.
+    pub fn set_probes_per_request(&mut self, probes_per_request: f64) {
+        if probes_per_request.is_finite() && probes_per_request >= 0.0 {
+            self.probes_per_request = probes_per_request;
         }
     }
 
-    /// A request has arrived.
-    pub fn arrival(&mut self) {
-        self.saved = (self.saved + self.per_request).min(self.most);
+    /// Adds the share of one request.
+    pub fn on_request(&mut self) {
+        self.saved_probes = (self.saved_probes + self.probes_per_request).min(self.max_saved_probes);
     }
 
-    /// Whether a probe can be paid for.
-    pub fn affords(&self) -> bool {
-        self.saved >= 1.0
+    /// Whether there is a token for a probe.
+    pub fn has_probe(&self) -> bool {
+        self.saved_probes >= 1.0
     }
 
-    /// Pays for one. False, and nothing spent, where it can't be paid for.
-    pub fn spend(&mut self) -> bool {
-        let affords = self.affords();
-        if affords {
-            self.saved -= 1.0;
+    /// Takes the token of one probe. False, and nothing taken, where there is none.
+    pub fn take_probe(&mut self) -> bool {
+        let has_probe = self.has_probe();
+        if has_probe {
+            self.saved_probes -= 1.0;
         }
-        affords
+        has_probe
     }
 }
--- a/load-probing/src/lib.rs
+++ b/load-probing/src/lib.rs
@@ -1,30 +1,37 @@
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
-//! Whom to probe for a load report, and when. This crate *decides*: in go members, arrivals and the ends of probes,
-//! each with the time; out come ids to be probed. It has no sockets, no clock and no threads.
+//! Schedules probes for load reports: which server to probe next, and when. Decides only: calls come in with the time, ids of
+//! servers to probe come out; there are no sockets, no clock and no threads.
 //!
-//! The budget is firm and does not grow with the number of servers: a probe is paid for with what arrivals have
-//! earned, so `probes <= arrivals x per_request + saved` holds at any time. Within it the order goes by
-//! [`Interest`], what a fresh figure would change, and by how long a figure is overdue. Where the budget can't
-//! keep all servers' figures fresh, the scheduler keeps to a part of them ([`Ages`] tells how large).
+//! The budget is firm and does not grow with the number of servers: each request adds a fraction of a probe, so that
+//! `probes <= requests * probes_per_request + max_saved_probes` holds at any time. Within the budget, servers are probed by
+//! [`Priority`], and by how overdue their probe is relative to their interval. If the budget can't keep the reports of all
+//! servers fresh, the scheduler probes a stable subset of them.
 //!
-//! | file | concern |
-//! | --- | --- |
-//! | `budget` | what arrivals earn and probes spend |
-//! | `members` | one server's probing: its last figure, its failures, its next turn |
-//! | `keep` | the part of the servers that a node keeps to |
-//! | `scheduler` | the turns |
+//! - [`Scheduler`]: the schedule
+//! - `budget`: the token bucket that requests fill and probes drain
+//! - `limits`: the limits of a scheduler
+//! - `subset`: which servers to probe where they are too many
+//! - `target`: the schedule of one server
+
+#![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 mod budget;
-mod keep;
-mod members;
+mod limits;
 mod scheduler;
+mod subset;
+mod target;
 
-pub use keep::Candidate;
-pub use members::{End, Interest};
-pub use scheduler::{Ages, Limits, LimitsError, Scheduler};
+pub use limits::{Limits, LimitsError, SubsetSize};
+pub use scheduler::{Scheduler, SchedulerStats};
+pub use subset::Candidate;
+pub use target::{Priority, ProbeOutcome};
 
-/// A time or a span, in nanoseconds on the embedder's clock.
+/// A moment or a span of the embedder's monotonic clock, in nanoseconds.
 pub type Nanos = u64;
-/// A server, numbered by the embedder.
-pub type Id = u32;
+/// A server, as the embedder numbers it.
+pub type ServerId = u32;
+
+/// One millisecond.
+const MILLISECOND: Nanos = 1_000_000;
+/// One second.
+const SECOND: Nanos = 1000 * MILLISECOND;
--- a/load-probing/src/scheduler.rs
+++ b/load-probing/src/scheduler.rs
@@ -1,344 +1,321 @@
-//! The turns: who is probed next.
+//! The scheduler.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 
-use crate::budget::Budget;
-use crate::keep::{Candidate, keep};
-use crate::members::{End, Interest, Member};
-use crate::{Id, Nanos};
+use crate::budget::ProbeBudget;
+use crate::limits::{Limits, LimitsError};
+use crate::subset::{Candidate, select_subset};
+use crate::target::{Priority, ProbeOutcome, Target};
+use crate::{MILLISECOND, Nanos, SECOND, ServerId};
 
-const MS: Nanos = 1_000_000;
-const SECOND: Nanos = 1000 * MS;
-/// Time constant of the rate at which probes are earned.
-const EARNING: Nanos = 5 * SECOND;
-/// Parts of a wait by which turns are spread, so that nodes which start together do not probe together.
+/// The time constant of the average rate at which requests pay for probes.
+const RATE_TIME_CONSTANT: Nanos = 5 * SECOND;
+/// The part of an interval by which it is varied at random, so that nodes which start together do not probe together.
 const JITTER: f64 = 0.25;
+/// The least time between two probes of one server, so that one that refuses at once is not probed in a loop.
+const MIN_INTERVAL: Nanos = MILLISECOND;
+/// How often a report has to be renewed within its time to live to count as kept fresh.
+const RENEWALS_PER_TTL: f64 = 2.0;
 
-/// The bounds of a scheduler.
-#[derive(Clone, Copy, Debug)]
-pub struct Limits {
-    /// Probes earned by each arrival; 0 to 10.
-    pub per_request: f64,
-    /// Most probes saved up, and those it begins with; 1 to 1,000.
-    pub saved: f64,
-    /// Most probes out together, and most of them in one group; at least 1 each.
-    pub out: usize,
-    /// See [`Limits::out`].
-    pub out_each: usize,
-    /// The wait between two probes of a server, by [`Interest`], the least first; each at least 1 ms, none longer
-    /// than the one before.
-    pub waits: [Nanos; 4],
-    /// A figure older than this says nothing.
-    pub useful: Nanos,
-    /// Fewest and most servers kept to.
-    pub kept: (usize, usize),
-    /// An end that has not come by then does not come any more; more than the prober's own time-out.
-    pub lost_after: Nanos,
-}
-
-impl Default for Limits {
-    fn default() -> Self {
-        Self {
-            per_request: 0.1,
-            saved: 16.0,
-            out: 16,
-            out_each: 8,
-            waits: [2500 * MS, 1200 * MS, 700 * MS, 500 * MS],
-            useful: 4 * SECOND,
-            kept: (24, 512),
-            lost_after: 5 * SECOND,
-        }
-    }
-}
-
-/// Limits that can't be used.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("probing: {field}: {problem}")]
-pub struct LimitsError {
-    /// The field at fault.
-    pub field: &'static str,
-    /// What would be right.
-    pub problem: &'static str,
+/// The state of a scheduler's reports.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct SchedulerStats {
+    /// The number of candidates.
+    pub candidates: usize,
+    /// The number of candidates that are probed.
+    pub subset: usize,
+    /// The number of servers with a fresh report.
+    pub fresh_reports: usize,
+    /// The age of the oldest fresh report.
+    pub oldest_report_age: Nanos,
+    /// The number of servers in the subset that the last probe did not reach.
+    pub unreachable: usize,
+    /// The number of probes since the start.
+    pub probes_sent: u64,
 }
 
-impl Limits {
-    fn validate(&self) -> Result<(), LimitsError> {
-        let fail = |field, problem| Err(LimitsError { field, problem });
-        if !(0.0..=10.0).contains(&self.per_request) {
-            return fail("per_request", "must lie between 0 and 10");
-        }
-        if !(1.0..=1000.0).contains(&self.saved) {
-            return fail("saved", "must lie between 1 and 1000");
-        }
-        if self.out == 0 || self.out_each == 0 {
-            return fail("out", "must be at least 1");
-        }
-        if self.waits.iter().any(|&wait| wait < MS) || !self.waits.is_sorted_by(|a, b| a >= b) {
-            return fail("waits", "must be at least 1 ms, the longest first");
-        }
-        if self.kept.0 == 0 || self.kept.0 > self.kept.1 {
-            return fail("kept", "the fewest must be at least 1 and at most the most");
-        }
-        if self.useful == 0 || self.lost_after == 0 {
-            return fail("useful, lost_after", "must be above 0");
-        }
-        Ok(())
-    }
+/// A probe without an outcome.
+#[derive(Clone, Copy, Debug)]
+struct InFlightProbe {
+    sent_at: Nanos,
+    group: u32,
 }
 
-/// How old the figures are.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ages {
-    /// Servers in service.
-    pub listed: usize,
-    /// Those that this node keeps to.
-    pub kept: usize,
-    /// Those of which it has a figure that still says something.
-    pub known: usize,
-    /// The oldest of these figures.
-    pub oldest: Nanos,
-    /// Kept ones whose last probe reached nothing.
-    pub unreached: usize,
-    /// Probes sent so far.
-    pub sent: u64,
+/// A server whose probe is due.
+struct DueProbe {
+    /// The time since the probe was due, as a multiple of the priority's interval.
+    relative_delay: f64,
+    priority: Priority,
+    due_at: Nanos,
+    id: ServerId,
 }
 
-/// Decides whom to probe and when. Deterministic: the same calls give the same ids.
+/// Decides which server to probe and when. It is deterministic: the same calls give the same probes.
 pub struct Scheduler {
     limits: Limits,
-    budget: Budget,
+    budget: ProbeBudget,
     random: ChaCha8Rng,
-    listed: Vec<Candidate>,
-    members: BTreeMap<Id, Member>,
-    /// Members that may take their turn, by interest, the least first.
-    queues: [BTreeSet<(Nanos, Id)>; 4],
-    /// Probes out: when sent, and in which group.
-    out: BTreeMap<Id, (Nanos, u32)>,
-    /// Probes earned a second.
+    candidates: Vec<Candidate>,
+    /// The subset of the candidates that is probed.
+    targets: BTreeMap<ServerId, Target>,
+    /// The targets without a probe in flight, by priority in ascending order.
+    queues: [BTreeSet<(Nanos, ServerId)>; 4],
+    in_flight: BTreeMap<ServerId, InFlightProbe>,
+    /// Probes per second that requests pay for: an exponentially weighted average as of `rate_at`.
     rate: f64,
-    rated: Nanos,
-    per_request: f64,
-    sent: u64,
+    rate_at: Nanos,
+    probes_per_request: f64,
+    probes_sent: u64,
 }
 
 impl Scheduler {
-    /// A scheduler that knows no server. `seed` drives its jitter and should differ from node to node.
+    /// A scheduler without candidates. `seed` is for its jitter and should differ between nodes.
     ///
     /// # Errors
-    /// Where a limit is outside the range that its field states.
+    /// Where a limit is out of the range that its documentation states.
     pub fn new(limits: Limits, seed: u64, now: Nanos) -> Result<Self, LimitsError> {
         limits.validate()?;
         Ok(Self {
             limits,
-            budget: Budget::new(limits.per_request, limits.saved),
+            budget: ProbeBudget::new(limits.probes_per_request, limits.max_saved_probes),
             random: ChaCha8Rng::seed_from_u64(seed),
-            listed: Vec::new(),
-            members: BTreeMap::new(),
+            candidates: Vec::new(),
+            targets: BTreeMap::new(),
             queues: Default::default(),
-            out: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             rate: 0.0,
-            rated: now,
-            per_request: limits.per_request,
-            sent: 0,
+            rate_at: now,
+            probes_per_request: limits.probes_per_request,
+            probes_sent: 0,
         })
     }
 
-    /// Changes what an arrival earns, in probes; at most what the limits allow.
-    pub fn earn_by(&mut self, per_request: f64) {
-        self.per_request = per_request.min(self.limits.per_request);
-        self.budget.earn_by(self.per_request);
+    /// Changes what a request adds to the budget, up to [`Limits::probes_per_request`].
+    pub fn set_probes_per_request(&mut self, probes_per_request: f64) {
+        self.probes_per_request = probes_per_request.min(self.limits.probes_per_request);
+        self.budget.set_probes_per_request(self.probes_per_request);
     }
 
-    /// A request has arrived.
-    pub fn arrival(&mut self, now: Nanos) {
-        self.budget.arrival();
-        self.rate = self.rate_now(now) + self.per_request * SECOND as f64 / EARNING as f64;
-        self.rated = now;
+    /// Adds the share of one request to the budget.
+    pub fn on_request(&mut self, now: Nanos) {
+        self.budget.on_request();
+        let added_rate = self.probes_per_request * SECOND as f64 / RATE_TIME_CONSTANT as f64;
+        self.rate = self.rate_at(now) + added_rate;
+        self.rate_at = now;
     }
 
-    fn rate_now(&self, now: Nanos) -> f64 {
-        self.rate * (-(now.saturating_sub(self.rated) as f64) / EARNING as f64).exp()
+    fn rate_at(&self, now: Nanos) -> f64 {
+        let elapsed = now.saturating_sub(self.rate_at) as f64;
+        self.rate * (-elapsed / RATE_TIME_CONSTANT as f64).exp()
     }
 
-    /// Servers whose figures the budget can keep of use: each twice within that time.
-    fn affordable(&self, now: Nanos) -> usize {
-        let useful = self.limits.useful as f64 / SECOND as f64;
-        let (least, most) = self.limits.kept;
-        ((self.rate_now(now) * useful / 2.0) as usize).clamp(least, most)
+    /// The number of servers whose reports the budget can keep fresh, within the limits.
+    fn affordable_subset_size(&self, now: Nanos) -> usize {
+        let ttl_s = self.limits.report_ttl as f64 / SECOND as f64;
+        let affordable = (self.rate_at(now) * ttl_s / RENEWALS_PER_TTL) as usize;
+        affordable.clamp(self.limits.subset_size.min, self.limits.subset_size.max)
     }
 
-    /// The servers in service, all of them: who is not named has left or drains and is not probed again, whose
-    /// incarnation differs is a new one. Costs n log n.
-    pub fn list(&mut self, servers: Vec<Candidate>, now: Nanos) {
-        self.listed = servers;
-        self.choose(now);
+    /// Replaces the candidates. A server that is missing is not probed again, and one with another incarnation is a new server.
+    /// Takes O(n log n) time.
+    pub fn set_candidates(&mut self, candidates: Vec<Candidate>, now: Nanos) {
+        self.candidates = candidates;
+        self.select_targets(now);
     }
 
-    /// Chooses anew whom to keep to, should the budget have come to afford clearly more or fewer.
-    pub fn review(&mut self, now: Nanos) {
-        let (wanted, kept) = (self.affordable(now).min(self.listed.len()), self.members.len());
-        let all = wanted == self.listed.len() && wanted > kept;
-        if all || wanted > kept + kept / 2 || wanted < kept / 2 {
-            self.choose(now);
+    /// Selects the subset anew if the budget affords a size that is clearly different: all candidates, more than 1.5 times the present
+    /// size, or less than half of it.
+    pub fn resize_subset(&mut self, now: Nanos) {
+        let size = self.targets.len();
+        let affordable = self.affordable_subset_size(now).min(self.candidates.len());
+        let affords_all = affordable == self.candidates.len() && affordable > size;
+        if affords_all || affordable > size + size / 2 || affordable < size / 2 {
+            self.select_targets(now);
         }
     }
 
-    fn choose(&mut self, now: Nanos) {
-        let kept = keep(&self.listed, self.affordable(now));
-        self.members.retain(|id, _| kept.contains(id));
-        for at in 0..self.listed.len() {
-            let Candidate { id, group, incarnation, .. } = self.listed[at];
-            let known = self.members.get(&id).is_some_and(|m| m.incarnation == incarnation);
-            if known || !kept.contains(&id) {
+    fn select_targets(&mut self, now: Nanos) {
+        let subset = select_subset(&self.candidates, self.affordable_subset_size(now));
+        self.targets.retain(|id, _| subset.contains(id));
+        for index in 0..self.candidates.len() {
+            let Candidate { id, group, incarnation, .. } = self.candidates[index];
+            let is_known = self.targets.get(&id).is_some_and(|target| target.incarnation == incarnation);
+            if is_known || !subset.contains(&id) {
                 continue;
             }
-            // The first turn comes soon, but not at all nodes at once.
-            let due = now + MS + self.part(self.limits.waits[Interest::Urgent as usize]);
-            let member = Member {
+            // The first probe is soon, but not at all nodes at once.
+            let delay = self.random_part(self.limits.intervals[Priority::Urgent as usize]);
+            let target = Target {
                 incarnation,
                 group,
                 since: now,
-                interest: Interest::Urgent,
-                told: None,
-                tried: now,
-                unreached: 0,
-                due,
+                priority: Priority::Urgent,
+                last_report_at: None,
+                last_probe_at: now,
+                consecutive_failures: 0,
+                next_probe_at: now + MIN_INTERVAL + delay,
             };
-            self.members.insert(id, member);
+            self.targets.insert(id, target);
         }
+        self.rebuild_queues();
+    }
+
+    fn rebuild_queues(&mut self) {
         self.queues = Default::default();
-        for (&id, member) in self.members.iter().filter(|(id, _)| !self.out.contains_key(id)) {
-            self.queues[member.interest as usize].insert((member.due, id));
+        for (&id, target) in self.targets.iter().filter(|(id, _)| !self.in_flight.contains_key(id)) {
+            self.queues[target.priority as usize].insert((target.next_probe_at, id));
         }
     }
 
-    /// A part of a span drawn by chance.
-    fn part(&mut self, span: Nanos) -> Nanos {
+    /// A random part of a span.
+    fn random_part(&mut self, span: Nanos) -> Nanos {
         let part = f64::from(self.random.next_u32()) / f64::from(u32::MAX);
         (span as f64 * part) as Nanos
     }
 
-    /// Those kept to.
-    pub fn kept(&self) -> impl Iterator<Item = Id> + '_ {
-        self.members.keys().copied()
+    /// The servers that are probed.
+    pub fn subset(&self) -> impl Iterator<Item = ServerId> + '_ {
+        self.targets.keys().copied()
     }
 
-    /// What a fresh figure of a server would change now. Passed over where the server is not kept to.
-    pub fn interest(&mut self, id: Id, interest: Interest) {
-        let Some(member) = self.members.get_mut(&id).filter(|m| m.interest != interest) else { return };
-        let was = (member.interest, member.due);
-        if interest > member.interest {
-            let wait = member.wait(self.limits.waits[interest as usize]);
-            member.due = member.due.min(member.tried.saturating_add(wait));
+    /// Changes the priority of a server. A higher one may bring its probe forward. Ignored for a server that is not in the subset.
+    pub fn set_priority(&mut self, id: ServerId, priority: Priority) {
+        let Some(target) = self.targets.get_mut(&id).filter(|target| target.priority != priority) else {
+            return;
+        };
+        let (old_priority, old_probe_at) = (target.priority, target.next_probe_at);
+        if priority > old_priority {
+            let interval = target.interval(self.limits.intervals[priority as usize]);
+            target.next_probe_at = target.next_probe_at.min(target.last_probe_at.saturating_add(interval));
         }
-        member.interest = interest;
-        let due = member.due;
-        if self.queues[was.0 as usize].remove(&(was.1, id)) {
-            self.queues[interest as usize].insert((due, id));
+        target.priority = priority;
+        let next_probe_at = target.next_probe_at;
+        // A server with a probe in flight is in no queue.
+        if self.queues[old_priority as usize].remove(&(old_probe_at, id)) {
+            self.queues[priority as usize].insert((next_probe_at, id));
         }
     }
 
-    /// The next server to be probed now, if any: it counts as sent. Call until none is left.
-    pub fn next(&mut self, now: Nanos) -> Option<Id> {
-        self.give_up_lost(now);
-        if !self.budget.affords() || self.out.len() >= self.limits.out {
+    /// The next server to probe now; the probe counts as sent. The caller repeats this until it returns none, and reports the
+    /// outcome of each probe with [`Scheduler::on_probe_ended`].
+    pub fn next_probe(&mut self, now: Nanos) -> Option<ServerId> {
+        self.expire_lost_probes(now);
+        if !self.budget.has_probe() || self.in_flight.len() >= self.limits.max_in_flight {
             return None;
         }
-        let ready = |level: Interest| {
-            let queue = &self.queues[level as usize];
-            let free =
-                |id: &Id| self.members.get(id).is_some_and(|m| self.in_group(m.group) < self.limits.out_each);
-            let due = queue.iter().take_while(|(due, _)| *due <= now);
-            let (due, id) = due.copied().find(|(_, id)| free(id))?;
-            // Where the budget is short all waits stretch by the same factor, and nobody starves.
-            let late = (now - due) as f64 / self.limits.waits[level as usize] as f64;
-            Some((late, level, due, id))
-        };
-        let turns = Interest::ALL.into_iter().filter_map(ready);
-        let (_, level, due, id) = turns.max_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)))?;
-        if !self.budget.spend() {
+        // If the budget is short, all intervals stretch by the same factor, and no server starves.
+        let due = Priority::ALL.into_iter().filter_map(|priority| self.first_due(priority, now));
+        let DueProbe { priority, due_at, id, .. } = due.max_by(|one, other| {
+            one.relative_delay.total_cmp(&other.relative_delay).then(one.priority.cmp(&other.priority))
+        })?;
+        if !self.budget.take_probe() {
             return None;
         }
-        self.queues[level as usize].remove(&(due, id));
-        let member = self.members.get_mut(&id)?;
-        member.tried = now;
-        self.out.insert(id, (now, member.group));
-        self.sent += 1;
+        self.queues[priority as usize].remove(&(due_at, id));
+        let target = self.targets.get_mut(&id)?;
+        target.last_probe_at = now;
+        self.in_flight.insert(id, InFlightProbe { sent_at: now, group: target.group });
+        self.probes_sent += 1;
         Some(id)
     }
 
-    fn in_group(&self, group: u32) -> usize {
-        self.out.values().filter(|(_, of)| *of == group).count()
+    /// The first due probe of a priority whose group has less than its limit in flight.
+    fn first_due(&self, priority: Priority, now: Nanos) -> Option<DueProbe> {
+        let has_capacity = |id: &ServerId| {
+            let target = self.targets.get(id);
+            target.is_some_and(|target| {
+                self.in_flight_in_group(target.group) < self.limits.max_in_flight_per_group
+            })
+        };
+        let queue = &self.queues[priority as usize];
+        let mut due = queue.iter().take_while(|(due_at, _)| *due_at <= now).copied();
+        let (due_at, id) = due.find(|(_, id)| has_capacity(id))?;
+        let relative_delay = (now - due_at) as f64 / self.limits.intervals[priority as usize] as f64;
+        Some(DueProbe { relative_delay, priority, due_at, id })
+    }
+
+    fn in_flight_in_group(&self, group: u32) -> usize {
+        self.in_flight.values().filter(|probe| probe.group == group).count()
     }
 
-    fn give_up_lost(&mut self, now: Nanos) {
-        let lost = |sent: Nanos| now.saturating_sub(sent) >= self.limits.lost_after;
-        let lost: Vec<Id> = self.out.iter().filter(|(_, (sent, _))| lost(*sent)).map(|(id, _)| *id).collect();
+    fn expire_lost_probes(&mut self, now: Nanos) {
+        let is_lost = |probe: &InFlightProbe| now.saturating_sub(probe.sent_at) >= self.limits.lost_after;
+        let lost: Vec<ServerId> =
+            self.in_flight.iter().filter(|(_, probe)| is_lost(probe)).map(|(id, _)| *id).collect();
         for id in lost {
-            self.ended(id, End::Unreached, now);
+            self.on_probe_ended(id, ProbeOutcome::Unreachable, now);
         }
     }
 
-    /// A probe has ended. False where what it brought says nothing of the server as it is now: it was not asked
-    /// for, or was sent to an earlier life, or its server has left.
-    pub fn ended(&mut self, id: Id, end: End, now: Nanos) -> bool {
-        let Some((sent, _)) = self.out.remove(&id) else { return false };
+    /// Records the outcome of a probe. False where the outcome does not count, and neither does a report: the probe was not in flight,
+    /// was cancelled, or was sent to an earlier incarnation or to a server that is not in the subset any more.
+    pub fn on_probe_ended(&mut self, id: ServerId, outcome: ProbeOutcome, now: Nanos) -> bool {
+        let Some(InFlightProbe { sent_at, .. }) = self.in_flight.remove(&id) else { return false };
         let draw = self.random.next_u32();
-        let Some(member) = self.members.get_mut(&id) else { return false };
-        // What was sent in the very moment in which a server started anew went to the life before.
-        let counts = sent > member.since && end != End::Withdrawn;
+        let Some(target) = self.targets.get_mut(&id) else { return false };
+        // A probe that was sent at the very moment at which an incarnation was listed went to the one before.
+        let counts = sent_at > target.since && outcome != ProbeOutcome::Cancelled;
         if counts {
-            match end {
-                End::Figure => (member.told, member.unreached) = (Some(now), 0),
-                End::Empty => member.unreached = 0,
-                _ => member.unreached += 1,
+            match outcome {
+                ProbeOutcome::Report => {
+                    target.last_report_at = Some(now);
+                    target.consecutive_failures = 0;
+                }
+                ProbeOutcome::NoReport => target.consecutive_failures = 0,
+                ProbeOutcome::Unreachable | ProbeOutcome::Cancelled => target.consecutive_failures += 1,
             }
         }
-        let wait = member.wait(self.limits.waits[member.interest as usize]) as f64;
-        let part = 1.0 - JITTER + 2.0 * JITTER * f64::from(draw) / f64::from(u32::MAX);
-        // From its sending: a probe's own time is no part of the wait. Never at once, or a server that refuses
-        // all would be asked again and again.
-        member.due = (member.tried + (wait * part) as Nanos).max(now + MS);
-        self.queues[member.interest as usize].insert((member.due, id));
+        let interval = target.interval(self.limits.intervals[target.priority as usize]) as f64;
+        let jitter = 1.0 - JITTER + 2.0 * JITTER * f64::from(draw) / f64::from(u32::MAX);
+        // The interval is counted from the sending, so that a slow response does not lengthen it.
+        let next_probe_at = target.last_probe_at + (interval * jitter) as Nanos;
+        target.next_probe_at = next_probe_at.max(now + MIN_INTERVAL);
+        self.queues[target.priority as usize].insert((target.next_probe_at, id));
         counts
     }
 
-    /// A figure has come with an ordinary answer: a probe would tell nothing new for a while.
-    pub fn told(&mut self, id: Id, now: Nanos) {
-        let Some(member) = self.members.get_mut(&id) else { return };
-        (member.told, member.tried, member.unreached) = (Some(now), now, 0);
-        let (due, level) = (member.due, member.interest as usize);
-        let next = now + self.limits.waits[level];
-        if self.queues[level].remove(&(due, id)) {
-            member.due = next;
-            self.queues[level].insert((next, id));
+    /// Records a report that came with the response to an ordinary request. It postpones the next probe by a whole interval.
+    pub fn on_passive_report(&mut self, id: ServerId, now: Nanos) {
+        let Some(target) = self.targets.get_mut(&id) else { return };
+        target.last_report_at = Some(now);
+        target.last_probe_at = now;
+        target.consecutive_failures = 0;
+        let priority = target.priority as usize;
+        let next_probe_at = now + self.limits.intervals[priority];
+        if self.queues[priority].remove(&(target.next_probe_at, id)) {
+            target.next_probe_at = next_probe_at;
+            self.queues[priority].insert((next_probe_at, id));
         }
     }
 
-    /// When the next turn comes, if it can be paid for; none while only an arrival or the end of a probe can bring
-    /// it about.
-    pub fn wakes(&self) -> Option<Nanos> {
-        let able = self.budget.affords() && self.out.len() < self.limits.out;
-        let firsts = self.queues.iter().filter_map(|queue| queue.first().map(|(due, _)| *due));
-        firsts.min().filter(|_| able)
+    /// When [`Scheduler::next_probe`] is to be called next; none if there can be no probe before a request or the outcome of a
+    /// probe.
+    pub fn next_probe_at(&self) -> Option<Nanos> {
+        if !self.budget.has_probe() || self.in_flight.len() >= self.limits.max_in_flight {
+            return None;
+        }
+        self.queues.iter().filter_map(|queue| queue.first().map(|(due_at, _)| *due_at)).min()
     }
 
-    /// How old the figures are; walks those kept to.
-    pub fn ages(&self, now: Nanos) -> Ages {
-        let mut ages =
-            Ages { listed: self.listed.len(), kept: self.members.len(), sent: self.sent, ..Ages::default() };
-        for member in self.members.values() {
-            ages.unreached += usize::from(member.unreached > 0);
-            let age =
-                member.told.map(|told| now.saturating_sub(told)).filter(|&age| age < self.limits.useful);
-            if let Some(age) = age {
-                ages.known += 1;
-                ages.oldest = ages.oldest.max(age);
+    /// The state of the reports. Takes time linear in the size of the subset.
+    pub fn stats(&self, now: Nanos) -> SchedulerStats {
+        let mut stats = SchedulerStats {
+            candidates: self.candidates.len(),
+            subset: self.targets.len(),
+            probes_sent: self.probes_sent,
+            ..SchedulerStats::default()
+        };
+        for target in self.targets.values() {
+            stats.unreachable += usize::from(target.consecutive_failures > 0);
+            let age = target.last_report_at.map(|at| now.saturating_sub(at));
+            if let Some(age) = age.filter(|&age| age < self.limits.report_ttl) {
+                stats.fresh_reports += 1;
+                stats.oldest_report_age = stats.oldest_report_age.max(age);
             }
         }
-        ages
+        stats
     }
 }
