--- a/system/src/router/clients.rs
+++ b/system/src/router/clients.rs
@@ -1,4 +1,4 @@
-//! The clients' side: reads requests, finds their routes, waits for each one's final answer and writes it.
+//! Client requests: reads each one, finds its route, submits it to the request table, and writes the response.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -6,7 +6,8 @@
 use bytes::Bytes;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
-use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
+use hyper::header::{CONNECTION, HeaderMap, HeaderName, HeaderValue};
+use hyper::http::request::Parts;
 use hyper::{Request, Response, StatusCode};
 use ivyhatch_node::client_listener::{DrainPhase, RequestHandler};
 use ivyhatch_node::connection_limits::{ClientConnection, ConnectionLimiter, UnreadInput};
@@ -17,230 +18,181 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout_at};
 
-use super::answer::{AnswerBody, Reply, plain};
-use super::dispatch::{Asked, Call, Dispatcher};
-
-/// A request's id.
-pub const ATTEMPT_ID: &str = "ivyhatch-attempt-id";
-/// How long its client waits, in milliseconds.
-pub const DEADLINE: &str = "ivyhatch-deadline-ms";
-/// The incarnation that it is meant for.
-pub const EXPECT_INSTANCE: &str = "ivyhatch-expect-instance";
-/// The last event that its client has.
-pub const LAST_EVENT: &str = "last-event-id";
-/// How urgent it is to a server.
-pub const PRIORITY: &str = "priority";
-const MODEL: &str = "ivyhatch-model";
-const TOKEN_COUNTS: &str = "ivyhatch-token-counts";
-const PREFIX: &str = "ivyhatch-prompt-prefix";
-/// A client counts its time from its send to the last byte of the answer: the ways there and back come off.
-const ON_THE_WAY: Nanos = 10 * MILLISECOND;
-/// Clients that say nothing of how long they wait are taken to wait for so long.
-const USUAL_WAIT_MS: f64 = 30_000.0;
-/// The time told to clients for which a connection is kept is shorter than that for which it is, by so many seconds: a request
-/// must not cross its closing.
-const KEEP_MARGIN_S: u64 = 2;
-/// A router that is new to its work asks clients to come again after this.
-const NOT_READY: &str = "0.2";
-/// A router that has just started is ready within so long as a rule: a request waits for it as long as a refusal is still early.
-const READY_SOON: Duration = Duration::from_millis(150);
-
-/// Answers clients.
+use super::attempt::ForwardedRequest;
+use super::client_response::ClientResponse;
+use super::dispatch::{Dispatcher, IncomingRequest};
+use super::headers::{
+    ATTEMPT_ID, DEADLINE, EXPECT_INSTANCE, KEEP_ALIVE, LAST_EVENT_ID, MODEL, PRIORITY, PROMPT_PREFIX,
+    TOKEN_COUNTS, single,
+};
+use super::rejection::Rejection;
+use super::response_body::{self, ResponseBody};
+
+/// A client's deadline runs from its send to the last byte of the response: the way there and back comes off.
+const NETWORK_ALLOWANCE: Nanos = 10 * MILLISECOND;
+/// The deadline of clients that name none, in milliseconds.
+const DEFAULT_DEADLINE_MS: f64 = 30_000.0;
+/// The advertised keep-alive is shorter than the real one by this, so that a request does not cross its connection's closing.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_secs(2);
+/// A router that has just started is ready within this as a rule: a request waits for it for as long as a rejection is still early.
+const READY_TIMEOUT: Duration = Duration::from_millis(150);
+/// The least urgent priority that servers know.
+const MAX_PRIORITY: u32 = 9;
+
+/// Handles client requests.
 pub struct Clients {
     dispatcher: Dispatcher,
     connections: Rc<ConnectionLimiter>,
 }
 
-/// What is wrong with a request.
-#[derive(Debug, thiserror::Error)]
-enum BadRequest {
-    #[error("{0} is missing or can't be read")]
-    Header(&'static str),
-    #[error("the body is too large")]
-    TooLarge,
-    #[error("the body did not arrive")]
-    NoBody,
-    #[error("no route leads there")]
-    NoRoute,
-    #[error("this router does not know its configuration yet")]
-    NotReady,
-    #[error("an open request has this id")]
-    Taken,
-}
-
-impl BadRequest {
-    fn status(&self) -> StatusCode {
-        match self {
-            Self::Header(_) => StatusCode::BAD_REQUEST,
-            Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::NoBody => StatusCode::REQUEST_TIMEOUT,
-            Self::NoRoute => StatusCode::NOT_FOUND,
-            Self::NotReady => StatusCode::SERVICE_UNAVAILABLE,
-            Self::Taken => StatusCode::CONFLICT,
-        }
-    }
-
-    /// Whether there is no telling where the next request begins.
-    fn ends_connection(&self) -> bool {
-        matches!(self, Self::TooLarge | Self::NoBody | Self::NotReady)
-    }
-}
-
-type Answer = Response<AnswerBody>;
-
 impl Clients {
-    /// Answers by this dispatcher.
+    /// A handler that submits requests to this dispatcher.
     pub fn new(dispatcher: Dispatcher, connections: Rc<ConnectionLimiter>) -> Self {
         Self { dispatcher, connections }
     }
 
-    async fn call(
+    /// Forwards one request, and waits for its response. Dropping the future cancels the request.
+    async fn forward(
         &self,
         connection: &Rc<ClientConnection>,
         request: Request<Incoming>,
-        whole_by: Instant,
-    ) -> Result<Answer, BadRequest> {
-        let came = self.dispatcher.now();
+        read_by: Instant,
+    ) -> Result<Response<ResponseBody>, Rejection> {
+        let incoming = self.receive(connection, request, read_by).await?;
+        let (guard, response) = self.dispatcher.submit(incoming).ok_or(Rejection::DuplicateRequestId)?;
+        connection.request_accepted();
+        // The sender is dropped unused only where the request has vanished from the table, which proves nothing.
+        match response.await.unwrap_or(ClientResponse::Rejected(Rejection::Dropped)) {
+            ClientResponse::Stream(head, chunks) => {
+                Ok(response_body::streaming(head, chunks, connection.clone(), guard))
+            }
+            ClientResponse::Complete(response) => Ok(response_body::complete(response)),
+            ClientResponse::Rejected(rejection) => Err(rejection),
+        }
+    }
+
+    /// Validates a request and reads its body until `read_by`.
+    async fn receive(
+        &self,
+        connection: &ClientConnection,
+        request: Request<Incoming>,
+        read_by: Instant,
+    ) -> Result<IncomingRequest, Rejection> {
+        let received_at = self.dispatcher.now();
         let (head, body) = request.into_parts();
         if connection.has_duplicate_content_length() {
-            return Err(BadRequest::Header("content-length"));
-        }
-        let id = single(&head.headers, ATTEMPT_ID).ok_or(BadRequest::Header(ATTEMPT_ID))?.to_owned();
-        let host =
-            single(&head.headers, "host").or_else(|| head.uri.host()).ok_or(BadRequest::Header("host"))?;
-        if !self.dispatcher.readied(READY_SOON).await {
-            return Err(BadRequest::NotReady);
+            return Err(Rejection::InvalidHeader("content-length"));
         }
-        let route = self.dispatcher.route(host, head.uri.path()).ok_or(BadRequest::NoRoute)?;
-        let wait_ms = match single(&head.headers, DEADLINE) {
-            Some(text) => {
-                text.parse::<f64>().ok().filter(|ms| *ms >= 0.0).ok_or(BadRequest::Header(DEADLINE))?
-            }
-            None => USUAL_WAIT_MS,
-        };
-        let most = self.dispatcher.limits().max_body_bytes as usize;
-        if body.size_hint().lower() > most as u64 {
-            return Err(BadRequest::TooLarge);
+        let id = single(&head.headers, ATTEMPT_ID).ok_or(Rejection::InvalidHeader(ATTEMPT_ID))?;
+        let id = Rc::from(id);
+        let host = single(&head.headers, "host")
+            .or_else(|| head.uri.host())
+            .ok_or(Rejection::InvalidHeader("host"))?;
+        if !self.dispatcher.wait_until_ready(READY_TIMEOUT).await {
+            return Err(Rejection::NotReady);
         }
-        let body = read(body, most, whole_by).await?;
-        let text = |name| single(&head.headers, name);
-        let prompt = Prompt::from_headers(text(MODEL).unwrap_or(""), text(PREFIX), text(TOKEN_COUNTS));
-        let last_event = text(LAST_EVENT).and_then(|text| text.parse().ok());
-        let wait = (wait_ms.min(route.timeout_ms) * MILLISECOND as f64) as Nanos;
-        let call = Call {
-            method: head.method,
-            target: head.uri.path_and_query().cloned(),
-            headers: outgoing(head.headers, &route),
-            body,
-        };
-        let asked = Asked {
-            id: id.into(),
-            not_after: came + wait.saturating_sub(ON_THE_WAY),
-            route,
-            prompt,
-            last_event,
-            call,
-        };
-        let (waiting, answer) = self.dispatcher.submit(asked).ok_or(BadRequest::Taken)?;
-        connection.request_accepted();
-        // The sender is dropped unused only if the request has vanished, which promises nothing.
-        let reply = answer.await.unwrap_or(Reply::Failed(StatusCode::BAD_GATEWAY, "failed"));
-        Ok(match reply {
-            Reply::Stream(head, pieces) => {
-                let mut response = Response::new(AnswerBody::stream(pieces, connection.clone(), waiting));
-                (*response.status_mut(), *response.headers_mut()) = (head.status, head.headers);
-                return Ok(response);
-            }
-            Reply::Whole(head, body) => {
-                let mut response = Response::new(AnswerBody::whole(body));
-                (*response.status_mut(), *response.headers_mut()) = (head.status, head.headers);
-                response
-            }
-            Reply::Refused(pause) => {
-                let mut response =
-                    plain(StatusCode::SERVICE_UNAVAILABLE, "refused; trying again does no harm");
-                // Never sooner than was decided: decimals are cut, so round up.
-                let text = format!("{:.3}", pause.div_ceil(MILLISECOND) as f64 / 1000.0);
-                if let Ok(value) = HeaderValue::from_str(&text) {
-                    response.headers_mut().insert(header::RETRY_AFTER, value);
-                }
-                response
-            }
-            Reply::Failed(status, text) => plain(status, text),
-        })
+        let route = self.dispatcher.route(host, head.uri.path()).ok_or(Rejection::NoRoute)?;
+        let deadline_ms = deadline_ms(&head.headers)?.min(route.timeout_ms);
+        let max_body_bytes = self.dispatcher.limits().max_body_bytes as usize;
+        let body = read_body(body, max_body_bytes, read_by).await?;
+        let timeout = (deadline_ms * MILLISECOND as f64) as Nanos;
+        let not_after = received_at + timeout.saturating_sub(NETWORK_ALLOWANCE);
+        Ok(incoming_request(id, head, body, route, not_after))
+    }
+
+    /// The connection's keep-alive as clients are told of it.
+    fn advertised_keep_alive(&self) -> Duration {
+        self.connections.timeouts().idle.saturating_sub(KEEP_ALIVE_MARGIN)
     }
 }
 
 impl RequestHandler for Clients {
-    type Body = AnswerBody;
+    type Body = ResponseBody;
 
     async fn answer(
         &self,
         connection: Rc<ClientConnection>,
         request: Request<Incoming>,
         phase: watch::Receiver<DrainPhase>,
-    ) -> Answer {
-        let whole_by = connection.request_arriving();
-        let (mut response, ends) = match self.call(&connection, request, whole_by).await {
+    ) -> Response<ResponseBody> {
+        let read_by = connection.request_arriving();
+        let (mut response, closes) = match self.forward(&connection, request, read_by).await {
             Ok(response) => (response, false),
-            Err(bad) => {
-                let mut response = plain(bad.status(), &bad.to_string());
-                if matches!(bad, BadRequest::NotReady) {
-                    response.headers_mut().insert(header::RETRY_AFTER, HeaderValue::from_static(NOT_READY));
-                }
-                (response, bad.ends_connection())
-            }
+            Err(rejection) => (response_body::rejected(rejection), rejection.closes_connection()),
         };
-        let ends = ends || *phase.borrow() != DrainPhase::Serving || connection.exceeds_idle_limit();
+        let closes = closes || *phase.borrow() != DrainPhase::Serving || connection.exceeds_idle_limit();
         let headers = response.headers_mut();
-        if ends {
-            headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
+        if closes {
+            headers.insert(CONNECTION, HeaderValue::from_static("close"));
         } else {
-            let kept = self
-                .connections
-                .timeouts()
-                .idle
-                .saturating_sub(Duration::from_secs(KEEP_MARGIN_S))
-                .as_secs()
-                .max(1);
-            if let Ok(value) = HeaderValue::from_str(&format!("timeout={kept}")) {
-                headers.insert(HeaderName::from_static("keep-alive"), value);
+            let seconds = self.advertised_keep_alive().as_secs().max(1);
+            if let Ok(value) = HeaderValue::from_str(&format!("timeout={seconds}")) {
+                headers.insert(KEEP_ALIVE, value);
             }
         }
-        if !matches!(response.body(), AnswerBody::Stream(_)) {
-            let rejected = ends && response.status() != StatusCode::OK;
-            connection.response_started(if rejected { UnreadInput::Possible } else { UnreadInput::None });
+        if !matches!(response.body(), ResponseBody::Stream(_)) {
+            let may_have_unread_input = closes && response.status() != StatusCode::OK;
+            connection.response_started(if may_have_unread_input {
+                UnreadInput::Possible
+            } else {
+                UnreadInput::None
+            });
         }
         response
     }
 }
 
-/// A header that may stand once at most.
-fn single<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
-    let mut values = headers.get_all(name).iter();
-    let value = values.next().filter(|_| values.next().is_none())?;
-    value.to_str().ok().map(str::trim)
+/// How long the client waits, in milliseconds.
+fn deadline_ms(headers: &HeaderMap) -> Result<f64, Rejection> {
+    let Some(text) = single(headers, DEADLINE) else { return Ok(DEFAULT_DEADLINE_MS) };
+    let milliseconds = text.parse::<f64>().ok().filter(|milliseconds| *milliseconds >= 0.0);
+    milliseconds.ok_or(Rejection::InvalidHeader(DEADLINE))
 }
 
-async fn read(body: Incoming, most: usize, whole_by: Instant) -> Result<Bytes, BadRequest> {
+/// Reads a body of at most `max_bytes` until `read_by`.
+async fn read_body(body: Incoming, max_bytes: usize, read_by: Instant) -> Result<Bytes, Rejection> {
+    if body.size_hint().lower() > max_bytes as u64 {
+        return Err(Rejection::BodyTooLarge);
+    }
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
-    match timeout_at(whole_by, Limited::new(body, most).collect()).await {
-        Ok(Ok(whole)) => Ok(whole.to_bytes()),
-        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(BadRequest::TooLarge),
-        Ok(Err(_)) | Err(_) => Err(BadRequest::NoBody),
+    match timeout_at(read_by, Limited::new(body, max_bytes).collect()).await {
+        Ok(Ok(complete)) => Ok(complete.to_bytes()),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Rejection::BodyTooLarge),
+        Ok(Err(_)) | Err(_) => Err(Rejection::BodyIncomplete),
     }
 }
 
-/// The headers that go on to a server. What each attempt sets itself comes off.
-fn outgoing(headers: HeaderMap, route: &Route) -> HeaderMap {
+/// The request as it is submitted.
+fn incoming_request(
+    id: Rc<str>,
+    head: Parts,
+    body: Bytes,
+    route: Rc<Route>,
+    not_after: Nanos,
+) -> IncomingRequest {
+    let text = |name| single(&head.headers, name);
+    let prompt = Prompt::from_headers(text(MODEL).unwrap_or(""), text(PROMPT_PREFIX), text(TOKEN_COUNTS));
+    let last_event_id = text(LAST_EVENT_ID).and_then(|text| text.parse().ok());
+    let forwarded = ForwardedRequest {
+        method: head.method,
+        target: head.uri.path_and_query().cloned(),
+        headers: forwarded_headers(head.headers, &route),
+        body,
+    };
+    IncomingRequest { id, not_after, route, prompt, last_event_id, forwarded }
+}
+
+/// The headers that are forwarded to servers, without those that each attempt sets itself.
+fn forwarded_headers(headers: HeaderMap, route: &Route) -> HeaderMap {
     let mut headers = without_hop_by_hop_headers(headers, &[ATTEMPT_ID]);
     for name in [DEADLINE, EXPECT_INSTANCE, PRIORITY] {
         headers.remove(name);
     }
     if route.sticky {
-        headers.insert(HeaderName::from_static(PRIORITY), HeaderValue::from(route.priority.min(9)));
+        let priority = HeaderValue::from(route.priority.min(MAX_PRIORITY));
+        headers.insert(HeaderName::from_static(PRIORITY), priority);
     }
     headers
 }
--- a/system/src/router/dispatch/mod.rs
+++ b/system/src/router/dispatch/mod.rs
@@ -1,12 +1,18 @@
-//! Between the sockets and the design: the sole owner of the balancers, one a service, of ids, timers and the table of requests.
-//! Events go in, actions come out; what an action asks of the network is left to the upstream. Nothing is decided here, and no
-//! borrow outlives one of its calls.
-
-mod answers;
-mod attempt;
-mod events;
+//! The request table and the balancers of all services.
+//!
+//! [`Dispatcher`] is a handle on the one [`state::DispatcherState`], which owns the balancers, the route table, the requests in progress
+//! and the timers. Events of clients, servers and the control plane go in; what the balancers decide comes out as attempts to start,
+//! cancel or answer. Nothing is decided here. All calls are in the process's single thread, and no borrow outlives one of them.
+//!
+//! Bounds: requests in progress are bounded by the client connections; connections to servers by the upstream's pool.
+
+mod balancer_actions;
+mod pending_request;
+mod regions;
 mod requests;
+mod responses;
 mod server_list;
+mod service;
 mod services;
 mod state;
 
@@ -16,25 +22,27 @@
 
 use ivyhatch_balancer::{BackendState, Outcome, RequestId};
 use ivyhatch_node::connection_limits::{ConnectionLimiter, ConnectionTimeouts};
+use ivyhatch_protocol::Nanos;
 use ivyhatch_protocol::configuration::{RequestLimits, Route};
 use ivyhatch_protocol::settings::Settings;
 use ivyhatch_protocol::watch::Server;
-use ivyhatch_protocol::{MILLISECOND, Nanos};
 use ivyhatch_routing::load_report::LoadReport;
 use ivyhatch_routing::route_table::PreparedChange;
+use ivyhatch_routing::router_share::RouterShare;
 use ivyhatch_routing::watch_client::EvacuationState;
 use tokio::sync::{Notify, oneshot};
+use tokio::time::{sleep_until, timeout};
 
-use super::answer::{Head, Reply, Sink};
+use super::attempt::{AttemptId, AttemptObserver, AttemptOutcome};
+use super::client_response::{ClientResponse, ResponseHead, StreamSender};
 use super::upstream::Upstream;
 use crate::clock::Clock;
-pub use attempt::{Asked, Call, Ending, Launch, Service, Ticket};
+pub use requests::IncomingRequest;
 use state::{DispatcherState, Outputs};
 
-/// How long past a request's end the design is waited for before the request is answered all the same.
-const BACKSTOP: Nanos = 15 * MILLISECOND;
-/// Beyond the time for which the list calls a server cold: the list's own lag and its way here.
-const COLD_MORE: Nanos = 1500 * MILLISECOND;
+/// The range of client connections' timeouts that the configuration may set, in milliseconds.
+const MIN_CONNECTION_TIMEOUT_MS: f64 = 100.0;
+const MAX_CONNECTION_TIMEOUT_MS: f64 = 600_000.0;
 
 /// A handle on the dispatcher. Cheap to clone.
 #[derive(Clone)]
@@ -42,26 +50,27 @@
     state: Rc<RefCell<DispatcherState>>,
     upstream: Rc<Upstream>,
     connections: Rc<ConnectionLimiter>,
-    timer: Rc<Notify>,
-    readied: Rc<Notify>,
+    /// Notified when a timer is set that is due before all others.
+    earlier_timer: Rc<Notify>,
+    became_ready: Rc<Notify>,
     clock: Clock,
 }
 
-/// A request that is owed its answer. Dropping it means that its client has gone.
-pub struct Waiting {
+/// Represents a client's interest in its request. Dropping it cancels the request unless that has ended.
+pub struct RequestGuard {
     dispatcher: Dispatcher,
     request: RequestId,
 }
 
-impl Drop for Waiting {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         let request = self.request;
-        self.dispatcher.tell(|state, outputs| state.client_gone(request, outputs));
+        self.dispatcher.update(|state, outputs| state.client_disconnected(request, outputs));
     }
 }
 
 impl Dispatcher {
-    /// One that knows no route and no server yet.
+    /// A dispatcher without routes and servers.
     pub fn new(
         settings: &Settings,
         clock: Clock,
@@ -69,7 +78,8 @@
         connections: Rc<ConnectionLimiter>,
     ) -> Self {
         let state = Rc::new(RefCell::new(DispatcherState::new(settings, clock)));
-        Self { state, upstream, connections, timer: Rc::default(), readied: Rc::default(), clock }
+        let (earlier_timer, became_ready) = (Rc::default(), Rc::default());
+        Self { state, upstream, connections, earlier_timer, became_ready, clock }
     }
 
     /// The present.
@@ -77,137 +87,151 @@
         self.clock.now()
     }
 
-    /// Whether a configuration and a list of servers are known.
+    /// Whether a configuration and a server list are known.
     pub fn is_ready(&self) -> bool {
-        self.state.borrow().ready
+        self.state.borrow().is_ready
     }
 
-    /// From now on requests are taken. Whether they were not before.
+    /// Accepts requests from now on. True where the dispatcher was not ready before.
     pub fn become_ready(&self) -> bool {
-        let first = !std::mem::replace(&mut self.state.borrow_mut().ready, true);
-        if first {
-            self.readied.notify_waiters();
+        let was_ready = std::mem::replace(&mut self.state.borrow_mut().is_ready, true);
+        if !was_ready {
+            self.became_ready.notify_waiters();
         }
-        first
+        !was_ready
     }
 
-    /// Waits until requests are taken, for so long at most. Whether they are.
-    pub async fn readied(&self, within: Duration) -> bool {
+    /// Waits until the dispatcher is ready, for `limit` at most. Returns whether it is.
+    pub async fn wait_until_ready(&self, limit: Duration) -> bool {
         if !self.is_ready() {
-            let _ = tokio::time::timeout(within, self.readied.notified()).await;
+            let _ = timeout(limit, self.became_ready.notified()).await;
         }
         self.is_ready()
     }
 
-    /// Requests that are owed an answer, or whose stream is under way.
+    /// The number of requests without a response, or whose stream is under way.
     pub fn open(&self) -> usize {
-        self.state.borrow().requests.values().filter(|open| !open.ended).count()
+        self.state.borrow().requests.values().filter(|request| !request.has_ended).count()
     }
 
     /// The route of a request.
     pub fn route(&self, host: &str, path: &str) -> Option<Rc<Route>> {
-        self.state.borrow().table.find(host, path).cloned()
+        self.state.borrow().route_table.find(host, path).cloned()
     }
 
-    /// What clients may send.
+    /// The configuration's limits on requests.
     pub fn limits(&self) -> RequestLimits {
-        self.state.borrow().table.limits()
+        self.state.borrow().route_table.limits()
     }
 
-    /// Takes a change of the configuration in.
+    /// Applies a change of the configuration.
     pub fn configure(&self, change: PreparedChange) {
-        let unreadable = self.state.borrow_mut().configure(change);
-        for error in unreadable {
-            log::error!("event=unreadable_item error={:?}", error.to_string());
+        let invalid_items = self.state.borrow_mut().configure(change);
+        for error in invalid_items {
+            log::error!("event=configuration_item_invalid error={:?}", error.to_string());
         }
         let limits = self.limits();
-        let time = |ms: f64| Duration::from_millis(ms.clamp(100.0, 600_000.0) as u64);
+        let duration = |milliseconds: f64| {
+            let milliseconds = milliseconds.clamp(MIN_CONNECTION_TIMEOUT_MS, MAX_CONNECTION_TIMEOUT_MS);
+            Duration::from_millis(milliseconds as u64)
+        };
         self.connections.set_timeouts(ConnectionTimeouts {
-            request_read: time(limits.header_timeout_ms),
-            idle: time(limits.idle_timeout_ms),
+            request_read: duration(limits.header_timeout_ms),
+            idle: duration(limits.idle_timeout_ms),
         });
     }
 
-    /// Takes the list of servers in; `evacuation` tells whether a zone is evacuated, and how often that has changed.
-    pub fn servers(&self, servers: Vec<Server>, evacuation: impl Fn(&str) -> EvacuationState) {
-        self.tell(|state, outputs| state.servers(servers, evacuation, outputs));
-    }
-
-    /// Whether the router can know what is ordered now. The list of servers is to be taken in anew.
-    pub fn set_quorum_reachable(&self, quorum_reachable: bool) {
-        self.state.borrow_mut().quorum_reachable = quorum_reachable;
-    }
-
-    /// So many routers share the servers, and this is one's place among them.
-    pub fn set_routers(&self, routers: u32, place: u32) {
-        self.state.borrow_mut().set_routers(routers, place);
-    }
-
-    /// Takes a request. None where an open one has its id: passed on, it would count as another attempt of that one.
-    pub fn submit(&self, asked: Asked) -> Option<(Waiting, oneshot::Receiver<Reply>)> {
-        let (reply, answer) = oneshot::channel();
-        let request = self.tell(|state, outputs| state.submit(asked, reply, outputs))?;
-        Some((Waiting { dispatcher: self.clone(), request }, answer))
+    /// Replaces the server list; `evacuation` gives the state of a zone.
+    pub fn set_servers(&self, servers: Vec<Server>, evacuation: impl Fn(&str) -> EvacuationState) {
+        self.update(|state, outputs| state.set_servers(servers, evacuation, outputs));
     }
 
-    /// Whether an attempt may still be written: a connect can outlast its request, or the server's place on the list.
-    pub fn may_write(&self, ticket: Ticket) -> bool {
-        let state = self.state.borrow();
-        let now = state.clock.now();
-        let live =
-            state.requests.get(&ticket.request).is_some_and(|open| !open.ended && now < open.not_after);
-        let known =
-            state.services.get(&ticket.service).and_then(|service| service.backends.get(&ticket.backend));
-        live && known.is_some_and(|known| known.stage == BackendState::InService)
+    /// Sets whether the control nodes that the router watches reach a quorum: only then are evacuations known to be current. Takes
+    /// effect with the next [`Self::set_servers`].
+    pub fn set_quorum_reachable(&self, is_quorum_reachable: bool) {
+        self.state.borrow_mut().is_quorum_reachable = is_quorum_reachable;
     }
 
-    /// A stream has begun to come. Returns the way to its client; none where that has gone.
-    pub fn begun(&self, ticket: Ticket, head: Head, load: Option<LoadReport>) -> Option<Sink> {
-        self.tell(|state, outputs| state.begun(ticket, head, load, outputs))
+    /// Sets this router's share of the servers' capacity.
+    pub fn set_router_share(&self, share: RouterShare) {
+        self.state.borrow_mut().set_router_share(share);
     }
 
-    /// Events have been passed on.
-    pub fn passed(&self, ticket: Ticket, last: Option<u64>) {
-        let mut state = self.state.borrow_mut();
-        if let (Some(open), Some(last)) = (state.requests.get_mut(&ticket.request), last) {
-            open.last_event = Some(last);
-        }
+    /// Submits a request. None where a request with its id is in progress.
+    pub fn submit(
+        &self,
+        incoming: IncomingRequest,
+    ) -> Option<(RequestGuard, oneshot::Receiver<ClientResponse>)> {
+        let (sender, response) = oneshot::channel();
+        let request = self.update(|state, outputs| state.submit(incoming, sender, outputs))?;
+        Some((RequestGuard { dispatcher: self.clone(), request }, response))
     }
 
-    /// Takes the end of an attempt.
-    pub fn settled(&self, ticket: Ticket, ending: Ending) {
-        self.tell(|state, outputs| state.settled(ticket, ending, outputs));
-    }
-
-    /// Runs the timers; never ends.
+    /// Runs the timers; never returns.
     pub async fn run_timers(&self) {
         loop {
-            let next = self.state.borrow().timers.first().map(|(at, _)| *at);
-            match next {
-                None => self.timer.notified().await,
+            let next_at = self.state.borrow().next_timer_at();
+            match next_at {
+                None => self.earlier_timer.notified().await,
                 Some(at) => {
                     tokio::select! {
-                        () = tokio::time::sleep_until(self.clock.instant(at)) => {}
-                        () = self.timer.notified() => {}
+                        () = sleep_until(self.clock.instant(at)) => {}
+                        () = self.earlier_timer.notified() => {}
                     }
                 }
             }
-            self.tell(|state, outputs| state.fire(outputs));
+            self.update(DispatcherState::fire_timers);
         }
     }
 
-    /// One call inside; what it leaves to do is done once the borrow has ended.
-    fn tell<T>(&self, call: impl FnOnce(&mut DispatcherState, &mut Outputs) -> T) -> T {
+    /// Calls into the state, and then carries out what it leaves to do: the state is not borrowed any more by then.
+    fn update<T>(&self, call: impl FnOnce(&mut DispatcherState, &mut Outputs) -> T) -> T {
         let mut outputs = Outputs::default();
         let result = call(&mut self.state.borrow_mut(), &mut outputs);
-        outputs.retired.into_iter().for_each(|(service, backend)| self.upstream.retire(service, backend));
-        outputs.launches.into_iter().for_each(|launch| self.upstream.launch(self, launch));
-        for ticket in outputs.not_sent {
-            self.settled(ticket, Ending::bare(Outcome::NotSent));
+        for server in outputs.drained_servers {
+            self.upstream.drop_idle_connections(server);
+        }
+        for attempt in outputs.attempts {
+            self.upstream.start_attempt(self, attempt);
         }
-        if outputs.rearm {
-            self.timer.notify_one();
+        for attempt in outputs.unsendable_attempts {
+            self.attempt_finished(attempt, AttemptOutcome::without_response(Outcome::NotSent));
+        }
+        if outputs.has_earlier_timer {
+            self.earlier_timer.notify_one();
         }
         result
     }
 }
+
+impl AttemptObserver for Dispatcher {
+    fn may_send(&self, attempt: AttemptId) -> bool {
+        let state = self.state.borrow();
+        let now = state.clock.now();
+        let request = state.requests.get(&attempt.request);
+        let is_awaited = request.is_some_and(|request| !request.has_ended && now < request.not_after);
+        let service = state.services.get(&attempt.server.service);
+        let server = service.and_then(|service| service.servers.get(&attempt.server.backend));
+        is_awaited && server.is_some_and(|server| server.state == BackendState::InService)
+    }
+
+    fn response_started(
+        &self,
+        attempt: AttemptId,
+        head: ResponseHead,
+        load: Option<LoadReport>,
+    ) -> Option<StreamSender> {
+        self.update(|state, outputs| state.response_started(attempt, head, load, outputs))
+    }
+
+    fn events_forwarded(&self, attempt: AttemptId, last_event_id: Option<u64>) {
+        let mut state = self.state.borrow_mut();
+        if let (Some(request), Some(id)) = (state.requests.get_mut(&attempt.request), last_event_id) {
+            request.last_event_id = Some(id);
+        }
+    }
+
+    fn attempt_finished(&self, attempt: AttemptId, outcome: AttemptOutcome) {
+        self.update(|state, outputs| state.attempt_finished(attempt, outcome, outputs));
+    }
+}
--- a/system/src/router/dispatch/requests.rs
+++ b/system/src/router/dispatch/requests.rs
@@ -1,184 +1,207 @@
-//! The life of a request: submitted, sent to a server, refused or failed, given up by its client, forgotten.
+//! The course of a request: submitted, sent to servers, rejected or failed, cancelled by its client, removed.
 
 use std::rc::Rc;
 use std::time::Duration;
 
-use hyper::StatusCode;
 use ivyhatch_balancer::{Arrival, BackendId, Event, RequestId};
 use ivyhatch_protocol::configuration::{Route, RouteKind};
 use ivyhatch_protocol::hash::{fnv1a_hash, hash_mix};
 use ivyhatch_protocol::{MILLISECOND, Nanos};
+use ivyhatch_routing::prompt::Prompt;
 use ivyhatch_routing::route_table::select_service;
 use tokio::sync::oneshot;
 
-use super::BACKSTOP;
-use super::attempt::{Asked, Launch, Service, Ticket};
-use super::state::{DispatcherState, Due, Flight, Open, Outputs};
-use crate::router::answer::Reply;
-
-/// Part of a route's aims after which a silent server is looked at, and the least, in milliseconds.
-const IDLE_TIMEOUT_PART: f64 = 0.4;
-const LEAST_IDLE_TIMEOUT_MS: f64 = 100.0;
-/// Shortest pause that a refused client is asked for.
-const LEAST_PAUSE: Nanos = 60 * MILLISECOND;
-
-/// How long a server may be silent, before its answer and within it, until it is looked whether it is there at all.
-fn idle_timeouts(route: &Route) -> (Duration, Duration) {
-    let part = |ms: f64, least: f64| Duration::from_secs_f64((ms * IDLE_TIMEOUT_PART).max(least) / 1000.0);
-    (
-        part(route.latency_target_ms, LEAST_IDLE_TIMEOUT_MS),
-        part(route.event_gap_target_ms, LEAST_IDLE_TIMEOUT_MS),
-    )
+use super::pending_request::{InFlightAttempt, PendingRequest};
+use super::state::{DispatcherState, Outputs, TimerEvent, unit_interval};
+use crate::router::attempt::{AttemptId, AttemptSpec, ForwardedRequest, IdleTimeouts, ServerKey, ServiceId};
+use crate::router::client_response::ClientResponse;
+use crate::router::rejection::Rejection;
+
+/// A request that the balancer has not ended this long after its deadline is ended all the same.
+const REQUEST_TIMEOUT_MARGIN: Nanos = 15 * MILLISECOND;
+/// A silent server is probed after this part of the route's latency target ...
+const IDLE_TIMEOUT_FRACTION: f64 = 0.4;
+/// ... and after this at the least, in milliseconds.
+const MIN_IDLE_TIMEOUT_MS: f64 = 100.0;
+/// The least `Retry-After` of a rejected request.
+const MIN_RETRY_AFTER: Nanos = 60 * MILLISECOND;
+
+/// A client's request, received to its end.
+pub struct IncomingRequest {
+    /// The client's id of it.
+    pub id: Rc<str>,
+    /// When its client stops waiting, or its route's timeout passes.
+    pub not_after: Nanos,
+    /// Its route.
+    pub route: Rc<Route>,
+    /// What its headers say of its prompt.
+    pub prompt: Prompt,
+    /// The last event that its client has.
+    pub last_event_id: Option<u64>,
+    /// What is forwarded.
+    pub forwarded: ForwardedRequest,
 }
 
 impl DispatcherState {
+    /// Submits a request to the balancer of a service of its route. None where a request with its id is in progress.
     pub(super) fn submit(
         &mut self,
-        asked: Asked,
-        reply: oneshot::Sender<Reply>,
+        incoming: IncomingRequest,
+        response: oneshot::Sender<ClientResponse>,
         outputs: &mut Outputs,
     ) -> Option<RequestId> {
-        if !self.open_ids.insert(asked.id.clone()) {
+        if !self.ids_in_progress.insert(incoming.id.clone()) {
             return None;
         }
-        let draw = match asked.prompt.affinity_key().filter(|_| asked.route.sticky) {
-            // What servers keep of a session is of use only where the next request of it goes as well.
-            Some(shared) => {
-                (hash_mix(shared ^ fnv1a_hash(asked.route.name.as_bytes())) >> 11) as f64
-                    / (1_u64 << 53) as f64
-            }
-            None => self.draw(),
-        };
-        let service = select_service(&asked.route, draw).unwrap_or_default().to_owned();
-        let service = self.service(&service);
-        let class = self.class(service, &asked.route).unwrap_or_default();
-        let request = RequestId(self.next_request);
-        self.next_request += 1;
-        let homes = self.homes(&asked.route);
-        let aim = (asked.route.latency_target_ms.max(1.0) * MILLISECOND as f64) as Nanos;
-        if let Some(balanced) = self.services.get(&service) {
-            balanced.placement.borrow_mut().add_request(request, homes, asked.prompt, aim);
+        let route = incoming.route;
+        let service = self.choose_service(&route, &incoming.prompt);
+        let class = self.request_class(service, &route).unwrap_or_default();
+        let request = self.next_request_id();
+        let home_regions = self.regions.home_regions(&route);
+        let latency_target = (route.latency_target_ms.max(1.0) * MILLISECOND as f64) as Nanos;
+        if let Some(service) = self.services.get(&service) {
+            let mut placement = service.placement.borrow_mut();
+            placement.add_request(request, home_regions, incoming.prompt, latency_target);
         }
-        let open = Open {
+        let not_after = incoming.not_after;
+        let pending = PendingRequest {
             service,
-            id: asked.id,
-            route: asked.route,
-            call: Rc::new(asked.call),
-            came: self.clock.now(),
-            not_after: asked.not_after,
-            reply: Some(reply),
-            sink: None,
-            last_event: asked.last_event,
+            id: incoming.id,
+            route,
+            forwarded: Rc::new(incoming.forwarded),
+            received_at: self.clock.now(),
+            not_after,
+            response: Some(response),
+            stream: None,
+            last_event_id: incoming.last_event_id,
             failure: None,
             attempts: Vec::new(),
-            ended: false,
+            has_ended: false,
         };
-        let not_after = open.not_after;
-        self.requests.insert(request, open);
-        self.set_timer(not_after + BACKSTOP, Due::Backstop(request), outputs);
+        self.requests.insert(request, pending);
+        self.set_timer(timeout_at(not_after), TimerEvent::RequestTimeout(request), outputs);
         let arrival =
             Arrival { request, class, expected_work: None, is_retry: false, tenant: None, not_after };
         self.handle_event(service, Event::Request(arrival), outputs);
         Some(request)
     }
 
+    /// The service of a request: drawn by the route's weights. All requests of a session draw the same, as its prefix cache is of
+    /// use to no other service.
+    fn choose_service(&mut self, route: &Route, prompt: &Prompt) -> ServiceId {
+        let draw = match prompt.affinity_key().filter(|_| route.sticky) {
+            Some(session) => unit_interval(hash_mix(session ^ fnv1a_hash(route.name.as_bytes()))),
+            None => self.draw(),
+        };
+        let name = select_service(route, draw).unwrap_or_default();
+        self.service_id(name)
+    }
+
+    /// Begins an attempt that the balancer has decided on.
     pub(super) fn send(
         &mut self,
-        service: Service,
-        request: RequestId,
+        service_id: ServiceId,
+        request_id: RequestId,
         backend: BackendId,
         outputs: &mut Outputs,
     ) {
         let now = self.clock.now();
-        let (Some(open), Some(balanced)) = (self.requests.get_mut(&request), self.services.get_mut(&service))
-        else {
+        let Some(request) = self.requests.get_mut(&request_id) else { return };
+        let Some(service) = self.services.get_mut(&service_id) else { return };
+        let server_key = ServerKey { service: service_id, backend };
+        let id = AttemptId { server: server_key, request: request_id, number: request.attempts.len() as u32 };
+        let (cancel, cancelled) = oneshot::channel();
+        request.attempts.push(Some(InFlightAttempt {
+            started_at: now,
+            first_event_latency: None,
+            cancel: Some(cancel),
+        }));
+        let Some(server) = service.servers.get(&backend) else {
+            outputs.unsendable_attempts.push(id);
             return;
         };
-        let ticket = Ticket { service, backend, request, attempt: open.attempts.len() as u32 };
-        let (withdraw, withdrawn) = oneshot::channel();
-        open.attempts.push(Some(Flight { since: now, began: None, withdraw: Some(withdraw) }));
-        let Some(known) = balanced.backends.get(&backend) else {
-            outputs.not_sent.push(ticket);
-            return;
-        };
-        outputs.launches.push(Launch {
-            ticket,
-            id: open.id.clone(),
-            endpoint: known.endpoint,
-            region: known.region,
-            instance: known.instance.clone(),
-            call: open.call.clone(),
-            streams: open.route.route_kind == RouteKind::Streaming,
-            movable: open.route.is_idempotent(),
-            idle_timeouts: idle_timeouts(&open.route),
-            last_event: open.last_event,
-            give_up: open.not_after,
-            not_after: open.not_after,
-            withdrawn,
+        outputs.attempts.push(AttemptSpec {
+            id,
+            request_id: request.id.clone(),
+            endpoint: server.endpoint,
+            region: server.region,
+            instance: server.instance.clone(),
+            request: request.forwarded.clone(),
+            may_stream: request.route.route_kind == RouteKind::Streaming,
+            is_idempotent: request.route.is_idempotent(),
+            idle_timeouts: idle_timeouts(&request.route),
+            last_event_id: request.last_event_id,
+            not_after: request.not_after,
+            cancelled,
         });
     }
 
-    pub(super) fn refuse(&mut self, request: RequestId, pause: Nanos) {
-        let failure = self.requests.get_mut(&request).and_then(|open| open.failure.take());
-        let reply = match failure {
-            // A server has answered, if only that it failed.
-            Some((head, body)) => Reply::Whole(head, body),
-            None => Reply::Refused(pause.max(LEAST_PAUSE)),
-        };
-        self.finish(request, reply);
+    /// Ends a request that was never executed, or only by servers that reported their failure.
+    pub(super) fn reject(&mut self, request: RequestId, retry_after: Nanos) {
+        let retry_after = retry_after.max(MIN_RETRY_AFTER);
+        self.finish_with_failure_or(request, Rejection::Overloaded { retry_after });
     }
 
+    /// Ends a request that may have been executed.
     pub(super) fn fail(&mut self, request: RequestId) {
-        let failure = self.requests.get_mut(&request).and_then(|open| open.failure.take());
-        let reply = match failure {
-            Some((head, body)) => Reply::Whole(head, body),
-            None => {
-                Reply::Failed(StatusCode::BAD_GATEWAY, "the server's answer did not come; it may have run")
-            }
-        };
-        self.finish(request, reply);
+        self.finish_with_failure_or(request, Rejection::ResponseLost);
     }
 
-    /// The one place that ends requests that no server has served.
-    pub(super) fn finish(&mut self, request: RequestId, reply: Reply) {
-        let Some(open) = self.requests.get_mut(&request).filter(|open| !open.ended) else { return };
-        open.ended = true;
-        if let Some(waits) = open.reply.take() {
-            let _ = waits.send(reply);
-        }
-        open.sink = None;
-        for flight in open.attempts.iter_mut().flatten() {
-            let _ = flight.withdraw.take().map(|withdraw| withdraw.send(()));
-        }
-        self.forget_if_done(request);
+    /// Ends a request with the response by which a server reported its failure, or with this rejection where there is none.
+    fn finish_with_failure_or(&mut self, request: RequestId, rejection: Rejection) {
+        let failure = self.requests.get_mut(&request).and_then(|request| request.failure.take());
+        let response = failure.map_or(ClientResponse::Rejected(rejection), ClientResponse::Complete);
+        self.finish(request, response);
     }
 
-    pub(super) fn client_gone(&mut self, request: RequestId, outputs: &mut Outputs) {
-        let Some(open) = self.requests.get_mut(&request) else { return };
-        if open.ended {
-            return;
-        }
-        open.ended = true;
-        (open.reply, open.sink) = (None, None);
-        for flight in open.attempts.iter_mut().flatten() {
-            let _ = flight.withdraw.take().map(|withdraw| withdraw.send(()));
+    /// Ends a request that no server has served.
+    pub(super) fn finish(&mut self, id: RequestId, response: ClientResponse) {
+        let Some(request) = self.requests.get_mut(&id).filter(|request| !request.has_ended) else { return };
+        request.has_ended = true;
+        if let Some(sender) = request.response.take() {
+            let _ = sender.send(response);
         }
-        let service = open.service;
-        self.handle_event(service, Event::ClientDisconnected { request }, outputs);
-        self.forget_if_done(request);
+        request.stream = None;
+        request.cancel_attempts();
+        self.remove_if_done(id);
     }
 
-    /// Forgets a request that has ended once its last attempt has.
-    pub(super) fn forget_if_done(&mut self, request: RequestId) {
-        let done = |open: &Open| open.ended && open.attempts.iter().all(Option::is_none);
-        if !self.requests.get(&request).is_some_and(done) {
+    /// Cancels a request whose client has disconnected.
+    pub(super) fn client_disconnected(&mut self, id: RequestId, outputs: &mut Outputs) {
+        let Some(request) = self.requests.get_mut(&id).filter(|request| !request.has_ended) else { return };
+        request.has_ended = true;
+        request.response = None;
+        request.stream = None;
+        request.cancel_attempts();
+        let service = request.service;
+        self.handle_event(service, Event::ClientDisconnected { request: id }, outputs);
+        self.remove_if_done(id);
+    }
+
+    /// Removes a request that has ended once its last attempt has.
+    pub(super) fn remove_if_done(&mut self, id: RequestId) {
+        if !self.requests.get(&id).is_some_and(PendingRequest::is_done) {
             return;
         }
-        let Some(open) = self.requests.remove(&request) else { return };
-        self.open_ids.remove(&open.id);
-        self.timers.remove(&(open.not_after + BACKSTOP, Due::Backstop(request)));
-        if let Some(balanced) = self.services.get(&open.service) {
-            balanced.placement.borrow_mut().remove_request(request);
+        let Some(request) = self.requests.remove(&id) else { return };
+        self.ids_in_progress.remove(&request.id);
+        self.timers.remove(&(timeout_at(request.not_after), TimerEvent::RequestTimeout(id)));
+        if let Some(service) = self.services.get(&request.service) {
+            service.placement.borrow_mut().remove_request(id);
         }
     }
 }
+
+/// When a request is ended that the balancer has not ended.
+fn timeout_at(not_after: Nanos) -> Nanos {
+    not_after + REQUEST_TIMEOUT_MARGIN
+}
+
+/// How long a server may be silent until it is probed.
+fn idle_timeouts(route: &Route) -> IdleTimeouts {
+    let fraction = |target_ms: f64| {
+        let milliseconds = (target_ms * IDLE_TIMEOUT_FRACTION).max(MIN_IDLE_TIMEOUT_MS);
+        Duration::from_secs_f64(milliseconds / 1000.0)
+    };
+    IdleTimeouts { head: fraction(route.latency_target_ms), chunk: fraction(route.event_gap_target_ms) }
+}
--- a/system/src/router/dispatch/server_list.rs
+++ b/system/src/router/dispatch/server_list.rs
@@ -1,4 +1,4 @@
-//! Takes the platform's list of servers in, service by service.
+//! Applies the server list to the services: which servers take new requests, drain, warm up, or are gone.
 
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
@@ -10,28 +10,50 @@
 use ivyhatch_routing::placement::ListedServer;
 use ivyhatch_routing::watch_client::EvacuationState;
 
-use super::COLD_MORE;
-use super::attempt::Service;
-use super::state::{Balanced, DispatcherState, Known, Outputs};
+use super::service::{ServerEntry, Service};
+use super::state::{DispatcherState, Outputs, WARM_UP_MARGIN};
+use crate::router::attempt::{ServerKey, ServiceId};
+
+/// A server of the list, with what this router knows of its zone.
+struct ListedInZone {
+    server: Server,
+    region: u32,
+    evacuation: EvacuationState,
+}
+
+/// What a new list changes for a service.
+#[derive(Default)]
+struct MembershipChange {
+    /// Servers that came, changed or left, for the balancer.
+    members: Vec<Member>,
+    /// Servers whose idle connections are of no more use.
+    drained: Vec<BackendId>,
+}
 
 impl DispatcherState {
-    pub(super) fn servers(
+    pub(super) fn set_servers(
         &mut self,
         servers: Vec<Server>,
         evacuation: impl Fn(&str) -> EvacuationState,
         outputs: &mut Outputs,
     ) {
-        let (now, quorum_reachable) = (self.clock.now(), self.quorum_reachable);
-        let mut by_service: BTreeMap<Service, Vec<(Server, u32)>> =
+        let now = self.clock.now();
+        let is_quorum_reachable = self.is_quorum_reachable;
+        // Services without servers are listed as well: all of theirs have left.
+        let mut by_service: BTreeMap<ServiceId, Vec<ListedInZone>> =
             self.services.keys().map(|service| (*service, Vec::new())).collect();
         for server in servers {
-            let (service, region) = (self.service(&server.service), self.region(&server.zone));
-            by_service.entry(service).or_default().push((server, region));
+            let service = self.service_id(&server.service);
+            let region = self.regions.index_of_zone(&server.zone);
+            let evacuation = evacuation(&server.zone);
+            by_service.entry(service).or_default().push(ListedInZone { server, region, evacuation });
         }
         for (id, servers) in by_service {
             let Some(service) = self.services.get_mut(&id) else { continue };
-            let (members, retired) = service.list(now, servers, quorum_reachable, &evacuation);
-            outputs.retired.extend(retired.into_iter().map(|backend| (id, backend)));
+            let MembershipChange { members, drained } =
+                service.set_servers(now, servers, is_quorum_reachable);
+            let drained = drained.into_iter().map(|backend| ServerKey { service: id, backend });
+            outputs.drained_servers.extend(drained);
             if !members.is_empty() {
                 self.handle_event(id, Event::Membership { scope: ListScope::Changes, members }, outputs);
             }
@@ -39,72 +61,107 @@
     }
 }
 
-impl Balanced {
-    /// Takes the list of this service's servers in. Returns what has changed, and whose idle connections are of no more use.
-    fn list(
+impl Service {
+    /// Replaces the list of this service's servers.
+    fn set_servers(
         &mut self,
         now: Nanos,
-        servers: Vec<(Server, u32)>,
-        quorum_reachable: bool,
-        evacuation: &impl Fn(&str) -> EvacuationState,
-    ) -> (Vec<Member>, Vec<BackendId>) {
-        let (mut members, mut retired, mut there) = (Vec::new(), Vec::new(), HashSet::new());
-        let mut placement = self.placement.borrow_mut();
-        for (server, region) in servers {
-            let Ok(endpoint) = server.address.parse::<SocketAddr>() else {
-                log::warn!("event=server_without_address id={} address={:?}", server.id, server.address);
+        servers: Vec<ListedInZone>,
+        is_quorum_reachable: bool,
+    ) -> MembershipChange {
+        let mut change = MembershipChange::default();
+        let mut listed = HashSet::new();
+        for server in servers {
+            let Ok(endpoint) = server.server.address.parse::<SocketAddr>() else {
+                let Server { id, address, .. } = &server.server;
+                log::warn!("event=server_address_invalid id={id} address={address:?}");
                 continue;
             };
-            let id = *self.ids.entry(server.id.clone()).or_insert_with(|| {
-                self.next_backend += 1;
-                BackendId(self.next_backend)
-            });
-            there.insert(id);
-            let EvacuationState { active: evacuated, change_count: evacuations } = evacuation(&server.zone);
-            let leaves = server.draining || server.lifetime_remaining_ms.is_some();
-            // Out of touch nobody knows whether the zone is evacuated still.
-            let last_resort = evacuated && !quorum_reachable;
-            let leaves = leaves || (evacuated && quorum_reachable);
-            let stage = if leaves { BackendState::Draining } else { BackendState::InService };
-            let cold_left = Nanos::from(server.warm_up_remaining_ms) * MILLISECOND;
-            let cold_until = if cold_left > 0 { now + cold_left + COLD_MORE } else { 0 };
-            let listed = ListedServer {
-                name: &server.id,
-                region,
-                slow_start_until: cold_until,
-                is_last_resort: last_resort,
-            };
-            placement.upsert_server(id, listed);
-            let known = self.backends.get(&id);
-            // Its zone has just been taken back: its servers may have turned cold meanwhile.
-            if known.is_some_and(|known| known.evacuations != evacuations) && !evacuated {
-                placement.restart_slow_start(now, id);
-            }
-            let changed = known.is_none_or(|known| known.stage != stage || known.endpoint != endpoint);
-            if changed {
-                if stage != BackendState::InService {
-                    retired.push(id);
-                }
-                members.push(Member {
-                    backend: id,
-                    zone: ZoneId(region),
-                    state: stage,
-                    weight: f64::from(server.slots.max(1)),
-                    ..Member::default()
-                });
+            let id = self.backend_id(&server.server.id);
+            listed.insert(id);
+            self.update_placement(now, id, &server, is_quorum_reachable);
+            self.update_server(id, endpoint, &server, is_quorum_reachable, &mut change);
+        }
+        self.remove_unlisted_servers(&listed, &mut change);
+        change
+    }
+
+    fn update_placement(
+        &mut self,
+        now: Nanos,
+        id: BackendId,
+        listed: &ListedInZone,
+        is_quorum_reachable: bool,
+    ) {
+        let evacuation = listed.evacuation;
+        let warm_up_remaining = Nanos::from(listed.server.warm_up_remaining_ms) * MILLISECOND;
+        let slow_start_until =
+            if warm_up_remaining > 0 { now + warm_up_remaining + WARM_UP_MARGIN } else { 0 };
+        let mut placement = self.placement.borrow_mut();
+        placement.upsert_server(
+            id,
+            ListedServer {
+                name: &listed.server.id,
+                region: listed.region,
+                slow_start_until,
+                // Without a quorum it is unknown whether the evacuation still holds.
+                is_last_resort: evacuation.active && !is_quorum_reachable,
+            },
+        );
+        let known = self.servers.get(&id);
+        let was_evacuated = known.is_some_and(|known| known.evacuation_changes != evacuation.change_count);
+        if was_evacuated && !evacuation.active {
+            // Without requests, the server may have lost what made it warm.
+            placement.restart_slow_start(now, id);
+        }
+    }
+
+    fn update_server(
+        &mut self,
+        id: BackendId,
+        endpoint: SocketAddr,
+        listed: &ListedInZone,
+        is_quorum_reachable: bool,
+        change: &mut MembershipChange,
+    ) {
+        let server = &listed.server;
+        let is_evacuated = listed.evacuation.active && is_quorum_reachable;
+        let is_draining = server.draining || server.lifetime_remaining_ms.is_some() || is_evacuated;
+        let state = if is_draining { BackendState::Draining } else { BackendState::InService };
+        let known = self.servers.get(&id);
+        if known.is_none_or(|known| known.state != state || known.endpoint != endpoint) {
+            if is_draining {
+                change.drained.push(id);
             }
-            let instance = Rc::from(server.id.as_str());
-            self.backends.insert(id, Known { endpoint, region, instance, server, stage, evacuations });
+            change.members.push(Member {
+                backend: id,
+                zone: ZoneId(listed.region),
+                state,
+                weight: f64::from(server.slots.max(1)),
+                ..Member::default()
+            });
         }
-        let gone: Vec<BackendId> = self.backends.keys().filter(|id| !there.contains(*id)).copied().collect();
-        for id in gone {
-            if let Some(known) = self.backends.remove(&id) {
-                self.ids.remove(&known.server.id);
+        let entry = ServerEntry {
+            endpoint,
+            region: listed.region,
+            instance: Rc::from(server.id.as_str()),
+            state,
+            evacuation_changes: listed.evacuation.change_count,
+        };
+        self.servers.insert(id, entry);
+    }
+
+    fn remove_unlisted_servers(&mut self, listed: &HashSet<BackendId>, change: &mut MembershipChange) {
+        let mut placement = self.placement.borrow_mut();
+        let removed: Vec<BackendId> =
+            self.servers.keys().filter(|id| !listed.contains(*id)).copied().collect();
+        for id in removed {
+            if let Some(server) = self.servers.remove(&id) {
+                self.backend_ids.remove(&*server.instance);
             }
             placement.remove_server(id);
-            retired.push(id);
-            members.push(Member { backend: id, state: BackendState::Removed, ..Member::default() });
+            change.drained.push(id);
+            change.members.push(Member { backend: id, state: BackendState::Removed, ..Member::default() });
         }
-        (members, retired)
     }
 }
--- a/system/src/router/dispatch/services.rs
+++ b/system/src/router/dispatch/services.rs
@@ -1,160 +1,121 @@
-//! Services as the configuration has them: each one's balancer, its classes of requests, and the share of this router.
+//! The services of the configuration: the settings of their balancers, and this router's share of their capacity.
 
 use std::cell::RefCell;
-use std::collections::HashMap;
 use std::rc::Rc;
 
 use ivyhatch_balancer::{
-    Balancer, ClassId, ClassSettings, Discovery, Event, Idempotency, LoadReporting, ZoneId,
+    Balancer, ClassId, ClassSettings, Discovery, Event, LoadReporting, Settings as BalancerSettings, ZoneId,
 };
-use ivyhatch_protocol::configuration::Route;
+use ivyhatch_protocol::configuration::{Route, Service as ServiceConfiguration};
 use ivyhatch_protocol::hash::fnv1a_hash;
+use ivyhatch_protocol::settings::Bounds;
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
-use ivyhatch_routing::placement::{Placement, RegionSet, ServiceSettings, SharedPlacement, SlowStartLimit};
+use ivyhatch_routing::placement::{Placement, ServiceSettings, SharedPlacement, SlowStartLimit};
 use ivyhatch_routing::route_table::{PreparedChange, UnreadableItem};
 use ivyhatch_routing::router_share::RouterShare;
 
-use super::COLD_MORE;
-use super::attempt::Service;
-use super::state::{Balanced, DispatcherState};
+use super::service::{LATE_VALUE_SHARE, Service};
+use super::state::{DispatcherState, WARM_UP_MARGIN};
+use crate::router::attempt::ServiceId;
 
-/// Part of its aim for which a request that was never sent is held: a refusal has to come within a quarter.
-const HELD_PART: f64 = 0.2;
-/// Longest pause that a refused client is asked for.
-const PAUSE: Nanos = 400 * MILLISECOND;
-/// Share of a late answer's worth; what it is exactly is not told.
-const LATE_SHARE: f64 = 0.5;
-/// With more routers a region than this the design would take each for one that sees next to nothing; servers tell their load.
-const MOST_ROUTERS_A_REGION: u32 = 8;
-/// Part of the slack for repeats that the routers share out; the rest is for routers that are not known of yet.
-const SAVED_PART: f64 = 0.8;
-/// As long as their number is not known.
-const USUAL_ROUTERS_A_REGION: u32 = 4;
+/// The longest `Retry-After` of a rejected request.
+const MAX_RETRY_AFTER: Nanos = 400 * MILLISECOND;
+/// With more routers in a region than this a balancer would assume that it sees hardly any of the requests; servers report their load.
+const MAX_ROUTERS_PER_REGION: u32 = 8;
+/// The number of routers in a region as long as it is unknown.
+const DEFAULT_ROUTERS_PER_REGION: u32 = 4;
+/// The part of the retry budget that the known routers share; the rest is for routers that are not known yet.
+const SHARED_RETRY_BUDGET_FRACTION: f64 = 0.8;
 
 impl DispatcherState {
-    pub(super) fn region(&self, zone: &str) -> u32 {
-        let region = self.zones.get(zone).map_or(zone, String::as_str);
-        let at = self.regions.iter().position(|known| known == region);
-        // One that the settings do not name is nobody's home.
-        at.unwrap_or(self.regions.len()) as u32
-    }
-
-    /// Regions in which a route's requests may be served.
-    pub(super) fn homes(&self, route: &Route) -> RegionSet {
-        if route.home_regions.is_empty() {
-            return RegionSet::MAX;
-        }
-        let bit = |region: &String| {
-            let at = self.regions.iter().position(|known| known == region);
-            at.filter(|at| *at < 64).map_or(0, |at| 1 << at)
-        };
-        route.home_regions.iter().map(bit).fold(0, |all: RegionSet, bit: RegionSet| all | bit)
-    }
-
     pub(super) fn configure(&mut self, change: PreparedChange) -> Vec<UnreadableItem> {
-        let unreadable = self.table.commit(change);
+        let invalid_items = self.route_table.commit(change);
         let services: Vec<(Rc<str>, ServiceSettings)> = self
-            .table
+            .route_table
             .services()
-            .map(|service| {
-                let bound = service.warm_up_rate_per_s * self.bounds.warm_up_rate_factor
-                    + self.bounds.warm_up_rate_slack;
-                let requests_per_second = if service.warm_up_rate_per_s > 0.0 { bound } else { 0.0 };
-                let duration = (service.warm_up_s * SECOND as f64) as Nanos + COLD_MORE;
-                let slow_start = SlowStartLimit { requests_per_second, duration };
-                let settings = ServiceSettings { is_model: service.engine.is_some(), slow_start };
-                (Rc::from(service.name.as_str()), settings)
-            })
+            .map(|service| (Rc::from(service.name.as_str()), service_settings(service, &self.bounds)))
             .collect();
         for (name, settings) in services {
-            let id = self.service(&name);
+            let id = self.service_id(&name);
             if let Some(service) = self.services.get(&id) {
                 service.placement.borrow_mut().configure(settings);
             }
         }
-        unreadable
-    }
-
-    pub(super) fn nodes(&self) -> u32 {
-        let regions = self.regions.len().max(1) as u32;
-        self.routers.unwrap_or(USUAL_ROUTERS_A_REGION * regions).clamp(1, MOST_ROUTERS_A_REGION * regions)
+        invalid_items
     }
 
-    pub(super) fn set_routers(&mut self, routers: u32, place: u32) {
-        self.routers = Some(routers.max(1));
-        self.place = place;
-        let nodes = self.nodes();
-        let saved = self.bounds.retry_budget_slack * SAVED_PART / f64::from(routers.max(1));
+    pub(super) fn set_router_share(&mut self, share: RouterShare) {
+        // A router that is not in the directory yet shares the servers with itself.
+        self.router_share = Some(RouterShare { count: share.count.max(1), ..share });
+        let nodes = self.balancing_nodes();
+        let budget = self.bounds.retry_budget_slack * SHARED_RETRY_BUDGET_FRACTION;
+        let max_retry_tokens = budget / f64::from(share.count.max(1));
         for service in self.services.values_mut() {
             service.balancer.set_nodes(nodes);
-            service.balancer.set_max_retry_tokens(saved);
-            service.placement.borrow_mut().set_router_share(RouterShare { count: routers, index: place });
+            service.balancer.set_max_retry_tokens(max_retry_tokens);
+            service.placement.borrow_mut().set_router_share(share);
         }
     }
 
-    /// A service's number; a new one gets a balancer.
-    pub(super) fn service(&mut self, name: &str) -> Service {
-        if let Some(id) = self.names.get(name) {
+    /// How many routers a balancer shares the servers with.
+    fn balancing_nodes(&self) -> u32 {
+        let regions = self.regions.count().max(1);
+        let routers = match self.router_share {
+            Some(share) => share.count,
+            None => DEFAULT_ROUTERS_PER_REGION * regions,
+        };
+        routers.clamp(1, MAX_ROUTERS_PER_REGION * regions)
+    }
+
+    /// The id of a service; a new one, with a balancer of its own, where the name is unknown.
+    pub(super) fn service_id(&mut self, name: &str) -> ServiceId {
+        if let Some(id) = self.service_ids.get(name) {
             return *id;
         }
-        let (id, name) = (Service(self.names.len() as u32), Rc::<str>::from(name));
-        let regions = self.regions.len() as u32;
-        let mut settings = ivyhatch_balancer::Settings::new(ZoneId(self.home), regions);
-        settings.nodes = self.nodes();
-        settings.classes = vec![ClassSettings { late_value_share: LATE_SHARE, ..ClassSettings::default() }];
+        let id = ServiceId(self.service_ids.len() as u32);
+        let name = Rc::<str>::from(name);
+        let seed = self.random_state ^ fnv1a_hash(name.as_bytes());
+        let now = self.clock.now();
+        // The settings are constants of this file, and valid.
+        let Ok(mut balancer) = Balancer::new(self.balancer_settings(), seed, now) else { return id };
+        balancer.handle(now, Event::Start, &mut Vec::new());
+        let placement = Rc::new(RefCell::new(Placement::new(self.regions.home, self.regions.count())));
+        if let Some(share) = self.router_share {
+            placement.borrow_mut().set_router_share(share);
+        }
+        balancer.set_advisor(Box::new(SharedPlacement(placement.clone())));
+        self.service_ids.insert(name.clone(), id);
+        self.services.insert(id, Service::new(name, balancer, placement));
+        id
+    }
+
+    fn balancer_settings(&self) -> BalancerSettings {
+        let mut settings = BalancerSettings::new(ZoneId(self.regions.home), self.regions.count());
+        settings.nodes = self.balancing_nodes();
+        settings.classes =
+            vec![ClassSettings { late_value_share: LATE_VALUE_SHARE, ..ClassSettings::default() }];
         settings.discovery = Discovery::Pushed;
         settings.reports = LoadReporting::Piggyback;
         settings.clients_mark_retries = true;
         settings.limits.hedging = false;
-        settings.limits.max_retry_after = PAUSE;
+        settings.limits.max_retry_after = MAX_RETRY_AFTER;
         settings.rules.initial_capacity = 1.0;
+        // Slow start is the placement's: the balancer's own is switched off by the shortest time.
         settings.rules.warm_up_time = 1;
-        let seed = self.random ^ fnv1a_hash(name.as_bytes());
-        let now = self.clock.now();
-        // The settings are the program's own: they are sound.
-        let Ok(mut balancer) = Balancer::new(settings, seed, now) else { return id };
-        balancer.handle(now, Event::Start, &mut Vec::new());
-        let placement = Rc::new(RefCell::new(Placement::new(self.home, regions)));
-        if let Some(routers) = self.routers {
-            placement.borrow_mut().set_router_share(RouterShare { count: routers, index: self.place });
-        }
-        balancer.set_advisor(Box::new(SharedPlacement(placement.clone())));
-        self.names.insert(name.clone(), id);
-        let balanced = Balanced {
-            name,
-            balancer,
-            placement,
-            classes: HashMap::new(),
-            ids: HashMap::new(),
-            backends: HashMap::new(),
-            next_backend: 0,
-        };
-        self.services.insert(id, balanced);
-        id
+        settings
     }
-    pub(super) fn class(&mut self, service: Service, route: &Route) -> Option<ClassId> {
-        let aim = (route.latency_target_ms.max(1.0) * MILLISECOND as f64) as Nanos;
-        let key = (aim, route.priority, route.max_attempts, route.is_idempotent());
-        let balanced = self.services.get_mut(&service)?;
-        if let Some(class) = balanced.classes.get(&key) {
-            return Some(*class);
-        }
-        let class = balanced.balancer.add_class(ClassSettings {
-            latency_target: aim,
-            deadline: (route.timeout_ms.max(1.0) * MILLISECOND as f64) as Nanos,
-            // The more urgent, the more it is worth; by how much is not told.
-            value: 4.0 / f64::from(1 + route.priority.min(9)),
-            late_value_share: LATE_SHARE,
-            idempotency: if route.is_idempotent() {
-                Idempotency::Idempotent
-            } else {
-                Idempotency::NonIdempotent
-            },
-            max_attempts: Some(route.max_attempts.max(1)),
-            max_queue_time: Some((aim as f64 * HELD_PART) as Nanos),
-            retry_past_target: true,
-        });
-        balanced.classes.insert(key, class);
-        Some(class)
+
+    /// The balancer's class for a route's requests.
+    pub(super) fn request_class(&mut self, service: ServiceId, route: &Route) -> Option<ClassId> {
+        self.services.get_mut(&service).map(|service| service.request_class(route))
     }
 }
+
+/// What the configuration says of a service, for its placement.
+fn service_settings(service: &ServiceConfiguration, bounds: &Bounds) -> ServiceSettings {
+    let limit = service.warm_up_rate_per_s * bounds.warm_up_rate_factor + bounds.warm_up_rate_slack;
+    let requests_per_second = if service.warm_up_rate_per_s > 0.0 { limit } else { 0.0 };
+    let duration = (service.warm_up_s * SECOND as f64) as Nanos + WARM_UP_MARGIN;
+    let slow_start = SlowStartLimit { requests_per_second, duration };
+    ServiceSettings { is_model: service.engine.is_some(), slow_start }
+}
--- a/system/src/router/mod.rs
+++ b/system/src/router/mod.rs
@@ -8,10 +8,14 @@
 //! - [`watch_session`]: the configuration and the server list, from control nodes
 //! - [`readiness`]: whether clients may be sent here
 
-mod answer;
+mod attempt;
+mod client_response;
 mod clients;
 mod dispatch;
+mod headers;
 mod readiness;
+mod rejection;
+mod response_body;
 mod upstream;
 mod watch_session;
 
--- a/system/src/router/upstream/pool.rs
+++ b/system/src/router/upstream/pool.rs
@@ -1,4 +1,7 @@
-//! Connections to servers: opened within a bounded time and number, kept while idle, and used for one request at a time.
+//! The pool of connections to servers: opened within a bounded time and number, kept while idle, and used for one request at a time.
+//!
+//! A connection is owned by the pool while idle, and by an attempt in between. Its own task drives it, counts it as open until it is
+//! closed, and ends when its sender is dropped.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -9,7 +12,6 @@
 use http_body_util::Full;
 use hyper::client::conn::http1::{Builder, SendRequest};
 use hyper_util::rt::TokioIo;
-use ivyhatch_balancer::BackendId;
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 use tokio::net::TcpStream;
 use tokio::sync::OnceCell;
@@ -17,61 +19,61 @@
 use tokio::time::{sleep, timeout};
 
 use crate::clock::Clock;
-use crate::router::dispatch::{Launch, Service};
+use crate::router::attempt::{AttemptSpec, ServerKey};
 use crate::transport::socket::set_options;
 
-/// The longest head of an answer, in bytes.
+/// The longest head of a response.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
-/// A connection that is not up by then counts as failed, as long as the round trip to its region is not known ...
+/// The longest timeout of a connect, and the one for a region whose round trip is unknown.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// ... and after that where it takes this much longer than so many times the shortest one there.
+/// Once the shortest round trip to a region is known, a connect there times out after so many of it and this margin.
 const CONNECT_MARGIN: Duration = Duration::from_millis(120);
 const CONNECT_ROUND_TRIPS: u32 = 4;
-/// A connection rests this long after an answer: what comes behind one shows as not asked for, and so does a close.
-const REST: Nanos = 2 * MILLISECOND;
-/// Servers that say nothing of it are taken to keep an idle connection for so long.
+/// A connection is not reused within this after a response: stray bytes behind that, or a close, are noticed first.
+const MIN_IDLE_TIME: Nanos = 2 * MILLISECOND;
+/// How long servers without a `Keep-Alive` header keep an idle connection.
 pub const DEFAULT_KEEP_ALIVE: Nanos = 4 * SECOND;
-/// A connection is used up to this long before its server closes it.
+/// A connection is not reused within this before its server closes it.
 const KEEP_ALIVE_MARGIN: Nanos = 1200 * MILLISECOND;
-/// Whether a server takes a connection is probed no more often than this.
+/// A server is probed no more often than this.
 const PROBE_INTERVAL: Nanos = 300 * MILLISECOND;
-/// Pause between two searches for connections that have been idle for too long.
+/// Pause between two sweeps of idle connections.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A server of a service.
-pub type Place = (Service, BackendId);
-
-/// A probe of a server's listener, and when it began.
-type Probe = (Nanos, Rc<OnceCell<bool>>);
+/// A probe of a server: whether it refuses connections.
+struct Probe {
+    started_at: Nanos,
+    is_unreachable: Rc<OnceCell<bool>>,
+}
 
-/// A connection that is free for a request.
+/// A connection on which a request can be sent.
 pub struct Connection {
-    /// Its requests are sent by this.
+    /// Sends requests on it.
     pub sender: SendRequest<Full<Bytes>>,
-    /// The id of the request that it carried last; none where it has not carried any.
+    /// The client's id of the last request on it; none on a new connection.
     pub last_request: Option<Rc<str>>,
-    /// Whether it was idle before, so that its server may have closed it.
+    /// Whether it was idle, so that its server may have closed it meanwhile.
     pub was_idle: bool,
 }
 
-struct Idle {
+struct IdleConnection {
     connection: Connection,
     since: Nanos,
-    until: Nanos,
+    reusable_until: Nanos,
 }
 
-impl Idle {
+impl IdleConnection {
     fn is_usable(&self, now: Nanos) -> bool {
-        !self.connection.sender.is_closed() && now < self.until
+        !self.connection.sender.is_closed() && now < self.reusable_until
     }
 }
 
-/// All connections to servers.
+/// All connections to servers, idle or in use.
 pub struct ConnectionPool {
-    idle: RefCell<HashMap<Place, Vec<Idle>>>,
-    /// Probes of servers that have fallen silent.
-    probes: RefCell<HashMap<Place, Probe>>,
-    /// The shortest connect to each region.
+    idle: RefCell<HashMap<ServerKey, Vec<IdleConnection>>>,
+    /// Recent probes of silent servers.
+    probes: RefCell<HashMap<ServerKey, Probe>>,
+    /// The shortest connect to each region, by its index.
     round_trips: RefCell<HashMap<u32, Duration>>,
     open: Rc<Cell<usize>>,
     max_open: usize,
@@ -95,7 +97,7 @@
 }
 
 impl ConnectionPool {
-    /// At most `max_open` connections are open together.
+    /// A pool of at most `max_open` connections. Up to an eighth more may be closing.
     pub fn new(clock: Clock, max_open: usize) -> Self {
         Self {
             idle: RefCell::default(),
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Closes what has been idle for too long; never ends.
+    /// Closes connections that have been idle for too long; never returns.
     pub async fn sweep(&self) {
         loop {
             sleep(SWEEP_INTERVAL).await;
@@ -119,59 +121,66 @@
         }
     }
 
-    /// Drops the idle connections to a server that has left.
-    pub fn retire(&self, place: Place) {
-        self.idle.borrow_mut().remove(&place);
+    /// Drops the idle connections to a server that takes no more requests.
+    pub fn drop_idle(&self, server: ServerKey) {
+        self.idle.borrow_mut().remove(&server);
     }
 
-    /// An idle connection that has rested; the one used last, so that those in excess grow old. Never one that carried the same
-    /// request last: a late copy of the answer then would bear the id of the one that is awaited.
-    pub fn take(&self, place: Place, request: &str) -> Option<Connection> {
+    /// The idle connection that was used last, so that surplus ones expire. Never one whose last request has the same id: a late
+    /// duplicate of that response would pass for the response to this attempt.
+    pub fn take(&self, server: ServerKey, request: &str) -> Option<Connection> {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
-        let idle = idle.get_mut(&place)?;
+        let idle = idle.get_mut(&server)?;
         idle.retain(|idle| idle.is_usable(now));
-        let fits = |idle: &Idle| {
-            let carried = idle.connection.last_request.as_deref();
-            now >= idle.since + REST && carried != Some(request)
+        let is_eligible = |idle: &IdleConnection| {
+            let last_request = idle.connection.last_request.as_deref();
+            now >= idle.since + MIN_IDLE_TIME && last_request != Some(request)
         };
-        let rested = idle.iter().rposition(fits)?;
-        Some(idle.remove(rested).connection)
+        let index = idle.iter().rposition(is_eligible)?;
+        Some(idle.remove(index).connection)
     }
 
-    /// Keeps a connection for the next request, for as long as its server does.
-    pub fn keep(&self, place: Place, connection: Connection, keep_alive: Nanos) {
+    /// Keeps a connection for another request, for as long as its server does.
+    pub fn keep(&self, server: ServerKey, connection: Connection, keep_alive: Nanos) {
         if connection.sender.is_closed() {
             return;
         }
         let now = self.clock.now();
         let connection = Connection { was_idle: true, ..connection };
-        let until = now + keep_alive.saturating_sub(KEEP_ALIVE_MARGIN);
-        self.idle.borrow_mut().entry(place).or_default().push(Idle { connection, since: now, until });
+        let reusable_until = now + keep_alive.saturating_sub(KEEP_ALIVE_MARGIN);
+        self.idle.borrow_mut().entry(server).or_default().push(IdleConnection {
+            connection,
+            since: now,
+            reusable_until,
+        });
     }
 
-    /// Opens a connection to the server of an attempt.
-    pub async fn connect(&self, launch: &Launch) -> Option<Connection> {
-        let (endpoint, region) = (launch.endpoint, launch.region);
+    /// Opens a connection to the server of an attempt. None where that fails or the pool is full.
+    pub async fn connect(&self, spec: &AttemptSpec) -> Option<Connection> {
+        let (endpoint, region) = (spec.endpoint, spec.region);
         if self.open.get() >= self.max_open {
             self.drop_oldest();
         }
-        // One that was dropped is closed a moment later, by its own task.
+        // A dropped connection is closed a moment later, by its own task.
         if self.open.get() >= self.max_open + (self.max_open / 8).max(2) {
             return None;
         }
-        let counted = OpenCount::new(&self.open);
-        let began = self.clock.now();
+        let open_count = OpenCount::new(&self.open);
+        let started_at = self.clock.now();
         let stream = timeout(self.connect_timeout(region), TcpStream::connect(endpoint)).await.ok()?.ok()?;
-        self.note_round_trip(region, Duration::from_nanos(self.clock.now() - began));
+        self.record_round_trip(region, Duration::from_nanos(self.clock.now() - started_at));
         set_options(&stream);
         let mut builder = Builder::new();
         builder.max_buf_size(MAX_HEAD_BYTES);
         let (sender, driver) = builder.handshake(TokioIo::new(stream)).await.ok()?;
         spawn_local(async move {
-            let _counted = counted;
+            let _open_count = open_count;
             if let Err(error) = driver.await {
-                log::debug!("event=connection_broken server={endpoint} error={:?}", error.to_string());
+                log::debug!(
+                    "event=upstream_connection_failed server={endpoint} error={:?}",
+                    error.to_string()
+                );
             }
         });
         Some(Connection { sender, last_request: None, was_idle: false })
@@ -184,28 +193,31 @@
         })
     }
 
-    fn note_round_trip(&self, region: u32, round_trip: Duration) {
+    fn record_round_trip(&self, region: u32, round_trip: Duration) {
         let mut round_trips = self.round_trips.borrow_mut();
         let shortest = round_trips.entry(region).or_insert(round_trip);
         *shortest = round_trip.min(*shortest);
     }
 
-    /// Whether the server of an attempt takes no connection. Attempts that ask at the same time share one probe.
-    pub async fn is_unreachable(&self, launch: &Launch) -> bool {
-        let place = (launch.ticket.service, launch.ticket.backend);
+    /// Whether the server of an attempt accepts no connection. Concurrent attempts share one probe.
+    pub async fn is_unreachable(&self, spec: &AttemptSpec) -> bool {
+        let server = spec.id.server;
         let now = self.clock.now();
         let probe = {
             let mut probes = self.probes.borrow_mut();
-            probes.retain(|_, (since, _)| now < *since + PROBE_INTERVAL);
-            probes.entry(place).or_insert_with(|| (now, Rc::default())).1.clone()
+            probes.retain(|_, probe| now < probe.started_at + PROBE_INTERVAL);
+            let probe = probes
+                .entry(server)
+                .or_insert_with(|| Probe { started_at: now, is_unreachable: Rc::default() });
+            probe.is_unreachable.clone()
         };
-        let unreachable = probe.get_or_init(|| async {
-            let Some(connection) = self.connect(launch).await else { return true };
-            // It serves the next request there.
-            self.keep(place, connection, DEFAULT_KEEP_ALIVE);
+        let is_unreachable = probe.get_or_init(|| async {
+            let Some(connection) = self.connect(spec).await else { return true };
+            // The next request to this server uses it.
+            self.keep(server, connection, DEFAULT_KEEP_ALIVE);
             false
         });
-        *unreachable.await
+        *is_unreachable.await
     }
 
     fn drop_oldest(&self) {
--- a/system/src/router/watch_session.rs
+++ b/system/src/router/watch_session.rs
@@ -121,7 +121,7 @@
                     self.dispatcher.set_quorum_reachable(contact == QuorumContact::Established);
                     servers_changed = true;
                 }
-                Output::RouterShare(share) => self.dispatcher.set_routers(share.count, share.index),
+                Output::RouterShare(share) => self.dispatcher.set_router_share(share),
                 Output::Log(event) => log::info!("event={event}"),
             }
         }
@@ -134,7 +134,7 @@
     fn update_servers(self: &Rc<Self>) {
         let watch_client = self.watch_client.borrow();
         let servers = watch_client.server_list().servers(self.clock.now()).collect();
-        self.dispatcher.servers(servers, |zone| watch_client.evacuation(zone));
+        self.dispatcher.set_servers(servers, |zone| watch_client.evacuation(zone));
         let is_ready = watch_client.is_ready() && self.is_configured.get();
         drop(watch_client);
         if is_ready && self.dispatcher.become_ready() {
