--- a/cli/src/fleet/show.rs
+++ b/cli/src/fleet/show.rs
@@ -4,8 +4,8 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use ivyhatch_admin_protocol::ask;
-use ivyhatch_agent::Shown;
+use ivyhatch_admin_protocol::call;
+use ivyhatch_agent::InstanceStatus;
 use serde_json::{Value, json};
 
 use super::arguments::{Logs, Show, Top};
@@ -72,12 +72,12 @@
     ExitCode::from(code)
 }
 
-fn line(shown: &Shown, as_json: bool) {
+fn line(shown: &InstanceStatus, as_json: bool) {
     if as_json {
         return println!("{}", json!(shown));
     }
-    let open = shown.said.as_ref().map_or("-".into(), |(state, _)| state["open"].to_string());
-    let wanted = json!(shown.wanted);
+    let open = shown.node_state.as_ref().map_or("-".into(), |(state, _)| state["open"].to_string());
+    let wanted = json!(shown.desired_state);
     println!(
         "{:<20} {:<8} {:<13} {:<9} {:>8.1}s {open:>6} {:>6}  {}",
         shown.name,
@@ -107,7 +107,7 @@
             };
             for shown in status.instances.iter().filter(|shown| selects(&show.selectors, shown)) {
                 let what = json!({"op": "logs", "instance": shown.name, "lines": lines});
-                match ask(&socket, &what, SAYS).await.map(|answer| answer["lines"].as_array().cloned()) {
+                match call(&socket, &what, SAYS).await.map(|answer| answer["lines"].as_array().cloned()) {
                     Ok(Some(lines)) => {
                         lines.iter().filter_map(Value::as_str).for_each(|line| match show.agents.json {
                             true => println!("{}", json!({"instance": shown.name, "line": line})),
--- a/system/src/disk.rs
+++ b/system/src/disk.rs
@@ -90,7 +90,7 @@
     for (index, bytes) in records.iter().enumerate() {
         match decode(bytes) {
             Ok(record) => stored.apply(record),
-            Err(error) => return Err(log.reject(index, error.to_string())),
+            Err(error) => return Err(log.reject_record(index, error.to_string())),
         }
     }
     Ok((log, stored))
@@ -144,7 +144,7 @@
     fn write_until_durable(&mut self, records: &[Vec<u8>]) {
         let stored = &self.stored;
         loop {
-            match self.log.write(records, || encode(&stored.records())) {
+            match self.log.append(records, || encode(&stored.records())) {
                 Ok(written) => {
                     if let Some(error) = written.compaction_error {
                         log::warn!("event=compaction_failed error={:?}", error.to_string());
