--- a/balancer/src/reporting.rs
+++ b/balancer/src/reporting.rs
@@ -60,16 +60,16 @@
     }
 
     fn load_reports_line(&self) -> Option<String> {
-        let ages = self.probe_scheduler.as_ref()?.ages(self.now);
+        let stats = self.probe_scheduler.as_ref()?.stats(self.now);
         Some(format!(
             "load reports: {} of {} probed backends ({} listed) known, the oldest {} ms old; {} unreached; \
              {} probes so far",
-            ages.known,
-            ages.kept,
-            ages.listed,
-            ages.oldest / MILLISECOND,
-            ages.unreached,
-            ages.sent
+            stats.fresh_reports,
+            stats.subset,
+            stats.candidates,
+            stats.oldest_report_age / MILLISECOND,
+            stats.unreachable,
+            stats.probes_sent
         ))
     }
 
