--- a/cli/tests/config.rs
+++ b/cli/tests/config.rs
@@ -75,7 +75,7 @@
         assert_eq!(line["span"]["instance"], "a-1", "{line}");
         line["fields"]["message"].as_str().unwrap().to_owned()
     };
-    let at = says("serves at ").split_once("serves at ").unwrap().1.parse().unwrap();
+    let at = says("listening on ").split_once("listening on ").unwrap().1.parse().unwrap();
     discovery.watched_from(1);
     let get =
         "GET /api HTTP/1.1\r\nHost: h\r\nX-Call-Id: 1\r\nX-Call-Class: find\r\nX-Budget-Ms: 2000\r\n\r\n";
@@ -84,7 +84,7 @@
     let signal =
         |name: &str| Command::new("kill").args([name, &node.0.id().to_string()]).status().unwrap().success();
     assert!(signal("-HUP"));
-    assert!(says("the old configuration stays").contains("fleet.discovery"));
+    assert!(says("configuration reload failed").contains("fleet.discovery"));
     let again = get.replace("Id: 1", "Id: 2");
     assert_eq!(Client::to(at).ask(&again).expect("an answer").status(), 200);
     assert!(signal("-TERM"));
--- /dev/null
+++ b/node/src/control_socket.rs
@@ -0,0 +1,193 @@
+//! The control socket: shows the node's state and takes commands from its own machine, over a Unix socket. One JSON object a
+//! line in, one out. Off where no path is given.
+
+use std::cell::Cell;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use ivyhatch_admin_protocol::Bounds;
+use serde::Deserialize;
+use serde_json::{Value, json};
+use tokio::net::UnixListener;
+use tokio::sync::watch;
+use tokio::task::spawn_local;
+use tokio::time::{Instant, sleep};
+
+use crate::client_listener::DrainPhase;
+use crate::driver::{BackendView, Node};
+
+const BOUNDS: Bounds = Bounds { line: 4096, patience: Duration::from_secs(10), connections: 8 };
+const NANOS_PER_MILLISECOND: u64 = 1_000_000;
+/// A backend with less than its full share of capacity is in slow start.
+const FULL_CAPACITY: f64 = 1.0;
+
+#[derive(Deserialize)]
+#[serde(tag = "op", rename_all = "snake_case", deny_unknown_fields)]
+enum Command {
+    /// Shows the node as a whole.
+    State {},
+    /// Shows each server.
+    Servers {},
+    /// Drains the node until an undrain: nothing new where another node can serve it.
+    Drain {},
+    /// Ends a drain.
+    Undrain {},
+}
+
+/// What the control socket shows and commands.
+pub struct ControlSocket {
+    name: String,
+    listen: SocketAddr,
+    node: Node,
+    phase: watch::Sender<DrainPhase>,
+    /// The process shuts down, which can't be undone.
+    shutting_down: Cell<bool>,
+    /// How long after the start of a drain idle connections are closed.
+    idle_close_delay: Duration,
+    /// Counts drains and undrains, so that a timer of an earlier drain is recognised.
+    drain_generation: Cell<u32>,
+    started_at: Instant,
+}
+
+impl ControlSocket {
+    /// A control socket for `node`, which serves clients at `listen`. Commands change `phase`; `idle_close_delay` after the
+    /// start of a drain idle connections are closed.
+    pub fn new(
+        name: String,
+        listen: SocketAddr,
+        node: Node,
+        phase: watch::Sender<DrainPhase>,
+        idle_close_delay: Duration,
+    ) -> Rc<Self> {
+        Rc::new(Self {
+            name,
+            listen,
+            node,
+            phase,
+            shutting_down: Cell::new(false),
+            idle_close_delay,
+            drain_generation: Cell::new(0),
+            started_at: Instant::now(),
+        })
+    }
+
+    /// Serves commands; never returns.
+    pub async fn run(self: Rc<Self>, listener: UnixListener) {
+        ivyhatch_admin_protocol::serve(listener, BOUNDS, move |command| self.execute(command)).await;
+    }
+
+    /// From now on drains and undrains are rejected.
+    pub fn start_shutdown(&self) {
+        self.shutting_down.set(true);
+    }
+
+    fn execute(self: &Rc<Self>, command: Command) -> Value {
+        match command {
+            Command::State {} => self.state(),
+            Command::Servers {} => {
+                let backends = self.node.view().backends;
+                json!({"servers": backends.iter().map(server_json).collect::<Vec<_>>()})
+            }
+            Command::Drain {} if self.shutting_down.get() => json!({"error": "the node ends"}),
+            Command::Drain {} => {
+                self.drain();
+                self.state()
+            }
+            Command::Undrain {} if self.shutting_down.get() => {
+                json!({"error": "the node ends, and that can't be taken back"})
+            }
+            Command::Undrain {} => {
+                self.undrain();
+                self.state()
+            }
+        }
+    }
+
+    /// As at a shutdown, connections are accepted for a while; then idle ones are closed. Those that come all the same serve
+    /// one request each.
+    fn drain(self: &Rc<Self>) {
+        let drains = self.phase.send_if_modified(|phase| {
+            let was_serving = *phase == DrainPhase::Serving;
+            if was_serving {
+                *phase = DrainPhase::Draining;
+            }
+            was_serving
+        });
+        if !drains {
+            return;
+        }
+        tracing::info!("{} draining", self.name);
+        let generation = self.drain_generation.get().wrapping_add(1);
+        self.drain_generation.set(generation);
+        let control = self.clone();
+        spawn_local(async move {
+            sleep(control.idle_close_delay).await;
+            if control.drain_generation.get() == generation && !control.shutting_down.get() {
+                control.enter(DrainPhase::ClosingIdle);
+            }
+        });
+    }
+
+    fn undrain(&self) {
+        if self.enter(DrainPhase::Serving) {
+            self.drain_generation.set(self.drain_generation.get().wrapping_add(1));
+            tracing::info!("{} undrained", self.name);
+        }
+    }
+
+    /// True if the phase has changed.
+    fn enter(&self, phase: DrainPhase) -> bool {
+        self.phase.send_if_modified(|current| std::mem::replace(current, phase) != phase)
+    }
+
+    fn state(&self) -> Value {
+        let view = self.node.view();
+        let phase = *self.phase.borrow();
+        let counts = self.node.reply_counts();
+        let phase_name = match (self.shutting_down.get(), phase) {
+            (true, _) => "stopping",
+            (false, DrainPhase::Serving) => "serving",
+            (false, _) => "draining",
+        };
+        // Drained once idle connections have been closed and no request is open.
+        let drained = phase_name == "draining" && phase == DrainPhase::ClosingIdle && view.open_requests == 0;
+        json!({"name": self.name, "pid": std::process::id(), "version": env!("CARGO_PKG_VERSION"),
+            "listen": self.listen.to_string(), "phase": phase_name, "drained": drained,
+            "open": view.open_requests,
+            "answers": {"served": counts.served, "refused": counts.rejected, "failed": counts.failed},
+            "up_ms": self.started_at.elapsed().as_millis() as u64, "zones": zones_json(&view.backends)})
+    }
+}
+
+fn zones_json(backends: &[BackendView]) -> Vec<Value> {
+    let mut zones: BTreeMap<&str, Vec<&BackendView>> = BTreeMap::new();
+    for backend in backends {
+        zones.entry(&backend.zone).or_default().push(backend);
+    }
+    zones.into_iter().map(|(name, backends)| zone_json(name, &backends)).collect()
+}
+
+fn zone_json(name: &str, backends: &[&BackendView]) -> Value {
+    let reported: Vec<(f64, u64)> =
+        backends.iter().filter_map(|backend| backend.snapshot.utilisation).collect();
+    let mean = reported.iter().map(|(value, _)| value).sum::<f64>() / reported.len().max(1) as f64;
+    let oldest = reported.iter().map(|(_, age)| age / NANOS_PER_MILLISECOND).max();
+    let count =
+        |matches: fn(&BackendView) -> bool| backends.iter().filter(|backend| matches(backend)).count();
+    json!({"zone": name, "servers": backends.len(), "draining": count(|backend| backend.draining),
+        "ejected": count(|backend| backend.snapshot.ejected),
+        "cold": count(|backend| backend.snapshot.capacity_share < FULL_CAPACITY),
+        "in_flight": backends.iter().map(|backend| backend.snapshot.in_flight).sum::<u32>(),
+        "utilisation": (!reported.is_empty()).then_some(mean), "oldest_report_ms": oldest})
+}
+
+fn server_json(backend: &BackendView) -> Value {
+    let snapshot = &backend.snapshot;
+    json!({"uid": backend.uid, "zone": backend.zone, "endpoint": backend.endpoint.to_string(),
+        "draining": backend.draining, "in_flight": snapshot.in_flight,
+        "utilisation": snapshot.utilisation.map(|(value, _)| value),
+        "report_age_ms": snapshot.utilisation.map(|(_, age)| age / NANOS_PER_MILLISECOND),
+        "slowness": snapshot.slowness, "ejected": snapshot.ejected, "warm": snapshot.capacity_share})
+}
--- /dev/null
+++ b/node/src/serving.rs
@@ -0,0 +1,174 @@
+//! Starts the parts of the node, serves until a signal to stop, and shuts down.
+
+use std::io;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::Duration;
+
+use ivyhatch_balancer::{Nanos, Settings};
+use tokio::net::{TcpListener, TcpSocket};
+use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::sync::watch;
+use tokio::task::{JoinHandle, spawn_local};
+use tokio::time::{sleep, timeout};
+
+use crate::ConfigurationSource;
+use crate::client_listener::DrainPhase;
+use crate::config::Config;
+use crate::connection_limits::{REQUEST_READ_TIMEOUT, RESPONSE_WRITE_TIMEOUT};
+use crate::control_socket::ControlSocket;
+use crate::descriptor_budget::DescriptorBudget;
+use crate::discovery::{self, DiscoveryWatch};
+use crate::driver::{Clock, Node};
+use crate::server;
+use crate::start_error::StartError;
+use crate::upstream::BackendTransport;
+
+/// After SIGTERM, and after the start of a drain, idle connections are kept for so long: clients in service may still be sending.
+const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(500);
+/// Connections that cross the closing of idle ones are accepted for so long after that.
+const LAST_ACCEPT_PERIOD: Duration = Duration::from_millis(100);
+const LISTEN_BACKLOG: u32 = 1024;
+const NANOS_PER_MILLISECOND: Nanos = 1_000_000;
+
+/// Serves until SIGTERM or SIGINT.
+///
+/// # Errors
+/// [`StartError`] if the node can't start.
+pub async fn serve(
+    config: Config,
+    configuration: ConfigurationSource,
+    control_path: Option<PathBuf>,
+) -> Result<(), StartError> {
+    // Caught before anything else: SIGHUP's default action ends the process.
+    let hangup = signal(SignalKind::hangup())?;
+    let site = config.site()?;
+    let seed = config.seed()?;
+    let descriptors = DescriptorBudget::divide(config.limits.sockets)?;
+    let clock = Clock::start();
+    let settings_summary = summarise(&site.settings);
+    let schedule = discovery::schedule_for(&site.settings, seed);
+    let transport = BackendTransport::new(site.links, clock, descriptors.backends);
+    spawn_local(transport.clone().close_stale_connections());
+    let node = Node::new(site.settings, site.words, seed, clock, Rc::new(transport))
+        .map_err(|error| StartError::Settings(error.to_string()))?;
+    let discovery_watch = DiscoveryWatch::new(node.clone(), config.discovery, config.known, schedule);
+    let stop = StopSignals::new()?;
+    let listener =
+        listen(config.listen).map_err(|source| StartError::Listen { at: config.listen, source })?;
+    let at = listener.local_addr()?;
+    let (phase, phases) = watch::channel(DrainPhase::Serving);
+    let control = ControlSocket::new(config.name.clone(), at, node.clone(), phase.clone(), IDLE_CLOSE_DELAY);
+    if let Some(path) = &control_path {
+        let unbound = |source| StartError::Control { at: path.clone(), source };
+        let listener = ivyhatch_admin_protocol::listen(path).map_err(unbound)?;
+        spawn_local(control.clone().run(listener));
+    }
+    tracing::info!("{} listening on {at}", config.name);
+    tracing::info!("{settings_summary}");
+    let (discovery_address, discovery_addresses) = watch::channel(config.discovery);
+    spawn_local(discovery_watch.run(discovery_addresses));
+    spawn_local(reload_on_hangup(hangup, discovery_address, configuration));
+    let timers = node.clone();
+    spawn_local(async move { timers.run_timers().await });
+    let server = spawn_local(server::serve(listener, node.clone(), descriptors.clients, phases));
+    stop.received().await;
+    control.start_shutdown();
+    tracing::info!("{} shutting down", config.name);
+    shut_down(&node, &phase, server).await;
+    if let Some(path) = control_path {
+        let _ = std::fs::remove_file(path);
+    }
+    Ok(())
+}
+
+/// Drains the node and waits until all connections have ended.
+async fn shut_down(node: &Node, phase: &watch::Sender<DrainPhase>, server: JoinHandle<()>) {
+    phase.send_replace(DrainPhase::Draining);
+    node.stop_probing();
+    sleep(IDLE_CLOSE_DELAY).await;
+    phase.send_replace(DrainPhase::ClosingIdle);
+    sleep(LAST_ACCEPT_PERIOD).await;
+    phase.send_replace(DrainPhase::Closed);
+    // Every connection ends by itself: a request of which a part has arrived by the last accept may still be completed, have all
+    // of its time, and its client some more to read the response (docs/incidents/narrow-moments.md).
+    let last_response = REQUEST_READ_TIMEOUT + node.longest_deadline() + RESPONSE_WRITE_TIMEOUT;
+    let _ = timeout(last_response, server).await;
+}
+
+/// Reloads the configuration at each SIGHUP. Discovery's address takes effect at once, all else at the next start. With a
+/// configuration that can't be used everything stays as it is.
+async fn reload_on_hangup(
+    mut hangup: Signal,
+    discovery_address: watch::Sender<SocketAddr>,
+    configuration: ConfigurationSource,
+) {
+    while hangup.recv().await.is_some() {
+        match reload(&configuration) {
+            Ok(discovery) => {
+                tracing::info!("configuration reloaded; discovery is at {discovery}");
+                discovery_address.send_if_modified(|at| std::mem::replace(at, discovery) != discovery);
+            }
+            Err(error) => tracing::warn!("configuration reload failed, keeping the old one: {error}"),
+        }
+    }
+}
+
+/// Discovery's address, by a configuration whose settings are valid.
+fn reload(configuration: &ConfigurationSource) -> Result<SocketAddr, StartError> {
+    let config = Config::read(configuration)?;
+    config.site()?;
+    Ok(config.discovery)
+}
+
+/// What a reader of the log's other lines needs to know of the settings.
+fn summarise(settings: &Settings) -> String {
+    let ms = |nanos: Nanos| nanos / NANOS_PER_MILLISECOND;
+    let classes: Vec<String> = settings
+        .classes
+        .iter()
+        .map(|class| {
+            let (target, deadline) = (ms(class.latency_target), ms(class.deadline));
+            format!("value {}, latency target {target} ms, deadline {deadline} ms", class.value)
+        })
+        .collect();
+    let rules = settings.rules;
+    format!(
+        "zone {} of {}, one of {} nodes; classes: {}; slow start {} ms, polls discovery every {} ms",
+        settings.home.0,
+        settings.zones,
+        settings.nodes,
+        classes.join(" | "),
+        ms(rules.warm_up_time),
+        ms(rules.max_poll_interval)
+    )
+}
+
+fn listen(at: SocketAddr) -> io::Result<TcpListener> {
+    let socket = if at.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+    // A restart must not wait until the previous process's connections leave TIME_WAIT.
+    socket.set_reuseaddr(true)?;
+    socket.bind(at)?;
+    socket.listen(LISTEN_BACKLOG)
+}
+
+/// The signals that end the process.
+struct StopSignals {
+    terminate: Signal,
+    interrupt: Signal,
+}
+
+impl StopSignals {
+    fn new() -> io::Result<Self> {
+        Ok(Self { terminate: signal(SignalKind::terminate())?, interrupt: signal(SignalKind::interrupt())? })
+    }
+
+    /// Resolves at the first of them.
+    async fn received(mut self) {
+        tokio::select! {
+            _ = self.terminate.recv() => {}
+            _ = self.interrupt.recv() => {}
+        }
+    }
+}
--- /dev/null
+++ b/node/src/upstream/mod.rs
@@ -0,0 +1,81 @@
+//! The backends' side: carries out attempts and probes on bounded sets of connections. What happened to an attempt becomes an
+//! [`Outcome`](ivyhatch_balancer::Outcome).
+
+mod attempt;
+mod connection;
+mod idle_resets;
+mod pool;
+mod prober;
+mod response;
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use ivyhatch_balancer::BackendId;
+use ivyhatch_node_settings::Links;
+use tokio::task::spawn_local;
+use tokio::time::sleep;
+
+use crate::driver::{AttemptStart, Clock, Node, ProbeStart, Transport};
+use attempt::run_attempt;
+use pool::ConnectionPool;
+use prober::Prober;
+
+/// How often idle connections are checked.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+
+/// How many connections to backends may be open at a time.
+#[derive(Clone, Copy, Debug)]
+pub struct ConnectionBudget {
+    /// For requests.
+    pub requests: usize,
+    /// For probes.
+    pub probes: usize,
+}
+
+/// Carries out attempts over a pool of connections, and probes beside it. Cheap to clone.
+#[derive(Clone)]
+pub struct BackendTransport {
+    pool: Rc<ConnectionPool>,
+    prober: Rc<Prober>,
+}
+
+impl BackendTransport {
+    /// A transport without connections.
+    pub fn new(settings: Links, clock: Clock, budget: ConnectionBudget) -> Self {
+        Self {
+            pool: Rc::new(ConnectionPool::new(settings, clock, budget.requests)),
+            prober: Rc::new(Prober::new(settings, clock, budget.probes)),
+        }
+    }
+
+    /// Closes what has been idle for too long; never returns.
+    pub async fn close_stale_connections(self) {
+        loop {
+            sleep(SWEEP_INTERVAL).await;
+            self.pool.drop_stale();
+            self.prober.drop_stale();
+            self.pool.idle_resets().decay();
+        }
+    }
+}
+
+impl Transport for BackendTransport {
+    fn start_attempt(&self, node: &Node, attempt: AttemptStart) {
+        let (pool, node) = (self.pool.clone(), node.clone());
+        spawn_local(async move { run_attempt(&pool, node, attempt).await });
+    }
+
+    fn close_idle_connections(&self, backend: BackendId) {
+        self.pool.close_idle(backend);
+        self.prober.close_idle(backend);
+    }
+
+    fn start_probe(&self, node: &Node, probe: ProbeStart) {
+        self.prober.start(node, probe);
+    }
+}
+
+#[cfg(test)]
+#[path = "upstream_tests.rs"]
+mod tests;
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -66,7 +66,7 @@
 fn listening(reader: &mut BufReader<ChildStderr>) -> SocketAddr {
     let mut line = String::new();
     while reader.read_line(&mut line).unwrap() > 0 {
-        if let Some((_, at)) = line.trim_end().split_once("serves at ") {
+        if let Some((_, at)) = line.trim_end().split_once("listening on ") {
             return at.parse().unwrap();
         }
         line.clear();
--- a/node/tests/endings.rs
+++ b/node/tests/endings.rs
@@ -18,7 +18,7 @@
 
 fn told_to_end(node: &Node) {
     node.signal("-TERM");
-    until("the node has heard", || node.logged("stops"));
+    until("the node has heard", || node.logged("shutting down"));
 }
 
 /// Returns once the node takes no more connections.
--- a/node/tests/fleet.rs
+++ b/node/tests/fleet.rs
@@ -128,7 +128,7 @@
         }
         for number in restarted..(NODES * replaced / SERVERS) {
             nodes[number].signal("-TERM");
-            until("it has heard", || nodes[number].logged("stops"));
+            until("it has heard", || nodes[number].logged("shutting down"));
             // The front sends no more new ones; what is under way is answered.
             *asking[number].at.lock().unwrap() = None;
             assert_eq!(nodes[number].child.wait().unwrap().code(), Some(0));
--- a/node/tests/life.rs
+++ b/node/tests/life.rs
@@ -33,7 +33,7 @@
         (4, r#"{"rev":4,"all":true}"#),
     ] {
         discovery.set_text(rev, text.to_owned());
-        until("the bad list is logged", || node.logged("discovery: not a list"));
+        until("the bad list is logged", || node.logged("discovery call failed: malformed list"));
         assert_eq!(node.ask(&get(&format!("b{rev}"), "")).status(), 200);
     }
     let other = serving("other");
@@ -54,7 +54,7 @@
     let mut config = config(discovery.at, json!([]));
     config["settings"]["discovery"] = json!("on_request");
     let node = Node::start(&config);
-    until("the failure is logged", || node.logged("discovery: not a list"));
+    until("the failure is logged", || node.logged("discovery call failed: malformed list"));
     discovery.set(json!([target("s-0", backend.at, "Ready")]));
     discovery.watched_from(discovery.rev());
     assert_eq!(node.ask(&get("a1", "")).status(), 200);
@@ -103,7 +103,7 @@
     slow.write(&get("slow", ""));
     until("the slow one is out", || backend.got.try_iter().any(|m| m.value("x-call-id") == Some("slow")));
     node.signal("-TERM");
-    until("the node has heard", || node.logged("stops"));
+    until("the node has heard", || node.logged("shutting down"));
     for (id, client) in [("a1", kept), ("a2", Client::to(node.at))] {
         let mut client = client;
         let answer = client.ask(&get(id, "")).expect("an answer after the signal");
@@ -239,7 +239,7 @@
     let second = Discovery::new(json!([target("s-1", new.at, "Ready")]));
     for (n, at) in [second.at, first.at, second.at].into_iter().enumerate() {
         node.reconfigure(&config(at, json!([])).to_string());
-        until("it is read", || node.count("configuration read anew") == n + 1);
+        until("it is read", || node.count("configuration reloaded") == n + 1);
     }
     // A version that the last stay there brings: from the first one a watch had come to the address as well.
     second.set(json!([target("s-1", new.at, "Ready")]));
@@ -248,7 +248,7 @@
     let whole = || second.calls.lock().unwrap().iter().filter(|call| !call.contains("from=")).count();
     let before = whole();
     node.reconfigure(&config(second.at, json!([])).to_string());
-    until("it is read", || node.count("configuration read anew") == 4);
+    until("it is read", || node.count("configuration reloaded") == 4);
     assert_eq!(node.ask(&get("s0", "")).body, b"new");
     assert_eq!(whole(), before, "the watch goes on");
 }
@@ -261,7 +261,7 @@
     unusable["settings"] = json!({});
     for (n, text) in ["{".to_owned(), unusable.to_string()].into_iter().enumerate() {
         node.reconfigure(&text);
-        until("it is logged", || node.count("the old configuration stays") == n + 1);
+        until("it is logged", || node.count("configuration reload failed") == n + 1);
         assert_eq!(node.ask(&get(&format!("u{n}"), "")).status(), 200);
     }
     let other = serving("other");
@@ -271,6 +271,6 @@
     let bad = Discovery::new(json!([]));
     bad.set_text(1, "{".to_owned());
     node.reconfigure(&config(bad.at, json!([])).to_string());
-    until("the bad list is logged", || node.logged("discovery: not a list"));
+    until("the bad list is logged", || node.logged("discovery call failed: malformed list"));
     assert_eq!(node.ask(&get("u9", "")).body, b"other");
 }
--- a/node/tests/silence.rs
+++ b/node/tests/silence.rs
@@ -83,7 +83,7 @@
     let second = Discovery::new(replaced(&old, &new));
     second.trickle(true);
     node.reconfigure(&of("on_request", &second, json!([])).to_string());
-    until("it is given up", || node.logged("no answer in time"));
+    until("it is given up", || node.logged("no response in time"));
     assert_eq!(node.ask(&get("t0", "")).body, b"old");
     let calls = second.calls.lock().unwrap().len();
     assert!((1..=3).contains(&calls), "{calls} calls in three seconds: no tight loop");
--- a/socket-lab/src/nodes.rs
+++ b/socket-lab/src/nodes.rs
@@ -79,7 +79,7 @@
     let mut log = String::new();
     let listening = async {
         while let Ok(Some(line)) = lines.next_line().await {
-            if let Some((_, at)) = line.trim_end().split_once("serves at ") {
+            if let Some((_, at)) = line.trim_end().split_once("listening on ") {
                 return at.parse().ok();
             }
             log += &line;
