--- a/agent/src/agent/runner.rs
+++ b/agent/src/agent/runner.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use ivyhatch_admin_protocol::{Bounds, listen, serve};
+use ivyhatch_admin_protocol::{ConnectionLimits, listen, serve};
 use ivyhatch_config::Agent as AgentSettings;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -21,8 +21,11 @@
 
 const NANOS_PER_MS: Nanos = 1_000_000;
 /// Commands over a large fleet open a connection for each instance, all at once.
-const BOUNDS: Bounds =
-    Bounds { line: 1 << 20, patience: Duration::from_secs(30), connections: Semaphore::MAX_PERMITS };
+const CONNECTION_LIMITS: ConnectionLimits = ConnectionLimits {
+    max_line_bytes: 1 << 20,
+    idle_timeout: Duration::from_secs(30),
+    max_connections: Semaphore::MAX_PERMITS,
+};
 
 /// Runs an agent until the future is dropped. Its nodes go on after that, and the next agent adopts them.
 ///
@@ -63,7 +66,7 @@
     let socket = supervisor.options.socket.display();
     tracing::info!("supervises {} instances; socket {socket}", supervisor.instances.len());
     let api = Api::new(supervisor, store);
-    serve(listener, BOUNDS, move |request| api.handle(request)).await;
+    serve(listener, CONNECTION_LIMITS, move |request| api.handle(request)).await;
     Ok(())
 }
 
--- a/node/src/control_socket.rs
+++ b/node/src/control_socket.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ivyhatch_admin_protocol::Bounds;
+use ivyhatch_admin_protocol::ConnectionLimits;
 use serde::Deserialize;
 use serde_json::{Value, json};
 use tokio::net::UnixListener;
@@ -18,7 +18,8 @@
 use crate::client_listener::DrainPhase;
 use crate::driver::{BackendView, Node};
 
-const BOUNDS: Bounds = Bounds { line: 4096, patience: Duration::from_secs(10), connections: 8 };
+const LIMITS: ConnectionLimits =
+    ConnectionLimits { max_line_bytes: 4096, idle_timeout: Duration::from_secs(10), max_connections: 8 };
 const NANOS_PER_MILLISECOND: u64 = 1_000_000;
 /// A backend with less than its full share of capacity is in slow start.
 const FULL_CAPACITY: f64 = 1.0;
@@ -75,7 +76,7 @@
 
     /// Serves commands; never returns.
     pub async fn run(self: Rc<Self>, listener: UnixListener) {
-        ivyhatch_admin_protocol::serve(listener, BOUNDS, move |command| self.execute(command)).await;
+        ivyhatch_admin_protocol::serve(listener, LIMITS, move |command| self.execute(command)).await;
     }
 
     /// From now on drains and undrains are rejected.
