--- a/control/src/change_feed.rs
+++ b/control/src/change_feed.rs
@@ -1,4 +1,4 @@
-//! What followers are told: the configuration and the evacuations as they are decided, with some of the changes that led there.
+//! What watchers are sent of the committed state: the configuration, with the latest changes that led to it, and the evacuations.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,90 +6,111 @@
 use ivyhatch_protocol::ids::PartitionId;
 use ivyhatch_protocol::watch::{EvacuationUpdate, Position, Shared, WatchResponse, ZoneEvacuation};
 
-use crate::partition_state::PartitionState;
+use crate::partition_state::{EvacuationState, PartitionState};
 
-/// Changes of the configuration that are kept for those who are behind.
-const KEPT: usize = 64;
-/// A change with more items than this share of the whole is told as the whole.
-const WHOLE_SHARE: usize = 2;
+/// The number of changes of the configuration that are kept for watchers that are behind.
+const MAX_CHANGES: usize = 64;
+/// A watcher is sent a snapshot where the changes that it lacks have more items than the configuration divided by this.
+const SNAPSHOT_RATIO: usize = 2;
 
-/// What is decided, for those who follow.
+/// A change of the configuration, between two successive sequence numbers that this node knows.
+#[derive(Debug)]
+struct FeedChange {
+    from: u64,
+    to: u64,
+    change: Shared<Change>,
+}
+
+impl FeedChange {
+    fn item_count(&self) -> usize {
+        self.change.upsert.values().map(Vec::len).sum()
+    }
+
+    fn response(&self) -> WatchResponse {
+        WatchResponse::Change { from: self.from, to: self.to, change: self.change.clone() }
+    }
+}
+
+/// The committed state, for watchers.
 #[derive(Debug, Default)]
 pub struct ChangeFeed {
     sequence: u64,
     document: Shared<Document>,
-    changes: VecDeque<(u64, u64, Shared<Change>)>,
+    changes: VecDeque<FeedChange>,
     evacuations: BTreeMap<PartitionId, EvacuationUpdate>,
 }
 
 impl ChangeFeed {
-    /// Takes a decision in.
-    pub fn committed(&mut self, part: PartitionId, sequence: u64, state: &PartitionState) {
+    /// Adds a committed state of a partition.
+    pub fn committed(&mut self, partition: PartitionId, sequence: u64, state: &PartitionState) {
         match state {
-            PartitionState::Configuration(configured) => {
-                self.configured(sequence, configured.document.clone())
+            PartitionState::Configuration(configuration) => {
+                self.configuration_committed(sequence, configuration.document.clone());
             }
-            PartitionState::Evacuations(evacuated) => {
-                let zone = |(zone, (active, change_count)): (&String, &(bool, u64))| ZoneEvacuation {
-                    zone: zone.clone(),
-                    active: *active,
-                    change_count: *change_count,
-                };
-                let zones = evacuated.zones.iter().map(zone).collect();
-                self.evacuations.insert(part, EvacuationUpdate { partition: part, sequence, zones });
+            PartitionState::Evacuations(evacuations) => {
+                let zones = zone_evacuations(evacuations);
+                self.evacuations.insert(partition, EvacuationUpdate { partition, sequence, zones });
             }
         }
     }
 
-    fn configured(&mut self, sequence: u64, document: Document) {
+    fn configuration_committed(&mut self, sequence: u64, document: Document) {
         if sequence <= self.sequence {
             return;
         }
         if self.sequence > 0 {
-            let change = self.document.diff(&document);
-            self.changes.push_back((self.sequence, sequence, change.into()));
+            let change = self.document.diff(&document).into();
+            self.changes.push_back(FeedChange { from: self.sequence, to: sequence, change });
         }
-        while self.changes.len() > KEPT {
+        while self.changes.len() > MAX_CHANGES {
             self.changes.pop_front();
         }
         (self.sequence, self.document) = (sequence, document.into());
     }
 
-    /// The configuration.
+    /// The current configuration.
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// How far it is; `servers` is filled in by others.
+    /// How far the feed is. The position of the server list, which the feed does not have, is the lowest.
     pub fn position(&self) -> Position {
         let evacuations = self.evacuations.values().map(EvacuationUpdate::position).collect();
         Position { configuration: self.sequence, evacuations, ..Position::default() }
     }
 
-    /// What is newer than a follower's position.
-    pub fn since(&self, position: &Position) -> Vec<WatchResponse> {
-        let mut news = Vec::new();
+    /// What a watcher at this position lacks.
+    pub fn updates_since(&self, position: &Position) -> Vec<WatchResponse> {
+        let mut updates = Vec::new();
         if self.sequence > position.configuration {
-            let first = self.changes.iter().position(|(from, ..)| *from == position.configuration);
-            let items = |change: &Change| change.upsert.values().map(Vec::len).sum::<usize>();
-            let all: usize = self.document.sections.values().map(Vec::len).sum();
-            let changes = first.map(|first| self.changes.iter().skip(first));
-            match changes.filter(|all_changes| {
-                all_changes.clone().map(|(_, _, change)| items(change)).sum::<usize>() * WHOLE_SHARE <= all
-            }) {
-                Some(changes) => news.extend(changes.map(|(from, to, change)| WatchResponse::Change {
-                    from: *from,
-                    to: *to,
-                    change: change.clone(),
-                })),
-                None => news.push(WatchResponse::Snapshot {
-                    sequence: self.sequence,
-                    document: self.document.clone(),
-                }),
-            }
+            updates = self.changes_since(position.configuration).unwrap_or_else(|| vec![self.snapshot()]);
         }
-        let newer = |part: &&EvacuationUpdate| part.sequence > position.evacuation_sequence(part.partition);
-        news.extend(self.evacuations.values().filter(newer).cloned().map(WatchResponse::Evacuations));
-        news
+        let is_newer =
+            |update: &&EvacuationUpdate| update.sequence > position.evacuation_sequence(update.partition);
+        let evacuations = self.evacuations.values().filter(is_newer);
+        updates.extend(evacuations.cloned().map(WatchResponse::Evacuations));
+        updates
+    }
+
+    /// The changes after a sequence number, where all of them are kept and are smaller than a snapshot.
+    fn changes_since(&self, sequence: u64) -> Option<Vec<WatchResponse>> {
+        let first = self.changes.iter().position(|change| change.from == sequence)?;
+        let changes = self.changes.iter().skip(first);
+        let changed_items: usize = changes.clone().map(FeedChange::item_count).sum();
+        let all_items: usize = self.document.sections.values().map(Vec::len).sum();
+        (changed_items * SNAPSHOT_RATIO <= all_items).then(|| changes.map(FeedChange::response).collect())
     }
+
+    fn snapshot(&self) -> WatchResponse {
+        WatchResponse::Snapshot { sequence: self.sequence, document: self.document.clone() }
+    }
+}
+
+fn zone_evacuations(evacuations: &EvacuationState) -> Vec<ZoneEvacuation> {
+    let zone = |(zone, (active, change_count)): (&String, &(bool, u64))| ZoneEvacuation {
+        zone: zone.clone(),
+        active: *active,
+        change_count: *change_count,
+    };
+    evacuations.zones.iter().map(zone).collect()
 }
--- /dev/null
+++ b/control/src/control_plane/mod.rs
@@ -0,0 +1,301 @@
+//! The control plane of one node: owns the parts, hands each input to those that it concerns, and joins what they decide.
+//!
+//! Each part has its own module, state and tests, and knows nothing of this one. The joins are here, one module for each concern.
+
+mod consensus;
+mod peers;
+mod reconfiguration;
+mod requests;
+mod server_list;
+mod watchers;
+
+use std::collections::BTreeMap;
+
+use ivyhatch_protocol::Nanos;
+use ivyhatch_protocol::hash::hash_mix;
+use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId};
+use ivyhatch_protocol::peer::{Membership, PeerMessage, ReplicaStatus};
+use ivyhatch_protocol::server_list::ServerList;
+
+use crate::admin_requests::AdminRequests;
+use crate::catch_up::CatchUp;
+use crate::change_feed::ChangeFeed;
+use crate::cluster_view::ClusterView;
+use crate::drain::Drain;
+use crate::durable_state::DurableState;
+use crate::elections::{self, ElectionBackoff};
+use crate::failure_detector::FailureDetector;
+use crate::heartbeat_schedule::HeartbeatSchedule;
+use crate::interface::{Input, NodeConfig, Output, WriteToken};
+use crate::local_replica::{LocalReplica, StoredReplica};
+use crate::log_event::{FormatReason, LogEvent};
+use crate::membership_sender::MembershipSender;
+use crate::outbox::Outbox;
+use crate::partition_state::PartitionState;
+use crate::partitions::Partitions;
+use crate::quorum_contact::QuorumContact;
+use crate::record::Record;
+use crate::report::{self, Report};
+use crate::router_registry::RouterRegistry;
+use crate::server_list_role::ServerListRole;
+use crate::state_transfer::StateTransfer;
+use crate::watch_sessions::WatchSessions;
+
+/// The record with which the disk is to be formatted.
+#[derive(Debug)]
+struct PendingFormat {
+    replica: ReplicaId,
+    record: Record,
+    reason: FormatReason,
+}
+
+/// The control plane of one control node.
+#[derive(Debug)]
+pub struct ControlPlane {
+    config: NodeConfig,
+    now: Nanos,
+    started_at: Nanos,
+    pending_format: Option<PendingFormat>,
+    outbox: Outbox,
+    peers: FailureDetector,
+    heartbeats: HeartbeatSchedule,
+    quorum_contact: QuorumContact,
+    replica: LocalReplica,
+    membership_sender: MembershipSender,
+    state_transfer: StateTransfer,
+    partitions: Partitions,
+    election_backoff: ElectionBackoff,
+    catch_up: CatchUp,
+    requests: AdminRequests,
+    feed: ChangeFeed,
+    server_list: ServerListRole,
+    routers: RouterRegistry,
+    sessions: WatchSessions,
+    drain: Drain,
+}
+
+impl ControlPlane {
+    /// A control node that starts with what its disk holds.
+    pub fn new(config: NodeConfig, stored: DurableState, now: Nanos) -> Self {
+        let (stored, pending_format) = format_if_needed(&config, stored);
+        let replica = LocalReplica::new(StoredReplica {
+            replica: stored.replica.map(|(replica, _)| replica),
+            may_bootstrap: stored.replica.is_some_and(|(_, first_start)| first_start),
+            membership: stored.membership,
+            joined: stored.joined,
+        });
+        let mut partitions = Partitions::new(config.node, config.incarnation, stored.partitions);
+        let voters: Vec<NodeId> = replica.voter_nodes().collect();
+        // Nothing leads yet that could step down.
+        partitions.set_voters(&voters);
+        let mut plane = Self {
+            now,
+            started_at: now,
+            pending_format,
+            outbox: Outbox::new(config.node),
+            peers: FailureDetector::new(config.node, now),
+            heartbeats: HeartbeatSchedule::default(),
+            quorum_contact: QuorumContact::default(),
+            replica,
+            membership_sender: MembershipSender::default(),
+            state_transfer: StateTransfer::default(),
+            partitions,
+            election_backoff: ElectionBackoff::default(),
+            catch_up: CatchUp::default(),
+            requests: AdminRequests::new(config.incarnation),
+            feed: ChangeFeed::default(),
+            server_list: ServerListRole::new(config.server_list_interval),
+            routers: RouterRegistry::default(),
+            sessions: WatchSessions::default(),
+            drain: Drain::new(config.drain_timeout),
+            config,
+        };
+        plane.restore_committed(stored.committed);
+        plane
+    }
+
+    /// Publishes what the disk holds as committed, so that watchers need not wait for a quorum. They are sent along that this node
+    /// has no quorum yet.
+    fn restore_committed(&mut self, committed: BTreeMap<PartitionId, (Ballot, u64)>) {
+        for (partition, (ballot, sequence)) in committed {
+            if let Some(state) = self.partitions.restore_committed(partition, ballot, sequence) {
+                self.feed.committed(partition, sequence, &state);
+                self.partitions.set_state(partition, state);
+            }
+        }
+    }
+
+    /// Handles one input, and appends what is to be done. `now` is the time of a steady clock; it never goes back.
+    pub fn handle(&mut self, now: Nanos, input: Input, out: &mut Vec<Output>) {
+        self.now = self.now.max(now);
+        self.format_disk();
+        match input {
+            Input::Tick => self.tick(),
+            Input::Connected(node) => self.on_connected(node),
+            Input::Peer(from, message) => self.on_peer_message(from, message),
+            Input::Stored(token) => self.on_stored(token),
+            Input::Admin(id, request) => self.on_admin_request(id, request),
+            Input::AdminCancelled(id) => self.requests.cancel(id),
+            Input::Watch(session, request) => self.on_watch_request(session, request),
+            Input::SessionClosed(session) => self.on_session_closed(session),
+            Input::ServerList(read, servers) => self.on_server_list_read(read, servers),
+            Input::ServerListFailed(read) => self.on_server_list_read_failed(read),
+            Input::Seeds(seeds) => self.config.seeds = seeds,
+            Input::Drain => self.on_drain(),
+        }
+        while let Some(message) = self.outbox.next_loopback() {
+            self.on_peer_message(self.config.node, message);
+        }
+        self.publish_to_watchers();
+        self.outbox.drain_into(out);
+    }
+
+    fn format_disk(&mut self) {
+        if let Some(PendingFormat { replica, record, reason }) = self.pending_format.take() {
+            self.outbox.log(LogEvent::DiskFormatted { replica, reason });
+            self.outbox.store(vec![record]);
+        }
+    }
+
+    fn tick(&mut self) {
+        self.update_connections();
+        self.bootstrap();
+        self.replace_voters();
+        self.request_state_transfer();
+        self.run_elections();
+        self.expire_requests();
+        self.route_pending_requests();
+        self.tick_server_list_role();
+        self.maintain_watch_sessions();
+        self.update_quorum_contact();
+        self.send_heartbeat_if_due();
+        self.complete_drain();
+    }
+
+    fn on_peer_message(&mut self, from: NodeId, message: PeerMessage) {
+        if self.peers.record_message(self.now, from) {
+            self.update_connections();
+        }
+        match message {
+            PeerMessage::Heartbeat(heartbeat) => self.on_heartbeat(from, heartbeat),
+            PeerMessage::Membership(membership) => self.adopt_membership(membership),
+            PeerMessage::StateTransferRequest { incarnation, generation } => {
+                self.on_state_transfer_request(from, incarnation, generation);
+            }
+            PeerMessage::StateTransfer { incarnation, generation, disk, partitions } => {
+                if incarnation == self.config.incarnation {
+                    self.on_state_transfer(ReplicaId { node: from, disk }, generation, partitions);
+                }
+            }
+            PeerMessage::Consensus { generation, partition, message } => {
+                self.on_consensus_message(from, generation, partition, message);
+            }
+            PeerMessage::ForwardRequest { request_id, last_heartbeat, request } => {
+                self.on_forwarded_request(from, request_id, last_heartbeat, request);
+            }
+            PeerMessage::ForwardResponse { request_id, response } => {
+                self.on_forwarded_response(request_id, response);
+            }
+            PeerMessage::RouterSessions(routers) => self.routers.apply_report(self.now, from, routers),
+            PeerMessage::ServerList(update) => self.on_server_list_update(from, update),
+            PeerMessage::ServerListRequest => self.on_server_list_request(from),
+        }
+    }
+
+    fn on_stored(&mut self, token: WriteToken) {
+        self.membership_sender.write_completed(token);
+        if let Some(joined_generation) = self.state_transfer.write_completed(token) {
+            self.on_collected_state_durable(joined_generation);
+        }
+        self.outbox.write_completed(token);
+    }
+
+    /// The cluster as this node sees it now.
+    fn view(&self) -> ClusterView<'_> {
+        ClusterView {
+            now: self.now,
+            node: self.config.node,
+            local: &self.replica,
+            peers: &self.peers,
+            is_draining: self.drain.is_active(),
+            can_read_server_list: self.server_list.can_read(self.now),
+        }
+    }
+
+    fn leader(&self, partition: PartitionId) -> Option<NodeId> {
+        elections::leader(&self.view(), partition)
+    }
+
+    fn is_leader(&self, partition: PartitionId) -> bool {
+        self.leader(partition) == Some(self.config.node)
+    }
+
+    fn broadcast(&mut self, message: &PeerMessage) {
+        self.outbox.broadcast(self.peers.nodes(), message);
+    }
+
+    /// Whether this node is in contact with a quorum of the voters.
+    pub fn has_quorum(&self) -> bool {
+        self.view().has_quorum()
+    }
+
+    /// The addresses of the routers that clients of a region should use.
+    pub fn router_addresses(&self, region: &str) -> Vec<String> {
+        self.routers.addresses_for_region(region)
+    }
+
+    /// Whether a zone is one of the deployment's.
+    pub fn has_zone(&self, zone: &str) -> bool {
+        self.config.zones.contains(zone)
+    }
+
+    /// This replica; `None` without a disk.
+    pub fn replica(&self) -> Option<ReplicaId> {
+        self.replica.id()
+    }
+
+    /// The status of this replica in the membership.
+    pub fn status(&self) -> ReplicaStatus {
+        self.replica.status()
+    }
+
+    /// The newest membership that is known here.
+    pub fn membership(&self) -> Option<&Membership> {
+        self.replica.membership()
+    }
+
+    /// What is known to be committed of a partition: the sequence number of its last change, and its state.
+    pub fn committed_state(&self, partition: PartitionId) -> (u64, Option<&PartitionState>) {
+        (self.partitions.committed_sequence(partition), self.partitions.state(partition))
+    }
+
+    /// The ballot under which this node leads a partition now, if it does.
+    pub fn leader_ballot(&self, partition: PartitionId) -> Option<Ballot> {
+        self.partitions.leader_ballot(partition)
+    }
+
+    /// The list of servers as it is known here.
+    pub fn server_list(&self) -> &ServerList {
+        self.server_list.list()
+    }
+
+    /// The state of the cluster as this node knows it, for operators.
+    pub fn report(&self) -> Report {
+        report::report(&self.view(), &self.partitions)
+    }
+}
+
+/// What the disk holds, and the format that it needs first: where it is empty, or was formatted on another machine. Such a disk is a
+/// copy, or was moved, and its promises are another replica's.
+fn format_if_needed(config: &NodeConfig, stored: DurableState) -> (DurableState, Option<PendingFormat>) {
+    let is_foreign = stored.replica.is_some_and(|(replica, _)| replica.node != config.node);
+    let mut stored = if is_foreign { DurableState::default() } else { stored };
+    if !config.has_disk || stored.replica.is_some() {
+        return (stored, None);
+    }
+    let replica = ReplicaId { node: config.node, disk: hash_mix(config.incarnation) };
+    let record = Record::Formatted { replica, first_start: config.first_start };
+    stored.apply(record.clone());
+    let reason = if is_foreign { FormatReason::AnotherMachinesDisk } else { FormatReason::EmptyDisk };
+    (stored, Some(PendingFormat { replica, record, reason }))
+}
--- /dev/null
+++ b/control/src/control_plane/reconfiguration.rs
@@ -0,0 +1,164 @@
+//! Joins the decisions on the membership with the partitions, the disk and the network: bootstrap, replacement of voters, state
+//! transfer to a new voter, and graceful shutdown.
+
+use ivyhatch_protocol::ids::{NodeId, PartitionId, ReplicaId};
+use ivyhatch_protocol::peer::{AcceptedValue, AcceptorState, Membership, PeerMessage};
+use speedy::{Readable, Writable};
+
+use super::ControlPlane;
+use crate::interface::Output;
+use crate::log_event::LogEvent;
+use crate::membership::FIRST_GENERATION;
+use crate::outbox::Envelope;
+use crate::reconfiguration;
+use crate::record::Record;
+
+impl ControlPlane {
+    /// Creates the first membership, on the very first start of the whole system.
+    pub(super) fn bootstrap(&mut self) {
+        if self.now < self.started_at + reconfiguration::BOOTSTRAP_DELAY {
+            return;
+        }
+        let first = reconfiguration::first_membership(&self.view(), &self.config.zone, &self.config.seeds);
+        if let Some(membership) = first {
+            self.adopt_membership(membership);
+        }
+    }
+
+    /// Adopts a membership that has been decided, if it is newer. From here on nothing counts that was sent under an older one.
+    pub(super) fn adopt_membership(&mut self, membership: Membership) {
+        let generation = membership.generation;
+        if generation <= self.replica.generation() {
+            return;
+        }
+        let voters = membership.voters.iter().map(|voter| voter.replica).collect();
+        self.outbox.log(LogEvent::Membership { generation, voters });
+        self.replica.set_membership(membership.clone());
+        let write = self.outbox.store(vec![Record::Membership(membership)]);
+        self.membership_sender.write_begun(write, generation == FIRST_GENERATION);
+        self.state_transfer.reset();
+        self.partitions.reset_membership();
+        let voter_nodes: Vec<NodeId> = self.replica.voter_nodes().collect();
+        for (partition, effects) in self.partitions.set_voters(&voter_nodes) {
+            self.apply_effects(partition, effects);
+        }
+        self.update_replica_status();
+        self.send_heartbeat();
+        self.request_state_transfer();
+    }
+
+    fn update_replica_status(&mut self) {
+        if let Some(status) = self.replica.update_status() {
+            let generation = self.replica.generation();
+            self.outbox.log(LogEvent::ReplicaStatus { status, generation });
+        }
+    }
+
+    /// Sends the membership to a node that has an older one.
+    pub(super) fn send_membership(&mut self, to: NodeId) {
+        let Some(membership) = self.replica.membership() else { return };
+        if !self.membership_sender.may_send() {
+            return;
+        }
+        // Known fault: `to` may be this node, where a message that it sent to itself was handled under a newer membership. The node
+        // is then one of its own peers from here on.
+        self.peers.add(to);
+        if self.membership_sender.begin_send(self.now, to) {
+            self.outbox.send_to_peer(to, PeerMessage::Membership(membership.clone()));
+        }
+    }
+
+    /// As the leader of the membership, has the next one decided where a voter's seat should go to another replica.
+    pub(super) fn replace_voters(&mut self) {
+        let is_leader = self.is_leader(PartitionId::MEMBERSHIP);
+        let next = if is_leader { reconfiguration::next_membership(&self.view()) } else { None };
+        let partition = self.partitions.membership_mut();
+        let mut effects = Vec::new();
+        match next {
+            None => partition.step_down(&mut effects),
+            Some(_) if !partition.is_contending() => partition.start_election(self.now, &mut effects),
+            Some(next) if partition.ready_ballot().is_some() => {
+                let value = next.write_to_vec().unwrap_or_default();
+                partition.propose(self.now, value, &mut effects);
+            }
+            Some(_) => partition.tick(self.now, &mut effects),
+        }
+        self.apply_effects(PartitionId::MEMBERSHIP, effects);
+    }
+
+    /// The next membership is committed under this node's leadership, or this node learns of it.
+    pub(super) fn on_membership_committed(&mut self, value: &AcceptedValue) {
+        match Membership::read_from_buffer(&value.value) {
+            Ok(membership) => {
+                self.adopt_membership(membership.clone());
+                self.broadcast(&PeerMessage::Membership(membership));
+            }
+            Err(error) => {
+                let error = error.to_string();
+                self.outbox.log(LogEvent::MembershipUndecodable { error });
+            }
+        }
+    }
+
+    /// As a new voter, requests the state of the voters of the previous generation.
+    pub(super) fn request_state_transfer(&mut self) {
+        if self.replica.joining_generation().is_none() || !self.state_transfer.begin_request(self.now) {
+            return;
+        }
+        let (incarnation, generation) = (self.config.incarnation, self.replica.generation());
+        let previous = self.replica.membership().into_iter().flat_map(|membership| &membership.previous);
+        for node in previous.map(|voter| voter.replica.node).filter(|node| *node != self.config.node) {
+            let request = PeerMessage::StateTransferRequest { incarnation, generation };
+            self.outbox.send_to_peer(node, request);
+        }
+    }
+
+    /// Sends what this replica has promised and accepted, once all of it, and the membership, is durable.
+    pub(super) fn on_state_transfer_request(&mut self, from: NodeId, incarnation: u64, generation: u64) {
+        let Some(replica) = self.replica.id().filter(|_| self.replica.may_transfer_state(generation)) else {
+            return;
+        };
+        let partitions = self.partitions.acceptor_states();
+        let message = PeerMessage::StateTransfer { incarnation, generation, disk: replica.disk, partitions };
+        self.outbox.store_then_send(Vec::new(), [Envelope { to: from, message }]);
+    }
+
+    pub(super) fn on_state_transfer(
+        &mut self,
+        source: ReplicaId,
+        generation: u64,
+        partitions: Vec<(PartitionId, AcceptorState)>,
+    ) {
+        let Some(joined_generation) = self.replica.joining_generation() else { return };
+        if generation != self.replica.generation() || self.state_transfer.is_writing() {
+            return;
+        }
+        let Some(membership) = self.replica.membership() else { return };
+        let Some(collected) = self.state_transfer.receive(membership, source, partitions) else { return };
+        let mut records = self.partitions.merge(collected);
+        records.push(Record::Joined(joined_generation));
+        let write = self.outbox.store(records);
+        self.state_transfer.write_begun(write, joined_generation);
+    }
+
+    /// The collected state is durable: this replica votes, unless it has lost its seat meanwhile.
+    pub(super) fn on_collected_state_durable(&mut self, joined_generation: u64) {
+        self.replica.set_joined(joined_generation);
+        self.update_replica_status();
+        self.send_heartbeat();
+    }
+
+    /// Begins a graceful shutdown: other nodes take over what this one leads, and it waits for its successor if there is one.
+    pub(super) fn on_drain(&mut self) {
+        if self.drain.begin(self.now) {
+            self.send_heartbeat();
+        }
+    }
+
+    pub(super) fn complete_drain(&mut self) {
+        let is_needed = || reconfiguration::is_replica_needed(&self.view());
+        if self.drain.is_complete(self.now, is_needed) {
+            self.outbox.push(Output::Drained);
+        }
+    }
+}
--- /dev/null
+++ b/control/src/control_plane/requests.rs
@@ -0,0 +1,165 @@
+//! Joins operators' requests with the partitions: the way to the leader, the decision, and the response.
+
+use ivyhatch_protocol::ids::{NodeId, PartitionId};
+use ivyhatch_protocol::peer::{AdminRequest, AdminResponse, PeerMessage};
+
+use super::ControlPlane;
+use crate::admin_requests::FORWARD_MAX_AGE;
+use crate::interface::{Output, RequestId};
+use crate::partition_state::Decision;
+use crate::pending_requests::{REQUEST_TIMEOUT, RequestLeader, Route};
+use crate::request_queue::{QueuedRequest, ReadyResponse, Requester, UnconfirmedResponse};
+
+/// The response to a request that was not decided in time.
+const NO_QUORUM_TEXT: &str =
+    "most control nodes can't be reached from here now: send it again unchanged, to any of them";
+
+impl ControlPlane {
+    pub(super) fn on_admin_request(&mut self, id: RequestId, request: AdminRequest) {
+        let request = self.with_known_change_count(request);
+        self.requests.submit(self.now, id, request);
+        self.route_request(id);
+    }
+
+    /// An evacuation names no revision that it builds on. Here it gets the number of changes of its zone that this node knows, so
+    /// that a delayed copy does not undo a later request.
+    fn with_known_change_count(&self, request: AdminRequest) -> AdminRequest {
+        match request {
+            AdminRequest::Evacuate { zone, active, .. } => {
+                let state = self.partitions.state(PartitionId::for_key(&zone));
+                let change_count = state.map_or(0, |state| state.evacuation_changes(&zone));
+                AdminRequest::Evacuate { zone, active, change_count }
+            }
+            request => request,
+        }
+    }
+
+    pub(super) fn route_pending_requests(&mut self) {
+        for id in self.requests.pending_ids() {
+            self.route_request(id);
+        }
+    }
+
+    /// Brings a request to the leader of its partition, as soon as there is one.
+    fn route_request(&mut self, id: RequestId) {
+        let Some(partition) = self.requests.partition(id) else { return };
+        let Some(leader) = self.leader(partition) else { return };
+        let is_local = leader == self.config.node;
+        let request_leader = if is_local { RequestLeader::Local } else { RequestLeader::Remote(leader) };
+        match self.requests.route(self.now, id, request_leader) {
+            Some(Route::Enqueue(queued)) => self.enqueue_request(partition, queued),
+            Some(Route::Forward { to, forward_id, request }) => {
+                let heartbeat = self.view().current_heartbeat(to);
+                let last_heartbeat = heartbeat.map_or(0, |heartbeat| heartbeat.sequence);
+                let forward = PeerMessage::ForwardRequest { request_id: forward_id, last_heartbeat, request };
+                self.outbox.send_to_peer(to, forward);
+            }
+            None => {}
+        }
+    }
+
+    /// A request that another node has forwarded. By the last of this node's heartbeats that the other node had received, this one
+    /// knows how old the request is at most.
+    pub(super) fn on_forwarded_request(
+        &mut self,
+        from: NodeId,
+        forward_id: u64,
+        last_heartbeat: u64,
+        request: AdminRequest,
+    ) {
+        let partition = request.partition();
+        let heartbeat_sent_at = self.heartbeats.sent_at(last_heartbeat);
+        let is_fresh = heartbeat_sent_at.is_some_and(|at| self.now <= at + FORWARD_MAX_AGE);
+        if !is_fresh || !self.is_leader(partition) {
+            return;
+        }
+        let requester = Requester::Remote(from, forward_id);
+        let queued = QueuedRequest { requester, request, expires_at: self.now + REQUEST_TIMEOUT };
+        self.enqueue_request(partition, queued);
+    }
+
+    /// Puts a request before this node, the leader of its partition.
+    fn enqueue_request(&mut self, partition: PartitionId, queued: QueuedRequest) {
+        if self.requests.enqueue(partition, queued) {
+            self.decide_requests(partition);
+        }
+    }
+
+    pub(super) fn on_forwarded_response(&mut self, forward_id: u64, response: AdminResponse) {
+        if let Some(id) = self.requests.complete_forwarded(forward_id) {
+            self.outbox.push(Output::Respond(id, response));
+        }
+    }
+
+    /// Decides the requests before this node, the leader of a partition, until one of them is being agreed on.
+    pub(super) fn decide_requests(&mut self, partition: PartitionId) {
+        while self.partitions.can_propose(partition) {
+            let Some(queued) = self.requests.next(self.now, partition) else { return };
+            self.decide(partition, queued);
+        }
+    }
+
+    fn decide(&mut self, partition: PartitionId, queued: QueuedRequest) {
+        let Some(state) = self.partitions.state(partition) else { return };
+        let response = match state.decide(&queued.request) {
+            Decision::Propose { value, response } => {
+                self.requests.open_proposal(partition, &queued, response);
+                return self.propose(partition, value);
+            }
+            Decision::Respond(response) => Some(response),
+            Decision::ReadConfiguration => None,
+        };
+        // That nothing changes, too, may only be said by a leader that is certain to lead still.
+        let QueuedRequest { requester, expires_at, .. } = queued;
+        let unconfirmed = UnconfirmedResponse { requester, response, expires_at };
+        let number = self.requests.await_confirmation(partition, unconfirmed);
+        self.confirm_leadership(partition, number);
+    }
+
+    fn propose(&mut self, partition: PartitionId, value: Vec<u8>) {
+        let Some(replica) = self.partitions.replica_mut(partition) else { return };
+        let mut effects = Vec::new();
+        replica.propose(self.now, value, &mut effects);
+        self.apply_effects(partition, effects);
+    }
+
+    fn confirm_leadership(&mut self, partition: PartitionId, number: u64) {
+        let Some(replica) = self.partitions.replica_mut(partition) else { return };
+        let mut effects = Vec::new();
+        replica.confirm(number, &mut effects);
+        self.apply_effects(partition, effects);
+    }
+
+    pub(super) fn on_quorum_confirmed(&mut self, partition: PartitionId, number: u64) {
+        let Some(unconfirmed) = self.requests.confirmed(partition, number) else { return };
+        let response = unconfirmed.response.unwrap_or_else(|| match self.feed.document() {
+            document if document.revision == 0 => AdminResponse::NotConfigured,
+            document => AdminResponse::Document(document.to_json()),
+        });
+        self.respond(ReadyResponse { requester: unconfirmed.requester, response });
+    }
+
+    pub(super) fn respond(&mut self, ready: ReadyResponse) {
+        let ReadyResponse { requester, response } = ready;
+        match requester {
+            Requester::Local(id) => {
+                if self.requests.complete(id) {
+                    self.outbox.push(Output::Respond(id, response));
+                }
+            }
+            Requester::Remote(to, request_id) => {
+                self.outbox.send_to_peer(to, PeerMessage::ForwardResponse { request_id, response });
+            }
+        }
+    }
+
+    pub(super) fn expire_requests(&mut self) {
+        for expired in self.requests.expire_queued(self.now) {
+            self.partitions.cancel_confirmations(expired.partition, &expired.numbers);
+        }
+        for id in self.requests.expire_pending(self.now) {
+            let response = AdminResponse::Unavailable(NO_QUORUM_TEXT.to_owned());
+            self.outbox.push(Output::Respond(id, response));
+        }
+    }
+}
--- /dev/null
+++ b/control/src/control_plane/server_list.rs
@@ -0,0 +1,78 @@
+//! Joins the role of the server list's reader with elections and the network.
+
+use ivyhatch_protocol::ids::{Ballot, NodeId};
+use ivyhatch_protocol::peer::PeerMessage;
+use ivyhatch_protocol::watch::{Server, ServerListUpdate};
+
+use super::ControlPlane;
+use crate::interface::Output;
+use crate::server_list_reader::{ReadId, ReaderRole};
+use crate::server_list_role::{self, RoleOutput, UpdateOutcome};
+
+impl ControlPlane {
+    pub(super) fn tick_server_list_role(&mut self) {
+        let role = self.reader_role();
+        let outputs = self.server_list.tick(self.now, role);
+        self.apply_role_outputs(outputs);
+    }
+
+    pub(super) fn on_server_list_read(&mut self, read: ReadId, servers: Vec<Server>) {
+        let role = self.reader_role();
+        let outputs = self.server_list.read_succeeded(self.now, read, role, servers);
+        self.apply_role_outputs(outputs);
+    }
+
+    pub(super) fn on_server_list_read_failed(&mut self, read: ReadId) {
+        let outputs = self.server_list.read_failed(self.now, read);
+        self.apply_role_outputs(outputs);
+    }
+
+    fn reader_role(&self) -> ReaderRole {
+        let reported = self.peers.heartbeats().map(|heartbeat| heartbeat.server_list);
+        let highest_ballot = self.server_list.highest_ballot(reported);
+        let highest_node = highest_ballot.node;
+        let leader_ballot = self.leader_ballot(server_list_role::partition());
+        ReaderRole {
+            ballot: leader_ballot.filter(|_| self.has_quorum()),
+            highest_ballot,
+            highest_is_reachable: highest_node == self.config.node
+                || self.peers.is_bidirectional(self.now, highest_node),
+            has_list: self.server_list.has_list(),
+        }
+    }
+
+    fn apply_role_outputs(&mut self, outputs: Vec<RoleOutput>) {
+        for output in outputs {
+            match output {
+                RoleOutput::Log(event) => self.outbox.log(event),
+                RoleOutput::Read(read) => self.outbox.push(Output::ReadServerList(read)),
+                RoleOutput::Broadcast(update) => self.broadcast(&PeerMessage::ServerList(update)),
+                RoleOutput::RenewBallot(superseded_by) => self.renew_reader_ballot(superseded_by),
+                RoleOutput::AnnounceYield => self.send_heartbeat(),
+            }
+        }
+    }
+
+    /// Another node has led the role's partition meanwhile: this one steps down, and starts an election at its next tick.
+    fn renew_reader_ballot(&mut self, superseded_by: Ballot) {
+        let partition = server_list_role::partition();
+        let Some(replica) = self.partitions.replica_mut(partition) else { return };
+        let mut effects = Vec::new();
+        replica.observe_ballot(superseded_by, &mut effects);
+        self.apply_effects(partition, effects);
+    }
+
+    pub(super) fn on_server_list_update(&mut self, from: NodeId, update: ServerListUpdate) {
+        match self.server_list.apply_update(self.now, update) {
+            UpdateOutcome::Applied(event) => self.outbox.log(event),
+            UpdateOutcome::NotNewer => {}
+            UpdateOutcome::Gap => self.outbox.send_to_peer(from, PeerMessage::ServerListRequest),
+        }
+    }
+
+    pub(super) fn on_server_list_request(&mut self, from: NodeId) {
+        if let Some(update) = self.server_list.full_update(self.now) {
+            self.outbox.send_to_peer(from, PeerMessage::ServerList(update));
+        }
+    }
+}
--- /dev/null
+++ b/control/src/elections.rs
@@ -0,0 +1,78 @@
+//! Which node should lead a partition, and how long a node that stepped down waits before its next election.
+
+use std::collections::BTreeMap;
+
+use ivyhatch_protocol::ids::{NodeId, PartitionId};
+use ivyhatch_protocol::peer::{Heartbeat, ReplicaStatus};
+use ivyhatch_protocol::{MILLISECOND, Nanos};
+
+use crate::cluster_view::ClusterView;
+use crate::membership::election_order;
+use crate::server_list_role;
+
+/// The backoff of a node that a higher ballot has made step down, for each voter before it in the election order.
+const ELECTION_BACKOFF: Nanos = 300 * MILLISECOND;
+
+/// How well a voter is suited to lead; the lowest leads. Fields are compared in their order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Suitability {
+    cannot_perform_role: bool,
+    is_draining: bool,
+}
+
+/// The leader of a partition: the first voter in the election order that is active and in contact with a quorum. Voters that are
+/// draining, or can't read the list of servers where the leader has to, lead only where there is no other.
+pub fn leader(view: &ClusterView<'_>, partition: PartitionId) -> Option<NodeId> {
+    let membership = view.local.membership()?;
+    let reads_server_list = partition == server_list_role::partition();
+    let suitability = |can_read: bool, is_draining: bool| Suitability {
+        cannot_perform_role: reads_server_list && !can_read,
+        is_draining,
+    };
+    let eligible = |node: NodeId| {
+        if node == view.node {
+            let is_eligible = view.local.is_voter() && view.has_quorum();
+            return is_eligible.then(|| suitability(view.can_read_server_list, view.is_draining));
+        }
+        let can_lead =
+            |heartbeat: &&Heartbeat| heartbeat.status == ReplicaStatus::Voter && heartbeat.has_quorum;
+        let heartbeat = view.current_heartbeat(node).filter(can_lead)?;
+        Some(suitability(heartbeat.can_read_server_list, heartbeat.draining))
+    };
+    let candidates = election_order(membership, partition)
+        .filter_map(|node| eligible(node).map(|suitability| (suitability, node)));
+    candidates.min_by_key(|(suitability, _)| *suitability).map(|(_, node)| node)
+}
+
+/// The index of this node in the election order of a partition; 0 where it is no voter.
+pub fn order_index(view: &ClusterView<'_>, partition: PartitionId) -> usize {
+    let order = view.local.membership().map(|membership| election_order(membership, partition));
+    let index = order.and_then(|mut order| order.position(|node| node == view.node));
+    index.unwrap_or(0)
+}
+
+/// Until when this node starts no election for partitions in which it was made to step down.
+///
+/// Where a network path is cut one way only, two nodes may both contend, and make each other step down without end. The one further
+/// back in the election order waits. The first never does, as nobody else leads while it is active.
+#[derive(Debug, Default)]
+pub struct ElectionBackoff {
+    until: BTreeMap<PartitionId, Nanos>,
+}
+
+impl ElectionBackoff {
+    /// Whether the node still waits.
+    pub fn is_waiting(&self, now: Nanos, partition: PartitionId) -> bool {
+        self.until.get(&partition).is_some_and(|until| now < *until)
+    }
+
+    /// The node has stepped down. `order_index` is its index in the election order of the partition.
+    pub fn stepped_down(&mut self, now: Nanos, partition: PartitionId, order_index: usize) {
+        self.until.insert(partition, now + ELECTION_BACKOFF * order_index as u64);
+    }
+
+    /// Another node leads the partition: the next election of this node has no rival to wait for.
+    pub fn clear(&mut self, partition: PartitionId) {
+        self.until.remove(&partition);
+    }
+}
--- /dev/null
+++ b/control/src/failure_detector.rs
@@ -0,0 +1,145 @@
+//! The other control nodes that are known, their last heartbeats, and whether they are reachable.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use ivyhatch_protocol::ids::{NodeId, ReplicaId};
+use ivyhatch_protocol::peer::Heartbeat;
+use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
+
+/// A node from which nothing was received for this long counts as unreachable: four heartbeat intervals, as a connection between
+/// regions delays a heartbeat now and then.
+pub const FAILURE_TIMEOUT: Nanos = 850 * MILLISECOND;
+/// A node that is neither a voter nor a seed is forgotten when nothing was received from it for this long.
+const FORGET_TIMEOUT: Nanos = 60 * SECOND;
+/// A node that is known only from the heartbeats of others is forgotten unless a message comes from it within this time.
+const DISCOVERY_TIMEOUT: Nanos = 5 * SECOND;
+
+/// Another control node.
+#[derive(Debug, Default)]
+struct Peer {
+    last_received_at: Option<Nanos>,
+    heartbeat: Option<Heartbeat>,
+}
+
+impl Peer {
+    fn is_reachable(&self, now: Nanos) -> bool {
+        self.last_received_at.is_some_and(|at| now < at + FAILURE_TIMEOUT)
+    }
+}
+
+/// The other control nodes as this node sees them.
+#[derive(Debug)]
+pub struct FailureDetector {
+    node: NodeId,
+    started_at: Nanos,
+    peers: BTreeMap<NodeId, Peer>,
+    connected: Vec<NodeId>,
+}
+
+impl FailureDetector {
+    /// The detector of a node that has just started.
+    pub fn new(node: NodeId, started_at: Nanos) -> Self {
+        Self { node, started_at, peers: BTreeMap::new(), connected: Vec::new() }
+    }
+
+    /// The other nodes that are known, in the order of addresses.
+    pub fn nodes(&self) -> impl Iterator<Item = NodeId> {
+        self.peers.keys().copied()
+    }
+
+    /// Adds a node that this one has a connection to.
+    pub fn add(&mut self, node: NodeId) {
+        self.peers.entry(node).or_default();
+    }
+
+    /// Records that a message was received. Returns whether its sender is new.
+    pub fn record_message(&mut self, now: Nanos, from: NodeId) -> bool {
+        if from == self.node {
+            return false;
+        }
+        let is_new = !self.peers.contains_key(&from);
+        self.peers.entry(from).or_default().last_received_at = Some(now);
+        is_new
+    }
+
+    /// Records a heartbeat, unless a later one of the same process is known: heartbeats on a connection that has ended may be
+    /// overtaken.
+    pub fn record_heartbeat(&mut self, from: NodeId, heartbeat: Heartbeat) {
+        let peer = self.peers.entry(from).or_default();
+        let is_newer = peer.heartbeat.as_ref().is_none_or(|known| {
+            known.incarnation != heartbeat.incarnation || known.sequence < heartbeat.sequence
+        });
+        if is_newer {
+            peer.heartbeat = Some(heartbeat);
+        }
+    }
+
+    /// Adds nodes that another node can reach. They stay known if they send something.
+    pub fn discover(&mut self, now: Nanos, nodes: &[NodeId]) {
+        let last_received_at = Some(now.saturating_sub(FORGET_TIMEOUT - DISCOVERY_TIMEOUT));
+        for node in nodes.iter().filter(|node| **node != self.node) {
+            self.peers.entry(*node).or_insert(Peer { last_received_at, heartbeat: None });
+        }
+    }
+
+    /// Forgets nodes that were silent for long, and adds those that are always kept: voters and seeds. Returns the nodes to connect
+    /// to, all that are known, where that has changed.
+    pub fn update_connections(&mut self, now: Nanos, permanent: &BTreeSet<NodeId>) -> Option<Vec<NodeId>> {
+        self.peers.retain(|node, peer| {
+            let last_received_at = peer.last_received_at.unwrap_or(self.started_at);
+            permanent.contains(node) || now < last_received_at.saturating_add(FORGET_TIMEOUT)
+        });
+        for node in permanent.iter().filter(|node| **node != self.node) {
+            self.peers.entry(*node).or_default();
+        }
+        let nodes: Vec<NodeId> = self.nodes().collect();
+        if nodes == self.connected {
+            return None;
+        }
+        self.connected.clone_from(&nodes);
+        Some(nodes)
+    }
+
+    /// Whether something was received from a node within [`FAILURE_TIMEOUT`].
+    pub fn is_reachable(&self, now: Nanos, node: NodeId) -> bool {
+        self.peers.get(&node).is_some_and(|peer| peer.is_reachable(now))
+    }
+
+    /// The nodes that are reachable.
+    pub fn reachable_nodes(&self, now: Nanos) -> Vec<NodeId> {
+        let reachable = self.peers.iter().filter(|(_, peer)| peer.is_reachable(now));
+        reachable.map(|(node, _)| *node).collect()
+    }
+
+    /// Whether a node is reachable, and reports that it can reach this one.
+    pub fn is_bidirectional(&self, now: Nanos, node: NodeId) -> bool {
+        let reaches_this_node = |heartbeat: &Heartbeat| heartbeat.reachable.contains(&self.node);
+        self.reachable_heartbeat(now, node).is_some_and(reaches_this_node)
+    }
+
+    /// Since when nothing has been received from a node.
+    pub fn silent_since(&self, node: NodeId) -> Nanos {
+        self.peers.get(&node).and_then(|peer| peer.last_received_at).unwrap_or(self.started_at)
+    }
+
+    /// The last heartbeat of a node, however old.
+    pub fn heartbeat(&self, node: NodeId) -> Option<&Heartbeat> {
+        self.peers.get(&node)?.heartbeat.as_ref()
+    }
+
+    /// The last heartbeat of a node, if the node is reachable.
+    pub fn reachable_heartbeat(&self, now: Nanos, node: NodeId) -> Option<&Heartbeat> {
+        self.heartbeat(node).filter(|_| self.is_reachable(now, node))
+    }
+
+    /// The last heartbeats of all nodes, however old.
+    pub fn heartbeats(&self) -> impl Iterator<Item = &Heartbeat> {
+        self.peers.values().filter_map(|peer| peer.heartbeat.as_ref())
+    }
+
+    /// The replica on a node, as its last heartbeat has it.
+    pub fn replica(&self, node: NodeId) -> Option<ReplicaId> {
+        let disk = self.heartbeat(node)?.disk?;
+        Some(ReplicaId { node, disk })
+    }
+}
--- a/control/src/interface.rs
+++ b/control/src/interface.rs
@@ -7,8 +7,8 @@
 use ivyhatch_protocol::peer::{AdminRequest, AdminResponse, PeerMessage};
 use ivyhatch_protocol::watch::{Server, WatchRequest, WatchResponse};
 
-use crate::Record;
 use crate::log_event::LogEvent;
+use crate::record::Record;
 use crate::server_list_reader::ReadId;
 
 /// An operator's request. The embedder numbers them, and uses no number twice in a process.
@@ -25,7 +25,7 @@
     pub node: NodeId,
     /// The zone of its machine.
     pub zone: String,
-    /// Tells this process from earlier ones of the same node; a random number.
+    /// A random number that no earlier process of the same node had.
     pub incarnation: u64,
     /// Whether the node has a disk. It can be a voter only with one.
     pub has_disk: bool,
--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -1,60 +1,74 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
-//! The control plane as one control node runs it: decides, and does no I/O. Messages, ends of writes and the time go in, messages,
-//! writes and responses come out; the time is the steady clock's, told by whoever embeds it.
-//!
-//! Reading order: [`partition`] agrees on one partition among the voters, [`membership`] tells who votes and how a replica takes
-//! another's seat, [`partition_state`] says what a request does to a partition, [`server_list_reader`] when to read the
-//! platform's list, [`router_registry`] keeps the routers' sessions, [`change_feed`] what
-//! followers are sent, [`interface`] what goes in and comes out, and [`ControlPlane`] holds all of it together, one module for each
-//! concern.
+//! The control plane of one control node, as a state machine without I/O.
+//!
+//! # Inputs and outputs
+//!
+//! [`ControlPlane::handle`] takes the time of a steady clock and one [`Input`] (a message, a durable write, a request, a tick), and
+//! appends [`Output`]s (messages, writes, responses). It opens no socket and no file, and asks no clock. The embedder (`system` on
+//! real machines, `simulation` in virtual time) has to:
+//!
+//! - carry outputs out in order, and keep the order of messages on one connection; messages may be lost;
+//! - append the records of each [`Output::Store`] to the disk in order, and give [`Input::Stored`] only once that write and all earlier
+//!   ones are durable: messages that promise something are held back until then;
+//! - start a process with the [`DurableState`](durable_state::DurableState) of all durable records, and a new random
+//!   [`NodeConfig::incarnation`];
+//! - give [`Input::Tick`] about every 100 ms: all retries and timeouts depend on it;
+//! - never use a [`RequestId`] or [`SessionId`] twice in a process.
+//!
+//! # Algorithm
+//!
+//! The control state is split into partitions ([`PartitionId`](ivyhatch_protocol::ids::PartitionId)). Each is a replicated register:
+//! one value, agreed on by single-decree Paxos that is run again for each change, without a log (Lamport, "Paxos Made Simple", section
+//! 2; Rystsov, "CASPaxos", sections 2.1 and 2.2). A leader that has prepared its ballot on a quorum skips the prepare phase for all
+//! further changes, as in Multi-Paxos ("Paxos Made Simple", section 3). A read is confirmed by a quorum under the leader's ballot
+//! before it is answered, as in Raft's read index (Ongaro's thesis, section 6.4). The leader is no result of a vote alone: the first
+//! active voter in a fixed order contends ([`elections`]), so that competing ballots are rare.
+//!
+//! The membership changes by one voter at a time (Ongaro's thesis, section 4.1), decided by a quorum of the generation before, and a new
+//! voter collects the state of such a quorum before it votes ([`state_transfer`]). `docs/design/control-safety.md` argues why that is
+//! safe.
+//!
+//! # Reading order
+//!
+//! [`partition`] (consensus on one register) and [`partitions`]; [`partition_state`] (what a request does to a value);
+//! [`local_replica`], [`membership`], [`reconfiguration`] and [`state_transfer`] (who votes); [`failure_detector`], [`cluster_view`] and
+//! [`elections`] (who leads); [`pending_requests`], [`request_queue`] and [`admin_requests`] (operators' requests); [`change_feed`],
+//! [`watch_sessions`] and [`router_registry`] (routers); [`server_list_reader`] and [`server_list_role`] (the platform's list of
+//! servers); [`outbox`] (outputs); and [`ControlPlane`], which owns all of these and joins them.
 
-mod admin;
+pub mod admin_requests;
+pub mod catch_up;
 pub mod change_feed;
+pub mod cluster_view;
 mod control_plane;
+pub mod drain;
 pub mod durable_state;
-mod heartbeats;
+pub mod elections;
+pub mod failure_detector;
+pub mod heartbeat_schedule;
 pub mod interface;
-mod leadership;
+pub mod local_replica;
 pub mod log_event;
 pub mod membership;
+pub mod membership_sender;
+pub mod outbox;
 pub mod partition;
 pub mod partition_state;
-mod reconfiguration;
+pub mod partitions;
+pub mod pending_requests;
+pub mod quorum_contact;
+pub mod reconfiguration;
+pub mod record;
 pub mod report;
+pub mod request_queue;
 pub mod router_registry;
-mod server_list_duty;
 pub mod server_list_reader;
+pub mod server_list_role;
 pub mod state_transfer;
-mod watch;
+pub mod watch_sessions;
 
 pub use control_plane::ControlPlane;
 pub use interface::{Input, NodeConfig, Output, RequestId, SessionId, WriteToken};
 pub use log_event::{FormatReason, LogEvent, ServerListSource};
-
-use ivyhatch_protocol::ids::{Ballot, PartitionId, ReplicaId};
-use ivyhatch_protocol::peer::{AcceptedValue, Membership};
-use speedy::{Readable, Writable};
-
-/// What a control node writes to its disk. All of it together, in order, is what it has promised.
-#[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub enum Record {
-    /// The disk begins as this replica's; whatever came before does not count.
-    Formatted {
-        /// The replica.
-        replica: ReplicaId,
-        /// Whether this was on the first start of the whole system.
-        first_start: bool,
-    },
-    /// The newest membership. Nothing is promised or accepted under an older one from here on.
-    Membership(Membership),
-    /// The replica holds the state with which it may vote, as the voter that joined in this generation.
-    Joined(u64),
-    /// Lower ballots of the partition are rejected.
-    Promised(PartitionId, Ballot),
-    /// The value that was accepted for the partition; lower ballots are rejected.
-    Accepted(PartitionId, AcceptedValue),
-    /// What was accepted under this ballot, as the change of this number, is committed: it may be handed out to followers without
-    /// asking anybody.
-    Committed(PartitionId, Ballot, u64),
-}
+pub use record::Record;
--- a/control/src/membership.rs
+++ b/control/src/membership.rs
@@ -1,30 +1,34 @@
-//! Decisions on who votes, without I/O: the order in which voters lead, which replica takes which voter's seat, and when a new
-//! voter holds the state with which it may vote.
+//! The rules of membership: in which order voters lead, and which replica takes which voter's seat.
 //!
-//! Why this is safe is set out in `docs/design/control-safety.md`.
+//! Each generation of the membership is decided by a quorum of the one before and differs from it in one voter, so that quorums of
+//! two successive generations always intersect (Raft thesis, section 4.1: single-server changes). `docs/design/control-safety.md` has
+//! the argument for ballots in place of a log.
 
 use ivyhatch_protocol::ids::{NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{Membership, Voter};
 
-/// The order in which voters lead a partition: each partition begins with another voter, so that their work is spread.
-pub fn election_order(membership: &Membership, part: PartitionId) -> impl Iterator<Item = NodeId> {
+/// The generation of the first membership.
+pub const FIRST_GENERATION: u64 = 1;
+
+/// The order in which voters lead a partition. Each partition begins with another voter, so that the load is spread.
+pub fn election_order(membership: &Membership, partition: PartitionId) -> impl Iterator<Item = NodeId> {
     let count = membership.voters.len();
-    let start = usize::from(part.0) % count.max(1);
+    let start = usize::from(partition.0) % count.max(1);
     (0..count).map(move |step| membership.voters[(start + step) % count].replica.node)
 }
 
-/// What the leader of the membership knows of a voter.
+/// The condition of a voter, as the leader of the membership sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoterHealth {
-    /// It is there, or has been silent for a short time only.
-    Present,
-    /// It is there, and has been told to end.
-    Leaving,
-    /// Neither the leader nor any voter that the leader hears has heard it for long.
-    Silent,
+    /// It is reachable, or has been unreachable for a short time only.
+    Healthy,
+    /// It is reachable, and is shutting down.
+    Draining,
+    /// Neither the leader nor any voter that the leader can reach has been able to reach it for long.
+    Unreachable,
 }
 
-/// A replica that is no voter, follows what is decided, and could become one.
+/// A replica without a seat that could take one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
     /// The replica.
@@ -33,11 +37,11 @@
     pub zone: String,
 }
 
-/// The next membership, if a voter's seat should go to a candidate.
+/// The next membership, where a voter's seat should go to a candidate.
 ///
 /// A machine that comes back with an empty disk takes the seat of its former disk at once. A candidate on another machine takes the
-/// seat of a voter of its zone that is leaving or silent: a platform starts a control node beside a living one only to replace it,
-/// and a voter that is merely cut off has no successor.
+/// seat of a voter of its zone that is draining or unreachable: a platform starts a control node beside a running one only to
+/// replace it, and a voter that is merely partitioned has no successor.
 pub fn next_membership(
     membership: &Membership,
     candidates: &[Candidate],
@@ -46,7 +50,7 @@
     let seat = |candidate: &Candidate| {
         let same_machine = |voter: &&Voter| voter.replica.node == candidate.replica.node;
         let replaceable =
-            |voter: &&Voter| voter.zone == candidate.zone && health(voter) != VoterHealth::Present;
+            |voter: &&Voter| voter.zone == candidate.zone && health(voter) != VoterHealth::Healthy;
         let voters = &membership.voters;
         voters.iter().find(same_machine).or_else(|| voters.iter().find(replaceable))
     };
--- /dev/null
+++ b/control/src/membership_sender.rs
@@ -0,0 +1,47 @@
+//! When the membership is sent to nodes that know an older one.
+
+use std::collections::BTreeMap;
+
+use ivyhatch_protocol::ids::NodeId;
+use ivyhatch_protocol::{MILLISECOND, Nanos};
+
+use crate::interface::WriteToken;
+
+/// Wait before the membership is sent to the same node again.
+const SEND_INTERVAL: Nanos = 250 * MILLISECOND;
+
+/// The sender of the newest membership.
+#[derive(Debug, Default)]
+pub struct MembershipSender {
+    sent_at: BTreeMap<NodeId, Nanos>,
+    /// The write of the first membership, until it is durable. No node is sent a membership that a loss of power may undo: later
+    /// ones are durable on a quorum, the first one only here.
+    bootstrap_write: Option<WriteToken>,
+}
+
+impl MembershipSender {
+    /// A membership is being written; `is_first` for that of the first generation.
+    pub fn write_begun(&mut self, token: WriteToken, is_first: bool) {
+        self.bootstrap_write = is_first.then_some(token);
+    }
+
+    /// A write is durable.
+    pub fn write_completed(&mut self, token: WriteToken) {
+        self.bootstrap_write.take_if(|write| *write == token);
+    }
+
+    /// Whether the membership may be sent at all.
+    pub fn may_send(&self) -> bool {
+        self.bootstrap_write.is_none()
+    }
+
+    /// Whether to send the membership to a node now.
+    pub fn begin_send(&mut self, now: Nanos, to: NodeId) -> bool {
+        self.sent_at.retain(|_, at| now < *at + SEND_INTERVAL);
+        let begins = self.may_send() && !self.sent_at.contains_key(&to);
+        if begins {
+            self.sent_at.insert(to, now);
+        }
+        begins
+    }
+}
--- a/control/src/partition.rs
+++ b/control/src/partition.rs
@@ -1,10 +1,11 @@
-//! One partition of the control state as one replica sees it: what it has promised and accepted, what is known to be committed,
-//! and, while the replica is the partition's candidate or leader, how far the others have followed it.
+//! The consensus on one partition, as one replica runs it: acceptor, and, while it contends for the partition, candidate or leader.
 //!
-//! A candidate begins with a ballot that a quorum of voters promises and stores (`Prepare`). The values that were accepted before
-//! come with the promises, and the newest of them is proposed once more under the new ballot. From then on each change is one round
-//! (`Accept`), committed once a quorum has stored it. A voter rejects every ballot below the one that it has promised, so that of
-//! two leaders one fails. There is no log: a partition is the value that was committed last, and its changes are numbered.
+//! A candidate prepares a ballot on a quorum of the voters (`Prepare`, answered by `Promise`: Paxos phase 1). The values that were
+//! accepted before come with the promises, and the newest of them is proposed again under the new ballot. From then on each change
+//! takes one round trip (`Accept`, answered by `Accepted`: phase 2) and is committed once a quorum has stored it. A voter rejects
+//! every ballot below the one that it has promised, so that of two leaders at least one fails. There is no log: the partition's value
+//! is the one that was committed last, and its changes are numbered. `Confirm` asks a quorum whether a ballot is still the highest,
+//! before a read is answered.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,42 +13,42 @@
 use ivyhatch_protocol::peer::{AcceptedValue, AcceptorState, ConsensusMessage, majority};
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
-/// What was not answered is sent again after this: a few round trips and the sync of a slow disk.
-const RETRY_AFTER: Nanos = 300 * MILLISECOND;
+/// Wait before a message without an answer is sent again: a few round trips and the sync of a slow disk.
+const RETRY_INTERVAL: Nanos = 300 * MILLISECOND;
 
-/// What a partition wants done.
+/// What a partition wants done. The caller carries effects out in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Send to a voter, which may be this replica.
+    /// Send a message to a voter, which may be this replica.
     Send(NodeId, ConsensusMessage),
-    /// Store the promise, then send.
+    /// Store the promise, and send the message once it is durable.
     Promise(Ballot, NodeId, ConsensusMessage),
-    /// Store the accepted value, then send.
+    /// Store the accepted value, and send the message once it is durable.
     Accept(AcceptedValue, NodeId, ConsensusMessage),
-    /// The value is committed.
+    /// The value is committed. The caller publishes it.
     Committed(AcceptedValue),
-    /// A quorum has confirmed that this replica's ballot is still the highest.
+    /// A quorum has confirmed that this leader's ballot was still the highest after [`PartitionReplica::confirm`] with this number.
     QuorumConfirmed(u64),
-    /// This replica no longer leads. Whether an open proposal will be committed is not known.
+    /// This replica no longer contends or leads. Whether a proposal in flight will be committed is unknown.
     SteppedDown,
 }
 
-/// A value that the leader has sent to the voters.
+/// The proposal in flight.
 #[derive(Clone, Debug)]
 struct Proposal {
     value: AcceptedValue,
     accepted_by: BTreeSet<NodeId>,
-    sent: Nanos,
+    sent_at: Nanos,
 }
 
-/// The part that a replica plays in a partition.
+/// The role of a replica in a partition.
 #[derive(Clone, Debug, Default)]
 enum Role {
     #[default]
     Follower,
-    /// It has asked the voters for their promises.
-    Candidate { ballot: Ballot, promises: BTreeMap<NodeId, Option<AcceptedValue>>, sent: Nanos },
-    /// A quorum has promised its ballot.
+    /// The replica prepares a ballot.
+    Candidate { ballot: Ballot, promises: BTreeMap<NodeId, Option<AcceptedValue>>, sent_at: Nanos },
+    /// A quorum has promised the replica's ballot.
     Leader { ballot: Ballot, proposal: Option<Proposal>, confirmations: BTreeMap<u64, BTreeSet<NodeId>> },
 }
 
@@ -61,7 +62,7 @@
     }
 }
 
-/// One partition.
+/// The replica of one partition.
 #[derive(Clone, Debug)]
 pub struct PartitionReplica {
     node: NodeId,
@@ -70,24 +71,26 @@
     state: AcceptorState,
     committed: Option<AcceptedValue>,
     role: Role,
-    /// The highest counter of any ballot that was seen.
-    counter: u64,
+    /// The highest counter of any ballot that is known.
+    highest_counter: u64,
 }
 
 impl PartitionReplica {
-    /// A partition with what is on the disk.
+    /// A follower with what its disk holds, and no voters yet. No other process of the node has the same incarnation: ballots are
+    /// unique by it.
     pub fn new(node: NodeId, incarnation: u64, state: AcceptorState) -> Self {
-        let counter = state.promised.counter;
-        Self { node, incarnation, voters: Vec::new(), state, committed: None, role: Role::Follower, counter }
+        let highest_counter = state.promised.counter;
+        let (voters, role) = (Vec::new(), Role::Follower);
+        Self { node, incarnation, voters, state, committed: None, role, highest_counter }
     }
 
-    /// Sets who votes. Leadership under other voters ends.
+    /// Sets the voters. Leadership under other voters ends.
     pub fn set_voters(&mut self, voters: &[NodeId], out: &mut Vec<Effect>) {
         self.step_down(out);
         self.voters = voters.to_vec();
     }
 
-    /// The accepted value is known to be committed, if it was accepted under this ballot, as the change of this number.
+    /// Marks the accepted value as committed, if it was accepted under this ballot with this sequence number, and returns it.
     pub fn mark_committed(&mut self, ballot: Ballot, sequence: u64) -> Option<AcceptedValue> {
         self.committed = self.accepted_as(ballot, sequence);
         self.committed.clone()
@@ -97,15 +100,15 @@
         self.state.accepted.clone().filter(|value| value.ballot == ballot && value.sequence == sequence)
     }
 
-    /// What is promised and accepted.
+    /// What this replica has promised and accepted.
     pub fn state(&self) -> &AcceptorState {
         &self.state
     }
 
-    /// Takes over what another replica has promised and accepted, where that is newer.
+    /// Merges what another replica has promised and accepted, where that is newer. The caller makes the result durable.
     pub fn merge(&mut self, other: &AcceptorState) {
         self.state.merge(other);
-        self.counter = self.counter.max(other.promised.counter);
+        self.highest_counter = self.highest_counter.max(other.promised.counter);
     }
 
     /// The newest value that is known to be committed.
@@ -113,7 +116,7 @@
         self.committed.as_ref()
     }
 
-    /// The number of the last change that is known to be committed.
+    /// The sequence number of the last change that is known to be committed; 0 for none.
     pub fn committed_sequence(&self) -> u64 {
         self.committed.as_ref().map_or(0, |committed| committed.sequence)
     }
@@ -123,7 +126,7 @@
         self.role.ballot().is_some()
     }
 
-    /// The leader's ballot, once it knows the partition's value and no proposal is open.
+    /// The leader's ballot, while no proposal is in flight: [`PartitionReplica::propose`] may be called.
     pub fn ready_ballot(&self) -> Option<Ballot> {
         match &self.role {
             Role::Leader { ballot, proposal: None, .. } => Some(*ballot),
@@ -131,7 +134,7 @@
         }
     }
 
-    /// The leader's ballot, once a quorum has promised it.
+    /// The ballot under which this replica leads, if it does: a quorum has promised it.
     pub fn leader_ballot(&self) -> Option<Ballot> {
         match &self.role {
             Role::Leader { ballot, .. } => Some(*ballot),
@@ -147,15 +150,15 @@
         out.extend(self.voters.iter().map(|voter| Effect::Send(*voter, message.clone())));
     }
 
-    /// Contends for the leadership under a new ballot.
+    /// Starts an election: prepares a new ballot, above all that are known.
     pub fn start_election(&mut self, now: Nanos, out: &mut Vec<Effect>) {
-        self.counter += 1;
-        let ballot = Ballot { counter: self.counter, node: self.node, incarnation: self.incarnation };
-        self.role = Role::Candidate { ballot, promises: BTreeMap::new(), sent: now };
+        self.highest_counter += 1;
+        let ballot = Ballot { counter: self.highest_counter, node: self.node, incarnation: self.incarnation };
+        self.role = Role::Candidate { ballot, promises: BTreeMap::new(), sent_at: now };
         self.send_to_voters(&ConsensusMessage::Prepare { ballot }, out);
     }
 
-    /// Gives up the leadership, or the election.
+    /// Ends the leadership, or the election.
     pub fn step_down(&mut self, out: &mut Vec<Effect>) {
         if self.is_contending() {
             self.role = Role::Follower;
@@ -163,15 +166,15 @@
         }
     }
 
-    /// Another replica has this ballot: a lower one of this replica's has ended, and its next one is higher.
+    /// Records another replica's ballot. Leadership under a lower one ends, and the next ballot of this replica is higher.
     pub fn observe_ballot(&mut self, ballot: Ballot, out: &mut Vec<Effect>) {
-        self.counter = self.counter.max(ballot.counter);
+        self.highest_counter = self.highest_counter.max(ballot.counter);
         if self.role.ballot().is_some_and(|own| own < ballot) {
             self.step_down(out);
         }
     }
 
-    /// Proposes a value. Only while [`PartitionReplica::ready_ballot`].
+    /// Proposes a value. Without effect unless [`PartitionReplica::ready_ballot`] returns a ballot.
     pub fn propose(&mut self, now: Nanos, value: Vec<u8>, out: &mut Vec<Effect>) {
         let Some(ballot) = self.ready_ballot() else { return };
         self.send_proposal(
@@ -183,11 +186,12 @@
 
     fn send_proposal(&mut self, now: Nanos, value: AcceptedValue, out: &mut Vec<Effect>) {
         let Role::Leader { proposal, .. } = &mut self.role else { return };
-        *proposal = Some(Proposal { value: value.clone(), accepted_by: BTreeSet::new(), sent: now });
+        *proposal = Some(Proposal { value: value.clone(), accepted_by: BTreeSet::new(), sent_at: now });
         self.send_to_voters(&ConsensusMessage::Accept(value), out);
     }
 
-    /// Asks the voters whether the leader's ballot is still the highest; `number` comes back with [`Effect::QuorumConfirmed`].
+    /// Asks the voters whether the leader's ballot is still the highest; `number` comes back with [`Effect::QuorumConfirmed`]. Such
+    /// messages are not sent again: the caller cancels a confirmation that takes too long.
     pub fn confirm(&mut self, number: u64, out: &mut Vec<Effect>) {
         let Role::Leader { ballot, confirmations, .. } = &mut self.role else { return };
         let ballot = *ballot;
@@ -195,44 +199,44 @@
         self.send_to_voters(&ConsensusMessage::Confirm { ballot, request_id: number }, out);
     }
 
-    /// Forgets a confirmation that nobody waits for any longer.
+    /// Drops a confirmation that nothing waits for any longer.
     pub fn cancel_confirmation(&mut self, number: u64) {
         if let Role::Leader { confirmations, .. } = &mut self.role {
             confirmations.remove(&number);
         }
     }
 
-    /// Sends again what was not answered.
+    /// Sends again to voters that have not answered.
     pub fn tick(&mut self, now: Nanos, out: &mut Vec<Effect>) {
-        let (message, answered): (ConsensusMessage, BTreeSet<NodeId>) = match &mut self.role {
-            Role::Candidate { ballot, promises, sent } if now >= *sent + RETRY_AFTER => {
-                *sent = now;
+        let (message, answered_by): (ConsensusMessage, BTreeSet<NodeId>) = match &mut self.role {
+            Role::Candidate { ballot, promises, sent_at } if now >= *sent_at + RETRY_INTERVAL => {
+                *sent_at = now;
                 (ConsensusMessage::Prepare { ballot: *ballot }, promises.keys().copied().collect())
             }
-            Role::Leader { proposal: Some(proposal), .. } if now >= proposal.sent + RETRY_AFTER => {
-                proposal.sent = now;
+            Role::Leader { proposal: Some(proposal), .. } if now >= proposal.sent_at + RETRY_INTERVAL => {
+                proposal.sent_at = now;
                 (ConsensusMessage::Accept(proposal.value.clone()), proposal.accepted_by.clone())
             }
             _ => return,
         };
-        let missing = self.voters.iter().filter(|voter| !answered.contains(*voter));
+        let missing = self.voters.iter().filter(|voter| !answered_by.contains(*voter));
         out.extend(missing.map(|voter| Effect::Send(*voter, message.clone())));
     }
 
-    /// Takes a message in. `votes` tells whether this replica may vote; one that may not stays silent, as no answer is the only one
-    /// that can't be wrong.
+    /// Handles a message. A replica that is no voter ignores requests for its vote: any answer could break a promise that another
+    /// replica of its node has made.
     pub fn handle(
         &mut self,
         now: Nanos,
         from: NodeId,
         message: ConsensusMessage,
-        votes: bool,
+        is_voter: bool,
         out: &mut Vec<Effect>,
     ) {
         match message {
-            ConsensusMessage::Prepare { ballot } if votes => self.on_prepare(from, ballot, out),
-            ConsensusMessage::Accept(value) if votes => self.on_accept(from, value, out),
-            ConsensusMessage::Confirm { ballot, request_id: number } if votes => {
+            ConsensusMessage::Prepare { ballot } if is_voter => self.on_prepare(from, ballot, out),
+            ConsensusMessage::Accept(value) if is_voter => self.on_accept(from, value, out),
+            ConsensusMessage::Confirm { ballot, request_id: number } if is_voter => {
                 self.on_confirm(from, ballot, number, out);
             }
             ConsensusMessage::Prepare { .. }
@@ -275,7 +279,7 @@
             return self.reject(from, out);
         }
         let (ballot, sequence) = (value.ballot, value.sequence);
-        // A message that was held up on its way, while its successor has come.
+        // The message was delayed, and a later one has overtaken it.
         let overtaken = |accepted: &AcceptedValue| accepted.ballot == ballot && accepted.sequence > sequence;
         if self.state.accepted.as_ref().is_some_and(overtaken) {
             return;
@@ -328,7 +332,7 @@
         }
         let newest = promises.values().flatten().max_by_key(|value| (value.ballot, value.sequence)).cloned();
         self.role = Role::Leader { ballot, proposal: None, confirmations: BTreeMap::new() };
-        // It may or may not have been committed: from here on it is, under this ballot.
+        // Whether that value was committed is unknown: proposing it again commits it either way.
         if let Some(newest) = newest {
             self.send_proposal(now, AcceptedValue { ballot, ..newest }, out);
         }
@@ -363,12 +367,13 @@
         }
     }
 
-    /// Notes what is committed; an older value changes nothing. One under a higher ballot than this leader's tells that a quorum has
-    /// promised that ballot: what is open here may have been committed by another leader, and would never be answered.
+    /// Records a committed value, if it is newer. One under a higher ballot than this leader's shows that a quorum has promised that
+    /// ballot: the proposal in flight here may have been committed by the other leader, and would never be answered.
     fn commit(&mut self, value: AcceptedValue, out: &mut Vec<Effect>) {
         self.observe_ballot(value.ballot, out);
-        let newer = |known: &AcceptedValue| (value.sequence, value.ballot) > (known.sequence, known.ballot);
-        if self.committed.as_ref().is_none_or(newer) {
+        let is_newer =
+            |known: &AcceptedValue| (value.sequence, value.ballot) > (known.sequence, known.ballot);
+        if self.committed.as_ref().is_none_or(is_newer) {
             self.committed = Some(value.clone());
             out.push(Effect::Committed(value));
         }
--- /dev/null
+++ b/control/src/quorum_contact.rs
@@ -0,0 +1,28 @@
+//! Since when this node has been in contact with a quorum.
+
+use ivyhatch_protocol::{Nanos, SECOND};
+
+/// A node that has been in contact with a quorum for this long has received the reports of all other nodes.
+const SETTLING_TIME: Nanos = 2 * SECOND;
+
+/// Contact with a quorum of the voters.
+#[derive(Debug, Default)]
+pub struct QuorumContact {
+    since: Option<Nanos>,
+}
+
+impl QuorumContact {
+    /// Updates the contact. Returns whether it was made or lost.
+    pub fn update(&mut self, now: Nanos, has_quorum: bool) -> bool {
+        let has_changed = has_quorum != self.since.is_some();
+        if has_changed {
+            self.since = has_quorum.then_some(now);
+        }
+        has_changed
+    }
+
+    /// Whether contact has lasted long enough for this node to know what all others know.
+    pub fn is_settled(&self, now: Nanos) -> bool {
+        self.since.is_some_and(|since| now >= since + SETTLING_TIME)
+    }
+}
--- /dev/null
+++ b/control/src/record.rs
@@ -0,0 +1,29 @@
+//! The records of a control node's disk.
+
+use ivyhatch_protocol::ids::{Ballot, PartitionId, ReplicaId};
+use ivyhatch_protocol::peer::{AcceptedValue, Membership};
+use speedy::{Readable, Writable};
+
+/// One record. All records together, in order, are what the replica has promised; see
+/// [`DurableState`](crate::durable_state::DurableState). The encoding is that of the order of variants and fields.
+#[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
+pub enum Record {
+    /// The disk is this replica's from here on; earlier records do not count.
+    Formatted {
+        /// The replica.
+        replica: ReplicaId,
+        /// Whether this was on the first start of the whole system.
+        first_start: bool,
+    },
+    /// The newest membership. Nothing is promised or accepted under an older one from here on.
+    Membership(Membership),
+    /// The replica holds the state that it needs to vote, as the voter that joined in this generation.
+    Joined(u64),
+    /// Lower ballots of the partition are rejected.
+    Promised(PartitionId, Ballot),
+    /// The value that was accepted for the partition; ballots below the value's are rejected.
+    Accepted(PartitionId, AcceptedValue),
+    /// The value that was accepted under this ballot, with this sequence number, is committed: watchers may be sent it without a
+    /// quorum.
+    Committed(PartitionId, Ballot, u64),
+}
--- a/control/src/report.rs
+++ b/control/src/report.rs
@@ -1,20 +1,22 @@
-//! What an operator may ask a control node for: who votes, who leads, and who is behind, as this node knows it.
+//! The state of the cluster for operators, as one node knows it: the voters, the leaders, and which replicas are behind.
 
 use ivyhatch_protocol::ids::{NodeId, PartitionId, ReplicaId};
-use ivyhatch_protocol::peer::{Heartbeat, Membership, ReplicaStatus, Voter};
+use ivyhatch_protocol::peer::{Heartbeat, ReplicaStatus, Voter};
 
-use crate::control_plane::ControlPlane;
+use crate::cluster_view::ClusterView;
+use crate::elections;
+use crate::partitions::Partitions;
 
-/// The control plane as one node knows it.
+/// The cluster as one node knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
     /// The node that reports.
     pub node: NodeId,
-    /// Whether it is in contact with a quorum: if not, the rest may be old.
+    /// Whether it is in contact with a quorum: if not, the rest may be outdated.
     pub has_quorum: bool,
-    /// The membership's number; 0 for none.
+    /// The membership's generation; 0 for none.
     pub generation: u64,
-    /// The voters, and the replicas that are none.
+    /// The voters, and after them the other replicas.
     pub replicas: Vec<ReplicaReport>,
     /// The partitions.
     pub partitions: Vec<PartitionReport>,
@@ -29,11 +31,11 @@
     pub zone: String,
     /// Whether it has a seat in the membership.
     pub is_voter: bool,
-    /// Its status, as it says; none where it is not heard, or its machine has another replica now.
+    /// Its status, as it reports it; `None` where it is unreachable, or its machine has another replica now.
     pub status: Option<ReplicaStatus>,
-    /// Whether it has been told to end.
+    /// Whether it is shutting down.
     pub is_draining: bool,
-    /// How many changes, over all partitions, it has not heard of that this node has.
+    /// The number of changes, over all partitions, that it has not committed and the reporting node has.
     pub changes_behind: u64,
 }
 
@@ -42,83 +44,84 @@
 pub struct PartitionReport {
     /// The partition.
     pub partition: PartitionId,
-    /// The number of its last committed change.
+    /// The sequence number of its last committed change.
     pub committed: u64,
     /// The node that leads it, or would start the next election.
     pub leader: Option<NodeId>,
 }
 
-impl ControlPlane {
-    /// Who votes, who leads, and who is behind.
-    pub fn report(&self) -> Report {
-        let voters = self.membership.iter().flat_map(|membership| &membership.voters);
-        let mut replicas: Vec<ReplicaReport> = voters.map(|voter| self.report_voter(voter)).collect();
-        replicas.extend(self.peers.keys().filter_map(|node| self.report_other(*node)));
-        Report {
-            node: self.identity.node,
-            has_quorum: self.has_quorum(),
-            generation: self.generation(),
-            replicas,
-            partitions: PartitionId::all().map(|part| self.report_partition(part)).collect(),
-        }
-    }
-
-    fn report_partition(&self, part: PartitionId) -> PartitionReport {
-        PartitionReport {
-            partition: part,
-            committed: self.committed_state(part).0,
-            leader: self.leader(part),
-        }
+/// The report of the node whose view this is.
+pub fn report(view: &ClusterView<'_>, partitions: &Partitions) -> Report {
+    let voters = view.local.membership().into_iter().flat_map(|membership| &membership.voters);
+    let mut replicas: Vec<ReplicaReport> =
+        voters.map(|voter| report_voter(view, partitions, voter)).collect();
+    replicas.extend(view.peers.nodes().filter_map(|node| report_non_voter(view, partitions, node)));
+    let report_partition = |partition| PartitionReport {
+        partition,
+        committed: partitions.committed_sequence(partition),
+        leader: elections::leader(view, partition),
+    };
+    Report {
+        node: view.node,
+        has_quorum: view.has_quorum(),
+        generation: view.local.generation(),
+        replicas,
+        partitions: PartitionId::all().map(report_partition).collect(),
     }
+}
 
-    fn report_voter(&self, voter: &Voter) -> ReplicaReport {
-        let Voter { replica, zone, .. } = voter;
-        if Some(*replica) == self.replica {
-            return ReplicaReport {
-                replica: *replica,
-                zone: zone.clone(),
-                is_voter: true,
-                status: Some(self.status),
-                is_draining: self.leaving_since.is_some(),
-                changes_behind: 0,
-            };
-        }
-        let heartbeat = self.current_heartbeat(replica.node);
-        let heartbeat = heartbeat.filter(|_| self.replica_of(replica.node) == Some(*replica));
-        self.report_heard(*replica, zone, true, heartbeat)
+fn report_voter(view: &ClusterView<'_>, partitions: &Partitions, voter: &Voter) -> ReplicaReport {
+    let Voter { replica, zone, .. } = voter;
+    if Some(*replica) == view.local.id() {
+        return ReplicaReport {
+            replica: *replica,
+            zone: zone.clone(),
+            is_voter: true,
+            status: Some(view.local.status()),
+            is_draining: view.is_draining,
+            changes_behind: 0,
+        };
     }
-
-    /// A replica without a seat.
-    fn report_other(&self, node: NodeId) -> Option<ReplicaReport> {
-        let (replica, heartbeat) = (self.replica_of(node)?, self.current_heartbeat(node)?);
-        let has_seat =
-            self.membership.as_ref().is_some_and(|known: &Membership| known.voter(replica).is_some());
-        (!has_seat).then(|| self.report_heard(replica, &heartbeat.zone, false, Some(heartbeat)))
+    let heartbeat = view.peers.reachable_heartbeat(view.now, replica.node);
+    let heartbeat = heartbeat.filter(|_| view.peers.replica(replica.node) == Some(*replica));
+    let report = ReplicaReport {
+        replica: *replica,
+        zone: zone.clone(),
+        is_voter: true,
+        status: None,
+        is_draining: false,
+        changes_behind: 0,
+    };
+    match heartbeat {
+        Some(heartbeat) => with_heartbeat(report, partitions, heartbeat),
+        None => report,
     }
+}
 
-    fn current_heartbeat(&self, node: NodeId) -> Option<&Heartbeat> {
-        let peer = self.peers.get(&node).filter(|peer| peer.is_reachable(self.now))?;
-        peer.heartbeat.as_ref()
+fn report_non_voter(view: &ClusterView<'_>, partitions: &Partitions, node: NodeId) -> Option<ReplicaReport> {
+    let replica = view.peers.replica(node)?;
+    let heartbeat = view.peers.reachable_heartbeat(view.now, node)?;
+    if view.local.has_seat(replica) {
+        return None;
     }
+    let report = ReplicaReport {
+        replica,
+        zone: heartbeat.zone.clone(),
+        is_voter: false,
+        status: None,
+        is_draining: false,
+        changes_behind: 0,
+    };
+    Some(with_heartbeat(report, partitions, heartbeat))
+}
 
-    fn report_heard(
-        &self,
-        replica: ReplicaId,
-        zone: &str,
-        is_voter: bool,
-        heartbeat: Option<&Heartbeat>,
-    ) -> ReplicaReport {
-        let behind = |heartbeat: &Heartbeat| -> u64 {
-            let own = self.partitions.values().map(|partition| partition.committed_sequence());
-            own.zip(&heartbeat.committed).map(|(own, its)| own.saturating_sub(*its)).sum()
-        };
-        ReplicaReport {
-            replica,
-            zone: zone.to_owned(),
-            is_voter,
-            status: heartbeat.map(|heartbeat| heartbeat.status),
-            is_draining: heartbeat.is_some_and(|heartbeat| heartbeat.draining),
-            changes_behind: heartbeat.map_or(0, behind),
-        }
+/// Adds what a replica reports itself.
+fn with_heartbeat(report: ReplicaReport, partitions: &Partitions, heartbeat: &Heartbeat) -> ReplicaReport {
+    let pairs = partitions.committed_sequences().zip(&heartbeat.committed);
+    ReplicaReport {
+        status: Some(heartbeat.status),
+        is_draining: heartbeat.draining,
+        changes_behind: pairs.map(|(own, theirs)| own.saturating_sub(*theirs)).sum(),
+        ..report
     }
 }
--- a/control/src/router_registry.rs
+++ b/control/src/router_registry.rs
@@ -10,7 +10,7 @@
 
 /// A session on which nothing was received for this long does not count any more: three heartbeats of a router.
 pub const SESSION_TIMEOUT: Nanos = 1500 * MILLISECOND;
-/// The report of another control node counts for this long after that node was heard from last.
+/// The report of another control node counts for this long after the last message of that node.
 const REPORT_TIMEOUT: Nanos = 3 * SECOND;
 /// A router that has gone counts for this long in the division of shared quotas: it may come back at any moment, or be partitioned
 /// from the control nodes and still serve.
@@ -18,6 +18,8 @@
 /// A router that drains is usually restarted at the same address. For this long after it was seen draining it stands for its
 /// region in the directory, where that region has no other.
 const DRAINING_RETENTION: Nanos = 3 * SECOND;
+/// Other control nodes are sent the local routers at least this often.
+const REPORT_INTERVAL: Nanos = 5 * SECOND;
 /// The largest number of addresses in an answer of the directory.
 pub const MAX_DIRECTORY_ADDRESSES: usize = 64;
 
@@ -58,10 +60,11 @@
     reported_by_peers: BTreeMap<NodeId, PeerReport>,
     last_seen: BTreeMap<NodeId, Nanos>,
     draining: BTreeMap<NodeId, DrainingRouter>,
+    last_report_sent_at: Nanos,
 }
 
 impl RouterRegistry {
-    /// Records that a router was heard from on its session. Returns whether that is news for other control nodes: the router is
+    /// Records that a message of a router was received on its session. Returns whether that is news for other control nodes: the router is
     /// new, has changed, or had timed out.
     pub fn record_local(&mut self, now: Nanos, router: Router) -> bool {
         let current = LocalRouter { router: router.clone(), last_received_at: now };
@@ -86,6 +89,21 @@
         self.local.values().map(|local| local.router.clone()).collect()
     }
 
+    /// Whether the local routers are to be sent to other control nodes again.
+    pub fn is_report_due(&self, now: Nanos) -> bool {
+        now >= self.last_report_sent_at + REPORT_INTERVAL
+    }
+
+    /// Records that the local routers are sent to all other control nodes.
+    pub fn record_report_sent(&mut self, now: Nanos) {
+        self.last_report_sent_at = now;
+    }
+
+    /// Makes the next report to other control nodes due at once.
+    pub fn expedite_report(&mut self) {
+        self.last_report_sent_at = 0;
+    }
+
     /// Drops local routers and reports that have timed out. Returns whether there were any such local routers.
     pub fn expire(&mut self, now: Nanos) -> bool {
         let count_before = self.local.len();
--- /dev/null
+++ b/control/src/server_list_role.rs
@@ -0,0 +1,192 @@
+//! The server list of a node: read from the platform while the node has the reader's role, replicated from the reader otherwise.
+//!
+//! The role is a singleton role of the cluster: it belongs to the leader of one partition, and the leader's ballot is its fencing
+//! token. A list that was read under a lower ballot than the one that is known is rejected by every node.
+
+use ivyhatch_protocol::ids::{Ballot, PartitionId};
+use ivyhatch_protocol::server_list::ServerList;
+use ivyhatch_protocol::watch::{Server, ServerListPosition, ServerListUpdate, WatchResponse};
+use ivyhatch_protocol::{MILLISECOND, Nanos};
+
+use crate::log_event::{LogEvent, ServerListSource};
+use crate::server_list_reader::{self, ReadId, ReaderRole, ServerListReader};
+
+/// The key of the role: it belongs to the leader of the partition that this is hashed into.
+const ROLE_KEY: &str = "platform-list";
+/// Wait before a list that was requested from another node and has not come is requested again.
+const REQUEST_INTERVAL: Nanos = 250 * MILLISECOND;
+
+/// The partition whose leader has the reader's role.
+pub fn partition() -> PartitionId {
+    PartitionId::for_key(ROLE_KEY)
+}
+
+/// What the role wants done, in this order.
+#[derive(Clone, Debug, PartialEq)]
+pub enum RoleOutput {
+    /// Write a line to the log.
+    Log(LogEvent),
+    /// Read the platform's list.
+    Read(ReadId),
+    /// Send an update to all other control nodes.
+    Broadcast(ServerListUpdate),
+    /// Another node has led the role's partition under this ballot: step down, and win an election under a higher one.
+    RenewBallot(Ballot),
+    /// Send a heartbeat at once, so that another node takes the role.
+    AnnounceYield,
+}
+
+/// What became of an update from another node.
+#[derive(Clone, Debug, PartialEq)]
+pub enum UpdateOutcome {
+    /// The list is newer now.
+    Applied(LogEvent),
+    /// The list is as new already.
+    NotNewer,
+    /// The update builds on a version that is not known here: the complete list is needed.
+    Gap,
+}
+
+/// The list and the role of its reader on one node.
+#[derive(Debug)]
+pub struct ServerListRole {
+    list: ServerList,
+    reader: ServerListReader,
+    requested_at: Nanos,
+}
+
+impl ServerListRole {
+    /// An empty list. The platform is read once in every interval while the node has the role.
+    pub fn new(read_interval: Nanos) -> Self {
+        Self { list: ServerList::default(), reader: ServerListReader::new(read_interval), requested_at: 0 }
+    }
+
+    /// The list as it is known here.
+    pub fn list(&self) -> &ServerList {
+        &self.list
+    }
+
+    /// Whether this node may take the role.
+    pub fn can_read(&self, now: Nanos) -> bool {
+        self.reader.can_read(now)
+    }
+
+    /// The highest ballot of a list: of this node's own, and of those that other nodes report to have.
+    pub fn highest_ballot(&self, reported: impl Iterator<Item = ServerListPosition>) -> Ballot {
+        let own = self.list.position().ballot;
+        reported.map(|position| position.ballot).chain([own]).max().unwrap_or_default()
+    }
+
+    /// Whether any list is known here.
+    pub fn has_list(&self) -> bool {
+        self.list.position().number > 0
+    }
+
+    /// Time has passed, or the role may have changed.
+    pub fn tick(&mut self, now: Nanos, role: ReaderRole) -> Vec<RoleOutput> {
+        self.drive_reader(now, server_list_reader::Input::Tick(role), Vec::new())
+    }
+
+    /// A read of the platform's list has succeeded.
+    pub fn read_succeeded(
+        &mut self,
+        now: Nanos,
+        read: ReadId,
+        role: ReaderRole,
+        servers: Vec<Server>,
+    ) -> Vec<RoleOutput> {
+        self.drive_reader(now, server_list_reader::Input::ReadSucceeded(read, role), servers)
+    }
+
+    /// A read of the platform's list has failed.
+    pub fn read_failed(&mut self, now: Nanos, read: ReadId) -> Vec<RoleOutput> {
+        self.drive_reader(now, server_list_reader::Input::ReadFailed(read), Vec::new())
+    }
+
+    fn drive_reader(
+        &mut self,
+        now: Nanos,
+        input: server_list_reader::Input,
+        mut servers: Vec<Server>,
+    ) -> Vec<RoleOutput> {
+        let ballot_before = self.reader.reading_ballot();
+        let mut reader_outputs = Vec::new();
+        self.reader.handle(now, input, &mut reader_outputs);
+        let mut out = Vec::new();
+        let ballot = self.reader.reading_ballot();
+        if ballot != ballot_before {
+            out.push(RoleOutput::Log(LogEvent::ServerListReader { ballot }));
+        }
+        for output in reader_outputs {
+            match output {
+                server_list_reader::Output::Read(read) => out.push(RoleOutput::Read(read)),
+                server_list_reader::Output::Publish(ballot) => {
+                    self.publish(now, ballot, std::mem::take(&mut servers), &mut out);
+                }
+                server_list_reader::Output::RenewBallot { superseded_by } => {
+                    out.push(RoleOutput::Log(LogEvent::ServerListReaderSuperseded { superseded_by }));
+                    out.push(RoleOutput::RenewBallot(superseded_by));
+                }
+                server_list_reader::Output::ReadFailing { consecutive_failures } => {
+                    out.push(RoleOutput::Log(LogEvent::ServerListReadFailed { consecutive_failures }));
+                }
+                server_list_reader::Output::YieldRole => out.push(RoleOutput::AnnounceYield),
+            }
+        }
+        out
+    }
+
+    fn publish(&mut self, now: Nanos, ballot: Ballot, servers: Vec<Server>, out: &mut Vec<RoleOutput>) {
+        if ballot == Ballot::default() {
+            // Read by this node for its own watchers: until there is a quorum, no node has the role.
+            if !servers.is_empty() {
+                self.list.apply_platform_list(now, ballot, servers);
+                out.push(RoleOutput::Log(self.log_event(ServerListSource::Bootstrap)));
+            }
+            return;
+        }
+        let Some(update) = self.list.apply_platform_list(now, ballot, servers) else { return };
+        out.push(RoleOutput::Log(self.log_event(ServerListSource::Platform)));
+        let changed = update.upsert.iter().filter(|_| update.from.is_some());
+        out.extend(changed.map(|server| RoleOutput::Log(LogEvent::ServerChanged(server.clone()))));
+        out.push(RoleOutput::Broadcast(update));
+    }
+
+    /// Applies an update from another node.
+    pub fn apply_update(&mut self, now: Nanos, update: ServerListUpdate) -> UpdateOutcome {
+        let position_before = self.list.position();
+        if !self.list.apply_update(now, update) {
+            UpdateOutcome::Gap
+        } else if position_before != self.list.position() {
+            UpdateOutcome::Applied(self.log_event(ServerListSource::Peer))
+        } else {
+            UpdateOutcome::NotNewer
+        }
+    }
+
+    /// The complete list, if there is one that counts.
+    pub fn full_update(&self, now: Nanos) -> Option<ServerListUpdate> {
+        let has_list = self.list.position() != ServerList::default().position();
+        has_list.then(|| self.list.full_update(now))
+    }
+
+    /// What a watcher at this position lacks of the list.
+    pub fn update_since(&self, now: Nanos, position: ServerListPosition) -> Option<WatchResponse> {
+        let is_newer = self.list.position() > position;
+        is_newer.then(|| WatchResponse::ServerList(self.list.update_since(now, position)))
+    }
+
+    /// Another node has a list at this position. Returns whether to request it from that node now.
+    pub fn begin_request(&mut self, now: Nanos, position: ServerListPosition) -> bool {
+        let begins = position > self.list.position() && now >= self.requested_at + REQUEST_INTERVAL;
+        if begins {
+            self.requested_at = now;
+        }
+        begins
+    }
+
+    fn log_event(&self, source: ServerListSource) -> LogEvent {
+        let ServerListPosition { ballot, number } = self.list.position();
+        LogEvent::ServerList { source, ballot, number, servers: self.list.len() }
+    }
+}
--- /dev/null
+++ b/control/src/watch_sessions.rs
@@ -0,0 +1,163 @@
+//! The watch sessions of routers: how far each watcher is, and what it is sent next.
+
+use std::collections::BTreeMap;
+
+use ivyhatch_protocol::ids::NodeId;
+use ivyhatch_protocol::watch::{Position, Router, WatchRequest, WatchResponse};
+use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
+
+use crate::interface::SessionId;
+use crate::router_registry::{RouterRank, RouterRegistry};
+
+/// The longest interval between two messages on a session.
+const PROGRESS_INTERVAL: Nanos = 500 * MILLISECOND;
+/// A session on which nothing was received for this long is closed.
+const SESSION_TIMEOUT: Nanos = 4 * SECOND;
+
+/// A session.
+#[derive(Debug)]
+struct WatchSession {
+    /// The router; `None` until it subscribes.
+    router: Option<NodeId>,
+    /// Whether the watcher is sent updates. Others are sent positions, and fetch what they need.
+    is_primary: bool,
+    /// How far the watcher is.
+    position: Position,
+    last_sent_position: Position,
+    last_sent_at: Nanos,
+    last_received_at: Nanos,
+}
+
+impl WatchSession {
+    fn new(now: Nanos) -> Self {
+        Self {
+            router: None,
+            is_primary: false,
+            position: Position::default(),
+            last_sent_position: Position::default(),
+            last_sent_at: 0,
+            last_received_at: now,
+        }
+    }
+
+    fn is_due(&self, now: Nanos, position: &Position) -> bool {
+        let is_behind = self.last_sent_position != *position;
+        self.router.is_some() && (is_behind || now >= self.last_sent_at + PROGRESS_INTERVAL)
+    }
+}
+
+/// What a message of a watcher asks for.
+#[derive(Debug, PartialEq, Eq)]
+pub enum WatchEvent {
+    /// Nothing.
+    None,
+    /// Other control nodes have to be sent the routers of this one.
+    RoutersChanged,
+    /// The watcher wants the updates after this position, once.
+    Fetch(Position),
+}
+
+/// What a control node knows when it sends progress to watchers.
+#[derive(Debug)]
+pub struct Progress {
+    /// How far the node is.
+    pub position: Position,
+    /// Whether it is in contact with a quorum.
+    pub has_quorum: bool,
+    /// Whether it has been for long enough to know all routers. A node that has just joined, or is partitioned, knows few of them:
+    /// quotas that are divided by their number would be too large.
+    pub knows_all_routers: bool,
+    /// The control nodes, in the order of addresses.
+    pub control_nodes: Vec<NodeId>,
+}
+
+impl Progress {
+    fn response(&self, rank: RouterRank) -> WatchResponse {
+        WatchResponse::Progress {
+            position: self.position.clone(),
+            has_quorum: self.has_quorum,
+            router_count: if self.knows_all_routers { rank.count as u32 } else { 0 },
+            router_index: rank.index as u32,
+            control_nodes: self.control_nodes.clone(),
+        }
+    }
+}
+
+/// The sessions of one control node.
+#[derive(Debug, Default)]
+pub struct WatchSessions {
+    sessions: BTreeMap<SessionId, WatchSession>,
+}
+
+impl WatchSessions {
+    /// Handles a message of a watcher. Its router counts as present from now on.
+    pub fn handle(
+        &mut self,
+        now: Nanos,
+        id: SessionId,
+        request: WatchRequest,
+        routers: &mut RouterRegistry,
+    ) -> WatchEvent {
+        let session = self.sessions.entry(id).or_insert_with(|| WatchSession::new(now));
+        session.last_received_at = now;
+        let router = match request {
+            WatchRequest::Fetch { position } => return WatchEvent::Fetch(position),
+            WatchRequest::Subscribe { router, primary, position } => {
+                session.router = Some(router.node);
+                session.is_primary = primary;
+                session.position = position;
+                session.last_sent_at = 0;
+                Some(router)
+            }
+            WatchRequest::Heartbeat { state } => {
+                let known = session.router.and_then(|node| routers.local(node));
+                known.map(|router| Router { state, ..router.clone() })
+            }
+        };
+        let has_changed = router.is_some_and(|router| routers.record_local(now, router));
+        if has_changed { WatchEvent::RoutersChanged } else { WatchEvent::None }
+    }
+
+    /// Removes a session. Returns its router, if that has no other session by now.
+    pub fn close(&mut self, id: SessionId) -> Option<NodeId> {
+        let session = self.sessions.remove(&id)?;
+        let has_other = self.sessions.values().any(|other| other.router == session.router);
+        session.router.filter(|_| !has_other)
+    }
+
+    /// Removes the sessions that have timed out. Their routers are not removed here, but when they time out themselves.
+    pub fn expire(&mut self, now: Nanos) -> Vec<SessionId> {
+        let is_expired = |session: &WatchSession| now >= session.last_received_at + SESSION_TIMEOUT;
+        self.sessions.extract_if(.., |_, session| is_expired(session)).map(|(id, _)| id).collect()
+    }
+
+    /// The sessions that are to be sent something now.
+    pub fn due(&self, now: Nanos, position: &Position) -> Vec<SessionId> {
+        let due = self.sessions.iter().filter(|(_, session)| session.is_due(now, position));
+        due.map(|(id, _)| *id).collect()
+    }
+
+    /// What a session is sent: a primary one the updates since its position, and each the node's progress.
+    pub fn responses(
+        &mut self,
+        now: Nanos,
+        id: SessionId,
+        progress: &Progress,
+        routers: &RouterRegistry,
+        updates_since: impl FnOnce(&Position) -> Vec<WatchResponse>,
+    ) -> Vec<WatchResponse> {
+        let Some(session) = self.sessions.get_mut(&id) else { return Vec::new() };
+        let mut responses = Vec::new();
+        if session.is_primary && session.position != progress.position {
+            responses = updates_since(&session.position);
+        }
+        let rank = session.router.map_or_else(RouterRank::default, |node| routers.rank(node));
+        responses.push(progress.response(rank));
+        if session.is_primary {
+            session.position.clone_from(&progress.position);
+        }
+        session.last_sent_position.clone_from(&progress.position);
+        session.last_sent_at = now;
+        responses
+    }
+}
