--- a/balancer/tests/size.rs
+++ b/balancer/tests/size.rs
@@ -1,4 +1,5 @@
-//! The decision module as its users see it: the deploy file names all of it, and each of its files has one concern.
+//! The decision module as its users see it: the deploy file names all of it, and each of its files has one
+//! concern.
 
 const ROOT: &str = env!("CARGO_MANIFEST_DIR");
 
@@ -10,13 +11,14 @@
     listed.split('"').skip(1).step_by(2).map(str::to_owned).collect()
 }
 
-/// A file beyond this does several jobs. The bound on the whole module's lines has been withdrawn by its users.
+/// A file beyond this does several jobs. The bound on the whole module's lines has been withdrawn by its
+/// users.
 const MAX_FILE_LINES: usize = 400;
 /// As `rustfmt.toml` sets it; string literals and comments are not wrapped by the formatter.
 const MAX_LINE_COLUMNS: usize = 110;
 
 #[test]
-fn each_file_of_the_module_stays_within_its_bounds() {
+fn each_policy_file_stays_within_its_bounds() {
     for path in policy() {
         let text = std::fs::read_to_string(format!("{ROOT}/../{path}")).unwrap();
         let lines = text.lines().count();
@@ -28,7 +30,7 @@
 
 /// A decision that stood in a file which the deploy file does not name would escape these bounds.
 #[test]
-fn the_deploy_file_names_the_whole_module() {
+fn deploy_file_lists_every_policy_file() {
     let mut named = policy();
     let files = std::fs::read_dir(format!("{ROOT}/src/policy")).unwrap();
     let mut files: Vec<String> = files
--- a/cli/src/sockets.rs
+++ b/cli/src/sockets.rs
@@ -5,15 +5,15 @@
 use std::process::ExitCode;
 
 use clap::Args;
-use ivyhatch_lab::{Report, World, play};
-use ivyhatch_socket_lab::{Command, RigError, Snapshot};
+use ivyhatch_lab::{Report, World, simulate};
+use ivyhatch_socket_lab::{NodeCommand, Snapshot, SocketLabError, ZoneSnapshot};
 
 use crate::unusable;
 
 /// This program runs a node as well.
-fn node() -> Result<Command, String> {
+fn node() -> Result<NodeCommand, String> {
     let program = std::env::current_exe().map_err(|error| format!("this program's own file: {error}"))?;
-    Ok(Command { program, arguments: vec!["node".into()] })
+    Ok(NodeCommand { program, arguments: vec!["node".into()] })
 }
 
 /// Plays a world on sockets, until it is over or Ctrl-C comes; none for the latter.
@@ -27,7 +27,7 @@
     let runtime = runtime.map_err(|error| format!("can't start: {error}"))?;
     runtime.block_on(async {
         tokio::select! {
-            report = ivyhatch_socket_lab::play(world, seed, &node, watch) => report.map(Some).map_err(|error: RigError| error.to_string()),
+            report = ivyhatch_socket_lab::run(world, seed, &node, watch) => report.map(Some).map_err(|error: SocketLabError| error.to_string()),
             _ = tokio::signal::ctrl_c() => Ok(None),
         }
     })
@@ -35,7 +35,7 @@
 
 /// Plays a world in virtual time and on sockets, with the same clients, and puts both side by side.
 pub fn both(world: &World, seed: u64, json: bool) -> ExitCode {
-    let model = play(world, seed, &mut |_| {});
+    let model = simulate(world, seed, &mut |_| {});
     let bar = crate::bar((world.seconds * 10.0) as u64, json, "on sockets [{bar:40}] {elapsed}");
     let watched = bar.clone();
     let real = play_real(world, seed, move |now| watched.set_position((now.seconds * 10.0) as u64));
@@ -100,9 +100,9 @@
     let scale = demo.seconds / world.seconds;
     world.seconds = demo.seconds;
     world
-        .trouble
+        .faults
         .iter_mut()
-        .for_each(|trouble| (trouble.from, trouble.to) = (trouble.from * scale, trouble.to * scale));
+        .for_each(|fault| (fault.start_s, fault.end_s) = (fault.start_s * scale, fault.end_s * scale));
     if !demo.json {
         println!(
             "one real node in zone 0, nine stand-in servers in three zones, {} requests a second",
@@ -166,32 +166,33 @@
     fn show(&self, now: &Snapshot) {
         let mut lines = Vec::new();
         let before = self.last.replace(Some(now.clone()));
-        let (asked, attempts) = before.map_or(([0; 5], (0, 0)), |before| (before.so_far, before.attempts));
-        let more = |part: usize| now.so_far[part] - asked[part];
-        let zone = |(number, (servers, util, cut)): (usize, &(usize, f64, bool))| {
-            let cut = if *cut { " CUT" } else { "" };
-            format!("zone {number}: {servers} servers {:>3.0} %{cut}", util * 100.0)
+        let (outcomes, attempts) =
+            before.map_or_else(Default::default, |before| (before.outcomes, before.attempts));
+        let zone = |(number, zone): (usize, &ZoneSnapshot)| {
+            let partitioned = if zone.partitioned { " CUT" } else { "" };
+            let (servers, percent) = (zone.servers_in_service, zone.mean_utilization * 100.0);
+            format!("zone {number}: {servers} servers {percent:>3.0} %{partitioned}")
         };
         let zones: Vec<String> = now.zones.iter().enumerate().map(zone).collect();
         lines.push(format!("{:>5.1} s  {}", now.seconds, zones.join("   ")));
         lines.push(format!(
             "         asked {:>3}, in time {:>3}, late {}, refused {}, failed {}; {} attempts, {} into another zone",
-            more(0),
-            more(1),
-            more(2),
-            more(3),
-            more(4),
-            now.attempts.0 - attempts.0,
-            now.attempts.1 - attempts.1
+            now.outcomes.requests - outcomes.requests,
+            now.outcomes.in_time - outcomes.in_time,
+            now.outcomes.late - outcomes.late,
+            now.outcomes.rejected - outcomes.rejected,
+            now.outcomes.failed - outcomes.failed,
+            now.attempts.total - attempts.total,
+            now.attempts.cross_zone - attempts.cross_zone
         ));
         let mut out = std::io::stdout().lock();
         let live = out.is_terminal();
         if live && self.drawn.get() > 0 {
             let _ = write!(out, "\x1b[{}A\x1b[J", self.drawn.get());
         }
-        // News stay; the table moves on below them.
-        for news in &now.news {
-            let _ = writeln!(out, "{:>5.1} s  >> {news}", now.seconds);
+        // Fault events stay; the table moves on below them.
+        for event in &now.fault_events {
+            let _ = writeln!(out, "{:>5.1} s  >> {event}", now.seconds);
         }
         if live || now.seconds.fract() < 0.5 {
             for line in &lines {
