--- a/simulation/src/disk.rs
+++ b/simulation/src/disk.rs
@@ -1,42 +1,52 @@
-//! A disk, at the level of records: writes stand in a queue, what has gathered is written and synced as one block, and a block is
-//! there whole or not at all, as its checksum has it.
+//! A simulated disk of records: writes are queued, the queue is written and synced as one block, and after a crash the block in
+//! progress is present as a whole or absent, as its checksum ensures on a real disk.
 
 use std::collections::VecDeque;
 
 use ivyhatch_control::stored::Stored;
 use ivyhatch_control::{Record, Token};
 
-/// A machine's disk, and the process's writes to it.
+/// A machine's disk and the writes of its process.
 #[derive(Debug, Default)]
 pub struct Disk {
     stored: Stored,
     queue: VecDeque<(Token, Vec<Record>)>,
-    block: Vec<(Token, Vec<Record>)>,
+    block_in_progress: Vec<(Token, Vec<Record>)>,
+}
+
+/// What becomes of the block in progress when the process ends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum BlockFate {
+    /// It reached the disk, though no completion was reported.
+    Durable,
+    /// It is absent or torn, and so discarded.
+    Lost,
 }
 
 impl Disk {
-    /// What it holds.
+    /// The durable records.
     pub fn stored(&self) -> &Stored {
         &self.stored
     }
 
-    /// A write is asked for.
-    pub fn write(&mut self, token: Token, records: Vec<Record>) {
+    /// Queues a write.
+    pub fn enqueue(&mut self, token: Token, records: Vec<Record>) {
         self.queue.push_back((token, records));
     }
 
-    /// Begins to write what has gathered, unless a block is being written or there is nothing. Whether it has begun.
-    pub fn begin(&mut self) -> bool {
-        if !self.block.is_empty() || self.queue.is_empty() {
+    /// Starts to write the whole queue as one block. Returns whether a write has started: false where one is in progress or the
+    /// queue is empty.
+    pub fn start_write(&mut self) -> bool {
+        if !self.block_in_progress.is_empty() || self.queue.is_empty() {
             return false;
         }
-        self.block.extend(self.queue.drain(..));
+        self.block_in_progress.extend(self.queue.drain(..));
         true
     }
 
-    /// The block that is being written is on the disk; these writes have ended.
-    pub fn end(&mut self) -> Vec<Token> {
-        let block = std::mem::take(&mut self.block);
+    /// Makes the block in progress durable. Returns the tokens of its writes.
+    pub fn complete_write(&mut self) -> Vec<Token> {
+        let block = std::mem::take(&mut self.block_in_progress);
         let mut tokens = Vec::with_capacity(block.len());
         for (token, records) in block {
             records.into_iter().for_each(|record| self.stored.apply(record));
@@ -45,17 +55,16 @@
         tokens
     }
 
-    /// The process ends, by a kill or without power. Of the block that was being written nothing was told: it is `present`, or it
-    /// is absent or torn and so cut off.
-    pub fn cut_short(&mut self, present: bool) {
+    /// Ends the process: its queue is lost, and the block in progress is durable or lost.
+    pub fn crash(&mut self, fate: BlockFate) {
         self.queue.clear();
-        if present {
-            drop(self.end());
+        match fate {
+            BlockFate::Durable => drop(self.complete_write()),
+            BlockFate::Lost => self.block_in_progress.clear(),
         }
-        self.block.clear();
     }
 
-    /// It is lost, and an empty one takes its place.
+    /// Replaces the disk by an empty one.
     pub fn wipe(&mut self) {
         *self = Self::default();
     }
--- /dev/null
+++ b/simulation/src/hunt/mod.rs
@@ -0,0 +1,49 @@
+//! The hunt: plays the random plans of a seed, and reduces those that violate an invariant to short recorded runs.
+
+mod recording;
+mod shrink;
+
+use strum::IntoEnumIterator;
+
+use crate::injected_bugs::InjectedBug;
+use crate::plan::{MessageMutation, MutationKind, Plan};
+use crate::run::{play, play_with_bug};
+
+pub use recording::{RecordedRun, RecordingError};
+pub use shrink::shrink;
+
+/// Odd seeds above this one draw plans with further faults ([`Plan::random_extended`]).
+pub const LAST_BASIC_SEED: u64 = 1_000_000;
+
+/// The distance between the plan seeds of two neighbouring hunt seeds.
+const PLAN_SEEDS_PER_HUNT_SEED: u64 = 1_000_003;
+
+/// The plans of a hunt seed, in order and without end.
+pub fn plans(seed: u64) -> impl Iterator<Item = Plan> {
+    let is_extended = seed > LAST_BASIC_SEED && seed % 2 == 1;
+    let draw = if is_extended { Plan::random_extended } else { Plan::random };
+    (0..).map(move |number: u64| draw(seed.wrapping_mul(PLAN_SEEDS_PER_HUNT_SEED).wrapping_add(number)))
+}
+
+/// Plays a plan. If it violates an invariant, reduces it.
+pub fn find_and_shrink(plan: Plan, injected_bug: Option<InjectedBug>) -> Option<RecordedRun> {
+    find_violation(plan, injected_bug).map(shrink)
+}
+
+/// Plays a plan. If it violates an invariant, returns it as it is.
+pub fn find_violation(plan: Plan, injected_bug: Option<InjectedBug>) -> Option<RecordedRun> {
+    let outcome = injected_bug.map_or_else(|| play(&plan), |bug| play_with_bug(&plan, bug));
+    outcome.violation.map(|violation| RecordedRun { violation, injected_bug, plan })
+}
+
+/// The plan with each kind of mutation of each message: every `step`th message of its run from `first_message` on.
+pub fn message_mutations(plan: &Plan, first_message: u64, step: u64) -> impl Iterator<Item = Plan> + use<> {
+    let messages = play(plan).messages;
+    let plan = plan.clone();
+    let numbers = (first_message.max(1)..=messages).step_by(step.max(1) as usize);
+    numbers.flat_map(move |message| {
+        let plan = plan.clone();
+        MutationKind::iter()
+            .map(move |kind| Plan { mutation: Some(MessageMutation { message, kind }), ..plan.clone() })
+    })
+}
--- a/simulation/src/injected_bugs.rs
+++ b/simulation/src/injected_bugs.rs
@@ -1,34 +1,44 @@
-//! Known faults, put in on purpose by altering what goes between a node and its world. A hunt that does not find them proves
-//! nothing. The code of the nodes is not touched.
+//! Bugs that are injected on purpose, to show that a hunt finds them. The simulation alters what passes between a node and its
+//! environment; the code of the nodes stays as it is.
 
 use serde::{Deserialize, Serialize};
 
-/// A known fault.
+/// A bug of a node or a watch client. Recorded runs name it by its stored name.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, strum::Display, strum::EnumIter,
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum InjectedBug {
-    /// A node is told that a write is on the disk before it is.
+    /// A node takes a write for durable before its sync has completed.
     AcknowledgesBeforeSync,
-    /// A node whose disk was lost takes its empty one for all that it has promised, and votes.
+    /// A node that has lost its disk goes on as the replica it was, and votes.
     VotesAfterWipe,
-    /// An owner takes it for granted that all confirm its ballot.
+    /// A leader answers without the confirmation of a quorum.
     SkipsConfirmation,
-    /// A member takes what a lower ballot sets.
-    AcceptsLowerEpoch,
-    /// A follower applies a change that does not follow on what it has.
+    /// A replica accepts a proposal under a lower ballot than it has promised.
+    #[serde(rename = "AcceptsLowerEpoch")] // wire name
+    #[strum(serialize = "accepts_lower_epoch")] // wire name
+    AcceptsLowerBallot,
+    /// A watch client applies a change that does not start at its own sequence number.
     AppliesOverGap,
-    /// An order is done on top of whatever is current, not of the version that it names.
+    /// A change is applied on top of the current revision whatever its base.
     IgnoresBase,
-    /// A new voter counts before it holds the state.
-    CountsBeforeState,
-    /// A message that was sent under an older membership counts.
-    OldGenerationCounts,
-    /// The membership is changed without the agreement of a quorum, so that two changes may be made at once.
-    ChangesMembershipAlone,
-    /// A node takes it for granted that all promise its ballot, and have accepted nothing.
+    /// A new voter votes before it has the state that a quorum handed over.
+    #[serde(rename = "CountsBeforeState")] // wire name
+    #[strum(serialize = "counts_before_state")] // wire name
+    VotesBeforeStateTransfer,
+    /// A message of an older membership generation is counted.
+    #[serde(rename = "OldGenerationCounts")] // wire name
+    #[strum(serialize = "old_generation_counts")] // wire name
+    CountsOldGeneration,
+    /// The membership is changed without a quorum, so that two changes can be decided at once.
+    #[serde(rename = "ChangesMembershipAlone")] // wire name
+    #[strum(serialize = "changes_membership_alone")] // wire name
+    ChangesMembershipWithoutQuorum,
+    /// A candidate takes every prepare for promised, with nothing accepted before.
     LeadsWithoutElection,
-    /// An order that is sent again is not known again.
-    TakesResentForNew,
+    /// A retried request is not recognised and counts as a new one.
+    #[serde(rename = "TakesResentForNew")] // wire name
+    #[strum(serialize = "takes_resent_for_new")] // wire name
+    TreatsRetryAsNew,
 }
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -1,22 +1,23 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
-//! A world in virtual time for the control state: the real state machines of control nodes and followers, with links that lose,
-//! delay, double and reorder, cuts, freezes, disks with the semantics of power loss, and operators that race. Decides and plays;
-//! no sockets, no clock. A plan goes in, what was found comes out; the same plan always plays alike.
+//! Deterministic simulation of the control plane: the real state machines of control nodes and watch clients in virtual time, with
+//! links that lose, delay, duplicate and reorder messages, network partitions, suspended processes, disks with the semantics of a
+//! power loss, and operators that race. No sockets and no clock: a [`Plan`] goes in, an [`Outcome`] comes out, and equal plans have
+//! equal outcomes.
 //!
-//! Reading order: [`plan`] says what happens, [`disk`] what a disk keeps, [`demand`] what operators ask for, [`run`] plays it,
-//! [`oracle`] judges from outside, [`injected_bugs`] puts known faults in, [`hunt`] looks for plans that break a rule and makes them
-//! short, and [`search`] goes through all interleavings of one part among three nodes.
+//! Reading order: [`plan`] describes a run, [`disk`] models a disk and [`workload`] the operators' requests, [`run`] plays the plan,
+//! [`oracle`] checks the invariants from outside, [`injected_bugs`] names the bugs that a hunt has to find, [`hunt`] looks for plans
+//! that violate an invariant and reduces them, and [`search`] explores all interleavings of one partition.
 
-pub mod chance;
-pub mod demand;
 pub mod disk;
 pub mod hunt;
 pub mod injected_bugs;
 pub mod oracle;
 pub mod plan;
+pub mod random;
 pub mod run;
 pub mod search;
+pub mod workload;
 
 pub use injected_bugs::InjectedBug;
 pub use oracle::{Invariant, Violation};
--- /dev/null
+++ b/simulation/src/run/corruptions.rs
@@ -0,0 +1,120 @@
+//! Injected bugs in what a control node sends: a message is altered, answered at once, or dropped.
+
+use ivyhatch_control::{ControlPlane, Input};
+use ivyhatch_protocol::ids::{NodeId, PartitionId};
+use ivyhatch_protocol::peer::{ConsensusMessage, PeerMessage};
+
+use super::{Simulation, index_of};
+use crate::injected_bugs::InjectedBug;
+
+/// A consensus message with the partition and the generation under which it is sent.
+struct Consensus {
+    generation: u64,
+    partition: PartitionId,
+    message: ConsensusMessage,
+}
+
+impl Consensus {
+    /// The same envelope with another message.
+    fn with(&self, message: ConsensusMessage) -> PeerMessage {
+        PeerMessage::Consensus { generation: self.generation, partition: self.partition, message }
+    }
+}
+
+impl Simulation<'_> {
+    /// Applies the injected bug to a message. Returns the message to send, none if it is not sent; a response in its place is added
+    /// to `inputs`.
+    pub(super) fn corrupt(
+        &mut self,
+        machine: usize,
+        to: NodeId,
+        message: PeerMessage,
+        inputs: &mut Vec<Input>,
+    ) -> Option<PeerMessage> {
+        let Some(injected_bug) = self.injected_bug else { return Some(message) };
+        match message {
+            PeerMessage::Consensus { generation, partition, message } => {
+                let consensus = Consensus { generation, partition, message };
+                self.corrupt_consensus(injected_bug, machine, to, consensus, inputs)
+            }
+            PeerMessage::StateTransferRequest { incarnation, generation }
+                if injected_bug == InjectedBug::VotesBeforeStateTransfer =>
+            {
+                inputs.push(Input::Peer(to, self.empty_state_transfer(to, incarnation, generation)?));
+                None
+            }
+            message => Some(message),
+        }
+    }
+
+    fn corrupt_consensus(
+        &mut self,
+        injected_bug: InjectedBug,
+        machine: usize,
+        to: NodeId,
+        consensus: Consensus,
+        inputs: &mut Vec<Input>,
+    ) -> Option<PeerMessage> {
+        let is_membership = consensus.partition == PartitionId::MEMBERSHIP;
+        let response = match (injected_bug, &consensus.message) {
+            (InjectedBug::SkipsConfirmation, ConsensusMessage::Confirm { ballot, request_id }) => {
+                ConsensusMessage::Confirmed { ballot: *ballot, request_id: *request_id }
+            }
+            (InjectedBug::LeadsWithoutElection, ConsensusMessage::Prepare { ballot }) if !is_membership => {
+                ConsensusMessage::Promise { ballot: *ballot, accepted: None }
+            }
+            (InjectedBug::ChangesMembershipWithoutQuorum, ConsensusMessage::Prepare { ballot })
+                if is_membership =>
+            {
+                ConsensusMessage::Promise { ballot: *ballot, accepted: None }
+            }
+            (InjectedBug::ChangesMembershipWithoutQuorum, ConsensusMessage::Accept(value))
+                if is_membership =>
+            {
+                ConsensusMessage::Accepted { ballot: value.ballot, sequence: value.sequence }
+            }
+            _ => return Some(self.altered_consensus(injected_bug, machine, to, consensus)),
+        };
+        inputs.push(Input::Peer(to, consensus.with(response)));
+        None
+    }
+
+    /// A consensus message that is sent, altered where the bug says so.
+    fn altered_consensus(
+        &mut self,
+        injected_bug: InjectedBug,
+        machine: usize,
+        to: NodeId,
+        mut consensus: Consensus,
+    ) -> PeerMessage {
+        match (injected_bug, &consensus.message) {
+            (InjectedBug::AcceptsLowerBallot, ConsensusMessage::Reject { .. }) => {
+                let rejected = self.machines[machine].last_accept.take();
+                if let Some((ballot, sequence)) = rejected.filter(|(ballot, _)| ballot.node == to) {
+                    consensus.message = ConsensusMessage::Accepted { ballot, sequence };
+                }
+            }
+            (InjectedBug::CountsOldGeneration, _) => {
+                if let Some(generation) = self.generation_of(to) {
+                    consensus.generation = generation;
+                }
+            }
+            _ => {}
+        }
+        let Consensus { generation, partition, message } = consensus;
+        PeerMessage::Consensus { generation, partition, message }
+    }
+
+    /// The generation that the receiver of a message knows.
+    fn generation_of(&self, node: NodeId) -> Option<u64> {
+        let receiver = self.machines.get(index_of(node))?;
+        receiver.node.as_ref()?.membership().map(|membership| membership.generation)
+    }
+
+    /// A state transfer from a node, without any state.
+    fn empty_state_transfer(&self, from: NodeId, incarnation: u64, generation: u64) -> Option<PeerMessage> {
+        let node = self.machines[index_of(from)].node.as_ref();
+        let disk = node.and_then(ControlPlane::replica)?.disk;
+        Some(PeerMessage::StateTransfer { incarnation, generation, disk, partitions: Vec::new() })
+    }
+}
--- a/simulation/src/run/describe.rs
+++ b/simulation/src/run/describe.rs
@@ -1,4 +1,4 @@
-//! Messages in a few words, for the trace.
+//! Messages in a few words, for the trace and for descriptions of violations.
 
 use ivyhatch_protocol::peer::{ConsensusMessage, Heartbeat, PeerMessage};
 use ivyhatch_protocol::watch::WatchResponse;
@@ -7,22 +7,11 @@
 pub(super) fn peer_message(message: &PeerMessage) -> String {
     match message {
         PeerMessage::Heartbeat(heartbeat) => {
-            let Heartbeat { sequence: number, status, generation, has_quorum, .. } = heartbeat;
-            format!("heartbeat {number} {status:?} generation {generation} quorum: {has_quorum}")
-        }
-        PeerMessage::Consensus { generation, partition: part, message } => {
-            let message = match message {
-                ConsensusMessage::Accept(value) => format!("accept {} {}", value.ballot, value.sequence),
-                ConsensusMessage::Promise { ballot, accepted } => {
-                    let had = accepted.as_ref().map(|had| format!("{} {}", had.ballot, had.sequence));
-                    format!("promise {ballot} had {had:?}")
-                }
-                ConsensusMessage::Committed(value) => {
-                    format!("committed {} {}", value.ballot, value.sequence)
-                }
-                other => format!("{other:?}"),
-            };
-            format!("generation {generation} part {} {message}", part.0)
+            let Heartbeat { sequence, status, generation, has_quorum, .. } = heartbeat;
+            format!("heartbeat {sequence} {status:?} generation {generation} quorum: {has_quorum}")
+        }
+        PeerMessage::Consensus { generation, partition, message } => {
+            format!("generation {generation} partition {} {}", partition.0, consensus_message(message))
         }
         PeerMessage::Membership(membership) => {
             let voters: Vec<String> =
@@ -31,29 +20,42 @@
         }
         PeerMessage::StateTransferRequest { generation, .. } => format!("state request {generation}"),
         PeerMessage::StateTransfer { generation, .. } => format!("state of generation {generation}"),
-        PeerMessage::ForwardRequest { request_id: number, request, .. } => {
-            format!("forward {number} part {}", request.partition().0)
+        PeerMessage::ForwardRequest { request_id, request, .. } => {
+            format!("forward {request_id} partition {}", request.partition().0)
+        }
+        PeerMessage::ForwardResponse { request_id, response } => {
+            format!("forwarded {request_id} {response:?}")
         }
-        PeerMessage::ForwardResponse { request_id: number, response } => {
-            format!("forwarded {number} {response:?}")
+        PeerMessage::RouterSessions(_) => "router sessions".to_owned(),
+        PeerMessage::ServerList(update) => format!("server list {} {}", update.ballot, update.to),
+        PeerMessage::ServerListRequest => "server list request".to_owned(),
+    }
+}
+
+fn consensus_message(message: &ConsensusMessage) -> String {
+    match message {
+        ConsensusMessage::Accept(value) => format!("accept {} {}", value.ballot, value.sequence),
+        ConsensusMessage::Promise { ballot, accepted } => {
+            let accepted = accepted.as_ref().map(|value| format!("{} {}", value.ballot, value.sequence));
+            format!("promise {ballot} accepted {accepted:?}")
         }
-        PeerMessage::RouterSessions(_) => "sessions".to_owned(),
-        PeerMessage::ServerList(news) => format!("servers {} {}", news.ballot, news.to),
-        PeerMessage::ServerListRequest => "want servers".to_owned(),
+        ConsensusMessage::Committed(value) => format!("committed {} {}", value.ballot, value.sequence),
+        other => format!("{other:?}"),
     }
 }
 
-/// What a control node says to a router.
-pub(super) fn follower_message(message: &WatchResponse) -> String {
+/// A message from a control node to a router.
+pub(super) fn watch_response(message: &WatchResponse) -> String {
     match message {
         WatchResponse::Progress { position, has_quorum, .. } => {
-            format!("heads {} in touch: {has_quorum}", position.configuration)
+            format!("progress {} quorum: {has_quorum}", position.configuration)
         }
-        WatchResponse::Snapshot { sequence, .. } => format!("whole {sequence}"),
+        WatchResponse::Snapshot { sequence, .. } => format!("snapshot {sequence}"),
         WatchResponse::Change { from, to, .. } => format!("change {from} to {to}"),
-        WatchResponse::Evacuations(part) => {
-            format!("evacuations part {} {} {:?}", part.partition.0, part.sequence, part.zones)
+        WatchResponse::Evacuations(evacuations) => {
+            let (partition, sequence) = (evacuations.partition.0, evacuations.sequence);
+            format!("evacuations partition {partition} {sequence} {:?}", evacuations.zones)
         }
-        WatchResponse::ServerList(news) => format!("servers {} {}", news.ballot, news.to),
+        WatchResponse::ServerList(update) => format!("server list {} {}", update.ballot, update.to),
     }
 }
--- /dev/null
+++ b/simulation/src/run/event.rs
@@ -0,0 +1,152 @@
+//! The events of a run and their dispatch.
+
+use ivyhatch_control::server_list::ReadId;
+use ivyhatch_control::{Input, RequestId, SessionId};
+use ivyhatch_protocol::peer::{AdminRequest, AdminResponse, PeerMessage};
+use ivyhatch_protocol::watch::{WatchRequest, WatchResponse};
+
+use super::{CHECK_INTERVAL, Simulation};
+
+/// A message on a link.
+#[derive(Clone, Debug)]
+pub(super) enum LinkMessage {
+    /// Between control nodes.
+    Peer(PeerMessage),
+    /// From a router, on this session.
+    WatchRequest(SessionId, WatchRequest),
+    /// To a router, on this session.
+    WatchResponse(SessionId, WatchResponse),
+}
+
+/// A message on its way to one incarnation of its receiver.
+#[derive(Clone, Debug)]
+pub(super) struct Delivery {
+    /// The sender's index among machines and routers.
+    pub(super) from: usize,
+    /// The receiver's index among machines and routers.
+    pub(super) to: usize,
+    /// The receiver's incarnation.
+    pub(super) incarnation: u64,
+    /// The message.
+    pub(super) message: LinkMessage,
+}
+
+/// Something that happens at a moment of virtual time. An event with an incarnation is dropped where its process has ended since.
+#[derive(Clone, Debug)]
+pub(super) enum Event {
+    NodeStarts(usize),
+    NodeTick {
+        machine: usize,
+        incarnation: u64,
+    },
+    NodeResumes(usize),
+    ShutdownRequested(usize),
+    MachineRemoved {
+        machine: usize,
+        incarnation: u64,
+    },
+    WriteCompleted {
+        machine: usize,
+        incarnation: u64,
+    },
+    ServerListRead {
+        machine: usize,
+        incarnation: u64,
+        read: ReadId,
+    },
+    PeerConnected {
+        machine: usize,
+        incarnation: u64,
+        peer: usize,
+    },
+    MessageArrives(Delivery),
+    RouterStarts(usize),
+    RouterTick {
+        router: usize,
+        incarnation: u64,
+    },
+    RouterSettingsReloaded(usize),
+    /// The router's incarnation; the session is with that machine.
+    SessionOpened {
+        router: usize,
+        incarnation: u64,
+        machine: usize,
+        session: SessionId,
+    },
+    /// The router notices that its session has ended.
+    SessionLost {
+        router: usize,
+        machine: usize,
+        session: SessionId,
+    },
+    /// The machine notices that a router's session has ended.
+    SessionClosed {
+        machine: usize,
+        incarnation: u64,
+        session: SessionId,
+    },
+    OperationDue(usize),
+    OperatorResumes(usize),
+    RequestArrives {
+        id: RequestId,
+        machine: usize,
+        request: AdminRequest,
+    },
+    ResponseArrives {
+        id: RequestId,
+        response: AdminResponse,
+    },
+    RequestTimeout(RequestId),
+    FaultBegins(usize),
+    FaultEnds(usize),
+    DeadlineCheck,
+}
+
+impl Simulation<'_> {
+    pub(super) fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::NodeStarts(machine) => self.start_node(machine),
+            Event::NodeTick { machine, incarnation } => self.tick_node(machine, incarnation),
+            Event::NodeResumes(machine) => self.resume_node(machine),
+            Event::ShutdownRequested(machine) => {
+                if self.accepts_event(machine, None, || Event::ShutdownRequested(machine)) {
+                    self.input_to_node(machine, Input::Leave);
+                }
+            }
+            Event::MachineRemoved { machine, incarnation } => {
+                if self.machines[machine].incarnation == incarnation {
+                    self.remove_machine(machine);
+                }
+            }
+            Event::WriteCompleted { machine, incarnation } => self.complete_write(machine, incarnation),
+            Event::ServerListRead { machine, incarnation, read } => {
+                self.server_list_read(machine, incarnation, read);
+            }
+            Event::PeerConnected { machine, incarnation, peer } => {
+                self.peer_connected(machine, incarnation, peer);
+            }
+            Event::MessageArrives(delivery) => self.message_arrives(delivery),
+            Event::RouterStarts(router) => self.start_router(router),
+            Event::RouterTick { router, incarnation } => self.tick_router(router, incarnation),
+            Event::RouterSettingsReloaded(router) => self.reload_router_settings(router),
+            Event::SessionOpened { router, incarnation, machine, session } => {
+                self.session_opened(router, incarnation, machine, session);
+            }
+            Event::SessionLost { router, machine, session } => self.session_lost(router, machine, session),
+            Event::SessionClosed { machine, incarnation, session } => {
+                self.session_closed(machine, incarnation, session);
+            }
+            Event::OperationDue(number) => self.operation_due(number),
+            Event::OperatorResumes(operator) => self.operator_resumes(operator),
+            Event::RequestArrives { id, machine, request } => self.request_arrives(id, machine, request),
+            Event::ResponseArrives { id, response } => self.response_arrives(id, &response),
+            Event::RequestTimeout(id) => self.retry_request(id),
+            Event::FaultBegins(number) => self.begin_fault(number),
+            Event::FaultEnds(number) => self.end_fault(number),
+            Event::DeadlineCheck => {
+                self.check_deadlines();
+                self.schedule_after(CHECK_INTERVAL, Event::DeadlineCheck);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/simulation/src/run/machine.rs
@@ -0,0 +1,141 @@
+//! A machine that runs a control node: its process, its disk, its connections, and what the oracle has seen of it.
+
+use std::collections::BTreeSet;
+
+use ivyhatch_control::ControlPlane;
+use ivyhatch_control::state::State;
+use ivyhatch_control::stored::Stored;
+use ivyhatch_protocol::Nanos;
+use ivyhatch_protocol::ids::{Ballot, HASHED_PARTITIONS, NodeId, PartitionId, ReplicaId};
+use ivyhatch_protocol::peer::Membership;
+use ivyhatch_protocol::watch::ServerListPosition;
+
+use super::ZONE_COUNT;
+use super::event::Event;
+use crate::disk::Disk;
+use crate::oracle::{AppliedState, ZoneState};
+use crate::workload::zone_name;
+
+/// The hashed partitions and the one of the membership.
+pub(super) const PARTITION_COUNT: usize = HASHED_PARTITIONS as usize + 1;
+/// The generation of the membership that the first start decides.
+const FIRST_GENERATION: u64 = 1;
+
+/// The identity of a replica whose disk was lost, for [`crate::InjectedBug::VotesAfterWipe`].
+pub(super) struct LostReplica {
+    pub(super) replica: ReplicaId,
+    pub(super) membership: Option<Membership>,
+    pub(super) joined_generation: Option<u64>,
+}
+
+/// A machine.
+#[derive(Default)]
+pub(super) struct Machine {
+    /// The process, while it runs.
+    pub(super) node: Option<ControlPlane>,
+    /// How often the process has started.
+    pub(super) incarnation: u64,
+    /// The end of the present suspension; 0 if the process is not suspended.
+    pub(super) frozen_until: Nanos,
+    /// Events that a suspended process handles once it resumes.
+    pub(super) deferred_events: Vec<Event>,
+    pub(super) disk: Disk,
+    /// The write times of the present faults that slow the disk, in milliseconds.
+    pub(super) slow_write_ms: Vec<u64>,
+    /// The present faults that stall the disk.
+    pub(super) stall_faults: u32,
+    /// The present faults that fill the disk.
+    pub(super) full_disk_faults: u32,
+    pub(super) wanted_peers: Vec<NodeId>,
+    pub(super) connected_peers: BTreeSet<usize>,
+    /// After the loss of its disk, or on a replacement machine: the machines that have transferred their state. None once they are
+    /// a quorum, so that the replica may vote.
+    pub(super) state_sources: Option<BTreeSet<usize>>,
+    /// The number of its zone. A replacement machine has the zone of its predecessor.
+    pub(super) zone: usize,
+    /// It was removed for good.
+    pub(super) is_removed: bool,
+    pub(super) lost_replica: Option<LostReplica>,
+    /// The ballot and the sequence number of the last accept message that arrived.
+    pub(super) last_accept: Option<(Ballot, u64)>,
+    pub(super) observed: ObservedState,
+}
+
+/// What the oracle has been shown of the present incarnation.
+#[derive(Default)]
+pub(super) struct ObservedState {
+    pub(super) generation: u64,
+    pub(super) sequences: [u64; PARTITION_COUNT],
+    pub(super) server_list: ServerListPosition,
+}
+
+/// Whether a disk holds the state with which its replica may vote: it has completed its state transfer, or it belongs to a voter of
+/// the first membership.
+pub(super) fn may_vote(stored: &Stored) -> bool {
+    let replica = stored.replica.map(|(replica, _)| replica);
+    let voter = replica.zip(stored.membership.as_ref()).and_then(|(replica, known)| known.voter(replica));
+    stored.joined.is_some() || voter.is_some_and(|voter| voter.joined_generation == FIRST_GENERATION)
+}
+
+impl Machine {
+    /// A machine that has not started yet.
+    pub(super) fn in_zone(zone: usize) -> Self {
+        Self { zone, ..Self::default() }
+    }
+
+    pub(super) fn is_running(&self) -> bool {
+        self.node.is_some()
+    }
+
+    /// Whether it counts towards a stable core: it runs, is not suspended, and needs no state transfer.
+    pub(super) fn is_serving(&self) -> bool {
+        self.is_running() && self.frozen_until == 0 && self.state_sources.is_none()
+    }
+
+    /// From now on it needs the state of a quorum before it may vote.
+    pub(super) fn require_state_transfer(&mut self) {
+        self.state_sources = Some(BTreeSet::new());
+    }
+
+    /// The sequence numbers of all partitions; 0 for each where the process is down.
+    pub(super) fn partition_sequences(&self) -> Vec<u64> {
+        let sequence =
+            |partition: PartitionId| self.node.as_ref().map_or(0, |node| node.committed_state(partition).0);
+        PartitionId::all().map(sequence).collect()
+    }
+
+    /// The revision of the configuration; 0 without one.
+    pub(super) fn revision(&self) -> u64 {
+        self.node.as_ref().map_or(0, revision_of)
+    }
+
+    /// What the node has in effect, if it runs.
+    pub(super) fn applied_state(&self) -> Option<AppliedState> {
+        let node = self.node.as_ref()?;
+        Some(AppliedState {
+            revision: revision_of(node),
+            sequence: node.committed_state(PartitionId::CONFIGURATION).0,
+            zones: (0..ZONE_COUNT).map(|zone| zone_state(node, &zone_name(zone))).collect(),
+        })
+    }
+
+    /// Whether the node holds the singleton role of reading the platform's server list.
+    pub(super) fn reads_server_list(&self) -> bool {
+        self.node.as_ref().is_some_and(|node| node.leads(PartitionId::for_key("platform-list")).is_some())
+    }
+}
+
+fn revision_of(node: &ControlPlane) -> u64 {
+    match node.committed_state(PartitionId::CONFIGURATION).1 {
+        Some(State::Configured(configured)) => configured.document.revision,
+        _ => 0,
+    }
+}
+
+fn zone_state(node: &ControlPlane, zone: &str) -> ZoneState {
+    let Some(State::Evacuated(partition)) = node.committed_state(PartitionId::for_key(zone)).1 else {
+        return ZoneState::default();
+    };
+    let (evacuated, change_count) = partition.zones.get(zone).copied().unwrap_or_default();
+    ZoneState { evacuated, change_count }
+}
--- a/simulation/src/run/observation.rs
+++ b/simulation/src/run/observation.rs
@@ -1,74 +1,87 @@
-//! What the judge is shown of a control node: what it has in force, and whom it votes for.
+//! Shows the oracle what a control node has in effect, and under which membership it votes.
 
 use ivyhatch_control::ControlPlane;
 use ivyhatch_control::state::State;
 use ivyhatch_protocol::hash::{fnv1a_hash, hash_mix};
 use ivyhatch_protocol::ids::{Ballot, PartitionId};
-use ivyhatch_protocol::peer::{ConsensusMessage, PeerMessage};
+use ivyhatch_protocol::peer::PeerMessage;
 use ivyhatch_protocol::watch::ServerListPosition;
 use speedy::Writable;
 
-use super::{World, address};
-use crate::demand::digest;
+use super::outputs::is_vote;
+use super::{Simulation, address};
+use crate::oracle::{ProcessId, ServerListVersion};
+use crate::workload::document_digest;
 
-impl World<'_> {
-    /// Shows the judge a vote: who gives it, and under which membership.
-    pub(super) fn judge_vote(&mut self, machine: usize, message: &PeerMessage) {
-        let PeerMessage::Consensus { generation, message: vote, .. } = message else { return };
-        let votes = matches!(
-            vote,
-            ConsensusMessage::Promise { .. }
-                | ConsensusMessage::Accepted { .. }
-                | ConsensusMessage::Confirmed { .. }
-        );
+impl Simulation<'_> {
+    /// Shows the oracle the vote in a message, if it is one.
+    pub(super) fn observe_vote(&mut self, machine: usize, message: &PeerMessage) {
+        let PeerMessage::Consensus { generation, .. } = message else { return };
         let replica = self.machines[machine].node.as_ref().and_then(ControlPlane::replica);
-        if let Some(replica) = replica.filter(|_| votes) {
-            self.oracle.vote(*generation, replica);
+        if let Some(replica) = replica.filter(|_| is_vote(message)) {
+            self.oracle.observe_vote(*generation, replica);
         }
     }
 
-    /// Shows the judge what a node has in force.
-    pub(super) fn see(&mut self, machine: usize) {
+    /// Shows the oracle what a node has in effect, as far as it has changed.
+    pub(super) fn observe_node(&mut self, machine: usize) {
+        self.observe_membership(machine);
+        for partition in PartitionId::all() {
+            self.observe_partition(machine, partition);
+        }
+        self.observe_server_list(machine);
+    }
+
+    fn observe_membership(&mut self, machine: usize) {
+        let this = &mut self.machines[machine];
+        let Some(membership) = this.node.as_ref().and_then(ControlPlane::membership) else { return };
+        if membership.generation != this.observed.generation {
+            this.observed.generation = membership.generation;
+            self.oracle.observe_membership(membership);
+        }
+    }
+
+    fn observe_partition(&mut self, machine: usize, partition: PartitionId) {
         let this = &mut self.machines[machine];
         let Some(node) = &this.node else { return };
-        let who = (address(machine).0, this.life);
-        if let Some(membership) = node.membership().filter(|known| known.generation != this.generation) {
-            this.generation = membership.generation;
-            self.oracle.membership(membership);
+        let process = ProcessId { node: address(machine).0, incarnation: this.incarnation };
+        let (sequence, state) = node.committed_state(partition);
+        let observed = &mut this.observed.sequences[usize::from(partition.0)];
+        if sequence == *observed {
+            return;
         }
-        for part in PartitionId::all() {
-            let (sequence, state) = node.committed_state(part);
-            let seen = &mut this.seen[usize::from(part.0)];
-            if sequence == *seen {
-                continue;
+        *observed = sequence;
+        match state {
+            Some(State::Configured(configured)) => {
+                let digest = document_digest(&configured.document);
+                self.oracle.observe_value(process, partition, sequence, digest);
+                self.oracle.observe_configuration(sequence, configured.document.revision, digest);
             }
-            *seen = sequence;
-            match state {
-                Some(State::Configured(configured)) => {
-                    let document = &configured.document;
-                    let digest = digest(document);
-                    self.oracle.seen(who, part, sequence, digest);
-                    self.oracle.in_force(sequence, document.revision, digest);
-                }
-                Some(State::Evacuated(evacuated)) => {
-                    let bytes = evacuated.write_to_vec().unwrap_or_default();
-                    self.oracle.seen(who, part, sequence, fnv1a_hash(&bytes));
-                }
-                None => {}
+            Some(State::Evacuated(evacuated)) => {
+                let bytes = evacuated.write_to_vec().unwrap_or_default();
+                self.oracle.observe_value(process, partition, sequence, fnv1a_hash(&bytes));
             }
+            None => {}
         }
+    }
+
+    fn observe_server_list(&mut self, machine: usize) {
+        let this = &mut self.machines[machine];
+        let Some(node) = &this.node else { return };
         let position = node.list().position();
-        if position != this.list {
-            this.list = position;
-            let ServerListPosition { ballot, number } = position;
-            if ballot != Ballot::default() {
-                let told = node.list().servers(self.now);
-                let digest = told.fold(0, |sum, one| {
-                    hash_mix(sum ^ fnv1a_hash(one.id.as_bytes()) ^ u64::from(one.draining))
-                });
-                let reader = hash_mix(ballot.incarnation ^ hash_mix(u64::from(ballot.node.0)));
-                self.oracle.list((ballot.counter, reader, number), digest);
-            }
+        if position == this.observed.server_list {
+            return;
+        }
+        this.observed.server_list = position;
+        let ServerListPosition { ballot, number } = position;
+        if ballot == Ballot::default() {
+            return;
         }
+        let digest = node.list().servers(self.now).fold(0, |sum, server| {
+            hash_mix(sum ^ fnv1a_hash(server.id.as_bytes()) ^ u64::from(server.draining))
+        });
+        let reader = hash_mix(ballot.incarnation ^ hash_mix(u64::from(ballot.node.0)));
+        let version = ServerListVersion { ballot_counter: ballot.counter, reader, number };
+        self.oracle.observe_server_list(version, digest);
     }
 }
--- /dev/null
+++ b/simulation/src/run/processes.rs
@@ -0,0 +1,185 @@
+//! The life cycle of control nodes' processes and machines: start, suspension, shutdown, loss of the disk and removal.
+
+use std::collections::BTreeSet;
+
+use ivyhatch_control::{ControlPlane, Identity};
+use ivyhatch_protocol::ids::NodeId;
+use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
+
+use super::event::Event;
+use super::machine::{LostReplica, ObservedState, may_vote};
+use super::{SEED_COUNT, Simulation, ZONE_COUNT, address};
+use crate::disk::BlockFate;
+use crate::injected_bugs::InjectedBug;
+use crate::random::{Stream, keyed_random};
+use crate::workload::zone_name;
+
+/// A process that shuts down waits no longer than this for its successor.
+const SHUTDOWN_GRACE: Nanos = 6_500 * MILLISECOND;
+/// The interval at which the leader of the server list reads it.
+const SERVER_LIST_INTERVAL: Nanos = 500 * MILLISECOND;
+/// Each machine's steady clock is ahead of the previous machine's by this.
+const CLOCK_OFFSET: Nanos = 100 * SECOND;
+
+/// How a process ends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ProcessEnd {
+    /// It is killed; the machine closes its connections.
+    Killed,
+    /// Its machine loses power; peers notice only by timeouts.
+    PowerLost,
+}
+
+impl Simulation<'_> {
+    /// A machine's own steady clock.
+    pub(super) fn clock_of(&self, machine: usize) -> Nanos {
+        self.now + (machine as u64 + 1) * CLOCK_OFFSET
+    }
+
+    /// The random id of a machine's present process.
+    pub(super) fn process_id(&self, machine: usize) -> u64 {
+        let incarnation = self.machines[machine].incarnation;
+        keyed_random(self.plan.seed, Stream::ProcessId, [machine as u64, incarnation, 0])
+    }
+
+    /// The seeds in a machine's settings: control nodes that were there when it came.
+    fn seeds_of(&self, machine: usize) -> Vec<NodeId> {
+        let seeds = self.seeds.get(&machine).unwrap_or(&self.slots);
+        seeds.iter().take(SEED_COUNT).map(|seed| address(*seed)).collect()
+    }
+
+    pub(super) fn start_node(&mut self, machine: usize) {
+        if self.machines[machine].is_running() || self.machines[machine].is_removed {
+            return;
+        }
+        let now = self.clock_of(machine);
+        let this = &mut self.machines[machine];
+        this.incarnation += 1;
+        let incarnation = this.incarnation;
+        // The first members start together with the whole system.
+        let first_start = incarnation == 1 && machine < self.plan.members;
+        let mut stored = this.disk.stored().clone();
+        let needs_state = !first_start && !may_vote(&stored);
+        this.state_sources = needs_state.then(BTreeSet::new);
+        if let (Some(InjectedBug::VotesAfterWipe), Some(lost)) = (self.injected_bug, this.lost_replica.take())
+        {
+            stored.replica = Some((lost.replica, false));
+            stored.membership = lost.membership;
+            stored.joined = lost.joined_generation;
+        }
+        let identity = self.identity_of(machine, first_start);
+        let this = &mut self.machines[machine];
+        this.node = Some(ControlPlane::new(identity, stored, now));
+        this.observed = ObservedState::default();
+        this.frozen_until = 0;
+        this.last_accept = None;
+        this.wanted_peers.clear();
+        this.connected_peers.clear();
+        this.deferred_events.clear();
+        if !first_start {
+            self.last_core_event = self.now;
+        }
+        self.record(|| {
+            format!("node {machine} starts, incarnation {incarnation}, needs state transfer: {needs_state}")
+        });
+        self.schedule_after(0, Event::NodeTick { machine, incarnation });
+        self.observe_node(machine);
+    }
+
+    fn identity_of(&self, machine: usize, first_start: bool) -> Identity {
+        Identity {
+            node: address(machine),
+            zone: zone_name(self.machines[machine].zone),
+            incarnation: self.process_id(machine),
+            has_disk: true,
+            first_start,
+            seeds: self.seeds_of(machine),
+            zones: (0..ZONE_COUNT).map(zone_name).collect(),
+            list_every: SERVER_LIST_INTERVAL,
+            grace: SHUTDOWN_GRACE,
+        }
+    }
+
+    /// Ends a process. The block that its disk is writing is durable in a third of the cases, unless the disk is full.
+    pub(super) fn stop_node(&mut self, machine: usize, end: ProcessEnd) {
+        if !self.machines[machine].is_running() {
+            return;
+        }
+        self.record(|| format!("node {machine} ends: {end:?}"));
+        let block_is_written = self.random_below(3) == 0;
+        let this = &mut self.machines[machine];
+        this.node = None;
+        this.deferred_events.clear();
+        this.frozen_until = 0;
+        let is_durable = block_is_written && this.full_disk_faults == 0;
+        this.disk.crash(if is_durable { BlockFate::Durable } else { BlockFate::Lost });
+        for other in &mut self.machines {
+            other.connected_peers.remove(&machine);
+        }
+        self.machines[machine].connected_peers.clear();
+        self.last_core_event = self.now;
+        self.end_sessions_with(machine, end);
+    }
+
+    /// A process has completed its shutdown: the platform takes its machine back.
+    pub(super) fn shutdown_complete(&mut self, machine: usize) {
+        let incarnation = self.machines[machine].incarnation;
+        self.schedule_after(0, Event::MachineRemoved { machine, incarnation });
+    }
+
+    /// Removes a machine and its disk for good.
+    pub(super) fn remove_machine(&mut self, machine: usize) {
+        self.stop_node(machine, ProcessEnd::PowerLost);
+        self.machines[machine].disk.wipe();
+        self.machines[machine].is_removed = true;
+    }
+
+    /// Replaces the disk of a machine by an empty one.
+    pub(super) fn wipe_disk(&mut self, machine: usize) {
+        let this = &mut self.machines[machine];
+        let stored = this.disk.stored();
+        this.lost_replica = stored.replica.map(|(replica, _)| LostReplica {
+            replica,
+            membership: stored.membership.clone(),
+            joined_generation: stored.joined,
+        });
+        this.disk.wipe();
+        this.require_state_transfer();
+    }
+
+    /// Ends a suspension, unless a later one lasts longer. The process handles the deferred events in their order.
+    pub(super) fn resume_node(&mut self, machine: usize) {
+        let now = self.now;
+        let this = &mut self.machines[machine];
+        if this.frozen_until == 0 || now < this.frozen_until {
+            return;
+        }
+        this.frozen_until = 0;
+        self.last_core_event = now;
+        self.record(|| format!("node {machine} resumes"));
+        for event in std::mem::take(&mut self.machines[machine].deferred_events) {
+            self.schedule_after(0, event);
+        }
+    }
+
+    /// Whether a process, of this incarnation if one is given, handles an event now. Where it is suspended the event is deferred;
+    /// where it is not running the event is dropped.
+    pub(super) fn accepts_event(
+        &mut self,
+        machine: usize,
+        incarnation: Option<u64>,
+        event: impl FnOnce() -> Event,
+    ) -> bool {
+        let now = self.now;
+        let this = &mut self.machines[machine];
+        if !this.is_running() || incarnation.is_some_and(|expected| expected != this.incarnation) {
+            return false;
+        }
+        if this.frozen_until > 0 {
+            debug_assert!(now <= this.frozen_until, "a suspended process resumes at its time");
+            this.deferred_events.push(event());
+            return false;
+        }
+        true
+    }
+}
--- a/simulation/src/run/routers.rs
+++ b/simulation/src/run/routers.rs
@@ -1,298 +1,352 @@
-//! Routers, as far as they follow: their sessions with control nodes, and what they have in force.
+//! Routers as far as their watch clients go: sessions with control nodes, and what a router has in effect.
 
 use std::collections::BTreeMap;
 
 use ivyhatch_control::SessionId;
-use ivyhatch_protocol::ids::PartitionId;
-use ivyhatch_protocol::watch::{Router as Named, RouterState, WatchResponse};
-use ivyhatch_protocol::{MILLISECOND, Nanos};
+use ivyhatch_protocol::ids::{NodeId, PartitionId};
+use ivyhatch_protocol::watch::{Router as RouterInfo, RouterState, WatchRequest, WatchResponse};
+use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 use ivyhatch_routing::watch_client::{EvacuationState, Input, Output, WatchClient};
 
-use super::describe::follower_message;
-use super::{CONTACT, Happening, Said, TICK, World, address, place};
-use crate::demand::{digest, zone};
+use super::describe::watch_response;
+use super::event::{Delivery, Event, LinkMessage};
+use super::processes::ProcessEnd;
+use super::{CONTACT_AFTER, SEED_COUNT, Simulation, TICK_INTERVAL, ZONE_COUNT, address, index_of};
 use crate::injected_bugs::InjectedBug;
-use crate::oracle::FollowerView;
+use crate::oracle::{AppliedState, ProcessId, RouterView, ZoneState};
+use crate::workload::{document_digest, zone_name};
 
-/// Unanswered bytes end a session after this.
-const UNANSWERED: Nanos = 2_500 * MILLISECOND;
+/// A session whose bytes are not acknowledged ends after this.
+const UNACKNOWLEDGED_TIMEOUT: Nanos = 2_500 * MILLISECOND;
+/// A router ends a session without messages after this, as its host does.
+const SESSION_TIMEOUT: Nanos = 1_800 * MILLISECOND;
+/// The peer notices the orderly end of a session after this.
+const CLOSE_DELAY: Nanos = 10 * MILLISECOND;
+/// A control node notices that a router has closed its session after this.
+const ROUTER_CLOSE_DELAY: Nanos = 20 * MILLISECOND;
+/// The round trip that a watch client is given with each session.
+const SESSION_ROUND_TRIP: Nanos = 20 * MILLISECOND;
+/// The routers' steady clocks are ahead of virtual time by this.
+const CLOCK_OFFSET: Nanos = 1_000 * SECOND;
 
-/// A router ends a session on which nothing came for so long, as its host does.
-const SILENT: Nanos = 1_800 * MILLISECOND;
-
-/// A session that a router holds.
+/// A router's session with a control node.
 #[derive(Clone, Copy, Debug)]
 struct Session {
     id: SessionId,
-    life: u64,
-    heard: Nanos,
+    /// The incarnation of the control node.
+    incarnation: u64,
+    last_received_at: Nanos,
 }
 
 /// A router.
 #[derive(Debug, Default)]
 pub(super) struct Router {
-    follower: Option<WatchClient>,
-    pub(super) life: u64,
-    wants: Vec<usize>,
+    /// The process, while it runs.
+    watch_client: Option<WatchClient>,
+    /// How often the process has started.
+    incarnation: u64,
+    wanted_machines: Vec<usize>,
     sessions: BTreeMap<usize, Session>,
-    seen: u64,
-    /// When it or its links were last in trouble.
-    pub(super) event: Nanos,
-    pub(super) aside: u32,
+    observed_sequence: u64,
+    /// When a fault of the router or its links last began or ended.
+    pub(super) last_fault_at: Nanos,
+    /// The present faults that partition it from control nodes.
+    pub(super) partition_faults: u32,
 }
 
 impl Router {
-    pub(super) fn is_calm(&self, now: Nanos) -> bool {
-        self.follower.is_some() && self.aside == 0 && now >= self.event + CONTACT
+    /// Whether it runs and its last fault ended long enough ago for the deadlines to apply.
+    pub(super) fn is_undisturbed(&self, now: Nanos) -> bool {
+        let is_undisturbed = self.partition_faults == 0 && now >= self.last_fault_at + CONTACT_AFTER;
+        self.watch_client.is_some() && is_undisturbed
     }
 
-    pub(super) fn view(&self, number: usize, in_touch: bool) -> FollowerView {
-        let zones = (0..3).map(zone);
-        let evacuated =
-            |zone: String| self.follower.as_ref().is_some_and(|follower| follower.evacuation(&zone).active);
-        FollowerView {
+    /// What the oracle sees of it.
+    pub(super) fn view(&self, number: usize, in_contact: bool) -> RouterView {
+        let is_evacuated = |zone: usize| {
+            self.watch_client.as_ref().is_some_and(|client| client.evacuation(&zone_name(zone)).active)
+        };
+        RouterView {
             number,
-            revision: self.revision(),
-            evacuated: zones.map(evacuated).collect(),
-            in_touch,
+            revision: self.watch_client.as_ref().map_or(0, |client| client.document().revision),
+            evacuated_zones: (0..ZONE_COUNT).map(is_evacuated).collect(),
+            in_contact,
         }
     }
 
-    pub(super) fn revision(&self) -> u64 {
-        self.follower.as_ref().map_or(0, |follower| follower.document().revision)
+    /// What it has in effect, if it runs.
+    pub(super) fn applied_state(&self) -> Option<AppliedState> {
+        let client = self.watch_client.as_ref()?;
+        let zone_state = |zone: usize| {
+            let EvacuationState { active, changes } = client.evacuation(&zone_name(zone));
+            ZoneState { evacuated: active, change_count: changes }
+        };
+        Some(AppliedState {
+            revision: client.document().revision,
+            sequence: client.sequence(),
+            zones: (0..ZONE_COUNT).map(zone_state).collect(),
+        })
     }
 
-    /// What it has in force.
-    pub(super) fn summary(&self) -> Vec<u64> {
-        let Some(follower) = &self.follower else { return Vec::new() };
-        let zones = (0..3).map(zone).flat_map(|zone| {
-            let EvacuationState { active, changes } = follower.evacuation(&zone);
-            [u64::from(active), changes]
-        });
-        [follower.document().revision, follower.sequence()].into_iter().chain(zones).collect()
+    /// Its session with a machine, if it is the one of this id.
+    fn session(&mut self, machine: usize, id: SessionId) -> Option<&mut Session> {
+        self.sessions.get_mut(&machine).filter(|session| session.id == id)
     }
 }
 
-impl World<'_> {
-    fn place_of(&self, follower: usize) -> usize {
-        self.plan.machines() + follower
+impl Simulation<'_> {
+    /// A router's index among machines and routers.
+    pub(super) fn router_index(&self, router: usize) -> usize {
+        self.plan.machine_count() + router
     }
 
-    pub(super) fn follower_start(&mut self, follower: usize) {
-        let number = self.place_of(follower);
-        let router = Named {
-            node: address(number),
-            client_address: format!("{}:8161", address(number)),
-            zone: zone(follower % 3),
+    pub(super) fn start_router(&mut self, router: usize) {
+        if self.routers[router].watch_client.is_some() {
+            return;
+        }
+        let node = address(self.router_index(router));
+        let info = RouterInfo {
+            node,
+            client_address: format!("{node}:8161"),
+            zone: zone_name(router % ZONE_COUNT),
             region: "region".to_owned(),
             state: RouterState::Starting,
         };
-        let seeds: Vec<_> = self.slots.iter().take(3).map(|one| address(*one)).collect();
-        let this = &mut self.routers[follower];
-        if this.follower.is_some() {
-            return;
-        }
-        this.life += 1;
-        this.event = self.now;
-        this.follower = Some(WatchClient::new(router, &seeds, self.now));
-        (this.seen, this.wants) = (0, Vec::new());
+        let seeds: Vec<NodeId> = self.slots.iter().take(SEED_COUNT).map(|seed| address(*seed)).collect();
+        let this = &mut self.routers[router];
+        this.incarnation += 1;
+        this.last_fault_at = self.now;
+        this.watch_client = Some(WatchClient::new(info, &seeds, self.now));
+        this.observed_sequence = 0;
+        this.wanted_machines.clear();
         this.sessions.clear();
-        let life = this.life;
-        self.after(0, Happening::FollowerTick(follower, life));
+        let incarnation = this.incarnation;
+        self.schedule_after(0, Event::RouterTick { router, incarnation });
     }
 
-    /// A follower reads its settings anew.
-    pub(super) fn settings_read(&mut self, follower: usize) {
+    /// A router reads its settings anew: its seeds are the machines that hold the slots now.
+    pub(super) fn reload_router_settings(&mut self, router: usize) {
         let seeds = self.slots.iter().map(|machine| address(*machine)).collect();
-        self.follower_hears(follower, Input::Seeds(seeds));
+        self.input_to_router(router, Input::Seeds(seeds));
     }
 
-    pub(super) fn follower_stop(&mut self, follower: usize) {
-        let this = &mut self.routers[follower];
-        if this.follower.take().is_none() {
+    pub(super) fn stop_router(&mut self, router: usize) {
+        let this = &mut self.routers[router];
+        if this.watch_client.take().is_none() {
             return;
         }
-        this.event = self.now;
+        this.last_fault_at = self.now;
         for (machine, session) in std::mem::take(&mut this.sessions) {
-            self.after(20 * MILLISECOND, Happening::SessionClosed(machine, session.life, session.id));
+            self.schedule_session_closed(machine, session);
         }
     }
 
-    pub(super) fn follower_tick(&mut self, follower: usize, life: u64) {
-        let this = &self.routers[follower];
-        if this.follower.is_none() || this.life != life {
+    pub(super) fn tick_router(&mut self, router: usize, incarnation: u64) {
+        let this = &self.routers[router];
+        if this.watch_client.is_none() || this.incarnation != incarnation {
             return;
         }
-        let silent = |(_, session): &(&usize, &Session)| self.now >= session.heard + SILENT;
-        let silent: Vec<(usize, SessionId)> =
-            this.sessions.iter().filter(silent).map(|(machine, session)| (*machine, session.id)).collect();
-        for (machine, id) in silent {
-            self.session_lost(follower, machine, id);
+        self.end_silent_sessions(router);
+        self.input_to_router(router, Input::Tick);
+        for machine in self.routers[router].wanted_machines.clone() {
+            self.open_session(router, machine);
         }
-        self.follower_hears(follower, Input::Tick);
-        let wanted: Vec<usize> = self.routers[follower].wants.clone();
-        let own = self.place_of(follower);
-        for machine in wanted {
-            if self.routers[follower].sessions.contains_key(&machine) {
-                continue;
-            }
-            let cut = self.links.is_cut(own, machine) || self.links.is_cut(machine, own);
-            if self.machines[machine].is_up() && !cut {
-                let of = self.machines[machine].life;
-                let id = self.desk.number();
-                self.routers[follower].sessions.insert(machine, Session { id, life: of, heard: self.now });
-                let after = (10 + self.below(20)) * MILLISECOND;
-                self.after(after, Happening::Session(follower, life, machine, id));
-            } else {
-                self.follower_hears(follower, Input::Disconnected(address(machine)));
-            }
+        let jitter = self.random_below(3) * MILLISECOND;
+        self.schedule_after(TICK_INTERVAL + jitter, Event::RouterTick { router, incarnation });
+    }
+
+    fn end_silent_sessions(&mut self, router: usize) {
+        let is_silent = |session: &Session| self.now >= session.last_received_at + SESSION_TIMEOUT;
+        let silent: Vec<(usize, SessionId)> = self.routers[router]
+            .sessions
+            .iter()
+            .filter(|(_, session)| is_silent(session))
+            .map(|(machine, session)| (*machine, session.id))
+            .collect();
+        for (machine, session) in silent {
+            self.session_lost(router, machine, session);
         }
-        let late = self.below(3) * MILLISECOND;
-        self.after(TICK + late, Happening::FollowerTick(follower, life));
     }
 
-    pub(super) fn session(&mut self, follower: usize, life: u64, machine: usize, id: SessionId) {
-        let this = &self.routers[follower];
-        if this.life == life && this.sessions.get(&machine).is_some_and(|session| session.id == id) {
-            self.follower_hears(
-                follower,
-                Input::Connected { node: address(machine), round_trip: 20 * MILLISECOND },
-            );
+    /// Opens a session with a machine that a router wants, unless there is one.
+    fn open_session(&mut self, router: usize, machine: usize) {
+        if self.routers[router].sessions.contains_key(&machine) {
+            return;
         }
+        let is_partitioned = self.links.is_partitioned_either_way(self.router_index(router), machine);
+        if is_partitioned || !self.machines[machine].is_running() {
+            return self.input_to_router(router, Input::Disconnected(address(machine)));
+        }
+        let id = self.operators.next_id();
+        let last_received_at = self.now;
+        let session = Session { id, incarnation: self.machines[machine].incarnation, last_received_at };
+        let this = &mut self.routers[router];
+        this.sessions.insert(machine, session);
+        let incarnation = this.incarnation;
+        let delay = (10 + self.random_below(20)) * MILLISECOND;
+        self.schedule_after(delay, Event::SessionOpened { router, incarnation, machine, session: id });
     }
 
-    /// The follower notices that a session has ended.
-    pub(super) fn session_lost(&mut self, follower: usize, machine: usize, id: SessionId) {
-        let this = &mut self.routers[follower];
-        if this.sessions.get(&machine).is_some_and(|session| session.id == id) {
-            let session = this.sessions.remove(&machine);
-            self.follower_hears(follower, Input::Disconnected(address(machine)));
-            if let Some(session) = session {
-                self.after(20 * MILLISECOND, Happening::SessionClosed(machine, session.life, id));
-            }
+    pub(super) fn session_opened(
+        &mut self,
+        router: usize,
+        incarnation: u64,
+        machine: usize,
+        session: SessionId,
+    ) {
+        let this = &mut self.routers[router];
+        if this.incarnation == incarnation && this.session(machine, session).is_some() {
+            let connected = Input::Connected { node: address(machine), round_trip: SESSION_ROUND_TRIP };
+            self.input_to_router(router, connected);
         }
     }
 
-    pub(super) fn session_closed(&mut self, machine: usize, life: u64, id: SessionId) {
-        if self.runs(machine, Some(life), || Happening::SessionClosed(machine, life, id)) {
-            self.hear(machine, ivyhatch_control::Input::Closed(id));
+    pub(super) fn session_lost(&mut self, router: usize, machine: usize, session: SessionId) {
+        let this = &mut self.routers[router];
+        let Some(lost) = this.session(machine, session).copied() else { return };
+        this.sessions.remove(&machine);
+        self.input_to_router(router, Input::Disconnected(address(machine)));
+        self.schedule_session_closed(machine, lost);
+    }
+
+    fn schedule_session_closed(&mut self, machine: usize, session: Session) {
+        let Session { id, incarnation, .. } = session;
+        let closed = Event::SessionClosed { machine, incarnation, session: id };
+        self.schedule_after(ROUTER_CLOSE_DELAY, closed);
+    }
+
+    pub(super) fn session_closed(&mut self, machine: usize, incarnation: u64, session: SessionId) {
+        let event = || Event::SessionClosed { machine, incarnation, session };
+        if self.accepts_event(machine, Some(incarnation), event) {
+            self.input_to_node(machine, ivyhatch_control::Input::Closed(session));
         }
     }
 
-    /// Sessions with a machine end: at once where its process has, after a silence where it has no power.
-    pub(super) fn sessions_of(&mut self, machine: usize, power: bool) {
-        let after = if power { UNANSWERED } else { 10 * MILLISECOND };
-        let ended = |(number, router): (usize, &Router)| {
-            router.sessions.get(&machine).map(|session| (number, session.id))
+    /// Sessions with a machine whose process has ended are lost, with a delay that depends on how it ended.
+    pub(super) fn end_sessions_with(&mut self, machine: usize, end: ProcessEnd) {
+        let delay = match end {
+            ProcessEnd::Killed => CLOSE_DELAY,
+            ProcessEnd::PowerLost => UNACKNOWLEDGED_TIMEOUT,
         };
-        let all: Vec<(usize, SessionId)> = self.routers.iter().enumerate().filter_map(ended).collect();
-        for (follower, id) in all {
-            self.after(after, Happening::SessionLost(follower, machine, id));
+        for router in 0..self.routers.len() {
+            if let Some(session) = self.routers[router].sessions.get(&machine) {
+                let session = session.id;
+                self.schedule_after(delay, Event::SessionLost { router, machine, session });
+            }
         }
     }
 
-    /// A cut around a follower ends its sessions after a silence, if it lasts.
-    pub(super) fn sessions_cut(&mut self, follower: usize, machine: usize) {
-        if let Some(session) = self.routers[follower].sessions.get(&machine) {
-            let id = session.id;
-            self.after(UNANSWERED, Happening::SessionLost(follower, machine, id));
+    /// A partition between a router and a machine ends their session once its bytes are not acknowledged for too long.
+    pub(super) fn partition_session(&mut self, router: usize, machine: usize) {
+        if let Some(session) = self.routers[router].sessions.get(&machine) {
+            let session = session.id;
+            self.schedule_after(UNACKNOWLEDGED_TIMEOUT, Event::SessionLost { router, machine, session });
         }
     }
 
+    /// Whether a router has this session.
     pub(super) fn has_session(&self, id: SessionId) -> bool {
         self.routers.iter().any(|router| router.sessions.values().any(|session| session.id == id))
     }
 
-    fn holder(&self, machine: usize, id: SessionId) -> Option<usize> {
-        let holds = |router: &Router| router.sessions.get(&machine).is_some_and(|session| session.id == id);
-        self.routers.iter().position(holds)
+    /// The router that has this session with a machine.
+    fn session_owner(&self, machine: usize, id: SessionId) -> Option<usize> {
+        let owns = |router: &Router| router.sessions.get(&machine).is_some_and(|session| session.id == id);
+        self.routers.iter().position(owns)
     }
 
-    /// The control node closes a session.
-    pub(super) fn close(&mut self, machine: usize, id: SessionId) {
-        if let Some(follower) = self.holder(machine, id) {
-            self.after(10 * MILLISECOND, Happening::SessionLost(follower, machine, id));
+    /// A control node closes a session.
+    pub(super) fn close_session(&mut self, machine: usize, session: SessionId) {
+        if let Some(router) = self.session_owner(machine, session) {
+            self.schedule_after(CLOSE_DELAY, Event::SessionLost { router, machine, session });
         }
     }
 
-    pub(super) fn tell_follower(&mut self, machine: usize, id: SessionId, message: WatchResponse) {
-        if let Some(follower) = self.holder(machine, id) {
-            let life = self.routers[follower].life;
-            self.send(machine, self.place_of(follower), life, Said::Told(id, message));
+    pub(super) fn send_to_router(&mut self, machine: usize, session: SessionId, message: WatchResponse) {
+        if let Some(router) = self.session_owner(machine, session) {
+            let incarnation = self.routers[router].incarnation;
+            let message = LinkMessage::WatchResponse(session, message);
+            self.send(machine, self.router_index(router), incarnation, message);
         }
     }
 
-    pub(super) fn told(
-        &mut self,
-        machine: usize,
-        to: usize,
-        life: u64,
-        id: SessionId,
-        message: WatchResponse,
-    ) {
-        let follower = to - self.plan.machines();
-        let this = &mut self.routers[follower];
-        let session = this.sessions.get_mut(&machine).filter(|session| session.id == id);
-        let Some(session) = session.filter(|_| this.life == life) else { return };
-        session.heard = self.now;
-        self.note(|| format!("{machine} -> follower {follower} {}", follower_message(&message)));
-        let message = match (self.injected_bug, message, &self.routers[follower].follower) {
-            (Some(InjectedBug::AppliesOverGap), WatchResponse::Change { to, change, .. }, Some(known)) => {
-                WatchResponse::Change { from: known.sequence(), to, change }
+    pub(super) fn watch_response_arrives(&mut self, delivery: Delivery) {
+        let Delivery { from: machine, to, incarnation, message } = delivery;
+        let LinkMessage::WatchResponse(id, message) = message else { return };
+        let router = to - self.router_index(0);
+        let now = self.now;
+        let this = &mut self.routers[router];
+        let is_present = this.incarnation == incarnation;
+        let Some(session) = this.session(machine, id).filter(|_| is_present) else { return };
+        session.last_received_at = now;
+        self.record(|| format!("{machine} -> router {router} {}", watch_response(&message)));
+        let message = self.corrupt_watch_response(router, message);
+        self.input_to_router(router, Input::Message(address(machine), message));
+    }
+
+    /// Applies [`InjectedBug::AppliesOverGap`]: a change seems to start at the router's own sequence number.
+    fn corrupt_watch_response(&self, router: usize, message: WatchResponse) -> WatchResponse {
+        match (self.injected_bug, message, &self.routers[router].watch_client) {
+            (Some(InjectedBug::AppliesOverGap), WatchResponse::Change { to, change, .. }, Some(client)) => {
+                WatchResponse::Change { from: client.sequence(), to, change }
             }
             (_, message, _) => message,
-        };
-        self.follower_hears(follower, Input::Message(address(machine), message));
+        }
     }
 
-    fn follower_hears(&mut self, follower: usize, heard: Input) {
-        let now = self.now + 1_000 * ivyhatch_protocol::SECOND;
-        let Some(follows) = &mut self.routers[follower].follower else { return };
-        let mut done = Vec::new();
-        follows.handle(now, heard, &mut done);
-        if follows.is_ready() {
-            follows.handle(now, Input::State(RouterState::Ready), &mut done);
+    /// Gives a watch client an input and carries out its outputs.
+    fn input_to_router(&mut self, router: usize, input: Input) {
+        let now = self.now + CLOCK_OFFSET;
+        let Some(client) = &mut self.routers[router].watch_client else { return };
+        let mut outputs = Vec::new();
+        client.handle(now, input, &mut outputs);
+        if client.is_ready() {
+            client.handle(now, Input::State(RouterState::Ready), &mut outputs);
         }
-        let own = self.place_of(follower);
-        for done in done {
-            match done {
-                Output::SetConnections(to) => {
-                    let wants: Vec<usize> = to.into_iter().map(place).collect();
-                    let this = &mut self.routers[follower];
-                    let left = this.sessions.extract_if(.., |machine, _| !wants.contains(machine));
-                    let left: Vec<_> = left.collect();
-                    this.wants = wants;
-                    for (machine, session) in left {
-                        self.after(
-                            20 * MILLISECOND,
-                            Happening::SessionClosed(machine, session.life, session.id),
-                        );
-                    }
-                }
-                Output::Send(to, message) => {
-                    let machine = place(to);
-                    if let Some(session) = self.routers[follower].sessions.get(&machine).copied() {
-                        self.send(own, machine, session.life, Said::Follower(session.id, message));
-                    }
-                }
-                Output::Log(event) => self.note(|| format!("follower {follower} event={event}")),
+        for output in outputs {
+            match output {
+                Output::SetConnections(nodes) => self.set_router_connections(router, nodes),
+                Output::Send(node, message) => self.send_from_router(router, index_of(node), message),
+                Output::Log(event) => self.record(|| format!("router {router} event={event}")),
                 _ => {}
             }
         }
-        self.see_follower(follower);
+        self.observe_router(router);
+    }
+
+    /// Sets the machines with which a router wants sessions, and closes its other sessions.
+    fn set_router_connections(&mut self, router: usize, nodes: Vec<NodeId>) {
+        let wanted: Vec<usize> = nodes.into_iter().map(index_of).collect();
+        let this = &mut self.routers[router];
+        let unwanted: Vec<(usize, Session)> =
+            this.sessions.extract_if(.., |machine, _| !wanted.contains(machine)).collect();
+        this.wanted_machines = wanted;
+        for (machine, session) in unwanted {
+            self.schedule_session_closed(machine, session);
+        }
+    }
+
+    fn send_from_router(&mut self, router: usize, machine: usize, message: WatchRequest) {
+        if let Some(session) = self.routers[router].sessions.get(&machine).copied() {
+            let from = self.router_index(router);
+            let message = LinkMessage::WatchRequest(session.id, message);
+            self.send(from, machine, session.incarnation, message);
+        }
     }
 
-    fn see_follower(&mut self, follower: usize) {
-        let who = (address(self.place_of(follower)).0, self.routers[follower].life);
-        let this = &mut self.routers[follower];
-        let Some(follows) = &this.follower else { return };
-        let sequence = follows.sequence();
-        if sequence == this.seen {
+    /// Shows the oracle the configuration of a router, if it has changed.
+    fn observe_router(&mut self, router: usize) {
+        let node = address(self.router_index(router)).0;
+        let this = &mut self.routers[router];
+        let Some(client) = &this.watch_client else { return };
+        let sequence = client.sequence();
+        if sequence == this.observed_sequence {
             return;
         }
-        this.seen = sequence;
-        let digest = digest(follows.document());
-        self.oracle.seen(who, PartitionId::CONFIGURATION, sequence, digest);
-        self.oracle.in_force(sequence, follows.document().revision, digest);
+        this.observed_sequence = sequence;
+        let process = ProcessId { node, incarnation: this.incarnation };
+        let digest = document_digest(client.document());
+        self.oracle.observe_value(process, PartitionId::CONFIGURATION, sequence, digest);
+        self.oracle.observe_configuration(sequence, client.document().revision, digest);
     }
 }
--- a/simulation/tests/disk.rs
+++ b/simulation/tests/disk.rs
@@ -1,9 +1,9 @@
-//! What a disk keeps.
+//! Durability of the simulated disk.
 
 use googletest::prelude::*;
 use ivyhatch_control::Record;
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId};
-use ivyhatch_simulation::disk::Disk;
+use ivyhatch_simulation::disk::{BlockFate, Disk};
 
 fn promised(counter: u64) -> Vec<Record> {
     vec![Record::Promised(PartitionId(1), Ballot { counter, node: NodeId(1), incarnation: 1 })]
@@ -14,35 +14,35 @@
 }
 
 #[gtest]
-fn what_has_gathered_is_one_block_and_the_next_waits() {
+fn queued_writes_are_one_block_and_later_ones_wait_for_it() {
     let mut disk = Disk::default();
-    expect_that!(disk.begin(), eq(false));
-    disk.write(1, promised(1));
-    disk.write(2, promised(2));
-    expect_that!(disk.begin(), eq(true));
-    disk.write(3, promised(3));
-    expect_that!(disk.begin(), eq(false));
+    expect_that!(disk.start_write(), eq(false));
+    disk.enqueue(1, promised(1));
+    disk.enqueue(2, promised(2));
+    expect_that!(disk.start_write(), eq(true));
+    disk.enqueue(3, promised(3));
+    expect_that!(disk.start_write(), eq(false));
     expect_that!(counter(&disk), eq(0));
-    expect_that!(disk.end(), elements_are![eq(&1), eq(&2)]);
+    expect_that!(disk.complete_write(), elements_are![eq(&1), eq(&2)]);
     expect_that!(counter(&disk), eq(2));
-    expect_that!(disk.begin(), eq(true));
-    expect_that!(disk.end(), elements_are![eq(&3)]);
+    expect_that!(disk.start_write(), eq(true));
+    expect_that!(disk.complete_write(), elements_are![eq(&3)]);
 }
 
 #[gtest]
-fn a_block_that_is_cut_short_is_there_whole_or_not_at_all() {
-    for (present, left) in [(true, 2), (false, 1)] {
+fn block_in_progress_is_durable_as_a_whole_or_lost_after_a_crash() {
+    for (fate, left) in [(BlockFate::Durable, 2), (BlockFate::Lost, 1)] {
         let mut disk = Disk::default();
-        disk.write(1, promised(1));
-        disk.begin();
-        disk.end();
-        disk.write(2, promised(2));
-        disk.begin();
-        disk.write(3, promised(3));
-        disk.cut_short(present);
+        disk.enqueue(1, promised(1));
+        disk.start_write();
+        disk.complete_write();
+        disk.enqueue(2, promised(2));
+        disk.start_write();
+        disk.enqueue(3, promised(3));
+        disk.crash(fate);
         expect_that!(counter(&disk), eq(left));
-        // The next process begins with an empty queue.
-        expect_that!(disk.begin(), eq(false));
+        // The next process starts with an empty queue.
+        expect_that!(disk.start_write(), eq(false));
         disk.wipe();
         expect_that!(counter(&disk), eq(0));
     }
--- a/simulation/tests/found.rs
+++ b/simulation/tests/found.rs
@@ -1,4 +1,4 @@
-//! Worlds that once broke a rule, each kept as a file: those of the code as it is hold now, those with a known fault still show it.
+//! Recorded runs that once violated an invariant: with an injected bug they still do, without one they do no longer.
 
 use std::path::Path;
 
@@ -6,19 +6,19 @@
 use ivyhatch_simulation::hunt::RecordedRun;
 
 #[gtest]
-fn every_world_that_was_found_holds_now() {
+fn recorded_runs_violate_an_invariant_only_with_their_injected_bug() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("found");
     let mut played = 0;
-    for file in std::fs::read_dir(folder).expect("the folder is there") {
-        let path = file.expect("it can be listed").path();
+    for file in std::fs::read_dir(folder).expect("the folder of recorded runs exists") {
+        let path = file.expect("the folder can be listed").path();
         if path.extension().is_none_or(|extension| extension != "json") {
             continue;
         }
         played += 1;
-        let found = RecordedRun::read(&path).expect("it can be read");
-        let shown = found.play().violation.map(|violation| violation.invariant);
-        let wanted = found.injected_bug.map(|_| found.violation.invariant);
-        expect_that!(shown, eq(wanted), "{}", path.display());
+        let recorded = RecordedRun::read(&path).expect("the recorded run is readable");
+        let violated = recorded.play().violation.map(|violation| violation.invariant);
+        let expected = recorded.injected_bug.map(|_| recorded.violation.invariant);
+        expect_that!(violated, eq(expected), "{}", path.display());
     }
     expect_that!(played, gt(0));
 }
--- a/simulation/tests/hunt.rs
+++ b/simulation/tests/hunt.rs
@@ -1,19 +1,20 @@
-//! Worlds as a whole: they play alike, hold what is promised, and show the faults that are put in.
+//! Whole runs: equal plans have equal outcomes, random plans violate no invariant, and injected bugs are found.
 
 use googletest::prelude::*;
 use ivyhatch_simulation::hunt::{RecordedRun, find_and_shrink, find_violation, message_mutations, plans};
-use ivyhatch_simulation::plan::{Fault, Trouble, When};
+use ivyhatch_simulation::plan::{Fault, FaultTrigger, NodeSet, ScheduledFault};
 use ivyhatch_simulation::run::play_traced;
 use ivyhatch_simulation::{InjectedBug, Invariant, Plan, play};
 
-/// How many worlds until one shows this fault, and what it shows, made short.
-fn found_within(injected_bug: InjectedBug, worlds: usize) -> Option<(usize, RecordedRun)> {
-    let first = plans(7).take(worlds).position(|plan| find_violation(plan, Some(injected_bug)).is_some())?;
+/// The number of plans until one shows this bug, and that plan's reduced run.
+fn found_within(injected_bug: InjectedBug, plan_count: usize) -> Option<(usize, RecordedRun)> {
+    let first =
+        plans(7).take(plan_count).position(|plan| find_violation(plan, Some(injected_bug)).is_some())?;
     Some((first + 1, find_and_shrink(plans(7).nth(first)?, Some(injected_bug))?))
 }
 
 #[gtest]
-fn a_plan_plays_alike_each_time() {
+fn equal_plans_have_equal_traces() {
     for plan in plans(3).take(4) {
         let (one, two) = (play_traced(&plan, None), play_traced(&plan, None));
         expect_that!(one.trace.len(), gt(100));
@@ -22,7 +23,7 @@
 }
 
 #[gtest]
-fn worlds_of_one_seed_break_no_rule() {
+fn random_plans_violate_no_invariant() {
     for plan in plans(1).take(400) {
         let outcome = play(&plan);
         assert_that!(outcome.violation, none(), "seed {}", plan.seed);
@@ -30,7 +31,7 @@
 }
 
 #[gtest]
-fn worlds_with_more_troubles_break_no_rule() {
+fn extended_plans_violate_no_invariant() {
     for plan in plans(1_000_001).take(400) {
         let outcome = play(&plan);
         assert_that!(outcome.violation, none(), "seed {}", plan.seed);
@@ -38,138 +39,149 @@
 }
 
 #[gtest]
-fn a_burst_takes_a_hundred_changes() {
-    let is_burst = |plan: &Plan| plan.orders.iter().filter(|order| order.operator == 0).count() >= 100;
+fn burst_acknowledges_a_hundred_changes() {
+    let is_burst =
+        |plan: &Plan| plan.operations.iter().filter(|scheduled| scheduled.operator == 0).count() >= 100;
     for plan in plans(1_000_001).filter(is_burst).take(3) {
         let outcome = play(&plan.without_faults());
         expect_that!(outcome.violation, none());
-        expect_that!(outcome.taken, ge(100));
+        expect_that!(outcome.acknowledged_changes, ge(100));
     }
 }
 
-/// A quiet world of three voters.
-fn quiet_world() -> Plan {
-    plans(5).map(Plan::without_faults).find(|plan| plan.members == 3).expect("most are")
+/// A plan of three members without faults.
+fn plan_without_faults() -> Plan {
+    plans(5).map(Plan::without_faults).find(|plan| plan.members == 3).expect("most plans have three members")
 }
 
 #[gtest]
-fn nothing_is_taken_while_all_disks_are_full() {
-    let quiet = quiet_world();
-    let full = Fault { when: When::At(6_000), what: Trouble::Full(0b111), for_ms: 3_000 };
-    let plan = Plan { faults: vec![full], faults_end_ms: 9_500, ..quiet };
+fn no_change_is_acknowledged_while_all_disks_are_full() {
+    let base = plan_without_faults();
+    let full = ScheduledFault {
+        trigger: FaultTrigger::At(6_000),
+        fault: Fault::FullDisk(NodeSet(0b111)),
+        duration_ms: 3_000,
+    };
+    let plan = Plan { faults: vec![full], faults_end_ms: 9_500, ..base };
     let outcome = play_traced(&plan, None);
     expect_that!(outcome.violation, none());
-    let taken_at = |line: &String| {
+    let acknowledged_at = |line: &String| {
         let at_ms: f64 = line.split_whitespace().next()?.parse().ok()?;
         (line.contains(" answers ") && line.contains("Applied")).then_some(at_ms)
     };
-    let taken: Vec<f64> = outcome.trace.iter().filter_map(taken_at).collect();
-    // The first writes that are refused were under way, and the first ones after it are tried again every 200 ms.
-    expect_that!(taken.iter().filter(|at_ms| (6_050.0..9_000.0).contains(*at_ms)).count(), eq(0));
-    expect_that!(taken.iter().filter(|at_ms| **at_ms > 9_000.0).count(), gt(0));
+    let acknowledged: Vec<f64> = outcome.trace.iter().filter_map(acknowledged_at).collect();
+    // Writes in progress fail first, and after the fault the first ones are retried every 200 ms.
+    expect_that!(acknowledged.iter().filter(|at_ms| (6_050.0..9_000.0).contains(*at_ms)).count(), eq(0));
+    expect_that!(acknowledged.iter().filter(|at_ms| **at_ms > 9_000.0).count(), gt(0));
 }
 
 #[gtest]
-fn orders_are_taken_once_although_their_answers_are_lost() {
-    let quiet = quiet_world();
-    let heard = play(&quiet);
-    let plan = Plan { lost_answers: 50, ..quiet };
+fn changes_are_applied_once_although_responses_are_lost() {
+    let base = plan_without_faults();
+    let undisturbed = play(&base);
+    let plan = Plan { lost_response_percent: 50, ..base };
     let outcome = play_traced(&plan, None);
     expect_that!(outcome.violation, none());
-    expect_that!(outcome.taken, gt(4));
-    expect_that!(outcome.messages, not(eq(heard.messages)));
-    let unheard = outcome.trace.iter().filter(|line| line.contains("does not hear Applied")).count();
-    expect_that!(unheard, gt(0));
+    expect_that!(outcome.acknowledged_changes, gt(4));
+    expect_that!(outcome.messages, not(eq(undisturbed.messages)));
+    let lost = outcome.trace.iter().filter(|line| line.contains("does not receive Applied")).count();
+    expect_that!(lost, gt(0));
 }
 
 #[gtest]
-fn an_order_that_is_not_known_again_is_found() {
-    let first = plans(1_000_007)
-        .take(50)
-        .find_map(|plan| find_and_shrink(plan, Some(InjectedBug::TakesResentForNew)));
-    let found = first.expect("it is found");
+fn unrecognised_retry_is_found() {
+    let first =
+        plans(1_000_007).take(50).find_map(|plan| find_and_shrink(plan, Some(InjectedBug::TreatsRetryAsNew)));
+    let found = first.expect("the bug is found");
     println!("{:?}", found.violation);
-    expect_that!(found.violation.invariant, eq(Invariant::TakenStaysTaken));
+    expect_that!(found.violation.invariant, eq(Invariant::IdempotentRetry));
 }
 
 #[gtest]
-fn quiet_worlds_take_orders() {
+fn changes_are_acknowledged_without_faults() {
     for plan in plans(2).take(20).map(Plan::without_faults) {
         let outcome = play(&plan);
         expect_that!(outcome.violation, none());
-        expect_that!(outcome.taken, gt(4));
+        expect_that!(outcome.acknowledged_changes, gt(4));
     }
 }
 
 #[gtest]
-fn acknowledging_before_the_sync_is_found() {
-    let (worlds, found) = found_within(InjectedBug::AcknowledgesBeforeSync, 2_000).expect("it is found");
-    println!("after {worlds} worlds: {:?}", found.violation);
+fn acknowledgement_before_the_sync_is_found() {
+    let (played, found) = found_within(InjectedBug::AcknowledgesBeforeSync, 2_000).expect("the bug is found");
+    println!("after {played} plans: {:?}", found.violation);
     expect_that!(found.plan.faults, not(is_empty()));
 }
 
 #[gtest]
-fn a_vote_after_a_wipe_is_found() {
-    let (worlds, found) = found_within(InjectedBug::VotesAfterWipe, 50).expect("it is found");
-    println!("after {worlds} worlds: {:?}", found.violation);
-    expect_that!(found.violation.invariant, eq(Invariant::WipedIsSilent));
+fn vote_after_a_lost_disk_is_found() {
+    let (played, found) = found_within(InjectedBug::VotesAfterWipe, 50).expect("the bug is found");
+    println!("after {played} plans: {:?}", found.violation);
+    expect_that!(found.violation.invariant, eq(Invariant::NoVoteAfterDiskLoss));
     expect_that!(found.plan.faults, len(eq(1)));
 }
 
 #[gtest]
-fn an_answer_without_confirmation_is_found() {
-    let (worlds, found) = found_within(InjectedBug::SkipsConfirmation, 600).expect("it is found");
-    println!("after {worlds} worlds: {:?}", found.violation);
-    expect_that!(found.violation.invariant, eq(Invariant::FreshRead));
+fn response_without_quorum_confirmation_is_found() {
+    let (played, found) = found_within(InjectedBug::SkipsConfirmation, 600).expect("the bug is found");
+    println!("after {played} plans: {:?}", found.violation);
+    expect_that!(found.violation.invariant, eq(Invariant::LinearizableRead));
 }
 
 #[gtest]
-fn a_lower_epoch_that_is_taken_is_found() {
-    let (worlds, found) = found_within(InjectedBug::AcceptsLowerEpoch, 300).expect("it is found");
-    println!("after {worlds} worlds: {:?}", found.violation);
+fn acceptance_under_a_lower_ballot_is_found() {
+    let (played, found) = found_within(InjectedBug::AcceptsLowerBallot, 300).expect("the bug is found");
+    println!("after {played} plans: {:?}", found.violation);
 }
 
 #[gtest]
-fn a_change_over_a_gap_is_found() {
-    let (worlds, found) = found_within(InjectedBug::AppliesOverGap, 200).expect("it is found");
-    println!("after {worlds} worlds: {:?}", found.violation);
-    expect_that!(found.violation.invariant, any![eq(Invariant::OneValueANumber), eq(Invariant::AsSent)]);
+fn change_applied_over_a_gap_is_found() {
+    let (played, found) = found_within(InjectedBug::AppliesOverGap, 200).expect("the bug is found");
+    println!("after {played} plans: {:?}", found.violation);
+    expect_that!(
+        found.violation.invariant,
+        any![eq(Invariant::SingleValuePerSequence), eq(Invariant::ContentIntegrity)]
+    );
 }
 
 #[gtest]
-fn an_order_on_top_of_whatever_is_current_is_found() {
-    let (worlds, found) = found_within(InjectedBug::IgnoresBase, 20).expect("it is found");
-    println!("after {worlds} worlds: {:?}", found.violation);
-    expect_that!(found.plan.orders.len(), le(8));
+fn ignored_base_is_found() {
+    let (played, found) = found_within(InjectedBug::IgnoresBase, 20).expect("the bug is found");
+    println!("after {played} plans: {:?}", found.violation);
+    expect_that!(found.plan.operations.len(), le(8));
 }
 
 #[gtest]
-fn a_new_voter_that_counts_before_it_holds_the_state_is_found() {
-    let (worlds, found) = found_within(InjectedBug::CountsBeforeState, 400).expect("it is found");
-    println!("after {worlds} worlds: {:?}", found.violation);
+fn vote_before_the_state_transfer_is_found() {
+    let (played, found) = found_within(InjectedBug::VotesBeforeStateTransfer, 400).expect("the bug is found");
+    println!("after {played} plans: {:?}", found.violation);
 }
 
 #[gtest]
-fn a_message_of_an_older_membership_that_counts_is_found() {
-    let (worlds, found) = found_within(InjectedBug::OldGenerationCounts, 4_000).expect("it is found");
-    println!("after {worlds} worlds: {:?}", found.violation);
+fn counted_message_of_an_older_generation_is_found() {
+    let (played, found) = found_within(InjectedBug::CountsOldGeneration, 4_000).expect("the bug is found");
+    println!("after {played} plans: {:?}", found.violation);
 }
 
 #[gtest]
-fn a_membership_that_is_changed_without_a_quorum_is_found() {
-    let (worlds, found) = found_within(InjectedBug::ChangesMembershipAlone, 1_000).expect("it is found");
-    println!("after {worlds} worlds: {:?}", found.violation);
+fn membership_change_without_a_quorum_is_found() {
+    let (played, found) =
+        found_within(InjectedBug::ChangesMembershipWithoutQuorum, 1_000).expect("the bug is found");
+    println!("after {played} plans: {:?}", found.violation);
 }
 
 #[gtest]
-fn a_leader_without_an_election_is_found() {
-    let (worlds, found) = found_within(InjectedBug::LeadsWithoutElection, 100).expect("it is found");
-    println!("after {worlds} worlds: {:?}", found.violation);
+fn leader_without_an_election_is_found() {
+    let (played, found) = found_within(InjectedBug::LeadsWithoutElection, 100).expect("the bug is found");
+    println!("after {played} plans: {:?}", found.violation);
 }
 
 #[gtest]
-fn no_single_message_of_a_quiet_run_matters() {
-    let plan = plans(5).map(Plan::without_faults).find(|plan| plan.members == 3).expect("most are");
+fn no_single_message_mutation_violates_an_invariant() {
+    let plan = plans(5)
+        .map(Plan::without_faults)
+        .find(|plan| plan.members == 3)
+        .expect("most plans have three members");
     let plan = Plan { faults_end_ms: 6_000, ..plan };
     expect_that!(play(&plan).violation, none());
     let mut played = 0;
@@ -182,13 +194,13 @@
 }
 
 #[gtest]
-fn a_file_holds_the_world_that_was_found() {
-    let (_, found) = found_within(InjectedBug::IgnoresBase, 20).expect("it is found");
-    let folder = std::env::temp_dir().join(format!("ivyhatch-world-{}", std::process::id()));
-    let path = found.save(&folder).expect("it is written");
-    let read = RecordedRun::read(&path).expect("it is read");
+fn saved_run_reads_back_and_violates_the_same_invariant() {
+    let (_, found) = found_within(InjectedBug::IgnoresBase, 20).expect("the bug is found");
+    let folder = std::env::temp_dir().join(format!("ivyhatch-recorded-run-{}", std::process::id()));
+    let path = found.save(&folder).expect("the run is written");
+    let read = RecordedRun::read(&path).expect("the run is read");
     expect_that!(read, eq(&found));
     expect_that!(read.play().violation, some(eq(&found.violation)));
-    std::fs::remove_dir_all(&folder).expect("it is removed");
+    std::fs::remove_dir_all(&folder).expect("the folder is removed");
     expect_that!(RecordedRun::read(&path), err(displays_as(contains_substring("see to the folder"))));
 }
--- a/simulation/tests/oracle.rs
+++ b/simulation/tests/oracle.rs
@@ -1,4 +1,4 @@
-//! The judge by itself: each rule is broken once, and what is proper is let pass.
+//! The oracle by itself: each invariant is violated once, and correct histories pass.
 
 use std::collections::BTreeSet;
 
@@ -8,220 +8,243 @@
 use ivyhatch_protocol::ids::{NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{AdminRequest, AdminResponse, Membership, Voter};
 use ivyhatch_simulation::Invariant;
-use ivyhatch_simulation::demand::{Demand, Kind, Operators, digest};
-use ivyhatch_simulation::oracle::{FollowerView, Oracle};
-use ivyhatch_simulation::plan::Undertaking;
+use ivyhatch_simulation::oracle::{
+    AppliedState, FinalState, Oracle, ProcessId, RouterView, ServerListVersion,
+};
+use ivyhatch_simulation::plan::PlannedOperation;
+use ivyhatch_simulation::workload::{Operation, OperationKind, Workload, document_digest};
 
-const WHO: (u32, u64) = (1, 1);
+const PROCESS: ProcessId = ProcessId { node: 1, incarnation: 1 };
 
-fn set(base: u64, revision: u64, valid: bool) -> Demand {
-    let kind = Kind::Set { base, revision, digest: revision, valid };
-    Demand { order: AdminRequest::Put { base, body: Vec::new() }, kind }
+fn set(base: u64, revision: u64, valid: bool) -> Operation {
+    let kind = OperationKind::SetConfiguration { base, revision, digest: revision, valid };
+    Operation { request: AdminRequest::Put { base, body: Vec::new() }, kind }
 }
 
-fn taken(revision: u64) -> AdminResponse {
+fn applied_response(revision: u64) -> AdminResponse {
     AdminResponse::Applied { revision }
 }
 
-fn rule(oracle: &Oracle) -> Option<Invariant> {
+fn violated(oracle: &Oracle) -> Option<Invariant> {
     oracle.violation().map(|violation| violation.invariant)
 }
 
-/// Two versions, the first acknowledged and in force.
-fn begun() -> Oracle {
+/// A final state in which all nodes and routers agree and the server list is read.
+fn converged(partition_sequence: u64, revision: u64, sequence: u64) -> FinalState {
+    FinalState {
+        partition_sequences: BTreeSet::from([vec![partition_sequence]]),
+        applied: BTreeSet::from([applied_state(revision, sequence)]),
+        server_list_is_read: true,
+    }
+}
+
+fn applied_state(revision: u64, sequence: u64) -> Option<AppliedState> {
+    Some(AppliedState { revision, sequence, zones: Vec::new() })
+}
+
+/// An oracle of a history with one revision, 5, acknowledged and in effect.
+fn oracle_with_acknowledged_revision() -> Oracle {
     let mut oracle = Oracle::default();
-    oracle.time(SECOND);
-    oracle.began(1, &set(0, 5, true));
-    oracle.in_force(1, 5, 5);
-    oracle.answered(1, &taken(5));
+    oracle.advance_to(SECOND);
+    oracle.operation_started(1, &set(0, 5, true));
+    oracle.observe_configuration(1, 5, 5);
+    oracle.response_received(1, &applied_response(5));
     oracle
 }
 
-fn view(revision: u64, evacuated: bool, in_touch: bool) -> FollowerView {
-    FollowerView { number: 0, revision, evacuated: vec![evacuated; 3], in_touch }
+fn view(revision: u64, evacuated: bool, in_contact: bool) -> RouterView {
+    RouterView { number: 0, revision, evacuated_zones: vec![evacuated; 3], in_contact }
 }
 
 #[gtest]
-fn what_is_proper_is_let_pass() {
-    let mut oracle = begun();
-    oracle.began(2, &set(5, 7, true));
-    oracle.began(3, &set(5, 8, true));
-    oracle.seen(WHO, PartitionId::CONFIGURATION, 1, 5);
-    oracle.answered(2, &taken(7));
-    oracle.answered(3, &AdminResponse::Conflict { revision: 7 });
-    oracle.seen(WHO, PartitionId::CONFIGURATION, 2, 7);
-    oracle.in_force(2, 7, 7);
-    oracle.end(&BTreeSet::from([vec![2]]), &BTreeSet::from([vec![7, 2]]), true);
+fn correct_history_violates_nothing() {
+    let mut oracle = oracle_with_acknowledged_revision();
+    oracle.operation_started(2, &set(5, 7, true));
+    oracle.operation_started(3, &set(5, 8, true));
+    oracle.observe_value(PROCESS, PartitionId::CONFIGURATION, 1, 5);
+    oracle.response_received(2, &applied_response(7));
+    oracle.response_received(3, &AdminResponse::Conflict { revision: 7 });
+    oracle.observe_value(PROCESS, PartitionId::CONFIGURATION, 2, 7);
+    oracle.observe_configuration(2, 7, 7);
+    oracle.check_final_state(&converged(2, 7, 2));
     expect_that!(oracle.violation(), none());
-    expect_that!(oracle.taken(), eq(2));
+    expect_that!(oracle.acknowledged_changes(), eq(2));
 }
 
 #[gtest]
-fn two_winners_on_one_version() {
-    let mut oracle = begun();
+fn two_changes_on_one_base_violate_compare_and_set() {
+    let mut oracle = oracle_with_acknowledged_revision();
     for (number, revision) in [(2, 7), (3, 8)] {
-        oracle.began(number, &set(5, revision, true));
-        oracle.answered(number, &taken(revision));
+        oracle.operation_started(number, &set(5, revision, true));
+        oracle.response_received(number, &applied_response(revision));
     }
-    expect_that!(rule(&oracle), some(eq(Invariant::OneWinner)));
-    let mut unseen = begun();
-    unseen.began(2, &set(0, 7, true));
-    unseen.in_force(2, 7, 7);
-    expect_that!(rule(&unseen), some(eq(Invariant::OneWinner)));
+    expect_that!(violated(&oracle), some(eq(Invariant::CompareAndSet)));
+    let mut unseen = oracle_with_acknowledged_revision();
+    unseen.operation_started(2, &set(0, 7, true));
+    unseen.observe_configuration(2, 7, 7);
+    expect_that!(violated(&unseen), some(eq(Invariant::CompareAndSet)));
 }
 
 #[gtest]
-fn refused_and_invalid_ones_in_force() {
-    let mut before = begun();
-    before.began(2, &set(5, 7, true));
-    before.answered(2, &AdminResponse::Conflict { revision: 5 });
-    before.in_force(2, 7, 7);
-    expect_that!(rule(&before), some(eq(Invariant::RefusedStaysOut)));
-    let mut after = begun();
-    after.began(2, &set(5, 7, true));
-    after.in_force(2, 7, 7);
-    after.answered(2, &AdminResponse::Invalid(String::new()));
-    expect_that!(rule(&after), some(eq(Invariant::RefusedStaysOut)));
-    let mut invalid = begun();
-    invalid.began(2, &set(5, 7, false));
-    invalid.answered(2, &taken(7));
-    expect_that!(rule(&invalid), some(eq(Invariant::InvalidStaysOut)));
-    let mut silent = begun();
-    silent.began(2, &set(5, 7, false));
-    silent.in_force(2, 7, 7);
-    expect_that!(rule(&silent), some(eq(Invariant::InvalidStaysOut)));
+fn rejected_or_invalid_revision_in_effect_is_a_violation() {
+    let mut before = oracle_with_acknowledged_revision();
+    before.operation_started(2, &set(5, 7, true));
+    before.response_received(2, &AdminResponse::Conflict { revision: 5 });
+    before.observe_configuration(2, 7, 7);
+    expect_that!(violated(&before), some(eq(Invariant::RejectedNeverApplied)));
+    let mut after = oracle_with_acknowledged_revision();
+    after.operation_started(2, &set(5, 7, true));
+    after.observe_configuration(2, 7, 7);
+    after.response_received(2, &AdminResponse::Invalid(String::new()));
+    expect_that!(violated(&after), some(eq(Invariant::RejectedNeverApplied)));
+    let mut invalid = oracle_with_acknowledged_revision();
+    invalid.operation_started(2, &set(5, 7, false));
+    invalid.response_received(2, &applied_response(7));
+    expect_that!(violated(&invalid), some(eq(Invariant::InvalidNeverApplied)));
+    let mut silent = oracle_with_acknowledged_revision();
+    silent.operation_started(2, &set(5, 7, false));
+    silent.observe_configuration(2, 7, 7);
+    expect_that!(violated(&silent), some(eq(Invariant::InvalidNeverApplied)));
 }
 
 #[gtest]
-fn what_nobody_sent_and_what_was_altered() {
-    let mut unsent = begun();
-    unsent.in_force(2, 9, 9);
-    expect_that!(rule(&unsent), some(eq(Invariant::AsSent)));
-    let mut altered = begun();
-    altered.began(2, &set(5, 7, true));
-    altered.in_force(2, 7, 99);
-    expect_that!(rule(&altered), some(eq(Invariant::AsSent)));
+fn unsent_or_altered_configuration_violates_content_integrity() {
+    let mut unsent = oracle_with_acknowledged_revision();
+    unsent.observe_configuration(2, 9, 9);
+    expect_that!(violated(&unsent), some(eq(Invariant::ContentIntegrity)));
+    let mut altered = oracle_with_acknowledged_revision();
+    altered.operation_started(2, &set(5, 7, true));
+    altered.observe_configuration(2, 7, 99);
+    expect_that!(violated(&altered), some(eq(Invariant::ContentIntegrity)));
 }
 
 #[gtest]
-fn two_values_under_one_number_and_a_way_back() {
-    let mut oracle = begun();
-    oracle.seen(WHO, PartitionId(3), 4, 1);
-    oracle.seen((2, 1), PartitionId(3), 4, 2);
-    expect_that!(rule(&oracle), some(eq(Invariant::OneValueANumber)));
-    let mut back = begun();
-    back.seen(WHO, PartitionId(3), 4, 1);
-    // Another life may begin anew.
-    back.seen((1, 2), PartitionId(3), 3, 1);
+fn second_value_under_one_number_or_older_sequence_is_a_violation() {
+    let mut oracle = oracle_with_acknowledged_revision();
+    oracle.observe_value(PROCESS, PartitionId(3), 4, 1);
+    oracle.observe_value(ProcessId { node: 2, incarnation: 1 }, PartitionId(3), 4, 2);
+    expect_that!(violated(&oracle), some(eq(Invariant::SingleValuePerSequence)));
+    let mut back = oracle_with_acknowledged_revision();
+    back.observe_value(PROCESS, PartitionId(3), 4, 1);
+    // Another incarnation may start from an older value.
+    back.observe_value(ProcessId { node: 1, incarnation: 2 }, PartitionId(3), 3, 1);
     expect_that!(back.violation(), none());
-    back.seen(WHO, PartitionId(3), 3, 1);
-    expect_that!(rule(&back), some(eq(Invariant::NoWayBack)));
-    let mut lists = begun();
-    lists.list((1, 2, 3), 4);
-    lists.list((1, 2, 3), 5);
-    expect_that!(rule(&lists), some(eq(Invariant::OneListANumber)));
+    back.observe_value(PROCESS, PartitionId(3), 3, 1);
+    expect_that!(violated(&back), some(eq(Invariant::MonotonicSequence)));
+    let mut lists = oracle_with_acknowledged_revision();
+    let version = ServerListVersion { ballot_counter: 1, reader: 2, number: 3 };
+    lists.observe_server_list(version, 4);
+    lists.observe_server_list(version, 5);
+    expect_that!(violated(&lists), some(eq(Invariant::SingleServerListPerNumber)));
 }
 
 #[gtest]
-fn a_read_is_no_older_than_what_was_acknowledged_before_it() {
-    let read = Demand { order: AdminRequest::Read, kind: Kind::Read };
+fn read_older_than_a_previous_acknowledgement_violates_linearizability() {
+    let read = Operation { request: AdminRequest::Read, kind: OperationKind::Read };
     let document = |revision: u64| AdminResponse::Document(format!(r#"{{"revision":{revision}}}"#));
-    let mut oracle = begun();
-    oracle.began(2, &read);
-    oracle.began(3, &set(5, 7, true));
-    oracle.answered(3, &taken(7));
-    oracle.answered(2, &document(5));
+    let mut oracle = oracle_with_acknowledged_revision();
+    oracle.operation_started(2, &read);
+    oracle.operation_started(3, &set(5, 7, true));
+    oracle.response_received(3, &applied_response(7));
+    oracle.response_received(2, &document(5));
     expect_that!(oracle.violation(), none());
-    oracle.began(4, &read);
-    oracle.answered(4, &document(5));
-    expect_that!(rule(&oracle), some(eq(Invariant::FreshRead)));
-    let mut nothing = begun();
-    nothing.began(2, &read);
-    nothing.answered(2, &AdminResponse::NotConfigured);
-    expect_that!(rule(&nothing), some(eq(Invariant::FreshRead)));
+    oracle.operation_started(4, &read);
+    oracle.response_received(4, &document(5));
+    expect_that!(violated(&oracle), some(eq(Invariant::LinearizableRead)));
+    let mut nothing = oracle_with_acknowledged_revision();
+    nothing.operation_started(2, &read);
+    nothing.response_received(2, &AdminResponse::NotConfigured);
+    expect_that!(violated(&nothing), some(eq(Invariant::LinearizableRead)));
 }
 
 #[gtest]
-fn followers_in_touch_have_it_in_time() {
-    let mut oracle = begun();
-    oracle.time(4 * SECOND);
-    oracle.sample(&[view(0, false, false), view(5, false, true)], None);
+fn router_in_contact_without_acknowledged_change_violates_its_deadline() {
+    let mut oracle = oracle_with_acknowledged_revision();
+    oracle.advance_to(4 * SECOND);
+    oracle.check_deadlines(&[view(0, false, false), view(5, false, true)], None);
     expect_that!(oracle.violation(), none());
-    oracle.sample(&[view(0, false, true)], None);
-    expect_that!(rule(&oracle), some(eq(Invariant::ConfiguredInTime)));
+    oracle.check_deadlines(&[view(0, false, true)], None);
+    expect_that!(violated(&oracle), some(eq(Invariant::ConfigurationDeadline)));
 
-    let evacuate = |active| Demand {
-        order: AdminRequest::Evacuate { zone: "zone-1".to_owned(), active, change_count: 0 },
-        kind: Kind::Evacuate { zone: 1, active },
+    let evacuate = |active| Operation {
+        request: AdminRequest::Evacuate { zone: "zone-1".to_owned(), active, change_count: 0 },
+        kind: OperationKind::Evacuate { zone: 1, active },
     };
-    let mut oracle = begun();
-    oracle.began(2, &evacuate(true));
-    oracle.answered(2, &taken(0));
-    oracle.time(6 * SECOND);
-    oracle.sample(&[view(5, false, true)], None);
+    let mut oracle = oracle_with_acknowledged_revision();
+    oracle.operation_started(2, &evacuate(true));
+    oracle.response_received(2, &applied_response(0));
+    oracle.advance_to(6 * SECOND);
+    oracle.check_deadlines(&[view(5, false, true)], None);
     expect_that!(oracle.violation(), none());
-    oracle.time(6 * SECOND + 1);
-    // Once it is being taken back either may be in force.
-    oracle.sample(&[view(5, true, true)], None);
-    oracle.began(3, &evacuate(false));
-    oracle.sample(&[view(5, false, true)], None);
+    oracle.advance_to(6 * SECOND + 1);
+    // Once the evacuation is being ended, both states are right.
+    oracle.check_deadlines(&[view(5, true, true)], None);
+    oracle.operation_started(3, &evacuate(false));
+    oracle.check_deadlines(&[view(5, false, true)], None);
     expect_that!(oracle.violation(), none());
-    oracle.answered(3, &taken(0));
-    oracle.time(12 * SECOND);
-    oracle.sample(&[view(5, true, true)], None);
-    expect_that!(rule(&oracle), some(eq(Invariant::EvacuatedInTime)));
+    oracle.response_received(3, &applied_response(0));
+    oracle.advance_to(12 * SECOND);
+    oracle.check_deadlines(&[view(5, true, true)], None);
+    expect_that!(violated(&oracle), some(eq(Invariant::EvacuationDeadline)));
 }
 
 #[gtest]
-fn orders_are_answered_in_time_while_the_core_is_stable() {
-    let mut oracle = begun();
-    oracle.began(2, &set(5, 7, true));
-    expect_that!(oracle.answered(2, &AdminResponse::Unavailable(String::new())), eq(false));
-    oracle.time(20 * SECOND);
-    oracle.sample(&[], None);
-    oracle.sample(&[], Some(16 * SECOND));
+fn pending_request_violates_its_deadline_only_while_the_core_is_stable() {
+    let mut oracle = oracle_with_acknowledged_revision();
+    oracle.operation_started(2, &set(5, 7, true));
+    expect_that!(oracle.response_received(2, &AdminResponse::Unavailable(String::new())), eq(false));
+    oracle.advance_to(20 * SECOND);
+    oracle.check_deadlines(&[], None);
+    oracle.check_deadlines(&[], Some(16 * SECOND));
     expect_that!(oracle.violation(), none());
-    oracle.sample(&[], Some(14 * SECOND));
-    expect_that!(rule(&oracle), some(eq(Invariant::AcknowledgedInTime)));
+    oracle.check_deadlines(&[], Some(14 * SECOND));
+    expect_that!(violated(&oracle), some(eq(Invariant::ResponseDeadline)));
 }
 
 #[gtest]
-fn at_the_end_all_are_alike_and_nothing_is_lost() {
-    let end = |places: &[u64], in_force: &[&[u64]], reader| {
-        let mut oracle = begun();
-        let places = places.iter().map(|place| vec![*place]).collect();
-        oracle.end(&places, &in_force.iter().map(|one| one.to_vec()).collect(), reader);
-        rule(&oracle)
+fn divergence_or_lost_revision_at_the_end_is_a_violation() {
+    let violated_by = |state: FinalState| {
+        let mut oracle = oracle_with_acknowledged_revision();
+        oracle.check_final_state(&state);
+        violated(&oracle)
     };
-    expect_that!(end(&[1], &[&[5, 1]], true), none());
-    expect_that!(end(&[1, 2], &[&[5, 1]], true), some(eq(Invariant::Converges)));
-    expect_that!(end(&[1], &[&[5, 1], &[4, 1]], true), some(eq(Invariant::Converges)));
-    expect_that!(end(&[1], &[&[5, 1]], false), some(eq(Invariant::Converges)));
-    expect_that!(end(&[0], &[&[0, 0]], true), some(eq(Invariant::NothingLost)));
-    let mut unseen = begun();
-    unseen.began(2, &set(5, 7, true));
-    unseen.answered(2, &taken(7));
-    unseen.end(&BTreeSet::from([vec![1]]), &BTreeSet::from([vec![5, 1]]), true);
-    expect_that!(rule(&unseen), some(eq(Invariant::NothingLost)));
+    let agreed = converged(1, 5, 1);
+    expect_that!(violated_by(agreed.clone()), none());
+    let partition_sequences = BTreeSet::from([vec![1], vec![2]]);
+    let diverged = FinalState { partition_sequences, ..agreed.clone() };
+    expect_that!(violated_by(diverged), some(eq(Invariant::Convergence)));
+    let applied = BTreeSet::from([applied_state(5, 1), applied_state(4, 1)]);
+    let diverged = FinalState { applied, ..agreed.clone() };
+    expect_that!(violated_by(diverged), some(eq(Invariant::Convergence)));
+    let unread = FinalState { server_list_is_read: false, ..agreed };
+    expect_that!(violated_by(unread), some(eq(Invariant::Convergence)));
+    expect_that!(violated_by(converged(0, 0, 0)), some(eq(Invariant::Durability)));
+    let mut unseen = oracle_with_acknowledged_revision();
+    unseen.operation_started(2, &set(5, 7, true));
+    unseen.response_received(2, &applied_response(7));
+    unseen.check_final_state(&converged(1, 5, 1));
+    expect_that!(violated(&unseen), some(eq(Invariant::Durability)));
 }
 
 #[gtest]
-fn orders_are_proper_and_their_content_follows_from_the_version() {
-    let mut operators = Operators::default();
-    let put = operators.demand(Undertaking::Put, 3);
-    let AdminRequest::Put { base: 0, body } = &put.order else { panic!("{put:?}") };
+fn workload_requests_parse_and_have_the_content_of_their_revision() {
+    let mut workload = Workload::default();
+    let put = workload.next_operation(PlannedOperation::Put, 3);
+    let AdminRequest::Put { base: 0, body } = &put.request else { panic!("{put:?}") };
     let document = Document::parse(body).expect("it reads");
     expect_that!(document.validate(0), ok(anything()));
-    let Kind::Set { revision: 3, digest: sent, .. } = put.kind else { panic!("{put:?}") };
-    expect_that!(digest(&document), eq(sent));
-    operators.heard(3);
-    let patch = operators.demand(Undertaking::Patch, 2);
-    let AdminRequest::Patch { base: 3, body } = &patch.order else { panic!("{patch:?}") };
+    let OperationKind::SetConfiguration { revision: 3, digest: sent, .. } = put.kind else {
+        panic!("{put:?}")
+    };
+    expect_that!(document_digest(&document), eq(sent));
+    workload.observe_revision(3);
+    let patch = workload.next_operation(PlannedOperation::Patch, 2);
+    let AdminRequest::Patch { base: 3, body } = &patch.request else { panic!("{patch:?}") };
     let change = ivyhatch_protocol::configuration::Change::parse(body).expect("it reads");
-    let Kind::Set { digest: sent, .. } = patch.kind else { panic!("{patch:?}") };
-    expect_that!(digest(&document.with_change(&change)), eq(sent));
-    let invalid = operators.demand(Undertaking::Invalid, 1);
-    let AdminRequest::Put { body, .. } = &invalid.order else { panic!("{invalid:?}") };
+    let OperationKind::SetConfiguration { digest: sent, .. } = patch.kind else { panic!("{patch:?}") };
+    expect_that!(document_digest(&document.with_change(&change)), eq(sent));
+    let invalid = workload.next_operation(PlannedOperation::Invalid, 1);
+    let AdminRequest::Put { body, .. } = &invalid.request else { panic!("{invalid:?}") };
     expect_that!(Document::parse(body).expect("it reads").validate(3), err(anything()));
 }
 
@@ -235,91 +258,91 @@
 }
 
 #[gtest]
-fn one_generation_is_one_membership() {
+fn two_memberships_of_one_generation_are_a_violation() {
     let mut oracle = Oracle::default();
     let first = first_membership();
-    oracle.membership(&first);
-    oracle.membership(&first.with_replacement(replica(3, 1), replica(4, 1), ""));
+    oracle.observe_membership(&first);
+    oracle.observe_membership(&first.with_replacement(replica(3, 1), replica(4, 1), ""));
     expect_that!(oracle.violation(), none());
-    oracle.membership(&first.with_replacement(replica(2, 1), replica(4, 1), ""));
-    expect_that!(rule(&oracle), some(eq(Invariant::OneMembershipAGeneration)));
+    oracle.observe_membership(&first.with_replacement(replica(2, 1), replica(4, 1), ""));
+    expect_that!(violated(&oracle), some(eq(Invariant::SingleMembershipPerGeneration)));
 }
 
 #[gtest]
-fn a_generation_follows_on_the_one_before() {
+fn generation_with_two_replaced_voters_is_a_violation() {
     let mut oracle = Oracle::default();
     let first = first_membership();
-    oracle.membership(&first);
+    oracle.observe_membership(&first);
     let mut two_at_once = first.with_replacement(replica(3, 1), replica(4, 1), "");
     two_at_once.voters[0].replica = replica(1, 2);
-    oracle.membership(&two_at_once);
-    expect_that!(rule(&oracle), some(eq(Invariant::OneMembershipAGeneration)));
+    oracle.observe_membership(&two_at_once);
+    expect_that!(violated(&oracle), some(eq(Invariant::SingleMembershipPerGeneration)));
 }
 
 #[gtest]
-fn only_voters_vote() {
+fn vote_of_a_former_voter_is_a_violation() {
     let mut oracle = Oracle::default();
     let first = first_membership();
-    oracle.membership(&first);
-    oracle.membership(&first.with_replacement(replica(3, 1), replica(3, 2), ""));
-    oracle.vote(1, replica(3, 1));
-    oracle.vote(2, replica(3, 2));
+    oracle.observe_membership(&first);
+    oracle.observe_membership(&first.with_replacement(replica(3, 1), replica(3, 2), ""));
+    oracle.observe_vote(1, replica(3, 1));
+    oracle.observe_vote(2, replica(3, 2));
     expect_that!(oracle.violation(), none());
-    oracle.vote(2, replica(3, 1));
-    expect_that!(rule(&oracle), some(eq(Invariant::OnlyVotersVote)));
+    oracle.observe_vote(2, replica(3, 1));
+    expect_that!(violated(&oracle), some(eq(Invariant::OnlyVotersVote)));
 }
 
 #[gtest]
-fn what_was_taken_is_not_refused_when_it_is_sent_again() {
-    let mut oracle = begun();
-    oracle.began(2, &set(5, 7, true));
-    oracle.answer_lost(2, &taken(7));
+fn rejected_retry_of_an_applied_change_violates_idempotence() {
+    let mut oracle = oracle_with_acknowledged_revision();
+    oracle.operation_started(2, &set(5, 7, true));
+    oracle.response_lost(2, &applied_response(7));
     expect_that!(oracle.violation(), none());
-    oracle.answered(2, &AdminResponse::Conflict { revision: 9 });
-    expect_that!(rule(&oracle), some(eq(Invariant::TakenStaysTaken)));
-    let mut invalid = begun();
-    invalid.began(2, &set(5, 7, true));
-    invalid.answer_lost(2, &taken(7));
-    invalid.answered(2, &AdminResponse::Invalid(String::new()));
-    expect_that!(rule(&invalid), some(eq(Invariant::TakenStaysTaken)));
-    let mut again = begun();
-    again.began(2, &set(5, 7, true));
-    again.answer_lost(2, &taken(7));
-    again.in_force(2, 7, 7);
-    again.answered(2, &taken(7));
+    oracle.response_received(2, &AdminResponse::Conflict { revision: 9 });
+    expect_that!(violated(&oracle), some(eq(Invariant::IdempotentRetry)));
+    let mut invalid = oracle_with_acknowledged_revision();
+    invalid.operation_started(2, &set(5, 7, true));
+    invalid.response_lost(2, &applied_response(7));
+    invalid.response_received(2, &AdminResponse::Invalid(String::new()));
+    expect_that!(violated(&invalid), some(eq(Invariant::IdempotentRetry)));
+    let mut again = oracle_with_acknowledged_revision();
+    again.operation_started(2, &set(5, 7, true));
+    again.response_lost(2, &applied_response(7));
+    again.observe_configuration(2, 7, 7);
+    again.response_received(2, &applied_response(7));
     expect_that!(again.violation(), none());
-    let mut refused = begun();
-    refused.began(2, &set(4, 7, true));
-    refused.answer_lost(2, &AdminResponse::Conflict { revision: 5 });
-    refused.answered(2, &AdminResponse::Conflict { revision: 5 });
+    let mut refused = oracle_with_acknowledged_revision();
+    refused.operation_started(2, &set(4, 7, true));
+    refused.response_lost(2, &AdminResponse::Conflict { revision: 5 });
+    refused.response_received(2, &AdminResponse::Conflict { revision: 5 });
     expect_that!(refused.violation(), none());
 }
 
 #[gtest]
-fn an_answer_that_was_lost_binds_as_one_that_was_heard() {
-    let mut winners = begun();
-    winners.began(2, &set(5, 7, true));
-    winners.began(3, &set(5, 8, true));
-    winners.answer_lost(2, &taken(7));
-    winners.answered(3, &taken(8));
-    expect_that!(rule(&winners), some(eq(Invariant::OneWinner)));
-    let mut lost = begun();
-    lost.began(2, &set(5, 7, true));
-    lost.answer_lost(2, &taken(7));
-    lost.end(&BTreeSet::from([vec![1]]), &BTreeSet::from([vec![5, 1]]), true);
-    expect_that!(rule(&lost), some(eq(Invariant::NothingLost)));
+fn lost_acknowledgement_counts_for_compare_and_set_and_durability() {
+    let mut winners = oracle_with_acknowledged_revision();
+    winners.operation_started(2, &set(5, 7, true));
+    winners.operation_started(3, &set(5, 8, true));
+    winners.response_lost(2, &applied_response(7));
+    winners.response_received(3, &applied_response(8));
+    expect_that!(violated(&winners), some(eq(Invariant::CompareAndSet)));
+    let mut lost = oracle_with_acknowledged_revision();
+    lost.operation_started(2, &set(5, 7, true));
+    lost.response_lost(2, &applied_response(7));
+    lost.check_final_state(&converged(1, 5, 1));
+    expect_that!(violated(&lost), some(eq(Invariant::Durability)));
 }
 
 #[gtest]
-fn after_a_lost_answer_an_order_has_its_time_anew() {
-    let mut oracle = begun();
-    oracle.began(2, &set(5, 7, true));
-    oracle.time(4 * SECOND);
-    oracle.answer_lost(2, &taken(7));
-    oracle.time(9 * SECOND);
-    oracle.sample(&[], Some(0));
+fn response_deadline_restarts_after_a_lost_response() {
+    let mut oracle = oracle_with_acknowledged_revision();
+    oracle.operation_started(2, &set(5, 7, true));
+    oracle.advance_to(4 * SECOND);
+    oracle.response_lost(2, &applied_response(7));
+    oracle.advance_to(9 * SECOND);
+    oracle.check_deadlines(&[], Some(0));
     expect_that!(oracle.violation(), none());
-    oracle.time(9 * SECOND + 1);
-    oracle.sample(&[], Some(0));
-    expect_that!(rule(&oracle), some(eq(Invariant::AcknowledgedInTime)));
+    oracle.advance_to(9 * SECOND + 1);
+    oracle.check_deadlines(&[], Some(0));
+    expect_that!(violated(&oracle), some(eq(Invariant::ResponseDeadline)));
 }
