--- a/simulation/src/disk.rs
+++ b/simulation/src/disk.rs
@@ -3,15 +3,15 @@
 
 use std::collections::VecDeque;
 
-use ivyhatch_control::stored::Stored;
-use ivyhatch_control::{Record, Token};
+use ivyhatch_control::durable_state::DurableState;
+use ivyhatch_control::{Record, WriteToken};
 
 /// A machine's disk and the writes of its process.
 #[derive(Debug, Default)]
 pub struct Disk {
-    stored: Stored,
-    queue: VecDeque<(Token, Vec<Record>)>,
-    block_in_progress: Vec<(Token, Vec<Record>)>,
+    stored: DurableState,
+    queue: VecDeque<(WriteToken, Vec<Record>)>,
+    block_in_progress: Vec<(WriteToken, Vec<Record>)>,
 }
 
 /// What becomes of the block in progress when the process ends.
@@ -25,12 +25,12 @@
 
 impl Disk {
     /// The durable records.
-    pub fn stored(&self) -> &Stored {
+    pub fn stored(&self) -> &DurableState {
         &self.stored
     }
 
     /// Queues a write.
-    pub fn enqueue(&mut self, token: Token, records: Vec<Record>) {
+    pub fn enqueue(&mut self, token: WriteToken, records: Vec<Record>) {
         self.queue.push_back((token, records));
     }
 
@@ -45,7 +45,7 @@
     }
 
     /// Makes the block in progress durable. Returns the tokens of its writes.
-    pub fn complete_write(&mut self) -> Vec<Token> {
+    pub fn complete_write(&mut self) -> Vec<WriteToken> {
         let block = std::mem::take(&mut self.block_in_progress);
         let mut tokens = Vec::with_capacity(block.len());
         for (token, records) in block {
--- a/simulation/src/run/event.rs
+++ b/simulation/src/run/event.rs
@@ -1,6 +1,6 @@
 //! The events of a run and their dispatch.
 
-use ivyhatch_control::server_list::ReadId;
+use ivyhatch_control::server_list_reader::ReadId;
 use ivyhatch_control::{Input, RequestId, SessionId};
 use ivyhatch_protocol::peer::{AdminRequest, AdminResponse, PeerMessage};
 use ivyhatch_protocol::watch::{WatchRequest, WatchResponse};
@@ -110,7 +110,7 @@
             Event::NodeResumes(machine) => self.resume_node(machine),
             Event::ShutdownRequested(machine) => {
                 if self.accepts_event(machine, None, || Event::ShutdownRequested(machine)) {
-                    self.input_to_node(machine, Input::Leave);
+                    self.input_to_node(machine, Input::Drain);
                 }
             }
             Event::MachineRemoved { machine, incarnation } => {
--- a/simulation/src/run/machine.rs
+++ b/simulation/src/run/machine.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use ivyhatch_control::ControlPlane;
-use ivyhatch_control::state::State;
-use ivyhatch_control::stored::Stored;
+use ivyhatch_control::durable_state::DurableState;
+use ivyhatch_control::partition_state::PartitionState;
 use ivyhatch_protocol::Nanos;
 use ivyhatch_protocol::ids::{Ballot, HASHED_PARTITIONS, NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::Membership;
@@ -71,7 +71,7 @@
 
 /// Whether a disk holds the state with which its replica may vote: it has completed its state transfer, or it belongs to a voter of
 /// the first membership.
-pub(super) fn may_vote(stored: &Stored) -> bool {
+pub(super) fn may_vote(stored: &DurableState) -> bool {
     let replica = stored.replica.map(|(replica, _)| replica);
     let voter = replica.zip(stored.membership.as_ref()).and_then(|(replica, known)| known.voter(replica));
     stored.joined.is_some() || voter.is_some_and(|voter| voter.joined_generation == FIRST_GENERATION)
@@ -121,19 +121,22 @@
 
     /// Whether the node holds the singleton role of reading the platform's server list.
     pub(super) fn reads_server_list(&self) -> bool {
-        self.node.as_ref().is_some_and(|node| node.leads(PartitionId::for_key("platform-list")).is_some())
+        self.node
+            .as_ref()
+            .is_some_and(|node| node.leader_ballot(PartitionId::for_key("platform-list")).is_some())
     }
 }
 
 fn revision_of(node: &ControlPlane) -> u64 {
     match node.committed_state(PartitionId::CONFIGURATION).1 {
-        Some(State::Configured(configured)) => configured.document.revision,
+        Some(PartitionState::Configuration(configured)) => configured.document.revision,
         _ => 0,
     }
 }
 
 fn zone_state(node: &ControlPlane, zone: &str) -> ZoneState {
-    let Some(State::Evacuated(partition)) = node.committed_state(PartitionId::for_key(zone)).1 else {
+    let Some(PartitionState::Evacuations(partition)) = node.committed_state(PartitionId::for_key(zone)).1
+    else {
         return ZoneState::default();
     };
     let (evacuated, change_count) = partition.zones.get(zone).copied().unwrap_or_default();
--- a/simulation/src/run/nodes.rs
+++ b/simulation/src/run/nodes.rs
@@ -1,7 +1,7 @@
 //! The inputs of control nodes: ticks, connections, messages, completed writes and the platform's server list.
 
 use ivyhatch_control::Input;
-use ivyhatch_control::server_list::ReadId;
+use ivyhatch_control::server_list_reader::ReadId;
 use ivyhatch_protocol::peer::{ConsensusMessage, PeerMessage};
 use ivyhatch_protocol::watch::Server;
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
@@ -77,7 +77,7 @@
             }
             LinkMessage::WatchRequest(session, message) => {
                 if self.has_session(session) {
-                    self.input_to_node(to, Input::Follower(session, message));
+                    self.input_to_node(to, Input::Watch(session, message));
                 }
             }
             LinkMessage::WatchResponse(..) => {}
--- a/simulation/src/run/observation.rs
+++ b/simulation/src/run/observation.rs
@@ -1,7 +1,7 @@
 //! Shows the oracle what a control node has in effect, and under which membership it votes.
 
 use ivyhatch_control::ControlPlane;
-use ivyhatch_control::state::State;
+use ivyhatch_control::partition_state::PartitionState;
 use ivyhatch_protocol::hash::{fnv1a_hash, hash_mix};
 use ivyhatch_protocol::ids::{Ballot, PartitionId};
 use ivyhatch_protocol::peer::PeerMessage;
@@ -52,12 +52,12 @@
         }
         *observed = sequence;
         match state {
-            Some(State::Configured(configured)) => {
+            Some(PartitionState::Configuration(configured)) => {
                 let digest = document_digest(&configured.document);
                 self.oracle.observe_value(process, partition, sequence, digest);
                 self.oracle.observe_configuration(sequence, configured.document.revision, digest);
             }
-            Some(State::Evacuated(evacuated)) => {
+            Some(PartitionState::Evacuations(evacuated)) => {
                 let bytes = evacuated.write_to_vec().unwrap_or_default();
                 self.oracle.observe_value(process, partition, sequence, fnv1a_hash(&bytes));
             }
@@ -68,7 +68,7 @@
     fn observe_server_list(&mut self, machine: usize) {
         let this = &mut self.machines[machine];
         let Some(node) = &this.node else { return };
-        let position = node.list().position();
+        let position = node.server_list().position();
         if position == this.observed.server_list {
             return;
         }
@@ -77,7 +77,7 @@
         if ballot == Ballot::default() {
             return;
         }
-        let digest = node.list().servers(self.now).fold(0, |sum, server| {
+        let digest = node.server_list().servers(self.now).fold(0, |sum, server| {
             hash_mix(sum ^ fnv1a_hash(server.id.as_bytes()) ^ u64::from(server.draining))
         });
         let reader = hash_mix(ballot.incarnation ^ hash_mix(u64::from(ballot.node.0)));
--- a/simulation/src/run/outputs.rs
+++ b/simulation/src/run/outputs.rs
@@ -46,7 +46,7 @@
                     self.send_to_peer(machine, index_of(to), message);
                 }
             }
-            Output::Links(peers) => {
+            Output::ConnectTo(peers) => {
                 let this = &mut self.machines[machine];
                 this.connected_peers.retain(|peer| peers.contains(&address(*peer)));
                 this.wanted_peers = peers;
@@ -67,15 +67,17 @@
                 let delay = (3 + self.random_below(10)) * MILLISECOND;
                 self.schedule_after(delay, Event::ResponseArrives { id, response });
             }
-            Output::Follower(session, message) => self.send_to_router(machine, session, message),
-            Output::Close(session) => self.close_session(machine, session),
-            Output::Left => self.shutdown_complete(machine),
+            Output::Watch(session, message) => self.send_to_router(machine, session, message),
+            Output::CloseSession(session) => self.close_session(machine, session),
+            Output::Drained => self.shutdown_complete(machine),
             Output::ReadServerList(read) => {
                 let incarnation = self.machines[machine].incarnation;
                 let delay = (3 + self.random_below(30)) * MILLISECOND;
                 self.schedule_after(delay, Event::ServerListRead { machine, incarnation, read });
             }
-            Output::Log(event, pairs) => self.record(|| format!("node {machine} event={event} {pairs}")),
+            Output::Log(event) => {
+                self.record(|| format!("node {machine} event={} {event}", event.name()));
+            }
         }
     }
 
--- a/simulation/src/run/processes.rs
+++ b/simulation/src/run/processes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use ivyhatch_control::{ControlPlane, Identity};
+use ivyhatch_control::{ControlPlane, NodeConfig};
 use ivyhatch_protocol::ids::NodeId;
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
@@ -67,9 +67,9 @@
             stored.membership = lost.membership;
             stored.joined = lost.joined_generation;
         }
-        let identity = self.identity_of(machine, first_start);
+        let config = self.node_config(machine, first_start);
         let this = &mut self.machines[machine];
-        this.node = Some(ControlPlane::new(identity, stored, now));
+        this.node = Some(ControlPlane::new(config, stored, now));
         this.observed = ObservedState::default();
         this.frozen_until = 0;
         this.last_accept = None;
@@ -86,8 +86,8 @@
         self.observe_node(machine);
     }
 
-    fn identity_of(&self, machine: usize, first_start: bool) -> Identity {
-        Identity {
+    fn node_config(&self, machine: usize, first_start: bool) -> NodeConfig {
+        NodeConfig {
             node: address(machine),
             zone: zone_name(self.machines[machine].zone),
             incarnation: self.process_id(machine),
@@ -95,8 +95,8 @@
             first_start,
             seeds: self.seeds_of(machine),
             zones: (0..ZONE_COUNT).map(zone_name).collect(),
-            list_every: SERVER_LIST_INTERVAL,
-            grace: SHUTDOWN_GRACE,
+            server_list_interval: SERVER_LIST_INTERVAL,
+            drain_timeout: SHUTDOWN_GRACE,
         }
     }
 
--- a/simulation/src/run/routers.rs
+++ b/simulation/src/run/routers.rs
@@ -78,8 +78,8 @@
     pub(super) fn applied_state(&self) -> Option<AppliedState> {
         let client = self.watch_client.as_ref()?;
         let zone_state = |zone: usize| {
-            let EvacuationState { active, changes } = client.evacuation(&zone_name(zone));
-            ZoneState { evacuated: active, change_count: changes }
+            let EvacuationState { active, change_count } = client.evacuation(&zone_name(zone));
+            ZoneState { evacuated: active, change_count }
         };
         Some(AppliedState {
             revision: client.document().revision,
@@ -218,7 +218,7 @@
     pub(super) fn session_closed(&mut self, machine: usize, incarnation: u64, session: SessionId) {
         let event = || Event::SessionClosed { machine, incarnation, session };
         if self.accepts_event(machine, Some(incarnation), event) {
-            self.input_to_node(machine, ivyhatch_control::Input::Closed(session));
+            self.input_to_node(machine, ivyhatch_control::Input::SessionClosed(session));
         }
     }
 
