--- a/agent/src/agent/supervisor.rs
+++ b/agent/src/agent/supervisor.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ivyhatch_admin_protocol::ask;
+use ivyhatch_admin_protocol::call;
 use ivyhatch_config::Instance as InstanceConfig;
 use serde_json::{Value, json};
 use tokio::process::Command;
@@ -221,7 +221,7 @@
 
     /// Sends a request without arguments to the instance's node; none where it does not answer in time.
     async fn ask_node(&self, instance: &Supervised, operation: &str) -> Option<Value> {
-        ask(&instance.files.socket, &json!({ "op": operation }), self.poll_interval).await.ok()
+        call(&instance.files.socket, &json!({ "op": operation }), self.poll_interval).await.ok()
     }
 
     /// Feeds an input to the instance's state machine and carries out its outputs, with the inputs that follow from these.
