--- a/balancer/src/bounded_state_tests.rs
+++ b/balancer/src/bounded_state_tests.rs
@@ -117,6 +117,6 @@
     assert!(node.idle_weights.len() <= 2);
     // A notice holds for five minutes: so many came in that time, and as many backends went missing.
     assert!(node.removal_notices.len() <= 320, "{} notices", node.removal_notices.len());
-    assert!(node.probe_scheduler.as_ref().is_some_and(|probes| probes.kept().count() <= 31));
+    assert!(node.probe_scheduler.as_ref().is_some_and(|probes| probes.tracked().count() <= 31));
     assert_eq!(node.zones.iter().map(|zone| zone.in_flight).sum::<f64>(), 0.0, "attempts that nobody makes");
 }
--- a/balancer/src/latency_model.rs
+++ b/balancer/src/latency_model.rs
@@ -102,7 +102,7 @@
         };
         let is_known = *samples >= MIN_LATENCY_SAMPLES;
         *samples = (*samples + sample_weight).min(MAX_LATENCY_SAMPLES);
-        // Rises slowly, so that a jam does not come to pass for the normal state.
+        // Rises slowly, so that congestion does not come to pass for the normal state.
         let rises_slowly = ratio > 1.0 && *samples > LATENCY_RISE_SAMPLES;
         let rise_weight = if rises_slowly { LATENCY_RISE_WEIGHT } else { 1.0 };
         let deviation = ratio.min(MAX_LATENCY_RATIO) - 1.0;
--- a/balancer/src/policy/admission.rs
+++ b/balancer/src/policy/admission.rs
@@ -33,7 +33,7 @@
         self.is_idle(slowness, backend) || self.is_within_load_limit(band, slowness, backend)
     }
 
-    /// Share of the time left that a send's expected latency may take. A retry that waits for more room
+    /// Share of the time left that a send's expected latency may take. A retry that waits for more capacity
     /// than this will be late: nothing is saved by it.
     pub(super) fn latency_budget_share(&self, request: &Request) -> f64 {
         if request.attempts.is_empty() { ADMISSION_SHARE } else { RETRY_ADMISSION_SHARE }
@@ -49,7 +49,7 @@
     }
 
     fn is_within_load_limit(&self, band: Band, slowness: f64, backend: &Backend) -> bool {
-        // One request crowds no backend: with none there, no response would show that it has recovered.
+        // One request overloads no backend: with none there, no response would show that it has recovered.
         if backend.in_flight == 0 {
             return true;
         }
--- a/balancer/src/policy/arrival.rs
+++ b/balancer/src/policy/arrival.rs
@@ -17,7 +17,7 @@
         self.retry_tokens = (self.retry_tokens + RETRY_TOKENS_PER_ARRIVAL).min(self.retry_token_limit());
         self.refresh_overflow_zones(actions);
         if let Some(scheduler) = self.probe_scheduler.as_mut() {
-            scheduler.arrival(self.now);
+            scheduler.record_arrival(self.now);
         }
         self.counters.arrivals += 1;
         let tenant = arrival.tenant.map_or(usize::MAX, |tenant| tenant as usize);
--- a/balancer/src/policy/backend_choice.rs
+++ b/balancer/src/policy/backend_choice.rs
@@ -30,8 +30,8 @@
             return self.choose_among(id, all);
         }
         // Many nodes on all backends would fill their connection tables: each keeps to a random subset. It
-        // leaves that only when none of it takes requests: in a jam all nodes would try all backends, and
-        // none could rest.
+        // leaves that only when none of it takes requests: in congestion all nodes would try all backends,
+        // and none could rest.
         let subset = self.zone_subsets.get(zone.0 as usize)?;
         let takes_requests = |backend: &Backend| self.is_usable(backend) && backend.is_in_service();
         let subset_takes_requests = subset.iter().any(|id| self.backends.get(id).is_some_and(takes_requests));
@@ -47,7 +47,7 @@
             candidates.iter().for_each(|&to| self.consider(request, to, &mut jitter, &mut best));
             return best.0.map(|(_, to)| to);
         }
-        // Of very many a sample is looked at; where none of it has room, a second one.
+        // Of very many a sample is looked at; where none of it has capacity, a second one.
         let mut position = seed;
         for look in 0..2 * PICK_SAMPLE_SIZE {
             if look == PICK_SAMPLE_SIZE && best.0.is_some() {
--- a/balancer/src/policy/completion.rs
+++ b/balancer/src/policy/completion.rs
@@ -75,7 +75,7 @@
         if end.report.utilisation.is_some()
             && let Some(scheduler) = self.probe_scheduler.as_mut()
         {
-            scheduler.told(backend.0, self.now);
+            scheduler.record_report(backend.0, self.now);
         }
     }
 
--- a/balancer/src/policy/concurrency_window.rs
+++ b/balancer/src/policy/concurrency_window.rs
@@ -109,7 +109,7 @@
         self.congestion.baseline().map_or(MAX_CONGESTION_THRESHOLD, above)
     }
 
-    /// Records attempts as late once their latency target has passed: by their end the jam is old.
+    /// Records attempts as late once their latency target has passed: by their end the congestion is old.
     pub(super) fn record_overdue_attempts(&mut self) {
         for attempt in self.take_overdue_attempts() {
             self.update_window(attempt.zone, attempt.class, attempt.sent_at, Outcome::TimedOut);
--- a/balancer/src/policy/load_probes.rs
+++ b/balancer/src/policy/load_probes.rs
@@ -1,7 +1,7 @@
-//! Probes for load reports: what they may cost, how interesting a fresh report of each backend is, and what
+//! Probes for load reports: what they may cost, the priority of each backend, and what
 //! a probe's end says. Which backend is probed when is decided by `ivyhatch-load-probing`.
 
-use ivyhatch_load_probing::{Candidate, End, Interest, Limits as ProbeLimits, Scheduler};
+use ivyhatch_load_probing::{Candidate, Limits as ProbeLimits, Priority, ProbeOutcome, Scheduler};
 
 use super::tuning::{
     MAX_PROBE_COST_SHARE, MAX_PROBE_WORK_SHARE, PROBE_FAILURE_RATE, PROBE_INTERVALS, PROBE_THRESHOLD_MARGIN,
@@ -18,9 +18,9 @@
         }
         let per_request = MAX_PROBE_COST_SHARE / settings.probe_cost.max(MAX_PROBE_COST_SHARE);
         let limits = ProbeLimits {
-            per_request,
-            waits: PROBE_INTERVALS,
-            useful: UTILISATION_MAX_AGE,
+            probes_per_request: per_request,
+            intervals: PROBE_INTERVALS,
+            report_max_age: UTILISATION_MAX_AGE,
             ..ProbeLimits::default()
         };
         Scheduler::new(limits, seed, now).ok()
@@ -35,59 +35,59 @@
             is_probed.then(|| Candidate {
                 id: id.0,
                 group: (zone + zones).wrapping_sub(home) % zones,
-                lot: backend.subset_rank,
+                rank: backend.subset_rank,
                 incarnation: backend.member.online_since.unwrap_or(0),
             })
         };
         if let Some(scheduler) = self.probe_scheduler.as_mut() {
-            scheduler.list(self.backends.iter().filter_map(candidate).collect(), self.now);
+            scheduler.set_candidates(self.backends.iter().filter_map(candidate).collect(), self.now);
         }
     }
 
     /// Sends the probes that are due.
     pub(super) fn send_probes(&mut self, actions: &mut Vec<Action>) {
         let Some(scheduler) = self.probe_scheduler.as_mut() else { return };
-        while let Some(id) = scheduler.next(self.now) {
+        while let Some(id) = scheduler.next_probe(self.now) {
             actions.push(Action::Probe { backend: BackendId(id) });
         }
     }
 
     /// When the next probe is due, if time alone brings it about.
     pub(super) fn next_probe_at(&self) -> Option<Nanos> {
-        let at = self.probe_scheduler.as_ref()?.wakes()?;
+        let at = self.probe_scheduler.as_ref()?.next_probe_at()?;
         Some(at.max(self.now + self.housekeeping_interval()))
     }
 
-    /// Updates how interesting a fresh report of each probed backend is, and what an arrival earns.
-    pub(super) fn update_probe_interest(&mut self) {
+    /// Updates the priority of each probed backend, and what an arrival earns.
+    pub(super) fn update_probe_priorities(&mut self) {
         let Some(mut scheduler) = self.probe_scheduler.take() else { return };
-        scheduler.review(self.now);
+        scheduler.review_tracked(self.now);
         // The work of probes stays a small part of that of requests, however little a probe is said to
         // cost.
         let idle_latency = self.classes.iter().map(|class| class.idle_latency).fold(f64::INFINITY, f64::min);
-        scheduler.earn_by(MAX_PROBE_WORK_SHARE * idle_latency / PROBE_WORK as f64);
+        scheduler.set_probes_per_request(MAX_PROBE_WORK_SHARE * idle_latency / PROBE_WORK as f64);
         let best = self.overflow_zones.first().copied();
         let home_utilisation = self.utilisation(self.settings.home);
         let near_threshold = home_utilisation
             .is_none_or(|utilisation| utilisation > self.overflow_threshold() - PROBE_THRESHOLD_MARGIN);
-        for id in scheduler.kept().collect::<Vec<_>>() {
+        for id in scheduler.tracked().collect::<Vec<_>>() {
             if let Some(backend) = self.backends.get(&BackendId(id)) {
-                scheduler.interest(id, self.probe_interest(backend, best, near_threshold));
+                scheduler.set_priority(id, self.probe_priority(backend, best, near_threshold));
             }
         }
         self.probe_scheduler = Some(scheduler);
     }
 
-    fn probe_interest(&self, backend: &Backend, best: Option<ZoneId>, near_threshold: bool) -> Interest {
+    fn probe_priority(&self, backend: &Backend, best: Option<ZoneId>, near_threshold: bool) -> Priority {
         let is_warming_up = backend.capacity_share(self.now, &self.settings.rules) < 1.0;
         let zone = backend.member.zone;
         let is_used_zone = zone == self.settings.home || Some(zone) == best;
         match backend.utilisation.updated_at {
-            None if !backend.unreachable => Interest::Urgent,
-            _ if is_warming_up || self.is_suspect(backend) => Interest::Urgent,
-            _ if is_used_zone && near_threshold => Interest::Near,
-            _ if is_used_zone => Interest::Watched,
-            _ => Interest::Idle,
+            None if !backend.unreachable => Priority::Urgent,
+            _ if is_warming_up || self.is_suspect(backend) => Priority::Urgent,
+            _ if is_used_zone && near_threshold => Priority::High,
+            _ if is_used_zone => Priority::Normal,
+            _ => Priority::Low,
         }
     }
 
@@ -110,24 +110,24 @@
         actions: &mut Vec<Action>,
     ) {
         let end = match outcome {
-            Outcome::Cancelled | Outcome::NotSent => End::Withdrawn,
-            Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => End::Unreached,
-            Outcome::Served if report.valid_utilisation().is_some() => End::Figure,
-            _ => End::Empty,
+            Outcome::Cancelled | Outcome::NotSent => ProbeOutcome::Cancelled,
+            Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => ProbeOutcome::Unreachable,
+            Outcome::Served if report.valid_utilisation().is_some() => ProbeOutcome::Report,
+            _ => ProbeOutcome::NoReport,
         };
         let scheduler = self.probe_scheduler.as_mut();
-        let was_expected = scheduler.is_none_or(|scheduler| scheduler.ended(id.0, end, self.now));
-        if !was_expected || end == End::Withdrawn {
+        let was_expected = scheduler.is_none_or(|scheduler| scheduler.record_end(id.0, end, self.now));
+        if !was_expected || end == ProbeOutcome::Cancelled {
             return;
         }
         if let Some(backend) = self.backends.get_mut(&id) {
-            backend.unreachable = end == End::Unreached;
+            backend.unreachable = end == ProbeOutcome::Unreachable;
             let zone = backend.member.zone;
             self.invalidate_zone_utilisation(zone);
         }
         // A server that cannot be reached is out of order for requests too. One that answers a probe has
         // not yet shown that it serves.
-        if end == End::Unreached {
+        if end == ProbeOutcome::Unreachable {
             self.update_health(id, outcome, actions);
         } else {
             self.apply_load_report(id, report);
--- a/balancer/src/policy/retry_budget.rs
+++ b/balancer/src/policy/retry_budget.rs
@@ -12,7 +12,7 @@
     }
 
     /// After an attempt that did not serve: retries where the send rules and the budget allow it. Where no
-    /// backend has room this moment the retry is queued: most have some before the latency target has
+    /// backend has capacity this moment the retry is queued: most have some before the latency target has
     /// passed.
     pub(super) fn retry_or_end(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.has_attempt_in_flight()) else {
--- a/balancer/src/policy/tuning.rs
+++ b/balancer/src/policy/tuning.rs
@@ -107,7 +107,7 @@
 /// No backend is filled beyond the load at which a response takes this many times an idle backend's: with
 /// more work queued than that for a second or two, a backend turns several times slower and stays so.
 pub(crate) const MAX_QUEUEING_RATIO: f64 = 1.25;
-/// So small a load crowds no backend, whatever its latency says.
+/// So small a load overloads no backend, whatever its latency says.
 pub(crate) const MIN_LOAD_LIMIT: f64 = 4.0;
 /// A send is admitted if its expected latency fits into this share of the time left to its target.
 pub(crate) const ADMISSION_SHARE: f64 = 0.6;
@@ -179,8 +179,8 @@
 pub(crate) const MIN_CONGESTION_THRESHOLD: f64 = 0.42;
 pub(crate) const MAX_CONGESTION_THRESHOLD: f64 = 0.71;
 pub(crate) const CONGESTION_RISE: f64 = 1.25;
-/// What congestion leaves of a window. More is too slow: a jam is there in seconds, and a response that
-/// shows it takes one (a calm day's G was 0.51 where 0.7 was left, 0.58 with half).
+/// What congestion leaves of a window. More is too slow: congestion is there in seconds, and a response
+/// that shows it takes one (a calm day's G was 0.51 where 0.7 was left, 0.58 with half).
 pub(crate) const WINDOW_DECREASE_FACTOR: f64 = 0.5;
 /// Parts by which a window that is too small grows in a round of responses, until the first congestion and
 /// after it. Not by one: ten nodes to a server that each add one a round double what it holds in a round.
@@ -188,7 +188,7 @@
 pub(crate) const WINDOW_INCREASE: f64 = 0.1;
 /// Part of what is not used that each response takes off a window, as a burst would meet all of it at once.
 pub(crate) const WINDOW_IDLE_DECAY: f64 = 0.02;
-/// Of many nodes, one request at a time of each would keep a jam up.
+/// Of many nodes, one request at a time of each would keep congestion up.
 pub(crate) const MIN_WINDOW: f64 = 0.05;
 /// Another zone's window at first: one request in four response times.
 pub(crate) const INITIAL_REMOTE_WINDOW: f64 = 0.25;
--- a/balancer/src/policy/zone_scoring.rs
+++ b/balancer/src/policy/zone_scoring.rs
@@ -59,7 +59,7 @@
         if self.has_many_nodes() {
             self.record_overdue_attempts();
         }
-        self.update_probe_interest();
+        self.update_probe_priorities();
         self.log_counters(actions);
         self.log_overflow_changes(actions);
     }
--- a/balancer/src/reporting.rs
+++ b/balancer/src/reporting.rs
@@ -60,15 +60,15 @@
     }
 
     fn load_reports_line(&self) -> Option<String> {
-        let ages = self.probe_scheduler.as_ref()?.ages(self.now);
+        let ages = self.probe_scheduler.as_ref()?.report_ages(self.now);
         Some(format!(
             "load reports: {} of {} probed backends ({} listed) known, the oldest {} ms old; {} unreached; \
              {} probes so far",
-            ages.known,
-            ages.kept,
+            ages.reporting,
+            ages.tracked,
             ages.listed,
             ages.oldest / MILLISECOND,
-            ages.unreached,
+            ages.unreachable,
             ages.sent
         ))
     }
--- a/balancer/src/served_capacity.rs
+++ b/balancer/src/served_capacity.rs
@@ -28,7 +28,7 @@
 
 impl Balancer {
     /// Measures each zone, so that the parts of all nodes add up to one capacity. The measure falls slowly:
-    /// little is served in a jam, and backends that are warming up are the way out of it.
+    /// little is served in congestion, and backends that are warming up are the way out of it.
     pub(crate) fn measure_served_capacity(&mut self) {
         let interval = 1 + self.backends.len() / BACKENDS_PER_SKIP;
         self.refresh_count += 1;
--- a/load-probing/src/lib.rs
+++ b/load-probing/src/lib.rs
@@ -1,30 +1,39 @@
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
-//! Whom to probe for a load report, and when. This crate *decides*: in go members, arrivals and the ends of probes,
-//! each with the time; out come ids to be probed. It has no sockets, no clock and no threads.
+//! Decides which servers to probe for a load report, and when. Sans-I/O: in go candidates, arrivals and the
+//! ends of probes, each with the time; out come the servers to probe. It has no sockets, no clock and no
+//! threads.
 //!
-//! The budget is firm and does not grow with the number of servers: a probe is paid for with what arrivals have
-//! earned, so `probes <= arrivals x per_request + saved` holds at any time. Within it the order goes by
-//! [`Interest`], what a fresh figure would change, and by how long a figure is overdue. Where the budget can't
-//! keep all servers' figures fresh, the scheduler keeps to a part of them ([`Ages`] tells how large).
+//! The budget is firm and does not grow with the number of servers: a probe is paid for with what arrivals
+//! have earned, so `probes <= arrivals * probes_per_request + max_saved_probes` holds at any time. Within
+//! it the order goes by [`Priority`], what a fresh report would change, and by how long a report is
+//! overdue. Where the budget cannot keep all servers' reports fresh, the scheduler tracks a part of the
+//! servers ([`ReportAges`] says how large).
 //!
-//! | file | concern |
+//! | module | concern |
 //! | --- | --- |
+//! | `limits` | the bounds of a scheduler, and their validation |
 //! | `budget` | what arrivals earn and probes spend |
-//! | `members` | one server's probing: its last figure, its failures, its next turn |
-//! | `keep` | the part of the servers that a node keeps to |
-//! | `scheduler` | the turns |
+//! | `tracking` | which of the candidates are tracked |
+//! | `target` | one tracked server: its last report, its failures, its next probe |
+//! | `scheduler` | the order of the probes |
+
+#![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 mod budget;
-mod keep;
-mod members;
+mod limits;
 mod scheduler;
+mod target;
+mod tracking;
 
-pub use keep::Candidate;
-pub use members::{End, Interest};
-pub use scheduler::{Ages, Limits, LimitsError, Scheduler};
+pub use limits::{Limits, LimitsError};
+pub use scheduler::{ReportAges, Scheduler};
+pub use target::{Priority, ProbeOutcome};
+pub use tracking::Candidate;
 
-/// A time or a span, in nanoseconds on the embedder's clock.
+/// A moment or a span in nanoseconds; moments are on the embedder's clock.
 pub type Nanos = u64;
 /// A server, numbered by the embedder.
 pub type Id = u32;
+
+const MILLISECOND: Nanos = 1_000_000;
+const SECOND: Nanos = 1000 * MILLISECOND;
--- a/load-probing/src/scheduler.rs
+++ b/load-probing/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The turns: who is probed next.
+//! The scheduler: which server is probed next.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,121 +6,66 @@
 use rand_chacha::rand_core::{Rng, SeedableRng};
 
 use crate::budget::Budget;
-use crate::keep::{Candidate, keep};
-use crate::members::{End, Interest, Member};
-use crate::{Id, Nanos};
+use crate::limits::{Limits, LimitsError};
+use crate::target::{Priority, ProbeOutcome, Target};
+use crate::tracking::{Candidate, select_tracked};
+use crate::{Id, MILLISECOND, Nanos, SECOND};
 
-const MS: Nanos = 1_000_000;
-const SECOND: Nanos = 1000 * MS;
 /// Time constant of the rate at which probes are earned.
-const EARNING: Nanos = 5 * SECOND;
-/// Parts of a wait by which turns are spread, so that nodes which start together do not probe together.
-const JITTER: f64 = 0.25;
+const EARNING_TIME_CONSTANT: Nanos = 5 * SECOND;
+/// Part of an interval by which probes are spread either way, so that nodes that start together do not
+/// probe together.
+const INTERVAL_JITTER: f64 = 0.25;
+/// A report is worth keeping only if it is renewed this many times within its useful age.
+const RENEWALS_PER_MAX_AGE: f64 = 2.0;
 
-/// The bounds of a scheduler.
-#[derive(Clone, Copy, Debug)]
-pub struct Limits {
-    /// Probes earned by each arrival; 0 to 10.
-    pub per_request: f64,
-    /// Most probes saved up, and those it begins with; 1 to 1,000.
-    pub saved: f64,
-    /// Most probes out together, and most of them in one group; at least 1 each.
-    pub out: usize,
-    /// See [`Limits::out`].
-    pub out_each: usize,
-    /// The wait between two probes of a server, by [`Interest`], the least first; each at least 1 ms, none longer
-    /// than the one before.
-    pub waits: [Nanos; 4],
-    /// A figure older than this says nothing.
-    pub useful: Nanos,
-    /// Fewest and most servers kept to.
-    pub kept: (usize, usize),
-    /// An end that has not come by then does not come any more; more than the prober's own time-out.
-    pub lost_after: Nanos,
-}
-
-impl Default for Limits {
-    fn default() -> Self {
-        Self {
-            per_request: 0.1,
-            saved: 16.0,
-            out: 16,
-            out_each: 8,
-            waits: [2500 * MS, 1200 * MS, 700 * MS, 500 * MS],
-            useful: 4 * SECOND,
-            kept: (24, 512),
-            lost_after: 5 * SECOND,
-        }
-    }
-}
-
-/// Limits that can't be used.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("probing: {field}: {problem}")]
-pub struct LimitsError {
-    /// The field at fault.
-    pub field: &'static str,
-    /// What would be right.
-    pub problem: &'static str,
-}
-
-impl Limits {
-    fn validate(&self) -> Result<(), LimitsError> {
-        let fail = |field, problem| Err(LimitsError { field, problem });
-        if !(0.0..=10.0).contains(&self.per_request) {
-            return fail("per_request", "must lie between 0 and 10");
-        }
-        if !(1.0..=1000.0).contains(&self.saved) {
-            return fail("saved", "must lie between 1 and 1000");
-        }
-        if self.out == 0 || self.out_each == 0 {
-            return fail("out", "must be at least 1");
-        }
-        if self.waits.iter().any(|&wait| wait < MS) || !self.waits.is_sorted_by(|a, b| a >= b) {
-            return fail("waits", "must be at least 1 ms, the longest first");
-        }
-        if self.kept.0 == 0 || self.kept.0 > self.kept.1 {
-            return fail("kept", "the fewest must be at least 1 and at most the most");
-        }
-        if self.useful == 0 || self.lost_after == 0 {
-            return fail("useful, lost_after", "must be above 0");
-        }
-        Ok(())
-    }
-}
-
-/// How old the figures are.
+/// How old the reports are.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ages {
+pub struct ReportAges {
     /// Servers in service.
     pub listed: usize,
-    /// Those that this node keeps to.
-    pub kept: usize,
-    /// Those of which it has a figure that still says something.
-    pub known: usize,
-    /// The oldest of these figures.
+    /// Those that are tracked.
+    pub tracked: usize,
+    /// Tracked ones with a report that is not too old.
+    pub reporting: usize,
+    /// The age of the oldest of these reports, in nanoseconds.
     pub oldest: Nanos,
-    /// Kept ones whose last probe reached nothing.
-    pub unreached: usize,
+    /// Tracked ones that the last probe did not reach.
+    pub unreachable: usize,
     /// Probes sent so far.
     pub sent: u64,
 }
 
-/// Decides whom to probe and when. Deterministic: the same calls give the same ids.
+/// A probe in flight.
+#[derive(Clone, Copy)]
+struct Probe {
+    sent_at: Nanos,
+    group: u32,
+}
+
+/// The first target of a priority that may be probed now.
+struct ReadyTarget {
+    /// How overdue its probe is, as a multiple of the interval.
+    lateness: f64,
+    priority: Priority,
+    due_at: Nanos,
+    id: Id,
+}
+
+/// Decides which server to probe and when. Deterministic: the same calls give the same servers.
 pub struct Scheduler {
     limits: Limits,
     budget: Budget,
     random: ChaCha8Rng,
-    listed: Vec<Candidate>,
-    members: BTreeMap<Id, Member>,
-    /// Members that may take their turn, by interest, the least first.
+    candidates: Vec<Candidate>,
+    targets: BTreeMap<Id, Target>,
+    /// Targets without a probe in flight, by priority, the lowest first, and by when they are due.
     queues: [BTreeSet<(Nanos, Id)>; 4],
-    /// Probes out: when sent, and in which group.
-    out: BTreeMap<Id, (Nanos, u32)>,
-    /// Probes earned a second.
-    rate: f64,
-    rated: Nanos,
-    per_request: f64,
+    in_flight: BTreeMap<Id, Probe>,
+    /// Probes earned a second, as of `earning_rate_at`.
+    earning_rate: f64,
+    earning_rate_at: Nanos,
+    probes_per_request: f64,
     sent: u64,
 }
 
@@ -128,214 +73,217 @@
     /// A scheduler that knows no server. `seed` drives its jitter and should differ from node to node.
     ///
     /// # Errors
+    ///
     /// Where a limit is outside the range that its field states.
     pub fn new(limits: Limits, seed: u64, now: Nanos) -> Result<Self, LimitsError> {
         limits.validate()?;
         Ok(Self {
             limits,
-            budget: Budget::new(limits.per_request, limits.saved),
+            budget: Budget::new(limits.probes_per_request, limits.max_saved_probes),
             random: ChaCha8Rng::seed_from_u64(seed),
-            listed: Vec::new(),
-            members: BTreeMap::new(),
+            candidates: Vec::new(),
+            targets: BTreeMap::new(),
             queues: Default::default(),
-            out: BTreeMap::new(),
-            rate: 0.0,
-            rated: now,
-            per_request: limits.per_request,
+            in_flight: BTreeMap::new(),
+            earning_rate: 0.0,
+            earning_rate_at: now,
+            probes_per_request: limits.probes_per_request,
             sent: 0,
         })
     }
 
     /// Changes what an arrival earns, in probes; at most what the limits allow.
-    pub fn earn_by(&mut self, per_request: f64) {
-        self.per_request = per_request.min(self.limits.per_request);
-        self.budget.earn_by(self.per_request);
+    pub fn set_probes_per_request(&mut self, probes_per_request: f64) {
+        self.probes_per_request = probes_per_request.min(self.limits.probes_per_request);
+        self.budget.set_probes_per_request(self.probes_per_request);
     }
 
     /// A request has arrived.
-    pub fn arrival(&mut self, now: Nanos) {
-        self.budget.arrival();
-        self.rate = self.rate_now(now) + self.per_request * SECOND as f64 / EARNING as f64;
-        self.rated = now;
+    pub fn record_arrival(&mut self, now: Nanos) {
+        self.budget.record_arrival();
+        let earned = self.probes_per_request * SECOND as f64 / EARNING_TIME_CONSTANT as f64;
+        self.earning_rate = self.earning_rate(now) + earned;
+        self.earning_rate_at = now;
     }
 
-    fn rate_now(&self, now: Nanos) -> f64 {
-        self.rate * (-(now.saturating_sub(self.rated) as f64) / EARNING as f64).exp()
+    fn earning_rate(&self, now: Nanos) -> f64 {
+        let elapsed = now.saturating_sub(self.earning_rate_at) as f64;
+        self.earning_rate * (-elapsed / EARNING_TIME_CONSTANT as f64).exp()
     }
 
-    /// Servers whose figures the budget can keep of use: each twice within that time.
+    /// Number of servers whose reports the budget can keep fresh.
     fn affordable(&self, now: Nanos) -> usize {
-        let useful = self.limits.useful as f64 / SECOND as f64;
-        let (least, most) = self.limits.kept;
-        ((self.rate_now(now) * useful / 2.0) as usize).clamp(least, most)
+        let report_max_age_s = self.limits.report_max_age as f64 / SECOND as f64;
+        let affordable = self.earning_rate(now) * report_max_age_s / RENEWALS_PER_MAX_AGE;
+        (affordable as usize).clamp(self.limits.min_tracked, self.limits.max_tracked)
     }
 
-    /// The servers in service, all of them: who is not named has left or drains and is not probed again, whose
-    /// incarnation differs is a new one. Costs n log n.
-    pub fn list(&mut self, servers: Vec<Candidate>, now: Nanos) {
-        self.listed = servers;
-        self.choose(now);
+    /// Sets the servers in service, all of them: one that is not named has left or drains and is not probed
+    /// again; one whose incarnation differs is a new one. Costs n log n.
+    pub fn set_candidates(&mut self, candidates: Vec<Candidate>, now: Nanos) {
+        self.candidates = candidates;
+        self.select_targets(now);
     }
 
-    /// Chooses anew whom to keep to, should the budget have come to afford clearly more or fewer.
-    pub fn review(&mut self, now: Nanos) {
-        let (wanted, kept) = (self.affordable(now).min(self.listed.len()), self.members.len());
-        let all = wanted == self.listed.len() && wanted > kept;
-        if all || wanted > kept + kept / 2 || wanted < kept / 2 {
-            self.choose(now);
+    /// Selects the tracked servers anew, if the budget has come to afford clearly more or fewer.
+    pub fn review_tracked(&mut self, now: Nanos) {
+        let affordable = self.affordable(now).min(self.candidates.len());
+        let tracked = self.targets.len();
+        let affords_all = affordable == self.candidates.len() && affordable > tracked;
+        if affords_all || affordable > tracked + tracked / 2 || affordable < tracked / 2 {
+            self.select_targets(now);
         }
     }
 
-    fn choose(&mut self, now: Nanos) {
-        let kept = keep(&self.listed, self.affordable(now));
-        self.members.retain(|id, _| kept.contains(id));
-        for at in 0..self.listed.len() {
-            let Candidate { id, group, incarnation, .. } = self.listed[at];
-            let known = self.members.get(&id).is_some_and(|m| m.incarnation == incarnation);
-            if known || !kept.contains(&id) {
+    fn select_targets(&mut self, now: Nanos) {
+        let tracked = select_tracked(&self.candidates, self.affordable(now));
+        self.targets.retain(|id, _| tracked.contains(id));
+        for index in 0..self.candidates.len() {
+            let Candidate { id, group, incarnation, .. } = self.candidates[index];
+            let is_known = self.targets.get(&id).is_some_and(|target| target.incarnation == incarnation);
+            if is_known || !tracked.contains(&id) {
                 continue;
             }
-            // The first turn comes soon, but not at all nodes at once.
-            let due = now + MS + self.part(self.limits.waits[Interest::Urgent as usize]);
-            let member = Member {
-                incarnation,
-                group,
-                since: now,
-                interest: Interest::Urgent,
-                told: None,
-                tried: now,
-                unreached: 0,
-                due,
-            };
-            self.members.insert(id, member);
+            // The first probe comes soon, but not from all nodes at once.
+            let spread = self.random_part(self.limits.intervals[Priority::Urgent as usize]);
+            let due_at = now + MILLISECOND + spread;
+            self.targets.insert(id, Target::new(incarnation, group, now, due_at));
         }
         self.queues = Default::default();
-        for (&id, member) in self.members.iter().filter(|(id, _)| !self.out.contains_key(id)) {
-            self.queues[member.interest as usize].insert((member.due, id));
+        for (&id, target) in self.targets.iter().filter(|(id, _)| !self.in_flight.contains_key(id)) {
+            self.queues[target.priority as usize].insert((target.due_at, id));
         }
     }
 
-    /// A part of a span drawn by chance.
-    fn part(&mut self, span: Nanos) -> Nanos {
+    /// A random part of a span.
+    fn random_part(&mut self, span: Nanos) -> Nanos {
         let part = f64::from(self.random.next_u32()) / f64::from(u32::MAX);
         (span as f64 * part) as Nanos
     }
 
-    /// Those kept to.
-    pub fn kept(&self) -> impl Iterator<Item = Id> + '_ {
-        self.members.keys().copied()
+    /// The tracked servers.
+    pub fn tracked(&self) -> impl Iterator<Item = Id> + '_ {
+        self.targets.keys().copied()
     }
 
-    /// What a fresh figure of a server would change now. Passed over where the server is not kept to.
-    pub fn interest(&mut self, id: Id, interest: Interest) {
-        let Some(member) = self.members.get_mut(&id).filter(|m| m.interest != interest) else { return };
-        let was = (member.interest, member.due);
-        if interest > member.interest {
-            let wait = member.wait(self.limits.waits[interest as usize]);
-            member.due = member.due.min(member.tried.saturating_add(wait));
+    /// Sets what a fresh report of a server would change now. Ignored where the server is not tracked.
+    pub fn set_priority(&mut self, id: Id, priority: Priority) {
+        let Some(target) = self.targets.get_mut(&id) else { return };
+        if target.priority == priority {
+            return;
         }
-        member.interest = interest;
-        let due = member.due;
-        if self.queues[was.0 as usize].remove(&(was.1, id)) {
-            self.queues[interest as usize].insert((due, id));
+        let previous = target.priority;
+        let previous_due_at = target.due_at;
+        if priority > previous {
+            let interval = target.interval(self.limits.intervals[priority as usize]);
+            target.due_at = target.due_at.min(target.probed_at.saturating_add(interval));
+        }
+        target.priority = priority;
+        let due_at = target.due_at;
+        if self.queues[previous as usize].remove(&(previous_due_at, id)) {
+            self.queues[priority as usize].insert((due_at, id));
         }
     }
 
-    /// The next server to be probed now, if any: it counts as sent. Call until none is left.
-    pub fn next(&mut self, now: Nanos) -> Option<Id> {
-        self.give_up_lost(now);
-        if !self.budget.affords() || self.out.len() >= self.limits.out {
+    /// The next server to probe now, if any: its probe counts as sent. Call until none is left.
+    pub fn next_probe(&mut self, now: Nanos) -> Option<Id> {
+        self.expire_lost(now);
+        if !self.budget.affords_probe() || self.in_flight.len() >= self.limits.max_in_flight {
             return None;
         }
-        let ready = |level: Interest| {
-            let queue = &self.queues[level as usize];
-            let free =
-                |id: &Id| self.members.get(id).is_some_and(|m| self.in_group(m.group) < self.limits.out_each);
-            let due = queue.iter().take_while(|(due, _)| *due <= now);
-            let (due, id) = due.copied().find(|(_, id)| free(id))?;
-            // Where the budget is short all waits stretch by the same factor, and nobody starves.
-            let late = (now - due) as f64 / self.limits.waits[level as usize] as f64;
-            Some((late, level, due, id))
-        };
-        let turns = Interest::ALL.into_iter().filter_map(ready);
-        let (_, level, due, id) = turns.max_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)))?;
+        let ready = Priority::ALL.into_iter().filter_map(|priority| self.first_ready(priority, now));
+        let next =
+            ready.max_by(|a, b| a.lateness.total_cmp(&b.lateness).then(a.priority.cmp(&b.priority)))?;
         if !self.budget.spend() {
             return None;
         }
-        self.queues[level as usize].remove(&(due, id));
-        let member = self.members.get_mut(&id)?;
-        member.tried = now;
-        self.out.insert(id, (now, member.group));
+        self.queues[next.priority as usize].remove(&(next.due_at, next.id));
+        let target = self.targets.get_mut(&next.id)?;
+        target.probed_at = now;
+        self.in_flight.insert(next.id, Probe { sent_at: now, group: target.group });
         self.sent += 1;
-        Some(id)
+        Some(next.id)
     }
 
-    fn in_group(&self, group: u32) -> usize {
-        self.out.values().filter(|(_, of)| *of == group).count()
+    /// Where the budget is short all intervals stretch by the same factor, and no server starves.
+    fn first_ready(&self, priority: Priority, now: Nanos) -> Option<ReadyTarget> {
+        let due = self.queues[priority as usize].iter().take_while(|(due_at, _)| *due_at <= now);
+        let (due_at, id) = due.copied().find(|(_, id)| self.group_has_capacity(*id))?;
+        let lateness = (now - due_at) as f64 / self.limits.intervals[priority as usize] as f64;
+        Some(ReadyTarget { lateness, priority, due_at, id })
     }
 
-    fn give_up_lost(&mut self, now: Nanos) {
-        let lost = |sent: Nanos| now.saturating_sub(sent) >= self.limits.lost_after;
-        let lost: Vec<Id> = self.out.iter().filter(|(_, (sent, _))| lost(*sent)).map(|(id, _)| *id).collect();
+    /// Whether a probe of this target would stay within the bound of its group.
+    fn group_has_capacity(&self, id: Id) -> bool {
+        self.targets.get(&id).is_some_and(|target| {
+            let in_group = self.in_flight.values().filter(|probe| probe.group == target.group).count();
+            in_group < self.limits.max_in_flight_per_group
+        })
+    }
+
+    fn expire_lost(&mut self, now: Nanos) {
+        let is_lost = |probe: &Probe| now.saturating_sub(probe.sent_at) >= self.limits.lost_after;
+        let lost = self.in_flight.iter().filter(|(_, probe)| is_lost(probe));
+        let lost: Vec<Id> = lost.map(|(id, _)| *id).collect();
         for id in lost {
-            self.ended(id, End::Unreached, now);
+            self.record_end(id, ProbeOutcome::Unreachable, now);
         }
     }
 
-    /// A probe has ended. False where what it brought says nothing of the server as it is now: it was not asked
-    /// for, or was sent to an earlier life, or its server has left.
-    pub fn ended(&mut self, id: Id, end: End, now: Nanos) -> bool {
-        let Some((sent, _)) = self.out.remove(&id) else { return false };
-        let draw = self.random.next_u32();
-        let Some(member) = self.members.get_mut(&id) else { return false };
-        // What was sent in the very moment in which a server started anew went to the life before.
-        let counts = sent > member.since && end != End::Withdrawn;
+    /// Records the end of a probe. Returns false where it says nothing of the server as it is now: no probe
+    /// was in flight, it was sent to an earlier incarnation, or its server has left.
+    pub fn record_end(&mut self, id: Id, outcome: ProbeOutcome, now: Nanos) -> bool {
+        let Some(probe) = self.in_flight.remove(&id) else { return false };
+        let drawn = self.random.next_u32();
+        let Some(target) = self.targets.get_mut(&id) else { return false };
+        // What was sent in the very moment in which a server restarted went to the incarnation before.
+        let counts = probe.sent_at > target.tracked_since && outcome != ProbeOutcome::Cancelled;
         if counts {
-            match end {
-                End::Figure => (member.told, member.unreached) = (Some(now), 0),
-                End::Empty => member.unreached = 0,
-                _ => member.unreached += 1,
-            }
+            target.record_outcome(outcome, now);
         }
-        let wait = member.wait(self.limits.waits[member.interest as usize]) as f64;
-        let part = 1.0 - JITTER + 2.0 * JITTER * f64::from(draw) / f64::from(u32::MAX);
-        // From its sending: a probe's own time is no part of the wait. Never at once, or a server that refuses
-        // all would be asked again and again.
-        member.due = (member.tried + (wait * part) as Nanos).max(now + MS);
-        self.queues[member.interest as usize].insert((member.due, id));
+        let interval = target.interval(self.limits.intervals[target.priority as usize]) as f64;
+        let jitter = 1.0 - INTERVAL_JITTER + 2.0 * INTERVAL_JITTER * f64::from(drawn) / f64::from(u32::MAX);
+        // From its sending: a probe's own time is no part of the interval. Never at once, or a server that
+        // refuses all probes would be probed again and again.
+        target.due_at = (target.probed_at + (interval * jitter) as Nanos).max(now + MILLISECOND);
+        self.queues[target.priority as usize].insert((target.due_at, id));
         counts
     }
 
-    /// A figure has come with an ordinary answer: a probe would tell nothing new for a while.
-    pub fn told(&mut self, id: Id, now: Nanos) {
-        let Some(member) = self.members.get_mut(&id) else { return };
-        (member.told, member.tried, member.unreached) = (Some(now), now, 0);
-        let (due, level) = (member.due, member.interest as usize);
-        let next = now + self.limits.waits[level];
-        if self.queues[level].remove(&(due, id)) {
-            member.due = next;
-            self.queues[level].insert((next, id));
+    /// A report has come with an ordinary response: a probe would bring nothing new for an interval.
+    pub fn record_report(&mut self, id: Id, now: Nanos) {
+        let Some(target) = self.targets.get_mut(&id) else { return };
+        target.reported_at = Some(now);
+        target.probed_at = now;
+        target.consecutive_failures = 0;
+        let queue = &mut self.queues[target.priority as usize];
+        if queue.remove(&(target.due_at, id)) {
+            target.due_at = now + self.limits.intervals[target.priority as usize];
+            queue.insert((target.due_at, id));
         }
     }
 
-    /// When the next turn comes, if it can be paid for; none while only an arrival or the end of a probe can bring
-    /// it about.
-    pub fn wakes(&self) -> Option<Nanos> {
-        let able = self.budget.affords() && self.out.len() < self.limits.out;
-        let firsts = self.queues.iter().filter_map(|queue| queue.first().map(|(due, _)| *due));
-        firsts.min().filter(|_| able)
+    /// When the next probe is due, if it can be paid for; `None` while only an arrival or the end of a
+    /// probe can bring it about.
+    pub fn next_probe_at(&self) -> Option<Nanos> {
+        let may_probe = self.budget.affords_probe() && self.in_flight.len() < self.limits.max_in_flight;
+        let first_due = self.queues.iter().filter_map(|queue| queue.first().map(|(due_at, _)| *due_at));
+        first_due.min().filter(|_| may_probe)
     }
 
-    /// How old the figures are; walks those kept to.
-    pub fn ages(&self, now: Nanos) -> Ages {
-        let mut ages =
-            Ages { listed: self.listed.len(), kept: self.members.len(), sent: self.sent, ..Ages::default() };
-        for member in self.members.values() {
-            ages.unreached += usize::from(member.unreached > 0);
-            let age =
-                member.told.map(|told| now.saturating_sub(told)).filter(|&age| age < self.limits.useful);
-            if let Some(age) = age {
-                ages.known += 1;
+    /// How old the reports are. Walks the tracked servers.
+    pub fn report_ages(&self, now: Nanos) -> ReportAges {
+        let mut ages = ReportAges {
+            listed: self.candidates.len(),
+            tracked: self.targets.len(),
+            sent: self.sent,
+            ..ReportAges::default()
+        };
+        for target in self.targets.values() {
+            ages.unreachable += usize::from(target.consecutive_failures > 0);
+            let age = target.reported_at.map(|reported_at| now.saturating_sub(reported_at));
+            if let Some(age) = age.filter(|&age| age < self.limits.report_max_age) {
+                ages.reporting += 1;
                 ages.oldest = ages.oldest.max(age);
             }
         }
