--- a/balancer/src/policy/load_probes.rs
+++ b/balancer/src/policy/load_probes.rs
@@ -16,11 +16,11 @@
         if !settings.limits.probes || settings.reports == LoadReporting::Disabled {
             return None;
         }
-        let per_request = MAX_PROBE_COST_SHARE / settings.probe_cost.max(MAX_PROBE_COST_SHARE);
+        let probes_per_request = MAX_PROBE_COST_SHARE / settings.probe_cost.max(MAX_PROBE_COST_SHARE);
         let limits = ProbeLimits {
-            probes_per_request: per_request,
+            probes_per_request,
             intervals: PROBE_INTERVALS,
-            report_max_age: UTILISATION_MAX_AGE,
+            report_ttl: UTILISATION_MAX_AGE,
             ..ProbeLimits::default()
         };
         Scheduler::new(limits, seed, now).ok()
@@ -61,7 +61,7 @@
     /// Updates the priority of each probed backend, and what an arrival earns.
     pub(super) fn update_probe_priorities(&mut self) {
         let Some(mut scheduler) = self.probe_scheduler.take() else { return };
-        scheduler.review_tracked(self.now);
+        scheduler.resize_subset(self.now);
         // The work of probes stays a small part of that of requests, however little a probe is said to
         // cost.
         let idle_latency = self.classes.iter().map(|class| class.idle_latency).fold(f64::INFINITY, f64::min);
@@ -70,7 +70,7 @@
         let home_utilisation = self.utilisation(self.settings.home);
         let near_threshold = home_utilisation
             .is_none_or(|utilisation| utilisation > self.overflow_threshold() - PROBE_THRESHOLD_MARGIN);
-        for id in scheduler.tracked().collect::<Vec<_>>() {
+        for id in scheduler.subset().collect::<Vec<_>>() {
             if let Some(backend) = self.backends.get(&BackendId(id)) {
                 scheduler.set_priority(id, self.probe_priority(backend, best, near_threshold));
             }
@@ -85,9 +85,9 @@
         match backend.utilisation.updated_at {
             None if !backend.unreachable => Priority::Urgent,
             _ if is_warming_up || self.is_suspect(backend) => Priority::Urgent,
-            _ if is_used_zone && near_threshold => Priority::High,
-            _ if is_used_zone => Priority::Normal,
-            _ => Priority::Low,
+            _ if is_used_zone && near_threshold => Priority::NearThreshold,
+            _ if is_used_zone => Priority::Watched,
+            _ => Priority::Idle,
         }
     }
 
@@ -116,7 +116,7 @@
             _ => ProbeOutcome::NoReport,
         };
         let scheduler = self.probe_scheduler.as_mut();
-        let was_expected = scheduler.is_none_or(|scheduler| scheduler.record_end(id.0, end, self.now));
+        let was_expected = scheduler.is_none_or(|scheduler| scheduler.on_probe_ended(id.0, end, self.now));
         if !was_expected || end == ProbeOutcome::Cancelled {
             return;
         }
--- a/load-probing/src/budget.rs
+++ b/load-probing/src/budget.rs
@@ -1,42 +1,42 @@
-//! The budget: arrivals earn probes, and probes are spent.
+//! The budget of probes.
 
-/// Saved probes, of which each arrival earns a fraction. Firm: what was never earned is never spent.
+/// A token bucket: each request adds a fraction of a token, and each probe takes a whole one.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Budget {
+pub(crate) struct ProbeBudget {
     probes_per_request: f64,
-    saved: f64,
-    max_saved: f64,
+    saved_probes: f64,
+    max_saved_probes: f64,
 }
 
-impl Budget {
-    /// A budget that starts full. Both arguments are numbers of probes, finite and not negative.
-    pub(crate) fn new(probes_per_request: f64, max_saved: f64) -> Self {
-        Self { probes_per_request, saved: max_saved, max_saved }
+impl ProbeBudget {
+    /// A full budget. Both numbers are finite and not negative.
+    pub fn new(probes_per_request: f64, max_saved_probes: f64) -> Self {
+        Self { probes_per_request, saved_probes: max_saved_probes, max_saved_probes }
     }
 
-    /// Changes what an arrival earns from now on; what is saved stays.
-    pub(crate) fn set_probes_per_request(&mut self, probes_per_request: f64) {
+    /// Changes what a request adds from now on. A value that is negative or not finite changes nothing.
+    pub fn set_probes_per_request(&mut self, probes_per_request: f64) {
         if probes_per_request.is_finite() && probes_per_request >= 0.0 {
             self.probes_per_request = probes_per_request;
         }
     }
 
-    /// A request has arrived.
-    pub(crate) fn record_arrival(&mut self) {
-        self.saved = (self.saved + self.probes_per_request).min(self.max_saved);
+    /// Adds the share of one request.
+    pub fn on_request(&mut self) {
+        self.saved_probes = (self.saved_probes + self.probes_per_request).min(self.max_saved_probes);
     }
 
-    /// Whether a probe can be paid for.
-    pub(crate) fn affords_probe(&self) -> bool {
-        self.saved >= 1.0
+    /// Whether there is a token for a probe.
+    pub fn has_probe(&self) -> bool {
+        self.saved_probes >= 1.0
     }
 
-    /// Pays for one probe. Returns false, with nothing spent, where it cannot be paid for.
-    pub(crate) fn spend(&mut self) -> bool {
-        let affords_probe = self.affords_probe();
-        if affords_probe {
-            self.saved -= 1.0;
+    /// Takes the token of one probe. False, and nothing taken, where there is none.
+    pub fn take_probe(&mut self) -> bool {
+        let has_probe = self.has_probe();
+        if has_probe {
+            self.saved_probes -= 1.0;
         }
-        affords_probe
+        has_probe
     }
 }
--- a/load-probing/src/lib.rs
+++ b/load-probing/src/lib.rs
@@ -1,20 +1,16 @@
-//! Decides which servers to probe for a load report, and when. Sans-I/O: in go candidates, arrivals and the
-//! ends of probes, each with the time; out come the servers to probe. It has no sockets, no clock and no
-//! threads.
+//! Schedules probes for load reports: which server to probe next, and when. Decides only: calls come in with the time, ids of
+//! servers to probe come out; there are no sockets, no clock and no threads.
 //!
-//! The budget is firm and does not grow with the number of servers: a probe is paid for with what arrivals
-//! have earned, so `probes <= arrivals * probes_per_request + max_saved_probes` holds at any time. Within
-//! it the order goes by [`Priority`], what a fresh report would change, and by how long a report is
-//! overdue. Where the budget cannot keep all servers' reports fresh, the scheduler tracks a part of the
-//! servers ([`ReportAges`] says how large).
+//! The budget is firm and does not grow with the number of servers: each request adds a fraction of a probe, so that
+//! `probes <= requests * probes_per_request + max_saved_probes` holds at any time. Within the budget, servers are probed by
+//! [`Priority`], and by how overdue their probe is relative to their interval. If the budget can't keep the reports of all
+//! servers fresh, the scheduler probes a stable subset of them.
 //!
-//! | module | concern |
-//! | --- | --- |
-//! | `limits` | the bounds of a scheduler, and their validation |
-//! | `budget` | what arrivals earn and probes spend |
-//! | `tracking` | which of the candidates are tracked |
-//! | `target` | one tracked server: its last report, its failures, its next probe |
-//! | `scheduler` | the order of the probes |
+//! - [`Scheduler`]: the schedule
+//! - `budget`: the token bucket that requests fill and probes drain
+//! - `limits`: the limits of a scheduler
+//! - `subset`: which servers to probe where they are too many
+//! - `target`: the schedule of one server
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -22,18 +18,20 @@
 mod budget;
 mod limits;
 mod scheduler;
+mod subset;
 mod target;
-mod tracking;
 
-pub use limits::{Limits, LimitsError};
-pub use scheduler::{ReportAges, Scheduler};
+pub use limits::{Limits, LimitsError, SubsetSize};
+pub use scheduler::{Scheduler, SchedulerStats};
+pub use subset::Candidate;
 pub use target::{Priority, ProbeOutcome};
-pub use tracking::Candidate;
 
-/// A moment or a span in nanoseconds; moments are on the embedder's clock.
+/// A moment or a span of the embedder's monotonic clock, in nanoseconds.
 pub type Nanos = u64;
-/// A server, numbered by the embedder.
-pub type Id = u32;
+/// A server, as the embedder numbers it.
+pub type ServerId = u32;
 
+/// One millisecond.
 const MILLISECOND: Nanos = 1_000_000;
+/// One second.
 const SECOND: Nanos = 1000 * MILLISECOND;
--- a/load-probing/tests/scheduler.rs
+++ b/load-probing/tests/scheduler.rs
@@ -1,204 +1,138 @@
-//! What holds after any calls: the budget, one probe in flight for each server, none to one that has left;
-//! and how probes are shared out where the budget is short.
+//! Invariants under any sequence of calls: the budget, one probe in flight for each server, no probe of a removed one. Then how a
+//! short budget is spent.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use ivyhatch_load_probing::{Candidate, Id, Limits, LimitsError, Nanos, Priority, ProbeOutcome, Scheduler};
+use ivyhatch_load_probing::{
+    Candidate, Limits, LimitsError, Nanos, Priority, ProbeOutcome, Scheduler, ServerId, SubsetSize,
+};
 use proptest::prelude::*;
-use proptest::test_runner::{RngSeed, TestCaseError};
 
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1000 * MS;
 
-fn candidate(id: Id, group: u32) -> Candidate {
+fn server(id: ServerId, group: u32) -> Candidate {
     let rank = u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     Candidate { id, group, rank, incarnation: 0 }
 }
 
-fn candidates(servers: u32, groups: u32) -> Vec<Candidate> {
-    (0..servers).map(|id| candidate(id, id % groups)).collect()
+fn fleet(servers: u32, groups: u32) -> Vec<Candidate> {
+    (0..servers).map(|id| server(id, id % groups)).collect()
 }
 
-/// One call of a scheduler, or the passing of time.
+/// One call of a scheduler.
 #[derive(Clone, Debug)]
-enum Step {
-    AdvanceMs(u64),
-    Arrivals(u8),
-    /// The listed servers as bits, and whether every third one restarts.
-    List(u16, bool),
-    EndProbe(u8, ProbeOutcome),
+enum Call {
+    PassTime(u64),
+    OnRequests(u8),
+    SetCandidates(u16, bool),
+    OnProbeEnded(u8, ProbeOutcome),
     SetPriority(u8, Priority),
-    Report(u8),
-    SendProbes,
+    OnPassiveReport(u8),
+    NextProbes,
 }
 
-fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let outcomes =
-        [ProbeOutcome::Report, ProbeOutcome::NoReport, ProbeOutcome::Unreachable, ProbeOutcome::Cancelled];
-    let outcome = prop::sample::select(outcomes.to_vec());
+fn calls() -> impl Strategy<Value = Vec<Call>> {
+    let end = prop::sample::select(vec![
+        ProbeOutcome::Report,
+        ProbeOutcome::NoReport,
+        ProbeOutcome::Unreachable,
+        ProbeOutcome::Cancelled,
+    ]);
     let priority = prop::sample::select(Priority::ALL.to_vec());
-    let step = prop_oneof![
-        (0..900u64).prop_map(Step::AdvanceMs),
-        (0..20u8).prop_map(Step::Arrivals),
-        (any::<u16>(), any::<bool>()).prop_map(|(listed, restart)| Step::List(listed, restart)),
-        (any::<u8>(), outcome).prop_map(|(which, outcome)| Step::EndProbe(which, outcome)),
-        (0..16u8, priority).prop_map(|(id, priority)| Step::SetPriority(id, priority)),
-        (0..16u8).prop_map(Step::Report),
-        Just(Step::SendProbes),
-        Just(Step::SendProbes),
+    let call = prop_oneof![
+        (0..900u64).prop_map(Call::PassTime),
+        (0..20u8).prop_map(Call::OnRequests),
+        (any::<u16>(), any::<bool>()).prop_map(|(named, anew)| Call::SetCandidates(named, anew)),
+        (any::<u8>(), end).prop_map(|(which, end)| Call::OnProbeEnded(which, end)),
+        (0..16u8, priority).prop_map(|(id, priority)| Call::SetPriority(id, priority)),
+        (0..16u8).prop_map(Call::OnPassiveReport),
+        Just(Call::NextProbes),
+        Just(Call::NextProbes),
     ];
-    prop::collection::vec(step, 1..200)
-}
-
-struct ListedServer {
-    group: u32,
-    incarnation: Nanos,
-}
-
-struct ProbeInFlight {
-    sent_at: Nanos,
-    group: u32,
-    /// `None` once the server has restarted or left.
-    incarnation: Option<Nanos>,
-}
-
-/// A scheduler, and what it may do by the calls that it got.
-struct Checked {
-    scheduler: Scheduler,
-    limits: Limits,
-    now: Nanos,
-    arrivals: u32,
-    sent: u32,
-    listed: BTreeMap<Id, ListedServer>,
-    in_flight: BTreeMap<Id, ProbeInFlight>,
-}
-
-impl Checked {
-    fn new(limits: Limits) -> Self {
-        Self {
-            scheduler: Scheduler::new(limits, 9, 0).expect("usable limits"),
-            limits,
-            now: 0,
-            arrivals: 0,
-            sent: 0,
-            listed: BTreeMap::new(),
-            in_flight: BTreeMap::new(),
-        }
-    }
-
-    fn apply(&mut self, step: Step) -> Result<(), TestCaseError> {
-        let now = self.now;
-        match step {
-            Step::AdvanceMs(ms) => self.advance(ms * MS),
-            Step::Arrivals(count) => {
-                self.arrivals += u32::from(count);
-                (0..count).for_each(|_| self.scheduler.record_arrival(now));
-            }
-            Step::List(listed, restart) => self.list(listed, restart),
-            Step::EndProbe(which, outcome) => self.end_probe(usize::from(which), outcome)?,
-            Step::SetPriority(id, priority) => self.scheduler.set_priority(id.into(), priority),
-            Step::Report(id) => self.scheduler.record_report(id.into(), now),
-            Step::SendProbes => self.send_probes()?,
-        }
-        prop_assert!(self.scheduler.tracked().count() <= self.limits.max_tracked);
-        Ok(())
-    }
-
-    /// A probe that has not ended by its time counts as lost.
-    fn advance(&mut self, span: Nanos) {
-        self.now += span;
-        let (now, lost_after) = (self.now, self.limits.lost_after);
-        self.in_flight.retain(|_, probe| now - probe.sent_at < lost_after);
-    }
-
-    fn list(&mut self, listed: u16, restart: bool) {
-        let before = std::mem::take(&mut self.listed);
-        let mut servers = Vec::new();
-        for id in (0..16).filter(|id| listed & (1 << id) != 0) {
-            let old = before.get(&id).map_or(0, |known| known.incarnation);
-            let incarnation = if restart && id % 3 == 0 { self.now + 1 } else { old };
-            self.listed.insert(id, ListedServer { group: id % 3, incarnation });
-            servers.push(Candidate { incarnation, ..candidate(id, id % 3) });
-        }
-        for (id, probe) in &mut self.in_flight {
-            if self.listed.get(id).map(|known| known.incarnation) != probe.incarnation {
-                probe.incarnation = None;
-            }
-        }
-        self.scheduler.set_candidates(servers, self.now);
-    }
-
-    fn end_probe(&mut self, which: usize, outcome: ProbeOutcome) -> Result<(), TestCaseError> {
-        let Some(&id) = self.in_flight.keys().nth(which % self.in_flight.len().max(1)) else { return Ok(()) };
-        let probe = self.in_flight.remove(&id).expect("it is in flight");
-        let counts = self.scheduler.record_end(id, outcome, self.now);
-        let may_count = probe.incarnation.is_some() && outcome != ProbeOutcome::Cancelled;
-        prop_assert!(!counts || may_count, "{id} counted");
-        Ok(())
-    }
-
-    fn send_probes(&mut self) -> Result<(), TestCaseError> {
-        let limits = self.limits;
-        while let Some(id) = self.scheduler.next_probe(self.now) {
-            let Some(&ListedServer { group, incarnation }) = self.listed.get(&id) else {
-                panic!("{id} is not listed")
-            };
-            self.sent += 1;
-            let probe = ProbeInFlight { sent_at: self.now, group, incarnation: Some(incarnation) };
-            prop_assert!(self.in_flight.insert(id, probe).is_none(), "two out to {id}");
-            prop_assert!(self.in_flight.len() <= limits.max_in_flight);
-            let in_group = self.in_flight.values().filter(|probe| probe.group == group).count();
-            prop_assert!(in_group <= limits.max_in_flight_per_group);
-            let earned = f64::from(self.arrivals) * limits.probes_per_request + limits.max_saved_probes;
-            prop_assert!(f64::from(self.sent) <= earned + 1e-6);
-        }
-        Ok(())
-    }
+    prop::collection::vec(call, 1..200)
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig {
-        cases: 300,
-        rng_seed: RngSeed::Fixed(7),
-        failure_persistence: None,
-        ..ProptestConfig::default()
-    })]
+    #![proptest_config(ProptestConfig { cases: 300, rng_seed: proptest::test_runner::RngSeed::Fixed(7),
+        failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn limits_hold_after_arbitrary_calls(steps in steps()) {
-        let limits = Limits {
-            max_in_flight: 5,
-            max_in_flight_per_group: 3,
-            probes_per_request: 0.3,
-            max_saved_probes: 6.0,
-            min_tracked: 4,
-            max_tracked: 12,
-            ..Limits::default()
-        };
-        let mut checked = Checked::new(limits);
-        for step in steps {
-            checked.apply(step)?;
+    fn limits_hold_for_any_sequence_of_calls(calls in calls()) {
+        let limits = Limits { max_in_flight: 5, max_in_flight_per_group: 3, probes_per_request: 0.3,
+            max_saved_probes: 6.0, subset_size: SubsetSize { min: 4, max: 12 }, ..Limits::default() };
+        let mut scheduler = Scheduler::new(limits, 9, 0).expect("usable limits");
+        let (mut now, mut requests, mut sent) = (0, 0u32, 0u32);
+        let mut listed: BTreeMap<ServerId, (u32, Nanos)> = BTreeMap::new();
+        // When each probe in flight was sent, and to which incarnation.
+        let mut out: BTreeMap<ServerId, (Nanos, Option<Nanos>, u32)> = BTreeMap::new();
+        for call in calls {
+            match call {
+                Call::PassTime(ms) => {
+                    now += ms * MS;
+                    // A probe without an outcome is given up after this.
+                    out.retain(|_, (sent, ..)| now - *sent < limits.lost_after);
+                }
+                Call::OnRequests(count) => {
+                    requests += u32::from(count);
+                    (0..count).for_each(|_| scheduler.on_request(now));
+                }
+                Call::SetCandidates(named, anew) => {
+                    let before = std::mem::take(&mut listed);
+                    let mut servers = Vec::new();
+                    for id in (0..16).filter(|id| named & (1 << id) != 0) {
+                        let old = before.get(&id).map_or(0, |known| known.1);
+                        let incarnation = if anew && id % 3 == 0 { now + 1 } else { old };
+                        listed.insert(id, (id % 3, incarnation));
+                        servers.push(Candidate { incarnation, ..server(id, id % 3) });
+                    }
+                    // A report of an earlier incarnation, or of a removed server, does not count.
+                    for (id, (_, probed, _)) in &mut out {
+                        if listed.get(id).map(|known| known.1) != *probed {
+                            *probed = None;
+                        }
+                    }
+                    scheduler.set_candidates(servers, now);
+                }
+                Call::OnProbeEnded(which, end) => {
+                    let Some(&id) = out.keys().nth(usize::from(which) % out.len().max(1)) else { continue };
+                    let (_, probed, _) = out.remove(&id).expect("it is out");
+                    let counts = scheduler.on_probe_ended(id, end, now);
+                    prop_assert!(!counts || (probed.is_some() && end != ProbeOutcome::Cancelled), "{id} counted");
+                }
+                Call::SetPriority(id, priority) => scheduler.set_priority(id.into(), priority),
+                Call::OnPassiveReport(id) => scheduler.on_passive_report(id.into(), now),
+                Call::NextProbes => while let Some(id) = scheduler.next_probe(now) {
+                    let Some(&(group, probed)) = listed.get(&id) else { panic!("{id} is not listed") };
+                    sent += 1;
+                    prop_assert!(out.insert(id, (now, Some(probed), group)).is_none(), "two out to {id}");
+                    prop_assert!(out.len() <= limits.max_in_flight);
+                    prop_assert!(out.values().filter(|(_, _, of)| *of == group).count() <= limits.max_in_flight_per_group);
+                    prop_assert!(f64::from(sent) <= f64::from(requests) * limits.probes_per_request + limits.max_saved_probes + 1e-6);
+                },
+            }
+            prop_assert!(scheduler.subset().count() <= limits.subset_size.max);
         }
     }
 }
 
-/// `seconds` of arrivals at a steady rate; each probe ends after 5 ms as `outcome_of` says. Returns which
-/// server was probed when.
-fn run(
+/// Simulates `seconds` of requests at a steady rate; each probe outcome after 5 ms with the outcome that `outcome` gives. Returns the
+/// probes in order.
+fn simulate(
     scheduler: &mut Scheduler,
     rate: u64,
     seconds: u64,
-    outcome_of: impl Fn(Id) -> ProbeOutcome,
-) -> Vec<(Nanos, Id)> {
+    outcome: impl Fn(ServerId) -> ProbeOutcome,
+) -> Vec<(Nanos, ServerId)> {
     let (mut out, mut sent) = (Vec::new(), Vec::new());
     let tick = 5 * MS;
     for turn in 0..seconds * SECOND / tick {
         let now = turn * tick;
         (0..(turn + 1) * rate * tick / SECOND - turn * rate * tick / SECOND)
-            .for_each(|_| scheduler.record_arrival(now));
-        scheduler.review_tracked(now);
+            .for_each(|_| scheduler.on_request(now));
+        scheduler.resize_subset(now);
         for (_, id) in std::mem::take(&mut out) {
-            scheduler.record_end(id, outcome_of(id), now);
+            scheduler.on_probe_ended(id, outcome(id), now);
         }
         while let Some(id) = scheduler.next_probe(now) {
             out.push((now, id));
@@ -208,7 +142,7 @@
     sent
 }
 
-fn count(sent: &[(Nanos, Id)], which: impl Fn(Id) -> bool) -> usize {
+fn count(sent: &[(Nanos, ServerId)], which: impl Fn(ServerId) -> bool) -> usize {
     sent.iter().filter(|(_, id)| which(*id)).count()
 }
 
@@ -216,10 +150,10 @@
 fn short_budget_stretches_all_intervals_alike_and_starves_no_server() {
     let mut scheduler =
         Scheduler::new(Limits { probes_per_request: 0.05, ..Limits::default() }, 3, 0).unwrap();
-    scheduler.set_candidates(candidates(20, 1), 0);
+    scheduler.set_candidates(fleet(20, 1), 0);
     (0..10).for_each(|id| scheduler.set_priority(id, Priority::Urgent));
-    (10..20).for_each(|id| scheduler.set_priority(id, Priority::Low));
-    let sent = run(&mut scheduler, 100, 120, |_| ProbeOutcome::Report);
+    (10..20).for_each(|id| scheduler.set_priority(id, Priority::Idle));
+    let sent = simulate(&mut scheduler, 100, 120, |_| ProbeOutcome::Report);
     let (urgent, idle) = (count(&sent, |id| id < 10), count(&sent, |id| id >= 10));
     // Intervals of 0.5 s and 2.5 s: five times as many, give or take the jitter.
     assert!(idle >= 60 && (3 * idle..8 * idle).contains(&urgent), "{urgent} urgent, {idle} idle");
@@ -227,71 +161,71 @@
 }
 
 #[test]
-fn unreachable_server_is_probed_less_and_found_again_soon() {
+fn unreachable_servers_are_probed_with_bounded_backoff() {
     let mut scheduler =
         Scheduler::new(Limits { probes_per_request: 1.0, ..Limits::default() }, 3, 0).unwrap();
-    scheduler.set_candidates(candidates(6, 2), 0);
-    (0..6).for_each(|id| scheduler.set_priority(id, Priority::High));
-    let sent = run(&mut scheduler, 100, 60, |id| {
+    scheduler.set_candidates(fleet(6, 2), 0);
+    (0..6).for_each(|id| scheduler.set_priority(id, Priority::NearThreshold));
+    let sent = simulate(&mut scheduler, 100, 60, |id| {
         if id % 2 == 0 { ProbeOutcome::Report } else { ProbeOutcome::Unreachable }
     });
     let (reachable, unreachable) = (count(&sent, |id| id % 2 == 0), count(&sent, |id| id % 2 == 1));
     assert!(
         unreachable * 3 < reachable,
-        "{unreachable} probes of what was never reached, {reachable} of the others"
+        "{unreachable} probes of unreachable servers, {reachable} of the others"
     );
     let gaps = sent.iter().filter(|(_, id)| *id == 1).map(|(at, _)| *at).collect::<Vec<_>>();
     let longest = gaps.windows(2).map(|two| two[1] - two[0]).max().unwrap();
-    assert!(longest <= 5 * SECOND + 50 * MS, "not asked for {} ms", longest / MS);
-    assert_eq!(scheduler.report_ages(60 * SECOND).unreachable, 3);
+    assert!(longest <= 5 * SECOND + 50 * MS, "not probed for {} ms", longest / MS);
+    assert_eq!(scheduler.stats(60 * SECOND).unreachable, 3);
 }
 
-/// All nodes are notified of a new server in the same moment.
+/// All nodes receive a new server at the same moment.
 #[test]
 fn nodes_that_start_together_do_not_probe_together() {
     let mut slots: BTreeMap<Nanos, u32> = BTreeMap::new();
     for seed in 0..100 {
         let mut scheduler = Scheduler::new(Limits::default(), seed, 0).unwrap();
-        scheduler.set_candidates(vec![candidate(0, 0)], 0);
-        let (at, _) = run(&mut scheduler, 10, 2, |_| ProbeOutcome::Report)[0];
+        scheduler.set_candidates(vec![server(0, 0)], 0);
+        let (at, _) = simulate(&mut scheduler, 10, 2, |_| ProbeOutcome::Report)[0];
         *slots.entry(at / (50 * MS)).or_default() += 1;
     }
     assert!(slots.len() >= 9 && slots.values().all(|&nodes| nodes <= 25), "{slots:?}");
 }
 
 #[test]
-fn of_very_many_servers_a_part_is_tracked_half_of_it_in_the_own_zone() {
+fn subset_of_many_servers_is_stable_and_half_local() {
     let limits = Limits { probes_per_request: 0.2, ..Limits::default() };
     let mut scheduler = Scheduler::new(limits, 3, 0).unwrap();
-    scheduler.set_candidates(candidates(10_000, 3), 0);
-    let sent = run(&mut scheduler, 200, 60, |_| ProbeOutcome::Report);
-    let tracked: BTreeSet<Id> = scheduler.tracked().collect();
-    let own = tracked.iter().filter(|id| *id % 3 == 0).count();
-    // 40 probes a second keep 80 reports fresh enough, each renewed twice within 4 s.
-    assert!((50..130).contains(&tracked.len()), "{} kept", tracked.len());
-    assert!(own.abs_diff(tracked.len() / 2) <= 1, "{own} of {} in the own zone", tracked.len());
-    let ages = scheduler.report_ages(60 * SECOND);
-    assert!(ages.reporting * 10 > ages.tracked * 9 && ages.listed == 10_000, "{ages:?}");
+    scheduler.set_candidates(fleet(10_000, 3), 0);
+    let sent = simulate(&mut scheduler, 200, 60, |_| ProbeOutcome::Report);
+    let subset: BTreeSet<ServerId> = scheduler.subset().collect();
+    let own = subset.iter().filter(|id| *id % 3 == 0).count();
+    // 40 probes per second keep 80 reports fresh, each renewed twice within 4 s.
+    assert!((50..130).contains(&subset.len()), "{} in the subset", subset.len());
+    assert!(own.abs_diff(subset.len() / 2) <= 1, "{own} of {} in the own zone", subset.len());
+    let stats = scheduler.stats(60 * SECOND);
+    assert!(stats.fresh_reports * 10 > stats.subset * 9 && stats.candidates == 10_000, "{stats:?}");
     assert!(sent.len() as f64 <= 12_000.0 * 0.2 + 16.0);
-    // A list that loses one of the tracked servers moves no other.
-    let gone = *tracked.first().unwrap();
+    // The removal of one server from the subset moves no other.
+    let removed = *subset.first().unwrap();
     scheduler.set_candidates(
-        candidates(10_000, 3).into_iter().filter(|server| server.id != gone).collect(),
+        fleet(10_000, 3).into_iter().filter(|server| server.id != removed).collect(),
         60 * SECOND,
     );
-    let after: BTreeSet<Id> = scheduler.tracked().collect();
-    assert!(tracked.difference(&after).count() <= 1 + tracked.len().abs_diff(after.len()));
+    let after: BTreeSet<ServerId> = scheduler.subset().collect();
+    assert!(subset.difference(&after).count() <= 1 + subset.len().abs_diff(after.len()));
 }
 
 #[test]
-fn limits_out_of_range_are_rejected_by_name() {
+fn limits_out_of_range_are_rejected_by_field() {
     let wrong: [(Limits, &str); 6] = [
         (Limits { probes_per_request: f64::NAN, ..Limits::default() }, "probes_per_request"),
         (Limits { probes_per_request: -0.1, ..Limits::default() }, "probes_per_request"),
         (Limits { max_saved_probes: 0.5, ..Limits::default() }, "max_saved_probes"),
         (Limits { max_in_flight: 0, ..Limits::default() }, "max_in_flight"),
         (Limits { intervals: [MS, 2 * MS, MS, MS], ..Limits::default() }, "intervals"),
-        (Limits { min_tracked: 5, max_tracked: 4, ..Limits::default() }, "min_tracked"),
+        (Limits { subset_size: SubsetSize { min: 5, max: 4 }, ..Limits::default() }, "subset_size"),
     ];
     for (limits, field) in wrong {
         let error: LimitsError = Scheduler::new(limits, 0, 0).err().expect(field);
