--- a/config/tests/config.rs
+++ b/config/tests/config.rs
@@ -220,8 +220,8 @@
     for instance in &config.instances {
         let told = config.node(instance, 7);
         assert_eq!(told["seed"], "0000000000000007");
-        let site = ivyhatch_node_settings::read(&told["settings"]).expect("settings");
-        let settings = site.settings;
+        let node = ivyhatch_node_settings::parse(&told["settings"]).expect("settings");
+        let settings = node.balancer;
         assert_eq!((settings.zones, settings.nodes, settings.limits.max_attempts), (3, 3, 3));
         assert_eq!(settings.limits.max_retry_after, 1_000_000_000);
         assert_eq!(settings.classes[0].latency_target, 800_000_000);
--- a/node-settings/src/fields.rs
+++ b/node-settings/src/fields.rs
@@ -1,71 +1,116 @@
-//! Fields of a JSON object, read with plain errors.
+//! Access to the fields of a JSON object, with errors that name the field.
 
 use serde_json::{Map, Value};
 
-/// The fields of a message.
+use crate::error::FieldError;
+
+/// The fields of a JSON object. A field that is null counts as missing.
 #[derive(Clone, Copy)]
 pub struct Fields<'a> {
-    /// The name of the message or object, for error texts.
-    pub tag: &'a str,
-    /// Its fields.
+    /// The name of the object or message, for errors.
+    pub object: &'a str,
+    /// The fields.
     pub map: &'a Map<String, Value>,
 }
 
 impl<'a> Fields<'a> {
-    /// The error text for a field that is absent or no use.
-    pub fn wrong(&self, field: &str) -> String {
-        format!("{}: field {field} is missing or of the wrong type", self.tag)
+    /// The error for a field that is missing or of the wrong type.
+    pub fn invalid(&self, field: &str) -> FieldError {
+        FieldError { object: self.object.to_owned(), field: field.to_owned() }
     }
 
-    /// A field that must be there and not null.
-    pub fn get(&self, field: &str) -> Result<&'a Value, String> {
-        self.map.get(field).filter(|value| !value.is_null()).ok_or_else(|| self.wrong(field))
+    /// A required value of any type.
+    ///
+    /// # Errors
+    /// [`FieldError`] if the field is missing.
+    pub fn required(&self, field: &str) -> Result<&'a Value, FieldError> {
+        self.map.get(field).filter(|value| !value.is_null()).ok_or_else(|| self.invalid(field))
     }
 
-    /// A whole number, negative ones included.
-    pub fn integer(&self, field: &str) -> Result<i64, String> {
-        self.get(field)?.as_i64().ok_or_else(|| self.wrong(field))
+    /// A signed integer.
+    ///
+    /// # Errors
+    /// [`FieldError`] if the field is missing or no integer of 64 bits.
+    pub fn integer(&self, field: &str) -> Result<i64, FieldError> {
+        self.required(field)?.as_i64().ok_or_else(|| self.invalid(field))
     }
 
-    /// A whole number from 0; a negative one counts as 0.
-    pub fn whole(&self, field: &str) -> Result<u64, String> {
-        let value = self.get(field)?;
-        value.as_u64().or_else(|| value.as_i64().map(|_| 0)).ok_or_else(|| self.wrong(field))
+    /// An unsigned integer; a negative one is read as 0.
+    ///
+    /// # Errors
+    /// [`FieldError`] if the field is missing or no integer of 64 bits.
+    pub fn unsigned(&self, field: &str) -> Result<u64, FieldError> {
+        let value = self.required(field)?;
+        value.as_u64().or_else(|| value.as_i64().map(|_| 0)).ok_or_else(|| self.invalid(field))
     }
 
-    /// A whole number from 0, or `absent`.
-    pub fn whole_or(&self, field: &str, absent: u64) -> Result<u64, String> {
-        if self.map.get(field).is_none_or(Value::is_null) { Ok(absent) } else { self.whole(field) }
+    /// An unsigned integer, or `default` if the field is missing.
+    ///
+    /// # Errors
+    /// [`FieldError`] if the field is no integer of 64 bits.
+    pub fn unsigned_or(&self, field: &str, default: u64) -> Result<u64, FieldError> {
+        if self.is_missing(field) { Ok(default) } else { self.unsigned(field) }
     }
 
     /// A number.
-    pub fn number(&self, field: &str) -> Result<f64, String> {
-        self.get(field)?.as_f64().ok_or_else(|| self.wrong(field))
+    ///
+    /// # Errors
+    /// [`FieldError`] if the field is missing or no number.
+    pub fn number(&self, field: &str) -> Result<f64, FieldError> {
+        self.required(field)?.as_f64().ok_or_else(|| self.invalid(field))
+    }
+
+    /// A number, or `default` if the field is missing.
+    ///
+    /// # Errors
+    /// [`FieldError`] if the field is no number.
+    pub fn number_or(&self, field: &str, default: f64) -> Result<f64, FieldError> {
+        if self.is_missing(field) { Ok(default) } else { self.number(field) }
+    }
+
+    /// A string.
+    ///
+    /// # Errors
+    /// [`FieldError`] if the field is missing or no string.
+    pub fn text(&self, field: &str) -> Result<&'a str, FieldError> {
+        self.required(field)?.as_str().ok_or_else(|| self.invalid(field))
     }
 
-    /// A number, or `absent`.
-    pub fn number_or(&self, field: &str, absent: f64) -> Result<f64, String> {
-        if self.map.get(field).is_none_or(Value::is_null) { Ok(absent) } else { self.number(field) }
+    /// A boolean.
+    ///
+    /// # Errors
+    /// [`FieldError`] if the field is missing or no boolean.
+    pub fn boolean(&self, field: &str) -> Result<bool, FieldError> {
+        self.required(field)?.as_bool().ok_or_else(|| self.invalid(field))
     }
 
-    /// A text.
-    pub fn text(&self, field: &str) -> Result<&'a str, String> {
-        self.get(field)?.as_str().ok_or_else(|| self.wrong(field))
+    /// An array.
+    ///
+    /// # Errors
+    /// [`FieldError`] if the field is missing or no array.
+    pub fn array(&self, field: &str) -> Result<&'a Vec<Value>, FieldError> {
+        self.required(field)?.as_array().ok_or_else(|| self.invalid(field))
     }
 
-    /// A truth value.
-    pub fn flag(&self, field: &str) -> Result<bool, String> {
-        self.get(field)?.as_bool().ok_or_else(|| self.wrong(field))
+    /// An array of strings.
+    ///
+    /// # Errors
+    /// [`FieldError`] if the field is missing, no array, or has an element that is no string.
+    pub fn texts(&self, field: &str) -> Result<Vec<String>, FieldError> {
+        let text = |value: &Value| value.as_str().map(str::to_owned).ok_or_else(|| self.invalid(field));
+        self.array(field)?.iter().map(text).collect()
     }
 
-    /// A list of values.
-    pub fn array(&self, field: &str) -> Result<&'a Vec<Value>, String> {
-        self.get(field)?.as_array().ok_or_else(|| self.wrong(field))
+    /// An object.
+    ///
+    /// # Errors
+    /// [`FieldError`] if the field is missing or no object.
+    pub fn object(&self, field: &'a str) -> Result<Fields<'a>, FieldError> {
+        let map = self.required(field)?.as_object().ok_or_else(|| self.invalid(field))?;
+        Ok(Fields { object: field, map })
     }
 
-    /// An object within this one.
-    pub fn object(&self, field: &'a str) -> Result<Fields<'a>, String> {
-        let map = self.get(field)?.as_object().ok_or_else(|| self.wrong(field))?;
-        Ok(Fields { tag: field, map })
+    fn is_missing(&self, field: &str) -> bool {
+        self.map.get(field).is_none_or(Value::is_null)
     }
 }
--- a/node-settings/tests/golden.rs
+++ b/node-settings/tests/golden.rs
@@ -1,30 +1,30 @@
 //! The settings object's field names, default values and error texts stay as they are: whole files are kept in `golden/`.
 
 use ivyhatch_balancer::{Discovery, Idempotency, IdempotencyScope, LoadReporting, Weights, ZoneId};
-use ivyhatch_node_settings::{Site, read};
+use ivyhatch_node_settings::{NodeSettings, parse};
 use serde_json::{Value, json};
 
 const EVERY_FIELD: &str = include_str!("golden/every-field.json");
 const REQUIRED_FIELDS: &str = include_str!("golden/required-fields.json");
 
-fn parse(text: &str) -> Value {
+fn json_of(text: &str) -> Value {
     serde_json::from_str(text).expect("a golden file of JSON")
 }
 
-fn site(text: &str) -> Site {
-    read(&parse(text)).expect("settings that can be read")
+fn node_settings(text: &str) -> NodeSettings {
+    parse(&json_of(text)).expect("settings that can be read")
 }
 
 /// The error text for the file with every field, where the value at a path is another one.
 fn error_with(pointer: &str, value: Value) -> String {
-    let mut settings = parse(EVERY_FIELD);
+    let mut settings = json_of(EVERY_FIELD);
     *settings.pointer_mut(pointer).expect("a field of the file") = value;
-    read(&settings).err().expect("settings that are refused").to_string()
+    parse(&settings).err().expect("settings that are refused").to_string()
 }
 
 #[test]
 fn classes_and_tenants_of_a_file_with_every_field_are_read() {
-    let site = site(EVERY_FIELD);
+    let node = node_settings(EVERY_FIELD);
     let keyed = |group: IdempotencyScope, window: u64| Idempotency::Keyed { scope: group, window };
     let effects = [
         Idempotency::Idempotent,
@@ -35,7 +35,7 @@
     ];
     let times = [(150_000_000, 900_000_000), (700_000_000, 3_000_000_000), (1, 2), (3, 4), (5, 6)];
     let worths = [(2.5, 0.5), (1.0, 0.0), (1.0, 0.0), (1.0, 0.0), (1.0, 0.0)];
-    let classes = &site.settings.classes;
+    let classes = &node.balancer.classes;
     assert_eq!(classes.iter().map(|class| class.idempotency).collect::<Vec<_>>(), effects);
     assert_eq!(classes.iter().map(|class| (class.latency_target, class.deadline)).collect::<Vec<_>>(), times);
     assert_eq!(classes.iter().map(|class| (class.value, class.late_value_share)).collect::<Vec<_>>(), worths);
@@ -44,12 +44,12 @@
         assert_eq!(class.max_queue_time, None);
         assert!(!class.retry_past_target);
     }
-    assert_eq!(site.settings.tenant_quotas, [40.5, 12.0]);
+    assert_eq!(node.balancer.tenant_quotas, [40.5, 12.0]);
 }
 
 #[test]
 fn other_settings_of_a_file_with_every_field_are_read() {
-    let settings = site(EVERY_FIELD).settings;
+    let settings = node_settings(EVERY_FIELD).balancer;
     assert_eq!(settings.home, ZoneId(1));
     assert_eq!(settings.zones, 3);
     assert_eq!(settings.nodes, 5);
@@ -66,14 +66,14 @@
 
 #[test]
 fn limits_and_rules_of_a_file_with_every_field_are_read() {
-    let site = site(EVERY_FIELD);
-    let limits = &site.settings.limits;
+    let node = node_settings(EVERY_FIELD);
+    let limits = &node.balancer.limits;
     assert_eq!(limits.max_attempts, 4);
     assert!(limits.hedging);
     assert!(limits.probes);
     assert!(limits.cancellation);
     assert_eq!(limits.max_retry_after, 1_250_000_000);
-    let rules = &site.settings.rules;
+    let rules = &node.balancer.rules;
     assert_eq!(rules.answer_grace, 31_000_000);
     assert_eq!(rules.max_poll_interval, 9_500_000_000);
     assert_eq!(rules.drain_grace, 620_000_000);
@@ -81,29 +81,29 @@
     assert_eq!(rules.warm_up_time, 17_000_000_000);
     assert_eq!(rules.overload_multiple, 1.75);
     assert_eq!(rules.overload_window, 1_900_000_000);
-    assert_eq!(site.links.idle, 21_000_000_000);
-    assert_eq!(site.links.connect_timeout, 350_000_000);
+    assert_eq!(node.connections.idle_timeout, 21_000_000_000);
+    assert_eq!(node.connections.connect_timeout, 350_000_000);
 }
 
 #[test]
 fn names_of_a_file_with_every_field_have_their_numbers() {
-    let mut words = site(EVERY_FIELD).words;
+    let mut names = node_settings(EVERY_FIELD).names;
     let classes = ["lookup", "order", "sync", "sync-zone", "sync-cell", "unknown"];
     let numbers = [Some(0), Some(1), Some(2), Some(3), Some(4), None];
-    assert_eq!(classes.map(|name| words.class(name)), numbers);
-    assert_eq!(["cell-a", "cell-b", "cell-c", "new"].map(|name| words.zone(name)), [0, 1, 2, 3].map(ZoneId));
-    assert_eq!(words.zone_name(ZoneId(2)), Some("cell-c"));
-    assert_eq!(["small", "large", "new"].map(|name| words.kind(name)), [0, 1, 2]);
+    assert_eq!(classes.map(|name| names.class(name)), numbers);
+    assert_eq!(["cell-a", "cell-b", "cell-c", "new"].map(|name| names.zone(name)), [0, 1, 2, 3].map(ZoneId));
+    assert_eq!(names.zone_name(ZoneId(2)), Some("cell-c"));
+    assert_eq!(["small", "large", "new"].map(|name| names.kind(name)), [0, 1, 2]);
     assert_eq!(
-        [Some("red"), Some("blue"), Some("green"), None].map(|name| words.tenant(name)),
+        [Some("red"), Some("blue"), Some("green"), None].map(|name| names.tenant(name)),
         [Some(0), Some(1), None, None]
     );
 }
 
 #[test]
 fn fields_that_a_file_lacks_have_their_default_values() {
-    let site = site(REQUIRED_FIELDS);
-    let settings = &site.settings;
+    let node = node_settings(REQUIRED_FIELDS);
+    let settings = &node.balancer;
     assert_eq!((settings.home, settings.zones, settings.nodes), (ZoneId(0), 1, 1));
     assert_eq!((settings.classes[0].value, settings.classes[0].late_value_share), (1.0, 0.0));
     assert!(settings.tenant_quotas.is_empty());
@@ -120,15 +120,18 @@
     assert_eq!((limits.max_attempts, limits.max_retry_after), (2, 0));
     assert!(!limits.hedging && !limits.probes && !limits.cancellation);
     assert_eq!(settings.rules.max_poll_interval, u64::MAX);
-    assert_eq!((site.links.idle, site.links.connect_timeout), (15_000_000_000, 250_000_000));
+    assert_eq!(
+        (node.connections.idle_timeout, node.connections.connect_timeout),
+        (15_000_000_000, 250_000_000)
+    );
 }
 
 #[test]
 fn words_that_choose_among_values_choose_the_same_ones() {
     let with = |pointer: &str, value: &str| {
-        let mut settings = parse(EVERY_FIELD);
+        let mut settings = json_of(EVERY_FIELD);
         *settings.pointer_mut(pointer).expect("a field of the file") = value.into();
-        site(&settings.to_string()).settings
+        node_settings(&settings.to_string()).balancer
     };
     assert_eq!(with("/discovery", "pushed").discovery, Discovery::Pushed);
     assert_eq!(with("/weights", "size").weights, Weights::Size);
@@ -140,9 +143,9 @@
 #[test]
 fn each_limit_that_is_switched_off_switches_off_that_one() {
     let limits_without = |pointer: &str| {
-        let mut settings = parse(EVERY_FIELD);
+        let mut settings = json_of(EVERY_FIELD);
         *settings.pointer_mut(pointer).expect("a field of the file") = json!(false);
-        let limits = site(&settings.to_string()).settings.limits;
+        let limits = node_settings(&settings.to_string()).balancer.limits;
         [limits.hedging, limits.probes, limits.cancellation, limits.max_retry_after > 0]
     };
     assert_eq!(limits_without("/policy-limits/second-copies"), [false, true, true, true]);
@@ -176,5 +179,5 @@
     assert_eq!(error_with("/rules/fall-ns", json!(null)), wrong("rules: field fall-ns"));
     assert_eq!(error_with("/goal", json!(null)), wrong("settings: field goal"));
     assert_eq!(error_with("/prices/probe", json!("free")), "prices: field probe is of the wrong type");
-    assert_eq!(read(&json!([])).err().expect("refused").to_string(), "settings: not an object");
+    assert_eq!(parse(&json!([])).err().expect("refused").to_string(), "settings: not an object");
 }
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use ivyhatch_node_settings::Site;
+use ivyhatch_node_settings::NodeSettings;
 use serde::Deserialize;
 
 use crate::ConfigurationSource;
@@ -47,8 +47,8 @@
     ///
     /// # Errors
     /// [`StartError::Settings`] names the setting that is wrong.
-    pub fn site(&self) -> Result<Site, StartError> {
-        ivyhatch_node_settings::read(&self.settings).map_err(StartError::Settings)
+    pub fn node_settings(&self) -> Result<NodeSettings, StartError> {
+        ivyhatch_node_settings::parse(&self.settings).map_err(|error| StartError::Settings(error.to_string()))
     }
 
     /// The seed of the node's random decisions.
--- a/node/src/driver/backend_directory.rs
+++ b/node/src/driver/backend_directory.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use ivyhatch_balancer::{BackendId, BackendState, ListScope, Member, Nanos};
-use ivyhatch_node_settings::Words;
+use ivyhatch_node_settings::NameTable;
 
 use super::ids::ExpiringMap;
 
@@ -51,7 +51,7 @@
 
 /// The backends by number, and their numbers by name.
 pub(super) struct BackendDirectory {
-    names: Words,
+    names: NameTable,
     ids: HashMap<String, BackendId>,
     backends: HashMap<BackendId, Backend>,
     departed: ExpiringMap<BackendId>,
@@ -59,7 +59,7 @@
 }
 
 impl BackendDirectory {
-    pub(super) fn new(names: Words) -> Self {
+    pub(super) fn new(names: NameTable) -> Self {
         Self {
             names,
             ids: HashMap::new(),
@@ -70,7 +70,7 @@
     }
 
     /// The names that the settings list.
-    pub(super) fn names(&self) -> &Words {
+    pub(super) fn names(&self) -> &NameTable {
         &self.names
     }
 
--- a/node/src/driver/dispatch.rs
+++ b/node/src/driver/dispatch.rs
@@ -6,7 +6,7 @@
     Action, Arrival, AttemptEnd, BackendId, Balancer, ClassId, Event, Idempotency, ListScope, LoadReport,
     Member, Nanos, Outcome, RequestId, Settings, SettingsError,
 };
-use ivyhatch_node_settings::Words;
+use ivyhatch_node_settings::NameTable;
 use tokio::sync::oneshot;
 
 use super::attempts::{AttemptKey, AttemptResult, AttemptStart};
@@ -59,7 +59,7 @@
 impl Driver {
     pub(super) fn new(
         settings: Settings,
-        names: Words,
+        names: NameTable,
         seed: u64,
         clock: Clock,
     ) -> Result<Self, SettingsError> {
--- a/node/src/driver/driver_tests.rs
+++ b/node/src/driver/driver_tests.rs
@@ -53,9 +53,10 @@
         "policy-limits": {"attempts-cap": 3}, "goal": {},
         "rules": {"answer-slack-ns": 20_000_000, "drain-grace-ns": drain_grace, "fall-ns": 1_500_000_000u64,
             "start-capacity": 0.1, "tip-multiple": 2.5, "warm-after-ns": 20_000_000_000u64}});
-    let site = ivyhatch_node_settings::read(&config).expect("settings");
+    let node_settings = ivyhatch_node_settings::parse(&config).expect("settings");
     let transport = Rc::new(RecordingTransport::default());
-    let node = Node::new(site.settings, site.words, 7, Clock::start(), transport.clone()).expect("a node");
+    let node = Node::new(node_settings.balancer, node_settings.names, 7, Clock::start(), transport.clone())
+        .expect("a node");
     (node, transport)
 }
 
--- a/node/src/driver/node.rs
+++ b/node/src/driver/node.rs
@@ -9,7 +9,7 @@
     BackendId, BackendSnapshot, Event, Idempotency, ListScope, Nanos, Outcome, RequestId, Settings,
     SettingsError,
 };
-use ivyhatch_node_settings::Words;
+use ivyhatch_node_settings::NameTable;
 use tokio::sync::{Notify, oneshot};
 use tokio::time::sleep_until;
 
@@ -82,7 +82,7 @@
     /// A node with no backends yet. The error names the setting that the balancer rejects.
     pub fn new(
         settings: Settings,
-        names: Words,
+        names: NameTable,
         seed: u64,
         clock: Clock,
         transport: Rc<dyn Transport>,
--- a/node/src/serving.rs
+++ b/node/src/serving.rs
@@ -43,15 +43,15 @@
 ) -> Result<(), StartError> {
     // Caught before anything else: SIGHUP's default action ends the process.
     let hangup = signal(SignalKind::hangup())?;
-    let site = config.site()?;
+    let node_settings = config.node_settings()?;
     let seed = config.seed()?;
     let descriptors = DescriptorBudget::divide(config.limits.sockets)?;
     let clock = Clock::start();
-    let settings_summary = summarise(&site.settings);
-    let schedule = discovery::schedule_for(&site.settings, seed);
-    let transport = BackendTransport::new(site.links, clock, descriptors.backends);
+    let settings_summary = summarise(&node_settings.balancer);
+    let schedule = discovery::schedule_for(&node_settings.balancer, seed);
+    let transport = BackendTransport::new(node_settings.connections, clock, descriptors.backends);
     spawn_local(transport.clone().close_stale_connections());
-    let node = Node::new(site.settings, site.words, seed, clock, Rc::new(transport))
+    let node = Node::new(node_settings.balancer, node_settings.names, seed, clock, Rc::new(transport))
         .map_err(|error| StartError::Settings(error.to_string()))?;
     let discovery_watch = DiscoveryWatch::new(node.clone(), config.discovery, config.known, schedule);
     let stop = StopSignals::new()?;
@@ -118,7 +118,7 @@
 /// Discovery's address, by a configuration whose settings are valid.
 fn reload(configuration: &ConfigurationSource) -> Result<SocketAddr, StartError> {
     let config = Config::read(configuration)?;
-    config.site()?;
+    config.node_settings()?;
     Ok(config.discovery)
 }
 
--- a/node/src/upstream/mod.rs
+++ b/node/src/upstream/mod.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use ivyhatch_balancer::BackendId;
-use ivyhatch_node_settings::Links;
+use ivyhatch_node_settings::ConnectionSettings;
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
@@ -42,7 +42,7 @@
 
 impl BackendTransport {
     /// A transport without connections.
-    pub fn new(settings: Links, clock: Clock, budget: ConnectionBudget) -> Self {
+    pub fn new(settings: ConnectionSettings, clock: Clock, budget: ConnectionBudget) -> Self {
         Self {
             pool: Rc::new(ConnectionPool::new(settings, clock, budget.requests)),
             prober: Rc::new(Prober::new(settings, clock, budget.probes)),
--- a/node/src/upstream/pool.rs
+++ b/node/src/upstream/pool.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use ivyhatch_balancer::{BackendId, Nanos};
-use ivyhatch_node_settings::Links;
+use ivyhatch_node_settings::ConnectionSettings;
 
 use super::connection::{
     BackendAddress, BackendConnection, IdleConnection, OpenConnections, is_within_idle_timeout,
@@ -34,14 +34,14 @@
     idle: RefCell<HashMap<BackendAddress, Vec<IdleConnection>>>,
     open: OpenConnections,
     max_open: usize,
-    settings: Links,
+    settings: ConnectionSettings,
     clock: Clock,
     idle_resets: IdleResetRates,
 }
 
 impl ConnectionPool {
     /// An empty pool for at most `max_open` connections.
-    pub fn new(settings: Links, clock: Clock, max_open: usize) -> Self {
+    pub fn new(settings: ConnectionSettings, clock: Clock, max_open: usize) -> Self {
         let (idle, open) = (RefCell::default(), OpenConnections::default());
         Self { idle, open, max_open, settings, clock, idle_resets: IdleResetRates::default() }
     }
@@ -71,7 +71,7 @@
         let youngest = connections.iter().rposition(|idle| idle.age(now) >= MIN_IDLE_TIME)?;
         let taken = connections.remove(youngest);
         let idle_time = taken.age(now);
-        let is_usable = is_within_idle_timeout(idle_time, self.settings.idle)
+        let is_usable = is_within_idle_timeout(idle_time, self.settings.idle_timeout)
             && self.idle_resets.is_reuse_safe(idle_time);
         is_usable.then_some(ReusedConnection { connection: taken.connection, idle_time })
     }
@@ -108,7 +108,7 @@
     pub fn drop_stale(&self) {
         let now = self.clock.now();
         self.idle.borrow_mut().retain(|_, connections| {
-            connections.retain(|idle| idle.is_usable(now, self.settings.idle));
+            connections.retain(|idle| idle.is_usable(now, self.settings.idle_timeout));
             !connections.is_empty()
         });
     }
--- a/node/src/upstream/prober.rs
+++ b/node/src/upstream/prober.rs
@@ -12,7 +12,7 @@
 use hyper::header::{HOST, HeaderValue};
 use hyper::{Request, Response, StatusCode, Uri};
 use ivyhatch_balancer::{BackendId, LoadReport, Outcome};
-use ivyhatch_node_settings::Links;
+use ivyhatch_node_settings::ConnectionSettings;
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 use tokio::time::sleep;
@@ -34,13 +34,13 @@
     idle: RefCell<HashMap<BackendAddress, IdleConnection>>,
     open: OpenConnections,
     max_open: usize,
-    settings: Links,
+    settings: ConnectionSettings,
     clock: Clock,
 }
 
 impl Prober {
     /// At most `max_open` connections, and at least one, are open at a time; they are no part of those for requests.
-    pub fn new(settings: Links, clock: Clock, max_open: usize) -> Self {
+    pub fn new(settings: ConnectionSettings, clock: Clock, max_open: usize) -> Self {
         let (idle, open) = (RefCell::default(), OpenConnections::default());
         Self { idle, open, max_open: max_open.max(1), settings, clock }
     }
@@ -70,12 +70,12 @@
     /// Drops connections that are closed or have been idle for too long.
     pub fn drop_stale(&self) {
         let now = self.clock.now();
-        self.idle.borrow_mut().retain(|_, idle| idle.is_usable(now, self.settings.idle));
+        self.idle.borrow_mut().retain(|_, idle| idle.is_usable(now, self.settings.idle_timeout));
     }
 
     fn take_idle(&self, address: BackendAddress) -> Option<BackendConnection> {
         let idle = self.idle.borrow_mut().remove(&address)?;
-        idle.is_usable(self.clock.now(), self.settings.idle).then_some(idle.connection)
+        idle.is_usable(self.clock.now(), self.settings.idle_timeout).then_some(idle.connection)
     }
 
     async fn probe(&self, address: BackendAddress, node: &Node) -> AttemptResult {
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -11,7 +11,7 @@
 use ivyhatch_balancer::{
     Action, Arrival, AttemptEnd, BackendId, Balancer, ClassId, Event, ListScope, Member, Nanos, RequestId,
 };
-use ivyhatch_node_settings::{Fields, Words};
+use ivyhatch_node_settings::{FieldError, Fields, NameTable};
 use serde_json::{Value, json};
 use wire::Line;
 
@@ -22,10 +22,10 @@
     ended: bool,
 }
 
-/// One instance: the module and the words for its numbers. Nothing in it is shared.
+/// One instance: the module and the names for its numbers. Nothing in it is shared.
 struct Instance {
     node: Balancer,
-    words: Words,
+    names: NameTable,
     backends: HashMap<String, BackendId>,
     backend_names: Vec<String>,
     requests: HashMap<String, RequestId>,
@@ -48,8 +48,8 @@
         list.iter()
             .map(|entry| Member {
                 backend: self.backend(&entry.backend),
-                zone: self.words.zone(&entry.zone),
-                machine_kind: self.words.kind(&entry.kind),
+                zone: self.names.zone(&entry.zone),
+                machine_kind: self.names.kind(&entry.kind),
                 cell: entry.cell,
                 state: entry.stage,
                 weight: entry.size,
@@ -139,11 +139,11 @@
     }
 
     /// Takes one line in. True when the batch is complete.
-    fn take(&mut self, line: &Line) -> Result<bool, String> {
-        let Fields { tag, .. } = line.fields;
+    fn take(&mut self, line: &Line) -> Result<bool, FieldError> {
+        let Fields { object: tag, .. } = line.fields;
         let fields = &line.fields;
         match tag {
-            "BATCH" => self.now = fields.whole("sim-time-ns")?,
+            "BATCH" => self.now = fields.unsigned("sim-time-ns")?,
             "GO" => return Ok(true),
             "MANIFEST" => {
                 self.manifests.insert(fields.integer("list")?, wire::entries(fields)?);
@@ -165,18 +165,20 @@
         Ok(false)
     }
 
-    fn open(&mut self, fields: &Fields) -> Result<(), String> {
+    fn open(&mut self, fields: &Fields) -> Result<(), FieldError> {
         let who = fields.integer("who")?;
-        let seed = fields.whole("nonce64")?;
-        let made = ivyhatch_node_settings::read(fields.get("config")?).and_then(|site| {
-            let node = Balancer::new(site.settings, seed, self.now).map_err(|e| e.to_string())?;
-            Ok((node, site.words))
-        });
+        let seed = fields.unsigned("nonce64")?;
+        let made = ivyhatch_node_settings::parse(fields.required("config")?)
+            .map_err(|e| e.to_string())
+            .and_then(|site| {
+                let node = Balancer::new(site.balancer, seed, self.now).map_err(|e| e.to_string())?;
+                Ok((node, site.names))
+            });
         match made {
-            Ok((node, words)) => {
+            Ok((node, names)) => {
                 let instance = Instance {
                     node,
-                    words,
+                    names,
                     backends: HashMap::new(),
                     backend_names: Vec::new(),
                     requests: HashMap::new(),
@@ -191,7 +193,7 @@
         Ok(())
     }
 
-    fn event(&mut self, tag: &str, fields: &Fields) -> Result<(), String> {
+    fn event(&mut self, tag: &str, fields: &Fields) -> Result<(), FieldError> {
         let who = fields.integer("who")?;
         let Some(instance) = self.instances.get_mut(&who) else { return Ok(()) };
         let event = match tag {
@@ -201,36 +203,38 @@
                     "full" => Some(ListScope::Full),
                     "cached" => Some(ListScope::Cached),
                     "failed" => None,
-                    _ => return Err(fields.wrong("mode")),
+                    _ => return Err(fields.invalid("mode")),
                 };
                 match scope {
                     None => Event::DiscoveryFailed,
                     Some(scope) => {
                         let list = fields.integer("list")?;
-                        let entries = self.manifests.get(&list).ok_or_else(|| fields.wrong("list"))?;
+                        let entries = self.manifests.get(&list).ok_or_else(|| fields.invalid("list"))?;
                         Event::Membership { scope, members: instance.members(entries) }
                     }
                 }
             }
             "INCOMING" => {
-                let class = instance.words.class(fields.text("band")?).ok_or_else(|| fields.wrong("band"))?;
-                let options = fields.whole_or("options", 0)?;
-                let hint = fields.whole_or("weight-hint-ns", 0)?;
-                let not_after = fields.whole("not-after-ns")?;
+                let class =
+                    instance.names.class(fields.text("band")?).ok_or_else(|| fields.invalid("band"))?;
+                let options = fields.unsigned_or("options", 0)?;
+                let hint = fields.unsigned_or("weight-hint-ns", 0)?;
+                let not_after = fields.unsigned("not-after-ns")?;
                 let name = fields.text("request-id")?;
                 Event::Request(Arrival {
                     request: instance.request(name),
                     class: ClassId(class),
                     expected_work: (options & 1 != 0).then_some(hint),
                     is_retry: options & 2 != 0,
-                    tenant: instance.words.tenant(fields.map.get("org").and_then(Value::as_str)),
+                    tenant: instance.names.tenant(fields.map.get("org").and_then(Value::as_str)),
                     not_after,
                 })
             }
             "SETTLED" => {
-                let ended = fields.flag("no-more")?;
-                let settlement = (wire::outcome(fields)?, fields.whole("elapsed-ns")?, wire::report(fields)?);
-                let attempt = fields.whole("try")? as u32;
+                let ended = fields.boolean("no-more")?;
+                let settlement =
+                    (wire::outcome(fields)?, fields.unsigned("elapsed-ns")?, wire::report(fields)?);
+                let attempt = fields.unsigned("try")? as u32;
                 let Some(&request) = instance.requests.get(fields.text("request-id")?) else {
                     return Ok(());
                 };
@@ -269,7 +273,7 @@
             }
             "STATUS_BACK" => {
                 let backend = instance.backend(fields.text("backend")?);
-                let elapsed = fields.whole("elapsed-ns")?;
+                let elapsed = fields.unsigned("elapsed-ns")?;
                 Event::ProbeEnded {
                     backend,
                     outcome: wire::outcome(fields)?,
@@ -277,7 +281,7 @@
                     report: wire::report(fields)?,
                 }
             }
-            _ => Event::Timer { token: fields.whole("name")? },
+            _ => Event::Timer { token: fields.unsigned("name")? },
         };
         self.handle(who, event);
         Ok(())
--- a/simulator-adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! The wire's lines, read with plain errors.
 
 use ivyhatch_balancer::{BackendState, LoadReport, Nanos, Outcome};
-use ivyhatch_node_settings::Fields;
+use ivyhatch_node_settings::{FieldError, Fields};
 use serde_json::Value;
 
 /// A line of input: an object with one key, its name.
@@ -16,12 +16,12 @@
         let object = value.as_object().filter(|object| object.len() == 1).ok_or_else(malformed)?;
         let (tag, body) = object.iter().next().ok_or_else(malformed)?;
         let map = body.as_object().ok_or_else(|| format!("line {number}: {tag}: not an object"))?;
-        Ok(Self { number, fields: Fields { tag, map } })
+        Ok(Self { number, fields: Fields { object: tag, map } })
     }
 }
 
 /// The outcome that a message tells.
-pub fn outcome(fields: &Fields) -> Result<Outcome, String> {
+pub fn outcome(fields: &Fields) -> Result<Outcome, FieldError> {
     Ok(match fields.text("disposition")? {
         "S" => Outcome::Served,
         "E" => Outcome::Error,
@@ -31,16 +31,16 @@
         "R" => Outcome::Reset,
         "X" => Outcome::Cancelled,
         "N" => Outcome::NotSent,
-        _ => return Err(fields.wrong("disposition")),
+        _ => return Err(fields.invalid("disposition")),
     })
 }
 
 /// The load report that a message carries, if any.
-pub fn report(fields: &Fields) -> Result<LoadReport, String> {
+pub fn report(fields: &Fields) -> Result<LoadReport, FieldError> {
     let Some(usage) = fields.map.get("usage").filter(|usage| !usage.is_null()) else {
         return Ok(LoadReport::default());
     };
-    let usage = usage.as_object().ok_or_else(|| fields.wrong("usage"))?;
+    let usage = usage.as_object().ok_or_else(|| fields.invalid("usage"))?;
     let figure = |name: &str| usage.get(name).and_then(Value::as_f64);
     Ok(LoadReport {
         utilisation: figure("load_share"),
@@ -60,25 +60,25 @@
     pub online_since: Option<Nanos>,
 }
 
-pub fn entries(fields: &Fields) -> Result<Vec<Entry>, String> {
+pub fn entries(fields: &Fields) -> Result<Vec<Entry>, FieldError> {
     let list = fields.array("members-list")?;
     list.iter()
         .map(|value| {
-            let map = value.as_object().ok_or_else(|| fields.wrong("members-list"))?;
-            let entry = Fields { tag: "MANIFEST", map };
+            let map = value.as_object().ok_or_else(|| fields.invalid("members-list"))?;
+            let entry = Fields { object: "MANIFEST", map };
             Ok(Entry {
                 backend: entry.text("backend")?.to_owned(),
                 zone: entry.text("hall")?.to_owned(),
                 kind: entry.text("type")?.to_owned(),
-                cell: entry.whole_or("pod", 0)?,
+                cell: entry.unsigned_or("pod", 0)?,
                 stage: match entry.text("stage-state")? {
                     "in_service" => BackendState::InService,
                     "terminating" => BackendState::Draining,
                     "terminated" => BackendState::Removed,
-                    _ => return Err(entry.wrong("stage-state")),
+                    _ => return Err(entry.invalid("stage-state")),
                 },
                 size: entry.number_or("power-hint", 1.0)?,
-                online_since: Some(entry.whole_or("online-since-ns", 0)?).filter(|&at| at > 0),
+                online_since: Some(entry.unsigned_or("online-since-ns", 0)?).filter(|&at| at > 0),
             })
         })
         .collect()
