--- a/config/tests/config.rs
+++ b/config/tests/config.rs
@@ -226,8 +226,8 @@
     for instance in &config.instances {
         let configuration = config.node_configuration(instance, 7);
         assert_eq!(configuration["seed"], "0000000000000007");
-        let site = ivyhatch_node_settings::read(&configuration["settings"]).expect("settings");
-        let settings = site.settings;
+        let node = ivyhatch_node_settings::parse(&configuration["settings"]).expect("settings");
+        let settings = node.balancer;
         assert_eq!((settings.zones, settings.nodes, settings.limits.max_attempts), (3, 3, 3));
         assert_eq!(settings.limits.max_retry_after, 1_000_000_000);
         assert_eq!(settings.classes[0].latency_target, 800_000_000);
