--- a/control/tests/long_histories.rs
+++ b/control/tests/catch_up_time.rs
@@ -1,5 +1,5 @@
-//! After hundreds and thousands of changes a node that restarts, comes back with an empty disk, or takes another's place is as soon and
-//! as cheaply up to date as after ten.
+//! The time and the bytes that a node needs to catch up after a restart, with an empty disk, or as a successor do not grow with the
+//! number of past changes.
 
 #[path = "common/cluster.rs"]
 mod cluster;
@@ -17,13 +17,13 @@
 const ROUTES: u64 = 200;
 /// The successor of the third node.
 const SUCCESSOR: u32 = 4;
-/// A node that is back counts within this, however long the history: a restart, a lost disk, a replacement (which waits for two seconds
-/// of silence).
+/// A node votes again within this time, however many changes there were: after a restart, a lost disk, or as a successor (which
+/// waits until the voter has been unreachable for two seconds).
 const RESTART_LIMIT: Nanos = SECOND;
 const WIPE_LIMIT: Nanos = SECOND;
 const REPLACEMENT_LIMIT: Nanos = 3 * SECOND;
-/// Whatever a node that is back is sent, against what it has in the end.
-const MOST_COPIES: u64 = 12;
+/// The most that a node is sent while it catches up, as a multiple of the state that it has in the end.
+const MAX_COPIES: u64 = 12;
 
 fn body(revision: u64) -> Vec<u8> {
     let route = |number: u64| {
@@ -37,9 +37,9 @@
         .into_bytes()
 }
 
-/// Three nodes after so many changes.
+/// Three nodes after this many changes.
 fn after_changes(changes: u64) -> Cluster {
-    let mut cluster = Cluster::founded();
+    let mut cluster = Cluster::bootstrapped();
     for revision in 1..=changes {
         let request = AdminRequest::Put { base: revision - 1, body: body(revision) };
         let response = cluster.request(1 + (revision % 3) as u32, request);
@@ -52,7 +52,7 @@
     cluster.plane(node).committed_state(PartitionId::CONFIGURATION).0
 }
 
-/// How long a node takes until it votes and knows all changes, and how many bytes it is sent.
+/// The time until a node votes and has all changes, and the bytes that it is sent.
 fn catch_up(cluster: &mut Cluster, node: u32, changes: u64) -> (Nanos, u64) {
     let started = cluster.now();
     cluster
@@ -64,8 +64,8 @@
     stored.records().iter().map(|record| record.write_to_vec().map_or(0, |bytes| bytes.len() as u64)).sum()
 }
 
-/// Plays the same after each history: the time and the bytes stay within bounds that do not know how long the history is.
-fn holds_for_each_history(name: &str, limit: Nanos, node: u32, back: impl Fn(&mut Cluster)) {
+/// Checks, for each number of past changes, that a node catches up within bounds that do not depend on that number.
+fn catches_up_after_each_history(name: &str, limit: Nanos, node: u32, back: impl Fn(&mut Cluster)) {
     for changes in HISTORIES {
         let mut cluster = after_changes(changes);
         back(&mut cluster);
@@ -76,7 +76,7 @@
             time / 1_000_000
         );
         expect_that!(time, le(limit), "{changes}");
-        expect_that!(bytes, le(MOST_COPIES * state), "{changes}");
+        expect_that!(bytes, le(MAX_COPIES * state), "{changes}");
         let next = AdminRequest::Put { base: changes, body: body(changes + 1) };
         expect_that!(cluster.request(node, next), eq(&AdminResponse::Applied { revision: changes + 1 }));
     }
@@ -84,16 +84,16 @@
 
 #[gtest]
 fn restarted_node_is_up_to_date_in_bounded_time() {
-    holds_for_each_history("restart", RESTART_LIMIT, 3, |cluster| {
+    catches_up_after_each_history("restart", RESTART_LIMIT, 3, |cluster| {
         let disk = cluster.stop(3);
         cluster.start(3, 3, disk, false);
     });
 }
 
 #[gtest]
-fn node_that_was_away_for_many_changes_is_up_to_date_in_bounded_time() {
+fn node_that_missed_many_changes_is_up_to_date_in_bounded_time() {
     for changes in [10, 300] {
-        let mut cluster = Cluster::founded();
+        let mut cluster = Cluster::bootstrapped();
         let disk = cluster.stop(3);
         for revision in 1..=changes {
             let request = AdminRequest::Put { base: revision - 1, body: body(revision) };
@@ -101,14 +101,14 @@
         }
         cluster.start(3, 3, disk, false);
         let (time, bytes) = catch_up(&mut cluster, 3, changes);
-        println!("away for {changes} changes: {} ms, {bytes} bytes", time / 1_000_000);
+        println!("down for {changes} changes: {} ms, {bytes} bytes", time / 1_000_000);
         expect_that!(time, le(RESTART_LIMIT));
     }
 }
 
 #[gtest]
 fn node_that_has_lost_its_disk_votes_again_in_bounded_time() {
-    holds_for_each_history("wipe", WIPE_LIMIT, 3, |cluster| {
+    catches_up_after_each_history("wipe", WIPE_LIMIT, 3, |cluster| {
         cluster.stop(3);
         cluster.start(3, 3, DurableState::default(), false);
     });
@@ -116,14 +116,14 @@
 
 #[gtest]
 fn successor_votes_in_bounded_time() {
-    holds_for_each_history("replacement", REPLACEMENT_LIMIT, SUCCESSOR, |cluster| {
+    catches_up_after_each_history("replacement", REPLACEMENT_LIMIT, SUCCESSOR, |cluster| {
         cluster.stop(3);
         cluster.start(SUCCESSOR, 3, DurableState::default(), false);
     });
 }
 
 #[gtest]
-fn order_that_was_taken_hundreds_of_changes_ago_is_acknowledged_again_and_its_rival_is_not() {
+fn request_applied_hundreds_of_changes_ago_is_acknowledged_again_and_a_rival_conflicts() {
     let mut cluster = after_changes(300);
     let again = AdminRequest::Put { base: 4, body: body(5) };
     expect_that!(cluster.request(2, again), eq(&AdminResponse::Applied { revision: 300 }));
--- a/control/tests/common/cluster.rs
+++ b/control/tests/common/cluster.rs
@@ -1,4 +1,4 @@
-//! Control nodes in virtual time, on links and disks that do no harm by themselves.
+//! A cluster of control nodes in virtual time, without faults of the network or the disks.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -27,7 +27,7 @@
     received: u64,
 }
 
-/// Nodes, each in a zone of its own unless it takes another's place.
+/// A cluster. Each node has a zone of its own, except for successors.
 #[derive(Default)]
 pub struct Cluster {
     now: Nanos,
@@ -40,20 +40,21 @@
 }
 
 impl Cluster {
-    /// Three nodes, and the first membership.
-    pub fn founded() -> Self {
+    /// Three nodes with the first membership.
+    pub fn bootstrapped() -> Self {
         let mut cluster = Self::default();
         for node in 1..=3 {
             cluster.start(node, node, DurableState::default(), true);
         }
-        cluster.run_until("the membership is founded", |cluster| (1..=3).all(|node| cluster.votes(node)));
+        cluster
+            .run_until("the first membership is in force", |cluster| (1..=3).all(|node| cluster.votes(node)));
         cluster
     }
 
-    /// Starts a node in the zone of this one, with what is on its disk.
+    /// Starts a node in a zone, with what its disk holds.
     pub fn start(&mut self, node: u32, zone: u32, disk: DurableState, first_start: bool) {
         self.starts += 1;
-        let identity = NodeConfig {
+        let config = NodeConfig {
             node: NodeId(node),
             zone: format!("zone-{zone}"),
             incarnation: self.starts << 32,
@@ -64,13 +65,13 @@
             server_list_interval: SECOND,
             drain_timeout: 6 * SECOND,
         };
-        let incarnation = identity.incarnation;
-        let plane = ControlPlane::new(identity, disk.clone(), self.now);
+        let incarnation = config.incarnation;
+        let plane = ControlPlane::new(config, disk.clone(), self.now);
         self.members.insert(NodeId(node), Member { plane, incarnation, disk, received: 0 });
         self.after(0, NodeId(node), Event::Tick(incarnation));
     }
 
-    /// Stops a node; what its disk holds.
+    /// Stops a node, and returns what its disk holds.
     pub fn stop(&mut self, node: u32) -> DurableState {
         self.members.remove(&NodeId(node)).expect("it runs").disk
     }
@@ -96,7 +97,7 @@
         self.plane(node).status() == ReplicaStatus::Voter
     }
 
-    /// An operator's request at a node, and the response.
+    /// Sends an operator's request to a node, and returns the response.
     pub fn request(&mut self, node: u32, request: AdminRequest) -> AdminResponse {
         self.requests += 1;
         let id = self.requests;
@@ -105,14 +106,14 @@
         self.responses.remove(&id).expect("it is answered")
     }
 
-    /// Lets time pass until this holds.
+    /// Advances time until the condition holds.
     pub fn run_until(&mut self, what: &str, mut done: impl FnMut(&Self) -> bool) {
         let end = self.now + 20 * SECOND;
         while !done(self) {
-            assert!(self.now < end, "in vain: {what}");
+            assert!(self.now < end, "timed out: {what}");
             let ((at, _), (node, event)) = self.queue.pop_first().expect("nodes tick");
             self.now = at;
-            self.happens(node, event);
+            self.handle_event(node, event);
         }
     }
 
@@ -121,7 +122,7 @@
         self.queue.insert((self.now + after, self.queued), (node, event));
     }
 
-    fn happens(&mut self, node: NodeId, event: Event) {
+    fn handle_event(&mut self, node: NodeId, event: Event) {
         let runs =
             |incarnation| self.members.get(&node).is_some_and(|member| member.incarnation == incarnation);
         match event {
--- a/control/tests/common/mod.rs
+++ b/control/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Control nodes and their heartbeats, as the tests need them.
+//! Builders of control nodes, memberships and heartbeats, and the steps that tests take with them.
 #![allow(dead_code)]
 
 use std::collections::BTreeSet;
@@ -9,7 +9,7 @@
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
 pub const NODES: [NodeId; 3] = [NodeId(1), NodeId(2), NodeId(3)];
-pub const GRACE: Nanos = 6 * SECOND;
+pub const DRAIN_TIMEOUT: Nanos = 6 * SECOND;
 
 pub fn replica(node: u32) -> ReplicaId {
     ReplicaId { node: NodeId(node), disk: u64::from(node) * 100 }
@@ -25,7 +25,7 @@
     Membership { generation: 1, voters: (1..=3).map(voter).collect(), previous: Vec::new() }
 }
 
-pub fn identity(node: u32, first_start: bool) -> NodeConfig {
+pub fn node_config(node: u32, first_start: bool) -> NodeConfig {
     NodeConfig {
         node: NodeId(node),
         zone: zone(node),
@@ -35,7 +35,7 @@
         seeds: NODES.to_vec(),
         zones: BTreeSet::from(["a".to_owned()]),
         server_list_interval: SECOND,
-        drain_timeout: GRACE,
+        drain_timeout: DRAIN_TIMEOUT,
     }
 }
 
@@ -47,7 +47,7 @@
 /// A voter of this membership that has just started.
 pub fn voter(node: u32, membership: Membership) -> ControlPlane {
     let stored = records(node, membership).into_iter().collect();
-    ControlPlane::new(identity(node, false), stored, 0)
+    ControlPlane::new(node_config(node, false), stored, 0)
 }
 
 /// A heartbeat of another voter, under the first membership.
@@ -66,8 +66,8 @@
     }
 }
 
-/// Has a node hear these, and then that time has passed.
-pub fn hear(plane: &mut ControlPlane, at_ms: u64, messages: &[(u32, PeerMessage)]) -> Vec<Output> {
+/// Delivers messages to a node, and then a tick; returns the outputs.
+pub fn step(plane: &mut ControlPlane, at_ms: u64, messages: &[(u32, PeerMessage)]) -> Vec<Output> {
     let (at, mut out) = (at_ms * MILLISECOND, Vec::new());
     for (from, message) in messages {
         plane.handle(at, Input::Peer(NodeId(*from), message.clone()), &mut out);
@@ -76,9 +76,9 @@
     out
 }
 
-/// The same, and everything that it has stored is on its disk then.
-pub fn hear_and_store(plane: &mut ControlPlane, at_ms: u64, messages: &[(u32, PeerMessage)]) -> Vec<Output> {
-    let mut out = hear(plane, at_ms, messages);
+/// The same as [`step`], with all writes made durable after it.
+pub fn step_and_store(plane: &mut ControlPlane, at_ms: u64, messages: &[(u32, PeerMessage)]) -> Vec<Output> {
+    let mut out = step(plane, at_ms, messages);
     let writes: Vec<u64> = out
         .iter()
         .filter_map(|output| match output {
@@ -92,7 +92,7 @@
     out
 }
 
-/// What was sent to a node.
+/// The messages to a node.
 pub fn sent_to(out: &[Output], node: u32) -> Vec<&PeerMessage> {
     let message = |output| match output {
         &Output::Send(to, ref message) if to == NodeId(node) => Some(message),
@@ -102,20 +102,22 @@
 }
 
 /// The first log event of this name.
-pub fn logged<'a>(out: &'a [Output], name: &str) -> Option<&'a LogEvent> {
+pub fn log_event<'a>(out: &'a [Output], name: &str) -> Option<&'a LogEvent> {
     out.iter().find_map(|output| match output {
         Output::Log(event) if event.name() == name => Some(event),
         _ => None,
     })
 }
 
-/// Whether an election for this partition is started.
-pub fn starts_election(out: &[Output], part: PartitionId) -> bool {
+/// Whether the outputs start an election for this partition.
+pub fn starts_election(out: &[Output], partition: PartitionId) -> bool {
     out.iter().any(|output| match output {
         Output::Send(
             _,
-            PeerMessage::Consensus { partition: of, message: ConsensusMessage::Prepare { .. }, .. },
-        ) => *of == part,
+            PeerMessage::Consensus {
+                partition: contended, message: ConsensusMessage::Prepare { .. }, ..
+            },
+        ) => *contended == partition,
         _ => false,
     })
 }
--- a/control/tests/golden_records.rs
+++ b/control/tests/golden_records.rs
@@ -243,9 +243,10 @@
 fn accepted_values_of_the_golden_file_are_read_as_the_state_of_their_partitions() {
     let folder = folder_with("appended.records");
     let stored = read_state(folder.path());
-    let value =
-        |part: PartitionId| stored.partitions[&part].accepted.as_ref().expect("a value").value.clone();
-    let read = |part: PartitionId| PartitionState::decode(part, &value(part));
+    let value = |partition: PartitionId| {
+        stored.partitions[&partition].accepted.as_ref().expect("a value").value.clone()
+    };
+    let read = |partition: PartitionId| PartitionState::decode(partition, &value(partition));
     expect_that!(read(PartitionId::CONFIGURATION), some(eq(&PartitionState::Configuration(configured()))));
     expect_that!(read(EVACUATIONS), some(eq(&PartitionState::Evacuations(evacuated()))));
     let membership = Membership::read_from_buffer(&value(PartitionId::MEMBERSHIP)).expect("a membership");
--- a/control/tests/partition.rs
+++ b/control/tests/partition.rs
@@ -1,20 +1,20 @@
-//! One part, as its owner sees it while another owner has come and gone.
+//! The consensus on one partition, as its leader sees it while another leader has come and gone.
 
 use googletest::prelude::*;
 use ivyhatch_control::partition::{Effect, PartitionReplica};
 use ivyhatch_protocol::ids::{Ballot, NodeId};
 use ivyhatch_protocol::peer::{AcceptedValue, AcceptorState, ConsensusMessage};
 
-const MEMBERS: [NodeId; 3] = [NodeId(1), NodeId(2), NodeId(3)];
+const VOTERS: [NodeId; 3] = [NodeId(1), NodeId(2), NodeId(3)];
 
 fn promise(ballot: Ballot) -> ConsensusMessage {
     ConsensusMessage::Promise { ballot, accepted: None }
 }
 
 #[gtest]
-fn an_owner_whose_proposal_another_has_decided_stands_back() {
+fn leader_steps_down_when_another_leader_has_committed_its_proposal() {
     let mut partition = PartitionReplica::new(NodeId(1), 11, AcceptorState::default());
-    partition.set_voters(&MEMBERS, &mut Vec::new());
+    partition.set_voters(&VOTERS, &mut Vec::new());
     let mut out = Vec::new();
     partition.start_election(0, &mut out);
     let ballot = Ballot { counter: 1, node: NodeId(1), incarnation: 11 };
@@ -22,7 +22,7 @@
     partition.handle(0, NodeId(3), promise(ballot), true, &mut out);
     partition.propose(0, vec![7], &mut out);
     partition.handle(0, NodeId(2), ConsensusMessage::Accepted { ballot, sequence: 1 }, true, &mut out);
-    // Another owner found the proposal at the second member, and had it committed under its own ballot.
+    // Another leader has found the proposal on the second voter, and committed it under its own ballot.
     let higher = Ballot { counter: 2, node: NodeId(3), incarnation: 33 };
     let committed = AcceptedValue { ballot: higher, sequence: 1, value: vec![7] };
     out.clear();
@@ -30,16 +30,16 @@
     expect_that!(out, elements_are![eq(&Effect::SteppedDown), eq(&Effect::Committed(committed))]);
     expect_that!(partition.is_contending(), eq(false));
     out.clear();
-    // Its next ballot is above the one that it has heard of.
+    // The next ballot is above the other leader's.
     partition.start_election(0, &mut out);
-    let above = |effect: &Effect| matches!(effect, Effect::Send(_, ConsensusMessage::Prepare { ballot }) if *ballot > higher);
-    expect_that!(out.iter().all(above), eq(true));
+    let is_above = |effect: &Effect| matches!(effect, Effect::Send(_, ConsensusMessage::Prepare { ballot }) if *ballot > higher);
+    expect_that!(out.iter().all(is_above), eq(true));
 }
 
 #[gtest]
-fn an_owner_goes_on_when_it_hears_of_older_decisions() {
+fn leader_keeps_leading_when_it_learns_of_an_older_commit() {
     let mut partition = PartitionReplica::new(NodeId(3), 33, AcceptorState::default());
-    partition.set_voters(&MEMBERS, &mut Vec::new());
+    partition.set_voters(&VOTERS, &mut Vec::new());
     let mut out = Vec::new();
     partition.start_election(0, &mut out);
     let ballot = Ballot { counter: 1, node: NodeId(3), incarnation: 33 };
