--- a/control/src/change_feed.rs
+++ b/control/src/change_feed.rs
@@ -6,7 +6,7 @@
 use ivyhatch_protocol::ids::PartitionId;
 use ivyhatch_protocol::watch::{EvacuationUpdate, Position, Shared, WatchResponse, ZoneEvacuation};
 
-use crate::partition_state::{EvacuationState, PartitionState};
+use crate::partition_state::{EvacuationState, EvacuationStatus, PartitionState};
 
 /// The number of changes of the configuration that are kept for watchers that are behind.
 const MAX_CHANGES: usize = 64;
@@ -107,10 +107,10 @@
 }
 
 fn zone_evacuations(evacuations: &EvacuationState) -> Vec<ZoneEvacuation> {
-    let zone = |(zone, (active, change_count)): (&String, &(bool, u64))| ZoneEvacuation {
+    let zone = |(zone, state): (&String, &EvacuationStatus)| ZoneEvacuation {
         zone: zone.clone(),
-        active: *active,
-        change_count: *change_count,
+        active: state.active,
+        change_count: state.change_count,
     };
     evacuations.zones.iter().map(zone).collect()
 }
--- a/control/src/control_plane/mod.rs
+++ b/control/src/control_plane/mod.rs
@@ -79,8 +79,8 @@
     pub fn new(config: NodeConfig, stored: DurableState, now: Nanos) -> Self {
         let (stored, pending_format) = format_if_needed(&config, stored);
         let replica = LocalReplica::new(StoredReplica {
-            replica: stored.replica.map(|(replica, _)| replica),
-            may_bootstrap: stored.replica.is_some_and(|(_, first_start)| first_start),
+            replica: stored.replica.map(|formatted| formatted.id),
+            may_bootstrap: stored.replica.is_some_and(|formatted| formatted.first_start),
             membership: stored.membership,
             joined: stored.joined,
         });
@@ -288,7 +288,7 @@
 /// What the disk holds, and the format that it needs first: where it is empty, or was formatted on another machine. Such a disk is a
 /// copy, or was moved, and its promises are another replica's.
 fn format_if_needed(config: &NodeConfig, stored: DurableState) -> (DurableState, Option<PendingFormat>) {
-    let is_foreign = stored.replica.is_some_and(|(replica, _)| replica.node != config.node);
+    let is_foreign = stored.replica.is_some_and(|formatted| formatted.id.node != config.node);
     let mut stored = if is_foreign { DurableState::default() } else { stored };
     if !config.has_disk || stored.replica.is_some() {
         return (stored, None);
--- a/control/src/control_plane/reconfiguration.rs
+++ b/control/src/control_plane/reconfiguration.rs
@@ -8,7 +8,6 @@
 use super::ControlPlane;
 use crate::interface::Output;
 use crate::log_event::LogEvent;
-use crate::membership::FIRST_GENERATION;
 use crate::outbox::Envelope;
 use crate::reconfiguration;
 use crate::record::Record;
@@ -35,7 +34,7 @@
         self.outbox.log(LogEvent::Membership { generation, voters });
         self.replica.set_membership(membership.clone());
         let write = self.outbox.store(vec![Record::Membership(membership)]);
-        self.membership_sender.write_begun(write, generation == FIRST_GENERATION);
+        self.membership_sender.write_begun(write, generation);
         self.state_transfer.reset();
         self.partitions.reset_membership();
         let voter_nodes: Vec<NodeId> = self.replica.voter_nodes().collect();
--- a/control/src/control_plane/requests.rs
+++ b/control/src/control_plane/requests.rs
@@ -27,7 +27,7 @@
         match request {
             AdminRequest::Evacuate { zone, active, .. } => {
                 let state = self.partitions.state(PartitionId::for_key(&zone));
-                let change_count = state.map_or(0, |state| state.evacuation_changes(&zone));
+                let change_count = state.map_or(0, |state| state.evacuation_change_count(&zone));
                 AdminRequest::Evacuate { zone, active, change_count }
             }
             request => request,
--- a/control/src/durable_state.rs
+++ b/control/src/durable_state.rs
@@ -7,11 +7,20 @@
 
 use crate::record::Record;
 
+/// The replica that a disk was formatted as.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FormattedReplica {
+    /// The replica.
+    pub id: ReplicaId,
+    /// Whether the disk was formatted on the first start of the whole system.
+    pub first_start: bool,
+}
+
 /// What all records of a disk make up together.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DurableState {
-    /// The replica that the disk was formatted as, and whether that was on the first start of the whole system.
-    pub replica: Option<(ReplicaId, bool)>,
+    /// The replica that the disk was formatted as; `None` for an empty disk.
+    pub replica: Option<FormattedReplica>,
     /// The newest membership, once there is one.
     pub membership: Option<Membership>,
     /// The generation in which the replica became a voter, once it holds the state that it needs to vote.
@@ -27,7 +36,8 @@
     pub fn apply(&mut self, record: Record) {
         match record {
             Record::Formatted { replica, first_start } => {
-                *self = Self { replica: Some((replica, first_start)), ..Self::default() };
+                let replica = Some(FormattedReplica { id: replica, first_start });
+                *self = Self { replica, ..Self::default() };
             }
             Record::Membership(membership) => {
                 // Each generation decides on the next one anew.
@@ -52,7 +62,9 @@
 
     /// Records that make up the same state, for compaction.
     pub fn records(&self) -> Vec<Record> {
-        let formatted = self.replica.map(|(replica, first_start)| Record::Formatted { replica, first_start });
+        let formatted = self
+            .replica
+            .map(|FormattedReplica { id, first_start }| Record::Formatted { replica: id, first_start });
         let membership = self.membership.clone().map(Record::Membership);
         let joined = self.joined.map(Record::Joined);
         let of_partition = |(partition, state): (&PartitionId, &AcceptorState)| {
--- a/control/src/membership_sender.rs
+++ b/control/src/membership_sender.rs
@@ -6,6 +6,7 @@
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
 use crate::interface::WriteToken;
+use crate::membership::FIRST_GENERATION;
 
 /// Wait before the membership is sent to the same node again.
 const SEND_INTERVAL: Nanos = 250 * MILLISECOND;
@@ -20,9 +21,9 @@
 }
 
 impl MembershipSender {
-    /// A membership is being written; `is_first` for that of the first generation.
-    pub fn write_begun(&mut self, token: WriteToken, is_first: bool) {
-        self.bootstrap_write = is_first.then_some(token);
+    /// The membership of a generation is being written.
+    pub fn write_begun(&mut self, token: WriteToken, generation: u64) {
+        self.bootstrap_write = (generation == FIRST_GENERATION).then_some(token);
     }
 
     /// A write is durable.
--- a/control/src/partition_state.rs
+++ b/control/src/partition_state.rs
@@ -38,11 +38,20 @@
     pub applied_digests: Vec<u64>,
 }
 
+/// The evacuation of one zone.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
+pub struct EvacuationStatus {
+    /// Whether the zone is evacuated.
+    pub active: bool,
+    /// How many times `active` has changed.
+    pub change_count: u64,
+}
+
 /// The value of the partitions that zones are hashed into.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct EvacuationState {
-    /// Each zone that was ever evacuated: whether it is now, and how many times that has changed.
-    pub zones: BTreeMap<String, (bool, u64)>,
+    /// Each zone that was ever evacuated.
+    pub zones: BTreeMap<String, EvacuationStatus>,
 }
 
 /// The decoded value of a partition.
@@ -84,9 +93,11 @@
     }
 
     /// How many times the evacuation of a zone has begun or ended.
-    pub fn evacuation_changes(&self, zone: &str) -> u64 {
+    pub fn evacuation_change_count(&self, zone: &str) -> u64 {
         match self {
-            Self::Evacuations(evacuations) => evacuations.zones.get(zone).map_or(0, |(_, changes)| *changes),
+            Self::Evacuations(evacuations) => {
+                evacuations.zones.get(zone).map_or(0, |state| state.change_count)
+            }
             Self::Configuration(_) => 0,
         }
     }
@@ -141,19 +152,20 @@
 }
 
 impl EvacuationState {
-    fn decide(&self, zone: &str, active: bool, known_changes: u64) -> Decision {
+    fn decide(&self, zone: &str, active: bool, known_change_count: u64) -> Decision {
         let response = AdminResponse::Applied { revision: 0 };
-        let (is_active, changes) = self.zones.get(zone).copied().unwrap_or_default();
-        if is_active == active {
+        let current = self.zones.get(zone).copied().unwrap_or_default();
+        if current.active == active {
             return Decision::Respond(response);
         }
-        if known_changes != changes {
+        if known_change_count != current.change_count {
             let text =
                 "the zone's evacuation has changed since this was sent: send it again if it still holds";
             return Decision::Respond(AdminResponse::Unavailable(text.to_owned()));
         }
         let mut changed = self.clone();
-        changed.zones.insert(zone.to_owned(), (active, changes + 1));
+        let change_count = current.change_count + 1;
+        changed.zones.insert(zone.to_owned(), EvacuationStatus { active, change_count });
         propose(&changed, response)
     }
 }
--- a/control/tests/change_feed.rs
+++ b/control/tests/change_feed.rs
@@ -2,7 +2,9 @@
 
 use googletest::prelude::*;
 use ivyhatch_control::change_feed::ChangeFeed;
-use ivyhatch_control::partition_state::{ConfigurationState, EvacuationState, PartitionState};
+use ivyhatch_control::partition_state::{
+    ConfigurationState, EvacuationState, EvacuationStatus, PartitionState,
+};
 use ivyhatch_protocol::configuration::Document;
 use ivyhatch_protocol::ids::PartitionId;
 use ivyhatch_protocol::watch::{Position, WatchResponse};
@@ -78,7 +80,7 @@
 #[gtest]
 fn evacuations_are_sent_to_watchers_with_an_older_sequence() {
     let mut feed = ChangeFeed::default();
-    let zones = [("north".to_owned(), (true, 1))].into();
+    let zones = [("north".to_owned(), EvacuationStatus { active: true, change_count: 1 })].into();
     feed.committed(EVACUATIONS, 5, &PartitionState::Evacuations(EvacuationState { zones }));
     expect_that!(feed.updates_since(&Position::default()).len(), eq(1));
     expect_that!(feed.updates_since(&feed.position()), is_empty());
--- a/control/tests/golden_records.rs
+++ b/control/tests/golden_records.rs
@@ -11,8 +11,10 @@
 
 use googletest::prelude::*;
 use ivyhatch_control::Record;
-use ivyhatch_control::durable_state::DurableState;
-use ivyhatch_control::partition_state::{ConfigurationState, EvacuationState, PartitionState};
+use ivyhatch_control::durable_state::{DurableState, FormattedReplica};
+use ivyhatch_control::partition_state::{
+    ConfigurationState, EvacuationState, EvacuationStatus, PartitionState,
+};
 use ivyhatch_protocol::configuration::Document;
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{AcceptedValue, AcceptorState, Membership, Voter};
@@ -66,7 +68,8 @@
 }
 
 fn evacuated() -> EvacuationState {
-    let zones = [("north-a".to_owned(), (false, 2)), ("south-a".to_owned(), (true, 3))];
+    let state = |active, change_count| EvacuationStatus { active, change_count };
+    let zones = [("north-a".to_owned(), state(false, 2)), ("south-a".to_owned(), state(true, 3))];
     EvacuationState { zones: BTreeMap::from(zones) }
 }
 
@@ -109,7 +112,7 @@
         accepted,
     };
     DurableState {
-        replica: Some((replica(1), true)),
+        replica: Some(FormattedReplica { id: replica(1), first_start: true }),
         membership: Some(second_membership()),
         joined: Some(1),
         partitions: BTreeMap::from([
--- a/control/tests/reconfiguration.rs
+++ b/control/tests/reconfiguration.rs
@@ -236,7 +236,7 @@
 }
 
 #[gtest]
-fn state_that_is_handed_out_twice_by_one_replica_counts_once() {
+fn state_sent_twice_by_one_replica_counts_once() {
     let mut node = successor();
     let once = transfer(1, 2, state(3, 5, 3));
     step_and_store(&mut node, 200, &[once.clone(), once.clone(), once]);
@@ -260,7 +260,7 @@
 }
 
 #[gtest]
-fn state_that_an_earlier_process_has_asked_for_does_not_count() {
+fn state_requested_by_an_earlier_process_does_not_count() {
     let mut node = successor();
     let of_earlier = |from| {
         let disk = replica(from).disk;
--- a/control/tests/timing.rs
+++ b/control/tests/timing.rs
@@ -94,12 +94,12 @@
 #[gtest]
 fn first_membership_is_held_back_until_its_write_is_durable() {
     let mut sender = MembershipSender::default();
-    sender.write_begun(4, true);
+    sender.write_begun(4, 1);
     expect_false!(sender.begin_send(START, NodeId(2)));
     sender.write_completed(3);
     expect_false!(sender.may_send());
     sender.write_completed(4);
     expect_true!(sender.begin_send(START, NodeId(2)));
-    sender.write_begun(5, false);
+    sender.write_begun(5, 2);
     expect_true!(sender.may_send());
 }
--- a/simulation/src/run/machine.rs
+++ b/simulation/src/run/machine.rs
@@ -72,7 +72,7 @@
 /// Whether a disk holds the state with which its replica may vote: it has completed its state transfer, or it belongs to a voter of
 /// the first membership.
 pub(super) fn may_vote(stored: &DurableState) -> bool {
-    let replica = stored.replica.map(|(replica, _)| replica);
+    let replica = stored.replica.map(|formatted| formatted.id);
     let voter = replica.zip(stored.membership.as_ref()).and_then(|(replica, known)| known.voter(replica));
     stored.joined.is_some() || voter.is_some_and(|voter| voter.joined_generation == FIRST_GENERATION)
 }
@@ -139,6 +139,6 @@
     else {
         return ZoneState::default();
     };
-    let (evacuated, change_count) = partition.zones.get(zone).copied().unwrap_or_default();
-    ZoneState { evacuated, change_count }
+    let status = partition.zones.get(zone).copied().unwrap_or_default();
+    ZoneState { evacuated: status.active, change_count: status.change_count }
 }
--- a/simulation/src/run/processes.rs
+++ b/simulation/src/run/processes.rs
@@ -2,6 +2,7 @@
 
 use std::collections::BTreeSet;
 
+use ivyhatch_control::durable_state::FormattedReplica;
 use ivyhatch_control::{ControlPlane, NodeConfig};
 use ivyhatch_protocol::ids::NodeId;
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
@@ -63,7 +64,7 @@
         this.state_sources = needs_state.then(BTreeSet::new);
         if let (Some(InjectedBug::VotesAfterWipe), Some(lost)) = (self.injected_bug, this.lost_replica.take())
         {
-            stored.replica = Some((lost.replica, false));
+            stored.replica = Some(FormattedReplica { id: lost.replica, first_start: false });
             stored.membership = lost.membership;
             stored.joined = lost.joined_generation;
         }
@@ -138,8 +139,8 @@
     pub(super) fn wipe_disk(&mut self, machine: usize) {
         let this = &mut self.machines[machine];
         let stored = this.disk.stored();
-        this.lost_replica = stored.replica.map(|(replica, _)| LostReplica {
-            replica,
+        this.lost_replica = stored.replica.map(|formatted| LostReplica {
+            replica: formatted.id,
             membership: stored.membership.clone(),
             joined_generation: stored.joined,
         });
--- a/system/tests/stored_codecs.rs
+++ b/system/tests/stored_codecs.rs
@@ -4,7 +4,9 @@
 
 use googletest::prelude::*;
 use ivyhatch_control::Record;
-use ivyhatch_control::partition_state::{ConfigurationState, EvacuationState, PartitionState};
+use ivyhatch_control::partition_state::{
+    ConfigurationState, EvacuationState, EvacuationStatus, PartitionState,
+};
 use ivyhatch_protocol::configuration::Document;
 use ivyhatch_protocol::ids::{Ballot, PartitionId};
 use proptest::collection::vec;
@@ -45,8 +47,8 @@
             .expect("a readable configuration");
     let configured = ConfigurationState { document, applied_digests: vec![1, 2, 3] };
     let mut evacuated = EvacuationState::default();
-    evacuated.zones.insert("za".to_owned(), (true, 3));
-    evacuated.zones.insert("zb".to_owned(), (false, 2));
+    evacuated.zones.insert("za".to_owned(), EvacuationStatus { active: true, change_count: 3 });
+    evacuated.zones.insert("zb".to_owned(), EvacuationStatus { active: false, change_count: 2 });
     vec![
         Record::Promised(PartitionId(1), Ballot::default()).write_to_vec().expect("bytes"),
         configured.write_to_vec().expect("bytes"),
