--- a/agent/src/agent/api.rs
+++ b/agent/src/agent/api.rs
@@ -11,7 +11,8 @@
 use crate::store::{Change, Command, Outcome, Store, StoreError};
 
 use super::status::{AgentStatus, InstanceStatus};
-use super::supervisor::{Supervised, Supervisor};
+use super::supervised_instance::SupervisedInstance;
+use super::supervisor::Supervisor;
 
 /// The most lines of a log in one response.
 const MAX_LOG_LINES: usize = 10_000;
@@ -87,7 +88,7 @@
         }
     }
 
-    fn instance(&self, name: &str) -> Result<&Rc<Supervised>, RequestError> {
+    fn instance(&self, name: &str) -> Result<&Rc<SupervisedInstance>, RequestError> {
         let instance = self.supervisor.instances.get(name);
         instance.ok_or_else(|| RequestError::UnknownInstance(name.to_owned()))
     }
--- a/agent/src/agent/mod.rs
+++ b/agent/src/agent/mod.rs
@@ -5,6 +5,7 @@
 mod options;
 mod runner;
 mod status;
+mod supervised_instance;
 mod supervisor;
 
 pub use error::AgentError;
--- a/agent/src/agent/runner.rs
+++ b/agent/src/agent/runner.rs
@@ -17,7 +17,8 @@
 use super::api::Api;
 use super::error::AgentError;
 use super::options::AgentOptions;
-use super::supervisor::{Supervised, Supervisor};
+use super::supervised_instance::SupervisedInstance;
+use super::supervisor::Supervisor;
 
 const NANOS_PER_MS: Nanos = 1_000_000;
 /// Commands over a large fleet open a connection for each instance, all at once.
@@ -52,7 +53,7 @@
         let entry = desired.instances.get(&config.name);
         let desired_state = entry.map_or(default, |entry| entry.desired_state);
         let supervised =
-            Supervised::new(config.clone(), &state_folder, settings, desired_state, seeds.random());
+            SupervisedInstance::new(config.clone(), &state_folder, settings, desired_state, seeds.random());
         (config.name.clone(), Rc::new(supervised))
     });
     let instances = supervised.collect();
--- /dev/null
+++ b/agent/src/agent/supervised_instance.rs
@@ -0,0 +1,144 @@
+//! A supervised instance: its configuration and files, its state machine, and what the agent knows of its process.
+
+use std::cell::{Cell, RefCell};
+use std::path::Path;
+
+use ivyhatch_config::InstanceSettings;
+use serde_json::Value;
+use tokio::sync::Notify;
+use tokio::time::Instant;
+
+use crate::instance_files::InstanceFiles;
+use crate::lifecycle::{DesiredState, Input, InstanceLifecycle, LifecycleSettings, Nanos, Output};
+
+use super::status::InstanceStatus;
+
+const NANOS_PER_MS: Nanos = 1_000_000;
+
+/// A state that a node has reported, and when.
+struct NodeState {
+    state: Value,
+    reported_at: Instant,
+}
+
+/// An instance with what the agent knows of it.
+pub(super) struct SupervisedInstance {
+    pub(super) config: InstanceSettings,
+    pub(super) files: InstanceFiles,
+    lifecycle: RefCell<InstanceLifecycle>,
+    pid: Cell<Option<i32>>,
+    starts: Cell<u64>,
+    node_state: RefCell<Option<NodeState>>,
+    /// Inputs of operators that are not handled yet.
+    pending_inputs: RefCell<Vec<Input>>,
+    input_added: Notify,
+}
+
+impl SupervisedInstance {
+    pub(super) fn new(
+        config: InstanceSettings,
+        state_folder: &Path,
+        settings: LifecycleSettings,
+        desired_state: DesiredState,
+        seed: u64,
+    ) -> Self {
+        Self {
+            files: InstanceFiles::new(state_folder, &config.name),
+            config,
+            lifecycle: RefCell::new(InstanceLifecycle::new(settings, desired_state, seed, 0)),
+            pid: Cell::default(),
+            starts: Cell::default(),
+            node_state: RefCell::default(),
+            pending_inputs: RefCell::default(),
+            input_added: Notify::new(),
+        }
+    }
+
+    /// Adds an input of an operator, to be handled at once.
+    pub(super) fn add_input(&self, input: Input) {
+        self.pending_inputs.borrow_mut().push(input);
+        self.input_added.notify_one();
+    }
+
+    pub(super) fn pid(&self) -> Option<i32> {
+        self.pid.get()
+    }
+
+    pub(super) fn starts(&self) -> u64 {
+        self.starts.get()
+    }
+
+    pub(super) fn status(&self, now: Nanos) -> InstanceStatus {
+        let lifecycle = self.lifecycle.borrow();
+        let node_state = self.node_state.borrow();
+        let age_ms = |reported_at: Instant| reported_at.elapsed().as_millis() as u64;
+        InstanceStatus {
+            name: self.config.name.clone(),
+            zone: self.config.zone.clone(),
+            labels: self.config.labels.clone(),
+            desired_state: lifecycle.desired_state(),
+            phase: lifecycle.phase(),
+            reason: lifecycle.reason().to_owned(),
+            since_ms: now.saturating_sub(lifecycle.phase_since()) / NANOS_PER_MS,
+            drained: lifecycle.is_drained(),
+            pid: self.pid.get(),
+            starts: self.starts.get(),
+            node_state: node_state.as_ref().map(|node| (node.state.clone(), age_ms(node.reported_at))),
+        }
+    }
+
+    /// Notes that a process has been started.
+    pub(super) fn record_start(&self, pid: i32) {
+        self.pid.set(Some(pid));
+        self.starts.set(self.starts.get() + 1);
+    }
+
+    /// Notes that the process of an earlier agent has been adopted.
+    pub(super) fn record_adoption(&self, pid: i32) {
+        self.pid.set(Some(pid));
+    }
+
+    /// Notes that the process has exited.
+    pub(super) fn record_exit(&self) {
+        self.pid.set(None);
+        self.node_state.take();
+    }
+
+    /// Keeps the state that the node has reported, for the instance's status.
+    pub(super) fn record_node_state(&self, state: Value) {
+        *self.node_state.borrow_mut() = Some(NodeState { state, reported_at: Instant::now() });
+    }
+
+    /// The inputs that operators have added since the last call.
+    pub(super) fn take_inputs(&self) -> Vec<Input> {
+        self.pending_inputs.take()
+    }
+
+    /// Waits until an operator adds an input.
+    pub(super) async fn input_added(&self) {
+        self.input_added.notified().await;
+    }
+
+    /// When a `Tick` is due at the latest, in the time of the supervisor; none while no timeout is running.
+    pub(super) fn next_deadline(&self) -> Option<Nanos> {
+        self.lifecycle.borrow().next_deadline()
+    }
+
+    /// Takes one input; returns what is to be done. A change of the phase is logged.
+    pub(super) fn handle(&self, now: Nanos, input: Input) -> Vec<Output> {
+        let mut lifecycle = self.lifecycle.borrow_mut();
+        let previous = lifecycle.phase();
+        let mut outputs = Vec::new();
+        lifecycle.handle(now, input, &mut outputs);
+        if lifecycle.phase() != previous {
+            let (name, reason) = (&self.config.name, lifecycle.reason());
+            tracing::info!(instance = name, "{:?}: {reason}", lifecycle.phase());
+        }
+        outputs
+    }
+
+    /// Whether a state that came from the instance's socket is that of its process.
+    pub(super) fn is_own_state(&self, state: &Value) -> bool {
+        state["name"] == self.config.name && state["pid"].as_i64() == self.pid.get().map(i64::from)
+    }
+}
--- a/agent/src/agent/supervisor.rs
+++ b/agent/src/agent/supervisor.rs
@@ -1,28 +1,22 @@
 //! Supervision of the instances: feeds each one's state machine with what its process does and what operators ask, and carries out
 //! what the state machine decides.
 
-use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
-use std::path::Path;
 use std::rc::Rc;
 use std::time::Duration;
 
 use ivyhatch_admin_protocol::call;
-use ivyhatch_config::InstanceSettings;
 use serde_json::{Value, json};
 use tokio::process::Command;
-use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
-use crate::instance_files::InstanceFiles;
-use crate::lifecycle::{DesiredState, Input, InstanceLifecycle, LifecycleSettings, Nanos, Output};
+use crate::lifecycle::{Input, Nanos, Output};
 use crate::log_file::rotate_if_large;
 use crate::process::Process;
 
 use super::options::AgentOptions;
-use super::status::InstanceStatus;
+use super::supervised_instance::SupervisedInstance;
 
-const NANOS_PER_MS: Nanos = 1_000_000;
 /// A node is polled so many times within the time after which it is unresponsive.
 const POLLS_PER_SILENCE_TIMEOUT: u64 = 6;
 const MIN_POLL_INTERVAL_MS: u64 = 20;
@@ -30,107 +24,16 @@
 /// The loop of an instance does not spin where a deadline has passed already.
 const MIN_SLEEP: Duration = Duration::from_millis(1);
 
-/// A state that a node has reported, and when.
-struct NodeState {
-    state: Value,
-    reported_at: Instant,
-}
-
-/// An instance with what the agent knows of it.
-pub(super) struct Supervised {
-    pub(super) config: InstanceSettings,
-    pub(super) files: InstanceFiles,
-    lifecycle: RefCell<InstanceLifecycle>,
-    pid: Cell<Option<i32>>,
-    starts: Cell<u64>,
-    node_state: RefCell<Option<NodeState>>,
-    /// Inputs of operators that are not handled yet.
-    pending_inputs: RefCell<Vec<Input>>,
-    input_added: Notify,
-}
-
-impl Supervised {
-    pub(super) fn new(
-        config: InstanceSettings,
-        state_folder: &Path,
-        settings: LifecycleSettings,
-        desired_state: DesiredState,
-        seed: u64,
-    ) -> Self {
-        Self {
-            files: InstanceFiles::new(state_folder, &config.name),
-            config,
-            lifecycle: RefCell::new(InstanceLifecycle::new(settings, desired_state, seed, 0)),
-            pid: Cell::default(),
-            starts: Cell::default(),
-            node_state: RefCell::default(),
-            pending_inputs: RefCell::default(),
-            input_added: Notify::new(),
-        }
-    }
-
-    /// Adds an input of an operator, to be handled at once.
-    pub(super) fn add_input(&self, input: Input) {
-        self.pending_inputs.borrow_mut().push(input);
-        self.input_added.notify_one();
-    }
-
-    pub(super) fn pid(&self) -> Option<i32> {
-        self.pid.get()
-    }
-
-    pub(super) fn starts(&self) -> u64 {
-        self.starts.get()
-    }
-
-    pub(super) fn status(&self, now: Nanos) -> InstanceStatus {
-        let lifecycle = self.lifecycle.borrow();
-        let node_state = self.node_state.borrow();
-        let age_ms = |reported_at: Instant| reported_at.elapsed().as_millis() as u64;
-        InstanceStatus {
-            name: self.config.name.clone(),
-            zone: self.config.zone.clone(),
-            labels: self.config.labels.clone(),
-            desired_state: lifecycle.desired_state(),
-            phase: lifecycle.phase(),
-            reason: lifecycle.reason().to_owned(),
-            since_ms: now.saturating_sub(lifecycle.phase_since()) / NANOS_PER_MS,
-            drained: lifecycle.is_drained(),
-            pid: self.pid.get(),
-            starts: self.starts.get(),
-            node_state: node_state.as_ref().map(|node| (node.state.clone(), age_ms(node.reported_at))),
-        }
-    }
-
-    /// Takes one input; returns what is to be done. A change of the phase is logged.
-    fn handle(&self, now: Nanos, input: Input) -> Vec<Output> {
-        let mut lifecycle = self.lifecycle.borrow_mut();
-        let previous = lifecycle.phase();
-        let mut outputs = Vec::new();
-        lifecycle.handle(now, input, &mut outputs);
-        if lifecycle.phase() != previous {
-            let (name, reason) = (&self.config.name, lifecycle.reason());
-            tracing::info!(instance = name, "{:?}: {reason}", lifecycle.phase());
-        }
-        outputs
-    }
-
-    /// Whether a state that came from the instance's socket is that of its process.
-    fn is_own_state(&self, state: &Value) -> bool {
-        state["name"] == self.config.name && state["pid"].as_i64() == self.pid.get().map(i64::from)
-    }
-}
-
 /// All instances of an agent.
 pub(super) struct Supervisor {
     pub(super) options: AgentOptions,
-    pub(super) instances: BTreeMap<String, Rc<Supervised>>,
+    pub(super) instances: BTreeMap<String, Rc<SupervisedInstance>>,
     started_at: Instant,
     poll_interval: Duration,
 }
 
 impl Supervisor {
-    pub(super) fn new(options: AgentOptions, instances: BTreeMap<String, Rc<Supervised>>) -> Self {
+    pub(super) fn new(options: AgentOptions, instances: BTreeMap<String, Rc<SupervisedInstance>>) -> Self {
         let poll_ms = options.config.agent.silent_ms / POLLS_PER_SILENCE_TIMEOUT;
         let poll_ms = poll_ms.clamp(MIN_POLL_INTERVAL_MS, MAX_POLL_INTERVAL_MS);
         let poll_interval = Duration::from_millis(poll_ms);
@@ -143,7 +46,7 @@
     }
 
     /// Supervises one instance for as long as the agent runs.
-    pub(super) async fn supervise(self: Rc<Self>, instance: Rc<Supervised>) {
+    pub(super) async fn supervise(self: Rc<Self>, instance: Rc<SupervisedInstance>) {
         let mut process = self.adopt(&instance).await;
         let mut poll_at = Instant::now();
         self.feed(&instance, &mut process, Input::Tick).await;
@@ -151,16 +54,15 @@
             let wake_at = self.next_wake_up(&instance, poll_at);
             tokio::select! {
                 () = exit(&mut process) => {}
-                () = instance.input_added.notified() => {}
+                () = instance.input_added() => {}
                 () = sleep_until(wake_at) => {}
             }
             if let Some(exit) = process.as_mut().and_then(Process::exit) {
                 process = None;
-                instance.pid.set(None);
-                instance.node_state.take();
+                instance.record_exit();
                 self.feed(&instance, &mut process, Input::Exited(exit)).await;
             }
-            let inputs: Vec<Input> = instance.pending_inputs.take();
+            let inputs: Vec<Input> = instance.take_inputs();
             for input in inputs {
                 self.feed(&instance, &mut process, input).await;
             }
@@ -175,21 +77,21 @@
         }
     }
 
-    fn next_wake_up(&self, instance: &Supervised, poll_at: Instant) -> Instant {
-        let deadline = instance.lifecycle.borrow().next_deadline();
+    fn next_wake_up(&self, instance: &SupervisedInstance, poll_at: Instant) -> Instant {
+        let deadline = instance.next_deadline();
         let deadline = deadline
             .map_or(Instant::now() + self.poll_interval, |at| self.started_at + Duration::from_nanos(at));
         deadline.min(poll_at).max(Instant::now() + MIN_SLEEP)
     }
 
     /// Adopts the process of an earlier agent: by the record of that agent, or by what answers on the node's socket.
-    async fn adopt(&self, instance: &Supervised) -> Option<Process> {
+    async fn adopt(&self, instance: &SupervisedInstance) -> Option<Process> {
         let state = self.ask_node(instance, "state").await;
         let process = Process::find(&instance.files).or_else(|| {
             let pid = state.as_ref()?["pid"].as_i64()?;
             Process::adopt(i32::try_from(pid).ok()?, &instance.files)
         })?;
-        instance.pid.set(Some(process.pid()));
+        instance.record_adoption(process.pid());
         tracing::info!(instance = instance.config.name, pid = process.pid(), "adopted a running process");
         let is_draining = state.as_ref().is_some_and(|state| state["phase"] == "draining");
         let mut adopted = Some(process);
@@ -199,14 +101,14 @@
     }
 
     /// Asks the node for its state. An answer that is no state, or another process's, is ignored.
-    async fn poll_node(&self, instance: &Supervised, process: &mut Option<Process>) {
+    async fn poll_node(&self, instance: &SupervisedInstance, process: &mut Option<Process>) {
         let Some(state) = self.ask_node(instance, "state").await else { return };
         if !instance.is_own_state(&state) {
             return;
         }
         let phase = state["phase"].as_str().unwrap_or_default().to_owned();
         let has_drained = state["drained"] == json!(true);
-        *instance.node_state.borrow_mut() = Some(NodeState { state, reported_at: Instant::now() });
+        instance.record_node_state(state);
         match phase.as_str() {
             "serving" => self.feed(instance, process, Input::Reported { is_draining: false }).await,
             "draining" => {
@@ -220,12 +122,12 @@
     }
 
     /// Sends a request without arguments to the instance's node; none where it does not answer in time.
-    async fn ask_node(&self, instance: &Supervised, operation: &str) -> Option<Value> {
+    async fn ask_node(&self, instance: &SupervisedInstance, operation: &str) -> Option<Value> {
         call(&instance.files.socket, &json!({ "op": operation }), self.poll_interval).await.ok()
     }
 
     /// Feeds an input to the instance's state machine and carries out its outputs, with the inputs that follow from these.
-    async fn feed(&self, instance: &Supervised, process: &mut Option<Process>, input: Input) {
+    async fn feed(&self, instance: &SupervisedInstance, process: &mut Option<Process>, input: Input) {
         let mut next_input = Some(input);
         while let Some(input) = next_input.take() {
             for output in instance.handle(self.now(), input) {
@@ -237,7 +139,7 @@
 
     async fn carry_out(
         &self,
-        instance: &Supervised,
+        instance: &SupervisedInstance,
         process: &mut Option<Process>,
         output: Output,
     ) -> Option<Input> {
@@ -252,14 +154,13 @@
         None
     }
 
-    fn start(&self, instance: &Supervised, process: &mut Option<Process>) -> Input {
+    fn start(&self, instance: &SupervisedInstance, process: &mut Option<Process>) -> Input {
         let mut command = Command::new(&self.options.program);
         command.args(["node", "--instance", &instance.config.name, "--config"]).arg(&self.options.file);
         command.arg("--control").arg(&instance.files.socket);
         match Process::start(command, &instance.files) {
             Ok(started) => {
-                instance.pid.set(Some(started.pid()));
-                instance.starts.set(instance.starts.get() + 1);
+                instance.record_start(started.pid());
                 *process = Some(started);
                 Input::Started
             }
--- a/config/src/schema/kind.rs
+++ b/config/src/schema/kind.rs
@@ -21,7 +21,7 @@
     Address,
     /// Names without repetition.
     NameList,
-    /// Names by name.
+    /// Labels: a name and a word each.
     Labels,
     Table(&'static [Field]),
     /// Any number of tables, each with a `name`.
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Whether values are text, so that a word without quotation marks can be meant as such.
+    /// Whether values are text, so that a value without quotation marks is taken as such.
     pub(crate) fn is_text(&self) -> bool {
         matches!(self, Self::Name | Self::Path | Self::OneOf(_) | Self::Address)
     }
--- a/routing/src/placement/affinity.rs
+++ b/routing/src/placement/affinity.rs
@@ -1,5 +1,5 @@
 //! Prefix affinity: requests that share a prompt's prefix prefer one server in each region, so that its cache has the prefix. All
-//! routers find the same server by rendezvous hashing (highest random weight), without a word between them.
+//! routers find the same server by rendezvous hashing (highest random weight), without communication.
 
 use ivyhatch_balancer::BackendId;
 use ivyhatch_protocol::hash::hash_mix;
--- a/routing/src/placement/service_placement.rs
+++ b/routing/src/placement/service_placement.rs
@@ -21,7 +21,7 @@
 /// Weight of the time in which shared segments would be prefilled again, against time in a queue: it delays others as well.
 const REPEATED_PREFILL_WEIGHT: f64 = 4.0;
 
-/// What the configuration says of a service.
+/// The settings of a service, from the configuration.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceSettings {
     /// Whether its servers run a language model, so that requests are placed by their time to the first token.
--- a/routing/src/watch_client/connections.rs
+++ b/routing/src/watch_client/connections.rs
@@ -17,7 +17,7 @@
 /// For so long other control nodes are preferred to one that could not be reached.
 const UNREACHABLE_BACKOFF: Nanos = 10 * SECOND;
 
-/// A connection to a control node that is to be open, and what the node has said on it.
+/// A connection to a control node that is to be open, and what the node has reported on it.
 #[derive(Debug, Default)]
 pub(super) struct Connection {
     pub(super) is_open: bool,
--- a/routing/tests/route_table.rs
+++ b/routing/tests/route_table.rs
@@ -152,7 +152,7 @@
     let mut value = route("r", "h", "/");
     value["service"] = Value::Null;
     value["split"] = Value::from(parts);
-    serde_json::from_value(value).expect("a sound route")
+    serde_json::from_value(value).expect("a valid route")
 }
 
 #[gtest]
@@ -175,7 +175,7 @@
 
 #[gtest]
 fn route_without_a_split_selects_its_service() {
-    let route: Route = serde_json::from_value(route("r", "h", "/")).expect("a sound route");
+    let route: Route = serde_json::from_value(route("r", "h", "/")).expect("a valid route");
     for draw in [0.0, 0.5, 1.0] {
         expect_that!(select_service(&route, draw), some(eq("s")));
     }
