--- a/cli/tests/system_common/faults.rs
+++ b/cli/tests/system_common/faults.rs
@@ -1,4 +1,4 @@
-//! Servers that do one thing wrong at one byte of an exchange, and a ledger of what reached them. The plans are shared by all
+//! Servers that do one thing wrong at one byte of an exchange, and a log of the requests that reached them. The plans are shared by all
 //! servers of a test: whichever exchange comes next is the one that goes wrong.
 
 use std::collections::HashMap;
@@ -60,7 +60,7 @@
     /// How often it was read whole by a server that runs it.
     pub runs: usize,
     /// How often it was answered with a whole refusal.
-    pub refusals: usize,
+    pub rejections: usize,
     /// What went wrong with it.
     pub plans: Vec<Plan>,
     /// It was answered in the place of a copy of another's answer.
@@ -69,13 +69,13 @@
 
 /// What reached the servers.
 #[derive(Default)]
-pub struct Ledger {
+pub struct RequestLog {
     /// By id.
     pub requests: HashMap<String, Seen>,
     /// Requests of which at least a byte arrived, known by their ids or not.
     pub begun: usize,
-    /// Whole refusals that were written.
-    pub refusals: usize,
+    /// Whole rejections that were written.
+    pub rejections: usize,
     /// Requests that came on a connection that had brought bytes nobody asked for.
     pub after_surplus: Vec<String>,
     fresh: Vec<Plan>,
@@ -84,7 +84,7 @@
     recorded: Option<Recorded>,
 }
 
-impl Ledger {
+impl RequestLog {
     /// Plans that no exchange has carried out yet.
     pub fn left(&self) -> usize {
         self.fresh.len() + self.kept.len()
@@ -113,38 +113,38 @@
 /// Makes the answer to the request with this id.
 pub type Answers = fn(&str) -> Reply;
 
-/// Servers of service `s` that share a ledger and plans.
+/// Servers of service `s` that share a request log and plans.
 #[derive(Clone)]
 pub struct Faulty {
-    ledger: Arc<Mutex<Ledger>>,
+    request_log: Arc<Mutex<RequestLog>>,
     answers: Answers,
 }
 
 impl Faulty {
     pub fn new(answers: Answers) -> Self {
-        Self { ledger: Arc::default(), answers }
+        Self { request_log: Arc::default(), answers }
     }
 
-    pub fn ledger(&self) -> MutexGuard<'_, Ledger> {
-        self.ledger.lock().expect("no server has panicked")
+    pub fn request_log(&self) -> MutexGuard<'_, RequestLog> {
+        self.request_log.lock().expect("no server has panicked")
     }
 
     /// Adds plans for every byte of the exchange that was recorded last.
     pub fn plan(&self, faults: &[(Part, Fault)]) -> usize {
-        let mut ledger = self.ledger();
-        let recorded = ledger.recorded.expect("an exchange was recorded");
+        let mut request_log = self.request_log();
+        let recorded = request_log.recorded.expect("an exchange was recorded");
         let mut count = 0;
         for (part, fault) in faults {
             let end = match (part, fault) {
                 // A request that has come whole goes wrong in its answer.
                 (Part::Request, _) => recorded.request,
-                // Within the body nobody can tell.
+                // Within the body the difference is not visible.
                 (Part::Answer, Fault::Restart) => recorded.answer_head,
                 (Part::Answer, _) => recorded.answer + 1,
             };
             for at in 0..end {
-                ledger.fresh.push(Plan { kept: false, part: *part, fault: *fault, at });
-                ledger.kept.push(Plan { kept: true, part: *part, fault: *fault, at });
+                request_log.fresh.push(Plan { kept: false, part: *part, fault: *fault, at });
+                request_log.kept.push(Plan { kept: true, part: *part, fault: *fault, at });
                 count += 2;
             }
         }
@@ -153,7 +153,7 @@
 
     /// The exchange that was recorded last.
     pub fn recorded(&self) -> Option<Recorded> {
-        self.ledger().recorded
+        self.request_log().recorded
     }
 
     /// Starts so many servers; returns their lines in the platform's list.
@@ -180,22 +180,22 @@
         let (mut kept, mut owed) = (false, Owed::default());
         while stream.peek(&mut [0]).is_ok_and(|count| count > 0) {
             let plan = {
-                let mut ledger = self.ledger();
-                ledger.begun += 1;
+                let mut request_log = self.request_log();
+                request_log.begun += 1;
                 match kept {
-                    true if !owed.is_owed() => ledger.kept.pop(),
-                    false if wrong_at_once || ledger.kept.is_empty() => ledger.fresh.pop(),
+                    true if !owed.is_owed() => request_log.kept.pop(),
+                    false if wrong_at_once || request_log.kept.is_empty() => request_log.fresh.pop(),
                     _ => None,
                 }
             };
             let Some(still) = self.exchange(&mut stream, plan, &mut owed) else { return };
             if !still {
-                self.ledger().held.push(stream);
+                self.request_log().held.push(stream);
                 return;
             }
             kept = true;
             // With nothing left for kept connections, fresh ones are wanted.
-            if self.ledger().wants_fresh() && !owed.is_owed() {
+            if self.request_log().wants_fresh() && !owed.is_owed() {
                 let _ = stream.shutdown(Shutdown::Both);
                 return;
             }
@@ -225,8 +225,8 @@
         if reply.refuses
             && first.len() + then.as_ref().map_or(0, |(_, rest)| rest.len()) >= head_length(&reply.bytes)
         {
-            self.ledger().refusals += 1;
-            self.note(&asked, |seen| seen.refusals += 1);
+            self.request_log().rejections += 1;
+            self.note(&asked, |seen| seen.rejections += 1);
         }
         stream.write_all(&first).ok()?;
         match then {
@@ -241,13 +241,14 @@
     }
 
     fn record(&self, asked: &[u8], id: &str, reply: &Reply, plan: Option<Plan>, owed: &Owed) {
-        let mut ledger = self.ledger();
+        let mut request_log = self.request_log();
         let answer_head = head_length(&reply.bytes);
-        ledger.recorded = Some(Recorded { request: asked.len(), answer: reply.bytes.len(), answer_head });
+        request_log.recorded =
+            Some(Recorded { request: asked.len(), answer: reply.bytes.len(), answer_head });
         if owed.was_paid {
-            ledger.after_surplus.push(id.to_owned());
+            request_log.after_surplus.push(id.to_owned());
         }
-        let seen = ledger.requests.entry(id.to_owned()).or_default();
+        let seen = request_log.requests.entry(id.to_owned()).or_default();
         seen.arrivals += 1;
         seen.runs += usize::from(!reply.refuses);
         seen.behind_a_copy |= owed.is_owed();
@@ -256,7 +257,7 @@
 
     fn note(&self, asked: &[u8], note: impl FnOnce(&mut Seen)) {
         if let Some(id) = id_of(asked) {
-            note(self.ledger().requests.entry(id).or_default());
+            note(self.request_log().requests.entry(id).or_default());
         }
     }
 }
--- a/cli/tests/system_common/mod.rs
+++ b/cli/tests/system_common/mod.rs
@@ -86,7 +86,7 @@
         self.folder.path().join(format!("settings-{host}.json"))
     }
 
-    /// A machine's settings; its last digit tells its zone. The seeds are these.
+    /// A machine's settings; its last digit determines its zone. The seeds are these.
     pub fn settings(&self, host: u8, seeds: &[u8], first_start: bool) -> Value {
         let zone = ["za", "zb", "zc"][usize::from((host - 1) % 10) % 3];
         let seeds: Vec<String> = seeds.iter().map(|seed| self.at(*seed, CONTROL).to_string()).collect();
--- a/cli/tests/system_common/server.rs
+++ b/cli/tests/system_common/server.rs
@@ -195,7 +195,7 @@
 }
 
 impl super::Site {
-    /// Two servers of service `s` in the router's zone. What is done with a request is told by how many came before it to either.
+    /// Two servers of service `s` in the router's zone. `does` gets the number of earlier requests to either of them.
     pub fn pair(&self, does: impl Fn(usize, &Asked) -> Vec<Step> + Send + Sync + 'static) -> [Server; 2] {
         let (does, turn) = (Arc::new(does), Arc::new(Mutex::new(0)));
         ["i-1", "i-2"].map(|id| {
--- a/cli/tests/system_control.rs
+++ b/cli/tests/system_control.rs
@@ -1,4 +1,4 @@
-//! Control nodes as processes: they form a group, take configurations and keep them through the loss of processes and disks.
+//! Control nodes as processes: they form a quorum, accept configurations, and keep them through the loss of processes and disks.
 
 mod system_common;
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn three_form_a_group_and_take_a_configuration() {
+fn three_control_nodes_form_a_quorum_and_accept_a_configuration() {
     let site = Site::new();
     let _core = site.core();
     site.put(12, 0, &first());
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn named_items_are_changed_on_the_same_terms() {
+fn patch_changes_items_under_the_same_revision_check() {
     let site = Site::new();
     let _core = site.core();
     site.put(11, 0, &first());
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn invalid_configurations_are_refused_and_change_nothing() {
+fn invalid_configuration_is_rejected_and_changes_nothing() {
     let site = Site::new();
     let _core = site.core();
     site.put(11, 0, &first());
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn of_two_operators_at_once_one_wins() {
+fn one_of_two_concurrent_writes_wins() {
     let site = Site::new();
     let _core = site.core();
     site.put(11, 0, &first());
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn the_loss_of_one_is_borne_and_it_catches_up() {
+fn lost_control_node_catches_up_after_restart() {
     for lost in 0..3 {
         let site = Site::new();
         let mut core = site.core();
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn what_was_acknowledged_outlasts_the_end_of_all() {
+fn acknowledged_configuration_survives_restart_of_all_control_nodes() {
     let site = Site::new();
     let mut core = site.core();
     site.put(11, 0, &first());
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn one_that_lost_its_disk_recovers_from_the_others() {
+fn control_node_without_its_disk_recovers_from_the_others() {
     let site = Site::new();
     let mut core = site.core();
     site.put(11, 0, &first());
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn one_alone_of_three_acknowledges_nothing() {
+fn control_node_without_quorum_acknowledges_nothing() {
     let site = Site::new();
     let mut core = site.core();
     site.put(11, 0, &first());
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn calls_that_are_not_known_are_refused() {
+fn unknown_calls_are_rejected() {
     let site = Site::new();
     let _control = site.control(11, &CORE[..1], true);
     let at = site.at(11, CONTROL);
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn the_platform_s_refusals_are_borne() {
+fn platform_errors_do_not_remove_servers() {
     let site = Site::new();
     site.platform.refuse(true);
     let _control = site.control(11, &CORE[..1], true);
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn the_directory_names_routers_that_are_ready_the_near_ones_first() {
+fn directory_lists_ready_routers_nearest_first() {
     let site = Site::new();
     let _core = site.core();
     let mut routers = [site.router(21, &CORE), site.router(22, &CORE)];
--- a/cli/tests/system_leaving.rs
+++ b/cli/tests/system_draining.rs
@@ -1,4 +1,4 @@
-//! What leaves: servers that drain or have gone, zones that are evacuated and taken back, routers that are told to end.
+//! Draining: servers that drain or are gone, zones that are evacuated and restored, and graceful shutdown of routers and control nodes.
 
 mod system_common;
 
@@ -43,7 +43,7 @@
         String::from_utf8(answer.body).expect("text")
     }
 
-    /// Asks until this many in a row were answered by one server alone; tells how long it took to begin.
+    /// Asks until this many in a row were answered by one server alone; returns how long it took to begin.
     fn until_only(&mut self, server: &str, many: usize) -> Duration {
         let began = Instant::now();
         let (mut row, mut since) = (0, began);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_server_that_drains_is_sent_nothing_more() {
+fn draining_server_gets_no_new_requests() {
     let mut scene = Scene::new("za", &usual());
     scene.change(|first, _| first["state"] = json!("draining"));
     let took = scene.until_only("i-2", 300);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_server_that_goes_at_short_notice_or_has_gone_is_sent_nothing_more() {
+fn server_with_termination_notice_or_gone_gets_no_new_requests() {
     let mut scene = Scene::new("za", &usual());
     scene.change(|first, _| {
         first["state"] = json!("draining");
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_server_that_drains_ends_what_it_has() {
+fn draining_server_completes_its_requests() {
     let site = Site::new();
     let gate = Arc::new(Gate::default());
     let held = gate.clone();
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn an_evacuated_zone_is_sent_nothing_until_it_is_taken_back() {
+fn evacuated_zone_gets_no_requests_until_it_is_restored() {
     let mut scene = Scene::new("zb", &usual());
     scene.until_only("i-1", 20);
     let order = |scene: &Scene, method| scene.site.order(CORE[0], method, "/-/evacuations/za", None, "");
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn an_evacuation_outlasts_the_control_nodes_and_the_router() {
+fn evacuation_survives_restart_of_control_nodes_and_router() {
     let mut scene = Scene::new("zb", &usual());
     scene.until_only("i-1", 20);
     scene.site.order(CORE[0], "POST", "/-/evacuations/za", None, "");
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn servers_of_a_zone_that_is_taken_back_are_spared_as_cold_ones() {
+fn servers_of_a_restored_zone_slow_start() {
     let mut all = usual();
     all["services"][0]["cold_s"] = json!(3);
     all["services"][0]["cold_per_s"] = json!(10);
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_router_that_is_told_to_end_ends_what_it_has() {
+fn terminated_router_completes_its_requests() {
     let site = Site::new();
     let (slow, events): (Arc<Gate>, Arc<Gate>) = (Arc::default(), Arc::default());
     let held = (slow.clone(), events.clone());
@@ -227,7 +227,7 @@
     served.router.signal("TERM");
     until("it is no longer ready", || !site.is_ready(ROUTER));
     until("clients are no longer sent there", || site.directory(CORE[0], "ra").is_none());
-    // Clients keep the directory's answers for a while: what comes all the same is served, and told to go.
+    // Clients cache the directory's responses for a while: late requests are served, and their connections closed.
     for (number, client) in [&mut idle, &mut Client::to(at)].into_iter().enumerate() {
         let answer = client.ask(&get(&format!("late{number}"), "/safe/x"));
         assert_eq!((answer.head.status, answer.head.value("connection")), (200, Some("close")));
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn a_router_ends_before_it_is_killed_though_a_server_never_answers() {
+fn router_exits_before_its_kill_though_a_server_never_answers() {
     let site = Site::new();
     let gate = Arc::new(Gate::default());
     let held = gate.clone();
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn a_control_node_that_is_told_to_end_does_and_its_state_stays() {
+fn terminated_control_node_exits_and_its_state_is_kept() {
     let site = Site::new();
     let mut core = site.core();
     site.put(CORE[0], 0, &usual());
--- a/cli/tests/system_calls.rs
+++ b/cli/tests/system_exchange_faults.rs
@@ -1,6 +1,6 @@
-//! A router between clients and servers while one exchange after another goes wrong at each of its bytes. Whatever happens, a
-//! request that may not be repeated reaches a server once at most, its client gets its own answer or none, and what promises that
-//! it did not run is said only of one that did not.
+//! A router between clients and servers while one exchange after another fails at each of its bytes. Whatever happens, a request that
+//! is not idempotent reaches a server once at most, its client gets its own response or none, and a status that proves that it was
+//! not executed is sent only where it was not.
 
 mod system_common;
 
@@ -27,7 +27,7 @@
 const PIPELINED: usize = 3;
 /// Stands for the status where the client left, or its connection ended, before an answer.
 const NO_ANSWER: u16 = 0;
-/// Statuses that promise that a request did not run and never will.
+/// Statuses by which clients know that a request was not executed and never will be.
 const PROMISES: [u16; 4] = [408, 421, 429, 503];
 
 const AT_REQUEST: [(Part, Fault); 3] =
@@ -95,8 +95,8 @@
     reply(200, id, &headers, &format!("{pieces}0\r\n\r\n"))
 }
 
-/// Every other request is refused; both kinds of answers are of one length.
-fn refusal_or_answer(id: &str) -> Reply {
+/// Every other request is rejected; both kinds of responses have the same length.
+fn rejection_or_response(id: &str) -> Reply {
     let length = id.len();
     if id.ends_with(['0', '2', '4', '6', '8']) {
         return reply(
@@ -186,7 +186,7 @@
         let end = Instant::now() + 3 * PATIENCE;
         side_by_side(|| {
             let mut client = None;
-            while self.servers.ledger().left() > 0 {
+            while self.servers.request_log().left() > 0 {
                 assert_that!(Instant::now(), lt(end), "plans are left");
                 self.ask(&mut client, wait_ms);
             }
@@ -197,35 +197,35 @@
     /// What holds of every request, whatever went wrong.
     fn verify(&self) {
         let answer_length = self.servers.recorded().map_or(0, |recorded| recorded.answer);
-        let (ledger, got) = (self.servers.ledger(), self.got.lock().unwrap());
+        let (request_log, got) = (self.servers.request_log(), self.got.lock().unwrap());
         let none = Seen::default();
         for (id, answer) in got.iter() {
-            let seen = ledger.requests.get(id).unwrap_or(&none);
-            let told = format!("{id}: {answer:?}, {seen:?}");
-            assert_that!(seen.runs, le(1), "ran twice: {told}");
-            // A refusal may be followed by another attempt; nothing else may.
-            assert_that!(seen.arrivals, le(seen.refusals + 1), "was sent twice: {told}");
+            let seen = request_log.requests.get(id).unwrap_or(&none);
+            let context = format!("{id}: {answer:?}, {seen:?}");
+            assert_that!(seen.runs, le(1), "ran twice: {context}");
+            // Only a rejection may be followed by another attempt.
+            assert_that!(seen.arrivals, le(seen.rejections + 1), "was sent twice: {context}");
             match answer.status {
                 200 => self.verify_success(id, answer, seen),
                 status if PROMISES.contains(&status) => {
                     assert_that!(
                         (seen.runs, seen.arrivals),
-                        eq((0, seen.refusals)),
-                        "promised wrongly: {told}"
+                        eq((0, seen.rejections)),
+                        "promised wrongly: {context}"
                     );
                 }
-                status => assert_that!(status, any!(eq(502), eq(504), eq(NO_ANSWER)), "{told}"),
+                status => assert_that!(status, any!(eq(502), eq(504), eq(NO_ANSWER)), "{context}"),
             }
             let answered = seen.plans.iter().filter(|_| answer.status != NO_ANSWER);
             for plan in answered {
                 let at_end = plan.part == Part::Answer && plan.at == answer_length;
-                verify_plan(*plan, at_end, answer, seen, &told);
+                verify_plan(*plan, at_end, answer, seen, &context);
             }
         }
         let answered = got.values().filter(|answer| !PROMISES.contains(&answer.status)).count();
         // Also those of which too little arrived to know them by.
-        assert_that!(ledger.begun, le(answered + ledger.refusals));
-        assert_that!(ledger.after_surplus, is_empty(), "used behind surplus bytes");
+        assert_that!(request_log.begun, le(answered + request_log.rejections));
+        assert_that!(request_log.after_surplus, is_empty(), "used behind surplus bytes");
     }
 
     fn verify_success(&self, id: &str, answer: &Got, seen: &Seen) {
@@ -251,16 +251,16 @@
 }
 
 /// What an exchange that went wrong in this way has to come to.
-fn verify_plan(plan: Plan, at_end: bool, answer: &Got, seen: &Seen, told: &str) {
+fn verify_plan(plan: Plan, at_end: bool, answer: &Got, seen: &Seen, context: &str) {
     let whole = answer.status == 200 && answer.body.is_ok();
     match plan.fault {
         // The reset may overtake the last bytes.
         Fault::Reset if at_end => {}
-        Fault::Cut | Fault::Reset | Fault::Mute if !at_end => assert!(!whole, "{plan:?} {told}"),
+        Fault::Cut | Fault::Reset | Fault::Mute if !at_end => assert!(!whole, "{plan:?} {context}"),
         // Behind a part of the status line the rest may still be a whole answer, which is looked at as any other.
         Fault::Restart if plan.at > 0 => {}
-        _ if seen.refusals > 0 || seen.runs == 0 || seen.behind_a_copy => {}
-        _ => assert!(whole, "{plan:?} {told}"),
+        _ if seen.rejections > 0 || seen.runs == 0 || seen.behind_a_copy => {}
+        _ => assert!(whole, "{plan:?} {context}"),
     }
 }
 
@@ -271,9 +271,9 @@
     });
 }
 
-/// The whole of a trial; tells how it went.
+/// The whole of a trial; returns how it went.
 fn trial(route: &'static str, answers: Answers, faults: &[(Part, Fault)], wait_ms: u64) {
-    // Silent ones are spared for a while, so there have to be more.
+    // Silent servers are avoided for a while, so there have to be more.
     let silent = faults.iter().any(|(_, fault)| *fault == Fault::Mute);
     let trial = Trial::new(route, answers, if silent { SILENT_SERVERS } else { SERVERS });
     let began = Instant::now();
@@ -283,27 +283,27 @@
 }
 
 #[test]
-fn answer_of_known_length_reaches_its_own_client_once() {
+fn response_of_known_length_reaches_its_own_client_once() {
     trial("unsafe", with_length, &[&AT_REQUEST[..], &AT_ANSWER[..]].concat(), LONG_MS);
 }
 
 #[test]
-fn answer_in_chunks_reaches_its_own_client_once() {
+fn chunked_response_reaches_its_own_client_once() {
     trial("unsafe", in_chunks, &AT_ANSWER, LONG_MS);
 }
 
 #[test]
-fn stream_that_may_not_be_resumed_reaches_its_own_client_once() {
+fn non_resumable_stream_reaches_its_own_client_once() {
     trial("stream", stream, &AT_ANSWER, LONG_MS);
 }
 
 #[test]
-fn refusal_is_passed_on_only_where_nothing_ran() {
-    trial("unsafe", refusal_or_answer, &AT_ANSWER, LONG_MS);
+fn rejection_is_forwarded_only_where_nothing_was_executed() {
+    trial("unsafe", rejection_or_response, &AT_ANSWER, LONG_MS);
 }
 
 #[test]
-fn silent_server_leaves_no_promise() {
+fn silent_server_is_never_reported_as_not_executed() {
     trial("unsafe", with_length, &MUTE, SHORT_MS);
 }
 
@@ -314,13 +314,13 @@
 
 /// Of requests that come in one go, each is answered in its turn with its own answer, wherever the network cuts them up.
 #[test]
-fn pipelined_requests_are_answered_each_in_its_turn() {
+fn pipelined_requests_are_answered_in_order() {
     let trial = Trial::new("unsafe", with_length, SERVERS);
     let length = trial.record_exchange(LONG_MS).request;
     trial.servers.plan(&AT_ANSWER);
     let (next, whole) = (AtomicUsize::new(0), PIPELINED * length);
     side_by_side(|| {
-        while trial.servers.ledger().left() > 0 || next.load(Ordering::SeqCst) <= whole {
+        while trial.servers.request_log().left() > 0 || next.load(Ordering::SeqCst) <= whole {
             let requests = [(); PIPELINED].map(|()| trial.request(LONG_MS));
             let text = requests.each_ref().map(|(_, text)| text.as_str()).concat();
             let at = next.fetch_add(1, Ordering::SeqCst) % text.len();
@@ -350,7 +350,7 @@
 
 /// Requests whose clients leave at any byte; a request before them on the connection is answered.
 #[test]
-fn request_that_did_not_come_whole_reaches_no_server() {
+fn incomplete_request_reaches_no_server() {
     let trial = Trial::new("unsafe", with_length, SERVERS);
     trial.record_exchange(LONG_MS);
     let length = trial.request(LONG_MS).1.len();
@@ -385,7 +385,7 @@
                 }
                 Leaves::Halfway => {
                     client.half_close();
-                    // It may be told that its request did not come whole.
+                    // It may get the answer that its request was incomplete.
                     trial.take(id, &mut client);
                 }
             }
@@ -395,19 +395,23 @@
     });
     println!("requests cut off at {} bytes each; answers by status: {:?}", length + 1, trial.counts());
     trial.verify();
-    let (ledger, whole) = (trial.servers.ledger(), whole.lock().unwrap());
+    let (request_log, whole) = (trial.servers.request_log(), whole.lock().unwrap());
     let got = trial.got.lock().unwrap();
     for (id, answer) in got.iter() {
         assert_that!(answer.status, any!(eq(200), eq(408), eq(NO_ANSWER)), "{id}: {answer:?}");
         if answer.status != 200 && !whole.contains(id) {
-            assert_that!(ledger.requests.contains_key(id), eq(false), "{id}: {answer:?} reached a server");
+            assert_that!(
+                request_log.requests.contains_key(id),
+                eq(false),
+                "{id}: {answer:?} reached a server"
+            );
         }
     }
 }
 
 /// Clients that leave at any byte of their answer.
 #[test]
-fn client_that_leaves_its_answer_disturbs_no_other() {
+fn client_that_abandons_its_response_disturbs_no_other() {
     let trial = Trial::new("stream", stream, SERVERS);
     trial.record_exchange(LONG_MS);
     let length = trial.servers.recorded().map_or(0, |recorded| recorded.answer);
--- a/cli/tests/system_membership.rs
+++ b/cli/tests/system_membership.rs
@@ -1,4 +1,4 @@
-//! Machines of the control plane are replaced, planned and not, while real processes serve operators over sockets.
+//! Replacement of control machines, planned and unplanned, while the processes serve operators over sockets.
 
 mod system_common;
 
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn successor_of_a_lost_machine_counts_in_time_and_bears_the_next_loss() {
+fn successor_of_a_lost_machine_votes_before_the_next_loss() {
     let site = Site::new();
     let mut core = founded(&site);
     core[2].kill();
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn machine_that_is_told_to_end_waits_until_its_successor_counts() {
+fn terminated_machine_waits_until_its_successor_votes() {
     let site = Site::new();
     let mut core = founded(&site);
     let _successor = site.control(SUCCESSOR, &CORE, false);
@@ -78,18 +78,18 @@
         replica(&site, 11, SUCCESSOR).is_some_and(|replica| replica["status"] == json!("learner"))
     });
     assert!(votes(&site, 11, 13));
-    let told = Instant::now();
+    let terminated_at = Instant::now();
     core[2].signal("TERM");
     core[2].end();
     assert!(votes(&site, 11, SUCCESSOR), "it went before its successor counted");
-    println!("it ended after {:?}", told.elapsed());
+    println!("it ended after {:?}", terminated_at.elapsed());
     core[1].kill();
     site.put(11, 5, &configuration(6, &[("c", json!({}))]));
     site.until_revision(SUCCESSOR, 6);
 }
 
 #[test]
-fn machine_that_comes_back_after_it_was_replaced_has_no_seat() {
+fn machine_that_returns_after_its_replacement_is_no_voter() {
     let site = Site::new();
     let mut core = founded(&site);
     core[2].kill();
@@ -112,13 +112,13 @@
 }
 
 #[test]
-fn restart_without_a_successor_takes_no_longer_than_a_hand_over() {
+fn restart_without_a_successor_is_no_slower_than_a_leadership_transfer() {
     let site = Site::new();
     let mut core = founded(&site);
-    let told = Instant::now();
+    let terminated_at = Instant::now();
     core[2].signal("TERM");
     core[2].end();
-    assert!(told.elapsed() < Duration::from_millis(1500), "{:?}", told.elapsed());
+    assert!(terminated_at.elapsed() < Duration::from_millis(1500), "{:?}", terminated_at.elapsed());
     core[2] = site.control(13, &CORE, false);
     until("it votes again", || votes(&site, 11, 13));
 }
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn router_with_dead_seeds_follows_once_its_settings_name_live_ones() {
+fn router_with_dead_seeds_connects_once_its_settings_name_live_ones() {
     let site = Site::new();
     let _core = founded(&site);
     let _router = site.router(ROUTER, &[17, 18, 19]);
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn copy_of_an_evacuation_that_was_held_up_and_given_up_changes_nothing() {
+fn delayed_duplicate_of_a_cancelled_evacuation_changes_nothing() {
     let site = Site::new();
     let core = founded(&site);
     let before = changes(&site, 11);
--- a/cli/tests/system_refusals.rs
+++ b/cli/tests/system_rejections.rs
@@ -1,4 +1,4 @@
-//! Refusals by servers, and what a router may conclude from them: that nothing ran, for this request, or nothing at all.
+//! Rejections by servers, and what a router may conclude from them: that this request was not executed, or nothing at all.
 
 mod system_common;
 
@@ -16,9 +16,9 @@
     configuration(1, &[("safe", json!({})), ("unsafe", json!({"route_kind": "unsafe"}))])
 }
 
-/// Clients take these statuses for a promise that the request did not run; only a server that says so has not run it.
+/// Clients conclude from these statuses that the request was not executed; only a server that states it has not executed it.
 #[test]
-fn refusal_that_does_not_say_that_nothing_ran_is_no_promise() {
+fn rejection_without_proof_of_non_execution_is_not_forwarded_as_one() {
     for status in [408, 429, 503] {
         let site = Site::new();
         let servers = site.pair(move |_, asked| {
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn server_that_falls_silent_in_its_refusal_holds_nobody_up() {
+fn server_that_stalls_within_its_rejection_delays_nothing() {
     let gate = Arc::new(Gate::default());
     let site = Site::new();
     let held = gate.clone();
@@ -55,17 +55,17 @@
     gate.open();
 }
 
-/// The request goes to its one server again; the refusal's copy has the same id, and only the connection tells it from an answer.
+/// The request goes to its one server again; the duplicate of the rejection has the same id, and only the connection distinguishes it from a response.
 #[test]
-fn late_copy_of_a_refusal_is_not_taken_for_the_answer_to_the_next_attempt() {
+fn late_duplicate_of_a_rejection_is_not_taken_for_the_next_response() {
     let site = Site::new();
     let server = site.server(("i-1", "s", "za"), |asked| {
-        let refuses =
+        let rejection =
             Step::Writes(whole(503, &format!("{}Ivyhatch-Not-Executed: 1\r\n", id(asked.id())), b""));
         match (asked.number, asked.on_connection) {
-            (0, _) => vec![refuses],
+            (0, _) => vec![rejection],
             (_, 0) => ok(asked, b"own"),
-            _ => [vec![refuses], ok(asked, b"own")].concat(),
+            _ => [vec![rejection], ok(asked, b"own")].concat(),
         }
     });
     let _served = site.serving(&[&server], &both_kinds());
@@ -77,15 +77,15 @@
     );
 }
 
-/// Servers send each answer with its request's id. Without one, a refusal on a connection that has carried another request may be
+/// Servers send each response with its request's id. Without one, a rejection on a connection that has carried another request may be
 /// that one's.
 #[test]
-fn late_refusal_without_an_id_is_no_promise() {
+fn late_rejection_without_an_id_proves_nothing() {
     let site = Site::new();
     let server = site.server(("i-1", "s", "za"), |asked| {
-        let refuses = Step::Writes(whole(503, "Ivyhatch-Not-Executed: 1\r\n", b""));
+        let rejection = Step::Writes(whole(503, "Ivyhatch-Not-Executed: 1\r\n", b""));
         let own = ok(asked, b"own");
-        if asked.on_connection == 0 { own } else { [vec![refuses], own].concat() }
+        if asked.on_connection == 0 { own } else { [vec![rejection], own].concat() }
     });
     let _served = site.serving(&[&server], &both_kinds());
     let at = site.at(ROUTER, FRONT);
--- a/cli/tests/system_requests.rs
+++ b/cli/tests/system_requests.rs
@@ -1,4 +1,4 @@
-//! A router as a process: what it sends to servers and what it answers, against servers that misbehave in every way.
+//! A router as a process: what it forwards to servers and responds to clients, against servers with faults of all kinds.
 
 mod system_common;
 
@@ -26,7 +26,7 @@
 }
 
 /// Runs two servers that do this with the first request and answer all others; asks once on the safe and on the unsafe route, and
-/// tells each answer with how many requests came to the servers.
+/// returns each response with how many requests reached the servers.
 fn against(does: impl Fn(&Asked) -> Vec<Step> + Send + Sync + Copy + 'static) -> [(Answer, usize); 2] {
     let one = |(method, path)| {
         let site = Site::new();
@@ -43,15 +43,15 @@
     })
 }
 
-/// What a misbehaving answer must come to: the safe request is served by the other server, the unsafe one fails without a promise
-/// and without having been sent again.
-fn fails_once([safe, once]: [(Answer, usize); 2]) {
+/// What a faulty response must lead to: the idempotent request is served by the other server, the other one fails, not retried and
+/// without a status that proves that it was not executed.
+fn assert_retried_only_if_idempotent([safe, once]: [(Answer, usize); 2]) {
     assert_eq!((safe.0.head.status, safe.0.body.as_slice(), safe.1), (200, &b"second"[..], 2), "{safe:?}");
     assert_eq!((once.0.head.status, once.1), (502, 1), "{once:?}");
 }
 
-/// What an answer that says that nothing ran must come to: both are served by the other server.
-fn goes_elsewhere(answers: [(Answer, usize); 2]) {
+/// What a response that states that nothing was executed must lead to: both requests are served by the other server.
+fn assert_retried_elsewhere(answers: [(Answer, usize); 2]) {
     for (answer, count) in answers {
         assert_eq!(
             (answer.head.status, answer.body.as_slice(), count),
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_router_is_ready_once_it_knows_configuration_and_servers() {
+fn router_is_ready_once_configuration_and_servers_are_known() {
     let site = Site::new();
     let router = site.router(ROUTER, &CORE[..1]);
     let at = site.at(ROUTER, FRONT);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_request_goes_to_its_route_s_service_or_gets_404() {
+fn request_goes_to_the_service_of_its_route_or_gets_404() {
     let site = Site::new();
     let servers = ["s", "t"]
         .map(|service| site.server((&format!("i-{service}"), service, "za"), |asked| ok(asked, b"")));
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn method_path_headers_and_body_reach_the_server_as_they_were_sent() {
+fn request_reaches_the_server_unchanged() {
     let site = Site::new();
     let server = site.server(("i-1", "s", "za"), |asked| ok(asked, b""));
     let _served = site.serving(&[&server], &usual());
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_server_s_answer_comes_back_as_it_was() {
+fn response_reaches_the_client_unchanged() {
     let site = Site::new();
     let body: Vec<u8> = (0..200_000_u32).map(|at| (at.wrapping_mul(2_654_435_761) >> 9) as u8).collect();
     let sent = body.clone();
@@ -206,20 +206,20 @@
 }
 
 #[test]
-fn what_a_full_server_sheds_goes_to_another() {
-    goes_elsewhere(against(|_| sheds()));
+fn request_shed_by_one_server_is_retried_at_another() {
+    assert_retried_elsewhere(against(|_| sheds()));
 }
 
 #[test]
-fn what_another_server_at_the_address_refuses_goes_elsewhere() {
-    goes_elsewhere(against(|asked| vec![Step::Writes(whole(421, &id(asked.id()), b""))]));
-    goes_elsewhere(against(|_| {
+fn misdirected_request_is_retried_at_another_server() {
+    assert_retried_elsewhere(against(|asked| vec![Step::Writes(whole(421, &id(asked.id()), b""))]));
+    assert_retried_elsewhere(against(|_| {
         vec![Step::Writes(whole(421, "Ivyhatch-Not-Executed: 1\r\n", b"")), Step::Closes]
     }));
 }
 
 #[test]
-fn what_all_servers_shed_is_refused_with_a_time_to_come_again() {
+fn request_shed_by_all_servers_is_rejected_with_retry_after() {
     let site = Site::new();
     let servers = site.pair(|_, _| sheds());
     let _served = site.serving(&[&servers[0], &servers[1]], &usual());
@@ -238,45 +238,49 @@
 }
 
 #[test]
-fn an_answer_with_a_wrong_id_is_never_passed_on() {
-    fails_once(against(|_| vec![Step::Writes(whole(200, &format!("{}{STAMP}", id("other")), b"other's"))]));
-    fails_once(against(|_| vec![Step::Writes(whole(404, &id("other"), b"other's"))]));
+fn response_with_a_wrong_id_is_not_forwarded() {
+    assert_retried_only_if_idempotent(against(|_| {
+        vec![Step::Writes(whole(200, &format!("{}{STAMP}", id("other")), b"other's"))]
+    }));
+    assert_retried_only_if_idempotent(against(|_| vec![Step::Writes(whole(404, &id("other"), b"other's"))]));
 }
 
 #[test]
-fn an_answer_without_an_id_is_not_passed_on() {
-    fails_once(against(|_| vec![Step::Writes(whole(200, STAMP, b"whose"))]));
+fn response_without_an_id_is_not_forwarded() {
+    assert_retried_only_if_idempotent(against(|_| vec![Step::Writes(whole(200, STAMP, b"whose"))]));
 }
 
 #[test]
-fn a_success_without_a_stamp_is_not_passed_on() {
-    fails_once(against(|asked| vec![Step::Writes(whole(200, &id(asked.id()), b"bare"))]));
+fn success_without_a_stamp_is_not_forwarded() {
+    assert_retried_only_if_idempotent(against(|asked| {
+        vec![Step::Writes(whole(200, &id(asked.id()), b"bare"))]
+    }));
 }
 
 #[test]
-fn an_answer_that_is_encoded_or_has_no_end_is_not_passed_on() {
-    fails_once(against(|asked| {
+fn encoded_or_unframed_response_is_not_forwarded() {
+    assert_retried_only_if_idempotent(against(|asked| {
         vec![Step::Writes(whole(
             200,
             &format!("{}{STAMP}Content-Encoding: gzip\r\n", id(asked.id())),
             b"zipped",
         ))]
     }));
-    fails_once(against(|asked| {
+    assert_retried_only_if_idempotent(against(|asked| {
         let head = format!("HTTP/1.1 200 OK\r\n{}{STAMP}\r\nuntil the end", id(asked.id()));
         vec![Step::Writes(head.into_bytes()), Step::Closes]
     }));
 }
 
 #[test]
-fn an_answer_that_breaks_off_is_not_passed_on() {
+fn truncated_response_is_not_forwarded() {
     let part = |asked: &Asked| {
         let all = whole(200, &format!("{}{STAMP}", id(asked.id())), &[b'x'; 5000]);
         Step::Writes(all[..all.len() - 1].to_vec())
     };
-    fails_once(against(move |asked| vec![part(asked), Step::Closes]));
-    fails_once(against(move |asked| vec![part(asked), Step::Resets]));
-    fails_once(against(|asked| {
+    assert_retried_only_if_idempotent(against(move |asked| vec![part(asked), Step::Closes]));
+    assert_retried_only_if_idempotent(against(move |asked| vec![part(asked), Step::Resets]));
+    assert_retried_only_if_idempotent(against(|asked| {
         let head = format!(
             "HTTP/1.1 200 OK\r\n{}{STAMP}Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n",
             id(asked.id())
@@ -286,14 +290,16 @@
 }
 
 #[test]
-fn bytes_that_are_no_answer_are_not_passed_on() {
-    fails_once(against(|_| vec![Step::Writes(b"\x00\xff no answer at all\r\n\r\n".to_vec()), Step::Closes]));
-    fails_once(against(|_| vec![Step::Closes]));
-    fails_once(against(|_| vec![Step::Resets]));
+fn malformed_response_is_not_forwarded() {
+    assert_retried_only_if_idempotent(against(|_| {
+        vec![Step::Writes(b"\x00\xff no answer at all\r\n\r\n".to_vec()), Step::Closes]
+    }));
+    assert_retried_only_if_idempotent(against(|_| vec![Step::Closes]));
+    assert_retried_only_if_idempotent(against(|_| vec![Step::Resets]));
 }
 
 #[test]
-fn a_server_s_own_failure_has_run() {
+fn server_error_is_retried_only_if_idempotent() {
     let [safe, once] =
         against(|asked| vec![Step::Writes(whole(500, &format!("{}{STAMP}", id(asked.id())), b"failed"))]);
     assert_eq!((safe.0.head.status, safe.1), (200, 2));
@@ -305,7 +311,7 @@
 }
 
 #[test]
-fn bytes_behind_a_whole_answer_belong_to_no_request() {
+fn surplus_bytes_after_a_response_belong_to_no_request() {
     for more in ["same", "other", "garbage"] {
         let site = Site::new();
         let server = site.server(("i-1", "s", "za"), move |asked| {
@@ -329,7 +335,7 @@
 }
 
 #[test]
-fn a_second_answer_that_comes_late_is_not_taken_for_the_next_one() {
+fn late_duplicate_response_is_not_taken_for_the_next_one() {
     for (method, path) in both() {
         let site = Site::new();
         // The first's answer comes again in place of the second's.
@@ -352,7 +358,7 @@
 }
 
 #[test]
-fn a_server_that_does_not_listen_is_passed_over() {
+fn server_that_does_not_listen_is_skipped() {
     let site = Site::new();
     let server = site.server(("i-1", "s", "za"), |asked| ok(asked, b"here"));
     let mut dead = server.listed();
@@ -367,7 +373,7 @@
 }
 
 #[test]
-fn a_request_goes_to_its_homes_alone() {
+fn request_is_sent_to_its_home_regions_only() {
     let site = Site::new();
     let servers =
         ["za", "zb", "zc"].map(|zone| site.server((&format!("i-{zone}"), "s", zone), |asked| ok(asked, b"")));
@@ -395,7 +401,7 @@
 }
 
 #[test]
-fn what_no_server_can_take_is_refused_early() {
+fn request_without_available_server_is_rejected_early() {
     let site = Site::new();
     let _served = site.serving(&[], &usual());
     for (method, path) in both() {
@@ -409,7 +415,7 @@
 }
 
 #[test]
-fn a_server_that_never_answers_ends_a_request_at_its_deadline() {
+fn request_at_a_silent_server_ends_at_its_deadline() {
     let site = Site::new();
     let gate = std::sync::Arc::new(Gate::default());
     let held = gate.clone();
@@ -425,7 +431,7 @@
 }
 
 #[test]
-fn what_is_no_proper_request_reaches_no_server() {
+fn malformed_request_reaches_no_server() {
     let site = Site::new();
     let server = site.server(("i-1", "s", "za"), |asked| ok(asked, b"here"));
     let mut all = usual();
@@ -472,7 +478,7 @@
 
 /// One that has both is taken by its chunks alone (RFC 9112, 6.3), and what stands behind it is no request.
 #[test]
-fn nothing_is_smuggled_behind_a_body_of_two_lengths() {
+fn request_with_two_content_lengths_smuggles_nothing() {
     let site = Site::new();
     let server = site.server(("i-1", "s", "za"), |asked| ok(asked, b"here"));
     let _served = site.serving(&[&server], &usual());
@@ -492,7 +498,7 @@
 }
 
 #[test]
-fn clients_that_hang_or_leave_hold_nobody_up() {
+fn stalled_and_disconnected_clients_delay_nothing() {
     let site = Site::new();
     let server = site.server(("i-1", "s", "za"), |asked| ok(asked, b"here"));
     let mut served = site.serving(&[&server], &usual());
@@ -511,7 +517,7 @@
 }
 
 #[test]
-fn the_loss_of_all_control_nodes_holds_no_request_up() {
+fn requests_are_served_without_control_nodes() {
     let site = Site::new();
     let server = site.server(("i-1", "s", "za"), |asked| ok(asked, b"here"));
     site.platform.set(vec![server.listed()]);
@@ -535,7 +541,7 @@
 }
 
 #[test]
-fn a_control_node_that_speaks_garbage_is_left_for_another() {
+fn router_leaves_a_control_node_that_sends_garbage() {
     let site = Site::new();
     let server = site.server(("i-1", "s", "za"), |asked| ok(asked, b"here"));
     site.platform.set(vec![server.listed()]);
--- a/cli/tests/system_list.rs
+++ b/cli/tests/system_server_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list as control nodes read it, page by page, from a platform that misbehaves.
+//! The platform's instance list as control nodes read it, page by page, from a faulty platform.
 
 mod system_common;
 
@@ -12,7 +12,7 @@
 
 /// A list of two pages, of which the second comes again in the place of the next reading's first: no server is taken for gone.
 #[test]
-fn late_copy_of_the_last_page_is_not_taken_for_the_first() {
+fn late_duplicate_of_the_last_page_is_not_taken_for_the_first() {
     let site = Site::new();
     let servers = ["i-1", "i-2"].map(|id| site.server((id, "s", "za"), |asked| ok(asked, b"here")));
     let other = site.server(("i-3", "t", "za"), |asked| ok(asked, b"here"));
--- a/cli/tests/system_settings.rs
+++ b/cli/tests/system_settings.rs
@@ -1,4 +1,4 @@
-//! What a role is told at its start: what is missing is named, and nothing is started.
+//! The settings file of a role: errors name the field, and nothing is started.
 
 mod system_common;
 
@@ -8,63 +8,63 @@
 use system_common::calls::call;
 use system_common::{CONTROL, CORE, FRONT, Process, Site, configuration, until};
 
-fn refused(site: &Site, role: &str, settings: &Value) -> String {
+fn start_error(site: &Site, role: &str, settings: &Value) -> String {
     let mut process = site.start_with(role, 11, settings);
     assert_eq!(process.end().code(), Some(1), "{role}: {}", process.logged());
     process.logged()
 }
 
 #[test]
-fn a_field_that_is_missing_is_named() {
+fn missing_field_is_named() {
     for role in ["control", "router"] {
         let site = Site::new();
         for field in ["node_name", "ip", "zone", "region", "zones", "listen", "inner_ports", "cloud_api"] {
             let mut settings = site.settings(11, &CORE, true);
             settings.as_object_mut().expect("an object").remove(field);
-            let logged = refused(&site, role, &settings);
+            let logged = start_error(&site, role, &settings);
             assert!(logged.contains(field), "{role} {field}: {logged}");
         }
     }
 }
 
 #[test]
-fn a_field_of_the_wrong_kind_is_named() {
+fn field_of_the_wrong_type_is_named() {
     let site = Site::new();
     for (field, value) in
         [("ip", json!("nowhere")), ("zones", json!(7)), ("inner_ports", json!([1])), ("seeds", json!(["x"]))]
     {
         let mut settings = site.settings(11, &CORE, true);
         settings[field] = value;
-        let logged = refused(&site, "router", &settings);
+        let logged = start_error(&site, "router", &settings);
         assert!(logged.contains(field), "{field}: {logged}");
     }
 }
 
 #[test]
-fn an_address_that_the_role_lacks_is_named() {
+fn missing_listen_address_is_named() {
     let site = Site::new();
     for (role, field) in
         [("router", "front"), ("router", "readiness"), ("control", "control"), ("control", "directory")]
     {
         let mut settings = site.settings(11, &CORE, true);
         settings["listen"].as_object_mut().expect("an object").remove(field);
-        let logged = refused(&site, role, &settings);
+        let logged = start_error(&site, role, &settings);
         assert!(logged.contains(&format!("listen.{field}")), "{role}: {logged}");
     }
 }
 
 #[test]
-fn an_address_that_is_taken_is_named() {
+fn address_in_use_is_named() {
     let site = Site::new();
     for (role, port) in [("router", FRONT), ("control", CONTROL)] {
         let _taken = TcpListener::bind(site.at(11, port)).expect("free");
-        let logged = refused(&site, role, &site.settings(11, &CORE, true));
+        let logged = start_error(&site, role, &site.settings(11, &CORE, true));
         assert!(logged.contains(&site.at(11, port).to_string()), "{role}: {logged}");
     }
 }
 
 #[test]
-fn without_a_settings_file_nothing_is_started() {
+fn role_does_not_start_without_settings_file() {
     let folder = tempfile::tempdir().expect("a folder");
     let missing = folder.path().join("missing.json");
     let broken = folder.path().join("broken.json");
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn fields_that_are_not_known_and_those_that_may_be_missing_do_no_harm() {
+fn unknown_and_missing_optional_fields_are_accepted() {
     let site = Site::new();
     let mut settings = site.settings(11, &CORE[..1], true);
     for field in ["role", "limits", "bounds", "tolerate", "machine_class", "serves"] {
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn settings_that_change_are_read_anew_and_bad_ones_leave_the_old() {
+fn changed_settings_are_reloaded_and_invalid_ones_ignored() {
     let site = Site::new();
     let mut control = site.control(11, &CORE[..1], true);
     // Its seed is nobody; the control node is named later.
--- a/cli/tests/system_streams.rs
+++ b/cli/tests/system_streams.rs
@@ -1,5 +1,5 @@
-//! Streams through a router: passed on event by event, taken up at another server where they may be, and never made to look
-//! complete where they are not.
+//! Streams through a router: forwarded event by event, resumed at another server where their route allows that, and never made to
+//! look complete where they are not.
 
 mod system_common;
 
@@ -69,8 +69,8 @@
     }
 }
 
-/// Which servers' requests came, with the last event that each was told.
-fn told(servers: &[Server; 2], requests: usize) -> Vec<Option<String>> {
+/// The `Last-Event-ID` of each request that reached the servers.
+fn last_event_ids(servers: &[Server; 2], requests: usize) -> Vec<Option<String>> {
     let mut last = Vec::new();
     system_common::until("the requests came", || {
         last.extend(
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_stream_is_passed_on_event_by_event() {
+fn stream_is_forwarded_event_by_event() {
     let gates: Vec<Arc<Gate>> = (0..4).map(|_| Arc::default()).collect();
     let held = gates.clone();
     let scene = Scene::new(move |_, asked| {
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_stream_in_pieces_of_any_size_comes_whole() {
+fn stream_in_chunks_of_any_size_is_forwarded_completely() {
     const SIZES: [usize; 4] = [1, 3, 17, 1000];
     let scene = Scene::new(|turn, asked| {
         let text = String::from_utf8(events(1..=20)).expect("text");
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_resumable_stream_goes_on_at_another_server_in_the_same_answer() {
+fn resumable_stream_continues_at_another_server_in_the_same_response() {
     for ends in [Step::Closes, Step::Resets] {
         let scene = Scene::new(move |turn, asked| match turn {
             // It breaks off inside its fourth event.
@@ -138,12 +138,12 @@
         let (head, body) = scene.ask("again", "");
         assert_eq!((head.status, head.value("ivyhatch-server-stamp")), (200, Some("st.1")));
         assert_eq!(body, Ok(events(1..=6)));
-        assert_eq!(told(&scene.servers, 2), [None, Some("3".to_owned())]);
+        assert_eq!(last_event_ids(&scene.servers, 2), [None, Some("3".to_owned())]);
     }
 }
 
 #[test]
-fn each_server_is_told_the_request_s_id_and_its_own() {
+fn each_attempt_carries_the_request_id_and_its_servers_instance() {
     let scene =
         Scene::new(
             |turn, asked| {
@@ -162,19 +162,19 @@
 }
 
 #[test]
-fn a_stream_that_breaks_before_its_first_event_is_begun_anew() {
+fn stream_broken_before_its_first_event_is_restarted() {
     for first in [vec![], vec![chunk("id: 1\n")]] {
         let scene = Scene::new(move |turn, asked| match turn {
             0 => then(vec![stream_head(asked)], first.iter().cloned().chain([Step::Closes])),
             _ => stream(asked, 1..=3),
         });
         assert_eq!(scene.ask("again", "").1, Ok(events(1..=3)));
-        assert_eq!(told(&scene.servers, 2), [None, None]);
+        assert_eq!(last_event_ids(&scene.servers, 2), [None, None]);
     }
 }
 
 #[test]
-fn what_sheds_or_cannot_be_understood_is_passed_over_on_the_way() {
+fn resumption_skips_servers_that_shed_or_send_malformed_responses() {
     type BackendReply = fn(&Asked) -> Vec<Step>;
     let between: [BackendReply; 4] = [
         |_| sheds(),
@@ -195,38 +195,38 @@
 }
 
 #[test]
-fn a_stream_that_may_not_be_resumed_breaks_off_and_shows_it() {
+fn non_resumable_stream_breaks_visibly() {
     for ends in [Step::Closes, Step::Resets] {
         let scene = Scene::new(move |_, asked| then(part(asked, 1..=3), [chunk("id: 4\n"), ends.clone()]));
         let (head, body) = scene.ask("once", "");
         assert_eq!((head.status, body), (200, Err(Broken(events(1..=3)))));
-        assert_eq!(told(&scene.servers, 1).len(), 1, "it runs once");
+        assert_eq!(last_event_ids(&scene.servers, 1).len(), 1, "it runs once");
     }
 }
 
 #[test]
-fn a_stream_that_breaks_before_its_first_event_and_may_not_be_resumed_fails() {
+fn non_resumable_stream_broken_before_its_first_event_fails() {
     let scene = Scene::new(|_, asked| vec![stream_head(asked), Step::Closes]);
     let (head, _) = scene.ask("once", "");
     assert_eq!(head.status, 502);
-    assert_eq!(told(&scene.servers, 1).len(), 1);
+    assert_eq!(last_event_ids(&scene.servers, 1).len(), 1);
 }
 
 #[test]
-fn a_stream_whose_last_event_has_not_ended_does_not_look_complete() {
+fn stream_with_an_incomplete_last_event_does_not_look_complete() {
     let scene = Scene::new(|_, asked| then(part(asked, 1..=3), [chunk("id: 4\ndata: wo\n"), last_chunk()]));
     assert_eq!(scene.ask("once", "").1, Err(Broken(events(1..=3))));
 }
 
 #[test]
-fn a_stream_whose_ids_do_not_rise_is_not_passed_on() {
+fn stream_with_ids_that_do_not_increase_is_not_forwarded() {
     let scene =
         Scene::new(|_, asked| then(part(asked, 1..=3), [chunk(&event(3)), chunk(&event(4)), last_chunk()]));
     assert_eq!(scene.ask("once", "").1, Err(Broken(events(1..=3))));
 }
 
 #[test]
-fn a_server_that_begins_anew_is_not_joined_to_what_has_come() {
+fn stream_that_restarts_from_its_first_event_is_not_appended() {
     let scene =
         Scene::new(
             |turn, asked| {
@@ -238,7 +238,7 @@
 }
 
 /// What another server answers instead of the rest of a stream; the client must see that the stream is not whole.
-fn never_complete(does: impl Fn(&Asked) -> Vec<Step> + Send + Sync + 'static) {
+fn assert_never_complete(does: impl Fn(&Asked) -> Vec<Step> + Send + Sync + 'static) {
     let scene = Scene::new(
         move |turn, asked| if turn == 0 { then(part(asked, 1..=3), [Step::Closes]) } else { does(asked) },
     );
@@ -247,23 +247,27 @@
 }
 
 #[test]
-fn a_stream_whose_rest_is_refused_does_not_look_complete() {
-    never_complete(|asked| vec![Step::Writes(whole(404, &format!("{}{STAMP}", id(asked.id())), b"what?"))]);
+fn stream_whose_rest_is_rejected_does_not_look_complete() {
+    assert_never_complete(|asked| {
+        vec![Step::Writes(whole(404, &format!("{}{STAMP}", id(asked.id())), b"what?"))]
+    });
 }
 
 #[test]
-fn a_stream_whose_rest_is_a_whole_answer_does_not_look_complete() {
-    never_complete(|asked| ok(asked, b"all at once"));
+fn stream_whose_rest_is_a_complete_response_does_not_look_complete() {
+    assert_never_complete(|asked| ok(asked, b"all at once"));
 }
 
 #[test]
-fn a_stream_whose_rest_fails_does_not_look_complete() {
-    never_complete(|asked| vec![Step::Writes(whole(500, &format!("{}{STAMP}", id(asked.id())), b"failed"))]);
+fn stream_whose_rest_fails_does_not_look_complete() {
+    assert_never_complete(|asked| {
+        vec![Step::Writes(whole(500, &format!("{}{STAMP}", id(asked.id())), b"failed"))]
+    });
 }
 
 #[test]
-fn a_stream_whose_rest_has_another_id_does_not_look_complete() {
-    never_complete(|asked| {
+fn stream_whose_rest_has_another_id_does_not_look_complete() {
+    assert_never_complete(|asked| {
         let other = Asked {
             message: system_common::server::renamed(&asked.message, "other"),
             number: 0,
@@ -274,34 +278,34 @@
 }
 
 #[test]
-fn a_stream_whose_rest_has_no_stamp_does_not_look_complete() {
-    never_complete(|asked| {
+fn stream_whose_rest_has_no_stamp_does_not_look_complete() {
+    assert_never_complete(|asked| {
         let head = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n{}\r\n", id(asked.id()));
         vec![Step::Writes(head.into_bytes()), chunk(&event(4)), last_chunk()]
     });
 }
 
 #[test]
-fn a_stream_has_no_more_tries_than_its_route_allows() {
+fn stream_gets_no_more_attempts_than_its_route_allows() {
     let scene = Scene::new(|turn, asked| {
         let from = 1 + 2 * turn as u64;
         then(part(asked, from..=from + 1), [Step::Closes])
     });
     assert_eq!(scene.ask("twice", "").1, Err(Broken(events(1..=4))));
-    assert_eq!(told(&scene.servers, 2).len(), 2);
+    assert_eq!(last_event_ids(&scene.servers, 2).len(), 2);
 }
 
 #[test]
-fn a_client_that_resumes_by_itself_gets_what_is_behind_its_last_event() {
+fn client_that_resumes_gets_the_events_after_its_last() {
     let scene = Scene::new(|_, asked| stream(asked, 8..=9));
     for route in ["again", "once"] {
         assert_eq!(scene.ask(route, "Last-Event-Id: 7\r\n").1, Ok(events(8..=9)), "{route}");
     }
-    assert_eq!(told(&scene.servers, 2), [Some("7".to_owned()), Some("7".to_owned())]);
+    assert_eq!(last_event_ids(&scene.servers, 2), [Some("7".to_owned()), Some("7".to_owned())]);
 }
 
 #[test]
-fn a_whole_answer_on_a_streaming_route_is_passed_on_as_it_is() {
+fn complete_response_on_a_streaming_route_is_forwarded() {
     let scene = Scene::new(|_, asked| {
         vec![Step::Writes(whole(400, &format!("{}{STAMP}", id(asked.id())), b"too long a prompt"))]
     });
@@ -312,7 +316,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_ends_its_stream_at_the_server() {
+fn disconnected_client_ends_its_stream_at_the_server() {
     let gate = Arc::new(Gate::default());
     let held = gate.clone();
     let scene = Scene::new(move |turn, asked| match turn {
@@ -330,5 +334,9 @@
     next.write(&asks("r2", "again", ""));
     let head = next.head();
     assert_eq!(next.try_body(&head), Ok(events(1..=2)));
-    assert_eq!(told(&scene.servers, 2), [None, None], "nothing goes on for who has left");
+    assert_eq!(
+        last_event_ids(&scene.servers, 2),
+        [None, None],
+        "nothing is resumed for a disconnected client"
+    );
 }
--- a/cli/tests/system_records.rs
+++ b/cli/tests/system_wal_recovery.rs
@@ -1,5 +1,5 @@
-//! Records files that can't be used: they are kept under another name, one line says what to do, and the replica gets its state from
-//! the others, also where the settings say that the system starts for the first time.
+//! Write-ahead logs that can't be used: they are kept under another name, a log line says what to do, and the replica gets its state
+//! from the others, also where the settings say that the system starts for the first time.
 
 mod system_common;
 
@@ -51,7 +51,7 @@
 }
 
 #[gtest]
-fn a_replica_with_a_damaged_file_recovers_from_the_others() {
+fn replica_with_a_corrupted_log_recovers_from_the_others() {
     let site = Site::new();
     let mut core = stopped(&site);
     let mut bytes = fs::read(file(&site)).expect("the file");
@@ -61,7 +61,7 @@
 }
 
 #[gtest]
-fn a_damaged_file_is_no_first_start() {
+fn corrupted_log_is_no_first_start() {
     let site = Site::new();
     let mut core = stopped(&site);
     fs::write(file(&site), b"not a file of records").expect("damaged");
@@ -69,7 +69,7 @@
 }
 
 #[gtest]
-fn a_replica_with_a_record_of_another_release_recovers_from_the_others() {
+fn replica_with_an_unknown_record_recovers_from_the_others() {
     let site = Site::new();
     let mut core = stopped(&site);
     {
--- a/system/src/router/clients.rs
+++ b/system/src/router/clients.rs
@@ -100,7 +100,7 @@
         Ok(incoming_request(id, head, body, route, not_after))
     }
 
-    /// The connection's keep-alive as clients are told of it.
+    /// The keep-alive that clients get in the response's header.
     fn advertised_keep_alive(&self) -> Duration {
         self.connections.timeouts().idle.saturating_sub(KEEP_ALIVE_MARGIN)
     }
--- a/system/src/transport/writer.rs
+++ b/system/src/transport/writer.rs
@@ -1,6 +1,6 @@
 //! The send queue of a connection: small messages first, fragments of large ones (bulk) behind them at a limited rate.
 //!
-//! [`Writer`] is the queue's sending end and is held by whoever addresses the peer; [`SendQueue`] is owned by the connection's task,
+//! [`Writer`] is the queue's sending end and is held by the part that addresses the peer; [`SendQueue`] is owned by the connection's task,
 //! which drains it with [`SendQueue::write_to`]. Both count the queued bytes in one shared [`QueuedBytes`]. Dropping all writers ends
 //! the task's loop; dropping the queue makes each further send return false.
 
--- a/system/tests/instance_list.rs
+++ b/system/tests/instance_list.rs
@@ -1,5 +1,5 @@
-//! Reading the platform's list from a scripted platform on loopback sockets, in virtual time: connections that are cut or reset,
-//! pages that come late or never, and readings that are given up half way.
+//! The client of the platform's API against a scripted platform on loopback sockets, in virtual time: connections that are partitioned
+//! or closed, pages that come late or never, and reads that time out or are cancelled.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -16,7 +16,7 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
 
-/// What the platform does with one call, in the order in which calls come.
+/// What the platform does with one request, in the order in which requests come.
 #[derive(Clone, Copy, Debug)]
 enum Reply {
     /// A page with this one server, and the token of the next page.
@@ -125,7 +125,7 @@
 }
 
 /// Runs a test in virtual time.
-fn play<F: Future<Output = ()>>(test: F) {
+fn run<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), test);
 }
@@ -138,8 +138,8 @@
 const SECOND: &str = "/instances?page_token=p-50";
 
 #[gtest]
-fn all_pages_of_a_reading_come_on_one_connection_which_the_next_reading_does_not_use() {
-    play(async {
+fn connection_of_a_list_of_several_pages_is_not_reused() {
+    run(async {
         let platform = Platform::start([
             Reply::Page("i-1", Some("p-50")),
             Reply::Page("i-2", None),
@@ -158,8 +158,8 @@
 }
 
 #[gtest]
-fn the_connection_of_a_list_of_one_page_is_kept() {
-    play(async {
+fn connection_of_a_list_of_one_page_is_reused() {
+    run(async {
         let platform = Platform::start([Reply::Page("i-1", None), Reply::Page("i-2", None)]).await;
         let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.at);
         expect_that!(ids(read(&mut client).await.0), elements_are![eq("i-1")]);
@@ -169,8 +169,8 @@
 }
 
 #[gtest]
-fn a_kept_connection_that_is_silent_is_given_up_for_a_new_one() {
-    play(async {
+fn silent_reused_connection_is_replaced_after_its_timeout() {
+    run(async {
         let platform =
             Platform::start([Reply::Page("i-1", None), Reply::Silence, Reply::Page("i-2", None)]).await;
         let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.at);
@@ -186,8 +186,8 @@
 }
 
 #[gtest]
-fn a_kept_connection_that_was_closed_costs_no_time() {
-    play(async {
+fn closed_idle_connection_is_replaced_without_delay() {
+    run(async {
         let platform =
             Platform::start([Reply::Page("i-1", None), Reply::Close, Reply::Page("i-2", None)]).await;
         let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.at);
@@ -199,8 +199,8 @@
 }
 
 #[gtest]
-fn a_reading_ends_in_time_however_slow_its_pages_are() {
-    play(async {
+fn read_of_slow_pages_times_out() {
+    run(async {
         let slow = Reply::Late(REUSED_CONNECTION_TIMEOUT - Duration::from_millis(10), "i-1", Some("p-50"));
         let platform = Platform::start([slow; 20]).await;
         let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.at);
@@ -211,9 +211,9 @@
 }
 
 #[gtest]
-fn a_platform_that_says_nothing_or_half_a_page_is_late() {
+fn platform_that_sends_nothing_or_half_a_page_times_out() {
     for reply in [Reply::Silence, Reply::HalfPage] {
-        play(async move {
+        run(async move {
             let platform = Platform::start([reply; 4]).await;
             let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.at);
             let (list, took) = read(&mut client).await;
@@ -224,8 +224,8 @@
 }
 
 #[gtest]
-fn a_late_page_of_a_reading_that_was_given_up_is_no_page_of_the_next() {
-    play(async {
+fn late_page_of_a_timed_out_read_is_not_part_of_the_next() {
+    run(async {
         let late = Reply::Late(READ_TIMEOUT + Duration::from_millis(100), "i-old", Some("p-50"));
         let platform =
             Platform::start([late, Reply::Page("i-1", Some("p-50")), Reply::Page("i-2", None)]).await;
@@ -237,8 +237,8 @@
 }
 
 #[gtest]
-fn a_reading_that_is_dropped_half_way_leaves_nothing_to_the_next() {
-    play(async {
+fn cancelled_read_leaves_nothing_to_the_next() {
+    run(async {
         let platform = Platform::start([
             Reply::Page("i-old", Some("p-50")),
             Reply::Late(Duration::from_millis(50), "i-older", None),
@@ -255,8 +255,8 @@
 }
 
 #[gtest]
-fn a_refusal_is_told_as_one() {
-    play(async {
+fn error_status_is_reported() {
+    run(async {
         let platform = Platform::start([Reply::TooMany, Reply::Page("i-1", None)]).await;
         let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.at);
         let (list, _) = read(&mut client).await;
@@ -267,8 +267,8 @@
 }
 
 #[gtest]
-fn nobody_there_is_told_at_once() {
-    play(async {
+fn refused_connection_is_reported_without_delay() {
+    run(async {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("loopback");
         let SocketAddr::V4(at) = listener.local_addr().expect("it has one") else { unreachable!() };
         drop(listener);
--- a/system/tests/stored_codecs.rs
+++ b/system/tests/stored_codecs.rs
@@ -1,4 +1,4 @@
-//! What a control node writes to its disk: any bytes give an error or a value that is written and read again as the same one.
+//! The encoding of what a control node stores: any bytes are rejected, or decode to a value that round-trips.
 //!
 //! A longer run: `PROPTEST_CASES=100000 cargo test --release -p ivyhatch-system --test stored_codecs`.
 
@@ -56,14 +56,14 @@
 
 proptest! {
     #[test]
-    fn any_bytes_are_an_error_or_the_same_value_again(
+    fn any_bytes_are_rejected_or_round_trip(
         bytes in vec(prop_oneof![3 => Just(0_u8), 3 => 0..12_u8, 1 => any::<u8>()], 0..160),
     ) {
         check_all(&bytes)?;
     }
 
     #[test]
-    fn harmed_bytes_are_an_error_or_the_same_value_again(
+    fn corrupted_bytes_are_rejected_or_round_trip(
         which in any::<Index>(),
         at in any::<Index>(),
         with in vec(any::<u8>(), 0..5),
@@ -81,7 +81,7 @@
 }
 
 #[gtest]
-fn the_samples_are_sound() {
+fn samples_round_trip() {
     let samples = samples();
     expect_that!(check::<Record>(&samples[0]), ok(eq(&true)));
     expect_that!(check::<ConfigurationState>(&samples[1]), ok(eq(&true)));
--- a/system/tests/transport.rs
+++ b/system/tests/transport.rs
@@ -1,4 +1,4 @@
-//! Small and large messages on one link, in virtual time.
+//! Small and large messages on one connection, in virtual time.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -17,9 +17,9 @@
 use tokio::time::{Instant, sleep};
 
 /// 10 Mbit/s.
-const BYTES_A_MILLISECOND: usize = 1250;
+const BYTES_PER_MILLISECOND: usize = 1250;
 
-/// Runs a test in virtual time on one thread, as a role runs.
+/// Runs a test in virtual time in one thread, like a role.
 fn run<F: Future>(test: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), test)
@@ -37,11 +37,11 @@
     Document { revision: 7, sections, ..Document::default() }
 }
 
-fn whole(document: &Shared<Document>) -> WatchResponse {
+fn snapshot(document: &Shared<Document>) -> WatchResponse {
     WatchResponse::Snapshot { sequence: 7, document: document.clone() }
 }
 
-fn heads() -> WatchResponse {
+fn heartbeat() -> WatchResponse {
     let position = Default::default();
     WatchResponse::Progress {
         position,
@@ -52,66 +52,66 @@
     }
 }
 
-/// What comes out of a slow link, and when.
-async fn arrivals(mut from: DuplexStream, for_so_long: Duration) -> Vec<(Duration, WatchResponse)> {
+/// The messages from a slow connection, and when each arrived.
+async fn arrivals(mut from: DuplexStream, duration: Duration) -> Vec<(Duration, WatchResponse)> {
     let began = Instant::now();
-    let (mut decoder, mut came) = (Decoder::default(), Vec::new());
-    let mut buffer = [0; BYTES_A_MILLISECOND];
-    while began.elapsed() < for_so_long {
+    let (mut decoder, mut received) = (Decoder::default(), Vec::new());
+    let mut buffer = [0; BYTES_PER_MILLISECOND];
+    while began.elapsed() < duration {
         sleep(Duration::from_millis(1)).await;
         let read = tokio::time::timeout(Duration::from_millis(1), from.read(&mut buffer)).await;
         let Ok(Ok(read)) = read else { continue };
         decoder.feed(&buffer[..read]);
         while let Some(message) = decoder.next_message().expect("sound") {
-            came.push((began.elapsed(), message));
+            received.push((began.elapsed(), message));
         }
     }
-    came
+    received
 }
 
 #[gtest]
-fn a_heartbeat_overtakes_a_large_configuration() {
-    let came = run(async {
+fn heartbeat_overtakes_a_large_configuration() {
+    let received = run(async {
         let (mut to, from) = duplex(4 * 1024);
         let (writer, mut queue) = Writer::new();
         spawn_local(async move { queue.write_to(&mut to).await });
         let document = Shared::from(document(2000));
-        let fragments: Vec<_> = encode_fragments(&whole(&document)).into_iter().map(Rc::new).collect();
+        let fragments: Vec<_> = encode_fragments(&snapshot(&document)).into_iter().map(Rc::new).collect();
         expect_that!(writer.send_bulk(&fragments), eq(true));
         spawn_local(async move {
             for _ in 0..5 {
-                writer.send(&heads());
+                writer.send(&heartbeat());
                 sleep(Duration::from_millis(200)).await;
             }
             sleep(Duration::from_secs(2)).await;
         });
         arrivals(from, Duration::from_secs(3)).await
     });
-    let heads: Vec<Duration> = came
+    let heartbeats: Vec<Duration> = received
         .iter()
         .filter(|(_, message)| matches!(message, WatchResponse::Progress { .. }))
         .map(|(at, _)| *at)
         .collect();
-    expect_that!(heads.len(), eq(5));
-    for (at, sent) in heads.into_iter().zip((0..).map(|index| Duration::from_millis(200 * index))) {
+    expect_that!(heartbeats.len(), eq(5));
+    for (at, sent) in heartbeats.into_iter().zip((0..).map(|index| Duration::from_millis(200 * index))) {
         expect_that!(at.saturating_sub(sent), le(Duration::from_millis(100)));
     }
-    let whole: Vec<Duration> = came
+    let snapshots: Vec<Duration> = received
         .iter()
         .filter(|(_, message)| matches!(message, WatchResponse::Snapshot { .. }))
         .map(|(at, _)| *at)
         .collect();
-    expect_that!(whole, elements_are![le(&Duration::from_millis(1500))]);
+    expect_that!(snapshots, elements_are![le(&Duration::from_millis(1500))]);
 }
 
 #[gtest]
-fn changes_of_the_configuration_stay_in_their_order() {
-    let came = run(async {
+fn configuration_changes_keep_their_order() {
+    let received = run(async {
         let (mut to, from) = duplex(4 * 1024);
         let (writer, mut queue) = Writer::new();
         spawn_local(async move { queue.write_to(&mut to).await });
         let mut frames = FrameCache::default();
-        writer.send_bulk(&frames.fragments(&whole(&document(500).into())));
+        writer.send_bulk(&frames.fragments(&snapshot(&document(500).into())));
         for sequence in 7..12 {
             let change =
                 WatchResponse::Change { from: sequence, to: sequence + 1, change: Shared::default() };
@@ -119,7 +119,7 @@
         }
         arrivals(from, Duration::from_secs(2)).await
     });
-    let sequences: Vec<u64> = came
+    let sequences: Vec<u64> = received
         .iter()
         .filter_map(|(_, message)| match message {
             WatchResponse::Snapshot { sequence, .. } => Some(*sequence),
@@ -131,28 +131,28 @@
 }
 
 #[gtest]
-fn a_message_that_goes_to_many_is_encoded_once() {
+fn message_to_many_connections_is_encoded_once() {
     let document = Shared::from(document(100));
     let mut frames = FrameCache::default();
-    let first = frames.fragments(&whole(&document));
+    let first = frames.fragments(&snapshot(&document));
     for _ in 0..12 {
-        let again = frames.fragments(&whole(&document));
+        let again = frames.fragments(&snapshot(&document));
         expect_that!(Rc::ptr_eq(&first, &again), eq(true));
     }
-    let other = frames.fragments(&whole(&Shared::from((*document).clone())));
+    let other = frames.fragments(&snapshot(&Shared::from((*document).clone())));
     expect_that!(Rc::ptr_eq(&first, &other), eq(false), "another document, though it says the same");
 }
 
 #[gtest]
-fn a_reader_tells_of_fragments_before_their_message_is_whole() {
+fn fragments_are_reported_before_their_message_is_complete() {
     let (fragments, messages) = run(async {
         let (mut to, mut from) = duplex(4 * 1024);
         let (writer, mut queue) = Writer::new();
         spawn_local(async move { queue.write_to(&mut to).await });
         let mut frames = FrameCache::default();
-        writer.send_bulk(&frames.fragments(&whole(&document(500).into())));
+        writer.send_bulk(&frames.fragments(&snapshot(&document(500).into())));
         let (mut fragments, mut messages) = (0, 0);
-        // The link ends by its silence.
+        // The connection ends by its idle timeout.
         let _ = read_messages_and_fragments(
             &mut from,
             Duration::from_secs(2),
