--- a/socket-lab/src/nodes.rs
+++ b/socket-lab/src/nodes.rs
@@ -86,7 +86,7 @@
     let mut log = String::new();
     let listening = async {
         while let Ok(Some(line)) = lines.next_line().await {
-            if let Some((_, at)) = line.trim_end().split_once("serves at ") {
+            if let Some((_, at)) = line.trim_end().split_once("listening on ") {
                 return at.parse().ok();
             }
             log += &line;
