--- a/cli/src/sockets.rs
+++ b/cli/src/sockets.rs
@@ -170,7 +170,7 @@
             before.map_or_else(Default::default, |before| (before.outcomes, before.attempts));
         let zone = |(number, zone): (usize, &ZoneSnapshot)| {
             let partitioned = if zone.partitioned { " CUT" } else { "" };
-            let (servers, percent) = (zone.servers_in_service, zone.mean_utilization * 100.0);
+            let (servers, percent) = (zone.servers_in_service, zone.mean_utilisation * 100.0);
             format!("zone {number}: {servers} servers {percent:>3.0} %{partitioned}")
         };
         let zones: Vec<String> = now.zones.iter().enumerate().map(zone).collect();
--- a/experiments/src/spec.rs
+++ b/experiments/src/spec.rs
@@ -305,7 +305,7 @@
         let mut programs = Vec::new();
         let mut variant_marks = Vec::new();
         for (number, variant) in self.variants.iter().enumerate() {
-            if let Err((field, wanted)) = variant.decider().check() {
+            if let Err(ivyhatch_lab::PolicyConfigError { field, wanted }) = variant.decider().check() {
                 return fail(format!("variant[{number}].{field}"), variant.name.clone(), wanted);
             }
             let decider = serde_json::to_string(&variant.decider()).expect("plain data");
--- a/lab/src/arrivals.rs
+++ b/lab/src/arrivals.rs
@@ -1,89 +1,118 @@
-//! Who asks, and when. It depends on the world and the seed alone, and on nothing that nodes or servers do: both ways of
-//! playing a world see the same clients.
+//! The arrival process: which requests clients send, and when. It depends on the world and the seed alone, never on nodes
+//! or servers, so that a simulation and a run on sockets see the same clients.
 
-use crate::Nanos;
 use crate::random::RandomStream;
-use crate::world::{FaultKind, World, seconds};
+use crate::time::{Nanos, nanos_from_seconds};
+use crate::world::{FaultKind, World};
 
-/// Somebody who asks for something.
+/// Nanoseconds of a second, as a rate's numerator.
+const NANOS_PER_SECOND: f64 = 1e9;
+
+/// What one client asks for.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// When, from the world's start.
-    pub at: Nanos,
-    /// To which zone's nodes it comes.
+    /// When the client first sends it, since the start of the world.
+    pub arrives_at: Nanos,
+    /// The zone whose nodes the client prefers.
     pub zone: u32,
-    /// Whose it is.
+    /// The tenant's number; `None` in a world without tenants.
     pub tenant: Option<u32>,
-    /// What is asked: a position in the world's classes.
+    /// Index of the request's class in [`Workload::classes`](crate::Workload::classes).
     pub class: usize,
-    /// Nanoseconds on a core of speed 1.
+    /// Nanoseconds of work on a core of speed 1.
     pub work: f64,
-    /// How long its answer waits for others.
-    pub elsewhere: Nanos,
-    /// When it hangs up, as a part of the time that it would wait.
-    pub leaves: Option<f64>,
+    /// Time that the response waits for downstream services, whatever the load.
+    pub downstream_wait: Nanos,
+    /// When the client disconnects early, as a fraction of its timeout; `None` if it stays.
+    pub disconnect_fraction: Option<f64>,
 }
 
-/// All that ask in a world without closed clients, in the order of their times.
+/// The open-loop requests of a world, in the order of their arrival.
 pub struct Arrivals<'a> {
     world: &'a World,
-    next: Nanos,
+    next_at: Nanos,
     times: RandomStream,
     zones: RandomStream,
     work: RandomStream,
-    hang_ups: RandomStream,
+    disconnects: RandomStream,
     tenants: RandomStream,
 }
 
-/// One of several by its share.
-fn by_share(stream: &mut RandomStream, shares: impl Iterator<Item = f64> + Clone) -> usize {
-    let mut left = stream.unit() * shares.clone().sum::<f64>();
-    let last = shares.clone().count().saturating_sub(1);
-    let mut shares = shares;
-    let found = shares.position(|share| {
-        left -= share;
+/// Draws an index with a probability in proportion to its weight.
+fn weighted_index(stream: &mut RandomStream, weights: impl Iterator<Item = f64> + Clone) -> usize {
+    let mut left = stream.unit() * weights.clone().sum::<f64>();
+    let last = weights.clone().count().saturating_sub(1);
+    let mut weights = weights;
+    let found = weights.position(|weight| {
+        left -= weight;
         left < 0.0
     });
     found.unwrap_or(last)
 }
 
 impl<'a> Arrivals<'a> {
-    /// Those of a world with a seed.
+    /// The arrivals of a world for one seed.
     pub fn new(world: &'a World, seed: u64) -> Self {
         let stream = |purpose| RandomStream::new(seed, purpose, 0);
-        let (times, zones, work) = (stream("arrivals"), stream("zones"), stream("work"));
-        Self { world, next: 0, times, zones, work, hang_ups: stream("hang-ups"), tenants: stream("tenants") }
+        Self {
+            world,
+            next_at: 0,
+            times: stream("arrivals"),
+            zones: stream("zones"),
+            work: stream("work"),
+            disconnects: stream("hang-ups"),
+            tenants: stream("tenants"),
+        }
     }
 
-    /// How many times the usual rate comes then, of a tenant's requests or of everybody's.
-    fn burst(&self, of: Option<u32>, at: Nanos) -> f64 {
+    /// The product of the bursts at a time: of one tenant's bursts, or of those that affect all requests.
+    fn burst_multiplier(&self, tenant: Option<u32>, at: Nanos) -> f64 {
         let bursts =
-            self.world.faults.iter().filter(|fault| fault.kind == FaultKind::Burst && fault.tenant == of);
-        let now = bursts.filter(|fault| (fault.span().0..fault.span().1).contains(&at));
-        now.map(|fault| fault.rate_multiplier).product()
+            self.world.faults.iter().filter(|fault| fault.kind == FaultKind::Burst && fault.tenant == tenant);
+        let active = bursts.filter(|fault| fault.period().contains(&at));
+        active.map(|fault| fault.rate_multiplier).product()
+    }
+
+    /// The tenants' weights at a time, bursts included.
+    fn tenant_weights(&self, at: Nanos) -> impl Iterator<Item = f64> + Clone + '_ {
+        let tenants = self.world.clients.tenants.iter().zip(0..);
+        tenants.map(move |(tenant, number)| tenant.share * self.burst_multiplier(Some(number), at))
+    }
+
+    fn draw_zone(&mut self) -> u32 {
+        let zone_shares = &self.world.clients.zone_shares;
+        if zone_shares.is_empty() {
+            return (self.zones.unit() * f64::from(self.world.zones)) as u32;
+        }
+        weighted_index(&mut self.zones, zone_shares.iter().copied()) as u32
     }
 
-    /// What the next client wants who comes then: to this zone, or to any by its share.
-    pub fn draw(&mut self, at: Nanos, zone: Option<u32>) -> ClientRequest {
+    /// Draws the request of a client that arrives at a time: in this zone, or in one drawn by the zones' shares.
+    pub fn draw(&mut self, arrives_at: Nanos, zone: Option<u32>) -> ClientRequest {
         let clients = &self.world.clients;
-        let shares: Vec<f64> = clients
-            .tenants
-            .iter()
-            .zip(0..)
-            .map(|(tenant, n)| tenant.share * self.burst(Some(n), at))
-            .collect();
-        let zone = zone.unwrap_or_else(|| match clients.zone_shares.is_empty() {
-            true => (self.zones.unit() * f64::from(self.world.zones)) as u32,
-            false => by_share(&mut self.zones, clients.zone_shares.iter().copied()) as u32,
-        });
-        let tenant = (!shares.is_empty()).then(|| by_share(&mut self.tenants, shares.iter().copied()) as u32);
-        let class = by_share(&mut self.work, clients.classes.iter().map(|class| class.share));
+        let tenant_weights: Vec<f64> = self.tenant_weights(arrives_at).collect();
+        let zone = zone.unwrap_or_else(|| self.draw_zone());
+        let tenant = (!tenant_weights.is_empty())
+            .then(|| weighted_index(&mut self.tenants, tenant_weights.iter().copied()) as u32);
+        let class = weighted_index(&mut self.work, clients.classes.iter().map(|class| class.share));
         let settings = &clients.classes[class];
-        let work = self.work.about(settings.work_ms * 1e6);
-        let elsewhere = self.work.about(settings.downstream_ms * 1e6) as Nanos;
-        let hangs_up = clients.disconnect_ratio > 0.0 && self.hang_ups.unit() < clients.disconnect_ratio;
-        let leaves = hangs_up.then(|| self.hang_ups.unit());
-        ClientRequest { at, zone, tenant, class, work, elsewhere, leaves }
+        let work = self.work.around(settings.work_ms * 1e6);
+        let downstream_wait = self.work.around(settings.downstream_ms * 1e6) as Nanos;
+        let disconnects =
+            clients.disconnect_ratio > 0.0 && self.disconnects.unit() < clients.disconnect_ratio;
+        let disconnect_fraction = disconnects.then(|| self.disconnects.unit());
+        ClientRequest { arrives_at, zone, tenant, class, work, downstream_wait, disconnect_fraction }
+    }
+
+    /// Requests a second at a time, bursts included.
+    fn rate_at(&self, at: Nanos) -> f64 {
+        let clients = &self.world.clients;
+        let usual_weight: f64 = clients.tenants.iter().map(|tenant| tenant.share).sum();
+        let tenant_multiplier = match clients.tenants.is_empty() {
+            true => 1.0,
+            false => self.tenant_weights(at).sum::<f64>() / usual_weight,
+        };
+        clients.rate * self.burst_multiplier(None, at) * tenant_multiplier
     }
 }
 
@@ -91,17 +120,13 @@
     type Item = ClientRequest;
 
     fn next(&mut self) -> Option<ClientRequest> {
-        let (at, clients) = (self.next, &self.world.clients);
-        if clients.rate <= 0.0 || at >= seconds(self.world.seconds) {
+        let at = self.next_at;
+        if self.world.clients.rate <= 0.0 || at >= nanos_from_seconds(self.world.seconds) {
             return None;
         }
-        let asks = self.draw(at, None);
-        let usual: f64 = clients.tenants.iter().map(|tenant| tenant.share).sum();
-        let shares =
-            clients.tenants.iter().zip(0..).map(|(tenant, n)| tenant.share * self.burst(Some(n), at));
-        let more = if clients.tenants.is_empty() { 1.0 } else { shares.sum::<f64>() / usual };
-        let rate = clients.rate * self.burst(None, at) * more;
-        self.next = at + self.times.waiting(1e9 / rate) as Nanos;
-        Some(asks)
+        let request = self.draw(at, None);
+        let rate = self.rate_at(at);
+        self.next_at = at + self.times.exponential(NANOS_PER_SECOND / rate) as Nanos;
+        Some(request)
     }
 }
--- a/lab/src/random.rs
+++ b/lab/src/random.rs
@@ -1,57 +1,50 @@
-//! Randomness split by purpose: each purpose has a stream of its own from the world's seed, so adding a draw to
-//! one moves no other.
+//! Deterministic pseudo-random numbers: one independent stream for each purpose.
 
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 
-/// One purpose's draws.
+/// Offset basis and prime of the 64-bit FNV-1a hash.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x100_0000_01b3;
+/// 2^64 divided by the golden ratio: spreads consecutive numbers over the 64 bits.
+const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Bits of an `f64` mantissa, and what is left of a `u64`.
+const MANTISSA_BITS: u32 = 53;
+const SURPLUS_BITS: u32 = u64::BITS - MANTISSA_BITS;
+
+/// The random numbers of one purpose. An additional draw from one stream leaves all others as they were, so that a
+/// change of one part of a world keeps the rest comparable.
 pub struct RandomStream(ChaCha8Rng);
 
 impl RandomStream {
-    /// The stream of a purpose and a number within it, say of one server.
+    /// The stream of a purpose, and of a number within it, for one seed.
     pub fn new(seed: u64, purpose: &str, number: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        // FNV: what matters is that purposes differ, and that they do so for ever.
-        let name = purpose.bytes().fold(0xcbf2_9ce4_8422_2325u64, |hash, byte| {
-            (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3)
-        });
-        random.set_stream(name ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        // FNV-1a, since the hash of a purpose must never change with a release of the standard library.
+        let purpose_hash = purpose
+            .bytes()
+            .fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME));
+        random.set_stream(purpose_hash ^ number.wrapping_mul(GOLDEN_RATIO));
         Self(random)
     }
 
-    /// A number from 0 up to 1.
+    /// Uniform in `[0, 1)`.
     pub fn unit(&mut self) -> f64 {
-        (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
+        (self.0.next_u64() >> SURPLUS_BITS) as f64 / (1u64 << MANTISSA_BITS) as f64
     }
 
-    /// A waiting time with this mean, as between arrivals that know nothing of each other.
-    pub fn waiting(&mut self, mean: f64) -> f64 {
+    /// Exponentially distributed with this mean: the time between two events of a Poisson process.
+    pub fn exponential(&mut self, mean: f64) -> f64 {
         -mean * (1.0 - self.unit()).ln()
     }
 
-    /// About this much: a quarter to either side.
-    pub fn about(&mut self, mean: f64) -> f64 {
+    /// Uniform within a quarter of the mean to either side.
+    pub fn around(&mut self, mean: f64) -> f64 {
         mean * (0.75 + 0.5 * self.unit())
     }
 
-    /// A seed for somebody else's draws.
+    /// A seed for another generator.
     pub fn seed(&mut self) -> u64 {
         self.0.next_u64()
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn purposes_and_numbers_draw_apart_and_the_same_again() {
-        let draws = |purpose, number| {
-            let mut stream = RandomStream::new(7, purpose, number);
-            [stream.unit(), stream.unit(), stream.unit()]
-        };
-        assert_eq!(draws("arrivals", 0), draws("arrivals", 0));
-        assert_ne!(draws("arrivals", 0), draws("arrivals", 1));
-        assert_ne!(draws("arrivals", 0), draws("work", 0));
-    }
-}
--- /dev/null
+++ b/lab/src/world/workload.rs
@@ -0,0 +1,106 @@
+//! The clients of a world: their request classes, tenants, retries and arrival rate.
+
+use serde::{Deserialize, Serialize};
+
+use crate::time::{MS, Nanos};
+
+/// Longest `Retry-After` that a client honours.
+pub(crate) const MAX_RETRY_AFTER: Nanos = 2_000 * MS;
+/// Pause of a client that found no node or lost its connection, and of a closed-loop client whose request failed.
+pub const RECONNECT_DELAY: Nanos = 100 * MS;
+
+/// The clients' requests.
+#[derive(Clone, Debug, Deserialize, Serialize)]
+#[serde(deny_unknown_fields)]
+pub struct Workload {
+    /// Open-loop requests a second over all nodes, without bursts; 0 if all clients are closed-loop.
+    pub rate: f64,
+    /// Number of closed-loop clients: each sends its next request as soon as it has a response.
+    #[serde(rename = "closed", default)]
+    pub closed_clients: u32,
+    /// Weight of each zone among the clients; empty for equal weights.
+    #[serde(default, skip_serializing_if = "Vec::is_empty")]
+    pub zone_shares: Vec<f64>,
+    /// Whether clients mark retries; otherwise a node has to infer them from the remaining time.
+    #[serde(rename = "marks_repeats", default)]
+    pub marks_retries: bool,
+    /// Fraction of clients that disconnect early, at any time up to their deadline.
+    #[serde(rename = "hang_up", default)]
+    pub disconnect_ratio: f64,
+    /// Retries of a client after a rejection.
+    #[serde(rename = "repeats")]
+    pub retries: u32,
+    /// Pause before a retry, unless a longer `Retry-After` was received.
+    #[serde(rename = "repeat_after_ms")]
+    pub retry_delay_ms: u64,
+    /// The request classes.
+    #[serde(rename = "class")]
+    pub classes: Vec<RequestClass>,
+    /// The tenants; empty for a world without tenants.
+    #[serde(rename = "tenant", default, skip_serializing_if = "Vec::is_empty")]
+    pub tenants: Vec<Tenant>,
+}
+
+impl Workload {
+    /// How long a client waits before a retry, given the `Retry-After` that it received.
+    pub fn retry_delay(&self, retry_after: Nanos) -> Nanos {
+        retry_after.min(MAX_RETRY_AFTER).max(self.retry_delay_ms * MS)
+    }
+
+    /// The zone of each closed-loop client, in proportion to the zones' weights.
+    pub fn closed_client_zones(&self, zones: u32) -> Vec<u32> {
+        let equal = vec![1.0; zones as usize];
+        let weights = if self.zone_shares.is_empty() { &equal } else { &self.zone_shares };
+        let sum: f64 = weights.iter().sum();
+        let mut assigned = Vec::new();
+        let mut cumulative = 0.0;
+        for (zone, weight) in (0..).zip(weights) {
+            cumulative += weight / sum * f64::from(self.closed_clients);
+            assigned.resize((cumulative.round() as usize).max(assigned.len()), zone);
+        }
+        assigned
+    }
+}
+
+/// A tenant.
+#[derive(Clone, Copy, Debug, Deserialize, Serialize)]
+#[serde(deny_unknown_fields)]
+pub struct Tenant {
+    /// Weight among the requests.
+    pub share: f64,
+    /// Requests a second, over all nodes, that it is entitled to.
+    pub quota: f64,
+}
+
+/// A class of requests.
+#[derive(Clone, Debug, Deserialize, Serialize)]
+#[serde(deny_unknown_fields)]
+pub struct RequestClass {
+    /// Name, for reports.
+    pub name: String,
+    /// Weight among the requests.
+    pub share: f64,
+    /// Mean work on a core of speed 1.
+    pub work_ms: f64,
+    /// Mean wait for downstream services, independent of the load.
+    #[serde(rename = "elsewhere_ms")]
+    pub downstream_ms: f64,
+    /// A response within this time counts as in time (service-level objective).
+    #[serde(rename = "aim_ms")]
+    pub latency_target_ms: u64,
+    /// Time after which the client stops retrying and waiting.
+    pub deadline_ms: u64,
+    /// Value of one response in time.
+    #[serde(rename = "worth")]
+    pub value: f64,
+    /// Whether a request must not be executed twice (RFC 9110, section 9.2.2).
+    #[serde(rename = "once")]
+    pub non_idempotent: bool,
+}
+
+impl RequestClass {
+    /// How long a client waits for one attempt: 70 to 100 % of the deadline, by a draw from `[0, 1)`.
+    pub fn attempt_timeout(&self, unit_draw: f64) -> Nanos {
+        (self.deadline_ms as f64 * (0.7 + 0.3 * unit_draw)) as Nanos * MS
+    }
+}
--- /dev/null
+++ b/lab/tests/invariants.rs
@@ -0,0 +1,135 @@
+//! The invariant checker: each invariant's violation is seen, and what keeps it is not reported.
+
+use ivyhatch_lab::{
+    ANSWER_SLACK, DRAIN_GRACE, Execution, FinalResponse, Invariant, InvariantChecker, ListedServer, Nanos,
+    RequestTerms, ResourceUsage,
+};
+
+const MS: Nanos = 1_000_000;
+
+/// The violations of a run with one request (node 0, request 1) that is not idempotent and times out at 100 ms.
+fn violations(run: impl FnOnce(&mut InvariantChecker)) -> Vec<Invariant> {
+    let mut checker = InvariantChecker::default();
+    let terms = RequestTerms { non_idempotent: true, not_after: 100 * MS };
+    checker.request_accepted(0, 1, terms, 0);
+    run(&mut checker);
+    checker.violations.iter().map(|violation| violation.rule).collect()
+}
+
+fn listed(server: u32, in_service: bool, started: Option<Nanos>) -> ListedServer {
+    ListedServer { server, in_service, started }
+}
+
+#[test]
+fn retry_after_an_attempt_that_never_ran_violates_nothing() {
+    let kept = violations(|checker| {
+        checker.attempt_sent(0, 1, 5, 0);
+        checker.attempt_ended(0, 1, 0, Execution::RuledOut, MS);
+        checker.attempt_sent(0, 1, 6, MS);
+        checker.response_sent(0, 1, FinalResponse::Other, 2 * MS);
+        checker.request_closed(0, 1, ANSWER_SLACK);
+    });
+    assert_eq!(kept, []);
+}
+
+#[test]
+fn second_attempt_after_a_possible_execution_violates_repeat() {
+    let twice = violations(|checker| {
+        checker.attempt_sent(0, 1, 5, 0);
+        checker.attempt_ended(0, 1, 0, Execution::Possible, MS);
+        checker.attempt_sent(0, 1, 6, MS);
+    });
+    assert_eq!(twice, [Invariant::Repeat]);
+}
+
+#[test]
+fn rejection_after_a_possible_execution_violates_repeat() {
+    let harm = violations(|checker| {
+        checker.attempt_sent(0, 1, 5, 0);
+        checker.response_sent(0, 1, FinalResponse::Rejected, MS);
+    });
+    assert_eq!(harm, [Invariant::Repeat]);
+}
+
+#[test]
+fn missing_late_or_second_response_violates_answer() {
+    assert_eq!(violations(|checker| checker.request_closed(0, 1, 200 * MS)), [Invariant::Answer]);
+    let late = 100 * MS + ANSWER_SLACK + 1;
+    assert_eq!(
+        violations(|checker| checker.response_sent(0, 1, FinalResponse::Other, late)),
+        [Invariant::Answer]
+    );
+    assert_eq!(
+        violations(|checker| (0..2).for_each(|_| checker.response_sent(0, 1, FinalResponse::Other, MS))),
+        [Invariant::Answer]
+    );
+}
+
+#[test]
+fn attempt_to_a_draining_server_after_the_grace_violates_drain() {
+    let drained = |after| {
+        violations(|checker| {
+            checker.server_listed(0, listed(5, false, None), 0);
+            // A list older than the notification.
+            checker.server_listed(0, listed(5, true, None), MS);
+            checker.attempt_sent(0, 1, 5, after);
+        })
+    };
+    assert_eq!((drained(DRAIN_GRACE), drained(DRAIN_GRACE + 1)), (vec![], vec![Invariant::Drain]));
+}
+
+#[test]
+fn attempt_to_a_server_that_has_started_again_violates_nothing() {
+    let back = violations(|checker| {
+        checker.server_listed(0, listed(5, false, None), 0);
+        checker.server_listed(0, listed(5, true, Some(MS)), 2 * MS);
+        checker.attempt_sent(0, 1, 5, 2 * DRAIN_GRACE);
+    });
+    assert_eq!(back, []);
+}
+
+#[test]
+fn server_that_a_full_list_omits_counts_as_gone() {
+    let off_list = violations(|checker| {
+        checker.full_list_received(0, &[listed(4, true, None)], 6, 0);
+        checker.attempt_sent(0, 1, 5, 2 * DRAIN_GRACE);
+    });
+    assert_eq!(off_list, [Invariant::Drain]);
+}
+
+#[test]
+fn crash_of_a_cold_server_under_informed_load_violates_cold() {
+    assert_eq!(violations(|checker| checker.cold_server_crashed(5, MS)), [Invariant::Cold]);
+}
+
+#[test]
+fn client_that_disconnected_is_owed_no_response() {
+    let gone = violations(|checker| {
+        checker.client_disconnected(0, 1, MS);
+        checker.request_closed(0, 1, 200 * MS);
+    });
+    assert_eq!(gone, [], "nothing is owed to a client that has disconnected");
+}
+
+#[test]
+fn attempt_after_the_client_disconnected_violates_answer() {
+    let late_send = violations(|checker| {
+        checker.client_disconnected(0, 1, MS);
+        checker.attempt_sent(0, 1, 5, 2 * MS);
+    });
+    assert_eq!(late_send, [Invariant::Answer]);
+}
+
+#[test]
+fn resource_limit_exceeded_by_a_node_is_reported_once() {
+    let mut checker = InvariantChecker::default();
+    let descriptors = |used| ResourceUsage { resource: "descriptors", used, limit: 1024 };
+    checker.resource_used(0, descriptors(1024), 1);
+    assert!(checker.violations.is_empty());
+    checker.resource_used(0, descriptors(1025), 2);
+    checker.resource_used(0, descriptors(1026), 3);
+    checker.resource_used(1, descriptors(1026), 4);
+    let reported: Vec<_> =
+        checker.violations.iter().map(|violation| (violation.rule, violation.at)).collect();
+    assert_eq!(reported, [(Invariant::Bounds, 2), (Invariant::Bounds, 4)]);
+}
--- a/socket-lab/src/discovery.rs
+++ b/socket-lab/src/discovery.rs
@@ -1,4 +1,5 @@
-//! The list of servers, as discovery words it. One service for each node: endpoints differ, and who was told what is known.
+//! The discovery service: long polls for the list of servers. Each node has its own, since addresses differ and the
+//! receiver of each notification has to be known.
 
 use std::convert::Infallible;
 use std::net::Ipv4Addr;
@@ -9,147 +10,123 @@
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
-use hyper::{Request, Response};
+use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use ivyhatch_lab::ServerState;
+use ivyhatch_lab::{ListedServer, ServerState};
 use serde_json::{Value, json};
-use tokio::net::TcpListener;
+use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
-use tokio::time::{sleep, timeout};
+use tokio::time::timeout;
 
-use crate::SocketLabError;
-use crate::stage::{Body, Nanos, Stage, zone_name};
+use crate::endpoint_list::Endpoint;
+use crate::error::SocketLabError;
+use crate::run_state::{Body, RunState, zone_name};
 
-/// A server as lists show it.
-#[derive(Clone, Copy)]
-pub(crate) struct Shown {
-    pub(crate) state: ServerState,
-    pub(crate) started: Option<Nanos>,
-    /// The version that changed it.
-    rev: u64,
-}
+/// Longest time that a watch is held.
+const MAX_HOLD_MS: u64 = 60_000;
 
-/// The list, and what is wrong with it.
-pub(crate) struct List {
-    rev: u64,
-    shown: Vec<Shown>,
-    /// Troubles that keep it from answering.
-    pub(crate) down: u32,
-    /// What whole lists show while they are stale, and how many troubles keep them so.
-    pub(crate) stale: Option<(u32, Vec<Shown>)>,
+/// A call for the list, from its query.
+struct ListCall {
+    /// The revision that the caller has; `None` or 0 asks for the full list.
+    known_revision: Option<u64>,
+    /// How long the call may wait for a later revision.
+    hold: Duration,
 }
 
-impl List {
-    pub(crate) fn new(servers: usize) -> Self {
-        let shown = vec![Shown { state: ServerState::Serving, started: None, rev: 1 }; servers];
-        Self { rev: 1, shown, down: 0, stale: None }
+impl ListCall {
+    fn parse(query: &str) -> Self {
+        let number = |name: &str| {
+            let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
+            pairs.find(|(key, _)| *key == name).and_then(|(_, value)| value.parse::<u64>().ok())
+        };
+        let hold_ms = number("hold_ms").unwrap_or(0).min(MAX_HOLD_MS);
+        Self { known_revision: number("from"), hold: Duration::from_millis(hold_ms) }
     }
 
-    pub(crate) fn now(&self) -> Vec<Shown> {
-        self.shown.clone()
+    /// The revision after which changes are asked for; `None` for the full list.
+    fn changes_since(&self) -> Option<u64> {
+        self.known_revision.filter(|revision| *revision > 0)
     }
 }
 
-/// Lists tell of a server as it is now, after their lag.
-pub(crate) fn announce(stage: &Rc<Stage>, server: usize) {
-    let (state, started) = {
-        let server = stage.servers[server].borrow();
-        (server.state, server.started)
-    };
-    let stage = stage.clone();
-    spawn_local(async move {
-        sleep(Duration::from_millis(stage.world.discovery.lag_ms)).await;
-        let rev = {
-            let mut list = stage.list.borrow_mut();
-            list.rev += 1;
-            let rev = list.rev;
-            list.shown[server] = Shown { state, started, rev };
-            rev
-        };
-        stage.listed.send_replace(rev);
-    });
-}
-
-/// The lines of a list for a node.
-pub(crate) fn targets(stage: &Stage, node: usize, shown: &[(usize, Shown)]) -> Vec<Value> {
-    let endpoints = stage.endpoints.borrow();
-    let line = |(server, shown): &(usize, Shown)| {
-        let state = match shown.state {
+/// The entries of a list, as the protocol has them.
+pub(crate) fn targets(run: &RunState, node: usize, endpoints: &[Endpoint]) -> Vec<Value> {
+    let addresses = run.server_addresses.borrow();
+    let target = |endpoint: &Endpoint| {
+        let server = endpoint.server;
+        let state = match endpoint.state {
             ServerState::Serving => "Ready",
             ServerState::Draining => "Terminating",
             ServerState::Gone => "Gone",
         };
-        json!({"uid": format!("s-{server}"), "endpoint": endpoints[*server][node].to_string(),
-            "az": zone_name(stage.zone(*server)), "model": "m", "pod_group": server, "state": state,
-            "capacity_hint": stage.servers[*server].borrow().group.cores,
-            "boot_ms": shown.started.map_or(0, |started| stage.unix_ms(started))})
+        json!({"uid": format!("s-{server}"), "endpoint": addresses[server][node].to_string(),
+            "az": zone_name(run.zone_of(server)), "model": "m", "pod_group": server, "state": state,
+            "capacity_hint": run.servers[server].borrow().group.cores,
+            "boot_ms": endpoint.started.map_or(0, |started| run.clock.unix_ms(started))})
     };
-    shown.iter().map(line).collect()
-}
-
-/// The whole list, without those that have gone.
-pub(crate) fn whole(stage: &Stage) -> Vec<(usize, Shown)> {
-    let list = stage.list.borrow();
-    let shown = list.stale.as_ref().map_or(&list.shown, |(_, shown)| shown);
-    shown.iter().copied().enumerate().filter(|(_, shown)| shown.state != ServerState::Gone).collect()
+    endpoints.iter().map(target).collect()
 }
 
-pub(crate) async fn listen_all(stage: &Rc<Stage>) -> Result<(), SocketLabError> {
-    for node in 0..stage.nodes.len() {
+/// Starts a service for each node.
+///
+/// # Errors
+/// If the system gives no socket.
+pub(crate) async fn listen_all(run: &Rc<RunState>) -> Result<(), SocketLabError> {
+    for node in 0..run.nodes.len() {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await;
         let listener = listener.map_err(SocketLabError::system("discovery's listener"))?;
-        let at = listener.local_addr().map_err(SocketLabError::system("discovery's listener"))?;
-        stage.nodes[node].borrow_mut().discovery = Some(at);
-        let stage = stage.clone();
+        let address = listener.local_addr().map_err(SocketLabError::system("discovery's listener"))?;
+        run.nodes[node].borrow_mut().discovery_address = Some(address);
+        let run = run.clone();
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let stage = stage.clone();
-                spawn_local(async move {
-                    let answers = |request| {
-                        let stage = stage.clone();
-                        async move { Ok::<_, Infallible>(answer(&stage, node, &request).await) }
-                    };
-                    let _ = http1::Builder::new()
-                        .serve_connection(TokioIo::new(stream), service_fn(answers))
-                        .await;
-                });
+                spawn_local(serve_connection(run.clone(), node, stream));
             }
         });
     }
     Ok(())
 }
 
-async fn answer(stage: &Rc<Stage>, node: usize, request: &Request<Incoming>) -> Response<Body> {
-    let query = request.uri().query().unwrap_or_default();
-    let field = |name: &str| {
-        let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
-        pairs.find(|(key, _)| *key == name).and_then(|(_, value)| value.parse::<u64>().ok())
-    };
-    let hold = Duration::from_millis(field("hold_ms").unwrap_or(0).min(60_000));
-    let mut listed = stage.listed.subscribe();
-    let from = field("from");
-    if let Some(from) = from {
-        let _ = timeout(hold, listed.wait_for(|rev| *rev > from)).await;
+async fn serve_connection(run: Rc<RunState>, node: usize, stream: TcpStream) {
+    let service = service_fn(|request| {
+        let run = run.clone();
+        async move { Ok::<_, Infallible>(respond(&run, node, &request).await) }
+    });
+    // A broken connection concerns its node alone.
+    let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
+}
+
+async fn respond(run: &Rc<RunState>, node: usize, request: &Request<Incoming>) -> Response<Body> {
+    let call = ListCall::parse(request.uri().query().unwrap_or_default());
+    let mut revisions = run.list_revision.subscribe();
+    if let Some(known) = call.known_revision {
+        // After the hold time the response has no changes.
+        let _ = timeout(call.hold, revisions.wait_for(|revision| *revision > known)).await;
     }
-    if stage.list.borrow().down > 0 {
-        return Response::builder().status(503).body(Full::default()).expect("a sound answer");
+    if run.endpoint_list.borrow().outages > 0 {
+        let unavailable = Response::builder().status(StatusCode::SERVICE_UNAVAILABLE).body(Full::default());
+        return unavailable.expect("a status makes a valid response");
     }
-    let rev = stage.list.borrow().rev;
-    let changes = |from: u64| -> Vec<(usize, Shown)> {
-        let list = stage.list.borrow();
-        list.shown.iter().copied().enumerate().filter(|(_, shown)| shown.rev > from).collect()
+    let revision = run.endpoint_list.borrow().revision();
+    let changes_since = call.changes_since();
+    let endpoints = match changes_since {
+        Some(since) => run.endpoint_list.borrow().changes_since(since),
+        None => run.endpoint_list.borrow().full(),
     };
-    let all = from.is_none_or(|from| from == 0);
-    let lines = if all { whole(stage) } else { changes(from.unwrap_or(0)) };
-    let told = lines
-        .iter()
-        .map(|(server, shown)| (*server as u32, shown.state == ServerState::Serving, shown.started));
-    let told: Vec<_> = told.collect();
-    let (now, mut oracle) = (stage.now(), stage.oracle.borrow_mut());
-    match all {
-        true => oracle.told_all(node, &told, stage.servers.len() as u32, now),
-        false => told.into_iter().for_each(|(server, on, since)| oracle.told(node, server, on, since, now)),
-    }
-    let body = json!({"rev": rev, "all": all, "targets": targets(stage, node, &lines)}).to_string();
+    let is_full = changes_since.is_none();
+    record_notification(run, node, &endpoints, is_full);
+    let targets = targets(run, node, &endpoints);
+    let body = json!({"rev": revision, "all": is_full, "targets": targets}).to_string();
     Response::new(Full::new(body.into()))
 }
+
+fn record_notification(run: &RunState, node: usize, endpoints: &[Endpoint], is_full: bool) {
+    let listed: Vec<ListedServer> = endpoints.iter().map(Endpoint::as_listed).collect();
+    let now = run.clock.now();
+    let mut invariants = run.invariants.borrow_mut();
+    if is_full {
+        invariants.full_list_received(node, &listed, run.servers.len(), now);
+    } else {
+        listed.into_iter().for_each(|listed| invariants.server_listed(node, listed, now));
+    }
+}
--- a/socket-lab/src/snapshot.rs
+++ b/socket-lab/src/snapshot.rs
@@ -16,8 +16,8 @@
 pub struct ZoneSnapshot {
     /// Servers that accept requests.
     pub servers_in_service: usize,
-    /// Mean utilization of these servers, 0 to 1; 0 if there are none.
-    pub mean_utilization: f64,
+    /// Mean utilisation of these servers, 0 to 1; 0 if there are none.
+    pub mean_utilisation: f64,
     /// Whether a partition separates the zone from the others.
     pub partitioned: bool,
 }
