--- a/node/tests/life.rs
+++ b/node/tests/life.rs
@@ -33,7 +33,7 @@
         (4, r#"{"rev":4,"all":true}"#),
     ] {
         discovery.set_text(rev, text.to_owned());
-        wait_until("the bad list is logged", || node.logged("discovery: not a list"));
+        wait_until("the bad list is logged", || node.logged("discovery call failed: malformed list"));
         assert_eq!(node.ask(&get(&format!("b{rev}"), "")).status(), 200);
     }
     let other = serving("other");
@@ -54,7 +54,7 @@
     let mut config = config(discovery.address, json!([]));
     config["settings"]["discovery"] = json!("on_request");
     let node = Node::start(&config);
-    wait_until("the failure is logged", || node.logged("discovery: not a list"));
+    wait_until("the failure is logged", || node.logged("discovery call failed: malformed list"));
     discovery.set(json!([target("s-0", backend.address, "Ready")]));
     discovery.wait_for_watch_from(discovery.revision());
     assert_eq!(node.ask(&get("a1", "")).status(), 200);
@@ -106,7 +106,7 @@
         backend.requests.try_iter().any(|m| m.value("x-call-id") == Some("slow"))
     });
     node.signal("-TERM");
-    wait_until("the node has heard", || node.logged("stops"));
+    wait_until("the node has heard", || node.logged("shutting down"));
     for (id, client) in [("a1", kept), ("a2", Client::connect(node.at))] {
         let mut client = client;
         let answer = client.round_trip(&get(id, "")).expect("an answer after the signal");
@@ -243,7 +243,7 @@
     let second = Discovery::new(json!([target("s-1", new.address, "Ready")]));
     for (n, at) in [second.address, first.address, second.address].into_iter().enumerate() {
         node.reconfigure(&config(at, json!([])).to_string());
-        wait_until("it is read", || node.count("configuration read anew") == n + 1);
+        wait_until("it is read", || node.count("configuration reloaded") == n + 1);
     }
     // A version that the last stay there brings: from the first one a watch had come to the address as well.
     second.set(json!([target("s-1", new.address, "Ready")]));
@@ -253,7 +253,7 @@
         || second.watch_requests.lock().unwrap().iter().filter(|call| !call.contains("from=")).count();
     let before = whole();
     node.reconfigure(&config(second.address, json!([])).to_string());
-    wait_until("it is read", || node.count("configuration read anew") == 4);
+    wait_until("it is read", || node.count("configuration reloaded") == 4);
     assert_eq!(node.ask(&get("s0", "")).body, b"new");
     assert_eq!(whole(), before, "the watch goes on");
 }
@@ -266,7 +266,7 @@
     unusable["settings"] = json!({});
     for (n, text) in ["{".to_owned(), unusable.to_string()].into_iter().enumerate() {
         node.reconfigure(&text);
-        wait_until("it is logged", || node.count("the old configuration stays") == n + 1);
+        wait_until("it is logged", || node.count("configuration reload failed") == n + 1);
         assert_eq!(node.ask(&get(&format!("u{n}"), "")).status(), 200);
     }
     let other = serving("other");
@@ -276,6 +276,6 @@
     let bad = Discovery::new(json!([]));
     bad.set_text(1, "{".to_owned());
     node.reconfigure(&config(bad.address, json!([])).to_string());
-    wait_until("the bad list is logged", || node.logged("discovery: not a list"));
+    wait_until("the bad list is logged", || node.logged("discovery call failed: malformed list"));
     assert_eq!(node.ask(&get("u9", "")).body, b"other");
 }
