--- a/node/src/driver/timers.rs
+++ b/node/src/driver/timers.rs
@@ -10,7 +10,7 @@
 }
 
 impl<T: Copy + Ord> TimerTable<T> {
-    /// Adds a timer. True if it is due before all others, so that whoever waits for the next one has to wake earlier.
+    /// Adds a timer. True if it is due before all others, so that the task that waits for the next one has to wake earlier.
     pub fn insert(&mut self, at: Nanos, timer: T) -> bool {
         let is_next = self.next_at().is_none_or(|next| at < next);
         self.timers.insert((at, timer));
--- a/node/tests/leaving.rs
+++ b/node/tests/client_disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that leave while their request waits: it is not sent on any more.
+//! Clients that disconnect while their request waits: it is forwarded no more.
 
 mod common;
 
@@ -8,52 +8,56 @@
 use std::thread;
 use std::time::Duration;
 
-use common::*;
+use common::{NodeProcess, config, discovery_target, get, post};
+use ivyhatch_socket_lab::scripted::{
+    Backend, BackendReply, Client, Discovery, FullBacklogListener, Gate, ok, status, wait_until,
+};
 use serde_json::json;
 
-/// From then on a request whose client has left may not be sent on.
-const UNTIL: Duration = Duration::from_millis(300);
+/// So long after its client has disconnected a request may not be forwarded any more.
+const DETECTION_TIME: Duration = Duration::from_millis(300);
 
-/// What lies behind a request, unread, when its client leaves.
-fn behind() -> [String; 4] {
+/// The bytes that are pending behind a request when its client disconnects.
+fn pipelined_inputs() -> [String; 4] {
     [String::new(), "\r\n".to_owned(), get("behind", ""), "noise".repeat(20_000)]
 }
 
-/// A node that knows of nothing but this backend, and waits for connections for longer than anybody here.
-fn before(at: std::net::SocketAddr, more: &[&Backend]) -> (Node, Discovery) {
+/// A node with these backends, whose connect timeout is longer than any test here takes.
+fn patient_node(at: std::net::SocketAddr, more: &[&Backend]) -> (NodeProcess, Discovery) {
     let listed = std::iter::once(at).chain(more.iter().map(|backend| backend.address));
-    let targets: Vec<_> = (0..).zip(listed).map(|(n, at)| target(&format!("s-{n}"), at, "Ready")).collect();
+    let targets: Vec<_> =
+        (0..).zip(listed).map(|(n, at)| discovery_target(&format!("s-{n}"), at, "Ready")).collect();
     let discovery = Discovery::new(json!(targets));
     let mut config = config(discovery.address, json!([]));
     config["settings"]["policy-limits"]["connect-timeout-ns"] = json!(8_000_000_000u64);
-    let node = Node::start(&config);
+    let node = NodeProcess::start(&config);
     discovery.wait_for_watch_from(1);
     (node, discovery)
 }
 
-/// Its connection to the backend comes up after the client has left. With bytes behind the request the parser read no
-/// further, so that nobody saw the client go, and the request was sent.
+/// The connection to the backend is established after the client has disconnected. With bytes behind the request the parser read
+/// no further, so that the disconnect was not detected, and the request was sent.
 #[test]
-fn a_request_in_a_connect_is_not_sent_once_its_client_has_left() {
-    let cases: Vec<_> = behind()
+fn request_waiting_for_a_connect_is_not_sent_after_its_client_disconnected() {
+    let cases: Vec<_> = pipelined_inputs()
         .into_iter()
         .enumerate()
         .map(|(n, behind)| {
             thread::spawn(move || {
-                let jam = FullBacklogListener::new();
-                let (node, _discovery) = before(jam.address(), &[]);
-                let mut client = Client::connect(node.at);
+                let listener = FullBacklogListener::new();
+                let (node, _discovery) = patient_node(listener.address(), &[]);
+                let mut client = Client::connect(node.address);
                 client.write(&(get("gone", "") + &behind));
-                wait_until("the connect is on its way", || node.sockets_to(jam.address()) > 0);
+                wait_until("the connect is on its way", || node.pending_connects_to(listener.address()) > 0);
                 drop(client);
-                thread::sleep(UNTIL);
-                let filling = jam.filling();
-                let backend = jam.open(|_| BackendReply::Write(ok("yes")));
-                assert_eq!(node.ask(&get("stays", "")).status(), 200, "case {n}");
-                // The first one's connection comes up as the system tries again, a second or more after it began.
+                thread::sleep(DETECTION_TIME);
+                let filling = listener.filling();
+                let backend = listener.open(|_| BackendReply::Write(ok("yes")));
+                assert_eq!(node.round_trip(&get("stays", "")).status(), 200, "case {n}");
+                // The first connection is established by a TCP retransmission, a second or more after it began.
                 wait_until("it is up", || backend.connections.load(Ordering::SeqCst) as usize >= filling + 2);
-                thread::sleep(UNTIL);
-                assert_eq!(node.ask(&get("later", "")).status(), 200, "case {n}");
+                thread::sleep(DETECTION_TIME);
+                assert_eq!(node.round_trip(&get("later", "")).status(), 200, "case {n}");
                 let ids: Vec<_> =
                     backend.requests.try_iter().map(|m| m.value("x-call-id").map(str::to_owned)).collect();
                 assert_eq!(ids, [Some("stays".to_owned()), Some("later".to_owned())], "case {n}");
@@ -63,11 +67,11 @@
     cases.into_iter().for_each(|case| case.join().expect("a case holds"));
 }
 
-/// Turned away by one backend after its client has left, it goes to no other. One that stays goes on.
+/// Rejected by one backend after its client has disconnected, the request goes to no other. With its client there it is retried.
 #[test]
-fn a_request_between_two_attempts_goes_no_further_once_its_client_has_left() {
-    for (n, behind) in behind().into_iter().enumerate() {
-        for leaves in [None, Some(Client::reset as fn(Client)), Some(drop)] {
+fn request_between_two_attempts_is_not_retried_after_its_client_disconnected() {
+    for (n, behind) in pipelined_inputs().into_iter().enumerate() {
+        for disconnects in [None, Some(Client::reset as fn(Client)), Some(drop)] {
             let gate = Arc::new(Gate::default());
             let backends = [gate.clone(), gate.clone()].map(|gate| {
                 let seen = AtomicBool::new(false);
@@ -81,8 +85,8 @@
                     }
                 })
             });
-            let (node, _discovery) = Node::with(&[&backends[0], &backends[1]]);
-            let mut client = Client::connect(node.at);
+            let (node, _discovery) = NodeProcess::with_backends(&[&backends[0], &backends[1]]);
+            let mut client = Client::connect(node.address);
             client.write(&(post("pay", "first", "", "") + &behind));
             let mut got = 0;
             let mut ids = |wanted: usize| {
@@ -93,12 +97,12 @@
                 got
             };
             ids(1);
-            if let Some(leave) = leaves {
-                leave(client);
-                thread::sleep(UNTIL);
+            if let Some(disconnect) = disconnects {
+                disconnect(client);
+                thread::sleep(DETECTION_TIME);
                 gate.open();
-                // Another one's answer comes after whatever the first one's end has set off.
-                assert_eq!(node.ask(&post("pay", "other", "", "")).status(), 200);
+                // The response to another request comes after whatever the end of the first one has caused.
+                assert_eq!(node.round_trip(&post("pay", "other", "", "")).status(), 200);
                 assert_eq!(ids(2), 2, "case {n}");
             } else {
                 gate.open();
@@ -108,10 +112,9 @@
     }
 }
 
-/// One whose answer is already on its way gets it, whatever it has sent behind its request, and so does the request that
-/// stands behind it.
+/// A client that pipelines requests gets the responses in order, whatever it has sent behind the first request.
 #[test]
-fn what_lies_behind_a_request_is_read_when_its_turn_comes() {
+fn pipelined_requests_are_answered_in_order() {
     let gate = Arc::new(Gate::default());
     let waits = gate.clone();
     let backend = Backend::new(move |message| {
@@ -122,8 +125,8 @@
             BackendReply::Write(ok(&id))
         }
     });
-    let (node, _discovery) = Node::with(&[&backend]);
-    let mut client = Client::connect(node.at);
+    let (node, _discovery) = NodeProcess::with_backends(&[&backend]);
+    let mut client = Client::connect(node.address);
     client.write(&get("p1", ""));
     backend.next_request();
     // In two parts, so that one is read ahead of the other.
@@ -139,16 +142,16 @@
     }
 }
 
-/// A client that ends its sending has left as well as one that closes: its request goes no further.
+/// A client that shuts down its sending side has disconnected as well as one that closes: its request is cancelled.
 #[test]
-fn a_client_that_has_ended_its_sending_has_left() {
-    for behind in behind() {
+fn client_that_shuts_down_its_sending_side_is_disconnected() {
+    for behind in pipelined_inputs() {
         let backend = Backend::new(|_| BackendReply::Never);
-        let (node, _discovery) = Node::with(&[&backend]);
-        let mut client = Client::connect(node.at);
+        let (node, _discovery) = NodeProcess::with_backends(&[&backend]);
+        let mut client = Client::connect(node.address);
         client.write(&(get("h1", "") + &behind));
         backend.next_request();
         client.stream().shutdown(Shutdown::Write).unwrap();
-        assert!(client.is_closed(), "its connection is let go, long before its time is up");
+        assert!(client.is_closed(), "its connection is closed, long before its deadline");
     }
 }
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A node as a process; its peers are the rig's scripted ones.
+//! A node as a process between scripted peers.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader};
@@ -9,14 +9,16 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-pub use ivyhatch_socket_lab::scripted::*;
+use ivyhatch_socket_lab::scripted::{Backend, BackendReply, Client, Discovery, Message, ok};
 use serde_json::{Value, json};
 
-pub fn target(uid: &str, at: SocketAddr, state: &str) -> Value {
+/// A line of discovery's list.
+pub fn discovery_target(uid: &str, at: SocketAddr, state: &str) -> Value {
     json!({"uid": uid, "endpoint": at.to_string(), "az": "a", "model": "k", "pod_group": 0, "state": state,
         "capacity_hint": 1.0, "boot_ms": 0})
 }
 
+/// The settings of a site with three classes of requests.
 pub fn settings() -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "key-scope": "zone", "window-ns": 10_000_000_000u64,
@@ -33,21 +35,24 @@
             "start-capacity": 0.1, "tip-multiple": 2.5, "warm-after-ns": 20_000_000_000u64}})
 }
 
+/// A node's configuration, with `known` as its last known list.
 pub fn config(discovery: SocketAddr, known: Value) -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
         "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": {"rev": 0, "all": true, "targets": known}, "settings": settings()})
 }
 
-/// The node's process; ended with the test.
-pub struct Node {
+/// A node's process; killed when dropped.
+pub struct NodeProcess {
+    /// The process.
     pub child: Child,
-    pub at: SocketAddr,
+    /// Where it listens for clients.
+    pub address: SocketAddr,
     log: Arc<Mutex<String>>,
     file: PathBuf,
 }
 
-/// Starts the program on this text of a configuration, which stands in the file that is returned.
+/// Starts the program with this text as its configuration file, whose path is returned.
 pub fn spawn(config: &str) -> (Child, PathBuf) {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::SeqCst);
@@ -63,7 +68,7 @@
     (child, path)
 }
 
-fn listening(reader: &mut BufReader<ChildStderr>) -> SocketAddr {
+fn wait_until_listening(reader: &mut BufReader<ChildStderr>) -> SocketAddr {
     let mut line = String::new();
     while reader.read_line(&mut line).unwrap() > 0 {
         if let Some((_, at)) = line.trim_end().split_once("listening on ") {
@@ -74,26 +79,26 @@
     panic!("the node ended before it listened");
 }
 
-impl Node {
+impl NodeProcess {
     pub fn start(config: &Value) -> Self {
         let (mut child, file) = spawn(&config.to_string());
         let mut reader = BufReader::new(child.stderr.take().unwrap());
-        let at = listening(&mut reader);
+        let address = wait_until_listening(&mut reader);
         let log = Arc::new(Mutex::new(String::new()));
-        let kept = log.clone();
+        let written = log.clone();
         thread::spawn(move || {
             for line in reader.lines().map_while(Result::ok) {
-                kept.lock().unwrap().push_str(&(line + "\n"));
+                written.lock().unwrap().push_str(&(line + "\n"));
             }
         });
-        Self { child, at, log, file }
+        Self { child, address, log, file }
     }
 
-    /// A node that discovery tells of these backends, as `s-0`, `s-1` and so on.
-    pub fn with(backends: &[&Backend]) -> (Self, Discovery) {
+    /// A node whose discovery lists these backends, as `s-0`, `s-1` and so on.
+    pub fn with_backends(backends: &[&Backend]) -> (Self, Discovery) {
         let targets: Vec<Value> = (0..)
             .zip(backends)
-            .map(|(n, backend)| target(&format!("s-{n}"), backend.address, "Ready"))
+            .map(|(n, backend)| discovery_target(&format!("s-{n}"), backend.address, "Ready"))
             .collect();
         let discovery = Discovery::new(json!(targets));
         let node = Self::start(&config(discovery.address, json!([])));
@@ -101,15 +106,17 @@
         (node, discovery)
     }
 
-    pub fn logged(&self, text: &str) -> bool {
-        self.count(text) > 0
+    /// Whether the text is in its log.
+    pub fn has_logged(&self, text: &str) -> bool {
+        self.log_count(text) > 0
     }
 
-    pub fn count(&self, text: &str) -> usize {
+    /// How often the text is in its log.
+    pub fn log_count(&self, text: &str) -> usize {
         self.log.lock().unwrap().matches(text).count()
     }
 
-    /// Replaces the configuration's file and has it read.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reconfigure(&self, config: &str) {
         let new = self.file.with_extension("new");
         std::fs::write(&new, config).unwrap();
@@ -117,40 +124,43 @@
         self.signal("-HUP");
     }
 
+    /// Sends a signal, by its `kill` option.
     pub fn signal(&self, name: &str) {
         let done = Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap();
         assert!(done.success());
     }
 
-    /// Sockets of the system towards this address that are up or on their way.
-    pub fn sockets_to(&self, at: SocketAddr) -> usize {
+    /// How many connects to this address are in progress on the machine.
+    pub fn pending_connects_to(&self, at: SocketAddr) -> usize {
         let table = std::fs::read_to_string(format!("/proc/{}/net/tcp", self.child.id())).unwrap();
         let port = format!(":{:04X}", at.port());
-        // The third field is the other end, the fourth the state: 2 is a connect on its way.
-        let towards = |line: &&str| {
+        // The third field is the remote address, the fourth the state: 2 is SYN_SENT.
+        let is_pending = |line: &&str| {
             let fields: Vec<&str> = line.split_whitespace().collect();
             fields.get(2).is_some_and(|to| to.ends_with(&port)) && fields.get(3) == Some(&"02")
         };
-        table.lines().filter(towards).count()
+        table.lines().filter(is_pending).count()
     }
 
-    pub fn ask(&self, text: &str) -> Message {
-        Client::connect(self.at).round_trip(text).expect("an answer")
+    /// Sends one request on a connection of its own.
+    pub fn round_trip(&self, text: &str) -> Message {
+        Client::connect(self.address).round_trip(text).expect("an answer")
     }
 }
 
-impl Drop for Node {
+impl Drop for NodeProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// A backend that serves all with this body.
-pub fn serving(body: &'static str) -> Backend {
+/// A backend that serves each request with this body.
+pub fn backend_serving(body: &'static str) -> Backend {
     Backend::new(move |_| BackendReply::Write(ok(body)))
 }
 
+/// A request of the idempotent class.
 pub fn get(id: &str, more: &str) -> String {
     format!(
         "GET /api?x=1 HTTP/1.1\r\nHost: origin.svc\r\nX-Call-Id: {id}\r\nX-Call-Class: read\r\nX-Caller: acme\r\n\
@@ -158,6 +168,7 @@
     )
 }
 
+/// A request of another class, with a body.
 pub fn post(class: &str, id: &str, more: &str, body: &str) -> String {
     format!(
         "POST /api HTTP/1.1\r\nHost: origin.svc\r\nX-Call-Id: {id}\r\nX-Call-Class: {class}\r\nX-Caller: acme\r\n\
--- a/node/tests/hostile.rs
+++ b/node/tests/hostile_clients.rs
@@ -1,4 +1,4 @@
-//! Clients that mean harm, or might as well: others are served beside them, and they are told off in time.
+//! Hostile and broken clients: others are served beside them, and they are rejected in time.
 
 mod common;
 
@@ -9,56 +9,59 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use common::*;
+use common::{NodeProcess, config, discovery_target, get, post};
+use ivyhatch_socket_lab::scripted::{
+    Backend, BackendReply, Client, Discovery, Gate, TEST_TIMEOUT, ok, wait_until,
+};
 use serde_json::json;
 
-fn serving() -> Backend {
+fn yes_backend() -> Backend {
     Backend::new(|_| BackendReply::Write(ok("yes")))
 }
 
-/// A node with room for few connections, a third of what these tests open: sixteen seats beside what is the node's own.
-fn small(backend: &Backend) -> Node {
-    let discovery = Discovery::new(json!([target("s-0", backend.address, "Ready")]));
-    let mut config = config(discovery.address, json!([target("s-0", backend.address, "Ready")]));
+/// A node that admits few connections, a third of what these tests open: sixteen beside the node's own descriptors.
+fn small_node(backend: &Backend) -> NodeProcess {
+    let discovery = Discovery::new(json!([discovery_target("s-0", backend.address, "Ready")]));
+    let mut config = config(discovery.address, json!([discovery_target("s-0", backend.address, "Ready")]));
     config["limits"]["sockets"] = json!(48);
-    Node::start(&config)
+    NodeProcess::start(&config)
 }
 
-fn silent(node: &Node, count: usize) -> Vec<Client> {
-    (0..count).map(|_| Client::connect(node.at)).collect()
+fn silent_clients(node: &NodeProcess, count: usize) -> Vec<Client> {
+    (0..count).map(|_| Client::connect(node.address)).collect()
 }
 
 #[test]
-fn silent_connections_lock_nobody_out() {
-    let backend = serving();
-    let node = small(&backend);
-    let mut crowd = silent(&node, 48);
-    assert_eq!(node.ask(&get("s0", "")).status(), 200);
+fn silent_connections_are_evicted_for_a_new_client() {
+    let backend = yes_backend();
+    let node = small_node(&backend);
+    let mut crowd = silent_clients(&node, 48);
+    assert_eq!(node.round_trip(&get("s0", "")).status(), 200);
     crowd.iter_mut().for_each(|client| assert!(client.is_closed(), "a silent one is closed"));
 }
 
-/// Clients that ask once and keep their connection make room for others.
+/// Clients that send one request and keep their connection make room for others.
 #[test]
-fn idle_connections_lock_nobody_out() {
-    let backend = serving();
-    let node = small(&backend);
+fn idle_connections_are_evicted_for_new_clients() {
+    let backend = yes_backend();
+    let node = small_node(&backend);
     let mut kept = Vec::new();
     for n in 0..40 {
-        let mut client = Client::connect(node.at);
+        let mut client = Client::connect(node.address);
         assert_eq!(client.round_trip(&get(&format!("i{n}"), "")).expect("an answer").status(), 200);
         kept.push(client);
     }
 }
 
-/// The system before a node has room for fewer connections than the node: it must not be full of idle ones.
+/// The system before a node has room for fewer connections than the node: it must not fill up with idle ones.
 #[test]
-fn connections_end_with_their_answer_while_many_stand_idle() {
-    let backend = serving();
-    let node = small(&backend);
+fn connections_close_with_their_response_while_many_are_idle() {
+    let backend = yes_backend();
+    let node = small_node(&backend);
     let asked = Cell::new(0);
     let ask = || {
         let n = asked.replace(asked.get() + 1);
-        let mut client = Client::connect(node.at);
+        let mut client = Client::connect(node.address);
         let answer = client.round_trip(&get(&format!("m{n}"), "")).expect("an answer");
         assert_eq!(answer.status(), 200);
         (client, answer.value("connection").is_some_and(|value| value == "close"))
@@ -72,30 +75,30 @@
 }
 
 #[test]
-fn a_connection_with_a_request_on_it_makes_no_room() {
+fn connection_with_an_open_request_is_not_evicted() {
     let gate = Arc::new(Gate::default());
     let waits = gate.clone();
     let backend = Backend::new(move |_| BackendReply::WriteAtGate(waits.clone(), ok("late")));
-    let node = small(&backend);
-    let mut open = Client::connect(node.at);
+    let node = small_node(&backend);
+    let mut open = Client::connect(node.address);
     open.write(&get("o0", ""));
     assert_eq!(backend.next_request().value("x-call-id"), Some("o0"));
-    let mut crowd = silent(&node, 48);
+    let mut crowd = silent_clients(&node, 48);
     crowd.iter_mut().take(8).for_each(|client| assert!(client.is_closed()));
     gate.open();
     assert_eq!(open.read().expect("an answer").body, b"late");
 }
 
-/// Bytes that trickle in do not prolong the time that a request has to become whole.
+/// Bytes that trickle in do not prolong the time that a request has to be complete.
 #[test]
-fn what_never_becomes_whole_is_ended() {
-    let backend = serving();
-    let (node, _discovery) = Node::with(&[&backend]);
+fn request_that_never_becomes_complete_times_out() {
+    let backend = yes_backend();
+    let (node, _discovery) = NodeProcess::with_backends(&[&backend]);
     let started = Instant::now();
     let head = "GET /api HTTP/1.1\r\nX-Drop: ".to_owned();
     let body = post("pay", "t1", "", "").replace("Content-Length: 0", "Content-Length: 60000");
     for (text, wanted) in [(head, None), (body, Some(408))] {
-        let mut client = Client::connect(node.at);
+        let mut client = Client::connect(node.address);
         client.write(&text);
         let mut trickle = client.stream();
         thread::spawn(move || {
@@ -108,33 +111,33 @@
         }
         assert!(client.is_closed());
     }
-    // Either is owed its end within 3 s; the margin is for slow machines.
+    // Either is owed a response or a close within 3 s; the margin is for slow machines.
     assert!(started.elapsed() < Duration::from_secs(8));
     assert_eq!(backend.drain_requests(), 0);
 }
 
-/// A request with two lengths may hide another one: each side would see a different end.
+/// A request with two lengths may smuggle another one: each side would see a different end (RFC 9112, section 11.2).
 #[test]
-fn transfer_codings_are_turned_away_whatever_stands_beside() {
-    let backend = serving();
-    let (node, _discovery) = Node::with(&[&backend]);
+fn transfer_codings_are_rejected_with_or_without_a_length() {
+    let backend = yes_backend();
+    let (node, _discovery) = NodeProcess::with_backends(&[&backend]);
     let hidden = get("hidden", "");
     let chunked = format!("{:x}\r\n{hidden}\r\n0\r\n\r\n", hidden.len());
     let (length, coding) =
         (format!("Content-Length: {}\r\n", chunked.len()), "Transfer-Encoding: chunked\r\n");
     for headers in [format!("{length}{coding}"), format!("{coding}{length}"), coding.to_owned()] {
         let text = post("pay", "c1", "", "").replace("Content-Length: 0\r\n", &headers) + &chunked;
-        let mut client = Client::connect(node.at);
+        let mut client = Client::connect(node.address);
         assert_eq!(client.round_trip(&text).expect("an answer").status(), 411, "{headers}");
-        assert!(client.is_closed(), "nothing behind it is taken for a request");
+        assert!(client.is_closed(), "nothing behind it is parsed as a request");
     }
     assert_eq!(backend.drain_requests(), 0);
 }
 
 #[test]
-fn lengths_that_make_no_sense_are_turned_away_unread() {
-    let backend = serving();
-    let (node, _discovery) = Node::with(&[&backend]);
+fn invalid_and_duplicate_lengths_are_rejected_unread() {
+    let backend = yes_backend();
+    let (node, _discovery) = NodeProcess::with_backends(&[&backend]);
     for (length, wanted) in [
         ("-1", 400),
         ("1\r\nContent-Length: 2", 400),
@@ -147,7 +150,7 @@
         ("99999999999999999999999999", 400),
     ] {
         let text = post("pay", "l1", "", "").replace("Length: 0", &format!("Length: {length}"));
-        let mut client = Client::connect(node.at);
+        let mut client = Client::connect(node.address);
         assert_eq!(client.round_trip(&text).expect("an answer").status(), wanted, "{length}");
         assert!(client.is_closed(), "{length}");
     }
@@ -156,32 +159,32 @@
 
 /// The error is not lost in a reset while the client still sends.
 #[test]
-fn the_error_gets_out_while_a_large_body_comes_in() {
-    let backend = serving();
-    let (node, _discovery) = Node::with(&[&backend]);
-    let mut stream = TcpStream::connect(node.at).unwrap();
+fn rejection_reaches_a_client_that_is_still_sending_a_large_body() {
+    let backend = yes_backend();
+    let (node, _discovery) = NodeProcess::with_backends(&[&backend]);
+    let mut stream = TcpStream::connect(node.address).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let length = 60_000_000;
     let text = post("pay", "b1", "", "").replace("Length: 0", &format!("Length: {length}"));
     stream.write_all(text.as_bytes()).unwrap();
-    // All of it goes out before the answer is looked at.
+    // All of it is sent before the response is read.
     stream.write_all(&vec![b'x'; length]).expect("the node reads on");
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("no reset");
     assert!(answer.starts_with("HTTP/1.1 413 "), "{answer}");
 }
 
-/// Backends tell requests apart by their ids: another's open one must not reach them.
+/// Backends distinguish requests by their ids: a second open one with the same id must not reach them.
 #[test]
-fn the_id_of_an_open_request_is_turned_away() {
+fn request_with_the_id_of_an_open_one_is_rejected() {
     let gate = Arc::new(Gate::default());
     let waits = gate.clone();
     let backend = Backend::new(move |_| BackendReply::WriteAtGate(waits.clone(), ok("mine")));
-    let (node, _discovery) = Node::with(&[&backend]);
-    let mut owner = Client::connect(node.at);
+    let (node, _discovery) = NodeProcess::with_backends(&[&backend]);
+    let mut owner = Client::connect(node.address);
     owner.write(&post("pay", "d1", "", "mine"));
     assert_eq!(backend.next_request().value("x-call-id"), Some("d1"));
-    assert_eq!(node.ask(&post("pay", "d1", "", "theirs")).status(), 409);
+    assert_eq!(node.round_trip(&post("pay", "d1", "", "theirs")).status(), 409);
     gate.open();
     assert_eq!(owner.read().expect("an answer").body, b"mine");
     assert_eq!(backend.drain_requests(), 0);
--- a/node/tests/serving.rs
+++ b/node/tests/requests.rs
@@ -1,22 +1,28 @@
-//! What clients and backends see of a node in service.
+//! What clients and backends observe of a node in service.
 
 mod common;
 
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::sync::{Arc, OnceLock};
+use std::thread;
+use std::time::Duration;
 
-use common::*;
+use common::{NodeProcess, config, discovery_target, get, post};
+use ivyhatch_socket_lab::scripted::{
+    Backend, BackendReply, Client, Discovery, Gate, Message, ok, status, wait_until,
+};
 use serde_json::json;
 
-fn always(does: BackendReply) -> Backend {
-    Backend::new(move |_| does.clone())
+fn backend_replying(reply: BackendReply) -> Backend {
+    Backend::new(move |_| reply.clone())
 }
 
 #[test]
-fn passes_a_call_on_unchanged_and_once() {
-    let backend = always(BackendReply::Write(ok("seated")));
-    let (node, _discovery) = Node::with(&[&backend]);
-    let answer = node.ask(&post("join", "a1b2", "Idempotency-Key: k-77\r\nX-Budget-Ms-Not: 1\r\n", "lobby"));
+fn request_is_forwarded_unchanged_and_once() {
+    let backend = backend_replying(BackendReply::Write(ok("seated")));
+    let (node, _discovery) = NodeProcess::with_backends(&[&backend]);
+    let answer =
+        node.round_trip(&post("join", "a1b2", "Idempotency-Key: k-77\r\nX-Budget-Ms-Not: 1\r\n", "lobby"));
     assert_eq!((answer.status(), answer.body.as_slice()), (200, b"seated".as_slice()));
     let got = backend.next_request();
     assert_eq!(got.start_line, "POST /api HTTP/1.1");
@@ -26,16 +32,16 @@
     assert_eq!(got.values("content-length"), ["5"]);
     let [budget] = got.values("x-budget-ms")[..] else { panic!("one budget: {got:?}") };
     assert!(budget.parse::<u64>().unwrap() <= 3000, "{budget}");
-    let answer = node.ask(&get("a1b3", ""));
+    let answer = node.round_trip(&get("a1b3", ""));
     assert_eq!(answer.status(), 200);
     assert_eq!(backend.next_request().start_line, "GET /api?x=1 HTTP/1.1");
     assert_eq!(backend.drain_requests(), 0);
 }
 
 #[test]
-fn bad_input_is_answered_and_reaches_no_backend() {
-    let backend = always(BackendReply::Write(ok("no")));
-    let (node, _discovery) = Node::with(&[&backend]);
+fn invalid_request_is_rejected_and_reaches_no_backend() {
+    let backend = backend_replying(BackendReply::Write(ok("no")));
+    let (node, _discovery) = NodeProcess::with_backends(&[&backend]);
     let large = "x".repeat(64 * 1024 + 1);
     let key = "Idempotency-Key: k\r\n";
     let cases = [
@@ -43,7 +49,7 @@
         (400, get("1", "").replace("X-Call-Id", "X-No-Id")),
         (400, get("1", "X-Call-Id: 2\r\n")),
         (400, get("1", "").replace("X-Call-Class", "X-No-Class")),
-        (400, get("1", "").replace("read", "unheard-of")),
+        (400, get("1", "").replace("read", "unknown")),
         (400, get("1", "").replace("acme", "nobody")),
         (400, get("1", "").replace("X-Caller", "X-No-Caller")),
         (400, get("1", "").replace("3000", "soon")),
@@ -56,19 +62,19 @@
         (413, post("join", "1", key, &large)),
     ];
     for (wanted, text) in cases {
-        assert_eq!(node.ask(&text).status(), wanted, "{}", &text[..text.len().min(300)]);
+        assert_eq!(node.round_trip(&text).status(), wanted, "{}", &text[..text.len().min(300)]);
     }
-    assert_eq!(node.ask("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n").status(), 200);
-    assert_eq!(node.ask(&get("last", "")).status(), 200);
+    assert_eq!(node.round_trip("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n").status(), 200);
+    assert_eq!(node.round_trip(&get("last", "")).status(), 200);
     assert_eq!(backend.next_request().value("x-call-id"), Some("last"));
     assert_eq!(backend.drain_requests(), 0);
 }
 
-/// Each of these may have run. An unsafe call then gets no other attempt and no refusal, which would tell the
-/// client that trying again does no harm.
+/// Each of these may have run. A request that is not idempotent is then neither retried nor rejected, which would signal to the
+/// client that a retry does no harm.
 #[test]
-fn an_unsafe_call_that_may_have_run_fails() {
-    let spoilt = [
+fn non_idempotent_request_that_may_have_run_fails() {
+    let invalid_replies = [
         BackendReply::Write(status(500, "")),
         BackendReply::Write(status(503, "")),
         BackendReply::Write(status(504, "X-Rejected: 0\r\n")),
@@ -80,66 +86,69 @@
         BackendReply::Write(ok(&"x".repeat(64 * 1024 + 1))),
         BackendReply::Never,
     ];
-    for (n, does) in spoilt.into_iter().enumerate() {
-        let (first, second) = (always(does.clone()), always(does));
-        let (node, _discovery) = Node::with(&[&first, &second]);
-        let answer = node.ask(&post("pay", "u1", "", "").replace("3000", "700"));
+    for (n, reply) in invalid_replies.into_iter().enumerate() {
+        let (first, second) = (backend_replying(reply.clone()), backend_replying(reply));
+        let (node, _discovery) = NodeProcess::with_backends(&[&first, &second]);
+        let answer = node.round_trip(&post("pay", "u1", "", "").replace("3000", "700"));
         assert_eq!(answer.status(), 502, "case {n}");
         assert_eq!(first.drain_requests() + second.drain_requests(), 1, "case {n}");
     }
 }
 
-/// Turned away it never ran, so even an unsafe call goes elsewhere, or is refused where there is nobody.
+/// Rejected by its backend it never ran, so even a request that is not idempotent goes elsewhere, or is rejected where there is
+/// no other backend.
 #[test]
-fn an_unsafe_call_that_never_ran_goes_elsewhere() {
-    let away = |code| always(BackendReply::Write(status(code, "X-Rejected: 1\r\n")));
-    let serves = always(BackendReply::Write(ok("paid")));
+fn non_idempotent_request_that_never_ran_goes_elsewhere() {
+    let away = |code| backend_replying(BackendReply::Write(status(code, "X-Rejected: 1\r\n")));
+    let serves = backend_replying(BackendReply::Write(ok("paid")));
     let (full, other) = (away(503), away(504));
-    let (node, _discovery) = Node::with(&[&full, &serves]);
+    let (node, _discovery) = NodeProcess::with_backends(&[&full, &serves]);
     for n in 0..8 {
-        assert_eq!(node.ask(&post("pay", &format!("p{n}"), "", "")).status(), 200);
+        assert_eq!(node.round_trip(&post("pay", &format!("p{n}"), "", "")).status(), 200);
     }
     assert_eq!(serves.drain_requests(), 8);
-    let (node, _discovery) = Node::with(&[&other]);
-    assert_eq!(node.ask(&post("pay", "p9", "", "")).status(), 503);
+    let (node, _discovery) = NodeProcess::with_backends(&[&other]);
+    assert_eq!(node.round_trip(&post("pay", "p9", "", "")).status(), 503);
 }
 
-/// A process that has died refuses connections: nothing ran, and the module tries another.
+/// A process that has died refuses connections: nothing ran, and another backend is tried.
 #[test]
-fn a_dead_backend_costs_no_request() {
-    // Bound and not listening: a port given back could become that of another test's backend.
+fn dead_backend_costs_no_request() {
+    // Bound and not listening: a released port could become that of another test's backend.
     let dead = tokio::net::TcpSocket::new_v4().unwrap();
     dead.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let at = dead.local_addr().unwrap();
-    let serves = always(BackendReply::Write(ok("paid")));
-    let discovery =
-        Discovery::new(json!([target("s-0", at, "Ready"), target("s-1", serves.address, "Ready")]));
-    let node = Node::start(&config(discovery.address, json!([])));
+    let serves = backend_replying(BackendReply::Write(ok("paid")));
+    let discovery = Discovery::new(json!([
+        discovery_target("s-0", at, "Ready"),
+        discovery_target("s-1", serves.address, "Ready")
+    ]));
+    let node = NodeProcess::start(&config(discovery.address, json!([])));
     discovery.wait_for_watch_from(1);
     for n in 0..8 {
-        assert_eq!(node.ask(&post("pay", &format!("p{n}"), "", "")).status(), 200);
+        assert_eq!(node.round_trip(&post("pay", &format!("p{n}"), "", "")).status(), 200);
     }
     assert_eq!(serves.drain_requests(), 8);
 }
 
-/// A silent backend must not hold a request past its client's time.
+/// A silent backend must not keep a request past its client's deadline.
 #[test]
-fn a_silent_backend_is_given_up() {
-    let backend = always(BackendReply::Never);
-    let (node, _discovery) = Node::with(&[&backend]);
-    let answer = node.ask(&get("s1", "").replace("3000", "200"));
+fn attempt_at_a_silent_backend_times_out() {
+    let backend = backend_replying(BackendReply::Never);
+    let (node, _discovery) = NodeProcess::with_backends(&[&backend]);
+    let answer = node.round_trip(&get("s1", "").replace("3000", "200"));
     assert_ne!(answer.status(), 200);
-    // Nothing that is left of it stands in the way of the next.
-    assert_ne!(node.ask(&get("s2", "").replace("3000", "200")).status(), 200);
+    // Nothing that is left of it delays the next.
+    assert_ne!(node.round_trip(&get("s2", "").replace("3000", "200")).status(), 200);
 }
 
-/// The backend closes after each answer without saying so: the pooled connection is dead by the next send,
-/// and writing to it would turn an unsafe call into one that may have run.
+/// The backend closes after each response without notice: the pooled connection is dead by the next request, and writing to it
+/// would turn a request that is not idempotent into one that may have run.
 #[test]
-fn a_connection_closed_while_idle_is_not_used() {
-    let backend = always(BackendReply::WriteThenClose(ok("paid")));
-    let (node, _discovery) = Node::with(&[&backend]);
-    let mut client = Client::connect(node.at);
+fn connection_closed_while_idle_is_not_reused() {
+    let backend = backend_replying(BackendReply::WriteThenClose(ok("paid")));
+    let (node, _discovery) = NodeProcess::with_backends(&[&backend]);
+    let mut client = Client::connect(node.address);
     for n in 1..=20 {
         let answer = client.round_trip(&post("pay", &format!("p{n}"), "", "")).expect("an answer");
         assert_eq!(answer.status(), 200, "call {n}");
@@ -148,36 +157,36 @@
     assert_eq!(backend.connections.load(Ordering::SeqCst), 20);
 }
 
-/// Connections are used again: a new one costs the backend work.
+/// Connections are reused: a new one costs the backend work.
 #[test]
-fn connections_are_kept() {
-    let backend = always(BackendReply::Write(ok("yes")));
-    let (node, _discovery) = Node::with(&[&backend]);
-    let mut client = Client::connect(node.at);
+fn connections_are_reused() {
+    let backend = backend_replying(BackendReply::Write(ok("yes")));
+    let (node, _discovery) = NodeProcess::with_backends(&[&backend]);
+    let mut client = Client::connect(node.address);
     for n in 0..10 {
         assert_eq!(client.round_trip(&get(&format!("k{n}"), "")).expect("an answer").status(), 200);
-        // An answer's connection rests first.
-        std::thread::sleep(std::time::Duration::from_millis(50));
+        // After a response a connection is not reused at once.
+        thread::sleep(Duration::from_millis(50));
     }
     // Not one for each, however slow the machine is.
     assert!(backend.connections.load(Ordering::SeqCst) <= 5);
 }
 
 #[test]
-fn a_load_report_of_any_shape_does_no_harm() {
+fn malformed_load_report_does_no_harm() {
     for report in ["{\"util\":0.4}", "{\"util\":\"high\"}", "{\"util\":1e999}", "{", "[]", "\u{e9}"] {
         let text = format!("HTTP/1.1 200 OK\r\nX-Load-Report: {report}\r\nContent-Length: 2\r\n\r\nok");
-        let backend = always(BackendReply::Write(text));
-        let (node, _discovery) = Node::with(&[&backend]);
+        let backend = backend_replying(BackendReply::Write(text));
+        let (node, _discovery) = NodeProcess::with_backends(&[&backend]);
         for n in 0..3 {
-            assert_eq!(node.ask(&get(&format!("r{n}"), "")).status(), 200, "{report}");
+            assert_eq!(node.round_trip(&get(&format!("r{n}"), "")).status(), 200, "{report}");
         }
     }
 }
 
-/// A client that hangs up must leave nothing behind that the node trips over, nor be answered by mistake.
+/// A client that disconnects must leave no state behind, and its response must not go to another.
 #[test]
-fn a_client_that_hangs_up_is_let_go() {
+fn disconnected_client_does_not_affect_the_next_request() {
     let gate = Arc::new(Gate::default());
     let first = AtomicBool::new(true);
     let waits = gate.clone();
@@ -185,24 +194,24 @@
         true => BackendReply::WriteAtGate(waits.clone(), ok("late")),
         false => BackendReply::Write(ok("yes")),
     });
-    let (node, _discovery) = Node::with(&[&backend]);
-    let mut client = Client::connect(node.at);
+    let (node, _discovery) = NodeProcess::with_backends(&[&backend]);
+    let mut client = Client::connect(node.address);
     client.write(&get("g1", ""));
     assert_eq!(backend.next_request().value("x-call-id"), Some("g1"));
     drop(client);
     gate.open();
-    let answer = node.ask(&get("g2", ""));
+    let answer = node.round_trip(&get("g2", ""));
     assert_eq!((answer.status(), answer.body.as_slice()), (200, b"yes".as_slice()));
     assert_eq!(backend.next_request().value("x-call-id"), Some("g2"));
     assert_eq!(backend.drain_requests(), 0);
 }
 
-/// A spoilt answer is a failed attempt that may have run; its connection is of no further use, and the request
-/// is not left waiting for what will never come.
+/// An invalid response is a failed attempt that may have run; its connection is not reused, and the request does not wait for
+/// what will never arrive.
 #[test]
-fn a_spoilt_answer_is_given_up_at_once_and_tried_elsewhere() {
+fn invalid_response_ends_the_attempt_at_once_and_is_retried() {
     let lines = "X-Pad: pppppppppppppppp\r\n";
-    let spoilt = [
+    let invalid_replies = [
         "\u{1}\u{2}noise\r\n\r\n".to_owned(),
         "HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nno".to_owned(),
         "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\n\r\nno".to_owned(),
@@ -216,25 +225,25 @@
         "HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n".to_owned(),
         "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 50\r\n\r\nshort".to_owned(),
     ];
-    for (n, text) in spoilt.into_iter().enumerate() {
+    for (n, text) in invalid_replies.into_iter().enumerate() {
         let first = Arc::new(AtomicBool::new(true));
-        let does = move |_: &Message| match first.swap(false, Ordering::SeqCst) {
+        let reply = move |_: &Message| match first.swap(false, Ordering::SeqCst) {
             true => BackendReply::Write(text.clone()),
             false => BackendReply::Write(ok("good")),
         };
-        let backend = Backend::new(does);
-        let (node, _discovery) = Node::with(&[&backend]);
+        let backend = Backend::new(reply);
+        let (node, _discovery) = NodeProcess::with_backends(&[&backend]);
         // The connection stays open on the backend's side: only the node can end the wait. Most of the
         // client's time is left for the other attempt.
-        let answer = node.ask(&get("s1", ""));
+        let answer = node.round_trip(&get("s1", ""));
         assert_eq!((answer.status(), answer.body.as_slice()), (200, b"good".as_slice()), "case {n}");
         assert_eq!(backend.connections.load(Ordering::SeqCst), 2, "case {n}");
     }
 }
 
-/// What comes behind a good answer spoils neither that one nor the next.
+/// Bytes behind a response affect neither that response nor the next.
 #[test]
-fn what_comes_behind_an_answer_is_no_answer() {
+fn bytes_behind_a_response_are_not_taken_for_the_next() {
     for behind in [ok("mine"), "noise".to_owned(), "HTTP/1.1 200 OK\r\n".to_owned()] {
         let backend = Backend::new(move |message| {
             BackendReply::WriteWithTrailingBytes(
@@ -242,8 +251,8 @@
                 behind.clone(),
             )
         });
-        let (node, _discovery) = Node::with(&[&backend]);
-        let mut client = Client::connect(node.at);
+        let (node, _discovery) = NodeProcess::with_backends(&[&backend]);
+        let mut client = Client::connect(node.address);
         for n in 0..6 {
             let answer = client.round_trip(&get(&format!("w{n}"), "")).expect("an answer");
             assert_eq!((answer.status(), answer.body), (200, format!("w{n}").into_bytes()));
@@ -251,62 +260,62 @@
     }
 }
 
-/// Interim answers announce the real one, which may take its time.
+/// Interim responses announce the final one, which may take its time (RFC 9110, section 15.2).
 #[test]
-fn interim_answers_are_passed_over() {
+fn interim_responses_are_skipped() {
     let interim = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
     let gate = Arc::new(Gate::default());
     let waits = gate.clone();
     let backend = Backend::new(move |_| {
         BackendReply::WriteThenWriteAtGate(interim.to_owned(), waits.clone(), ok("real"))
     });
-    let (node, _discovery) = Node::with(&[&backend]);
-    let mut client = Client::connect(node.at);
+    let (node, _discovery) = NodeProcess::with_backends(&[&backend]);
+    let mut client = Client::connect(node.address);
     client.write(&post("pay", "i1", "", ""));
     backend.next_request();
-    // Longer than an answer that has begun may take to become whole.
-    std::thread::sleep(std::time::Duration::from_millis(300));
+    // Longer than a response that has started to arrive may take to be complete.
+    thread::sleep(Duration::from_millis(300));
     gate.open();
     let answer = client.read().expect("an answer");
     assert_eq!((answer.status(), answer.body.as_slice()), (200, b"real".as_slice()));
 }
 
-/// Requests that backends turn away as bad must not put good backends out of service.
+/// Requests that backends reject as invalid must not eject good backends.
 #[test]
-fn bad_requests_eject_no_backend() {
+fn client_errors_eject_no_backend() {
     let backend = Backend::new(|message| match message.value("x-call-id") {
         Some(id) if id.starts_with("bad") => BackendReply::Write(status(400, "")),
         _ => BackendReply::Write(ok("yes")),
     });
-    let other = always(BackendReply::Write(status(400, "")));
-    let (node, _discovery) = Node::with(&[&backend, &other]);
+    let other = backend_replying(BackendReply::Write(status(400, "")));
+    let (node, _discovery) = NodeProcess::with_backends(&[&backend, &other]);
     for n in 0..40 {
-        assert_ne!(node.ask(&get(&format!("bad{n}"), "")).status(), 200);
+        assert_ne!(node.round_trip(&get(&format!("bad{n}"), "")).status(), 200);
     }
-    assert!(!node.logged("ejected"));
+    assert!(!node.has_logged("ejected"));
 }
 
-/// Clients with little time must not cost a handshake each: the late answer frees the connection.
+/// Clients with little time must not cost a handshake each: the late response releases the connection.
 #[test]
-fn a_late_answer_leaves_its_connection_fit_for_use() {
+fn late_response_leaves_its_connection_reusable() {
     let (gate, first) = (Arc::new(Gate::default()), AtomicBool::new(true));
     let waits = gate.clone();
     let backend = Backend::new(move |_| match first.swap(false, Ordering::SeqCst) {
         true => BackendReply::WriteAtGate(waits.clone(), ok("late")),
         false => BackendReply::Write(ok("good")),
     });
-    let (node, _discovery) = Node::with(&[&backend]);
-    assert_ne!(node.ask(&get("l1", "").replace("3000", "300")).status(), 200);
+    let (node, _discovery) = NodeProcess::with_backends(&[&backend]);
+    assert_ne!(node.round_trip(&get("l1", "").replace("3000", "300")).status(), 200);
     gate.open();
-    std::thread::sleep(std::time::Duration::from_millis(250));
-    assert_eq!(node.ask(&get("l2", "")).body, b"good");
+    thread::sleep(Duration::from_millis(250));
+    assert_eq!(node.round_trip(&get("l2", "")).body, b"good");
     assert_eq!(backend.connections.load(Ordering::SeqCst), 1);
 }
 
-/// Some networks forget a quiet connection and tell nobody. The node learns after what time, and opens a new
-/// one rather than have a request reset.
+/// Some networks drop an idle connection without notice. The node learns after what time, and opens a new one rather than have a
+/// request reset.
 #[test]
-fn connections_are_not_used_after_a_rest_that_kills_them() {
+fn connections_are_not_reused_after_an_idle_time_that_kills_them() {
     let (opened, seen, broken) =
         (Arc::new(OnceLock::<Arc<AtomicU32>>::new()), AtomicU32::new(0), Arc::new(AtomicU32::new(0)));
     let (count, breaks) = (opened.clone(), broken.clone());
@@ -319,14 +328,14 @@
         BackendReply::WriteThenClose(String::new())
     });
     opened.set(backend.connections.clone()).unwrap();
-    let (node, _discovery) = Node::with(&[&backend]);
-    let mut client = Client::connect(node.at);
+    let (node, _discovery) = NodeProcess::with_backends(&[&backend]);
+    let mut client = Client::connect(node.address);
     for n in 0..14 {
         let answer = client.round_trip(&get(&format!("q{n}"), "")).expect("an answer");
         assert_eq!((answer.status(), answer.body.as_slice()), (200, b"yes".as_slice()));
-        std::thread::sleep(std::time::Duration::from_millis(150));
+        thread::sleep(Duration::from_millis(150));
     }
-    // Three resets tell, for each class of rests; a slow machine may come to know two.
+    // Three resets suffice for each class of idle times; a slow machine may learn about two classes.
     let broken = broken.load(Ordering::SeqCst);
     assert!((1..=8).contains(&broken), "{broken} of 14 were reset");
 }
--- a/node/tests/customers.rs
+++ b/node/tests/settings_variants.rs
@@ -1,4 +1,4 @@
-//! The same exchanges under the settings of several customers: what is done follows from them alone.
+//! The same exchanges under several settings: the node's behaviour follows from the settings alone.
 
 mod common;
 
@@ -6,28 +6,29 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use common::*;
+use common::{NodeProcess, config, discovery_target};
+use ivyhatch_socket_lab::scripted::{Backend, BackendReply, Client, Discovery, Message, ok, status};
 use serde_json::{Value, json};
 
-/// What a customer's settings differ in.
+/// What settings differ in.
 #[derive(Clone, Copy)]
-struct Customer {
+struct SettingsVariant {
     name: &'static str,
-    /// Of the class that may not simply be repeated: its effect, and who drops its repeats.
+    /// Of the class that is not idempotent: its effect, and which backends recognise its repeats.
     effect: &'static str,
     scope: &'static str,
     deadline_ms: u64,
     attempts: u64,
     tenants: bool,
     zones: usize,
-    /// Load reports, probes, cancels and second copies.
-    generous: bool,
+    /// Probes, cancels and hedged requests are allowed.
+    all_allowed: bool,
     retry_after: bool,
     discovery: &'static str,
 }
 
-const CUSTOMERS: [Customer; 7] = [
-    Customer {
+const VARIANTS: [SettingsVariant; 7] = [
+    SettingsVariant {
         name: "as usual",
         effect: "once",
         scope: "all",
@@ -35,11 +36,11 @@
         attempts: 3,
         tenants: true,
         zones: 2,
-        generous: true,
+        all_allowed: true,
         retry_after: true,
         discovery: "pushed",
     },
-    Customer {
+    SettingsVariant {
         name: "nothing is allowed",
         effect: "once",
         scope: "all",
@@ -47,11 +48,11 @@
         attempts: 1,
         tenants: false,
         zones: 1,
-        generous: false,
+        all_allowed: false,
         retry_after: false,
         discovery: "on_request",
     },
-    Customer {
+    SettingsVariant {
         name: "deadlines shorter than a connect may take",
         effect: "once",
         scope: "all",
@@ -59,11 +60,11 @@
         attempts: 6,
         tenants: false,
         zones: 2,
-        generous: true,
+        all_allowed: true,
         retry_after: true,
         discovery: "on_request",
     },
-    Customer {
+    SettingsVariant {
         name: "keyed for all",
         effect: "by_key",
         scope: "all",
@@ -71,11 +72,11 @@
         attempts: 3,
         tenants: true,
         zones: 2,
-        generous: false,
+        all_allowed: false,
         retry_after: true,
         discovery: "pushed",
     },
-    Customer {
+    SettingsVariant {
         name: "keyed for a zone",
         effect: "by_key",
         scope: "zone",
@@ -83,11 +84,11 @@
         attempts: 6,
         tenants: true,
         zones: 2,
-        generous: true,
+        all_allowed: true,
         retry_after: false,
         discovery: "pushed",
     },
-    Customer {
+    SettingsVariant {
         name: "keyed for a cell",
         effect: "by_key",
         scope: "cell",
@@ -95,11 +96,11 @@
         attempts: 3,
         tenants: false,
         zones: 1,
-        generous: true,
+        all_allowed: true,
         retry_after: true,
         discovery: "on_request",
     },
-    Customer {
+    SettingsVariant {
         name: "one zone, one attempt, keyed",
         effect: "by_key",
         scope: "all",
@@ -107,13 +108,13 @@
         attempts: 1,
         tenants: false,
         zones: 1,
-        generous: false,
+        all_allowed: false,
         retry_after: true,
         discovery: "pushed",
     },
 ];
 
-impl Customer {
+impl SettingsVariant {
     fn config(&self, discovery: &Discovery) -> Value {
         let mut config = config(discovery.address, json!([]));
         let settings = &mut config["settings"];
@@ -132,21 +133,21 @@
         limits["attempts-cap"] = json!(self.attempts);
         limits["retry-after"] = json!(self.retry_after);
         for allowed in ["may-cancel", "second-copies", "probes"] {
-            limits[allowed] = json!(self.generous);
+            limits[allowed] = json!(self.all_allowed);
         }
         config
     }
 
-    /// A node before these backends; the second one is in another zone and another cell where there is one.
-    fn node(&self, backends: &[&Backend]) -> (Node, Discovery) {
-        let line = |(n, backend): (usize, &&Backend)| {
-            let mut line = target(&format!("s-{n}"), backend.address, "Ready");
-            line["az"] = json!(if n > 0 && self.zones > 1 { "b" } else { "a" });
-            line["pod_group"] = json!(n);
-            line
+    /// A node with these backends; the second one is in another zone and another cell where there is one.
+    fn node(&self, backends: &[&Backend]) -> (NodeProcess, Discovery) {
+        let listed = |(n, backend): (usize, &&Backend)| {
+            let mut target = discovery_target(&format!("s-{n}"), backend.address, "Ready");
+            target["az"] = json!(if n > 0 && self.zones > 1 { "b" } else { "a" });
+            target["pod_group"] = json!(n);
+            target
         };
-        let discovery = Discovery::new(backends.iter().enumerate().map(line).collect());
-        let node = Node::start(&self.config(&discovery));
+        let discovery = Discovery::new(backends.iter().enumerate().map(listed).collect());
+        let node = NodeProcess::start(&self.config(&discovery));
         discovery.wait_for_watch_from(1);
         (node, discovery)
     }
@@ -178,137 +179,136 @@
             && (self.scope == "all" || self.scope == "zone" && self.zones == 1)
     }
 
-    /// Whether a client may be told that trying again does no harm, of an order that may have run.
-    fn may_refuse(&self) -> bool {
+    /// Whether an order that may have run may be rejected, which signals that a retry does no harm.
+    fn may_reject(&self) -> bool {
         self.effect == "by_key" && self.scope == "all"
     }
 
-    fn check_refusal(&self, answer: &Message) {
+    fn assert_rejection(&self, answer: &Message) {
         assert!([429, 503].contains(&answer.status()), "{}: {answer:?}", self.name);
         assert!(self.retry_after || answer.value("retry-after").is_none(), "{}: {answer:?}", self.name);
     }
 }
 
-/// Runs this for each customer, side by side.
-fn each(run: impl Fn(Customer) + Send + Sync + 'static) {
-    let run = Arc::new(run);
-    let threads = CUSTOMERS.map(|customer| {
-        let run = run.clone();
-        (customer.name, thread::spawn(move || run(customer)))
+/// Runs `test` for each variant, in parallel.
+fn for_each_variant(test: impl Fn(SettingsVariant) + Send + Sync + 'static) {
+    let test = Arc::new(test);
+    let threads = VARIANTS.map(|variant| {
+        let test = test.clone();
+        (variant.name, thread::spawn(move || test(variant)))
     });
     for (name, thread) in threads {
-        assert!(thread.join().is_ok(), "customer {name}");
+        assert!(thread.join().is_ok(), "variant {name}");
     }
 }
 
-fn always(does: BackendReply) -> Backend {
-    Backend::new(move |_| does.clone())
+fn backend_replying(reply: BackendReply) -> Backend {
+    Backend::new(move |_| reply.clone())
 }
 
 #[test]
-fn what_is_asked_is_served_once_and_what_makes_no_sense_is_told_off() {
-    each(|customer| {
-        let backend = always(BackendReply::Write(ok("yes")));
-        let (node, _discovery) = customer.node(&[&backend]);
-        let good = [customer.look("g1", customer.deadline_ms), customer.order("g2", customer.deadline_ms)];
+fn valid_requests_are_served_once_and_invalid_ones_are_rejected() {
+    for_each_variant(|variant| {
+        let backend = backend_replying(BackendReply::Write(ok("yes")));
+        let (node, _discovery) = variant.node(&[&backend]);
+        let good = [variant.look("g1", variant.deadline_ms), variant.order("g2", variant.deadline_ms)];
         for text in &good {
-            let answer = node.ask(text);
+            let answer = node.round_trip(text);
             assert_eq!(
                 (answer.status(), answer.body.as_slice()),
                 (200, b"yes".as_slice()),
                 "{}",
-                customer.name
+                variant.name
             );
         }
-        assert_eq!(backend.drain_requests(), 2, "{}", customer.name);
+        assert_eq!(backend.drain_requests(), 2, "{}", variant.name);
         let bad = [good[0].replace("look", "lock"), good[1].replace("X-Budget-Ms", "X-No-Budget")];
-        for text in bad.iter().chain([good[0].replace("acme", "nobody")].iter().filter(|_| customer.tenants))
-        {
-            assert_eq!(node.ask(text).status(), 400, "{}: {text}", customer.name);
+        for text in bad.iter().chain([good[0].replace("acme", "nobody")].iter().filter(|_| variant.tenants)) {
+            assert_eq!(node.round_trip(text).status(), 400, "{}: {text}", variant.name);
         }
-        assert_eq!(backend.drain_requests(), 0, "{}", customer.name);
+        assert_eq!(backend.drain_requests(), 0, "{}", variant.name);
     });
 }
 
-/// Nobody's time: refused at once, and sent nowhere.
+/// A request without time is rejected at once, and forwarded nowhere.
 #[test]
-fn a_budget_of_nothing_is_refused_at_once() {
-    each(|customer| {
-        let backend = always(BackendReply::Write(ok("yes")));
-        let (node, _discovery) = customer.node(&[&backend]);
+fn request_without_budget_is_rejected_at_once() {
+    for_each_variant(|variant| {
+        let backend = backend_replying(BackendReply::Write(ok("yes")));
+        let (node, _discovery) = variant.node(&[&backend]);
         for (n, budget) in [0, 1, 3].into_iter().enumerate() {
-            customer.check_refusal(&node.ask(&customer.look(&format!("z{n}"), budget)));
-            customer.check_refusal(&node.ask(&customer.order(&format!("y{n}"), budget)));
+            variant.assert_rejection(&node.round_trip(&variant.look(&format!("z{n}"), budget)));
+            variant.assert_rejection(&node.round_trip(&variant.order(&format!("y{n}"), budget)));
         }
-        assert_eq!(backend.drain_requests(), 0, "{}", customer.name);
+        assert_eq!(backend.drain_requests(), 0, "{}", variant.name);
     });
 }
 
-/// Turned away it never ran: it goes to the other one where another attempt is allowed, and is refused otherwise.
+/// Rejected by its backend it never ran: it goes to the other one where another attempt is allowed, and is rejected otherwise.
 #[test]
-fn what_never_ran_may_go_elsewhere() {
-    each(|customer| {
-        let full = always(BackendReply::Write(status(503, "X-Rejected: 1\r\n")));
-        let serves = always(BackendReply::Write(ok("yes")));
-        let (node, _discovery) = customer.node(&[&full, &serves]);
-        let answer = node.ask(&customer.order("n1", customer.deadline_ms));
+fn request_that_never_ran_may_go_elsewhere() {
+    for_each_variant(|variant| {
+        let full = backend_replying(BackendReply::Write(status(503, "X-Rejected: 1\r\n")));
+        let serves = backend_replying(BackendReply::Write(ok("yes")));
+        let (node, _discovery) = variant.node(&[&full, &serves]);
+        let answer = node.round_trip(&variant.order("n1", variant.deadline_ms));
         let attempts = full.drain_requests() + serves.drain_requests();
-        assert!(attempts as u64 <= customer.attempts, "{}: {attempts} attempts", customer.name);
+        assert!(attempts as u64 <= variant.attempts, "{}: {attempts} attempts", variant.name);
         if answer.status() != 200 {
-            customer.check_refusal(&answer);
-            assert!(customer.attempts == 1 || customer.deadline_ms < 200, "{}: {answer:?}", customer.name);
+            variant.assert_rejection(&answer);
+            assert!(variant.attempts == 1 || variant.deadline_ms < 200, "{}: {answer:?}", variant.name);
         }
     });
 }
 
-/// It may have run: it goes again only where its class lets it, and is refused only where trying again does no harm.
+/// A request that may have run is retried only where its class allows it, and is rejected only where a retry does no harm.
 #[test]
-fn what_may_have_run_goes_again_only_within_its_class() {
-    for (n, does) in [BackendReply::Write(status(500, "")), BackendReply::WriteThenClose(String::new())]
+fn request_that_may_have_run_is_retried_only_as_its_class_allows() {
+    for (n, reply) in [BackendReply::Write(status(500, "")), BackendReply::WriteThenClose(String::new())]
         .into_iter()
         .enumerate()
     {
-        each(move |customer| {
-            let (first, second) = (always(does.clone()), always(does.clone()));
-            let (node, _discovery) = customer.node(&[&first, &second]);
-            let answer = node.ask(&customer.order("m1", customer.deadline_ms));
+        for_each_variant(move |variant| {
+            let (first, second) = (backend_replying(reply.clone()), backend_replying(reply.clone()));
+            let (node, _discovery) = variant.node(&[&first, &second]);
+            let answer = node.round_trip(&variant.order("m1", variant.deadline_ms));
             let (at_first, at_second) = (first.drain_requests(), second.drain_requests());
-            assert!(at_first + at_second >= 1, "{} {n}: it was sent", customer.name);
-            assert!(customer.effect != "once" || at_first + at_second == 1, "{} {n}: twice", customer.name);
+            assert!(at_first + at_second >= 1, "{} {n}: it was sent", variant.name);
+            assert!(variant.effect != "once" || at_first + at_second == 1, "{} {n}: twice", variant.name);
             let crossed = at_first > 0 && at_second > 0;
-            assert!(!crossed || customer.may_repeat(), "{} {n}: outside its group", customer.name);
-            assert!((at_first + at_second) as u64 <= customer.attempts, "{} {n}", customer.name);
+            assert!(!crossed || variant.may_repeat(), "{} {n}: outside its group", variant.name);
+            assert!((at_first + at_second) as u64 <= variant.attempts, "{} {n}", variant.name);
             match answer.status() {
                 502 => {}
                 _ => {
-                    assert!(customer.may_refuse(), "{} {n}: {answer:?}", customer.name);
-                    customer.check_refusal(&answer);
+                    assert!(variant.may_reject(), "{} {n}: {answer:?}", variant.name);
+                    variant.assert_rejection(&answer);
                 }
             }
         });
     }
 }
 
-/// Nobody answers: each client gets its one answer within its time, and the ways there and back.
+/// No backend responds: each client gets its one response within its budget and the time on the network.
 #[test]
-fn silence_is_answered_in_time() {
-    each(|customer| {
-        let backend = always(BackendReply::Never);
-        let (node, _discovery) = customer.node(&[&backend]);
-        let budget = customer.deadline_ms.min(600);
-        for text in [customer.order("s1", budget), customer.look("s2", budget)] {
-            let mut client = Client::connect(node.at);
+fn request_to_a_silent_backend_is_answered_in_time() {
+    for_each_variant(|variant| {
+        let backend = backend_replying(BackendReply::Never);
+        let (node, _discovery) = variant.node(&[&backend]);
+        let budget = variant.deadline_ms.min(600);
+        for text in [variant.order("s1", budget), variant.look("s2", budget)] {
+            let mut client = Client::connect(node.address);
             let asked = Instant::now();
             let answer = client.round_trip(&text).expect("an answer");
             let took = asked.elapsed();
-            assert_ne!(answer.status(), 200, "{}", customer.name);
+            assert_ne!(answer.status(), 200, "{}", variant.name);
             // The rules' slack on sockets is 70 ms here; a loaded machine gets more.
-            assert!(took < Duration::from_millis(budget + 500), "{}: {took:?} of {budget} ms", customer.name);
+            assert!(took < Duration::from_millis(budget + 500), "{}: {took:?} of {budget} ms", variant.name);
             assert!(
                 client.round_trip("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n").is_some(),
-                "one answer, whole"
+                "one response, complete"
             );
         }
-        assert!(backend.drain_requests() <= 2, "{}", customer.name);
+        assert!(backend.drain_requests() <= 2, "{}", variant.name);
     });
 }
