--- a/protocol/src/configuration/change.rs
+++ b/protocol/src/configuration/change.rs
@@ -4,7 +4,7 @@
 
 use speedy::{Readable, Writable};
 
-use super::{Document, Item};
+use super::document::{Document, Item};
 
 /// A change from one configuration to another, by item: an operator's PATCH request, or the difference of two revisions that is
 /// sent to watchers.
--- a/protocol/src/configuration/error.rs
+++ b/protocol/src/configuration/error.rs
@@ -1,6 +1,6 @@
 //! Errors of the operator's configuration. Their texts are the bodies of HTTP 400 responses.
 
-use super::parse::MAX_NESTING;
+use super::nesting::MAX_NESTING;
 
 /// Why a configuration or a change of it is rejected. The text names the field; nothing was changed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -102,7 +102,7 @@
     /// The body is no JSON or no object; the text is that of `serde_json`, whose errors can't be compared.
     #[error("{0}")]
     Syntax(String),
-    /// Arrays and objects are nested more than [`MAX_NESTING`] deep.
+    /// Arrays and objects are nested too deep.
     #[error("it is nested more than {MAX_NESTING} deep")]
     TooDeep,
 }
--- a/protocol/src/configuration/validate.rs
+++ b/protocol/src/configuration/validate.rs
@@ -5,9 +5,9 @@
 use figment::Figment;
 use figment::providers::{Format, Json};
 
-use super::Document;
+use super::document::Document;
 use super::error::{ConfigurationError, JsonError};
-use super::parse::{MAX_NESTING, nesting_depth};
+use super::nesting::{MAX_NESTING, nesting_depth};
 use super::schema::{Configuration, Route};
 
 impl Document {
--- a/protocol/src/frame/decoder.rs
+++ b/protocol/src/frame/decoder.rs
@@ -2,8 +2,9 @@
 
 use speedy::{LittleEndian, Readable};
 
+use super::error::{BodyError, FrameError};
 use super::header::{COMPRESSED, FRAGMENT, HEADER_BYTES, Header, LAST_FRAGMENT};
-use super::{BodyError, FrameError, MAX_MESSAGE_BYTES};
+use super::limits::MAX_MESSAGE_BYTES;
 use crate::compression::{CompressionError, decompress};
 use crate::hash::checksum;
 
--- a/protocol/src/frame/encoder.rs
+++ b/protocol/src/frame/encoder.rs
@@ -3,7 +3,7 @@
 use speedy::{LittleEndian, Writable};
 
 use super::header::{COMPRESSED, FRAGMENT, HEADER_BYTES, Header, LAST_FRAGMENT};
-use super::{FRAGMENT_BYTES, MIN_COMPRESSED_BYTES, UNCOMPRESSED_LENGTH_BYTES};
+use super::limits::{FRAGMENT_BYTES, MIN_COMPRESSED_BYTES, UNCOMPRESSED_LENGTH_BYTES};
 use crate::compression::compress;
 use crate::hash::checksum;
 
--- a/protocol/src/frame/error.rs
+++ b/protocol/src/frame/error.rs
@@ -1,6 +1,6 @@
 //! Errors of a stream of frames.
 
-use super::{MAX_MESSAGE_BYTES, PROTOCOL_VERSION};
+use super::limits::{MAX_MESSAGE_BYTES, PROTOCOL_VERSION};
 use crate::compression::CompressionError;
 
 /// Why bytes of a connection are no messages. The connection has to be closed: where the next frame begins is unknown.
--- a/protocol/src/frame/header.rs
+++ b/protocol/src/frame/header.rs
@@ -1,6 +1,7 @@
 //! The header of a frame.
 
-use super::{FrameError, MAX_MESSAGE_BYTES, PROTOCOL_VERSION};
+use super::error::FrameError;
+use super::limits::{MAX_MESSAGE_BYTES, PROTOCOL_VERSION};
 
 /// The first two bytes of a frame, as a little-endian number.
 const FRAME_MAGIC: u16 = 0x6976;
--- a/protocol/src/settings/error.rs
+++ b/protocol/src/settings/error.rs
@@ -1,6 +1,7 @@
 //! Errors of the settings file.
 
-use super::SETTINGS_PATH_VARIABLE;
+/// The environment variable with the path of the settings file.
+pub const SETTINGS_PATH_VARIABLE: &str = "IVYHATCH_SETTINGS";
 
 /// Why the settings of a process can't be read. The process must not start.
 #[derive(Debug, thiserror::Error)]
--- a/protocol/src/settings/mod.rs
+++ b/protocol/src/settings/mod.rs
@@ -14,12 +14,9 @@
 use serde::Deserialize;
 
 pub use self::bounds::{Bounds, FaultTolerance, ResourceLimits};
-pub use self::error::SettingsError;
+pub use self::error::{SETTINGS_PATH_VARIABLE, SettingsError};
 use crate::ids::NodeId;
 
-/// The environment variable with the path of the settings file.
-pub const SETTINGS_PATH_VARIABLE: &str = "IVYHATCH_SETTINGS";
-
 /// The addresses of the listeners that a role may have.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Listen {
--- a/wal/src/format/decoder.rs
+++ b/wal/src/format/decoder.rs
@@ -2,7 +2,7 @@
 
 use ivyhatch_protocol::hash::checksum;
 
-use super::{
+use super::layout::{
     BLOCK_HEADER_LENGTH, BLOCK_MAGIC, FILE_HEADER_LENGTH, FILE_MAGIC, FORMAT_VERSION, MAX_BODY_LENGTH,
     RECORD_HEADER_LENGTH, UNNUMBERED_BLOCK_HEADER_LENGTH, block_checksum, file_header,
 };
--- a/wal/src/format/encoder.rs
+++ b/wal/src/format/encoder.rs
@@ -1,6 +1,6 @@
 //! Records to blocks and files.
 
-use super::{
+use super::layout::{
     BLOCK_HEADER_LENGTH, BLOCK_MAGIC, FORMAT_VERSION, RECORD_HEADER_LENGTH, block_checksum, file_header,
 };
 
@@ -28,7 +28,7 @@
     records.iter().map(|record| RECORD_HEADER_LENGTH + record.len()).sum()
 }
 
-/// Appends the block of this number. Its [`body_length`] must be at most [`super::MAX_BODY_LENGTH`].
+/// Appends the block of this number. Its [`body_length`] must be at most [`super::layout::MAX_BODY_LENGTH`].
 pub(crate) fn encode_block(records: &[Vec<u8>], number: u32, bytes: &mut Vec<u8>) {
     let mut body = Vec::with_capacity(body_length(records));
     for record in records {
