--- a/simulation/src/run/processes.rs
+++ b/simulation/src/run/processes.rs
@@ -1,4 +1,4 @@
-//! The life cycle of control nodes' processes and machines: start, suspension, shutdown, loss of the disk and removal.
+//! The lifecycle of control nodes' processes and machines: start, suspension, shutdown, loss of the disk and removal.
 
 use std::collections::BTreeSet;
 
--- a/simulation/src/search/member.rs
+++ b/simulation/src/search/member.rs
@@ -1,4 +1,4 @@
-//! A node of a search: its disk, the writes that have not ended, and what it has collected.
+//! A node of a search: its replica, its durable state, its pending writes and its state transfer.
 
 use std::collections::VecDeque;
 
@@ -7,48 +7,98 @@
 use ivyhatch_control::partition::PartitionReplica;
 use ivyhatch_control::state_transfer::StateCollector;
 use ivyhatch_protocol::ids::{NodeId, ReplicaId};
-use ivyhatch_protocol::peer::{Membership, Voter};
+use ivyhatch_protocol::peer::{AcceptorState, Membership, Voter};
 
-use super::{FIRST_GENERATION, Sent};
+use super::{Envelope, FIRST_GENERATION, PARTITION, node_id, replica_id};
 
-/// A write that has not ended, and what is sent once it has.
+/// The incarnation of a node's first process.
+const FIRST_INCARNATION: u64 = 1;
+
+/// A pending write, and the message that is sent once it is durable.
 #[derive(Clone, Debug)]
-pub(super) struct Write {
+pub(super) struct PendingWrite {
     pub(super) records: Vec<Record>,
-    pub(super) then: Option<(NodeId, Sent)>,
+    pub(super) then_send: Option<(NodeId, Envelope)>,
 }
 
+/// A node.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
     pub(super) replica: ReplicaId,
+    /// The membership that the node knows.
     pub(super) membership: Membership,
-    pub(super) joined: Option<u64>,
+    /// The generation for which its state transfer is complete.
+    pub(super) joined_generation: Option<u64>,
     pub(super) partition: PartitionReplica,
     pub(super) incarnation: u64,
     pub(super) disk: DurableState,
-    pub(super) writes: VecDeque<Write>,
-    pub(super) collection: StateCollector,
-    pub(super) collected: bool,
+    pub(super) writes: VecDeque<PendingWrite>,
+    pub(super) collector: StateCollector,
+    /// The state was collected, though it may not be durable yet.
+    pub(super) has_collected: bool,
 }
 
 impl Member {
-    pub(super) fn holds_state_of(&self, voter: &Voter) -> bool {
-        voter.joined_generation == FIRST_GENERATION || self.joined == Some(voter.joined_generation)
+    /// A node on its first start.
+    pub(super) fn new(number: usize, membership: &Membership) -> Self {
+        let mut member = Self {
+            replica: replica_id(number, 1),
+            membership: membership.clone(),
+            joined_generation: None,
+            partition: PartitionReplica::new(node_id(number), FIRST_INCARNATION, AcceptorState::default()),
+            incarnation: FIRST_INCARNATION,
+            disk: DurableState { membership: Some(membership.clone()), ..DurableState::default() },
+            writes: VecDeque::new(),
+            collector: StateCollector::default(),
+            has_collected: false,
+        };
+        member.set_partition_voters();
+        member
+    }
+
+    /// Starts a new process from the durable state. Its pending writes are lost.
+    pub(super) fn restart(&mut self) {
+        self.incarnation += 1;
+        self.writes.clear();
+        self.joined_generation = self.disk.joined;
+        let state = self.disk.partitions.get(&PARTITION).cloned().unwrap_or_default();
+        self.partition = PartitionReplica::new(self.replica.node, self.incarnation, state);
+        self.set_membership(self.disk.membership.clone().unwrap_or_default());
+    }
+
+    /// Goes on under another membership. A state transfer starts anew.
+    pub(super) fn set_membership(&mut self, membership: Membership) {
+        self.membership = membership;
+        self.collector = StateCollector::default();
+        self.has_collected = false;
+        self.set_partition_voters();
+    }
+
+    fn set_partition_voters(&mut self) {
+        let voters: Vec<NodeId> = self.membership.nodes().collect();
+        self.partition.set_voters(&voters, &mut Vec::new());
+    }
+
+    /// Whether the replica has the state with which this voter may vote.
+    fn has_state_of(&self, voter: &Voter) -> bool {
+        voter.joined_generation == FIRST_GENERATION || self.joined_generation == Some(voter.joined_generation)
     }
 
+    /// Whether the node votes: its replica is a voter of its membership and has its state.
     pub(super) fn votes(&self) -> bool {
-        self.membership.voter(self.replica).is_some_and(|voter| self.holds_state_of(voter))
+        self.membership.voter(self.replica).is_some_and(|voter| self.has_state_of(voter))
     }
 
-    /// The generation in which it joins, where it is a voter that does not hold its state yet.
-    pub(super) fn joining(&self) -> Option<u64> {
+    /// The generation in which the replica joins, if it is a voter without its state.
+    pub(super) fn joining_generation(&self) -> Option<u64> {
         let voter = self.membership.voter(self.replica)?;
-        (!self.holds_state_of(voter)).then_some(voter.joined_generation)
+        (!self.has_state_of(voter)).then_some(voter.joined_generation)
     }
 
-    /// Whether it may hand out its state to a new voter of its membership.
-    pub(super) fn hands_out(&self) -> bool {
+    /// Whether the node may transfer its state to a new voter of its membership: it voted in the generation before, and all of its
+    /// state is durable.
+    pub(super) fn can_transfer_state(&self) -> bool {
         let voter = self.membership.previous_voter(self.replica);
-        voter.is_some_and(|voter| self.holds_state_of(voter)) && self.writes.is_empty()
+        voter.is_some_and(|voter| self.has_state_of(voter)) && self.writes.is_empty()
     }
 }
--- a/simulation/src/search/transitions.rs
+++ b/simulation/src/search/transitions.rs
@@ -1,81 +1,76 @@
-//! What each step of a search does.
+//! The effect of each step of a search, and the invariants that are checked after it.
 
 use ivyhatch_control::Record;
 use ivyhatch_control::durable_state::DurableState;
-use ivyhatch_control::partition::{Effect, PartitionReplica};
-use ivyhatch_control::state_transfer::StateCollector;
-use ivyhatch_protocol::ids::{NodeId, ReplicaId};
-use ivyhatch_protocol::peer::ConsensusMessage;
+use ivyhatch_control::partition::Effect;
+use ivyhatch_protocol::ids::{Ballot, NodeId, ReplicaId};
+use ivyhatch_protocol::peer::{AcceptedValue, ConsensusMessage};
 
-use super::member::Write;
-use super::{Core, Fault, PART, Sent, Step, node};
+use super::member::PendingWrite;
+use super::{Cluster, Envelope, InFlight, PARTITION, ProtocolBug, Step, node_id, node_number};
 
-impl Core {
-    pub(super) fn do_step(&mut self, step: Step) -> Option<String> {
+impl Cluster {
+    /// Applies a step. Returns the violation that it causes, if any.
+    pub(super) fn transition(&mut self, step: Step) -> Option<String> {
         match step {
-            Step::Elect(number) => {
-                self.budget.elections -= 1;
-                let mut effects = Vec::new();
-                self.members[number].partition.start_election(0, &mut effects);
-                self.carry_out(number, effects)
+            Step::StartElection(number) => return self.start_election(number),
+            Step::Propose(number) => return self.propose(number),
+            Step::Deliver(position) => {
+                let InFlight { from, to, envelope } = self.messages.remove(position);
+                return self.receive(from, to, envelope);
             }
-            Step::Propose(number) => {
-                self.budget.proposals -= 1;
-                let mut effects = Vec::new();
-                let value = vec![number as u8, self.budget.proposals as u8];
-                self.members[number].partition.propose(0, value, &mut effects);
-                self.carry_out(number, effects)
-            }
-            Step::Deliver(place) => {
-                let (from, to, message) = self.messages.remove(place);
-                self.receive(from, to, message)
-            }
-            Step::Sync(number) => self.sync(number),
+            Step::CompleteWrite(number) => return self.complete_write(number),
             Step::Crash(number) => {
-                self.budget.harms -= 1;
+                self.budget.failures -= 1;
                 self.restart(number);
-                None
-            }
-            Step::Wipe(number) => {
-                self.budget.harms -= 1;
-                self.wipe(number);
-                None
-            }
-            Step::Decide(replaced, successor) => {
-                self.decide(replaced, successor);
-                None
             }
-            Step::Adopt(number) => {
-                self.adopt(number);
-                None
-            }
-            Step::Collect(number, source) => {
-                self.collect(number, source);
-                None
+            Step::LoseDisk(number) => {
+                self.budget.failures -= 1;
+                self.lose_disk(number);
             }
+            Step::DecideMembership { replaced, successor } => self.decide_membership(replaced, successor),
+            Step::AdoptMembership(number) => self.adopt_membership(number),
+            Step::TransferState { to, from } => self.transfer_state(to, from),
         }
+        None
+    }
+
+    fn start_election(&mut self, number: usize) -> Option<String> {
+        self.budget.elections -= 1;
+        let mut effects = Vec::new();
+        self.members[number].partition.start_election(0, &mut effects);
+        self.carry_out(number, effects)
     }
 
-    fn sync(&mut self, number: usize) -> Option<String> {
+    /// Proposes a value that no other proposal has.
+    fn propose(&mut self, number: usize) -> Option<String> {
+        self.budget.proposals -= 1;
+        let mut effects = Vec::new();
+        let value = vec![number as u8, self.budget.proposals as u8];
+        self.members[number].partition.propose(0, value, &mut effects);
+        self.carry_out(number, effects)
+    }
+
+    fn complete_write(&mut self, number: usize) -> Option<String> {
         let member = &mut self.members[number];
         let write = member.writes.pop_front()?;
         for record in write.records {
             if let Record::Joined(joined) = record {
-                member.joined = Some(joined);
+                member.joined_generation = Some(joined);
             }
             member.disk.apply(record);
         }
-        let (to, message) = write.then?;
-        self.send(number, to, message)
+        let (to, envelope) = write.then_send?;
+        self.send(number, to, envelope)
     }
 
-    fn wipe(&mut self, number: usize) {
-        self.wiped = Some(number);
-        let newest = self.newest().clone();
+    fn lose_disk(&mut self, number: usize) {
+        self.lost_disk = Some(number);
+        let newest = self.newest_membership().clone();
         let member = &mut self.members[number];
-        let (replica, joined) = (member.replica, member.joined);
+        let (replica, joined) = (member.replica, member.joined_generation);
         member.disk = DurableState { membership: Some(newest), ..DurableState::default() };
-        if self.fault == Fault::VotesAfterWipe {
+        if self.bug == ProtocolBug::VotesAfterDiskLoss {
             member.disk.joined = joined;
         } else {
             member.replica = ReplicaId { disk: replica.disk + 1, ..replica };
@@ -83,127 +78,133 @@
         self.restart(number);
     }
 
+    /// Restarts a process. The messages to the process that has ended are lost.
     fn restart(&mut self, number: usize) {
-        let member = &mut self.members[number];
-        member.incarnation += 1;
-        member.writes.clear();
-        member.membership = member.disk.membership.clone().unwrap_or_default();
-        member.joined = member.disk.joined;
-        member.collection = StateCollector::default();
-        member.collected = false;
-        let state = member.disk.partitions.get(&PART).cloned().unwrap_or_default();
-        member.partition = PartitionReplica::new(node(number), member.incarnation, state);
-        let voters: Vec<NodeId> = member.membership.nodes().collect();
-        member.partition.set_voters(&voters, &mut Vec::new());
-        // What is on its way to a process that has ended is lost.
-        self.messages.retain(|(_, to, _)| *to != number);
-    }
-
-    fn decide(&mut self, replaced: usize, successor: usize) {
+        self.members[number].restart();
+        self.messages.retain(|in_flight| in_flight.to != number);
+    }
+
+    fn decide_membership(&mut self, replaced: usize, successor: usize) {
         self.budget.replacements -= 1;
-        let newest = self.newest();
-        let Some(voter) = newest.voters.iter().find(|voter| voter.replica.node == node(replaced)) else {
-            return;
-        };
-        let next = newest.with_replacement(voter.replica, self.members[successor].replica, "");
-        self.memberships.push(next);
+        let newest = self.newest_membership();
+        let replaced = newest.voters.iter().find(|voter| voter.replica.node == node_id(replaced));
+        if let Some(voter) = replaced {
+            let next = newest.with_replacement(voter.replica, self.members[successor].replica, "");
+            self.memberships.push(next);
+        }
     }
 
-    fn adopt(&mut self, number: usize) {
-        let newest = self.newest().clone();
-        let early = self.fault == Fault::VotesBeforeState;
+    fn adopt_membership(&mut self, number: usize) {
+        let newest = self.newest_membership().clone();
+        let votes_early = self.bug == ProtocolBug::VotesBeforeStateTransfer;
         let member = &mut self.members[number];
-        member.membership = newest.clone();
-        member.collection = StateCollector::default();
-        member.collected = false;
-        let voters: Vec<NodeId> = newest.nodes().collect();
-        member.partition.set_voters(&voters, &mut Vec::new());
-        member.writes.push_back(Write { records: vec![Record::Membership(newest)], then: None });
-        if let Some(joined) = member.joining().filter(|_| early) {
-            member.joined = Some(joined);
+        member.set_membership(newest.clone());
+        member.writes.push_back(PendingWrite { records: vec![Record::Membership(newest)], then_send: None });
+        if let Some(joined) = member.joining_generation().filter(|_| votes_early) {
+            member.joined_generation = Some(joined);
         }
     }
 
-    fn collect(&mut self, number: usize, source: usize) {
-        let (from, mut state) =
-            (self.members[source].replica, self.members[source].partition.state().clone());
-        if self.fault == Fault::IgnoresPromises {
-            state.promised = state.accepted.as_ref().map_or_else(Default::default, |value| value.ballot);
+    /// Adds the state of `from` to what `to` has collected; once a quorum's is complete, `to` writes it to its disk.
+    fn transfer_state(&mut self, to: usize, from: usize) {
+        let source = &self.members[from];
+        let (replica, mut state) = (source.replica, source.partition.state().clone());
+        if self.bug == ProtocolBug::IgnoresPromises {
+            state.promised = state.accepted.as_ref().map_or_else(Ballot::default, |value| value.ballot);
         }
-        let member = &mut self.members[number];
-        member.collection.add(from, vec![(PART, state)]);
-        let Some(joined) = member.joining() else { return };
-        let Some(complete) = member.collection.complete(&member.membership) else { return };
-        let Some(collected) = complete.get(&PART) else { return };
-        member.collected = true;
+        let member = &mut self.members[to];
+        member.collector.add(replica, vec![(PARTITION, state)]);
+        let Some(joined) = member.joining_generation() else { return };
+        let Some(complete) = member.collector.complete(&member.membership) else { return };
+        let Some(collected) = complete.get(&PARTITION) else { return };
+        member.has_collected = true;
         member.partition.merge(collected);
         let state = member.partition.state().clone();
-        let mut records = vec![Record::Promised(PART, state.promised)];
-        records.extend(state.accepted.map(|value| Record::Accepted(PART, value)));
+        let mut records = vec![Record::Promised(PARTITION, state.promised)];
+        records.extend(state.accepted.map(|value| Record::Accepted(PARTITION, value)));
         records.push(Record::Joined(joined));
-        member.writes.push_back(Write { records, then: None });
+        member.writes.push_back(PendingWrite { records, then_send: None });
     }
 
-    fn receive(&mut self, from: usize, to: usize, (generation, message): Sent) -> Option<String> {
+    /// A message arrives. Votes of another generation are dropped; what is committed is learned under any.
+    fn receive(&mut self, from: usize, to: usize, envelope: Envelope) -> Option<String> {
+        let Envelope { generation, message } = envelope;
         let member = &mut self.members[to];
-        let learns = matches!(message, ConsensusMessage::Commit { .. } | ConsensusMessage::Committed(_));
-        let same = generation == member.membership.generation || self.fault == Fault::IgnoresGeneration;
-        if !same && !learns {
+        let is_commit = matches!(message, ConsensusMessage::Commit { .. } | ConsensusMessage::Committed(_));
+        let ignores_generation = self.bug == ProtocolBug::IgnoresGeneration;
+        if generation != member.membership.generation && !ignores_generation && !is_commit {
             return None;
         }
         let votes = member.votes();
         let mut effects = Vec::new();
-        member.partition.handle(0, node(from), message, votes, &mut effects);
+        member.partition.handle(0, node_id(from), message, votes, &mut effects);
         self.carry_out(to, effects)
     }
 
-    fn send(&mut self, from: usize, to: NodeId, message: Sent) -> Option<String> {
-        let to = to.0 as usize - 1;
+    /// Sends a message. A node receives its own messages at once.
+    fn send(&mut self, from: usize, to: NodeId, envelope: Envelope) -> Option<String> {
+        let to = node_number(to);
         if to == from {
-            return self.receive(from, to, message);
+            return self.receive(from, to, envelope);
         }
-        self.messages.push((from, to, message));
+        self.messages.push(InFlight { from, to, envelope });
         None
     }
 
     fn carry_out(&mut self, number: usize, effects: Vec<Effect>) -> Option<String> {
         let generation = self.members[number].membership.generation;
         for effect in effects {
-            let writes = &mut self.members[number].writes;
-            let broken = match effect {
-                Effect::Send(to, message) => self.send(number, to, (generation, message)),
+            let violation = match effect {
+                Effect::Send(to, message) => self.send(number, to, Envelope { generation, message }),
                 Effect::Promise(ballot, to, message) => {
-                    let records = vec![Record::Promised(PART, ballot)];
-                    writes.push_back(Write { records, then: Some((to, (generation, message))) });
+                    let record = Record::Promised(PARTITION, ballot);
+                    self.write_then_send(number, record, to, Envelope { generation, message });
                     None
                 }
                 Effect::Accept(value, to, message) => {
-                    let records = vec![Record::Accepted(PART, value)];
-                    writes.push_back(Write { records, then: Some((to, (generation, message))) });
+                    let record = Record::Accepted(PARTITION, value);
+                    self.write_then_send(number, record, to, Envelope { generation, message });
                     None
                 }
-                Effect::Committed(value) => {
-                    let known = self.committed.entry(value.sequence).or_insert_with(|| value.value.clone());
-                    let other = *known != value.value;
-                    other.then(|| format!("two values under number {}", value.sequence))
-                }
+                Effect::Committed(value) => self.check_committed(value),
                 Effect::QuorumConfirmed(_) | Effect::SteppedDown => None,
             };
-            if broken.is_some() {
-                return broken;
+            if violation.is_some() {
+                return violation;
             }
         }
+        self.check_leader(number)
+    }
+
+    fn write_then_send(&mut self, number: usize, record: Record, to: NodeId, envelope: Envelope) {
+        let write = PendingWrite { records: vec![record], then_send: Some((to, envelope)) };
+        self.members[number].writes.push_back(write);
+    }
+
+    /// Invariant 5 of `docs/design/control-safety.md`: one sequence number stands for one value.
+    fn check_committed(&mut self, value: AcceptedValue) -> Option<String> {
+        let sequence = value.sequence;
+        let known = self.committed.entry(sequence).or_insert_with(|| value.value.clone());
+        (*known != value.value).then(|| format!("two values under number {sequence}"))
+    }
+
+    /// Invariant 6 of `docs/design/control-safety.md`: the leader of the highest ballot knows what was committed before it. An earlier
+    /// leader may still take itself for ready; its proposals are rejected.
+    fn check_leader(&self, number: usize) -> Option<String> {
+        let member = &self.members[number];
+        let committed = self.committed.keys().next_back().copied().unwrap_or_default();
+        let known = member.partition.committed_sequence();
+        let is_ready = member.partition.ready_ballot().is_some() && member.votes();
+        let is_behind = is_ready && known < committed && self.leads_highest_ballot(number);
+        is_behind.then(|| format!("leader {number} is ready at {known}, and {committed} is committed"))
+    }
+
+    /// Whether a node leads under the newest membership that any node knows, and no node has promised a higher ballot.
+    fn leads_highest_ballot(&self, number: usize) -> bool {
         let member = &self.members[number];
-        let last = self.committed.keys().next_back().copied().unwrap_or_default();
-        let behind = member.partition.ready_ballot().is_some()
-            && member.partition.committed_sequence() < last
-            && member.votes();
-        // A former leader may still think that it is ready; a proposal of its is rejected. What a quorum can promise must be known.
-        (behind && self.is_highest(number)).then(|| {
-            format!(
-                "leader {number} is ready at {}, and {last} is committed",
-                member.partition.committed_sequence()
-            )
-        })
+        let Some(ballot) = member.partition.leader_ballot() else { return false };
+        let newest = self.members.iter().map(|member| member.membership.generation).max();
+        newest == Some(member.membership.generation)
+            && self.members.iter().all(|member| member.partition.state().promised <= ballot)
     }
 }
--- a/simulation/tests/search.rs
+++ b/simulation/tests/search.rs
@@ -1,228 +1,242 @@
-//! All interleavings of one partition among its voters, to a stated depth.
+//! Exhaustive searches of one partition's interleavings, and single interleavings step by step.
 
 use googletest::prelude::*;
-use ivyhatch_simulation::search::{Budget, Core, Fault, Step, search};
+use ivyhatch_simulation::search::{Budget, Cluster, Counterexample, InFlight, ProtocolBug, Step, search};
 
 #[gtest]
-fn no_interleaving_breaks_a_partition_of_three() {
-    // One more election, two proposals, one crash or lost disk, and the seat of a lost disk given to its successor.
-    let budget = Budget { elections: 1, proposals: 2, harms: 1, replacements: 1 };
-    let seen = search(Core::led(3, 0, budget), 14, usize::MAX);
-    println!("{} states to a depth of {}", seen.states, seen.depth);
-    expect_that!(seen.broken, none());
-    expect_that!(seen.depth, eq(14));
-    expect_that!(seen.states, gt(10_000));
+fn no_interleaving_of_three_voters_violates_an_invariant() {
+    // One more election, two proposals, one crash or lost disk, and the replacement of the replica on a lost disk.
+    let budget = Budget { elections: 1, proposals: 2, failures: 1, replacements: 1 };
+    let result = search(Cluster::with_leader(3, 0, budget), 14, usize::MAX);
+    println!("{} states to a depth of {}", result.states, result.depth);
+    expect_that!(result.counterexample, none());
+    expect_that!(result.depth, eq(14));
+    expect_that!(result.states, gt(10_000));
 }
 
 #[gtest]
-fn no_interleaving_breaks_the_first_election() {
-    let budget = Budget { elections: 2, proposals: 1, harms: 1, replacements: 1 };
-    let seen = search(Core::new(3, 0, budget), 10, usize::MAX);
-    println!("{} states to a depth of {}", seen.states, seen.depth);
-    expect_that!(seen.broken, none());
+fn no_interleaving_of_the_first_election_violates_an_invariant() {
+    let budget = Budget { elections: 2, proposals: 1, failures: 1, replacements: 1 };
+    let result = search(Cluster::new(3, 0, budget), 10, usize::MAX);
+    println!("{} states to a depth of {}", result.states, result.depth);
+    expect_that!(result.counterexample, none());
 }
 
 #[gtest]
-fn no_interleaving_of_a_replacement_breaks_a_partition() {
-    // A fourth node takes the seat of any voter, with one crash or lost disk of any node and one more election.
-    let budget = Budget { elections: 1, proposals: 1, harms: 1, replacements: 1 };
-    let seen = search(Core::led(3, 1, budget), 10, usize::MAX);
-    println!("{} states to a depth of {}", seen.states, seen.depth);
-    expect_that!(seen.broken, none());
-    expect_that!(seen.depth, eq(10));
-    expect_that!(seen.states, gt(10_000));
+fn no_interleaving_of_a_replacement_violates_an_invariant() {
+    // A fourth node replaces any voter, with one crash or lost disk of any node and one more election.
+    let budget = Budget { elections: 1, proposals: 1, failures: 1, replacements: 1 };
+    let result = search(Cluster::with_leader(3, 1, budget), 10, usize::MAX);
+    println!("{} states to a depth of {}", result.states, result.depth);
+    expect_that!(result.counterexample, none());
+    expect_that!(result.depth, eq(10));
+    expect_that!(result.states, gt(10_000));
 }
 
-fn found(fault: Fault, spares: usize, depth: usize) -> Option<String> {
-    let budget = Budget { elections: 1, proposals: 1, harms: 1, replacements: 1 };
-    let seen = search(Core::led(3, spares, budget).with_fault(fault), depth, usize::MAX);
-    let (steps, text) = seen.broken?;
-    println!("{fault:?}: {text} after {steps:?}, {} states", seen.states);
-    Some(text)
+fn violation_found(bug: ProtocolBug, spares: usize, depth: usize) -> Option<String> {
+    let budget = Budget { elections: 1, proposals: 1, failures: 1, replacements: 1 };
+    let result = search(Cluster::with_leader(3, spares, budget).with_bug(bug), depth, usize::MAX);
+    let Counterexample { steps, violation } = result.counterexample?;
+    println!("{bug:?}: {violation} after {steps:?}, {} states", result.states);
+    Some(violation)
 }
 
 #[gtest]
-fn a_vote_after_a_wipe_is_found() {
-    expect_that!(found(Fault::VotesAfterWipe, 0, 14), some(anything()));
+fn vote_after_a_lost_disk_is_found() {
+    expect_that!(violation_found(ProtocolBug::VotesAfterDiskLoss, 0, 14), some(anything()));
 }
 
-/// A value is committed by the first node and a second one, whose disk is lost then; its successor's seat is decided.
-fn committed_and_replaced(fault: Fault, budget: Budget) -> Core {
-    let mut story = Story(Core::led(3, 0, budget).with_fault(fault), None);
-    story.take(Step::Propose(0));
-    story.take(Step::Sync(0));
-    story.accepted_by(2);
-    story.take(Step::Wipe(2));
-    story.take(Step::Decide(2, 2));
-    story.0
+/// A value is committed by node 0 and node 2, whose disk is lost then; its new replica becomes a voter.
+fn committed_and_replaced(bug: ProtocolBug, budget: Budget) -> Cluster {
+    let mut interleaving = Interleaving::new(Cluster::with_leader(3, 0, budget).with_bug(bug));
+    interleaving.take(Step::Propose(0));
+    interleaving.take(Step::CompleteWrite(0));
+    interleaving.accepted_by(2);
+    interleaving.take(Step::LoseDisk(2));
+    interleaving.take(Step::DecideMembership { replaced: 2, successor: 2 });
+    interleaving.cluster
 }
 
 #[gtest]
-fn a_vote_before_the_state_is_held_is_found() {
-    let budget = Budget { elections: 1, proposals: 1, harms: 1, replacements: 1 };
-    let seen = search(committed_and_replaced(Fault::VotesBeforeState, budget), 12, usize::MAX);
-    let (steps, text) = seen.broken.expect("it is found");
-    println!("{text} after {steps:?}, {} states", seen.states);
+fn vote_before_the_state_transfer_is_found() {
+    let budget = Budget { elections: 1, proposals: 1, failures: 1, replacements: 1 };
+    let result =
+        search(committed_and_replaced(ProtocolBug::VotesBeforeStateTransfer, budget), 12, usize::MAX);
+    let Counterexample { steps, violation } = result.counterexample.expect("the bug is found");
+    println!("{violation} after {steps:?}, {} states", result.states);
 }
 
 #[gtest]
-fn no_interleaving_breaks_a_partition_after_a_replacement() {
+fn no_interleaving_after_a_replacement_violates_an_invariant() {
     // With one more proposal and a crash of any node.
-    let budget = Budget { elections: 1, proposals: 2, harms: 2, replacements: 1 };
-    let seen = search(committed_and_replaced(Fault::None, budget), 12, usize::MAX);
-    println!("{} states to a depth of {}", seen.states, seen.depth);
-    expect_that!(seen.broken, none());
-    expect_that!(seen.states, gt(10_000));
+    let budget = Budget { elections: 1, proposals: 2, failures: 2, replacements: 1 };
+    let result = search(committed_and_replaced(ProtocolBug::None, budget), 12, usize::MAX);
+    println!("{} states to a depth of {}", result.states, result.depth);
+    expect_that!(result.counterexample, none());
+    expect_that!(result.states, gt(10_000));
 }
 
-/// Steps that are told one by one; a step that can't be taken is left out.
-struct Story(Core, Option<String>);
+/// One interleaving step by step; steps that are not enabled are skipped.
+struct Interleaving {
+    cluster: Cluster,
+    violation: Option<String>,
+}
+
+impl Interleaving {
+    fn new(cluster: Cluster) -> Self {
+        Self { cluster, violation: None }
+    }
 
-impl Story {
     fn take(&mut self, step: Step) {
-        if self.0.steps().contains(&step) {
-            let broken = self.0.take(step);
-            self.1 = self.1.take().or(broken);
+        if self.cluster.enabled_steps().contains(&step) {
+            let violation = self.cluster.apply(step);
+            self.violation = self.violation.take().or(violation);
         }
     }
 
-    /// The first message between these two comes, if there is one.
+    /// The first message between these two nodes arrives, if there is one.
     fn deliver(&mut self, from: usize, to: usize) {
-        let place = self.0.messages().iter().position(|message| (message.0, message.1) == (from, to));
-        if let Some(place) = place {
-            self.take(Step::Deliver(place));
+        let is_between = |message: &InFlight| (message.from, message.to) == (from, to);
+        if let Some(position) = self.cluster.messages().iter().position(is_between) {
+            self.take(Step::Deliver(position));
         }
     }
 
-    /// A proposal of the first node's is accepted by the second, and the answer counted by the first.
+    /// A proposal of node 0 is accepted by another node, and node 0 counts the response.
     fn accepted_by(&mut self, other: usize) {
         self.deliver(0, other);
-        self.take(Step::Sync(other));
+        self.take(Step::CompleteWrite(other));
         self.deliver(other, 0);
     }
 }
 
-/// The leader counts what the second member said before it lost its disk, and that member collects its state from others than the
-/// leader; then it leads with members that never saw the proposal. `late` tells whether the third member accepts the proposal after
-/// it has learned of the new membership, or before.
-fn counts_a_former_disk(members: usize, late: bool) -> Option<String> {
-    let budget = Budget { elections: 1, proposals: 1, harms: 1, replacements: 1 };
-    let mut story = Story(Core::led(members, 0, budget), None);
-    story.take(Step::Propose(0));
-    story.take(Step::Sync(0));
-    story.accepted_by(1);
-    story.take(Step::Wipe(1));
-    story.take(Step::Decide(1, 1));
-    if !late {
-        story.accepted_by(2);
+/// When node 2 accepts a proposal.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Acceptance {
+    BeforeMembership,
+    AfterMembership,
+}
+
+/// The leader counts what node 1 has accepted before it lost its disk, and node 1 collects its state from nodes other than the leader;
+/// then it leads with nodes that never saw the proposal. Node 2 accepts the proposal before or after it learns of the new membership.
+fn violation_by_vote_of_lost_disk(members: usize, acceptance: Acceptance) -> Option<String> {
+    let budget = Budget { elections: 1, proposals: 1, failures: 1, replacements: 1 };
+    let mut interleaving = Interleaving::new(Cluster::with_leader(members, 0, budget));
+    interleaving.take(Step::Propose(0));
+    interleaving.take(Step::CompleteWrite(0));
+    interleaving.accepted_by(1);
+    interleaving.take(Step::LoseDisk(1));
+    interleaving.take(Step::DecideMembership { replaced: 1, successor: 1 });
+    if acceptance == Acceptance::BeforeMembership {
+        interleaving.accepted_by(2);
     }
     for other in 1..members {
-        story.take(Step::Adopt(other));
-        story.take(Step::Sync(other));
+        interleaving.take(Step::AdoptMembership(other));
+        interleaving.take(Step::CompleteWrite(other));
     }
-    // The leader is the last to hand out its state, if it is needed.
+    // The leader is the last to transfer its state, if it is needed.
     for other in 2..members {
-        story.take(Step::Collect(1, other));
+        interleaving.take(Step::TransferState { to: 1, from: other });
     }
-    if !story.0.votes(1) {
-        story.take(Step::Sync(1));
+    if !interleaving.cluster.votes(1) {
+        interleaving.take(Step::CompleteWrite(1));
     }
-    if !story.0.votes(1) {
-        story.take(Step::Adopt(0));
-        story.take(Step::Sync(0));
-        story.take(Step::Collect(1, 0));
-        story.take(Step::Sync(1));
+    if !interleaving.cluster.votes(1) {
+        interleaving.take(Step::AdoptMembership(0));
+        interleaving.take(Step::CompleteWrite(0));
+        interleaving.take(Step::TransferState { to: 1, from: 0 });
+        interleaving.take(Step::CompleteWrite(1));
     }
-    expect_true!(story.0.votes(1), "the new replica has joined");
-    if late {
-        story.accepted_by(2);
+    expect_true!(interleaving.cluster.votes(1), "the new replica has joined");
+    if acceptance == Acceptance::AfterMembership {
+        interleaving.accepted_by(2);
     }
-    story.take(Step::Elect(1));
-    story.take(Step::Sync(1));
+    interleaving.take(Step::StartElection(1));
+    interleaving.take(Step::CompleteWrite(1));
     for other in (2..members).rev().chain([0]) {
-        story.deliver(1, other);
-        story.take(Step::Sync(other));
-        story.deliver(other, 1);
+        interleaving.deliver(1, other);
+        interleaving.take(Step::CompleteWrite(other));
+        interleaving.deliver(other, 1);
     }
-    expect_true!(story.0.leads(1), "the new replica leads");
-    story.1
+    expect_true!(interleaving.cluster.leads(1), "the new replica leads");
+    interleaving.violation
 }
 
 #[gtest]
-fn in_a_group_of_three_nothing_of_a_former_life_counts() {
-    expect_that!(counts_a_former_disk(3, true), none());
-    expect_that!(counts_a_former_disk(3, false), none());
+fn vote_of_a_lost_disk_never_counts_among_three_voters() {
+    expect_that!(violation_by_vote_of_lost_disk(3, Acceptance::AfterMembership), none());
+    expect_that!(violation_by_vote_of_lost_disk(3, Acceptance::BeforeMembership), none());
 }
 
 #[gtest]
-fn in_a_group_of_five_nothing_of_a_former_life_counts() {
-    expect_that!(counts_a_former_disk(5, true), none());
-    expect_that!(counts_a_former_disk(5, false), none());
+fn vote_of_a_lost_disk_never_counts_among_five_voters() {
+    expect_that!(violation_by_vote_of_lost_disk(5, Acceptance::AfterMembership), none());
+    expect_that!(violation_by_vote_of_lost_disk(5, Acceptance::BeforeMembership), none());
 }
 
-impl Story {
-    /// A message and its answer: the receiver stores what it has promised or accepted in between.
+impl Interleaving {
+    /// A message and its response; in between, the receiver's promise or acceptance becomes durable.
     fn exchange(&mut self, from: usize, to: usize) {
         self.deliver(from, to);
-        self.take(Step::Sync(to));
+        self.take(Step::CompleteWrite(to));
         self.deliver(to, from);
     }
 
     fn adopted_by_all(&mut self, members: usize) {
         for number in 0..members {
-            self.take(Step::Adopt(number));
-            self.take(Step::Sync(number));
+            self.take(Step::AdoptMembership(number));
+            self.take(Step::CompleteWrite(number));
         }
     }
 }
 
-/// Of five, the second leads with the promise of the fifth, and its proposal reaches nobody else. The fifth loses its disk, and the
-/// first leads under a lower ballot, unless the fifth's successor knows of the promise. Then the second leads once more.
-fn successor_without_promises(fault: Fault) -> Option<String> {
-    let budget = Budget { elections: 3, proposals: 2, harms: 1, replacements: 1 };
-    let mut story = Story(Core::led(5, 0, budget).with_fault(fault), None);
-    story.take(Step::Elect(1));
-    story.take(Step::Sync(1));
-    story.exchange(1, 2);
-    story.exchange(1, 4);
-    expect_true!(story.0.leads(1));
-    story.take(Step::Propose(1));
-    story.take(Step::Sync(1));
-    story.take(Step::Wipe(4));
-    story.take(Step::Decide(4, 4));
-    story.adopted_by_all(5);
+/// Of five, node 1 leads with the promise of node 4, and its proposal reaches no other node. Node 4 loses its disk, and node 0 leads
+/// under a lower ballot, unless the new replica of node 4 knows of the promise. Then node 1 leads once more.
+fn violation_without_promises(bug: ProtocolBug) -> Option<String> {
+    let budget = Budget { elections: 3, proposals: 2, failures: 1, replacements: 1 };
+    let mut interleaving = Interleaving::new(Cluster::with_leader(5, 0, budget).with_bug(bug));
+    interleaving.take(Step::StartElection(1));
+    interleaving.take(Step::CompleteWrite(1));
+    interleaving.exchange(1, 2);
+    interleaving.exchange(1, 4);
+    expect_true!(interleaving.cluster.leads(1));
+    interleaving.take(Step::Propose(1));
+    interleaving.take(Step::CompleteWrite(1));
+    interleaving.take(Step::LoseDisk(4));
+    interleaving.take(Step::DecideMembership { replaced: 4, successor: 4 });
+    interleaving.adopted_by_all(5);
     for source in [0, 3, 2] {
-        story.take(Step::Collect(4, source));
+        interleaving.take(Step::TransferState { to: 4, from: source });
     }
-    story.take(Step::Sync(4));
-    expect_true!(story.0.votes(4));
-    story.take(Step::Elect(0));
-    story.take(Step::Sync(0));
-    story.exchange(0, 3);
-    story.exchange(0, 4);
-    expect_that!(story.0.leads(0), eq(fault == Fault::IgnoresPromises));
-    story.take(Step::Propose(0));
-    story.take(Step::Sync(0));
-    story.exchange(0, 3);
-    story.exchange(0, 4);
-    story.take(Step::Elect(1));
-    story.take(Step::Sync(1));
-    story.exchange(1, 2);
-    story.exchange(1, 3);
-    expect_true!(story.0.leads(1));
-    story.take(Step::Sync(1));
-    story.exchange(1, 2);
-    story.exchange(1, 3);
-    story.1
+    interleaving.take(Step::CompleteWrite(4));
+    expect_true!(interleaving.cluster.votes(4));
+    interleaving.take(Step::StartElection(0));
+    interleaving.take(Step::CompleteWrite(0));
+    interleaving.exchange(0, 3);
+    interleaving.exchange(0, 4);
+    expect_that!(interleaving.cluster.leads(0), eq(bug == ProtocolBug::IgnoresPromises));
+    interleaving.take(Step::Propose(0));
+    interleaving.take(Step::CompleteWrite(0));
+    interleaving.exchange(0, 3);
+    interleaving.exchange(0, 4);
+    interleaving.take(Step::StartElection(1));
+    interleaving.take(Step::CompleteWrite(1));
+    interleaving.exchange(1, 2);
+    interleaving.exchange(1, 3);
+    expect_true!(interleaving.cluster.leads(1));
+    interleaving.take(Step::CompleteWrite(1));
+    interleaving.exchange(1, 2);
+    interleaving.exchange(1, 3);
+    interleaving.violation
 }
 
 #[gtest]
-fn state_that_is_handed_over_without_promises_is_found() {
-    let text = successor_without_promises(Fault::IgnoresPromises);
+fn state_transfer_without_promises_is_found() {
+    let text = violation_without_promises(ProtocolBug::IgnoresPromises);
     expect_that!(text, some(contains_substring("two values")));
 }
 
 #[gtest]
-fn a_successor_that_knows_of_promises_keeps_lower_epochs_out() {
-    expect_that!(successor_without_promises(Fault::None), none());
+fn transferred_promise_rejects_lower_ballots() {
+    expect_that!(violation_without_promises(ProtocolBug::None), none());
 }
