--- a/balancer/tests/load_probes.rs
+++ b/balancer/tests/load_probes.rs
@@ -8,11 +8,11 @@
 };
 
 fn probing_settings() -> Settings {
-    let mut given = settings(Idempotency::Idempotent);
-    given.limits.probes = true;
-    given.reports = LoadReporting::Pull;
-    given.probe_cost = 0.01;
-    given
+    let mut node_settings = settings(Idempotency::Idempotent);
+    node_settings.limits.probes = true;
+    node_settings.reports = LoadReporting::Pull;
+    node_settings.probe_cost = 0.01;
+    node_settings
 }
 
 /// Three zones of two: zone `z` has backends `2z` and `2z + 1`.
@@ -180,8 +180,8 @@
     forbidden.limits.probes = false;
     let mut silent = probing_settings();
     silent.reports = LoadReporting::Disabled;
-    for given in [forbidden, silent] {
-        let mut run = ProbedLoop::new(given, zones());
+    for node_settings in [forbidden, silent] {
+        let mut run = ProbedLoop::new(node_settings, zones());
         run.run(10 * SECOND, 20 * MS, &|_| Some(0.3), NO_FAILURE);
         assert!(run.probes.is_empty());
     }
@@ -228,9 +228,9 @@
 /// Its reply describes a process that has ended.
 #[test]
 fn report_of_an_earlier_incarnation_is_ignored() {
-    let mut given = probing_settings();
-    given.rules.warm_up_time = MS;
-    let mut node = Node::new(given, zones());
+    let mut node_settings = probing_settings();
+    node_settings.rules.warm_up_time = MS;
+    let mut node = Node::new(node_settings, zones());
     // The first probes of home are in flight when both of its backends restart.
     let mut probed = Vec::new();
     while probed.iter().filter(|to| zone(**to) == 0).count() < 2 {
--- a/balancer/tests/many_nodes.rs
+++ b/balancer/tests/many_nodes.rs
@@ -13,7 +13,7 @@
 const NODES: u32 = 300;
 
 /// Settings of one of many nodes in three zones, with live weights; late responses earn nothing.
-fn many() -> Settings {
+fn settings_of_many_nodes() -> Settings {
     Settings { nodes: NODES, weights: Weights::Live, ..settings(Idempotency::Idempotent) }
 }
 
@@ -23,9 +23,9 @@
     (0..30).map(|b| Member { weight: weight(b / 10), ..member(b, b / 10) }).collect()
 }
 
-fn node(seed: u64, given: Settings, members: Vec<Member>) -> Node {
+fn node(seed: u64, node_settings: Settings, members: Vec<Member>) -> Node {
     // An idle list first: the largest weight of a kind is its size.
-    let mut node = Node::seeded(seed, given, listed([0.0; 3]));
+    let mut node = Node::seeded(seed, node_settings, listed([0.0; 3]));
     node.list(ListScope::Full, members);
     node
 }
@@ -56,39 +56,39 @@
 /// score).
 #[test]
 fn live_weights_set_the_zones_utilisation() {
-    let mut calm = node(1, many(), listed([1.0; 3]));
+    let mut calm = node(1, settings_of_many_nodes(), listed([1.0; 3]));
     assert!(serve(&mut calm, 30, [1.0, 0.2, 0.2], 50 * MS).iter().all(|to| zone(to) == 0));
-    let mut full = node(1, many(), listed([9.0, 0.2, 3.5]));
+    let mut full = node(1, settings_of_many_nodes(), listed([9.0, 0.2, 3.5]));
     let used = serve(&mut full, 30, [9.0, 0.2, 3.5], 50 * MS);
-    let spilled = used.iter().filter(|to| zone(to) == 1).count();
-    assert!(spilled > used.len() / 3, "{spilled} of {} left a full home", used.len());
+    let overflowed = used.iter().filter(|to| zone(to) == 1).count();
+    assert!(overflowed > used.len() / 3, "{overflowed} of {} left a full home", used.len());
     assert!(used.iter().all(|to| zone(to) != 2), "only the best zone takes the overflow");
 }
 
 /// Nodes with the same view all left home at once and piled onto the next zone.
 #[test]
 fn nodes_of_the_same_view_overflow_at_different_times() {
-    let first_spill = |seed| {
-        let mut node = node(seed, many(), listed([5.0, 0.2, 0.2]));
+    let first_overflow = |seed| {
+        let mut node = node(seed, settings_of_many_nodes(), listed([5.0, 0.2, 0.2]));
         serve(&mut node, 20, [5.0, 0.2, 0.2], 50 * MS).iter().position(|to| zone(to) == 1)
     };
-    let mut times: Vec<Option<usize>> = (0..12).map(first_spill).collect();
+    let mut times: Vec<Option<usize>> = (0..12).map(first_overflow).collect();
     times.sort_unstable();
     times.dedup();
-    assert!(times.len() > 3, "spilled at the same request: {times:?}");
+    assert!(times.len() > 3, "overflowed at the same request: {times:?}");
 }
 
-/// The busiest backend had 13 times the mean: every node latency the few that a late list showed as idle.
+/// The busiest backend had 13 times the mean: every node took the few that a late list showed as idle.
 #[test]
 fn nodes_do_not_herd_onto_a_backend_listed_as_idle() {
     let members: Vec<Member> =
         (0..30).map(|b| Member { weight: if b == 3 { 1.0 } else { 0.25 }, ..member(b, b / 10) }).collect();
-    let to_free = (0..200).filter(|&seed| {
-        let mut node = node(seed, many(), members.clone());
+    let to_idle = (0..200).filter(|&seed| {
+        let mut node = node(seed, settings_of_many_nodes(), members.clone());
         first_sent_to(&node.arrive(SECOND).1) == Some(BackendId(3))
     });
-    let to_free = to_free.count();
-    assert!((10..60).contains(&to_free), "{to_free} of 200 nodes chose the free one of ten");
+    let to_idle = to_idle.count();
+    assert!((10..60).contains(&to_idle), "{to_idle} of 200 nodes chose the free one of ten");
 }
 
 /// Portal at full size: 2,000 refused connections in 5 s, as every node opened one to every server.
@@ -100,7 +100,7 @@
         seen.dedup();
         seen
     };
-    let mut node = node(5, many(), listed([0.5; 3]));
+    let mut node = node(5, settings_of_many_nodes(), listed([0.5; 3]));
     let subset = distinct(&serve(&mut node, 60, [0.5; 3], 50 * MS));
     assert_eq!(subset.len(), 4);
     // None of the subset accepts a connection: the request still finds a backend, once each has been tried.
@@ -121,7 +121,7 @@
 /// A full connection table was taken for a fault, and its backend ejected for seconds.
 #[test]
 fn refused_connections_eject_no_backend_where_nodes_are_many() {
-    let mut node = node(5, many(), listed([0.5; 3]));
+    let mut node = node(5, settings_of_many_nodes(), listed([0.5; 3]));
     let mut logs = 0;
     for _ in 0..40 {
         let (request, _) = node.arrive(SECOND);
@@ -138,7 +138,7 @@
 /// Jitter of arrivals made first attempts look like retries bound by the deadline: a third was rejected.
 #[test]
 fn request_with_slightly_shorter_timeout_is_no_retry() {
-    let mut node = node(3, many(), listed([0.5; 3]));
+    let mut node = node(3, settings_of_many_nodes(), listed([0.5; 3]));
     for turn in 0..40 {
         let (request, actions) = node.arrive(500 * MS - (turn % 7) * MS);
         assert!(first_sent_to(&actions).is_some(), "turn {turn}");
@@ -151,7 +151,7 @@
 /// Retries past the latency target of the first attempt kept congestion alive: serving them earns nothing.
 #[test]
 fn retry_past_its_latency_target_is_rejected_where_late_responses_earn_nothing() {
-    let mut node = node(3, many(), listed([0.5; 3]));
+    let mut node = node(3, settings_of_many_nodes(), listed([0.5; 3]));
     let (request, _) = node.arrive(800 * MS);
     node.end_attempt(request, 0, Outcome::Served, LoadReport::default());
     // The deadline is 1 s and the latency target 400 ms: a request with 300 ms left was sent first 700 ms
@@ -163,9 +163,9 @@
 /// A class without recent arrivals found nothing left of a rounded sum.
 #[test]
 fn request_of_a_class_without_recent_arrivals_is_sent() {
-    let mut given = many();
-    given.classes.push(class(400, 1000, Idempotency::Idempotent));
-    let mut node = node(3, given, listed([0.5; 3]));
+    let mut node_settings = settings_of_many_nodes();
+    node_settings.classes.push(class(400, 1000, Idempotency::Idempotent));
+    let mut node = node(3, node_settings, listed([0.5; 3]));
     serve(&mut node, 10, [0.5; 3], 50 * MS);
     let (request, class) = (RequestId(9_999), ClassId(1));
     let not_after = node.now + SECOND;
@@ -292,10 +292,10 @@
     one_of_a_hundred_nodes_with(settings(Idempotency::NonIdempotent))
 }
 
-fn one_of_a_hundred_nodes_with(given: Settings) -> Traffic {
+fn one_of_a_hundred_nodes_with(node_settings: Settings) -> Traffic {
     let classes = vec![class(700, 5000, Idempotency::NonIdempotent)];
-    let given = Settings { nodes: 100, classes, ..given };
-    Traffic::of(Node::new(given, (0..60).map(|b| member(b, b / 20)).collect()))
+    let node_settings = Settings { nodes: 100, classes, ..node_settings };
+    Traffic::of(Node::new(node_settings, (0..60).map(|b| member(b, b / 20)).collect()))
 }
 
 /// The calm day of 300 nodes: a burst filled all backends, each node's share of the arrivals fell by half a
@@ -307,13 +307,18 @@
     let calm = node.run(14, 10, |_, _| (Outcome::Served, 180 * MS));
     assert_eq!(calm.sends, calm.arrivals);
     // No response comes back within four seconds any more.
-    let jam = node.run(28, 8, |_, _| (Outcome::Served, 4 * SECOND));
-    assert!(jam.max_in_flight < 30, "{} out of {} asked", jam.max_in_flight, jam.arrivals);
+    let in_congestion = node.run(28, 8, |_, _| (Outcome::Served, 4 * SECOND));
+    assert!(
+        in_congestion.max_in_flight < 30,
+        "{} out of {} asked",
+        in_congestion.max_in_flight,
+        in_congestion.arrivals
+    );
     let late = node.run(28, 8, |_, _| (Outcome::Served, 4 * SECOND));
-    assert!(late.sends < 40, "{} sent into a jam, of {}", late.sends, late.arrivals);
+    assert!(late.sends < 40, "{} sent into congestion, of {}", late.sends, late.arrivals);
     node.run(14, 10, |_, _| (Outcome::Served, 180 * MS));
     let after = node.run(14, 5, |_, _| (Outcome::Served, 180 * MS));
-    assert!(after.sends > after.arrivals * 9 / 10, "{} of {} after the jam", after.sends, after.arrivals);
+    assert!(after.sends > after.arrivals * 9 / 10, "{} of {} after congestion", after.sends, after.arrivals);
 }
 
 /// The fleet days: the share sent was bound by what had been served of all arrivals, the rejected included.
@@ -324,14 +329,14 @@
     let mut node = one_of_a_hundred_nodes();
     assert!(node.run(17, 5, |_, _| (Outcome::Served, 180 * MS)).sent_share() > 0.95);
     node.run(17, 8, |_, _| (Outcome::TimedOut, 700 * MS));
-    let jammed = node.run(17, 4, |_, _| (Outcome::TimedOut, 700 * MS)).sent_share();
-    assert!(jammed < 0.2, "{jammed} sent into a jam");
+    let congested = node.run(17, 4, |_, _| (Outcome::TimedOut, 700 * MS)).sent_share();
+    assert!(congested < 0.2, "{congested} sent into congestion");
     node.run(17, 8, |_, _| (Outcome::Served, 180 * MS));
     let after = node.run(17, 4, |_, _| (Outcome::Served, 180 * MS)).sent_share();
-    assert!(after > 0.9, "{after} sent eight seconds after the jam");
+    assert!(after > 0.9, "{after} sent eight seconds after congestion");
 }
 
-/// Each of ten nodes to a backend added one to its window a round: in a round the backend load twice as
+/// Each of ten nodes to a backend added one to its window a round: in a round the backend held twice as
 /// much, and became congested.
 #[test]
 fn window_that_is_too_small_grows_by_a_part_of_itself() {
@@ -346,7 +351,7 @@
     assert!(after.sends < before.sends * 5 / 2, "{} sent, then {}", before.sends, after.sends);
 }
 
-/// A node that started in congestion latency its latency for usual, saw no time left for any response, and
+/// A node that started in congestion took its latency for usual, saw no time left for any response, and
 /// sent nothing ever again.
 #[test]
 fn node_started_in_congestion_sends_once_it_is_over() {
@@ -399,7 +404,7 @@
     assert!(to_slow * 2 < even, "{to_slow} to the slow one, an even part is {even}");
 }
 
-/// The same bound latency the errors of faulty backends for a lack of capacity, and rejected what healthy ones
+/// The same bound took the errors of faulty backends for a lack of capacity, and rejected what healthy ones
 /// would have served.
 #[test]
 fn errors_are_not_taken_for_congestion() {
@@ -438,7 +443,7 @@
 #[test]
 fn attempts_have_no_timeout_at_their_latency_target() {
     for nodes in [2, NODES] {
-        let mut node = node(3, Settings { nodes, ..many() }, listed([0.5; 3]));
+        let mut node = node(3, Settings { nodes, ..settings_of_many_nodes() }, listed([0.5; 3]));
         let (_, actions) = node.arrive(SECOND);
         let timeout = |action: &Action| match action {
             Action::Send { timeout, .. } => Some(*timeout),
@@ -452,27 +457,27 @@
 /// can take.
 #[test]
 fn many_nodes_together_keep_the_slow_start_budget() {
-    let mut to_cold = 0;
+    let mut sent_to_warming_up = 0;
     for seed in 0..u64::from(NODES / 3) {
-        let mut node = node(seed, many(), listed([0.5; 3]));
+        let mut node = node(seed, settings_of_many_nodes(), listed([0.5; 3]));
         serve(&mut node, 10, [0.5; 3], 50 * MS);
-        let cold = Member { online_since: Some(node.now), ..member(3, 0) };
-        node.list(ListScope::Changes, vec![cold]);
+        let warming_up = Member { online_since: Some(node.now), ..member(3, 0) };
+        node.list(ListScope::Changes, vec![warming_up]);
         for _ in 0..4 {
-            to_cold += usize::from(first_sent_to(&node.arrive(SECOND).1) == Some(BackendId(3)));
+            sent_to_warming_up += usize::from(first_sent_to(&node.arrive(SECOND).1) == Some(BackendId(3)));
             node.now += SECOND / 2;
         }
     }
     // 200 requests a second come to ten backends a third used: 60 a second each. A tenth of that over 2 s
     // is 12 requests, twice that the rule's limit.
-    assert!((1..=24).contains(&to_cold), "{to_cold} to the cold backend");
+    assert!((1..=24).contains(&sent_to_warming_up), "{sent_to_warming_up} to the backend in slow start");
 }
 
 /// A node that had just started sent 5% after its first list: it had counted no arrivals yet.
 #[test]
 fn node_that_has_just_started_does_not_shed_all_on_its_first_list() {
     let taken = (0..100).filter(|&seed| {
-        let mut node = node(seed, many(), listed([6.0; 3]));
+        let mut node = node(seed, settings_of_many_nodes(), listed([6.0; 3]));
         let (request, _) = node.arrive(SECOND);
         node.now += 50 * MS;
         node.end_attempt_after(request, 0, Outcome::Served, 50 * MS, LoadReport::default());
@@ -511,8 +516,8 @@
 /// nothing.
 #[test]
 fn new_backend_is_sent_requests_during_congestion() {
-    let given = Settings { nodes: 3, ..settings(Idempotency::Idempotent) };
-    let mut node = Node::new(given, (0..3).map(|b| member(b, 0)).collect());
+    let node_settings = Settings { nodes: 3, ..settings(Idempotency::Idempotent) };
+    let mut node = Node::new(node_settings, (0..3).map(|b| member(b, 0)).collect());
     node.now += 60 * SECOND;
     node.serve(300, |_| utilisation(0.5));
     for _ in 0..60 {
--- a/balancer/tests/overflow.rs
+++ b/balancer/tests/overflow.rs
@@ -13,13 +13,14 @@
 }
 
 /// A node that knows the utilisation of every zone; remote ones by keeping home out of the list.
-fn taught(utils: [f64; 3]) -> Node {
+fn node_with_utilisations(utilisations: [f64; 3]) -> Node {
     let mut node = Node::new(settings(Idempotency::Idempotent), zones());
     for remote in [1, 2, 0] {
-        let only = zones().into_iter().filter(|member| member.zone == ZoneId(remote)).collect();
-        node.list(ListScope::Full, only);
-        node.list(ListScope::Full, zones().into_iter().filter(|m| m.zone == ZoneId(remote)).collect());
-        node.serve(10, |to| utilisation(utils[zone(to) as usize]));
+        let members = zones().into_iter().filter(|member| member.zone == ZoneId(remote));
+        let only_remote: Vec<Member> = members.collect();
+        node.list(ListScope::Full, only_remote.clone());
+        node.list(ListScope::Full, only_remote);
+        node.serve(10, |to| utilisation(utilisations[zone(to) as usize]));
     }
     node
 }
@@ -59,14 +60,14 @@
 
 #[test]
 fn request_overflows_when_home_has_no_usable_backend() {
-    let mut node = taught([0.1, 0.2, 0.3]);
+    let mut node = node_with_utilisations([0.1, 0.2, 0.3]);
     node.list(ListScope::Full, zones().into_iter().filter(|m| m.zone != ZoneId(0)).collect());
     assert!(first_sent_to(&node.arrive(SECOND).1).is_some_and(|to| zone(to) != 0));
 }
 
 #[test]
 fn sends_since_the_last_report_raise_utilisation() {
-    let mut node = taught([0.6, 0.1, 0.1]);
+    let mut node = node_with_utilisations([0.6, 0.1, 0.1]);
     node.list(ListScope::Full, zones());
     node.serve(20, |to| utilisation(if zone(to) == 0 { 0.6 } else { 0.1 }));
     let used: Vec<u32> = (0..12).filter_map(|_| first_sent_to(&node.arrive(SECOND).1)).map(zone).collect();
--- a/balancer/tests/regressions.rs
+++ b/balancer/tests/regressions.rs
@@ -84,17 +84,18 @@
         }
     }
     let taken = (0..20).filter(|_| first_sent_to(&node.arrive(SECOND).1).is_some()).count();
-    assert!(taken <= 1, "{taken} sent into a jam");
+    assert!(taken <= 1, "{taken} sent into congestion");
 }
 
 /// Incident if301ed: the class of the highest value, with the tightest latency target, found all capacity
 /// used by the others.
 #[test]
 fn class_of_higher_value_is_sent_first() {
-    let mut given = settings(Idempotency::Idempotent);
+    let mut node_settings = settings(Idempotency::Idempotent);
     let wide = ClassSettings { latency_target: 800 * MS, ..class(800, 2000, Idempotency::Idempotent) };
-    given.classes = vec![wide, ClassSettings { value: 5.0, ..class(500, 2000, Idempotency::Idempotent) }];
-    let mut node = Node::new(given, members(2));
+    node_settings.classes =
+        vec![wide, ClassSettings { value: 5.0, ..class(500, 2000, Idempotency::Idempotent) }];
+    let mut node = Node::new(node_settings, members(2));
     let mut taken = [0, 0];
     let mut out = Vec::new();
     for turn in 0..2000u64 {
@@ -181,8 +182,8 @@
 #[test]
 fn nodes_that_share_a_zone_leave_capacity_for_each_other() {
     let taken = |nodes| {
-        let given = Settings { nodes, ..settings(Idempotency::Idempotent) };
-        let mut node = Node::new(given, members(2));
+        let node_settings = Settings { nodes, ..settings(Idempotency::Idempotent) };
+        let mut node = Node::new(node_settings, members(2));
         node.serve(200, |_| utilisation(0.5));
         (0..60).filter(|_| first_sent_to(&node.arrive(SECOND).1).is_some()).count()
     };
@@ -204,16 +205,14 @@
     );
 }
 
-/// First attempts of impatient clients were taken for late retries: a retry may be given what is left of
+/// First attempts of impatient clients were taken for late retries: a retry may be node_settings what is left of
 /// the client's time, which is more than its first attempt had.
 #[test]
 fn short_first_attempt_is_sent_where_clients_mark_retries() {
-    let marked = |repeats_marked| Settings {
-        clients_mark_retries: repeats_marked,
-        ..settings(Idempotency::Idempotent)
-    };
-    for (repeats_marked, taken) in [(true, true), (false, false)] {
-        let mut node = Node::new(marked(repeats_marked), vec![member(1, 0)]);
+    let settings_marking_retries =
+        |clients_mark_retries| Settings { clients_mark_retries, ..settings(Idempotency::Idempotent) };
+    for (clients_mark_retries, taken) in [(true, true), (false, false)] {
+        let mut node = Node::new(settings_marking_retries(clients_mark_retries), vec![member(1, 0)]);
         node.arrive_as_retry(950 * MS);
         let (_, actions) = node.arrive(400 * MS);
         assert_eq!((first_sent_to(&actions).is_some(), is_rejected(&actions)), (taken, !taken));
@@ -289,8 +288,8 @@
 fn short_request_is_sent_where_reports_show_spare_capacity() {
     let wide = Member { weight: 2.0, ..member(1, 0) };
     for (used, taken) in [(0.6, true), (0.9, false)] {
-        let given = Settings { clients_mark_retries: true, ..settings(Idempotency::Idempotent) };
-        let mut node = Node::new(given, vec![wide]);
+        let node_settings = Settings { clients_mark_retries: true, ..settings(Idempotency::Idempotent) };
+        let mut node = Node::new(node_settings, vec![wide]);
         node.serve(100, |_| utilisation(used));
         assert!(first_sent_to(&node.arrive(SECOND).1).is_some());
         assert_eq!(first_sent_to(&node.arrive(20 * MS).1).is_some(), taken, "{used}");
@@ -352,11 +351,11 @@
 /// after.
 #[test]
 fn wide_latency_target_does_not_overload_a_backend() {
-    let given = Settings {
+    let node_settings = Settings {
         classes: vec![class(4000, 8000, Idempotency::Idempotent)],
         ..settings(Idempotency::Idempotent)
     };
-    let mut node = Node::new(given, members(1));
+    let mut node = Node::new(node_settings, members(1));
     let mut queue = QueueingBackend::new(200 * MS, 20 * MS);
     queue.run(&mut node, 25 * MS, 10 * SECOND, 8 * SECOND);
     let most = queue.run(&mut node, 10 * MS, 10 * SECOND, 8 * SECOND);
@@ -384,12 +383,12 @@
 /// distinguished them.
 #[test]
 fn tenant_over_its_quota_leaves_capacity_for_others() {
-    let given = Settings {
+    let node_settings = Settings {
         tenant_quotas: vec![20.0, 40.0],
         over_quota_value: 0.2,
         ..settings(Idempotency::Idempotent)
     };
-    let mut node = Node::new(given, members(1));
+    let mut node = Node::new(node_settings, members(1));
     let mut queue = QueueingBackend::new(80 * MS, 20 * MS);
     let tenant = |request: u64| u32::from(request.is_multiple_of(6));
     queue.run_with(&mut node, 10 * MS, 20 * SECOND, |node| {
--- a/balancer/tests/send_rules.rs
+++ b/balancer/tests/send_rules.rs
@@ -155,9 +155,9 @@
 
 #[test]
 fn failed_discovery_is_polled_again_within_the_max_poll_interval() {
-    let mut given = settings(Idempotency::Idempotent);
-    given.discovery = Discovery::OnRequest;
-    let mut node = Node::new(given, three_zones());
+    let mut node_settings = settings(Idempotency::Idempotent);
+    node_settings.discovery = Discovery::OnRequest;
+    let mut node = Node::new(node_settings, three_zones());
     for _ in 0..8 {
         node.handle(Event::DiscoveryFailed);
         let actions = node.advance(8 * SECOND);
@@ -170,15 +170,15 @@
 fn backend_in_slow_start_gets_no_more_than_its_budget() {
     let mut node = Node::new(settings(Idempotency::Idempotent), vec![member(0, 0), member(1, 0)]);
     node.serve(200, |_| utilisation(0.5));
-    let cold = Member { online_since: Some(node.now), ..member(9, 0) };
-    node.list(ListScope::Changes, vec![cold]);
-    let mut to_cold = 0;
+    let warming_up = Member { online_since: Some(node.now), ..member(9, 0) };
+    node.list(ListScope::Changes, vec![warming_up]);
+    let mut sent_to_warming_up = 0;
     for _ in 0..40 {
-        to_cold += usize::from(first_sent_to(&node.arrive(SECOND).1) == Some(BackendId(9)));
+        sent_to_warming_up += usize::from(first_sent_to(&node.arrive(SECOND).1) == Some(BackendId(9)));
     }
     // Half used backends take 33 requests a second together: capacity is about 33 a second each, a tenth
     // of it over 2 s about 7, twice that the rule's limit for all nodes.
-    assert!((1..=7).contains(&to_cold), "{to_cold} to the cold backend");
+    assert!((1..=7).contains(&sent_to_warming_up), "{sent_to_warming_up} to the backend in slow start");
 }
 
 #[test]
@@ -194,12 +194,12 @@
 /// are rough, so the work behind them was far more than counted.
 #[test]
 fn low_expected_work_does_not_exceed_the_slow_start_budget() {
-    let given = Settings {
+    let node_settings = Settings {
         classes: vec![class(60_000, 90_000, Idempotency::Idempotent)],
         ..settings(Idempotency::Idempotent)
     };
-    let mut node = Node::new(given, vec![member(0, 0), member(1, 0)]);
-    let ask = |node: &mut Node, hint| {
+    let mut node = Node::new(node_settings, vec![member(0, 0), member(1, 0)]);
+    let arrive = |node: &mut Node, hint| {
         let request = RequestId(node.next);
         node.next += 1;
         let (class, not_after) = (ClassId(0), node.now + 90 * SECOND);
@@ -216,15 +216,16 @@
         )
     };
     for _ in 0..600 {
-        let (request, _) = ask(&mut node, Some(20 * MS));
+        let (request, _) = arrive(&mut node, Some(20 * MS));
         node.advance(20 * MS);
         node.end_attempt(request, 0, Outcome::Served, utilisation(0.5));
     }
     node.list(ListScope::Changes, vec![Member { online_since: Some(node.now - 8 * SECOND), ..member(9, 0) }]);
-    let cold = |actions: Vec<Action>| usize::from(first_sent_to(&actions) == Some(BackendId(9)));
-    let taken: usize =
-        (0..500).map(|turn| cold(ask(&mut node, Some(if turn % 2 == 0 { MS } else { 39 * MS })).1)).sum();
+    let count_sends = |actions: Vec<Action>| usize::from(first_sent_to(&actions) == Some(BackendId(9)));
+    let taken: usize = (0..500)
+        .map(|turn| count_sends(arrive(&mut node, Some(if turn % 2 == 0 { MS } else { 39 * MS })).1))
+        .sum();
     // One warm backend does a second's work a second at half use, so the share is 0.4 x 2 x 0.34 x 2: in 2
     // s that is room for 1.07 s of work, 18 pairs counted as 20 and 39 ms.
-    assert!((1..=40).contains(&taken), "{taken} to the cold backend");
+    assert!((1..=40).contains(&taken), "{taken} to the backend in slow start");
 }
