--- a/simulator-adapter/tests/process.rs
+++ b/simulator-adapter/tests/process.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process, on small batches written by hand.
+//! The adapter as a process, on small batches.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -57,17 +57,21 @@
 }
 
 fn placed(reply: &str, who: u32) -> Vec<String> {
-    let mark = format!("\"who\":{who}");
-    reply.lines().filter(|line| line.contains("PLACE") && line.contains(&mark)).map(str::to_owned).collect()
+    let instance = format!("\"who\":{who}");
+    reply
+        .lines()
+        .filter(|line| line.contains("PLACE") && line.contains(&instance))
+        .map(str::to_owned)
+        .collect()
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply() {
+fn empty_batch_gets_empty_reply() {
     assert_eq!(reply(&batch(5, &[])), "{\"YIELD\":{}}\n");
 }
 
 #[test]
-fn a_list_number_used_twice_in_a_batch_goes_by_the_order() {
+fn list_number_used_twice_in_a_batch_is_read_in_order() {
     let lines = [open(1), open(2), manifest(0, "b-one"), fleet(1, 0), manifest(0, "b-two"), fleet(2, 0)];
     let asks = [incoming(1, "r1"), incoming(2, "r2")];
     let out = reply(&(batch(0, &lines) + &batch(1_000_000, &asks)));
@@ -75,7 +79,7 @@
 }
 
 #[test]
-fn an_instance_killed_and_reopened_in_one_batch_knows_nothing_of_before() {
+fn instance_reopened_in_one_batch_starts_without_state() {
     let first = [open(1), manifest(0, "b-old"), fleet(1, 0)];
     let exit = "{\"EXIT\":{\"who\":1}}\n".to_owned();
     let second = [exit, open(1), manifest(1, "b-new"), fleet(1, 1), incoming(1, "r")];
@@ -85,7 +89,7 @@
 }
 
 #[test]
-fn instances_together_act_as_they_do_apart() {
+fn instances_in_one_process_act_as_in_processes_of_their_own() {
     let lines = |who: u32| {
         let start = vec![open(who), manifest(0, "b-one"), fleet(who, 0)];
         let asks: Vec<String> = (0..5).map(|n| incoming(who, &format!("r{who}{n}"))).collect();
@@ -101,7 +105,7 @@
 }
 
 #[test]
-fn malformed_input_ends_with_the_line_and_the_field_and_no_partial_reply() {
+fn malformed_line_ends_the_process_with_line_and_field_and_no_partial_reply() {
     let cases = [
         ("{\"BATCH\":{\"sim-time-ns\":1}}\nnonsense\n", "line 2"),
         ("{\"BATCH\":{}}\n", "sim-time-ns"),
@@ -110,22 +114,22 @@
     ];
     for (input, named) in cases {
         let output = run(input);
-        let told = String::from_utf8_lossy(&output.stderr).into_owned();
+        let error = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success() && output.stdout.is_empty(), "{input}");
-        assert!(told.contains(named) && told.contains("line"), "{told}");
+        assert!(error.contains(named) && error.contains("line"), "{error}");
     }
 }
 
 #[test]
-fn an_unknown_event_is_skipped_with_one_warning() {
-    let odd = "{\"NOVELTY\":{\"who\":1}}\n".to_owned();
-    let output = run(&batch(1, &[odd.clone(), odd]));
+fn unknown_event_is_skipped_with_one_warning() {
+    let unknown = "{\"NOVELTY\":{\"who\":1}}\n".to_owned();
+    let output = run(&batch(1, &[unknown.clone(), unknown]));
     assert!(output.status.success());
     assert_eq!(String::from_utf8_lossy(&output.stderr).matches("NOVELTY").count(), 1);
 }
 
 #[test]
-fn unusable_settings_are_a_fault_that_names_the_field() {
+fn invalid_settings_are_replied_to_with_the_field() {
     for (from, to, field) in [
         ("\"zones\":[\"a\",\"b\"]", "\"zones\":[]", "az"),
         ("\"repeatable\"", "\"sometimes\"", "effect"),
