--- a/control/src/elections.rs
+++ b/control/src/consensus/elections.rs
@@ -6,9 +6,9 @@
 use ivyhatch_protocol::peer::{Heartbeat, ReplicaStatus};
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
-use crate::cluster_view::ClusterView;
-use crate::membership::election_order;
-use crate::server_list_role;
+use crate::membership::cluster_view::ClusterView;
+use crate::membership::rules::election_order;
+use crate::server_list::role::reader_partition;
 
 /// The backoff of a node that a higher ballot has made step down, for each voter before it in the election order.
 const ELECTION_BACKOFF: Nanos = 300 * MILLISECOND;
@@ -24,7 +24,7 @@
 /// draining, or can't read the list of servers where the leader has to, lead only where there is no other.
 pub fn leader(view: &ClusterView<'_>, partition: PartitionId) -> Option<NodeId> {
     let membership = view.local.membership()?;
-    let reads_server_list = partition == server_list_role::partition();
+    let reads_server_list = partition == reader_partition();
     let suitability = |can_read: bool, is_draining: bool| Suitability {
         cannot_perform_role: reads_server_list && !can_read,
         is_draining,
--- a/control/src/partition_state.rs
+++ b/control/src/consensus/partition_state.rs
@@ -34,7 +34,7 @@
 pub struct ConfigurationState {
     /// The current configuration.
     pub document: Document,
-    /// Digests of the requests that led to it, oldest first; at most [`MAX_APPLIED_DIGESTS`].
+    /// Digests of the requests that led to it, oldest first; at most 512.
     pub applied_digests: Vec<u64>,
 }
 
--- a/control/src/partitions.rs
+++ b/control/src/consensus/partitions.rs
@@ -5,9 +5,9 @@
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId};
 use ivyhatch_protocol::peer::AcceptorState;
 
-use crate::partition::{Effect, PartitionReplica};
-use crate::partition_state::PartitionState;
-use crate::record::Record;
+use crate::consensus::partition::{Effect, PartitionReplica};
+use crate::consensus::partition_state::PartitionState;
+use crate::storage::record::Record;
 
 /// The partitions of a replica.
 #[derive(Debug)]
--- a/control/src/control_plane/consensus.rs
+++ b/control/src/control_plane/consensus.rs
@@ -4,12 +4,12 @@
 use ivyhatch_protocol::peer::{AcceptedValue, ConsensusMessage, PeerMessage};
 
 use super::ControlPlane;
-use crate::elections;
+use crate::consensus::elections;
+use crate::consensus::partition::Effect;
+use crate::consensus::partition_state::PartitionState;
 use crate::log_event::LogEvent;
 use crate::outbox::Envelope;
-use crate::partition::Effect;
-use crate::partition_state::PartitionState;
-use crate::record::Record;
+use crate::storage::record::Record;
 
 /// Whether a message speaks only of what is committed. Such a message counts under any membership.
 fn is_learner_message(message: &ConsensusMessage) -> bool {
--- a/control/src/control_plane/mod.rs
+++ b/control/src/control_plane/mod.rs
@@ -17,29 +17,29 @@
 use ivyhatch_protocol::peer::{Membership, PeerMessage, ReplicaStatus};
 use ivyhatch_protocol::server_list::ServerList;
 
-use crate::admin_requests::AdminRequests;
-use crate::catch_up::CatchUp;
-use crate::change_feed::ChangeFeed;
-use crate::cluster_view::ClusterView;
-use crate::drain::Drain;
-use crate::durable_state::DurableState;
-use crate::elections::{self, ElectionBackoff};
-use crate::failure_detector::FailureDetector;
-use crate::heartbeat_schedule::HeartbeatSchedule;
+use crate::consensus::catch_up::CatchUp;
+use crate::consensus::elections::{self, ElectionBackoff};
+use crate::consensus::partition_state::PartitionState;
+use crate::consensus::partitions::Partitions;
 use crate::interface::{Input, NodeConfig, Output, WriteToken};
-use crate::local_replica::{LocalReplica, StoredReplica};
+use crate::liveness::failure_detector::FailureDetector;
+use crate::liveness::heartbeat_schedule::HeartbeatSchedule;
+use crate::liveness::quorum_contact::QuorumContact;
 use crate::log_event::{FormatReason, LogEvent};
-use crate::membership_sender::MembershipSender;
+use crate::membership::cluster_view::ClusterView;
+use crate::membership::drain::Drain;
+use crate::membership::local_replica::{LocalReplica, StoredReplica};
+use crate::membership::sender::MembershipSender;
+use crate::membership::state_transfer::StateTransfer;
 use crate::outbox::Outbox;
-use crate::partition_state::PartitionState;
-use crate::partitions::Partitions;
-use crate::quorum_contact::QuorumContact;
-use crate::record::Record;
 use crate::report::{self, Report};
-use crate::router_registry::RouterRegistry;
-use crate::server_list_role::ServerListRole;
-use crate::state_transfer::StateTransfer;
-use crate::watch_sessions::WatchSessions;
+use crate::requests::admin_requests::AdminRequests;
+use crate::server_list::role::ServerListRole;
+use crate::storage::durable_state::DurableState;
+use crate::storage::record::Record;
+use crate::watch::change_feed::ChangeFeed;
+use crate::watch::router_registry::RouterRegistry;
+use crate::watch::sessions::WatchSessions;
 
 /// The record with which the disk is to be formatted.
 #[derive(Debug)]
--- a/control/src/control_plane/reconfiguration.rs
+++ b/control/src/control_plane/reconfiguration.rs
@@ -8,9 +8,9 @@
 use super::ControlPlane;
 use crate::interface::Output;
 use crate::log_event::LogEvent;
+use crate::membership::reconfiguration;
 use crate::outbox::Envelope;
-use crate::reconfiguration;
-use crate::record::Record;
+use crate::storage::record::Record;
 
 impl ControlPlane {
     /// Creates the first membership, on the very first start of the whole system.
--- a/control/src/control_plane/requests.rs
+++ b/control/src/control_plane/requests.rs
@@ -4,11 +4,11 @@
 use ivyhatch_protocol::peer::{AdminRequest, AdminResponse, PeerMessage};
 
 use super::ControlPlane;
-use crate::admin_requests::FORWARD_MAX_AGE;
+use crate::consensus::partition_state::Decision;
 use crate::interface::{Output, RequestId};
-use crate::partition_state::Decision;
-use crate::pending_requests::{REQUEST_TIMEOUT, RequestLeader, Route};
-use crate::request_queue::{QueuedRequest, ReadyResponse, Requester, UnconfirmedResponse};
+use crate::requests::admin_requests::FORWARD_MAX_AGE;
+use crate::requests::pending_requests::{REQUEST_TIMEOUT, RequestLeader, Route};
+use crate::requests::request_queue::{QueuedRequest, ReadyResponse, Requester, UnconfirmedResponse};
 
 /// The response to a request that was not decided in time.
 const NO_QUORUM_TEXT: &str =
--- a/control/src/control_plane/server_list.rs
+++ b/control/src/control_plane/server_list.rs
@@ -6,8 +6,8 @@
 
 use super::ControlPlane;
 use crate::interface::Output;
-use crate::server_list_reader::{ReadId, ReaderRole};
-use crate::server_list_role::{self, RoleOutput, UpdateOutcome};
+use crate::server_list::reader::{ReadId, ReaderRole};
+use crate::server_list::role::{RoleOutput, UpdateOutcome, reader_partition};
 
 impl ControlPlane {
     pub(super) fn tick_server_list_role(&mut self) {
@@ -31,7 +31,7 @@
         let reported = self.peers.heartbeats().map(|heartbeat| heartbeat.server_list);
         let highest_ballot = self.server_list.highest_ballot(reported);
         let highest_node = highest_ballot.node;
-        let leader_ballot = self.leader_ballot(server_list_role::partition());
+        let leader_ballot = self.leader_ballot(reader_partition());
         ReaderRole {
             ballot: leader_ballot.filter(|_| self.has_quorum()),
             highest_ballot,
@@ -55,7 +55,7 @@
 
     /// Another node has led the role's partition meanwhile: this one steps down, and starts an election at its next tick.
     fn renew_reader_ballot(&mut self, superseded_by: Ballot) {
-        let partition = server_list_role::partition();
+        let partition = reader_partition();
         let Some(replica) = self.partitions.replica_mut(partition) else { return };
         let mut effects = Vec::new();
         replica.observe_ballot(superseded_by, &mut effects);
--- a/control/src/control_plane/watchers.rs
+++ b/control/src/control_plane/watchers.rs
@@ -6,10 +6,10 @@
 use ivyhatch_protocol::watch::{Position, WatchRequest, WatchResponse};
 
 use super::ControlPlane;
-use crate::change_feed::ChangeFeed;
 use crate::interface::{Output, SessionId};
-use crate::server_list_role::ServerListRole;
-use crate::watch_sessions::{Progress, WatchEvent};
+use crate::server_list::role::ServerListRole;
+use crate::watch::change_feed::ChangeFeed;
+use crate::watch::sessions::{Progress, WatchEvent};
 
 impl ControlPlane {
     pub(super) fn on_watch_request(&mut self, id: SessionId, request: WatchRequest) {
--- a/control/src/interface.rs
+++ b/control/src/interface.rs
@@ -8,8 +8,8 @@
 use ivyhatch_protocol::watch::{Server, WatchRequest, WatchResponse};
 
 use crate::log_event::LogEvent;
-use crate::record::Record;
-use crate::server_list_reader::ReadId;
+use crate::server_list::reader::ReadId;
+use crate::storage::record::Record;
 
 /// An operator's request. The embedder numbers them, and uses no number twice in a process.
 pub type RequestId = u64;
--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -11,7 +11,7 @@
 //! - carry outputs out in order, and keep the order of messages on one connection; messages may be lost;
 //! - append the records of each [`Output::Store`] to the disk in order, and give [`Input::Stored`] only once that write and all earlier
 //!   ones are durable: messages that promise something are held back until then;
-//! - start a process with the [`DurableState`](durable_state::DurableState) of all durable records, and a new random
+//! - start a process with the [`DurableState`](storage::durable_state::DurableState) of all durable records, and a new random
 //!   [`NodeConfig::incarnation`];
 //! - give [`Input::Tick`] about every 100 ms: all retries and timeouts depend on it;
 //! - never use a [`RequestId`] or [`SessionId`] twice in a process.
@@ -23,52 +23,37 @@
 //! 2; Rystsov, "CASPaxos", sections 2.1 and 2.2). A leader that has prepared its ballot on a quorum skips the prepare phase for all
 //! further changes, as in Multi-Paxos ("Paxos Made Simple", section 3). A read is confirmed by a quorum under the leader's ballot
 //! before it is answered, as in Raft's read index (Ongaro's thesis, section 6.4). The leader is no result of a vote alone: the first
-//! active voter in a fixed order contends ([`elections`]), so that competing ballots are rare.
+//! active voter in a fixed order contends ([`consensus::elections`]), so that competing ballots are rare.
 //!
 //! The membership changes by one voter at a time (Ongaro's thesis, section 4.1), decided by a quorum of the generation before, and a new
-//! voter collects the state of such a quorum before it votes ([`state_transfer`]). `docs/design/control-safety.md` argues why that is
+//! voter collects the state of such a quorum before it votes ([`membership::state_transfer`]). `docs/design/control-safety.md` argues why that is
 //! safe.
 //!
 //! # Reading order
 //!
-//! [`partition`] (consensus on one register) and [`partitions`]; [`partition_state`] (what a request does to a value);
-//! [`local_replica`], [`membership`], [`reconfiguration`] and [`state_transfer`] (who votes); [`failure_detector`], [`cluster_view`] and
-//! [`elections`] (who leads); [`pending_requests`], [`request_queue`] and [`admin_requests`] (operators' requests); [`change_feed`],
-//! [`watch_sessions`] and [`router_registry`] (routers); [`server_list_reader`] and [`server_list_role`] (the platform's list of
-//! servers); [`outbox`] (outputs); and [`ControlPlane`], which owns all of these and joins them.
+//! - [`consensus`]: agreement on one partition ([`consensus::partition`]), what a request does to its value, and who contends for it;
+//! - [`membership`]: the rules, this node's replica, and how a voter is replaced;
+//! - [`liveness`]: heartbeats and the failure detector;
+//! - [`requests`]: operators' requests on their way to the leader and in its queue;
+//! - [`watch`]: what routers are sent, their sessions, and the registry of routers;
+//! - [`server_list`]: the platform's list of servers and the role of its reader;
+//! - [`storage`]: records and the state that they make up; [`outbox`]: outputs; [`interface`]: the types of the boundary;
+//! - [`ControlPlane`]: owns all of these, and joins them.
 
-pub mod admin_requests;
-pub mod catch_up;
-pub mod change_feed;
-pub mod cluster_view;
+pub mod consensus;
 mod control_plane;
-pub mod drain;
-pub mod durable_state;
-pub mod elections;
-pub mod failure_detector;
-pub mod heartbeat_schedule;
 pub mod interface;
-pub mod local_replica;
+pub mod liveness;
 pub mod log_event;
 pub mod membership;
-pub mod membership_sender;
 pub mod outbox;
-pub mod partition;
-pub mod partition_state;
-pub mod partitions;
-pub mod pending_requests;
-pub mod quorum_contact;
-pub mod reconfiguration;
-pub mod record;
 pub mod report;
-pub mod request_queue;
-pub mod router_registry;
-pub mod server_list_reader;
-pub mod server_list_role;
-pub mod state_transfer;
-pub mod watch_sessions;
+pub mod requests;
+pub mod server_list;
+pub mod storage;
+pub mod watch;
 
 pub use control_plane::ControlPlane;
 pub use interface::{Input, NodeConfig, Output, RequestId, SessionId, WriteToken};
 pub use log_event::{FormatReason, LogEvent, ServerListSource};
-pub use record::Record;
+pub use storage::record::Record;
--- a/control/src/cluster_view.rs
+++ b/control/src/membership/cluster_view.rs
@@ -4,8 +4,8 @@
 use ivyhatch_protocol::ids::{NodeId, ReplicaId};
 use ivyhatch_protocol::peer::{Heartbeat, ReplicaStatus};
 
-use crate::failure_detector::FailureDetector;
-use crate::local_replica::LocalReplica;
+use crate::liveness::failure_detector::FailureDetector;
+use crate::membership::local_replica::LocalReplica;
 
 /// A view of the cluster from one node, for decisions that change nothing by themselves.
 #[derive(Clone, Copy, Debug)]
--- a/control/src/drain.rs
+++ b/control/src/membership/drain.rs
@@ -2,7 +2,7 @@
 
 use ivyhatch_protocol::Nanos;
 
-use crate::heartbeat_schedule::HEARTBEAT_INTERVAL;
+use crate::liveness::heartbeat_schedule::HEARTBEAT_INTERVAL;
 
 /// A draining node stays at least this long, so that others lead its partitions before it has gone.
 const MIN_DRAIN_TIME: Nanos = 2 * HEARTBEAT_INTERVAL;
--- a/control/src/local_replica.rs
+++ b/control/src/membership/local_replica.rs
@@ -3,7 +3,7 @@
 use ivyhatch_protocol::ids::{NodeId, ReplicaId};
 use ivyhatch_protocol::peer::{Membership, ReplicaStatus, Voter};
 
-use crate::membership::FIRST_GENERATION;
+use crate::membership::rules::FIRST_GENERATION;
 
 /// What a process begins with: what its disk holds about the replica.
 #[derive(Clone, Debug, Default)]
--- a/control/src/reconfiguration.rs
+++ b/control/src/membership/reconfiguration.rs
@@ -5,8 +5,8 @@
 use ivyhatch_protocol::peer::{Heartbeat, Membership, ReplicaStatus, Voter};
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
-use crate::cluster_view::ClusterView;
-use crate::membership::{self, Candidate, FIRST_GENERATION, VoterHealth};
+use crate::membership::cluster_view::ClusterView;
+use crate::membership::rules::{self, Candidate, FIRST_GENERATION, VoterHealth};
 
 /// The first membership is created no earlier than this after the start, so that all nodes that start together become voters.
 pub const BOOTSTRAP_DELAY: Nanos = 1500 * MILLISECOND;
@@ -39,7 +39,7 @@
 /// The next membership, where a voter's seat should go to another replica.
 pub fn next_membership(view: &ClusterView<'_>) -> Option<Membership> {
     let membership = view.local.membership()?;
-    membership::next_membership(membership, &candidates(view), |voter| voter_health(view, voter))
+    rules::next_membership(membership, &candidates(view), |voter| voter_health(view, voter))
 }
 
 /// Replicas that follow the committed state and have no seat.
--- a/control/src/membership_sender.rs
+++ b/control/src/membership/sender.rs
@@ -6,7 +6,7 @@
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
 use crate::interface::WriteToken;
-use crate::membership::FIRST_GENERATION;
+use crate::membership::rules::FIRST_GENERATION;
 
 /// Wait before the membership is sent to the same node again.
 const SEND_INTERVAL: Nanos = 250 * MILLISECOND;
--- a/control/src/outbox.rs
+++ b/control/src/outbox.rs
@@ -7,7 +7,7 @@
 
 use crate::interface::{Output, WriteToken};
 use crate::log_event::LogEvent;
-use crate::record::Record;
+use crate::storage::record::Record;
 
 /// A message and its receiver, which may be the node itself.
 #[derive(Clone, Debug, PartialEq)]
--- a/control/src/report.rs
+++ b/control/src/report.rs
@@ -3,9 +3,9 @@
 use ivyhatch_protocol::ids::{NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{Heartbeat, ReplicaStatus, Voter};
 
-use crate::cluster_view::ClusterView;
-use crate::elections;
-use crate::partitions::Partitions;
+use crate::consensus::elections;
+use crate::consensus::partitions::Partitions;
+use crate::membership::cluster_view::ClusterView;
 
 /// The cluster as one node knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/control/src/admin_requests.rs
+++ b/control/src/requests/admin_requests.rs
@@ -7,8 +7,10 @@
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
 use crate::interface::RequestId;
-use crate::pending_requests::{PendingRequests, RequestLeader, Route};
-use crate::request_queue::{Enqueued, QueuedRequest, ReadyResponse, RequestQueue, UnconfirmedResponse};
+use crate::requests::pending_requests::{PendingRequests, RequestLeader, Route};
+use crate::requests::request_queue::{
+    Enqueued, QueuedRequest, ReadyResponse, RequestQueue, UnconfirmedResponse,
+};
 
 /// A forwarded request is carried out only while the leader knows that it is no older than this. An older one may have been delayed
 /// by a network partition, and what the operator has done since must not be undone by it.
--- /dev/null
+++ b/control/src/requests/mod.rs
@@ -0,0 +1,5 @@
+//! Operators' requests: those that wait for a response, and the queues of the partitions' leaders.
+
+pub mod admin_requests;
+pub mod pending_requests;
+pub mod request_queue;
--- a/control/src/pending_requests.rs
+++ b/control/src/requests/pending_requests.rs
@@ -7,7 +7,7 @@
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
 use crate::interface::RequestId;
-use crate::request_queue::{QueuedRequest, Requester};
+use crate::requests::request_queue::{QueuedRequest, Requester};
 
 /// A request is answered within this: operators turn to another node after a second without an answer.
 pub const REQUEST_TIMEOUT: Nanos = 920 * MILLISECOND;
--- a/control/src/request_queue.rs
+++ b/control/src/requests/request_queue.rs
@@ -7,8 +7,8 @@
 use ivyhatch_protocol::ids::NodeId;
 use ivyhatch_protocol::peer::{AdminRequest, AdminResponse};
 
+use crate::consensus::partition_state;
 use crate::interface::RequestId;
-use crate::partition_state;
 
 /// Who is sent the response to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/control/src/server_list_role.rs
+++ b/control/src/server_list/role.rs
@@ -9,7 +9,7 @@
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
 use crate::log_event::{LogEvent, ServerListSource};
-use crate::server_list_reader::{self, ReadId, ReaderRole, ServerListReader};
+use crate::server_list::reader::{self, ReadId, ReaderRole, ServerListReader};
 
 /// The key of the role: it belongs to the leader of the partition that this is hashed into.
 const ROLE_KEY: &str = "platform-list";
@@ -17,7 +17,7 @@
 const REQUEST_INTERVAL: Nanos = 250 * MILLISECOND;
 
 /// The partition whose leader has the reader's role.
-pub fn partition() -> PartitionId {
+pub fn reader_partition() -> PartitionId {
     PartitionId::for_key(ROLE_KEY)
 }
 
@@ -84,7 +84,7 @@
 
     /// Time has passed, or the role may have changed.
     pub fn tick(&mut self, now: Nanos, role: ReaderRole) -> Vec<RoleOutput> {
-        self.drive_reader(now, server_list_reader::Input::Tick(role), Vec::new())
+        self.drive_reader(now, reader::Input::Tick(role), Vec::new())
     }
 
     /// A read of the platform's list has succeeded.
@@ -95,18 +95,18 @@
         role: ReaderRole,
         servers: Vec<Server>,
     ) -> Vec<RoleOutput> {
-        self.drive_reader(now, server_list_reader::Input::ReadSucceeded(read, role), servers)
+        self.drive_reader(now, reader::Input::ReadSucceeded(read, role), servers)
     }
 
     /// A read of the platform's list has failed.
     pub fn read_failed(&mut self, now: Nanos, read: ReadId) -> Vec<RoleOutput> {
-        self.drive_reader(now, server_list_reader::Input::ReadFailed(read), Vec::new())
+        self.drive_reader(now, reader::Input::ReadFailed(read), Vec::new())
     }
 
     fn drive_reader(
         &mut self,
         now: Nanos,
-        input: server_list_reader::Input,
+        input: reader::Input,
         mut servers: Vec<Server>,
     ) -> Vec<RoleOutput> {
         let ballot_before = self.reader.reading_ballot();
@@ -119,18 +119,18 @@
         }
         for output in reader_outputs {
             match output {
-                server_list_reader::Output::Read(read) => out.push(RoleOutput::Read(read)),
-                server_list_reader::Output::Publish(ballot) => {
+                reader::Output::Read(read) => out.push(RoleOutput::Read(read)),
+                reader::Output::Publish(ballot) => {
                     self.publish(now, ballot, std::mem::take(&mut servers), &mut out);
                 }
-                server_list_reader::Output::RenewBallot { superseded_by } => {
+                reader::Output::RenewBallot { superseded_by } => {
                     out.push(RoleOutput::Log(LogEvent::ServerListReaderSuperseded { superseded_by }));
                     out.push(RoleOutput::RenewBallot(superseded_by));
                 }
-                server_list_reader::Output::ReadFailing { consecutive_failures } => {
+                reader::Output::ReadFailing { consecutive_failures } => {
                     out.push(RoleOutput::Log(LogEvent::ServerListReadFailed { consecutive_failures }));
                 }
-                server_list_reader::Output::YieldRole => out.push(RoleOutput::AnnounceYield),
+                reader::Output::YieldRole => out.push(RoleOutput::AnnounceYield),
             }
         }
         out
--- a/control/src/durable_state.rs
+++ b/control/src/storage/durable_state.rs
@@ -5,7 +5,7 @@
 use ivyhatch_protocol::ids::{Ballot, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{AcceptorState, Membership};
 
-use crate::record::Record;
+use crate::storage::record::Record;
 
 /// The replica that a disk was formatted as.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/control/src/record.rs
+++ b/control/src/storage/record.rs
@@ -5,7 +5,7 @@
 use speedy::{Readable, Writable};
 
 /// One record. All records together, in order, are what the replica has promised; see
-/// [`DurableState`](crate::durable_state::DurableState). The encoding is that of the order of variants and fields.
+/// [`DurableState`](crate::storage::durable_state::DurableState). The encoding is that of the order of variants and fields.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum Record {
     /// The disk is this replica's from here on; earlier records do not count.
--- a/control/src/change_feed.rs
+++ b/control/src/watch/change_feed.rs
@@ -6,7 +6,7 @@
 use ivyhatch_protocol::ids::PartitionId;
 use ivyhatch_protocol::watch::{EvacuationUpdate, Position, Shared, WatchResponse, ZoneEvacuation};
 
-use crate::partition_state::{EvacuationState, EvacuationStatus, PartitionState};
+use crate::consensus::partition_state::{EvacuationState, EvacuationStatus, PartitionState};
 
 /// The number of changes of the configuration that are kept for watchers that are behind.
 const MAX_CHANGES: usize = 64;
--- a/control/src/watch_sessions.rs
+++ b/control/src/watch/sessions.rs
@@ -7,7 +7,7 @@
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
 use crate::interface::SessionId;
-use crate::router_registry::{RouterRank, RouterRegistry};
+use crate::watch::router_registry::{RouterRank, RouterRegistry};
 
 /// The longest interval between two messages on a session.
 const PROGRESS_INTERVAL: Nanos = 500 * MILLISECOND;
--- a/control/tests/bootstrap.rs
+++ b/control/tests/bootstrap.rs
@@ -4,7 +4,7 @@
 
 use common::{NODES, heartbeat, log_event, membership, node_config, records, replica, step, step_and_store};
 use googletest::prelude::*;
-use ivyhatch_control::durable_state::DurableState;
+use ivyhatch_control::storage::durable_state::DurableState;
 use ivyhatch_control::{ControlPlane, LogEvent, Output, Record};
 use ivyhatch_protocol::ids::NodeId;
 use ivyhatch_protocol::peer::{Heartbeat, PeerMessage, ReplicaStatus};
--- a/control/tests/catch_up_time.rs
+++ b/control/tests/catch_up_time.rs
@@ -6,7 +6,7 @@
 
 use cluster::Cluster;
 use googletest::prelude::*;
-use ivyhatch_control::durable_state::DurableState;
+use ivyhatch_control::storage::durable_state::DurableState;
 use ivyhatch_protocol::ids::PartitionId;
 use ivyhatch_protocol::peer::{AdminRequest, AdminResponse};
 use ivyhatch_protocol::{Nanos, SECOND};
--- a/control/tests/change_feed.rs
+++ b/control/tests/change_feed.rs
@@ -1,10 +1,10 @@
 //! The change feed by itself: when a watcher is sent changes, a snapshot or nothing.
 
 use googletest::prelude::*;
-use ivyhatch_control::change_feed::ChangeFeed;
-use ivyhatch_control::partition_state::{
+use ivyhatch_control::consensus::partition_state::{
     ConfigurationState, EvacuationState, EvacuationStatus, PartitionState,
 };
+use ivyhatch_control::watch::change_feed::ChangeFeed;
 use ivyhatch_protocol::configuration::Document;
 use ivyhatch_protocol::ids::PartitionId;
 use ivyhatch_protocol::watch::{Position, WatchResponse};
--- a/control/tests/cluster_view.rs
+++ b/control/tests/cluster_view.rs
@@ -1,12 +1,12 @@
 //! Decisions from a node's view of the cluster: active voters, quorum, leaders, and the replica's own status.
 
 use googletest::prelude::*;
-use ivyhatch_control::cluster_view::ClusterView;
-use ivyhatch_control::elections;
-use ivyhatch_control::failure_detector::FailureDetector;
-use ivyhatch_control::local_replica::{LocalReplica, StoredReplica};
-use ivyhatch_control::reconfiguration;
-use ivyhatch_control::server_list_role;
+use ivyhatch_control::consensus::elections;
+use ivyhatch_control::liveness::failure_detector::FailureDetector;
+use ivyhatch_control::membership::cluster_view::ClusterView;
+use ivyhatch_control::membership::local_replica::{LocalReplica, StoredReplica};
+use ivyhatch_control::membership::reconfiguration;
+use ivyhatch_control::server_list::role::reader_partition;
 use ivyhatch_protocol::ids::{NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{Heartbeat, Membership, ReplicaStatus, Voter};
 use ivyhatch_protocol::{Nanos, SECOND};
@@ -126,7 +126,7 @@
 
 #[gtest]
 fn voter_that_can_not_read_the_server_list_does_not_lead_the_partition_of_the_role() {
-    let role_partition = server_list_role::partition();
+    let role_partition = reader_partition();
     let same_order = PartitionId((role_partition.0 + 3) % 9);
     let mut node = Node::with(&[heartbeat(2), heartbeat(3)]);
     expect_that!(node.leader(role_partition), some(eq(2)));
--- a/control/tests/common/cluster.rs
+++ b/control/tests/common/cluster.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use ivyhatch_control::durable_state::DurableState;
+use ivyhatch_control::storage::durable_state::DurableState;
 use ivyhatch_control::{ControlPlane, Input, NodeConfig, Output, Record, RequestId, WriteToken};
 use ivyhatch_protocol::ids::NodeId;
 use ivyhatch_protocol::peer::{AdminRequest, AdminResponse, PeerMessage, ReplicaStatus};
--- a/control/tests/elections.rs
+++ b/control/tests/elections.rs
@@ -7,7 +7,7 @@
 
 use common::{heartbeat, membership, node_config, starts_election, step, voter};
 use googletest::prelude::*;
-use ivyhatch_control::durable_state::DurableState;
+use ivyhatch_control::storage::durable_state::DurableState;
 use ivyhatch_control::{ControlPlane, Input};
 use ivyhatch_protocol::MILLISECOND;
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId};
--- a/control/tests/failure_detector.rs
+++ b/control/tests/failure_detector.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use googletest::prelude::*;
-use ivyhatch_control::failure_detector::{FAILURE_TIMEOUT, FailureDetector};
+use ivyhatch_control::liveness::failure_detector::{FAILURE_TIMEOUT, FailureDetector};
 use ivyhatch_protocol::ids::{NodeId, ReplicaId};
 use ivyhatch_protocol::peer::Heartbeat;
 use ivyhatch_protocol::{Nanos, SECOND};
--- a/control/tests/golden_records.rs
+++ b/control/tests/golden_records.rs
@@ -11,10 +11,10 @@
 
 use googletest::prelude::*;
 use ivyhatch_control::Record;
-use ivyhatch_control::durable_state::{DurableState, FormattedReplica};
-use ivyhatch_control::partition_state::{
+use ivyhatch_control::consensus::partition_state::{
     ConfigurationState, EvacuationState, EvacuationStatus, PartitionState,
 };
+use ivyhatch_control::storage::durable_state::{DurableState, FormattedReplica};
 use ivyhatch_protocol::configuration::Document;
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{AcceptedValue, AcceptorState, Membership, Voter};
--- a/control/tests/partition.rs
+++ b/control/tests/partition.rs
@@ -1,7 +1,7 @@
 //! The consensus on one partition, as its leader sees it while another leader has come and gone.
 
 use googletest::prelude::*;
-use ivyhatch_control::partition::{Effect, PartitionReplica};
+use ivyhatch_control::consensus::partition::{Effect, PartitionReplica};
 use ivyhatch_protocol::ids::{Ballot, NodeId};
 use ivyhatch_protocol::peer::{AcceptedValue, AcceptorState, ConsensusMessage};
 
--- a/control/tests/partition_state.rs
+++ b/control/tests/partition_state.rs
@@ -1,7 +1,7 @@
 //! What requests do to the value of a partition.
 
 use googletest::prelude::*;
-use ivyhatch_control::partition_state::{ConfigurationState, Decision, PartitionState, digest};
+use ivyhatch_control::consensus::partition_state::{ConfigurationState, Decision, PartitionState, digest};
 use ivyhatch_protocol::ids::PartitionId;
 use ivyhatch_protocol::peer::{AdminRequest, AdminResponse};
 
--- a/control/tests/reconfiguration.rs
+++ b/control/tests/reconfiguration.rs
@@ -6,7 +6,7 @@
     DRAIN_TIMEOUT, heartbeat, membership, node_config, replica, sent_to, step, step_and_store, voter, zone,
 };
 use googletest::prelude::*;
-use ivyhatch_control::durable_state::DurableState;
+use ivyhatch_control::storage::durable_state::DurableState;
 use ivyhatch_control::{ControlPlane, Input, Output, Record};
 use ivyhatch_protocol::MILLISECOND;
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId};
--- a/control/tests/request_queue.rs
+++ b/control/tests/request_queue.rs
@@ -1,7 +1,7 @@
 //! The queue of a partition's leader by itself.
 
 use googletest::prelude::*;
-use ivyhatch_control::request_queue::{
+use ivyhatch_control::requests::request_queue::{
     Enqueued, QueuedRequest, ReadyResponse, RequestQueue, Requester, UnconfirmedResponse,
 };
 use ivyhatch_protocol::Nanos;
--- a/control/tests/router_registry.rs
+++ b/control/tests/router_registry.rs
@@ -4,7 +4,7 @@
 //! region, were sent to another one.
 
 use googletest::prelude::*;
-use ivyhatch_control::router_registry::{
+use ivyhatch_control::watch::router_registry::{
     MAX_DIRECTORY_ADDRESSES, RouterRank, RouterRegistry, SESSION_TIMEOUT,
 };
 use ivyhatch_protocol::ids::NodeId;
--- a/control/tests/server_list_age.rs
+++ b/control/tests/server_list_age.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use googletest::prelude::*;
-use ivyhatch_control::durable_state::DurableState;
-use ivyhatch_control::server_list_reader::{MAX_CONSECUTIVE_FAILURES, READ_TIMEOUT, RETRY_INTERVAL, ReadId};
+use ivyhatch_control::server_list::reader::{MAX_CONSECUTIVE_FAILURES, READ_TIMEOUT, RETRY_INTERVAL, ReadId};
+use ivyhatch_control::storage::durable_state::DurableState;
 use ivyhatch_control::{ControlPlane, Input, NodeConfig, Output, Record, WriteToken};
 use ivyhatch_protocol::ids::{NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{Membership, PeerMessage, Voter};
--- a/control/tests/server_list_reader.rs
+++ b/control/tests/server_list_reader.rs
@@ -1,7 +1,7 @@
 //! The reader of the platform's list by itself, in virtual time: when it reads, under which ballot, and which results count.
 
 use googletest::prelude::*;
-use ivyhatch_control::server_list_reader::{
+use ivyhatch_control::server_list::reader::{
     BOOTSTRAP_READ_INTERVAL, Input, MAX_CONSECUTIVE_FAILURES, MAX_YIELD_TIME, MIN_YIELD_TIME, Output,
     READ_TIMEOUT, RENEWAL_DELAY, RETRY_INTERVAL, ReadId, ReaderRole, ServerListReader,
 };
--- a/control/tests/state_transfer.rs
+++ b/control/tests/state_transfer.rs
@@ -1,7 +1,7 @@
 //! State transfer to a new voter by itself: when it requests state, whose state counts, and when it is complete.
 
 use googletest::prelude::*;
-use ivyhatch_control::state_transfer::{StateCollector, StateTransfer};
+use ivyhatch_control::membership::state_transfer::{StateCollector, StateTransfer};
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{AcceptedValue, AcceptorState, Membership, Voter};
 use ivyhatch_protocol::{MILLISECOND, Nanos};
--- a/control/tests/timing.rs
+++ b/control/tests/timing.rs
@@ -1,12 +1,12 @@
 //! The small parts that keep times: heartbeats, contact with a quorum, graceful shutdown, backoff of elections, and repeated requests.
 
 use googletest::prelude::*;
-use ivyhatch_control::catch_up::CatchUp;
-use ivyhatch_control::drain::Drain;
-use ivyhatch_control::elections::ElectionBackoff;
-use ivyhatch_control::heartbeat_schedule::{HEARTBEAT_INTERVAL, HeartbeatSchedule};
-use ivyhatch_control::membership_sender::MembershipSender;
-use ivyhatch_control::quorum_contact::QuorumContact;
+use ivyhatch_control::consensus::catch_up::CatchUp;
+use ivyhatch_control::consensus::elections::ElectionBackoff;
+use ivyhatch_control::liveness::heartbeat_schedule::{HEARTBEAT_INTERVAL, HeartbeatSchedule};
+use ivyhatch_control::liveness::quorum_contact::QuorumContact;
+use ivyhatch_control::membership::drain::Drain;
+use ivyhatch_control::membership::sender::MembershipSender;
 use ivyhatch_protocol::ids::{NodeId, PartitionId};
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
--- a/control/tests/watch_sessions.rs
+++ b/control/tests/watch_sessions.rs
@@ -1,8 +1,8 @@
 //! The watch sessions by themselves: what they are sent, when, and when they end.
 
 use googletest::prelude::*;
-use ivyhatch_control::router_registry::RouterRegistry;
-use ivyhatch_control::watch_sessions::{Progress, WatchEvent, WatchSessions};
+use ivyhatch_control::watch::router_registry::RouterRegistry;
+use ivyhatch_control::watch::sessions::{Progress, WatchEvent, WatchSessions};
 use ivyhatch_protocol::ids::NodeId;
 use ivyhatch_protocol::watch::{Position, Router, RouterState, WatchRequest, WatchResponse};
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
--- a/system/src/control/host.rs
+++ b/system/src/control/host.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use ivyhatch_control::durable_state::DurableState;
-use ivyhatch_control::server_list_reader::ReadId;
+use ivyhatch_control::server_list::reader::ReadId;
+use ivyhatch_control::storage::durable_state::DurableState;
 use ivyhatch_control::{ControlPlane, Input, NodeConfig, Output, RequestId};
 use ivyhatch_protocol::peer::AdminResponse;
 use ivyhatch_protocol::settings::Settings;
--- a/system/src/control/instance_list_reader.rs
+++ b/system/src/control/instance_list_reader.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use ivyhatch_control::Input;
-use ivyhatch_control::server_list_reader::ReadId;
+use ivyhatch_control::server_list::reader::ReadId;
 use ivyhatch_protocol::watch::Server;
 use tokio::sync::mpsc::UnboundedReceiver;
 
--- a/system/src/control/mod.rs
+++ b/system/src/control/mod.rs
@@ -15,8 +15,8 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-use ivyhatch_control::durable_state::DurableState;
-use ivyhatch_control::server_list_reader::ReadId;
+use ivyhatch_control::server_list::reader::ReadId;
+use ivyhatch_control::storage::durable_state::DurableState;
 use ivyhatch_control::{Input, WriteToken};
 use ivyhatch_protocol::settings::Settings;
 use tokio::net::TcpListener;
--- a/system/src/disk.rs
+++ b/system/src/disk.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::Duration;
 
-use ivyhatch_control::durable_state::DurableState;
+use ivyhatch_control::storage::durable_state::DurableState;
 use ivyhatch_control::{Record, WriteToken};
 use ivyhatch_wal::{CompactingWal, Wal, WalError};
 use speedy::{Readable, Writable};
--- a/system/tests/stored_codecs.rs
+++ b/system/tests/stored_codecs.rs
@@ -4,7 +4,7 @@
 
 use googletest::prelude::*;
 use ivyhatch_control::Record;
-use ivyhatch_control::partition_state::{
+use ivyhatch_control::consensus::partition_state::{
     ConfigurationState, EvacuationState, EvacuationStatus, PartitionState,
 };
 use ivyhatch_protocol::configuration::Document;
