--- a/admin-protocol/src/client.rs
+++ b/admin-protocol/src/client.rs
@@ -12,7 +12,8 @@
 /// The longest response, in bytes.
 const MAX_RESPONSE_BYTES: u64 = 8 << 20;
 
-/// Why there is no response. After any error but [`CallError::Unreachable`] the request may have been carried out.
+/// Why there is no response. After any error but [`CallError::Unreachable`] the request may have been carried
+/// out.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// No process listens on the socket, or it can't be connected to.
--- a/admin-protocol/src/server.rs
+++ b/admin-protocol/src/server.rs
@@ -27,17 +27,19 @@
 pub struct ConnectionLimits {
     /// The longest request, in bytes. A longer one ends its connection.
     pub max_line_bytes: u64,
-    /// The longest time until a request is complete, and until a response is written. The connection ends after that.
+    /// The longest time until a request is complete, and until a response is written. The connection ends
+    /// after that.
     pub idle_timeout: Duration,
     /// The number of concurrent connections; further ones wait to be accepted.
     pub max_connections: usize,
 }
 
-/// Listens on a socket that only this user may connect to. A socket file that an earlier process has left is replaced.
+/// Listens on a socket that only this user may connect to. A socket file that an earlier process has left is
+/// replaced.
 ///
 /// # Errors
-/// `AddrInUse` if another process accepts connections there; any error of the system in removing the old file, binding the socket or
-/// setting its permissions.
+/// `AddrInUse` if another process accepts connections there; any error of the system in removing the old
+/// file, binding the socket or setting its permissions.
 pub fn listen(path: &Path) -> io::Result<UnixListener> {
     if BlockingStream::connect(path).is_ok() {
         return Err(io::Error::new(ErrorKind::AddrInUse, "somebody answers there already"));
@@ -51,7 +53,8 @@
     Ok(listener)
 }
 
-/// Answers requests for as long as it is polled, in a `LocalSet`. A request that is no `Q` gets a response with an `error` field.
+/// Answers requests for as long as it is polled, in a `LocalSet`. A request that is no `Q` gets a response
+/// with an `error` field.
 pub async fn serve<Q: DeserializeOwned + 'static>(
     listener: UnixListener,
     limits: ConnectionLimits,
--- a/admin-protocol/tests/socket.rs
+++ b/admin-protocol/tests/socket.rs
@@ -1,4 +1,5 @@
-//! Requests over real sockets: responses, malformed requests and responses, limits, and servers that are missing or silent.
+//! Requests over real sockets: responses, malformed requests and responses, limits, and servers that are
+//! missing or silent.
 
 use std::future::Future;
 use std::io::{ErrorKind, Write};
--- a/load-probing/benches/scheduling.rs
+++ b/load-probing/benches/scheduling.rs
@@ -1,5 +1,5 @@
-//! The cost of scheduling: `cargo bench -p ivyhatch-load-probing`. One iteration is ten requests, the probes that they pay for, and
-//! the outcomes of these.
+//! The cost of scheduling: `cargo bench -p ivyhatch-load-probing`. One iteration is ten requests, the probes
+//! that they pay for, and the outcomes of these.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use ivyhatch_load_probing::{Candidate, Limits, ProbeOutcome, Scheduler};
--- a/load-probing/src/budget.rs
+++ b/load-probing/src/budget.rs
@@ -31,7 +31,7 @@
         self.saved_probes >= 1.0
     }
 
-    /// Takes the token of one probe. False, and nothing taken, where there is none.
+    /// Takes the token of one probe. False, and nothing taken, if there is none.
     pub fn take_probe(&mut self) -> bool {
         let has_probe = self.has_probe();
         if has_probe {
--- a/load-probing/src/limits.rs
+++ b/load-probing/src/limits.rs
@@ -13,18 +13,20 @@
     pub max_in_flight: usize,
     /// The most probes in flight in one group; at least 1.
     pub max_in_flight_per_group: usize,
-    /// The interval between two probes of a server, by [`crate::Priority`] in ascending order; each at least 1 ms, and none longer than
-    /// the one before.
+    /// The interval between two probes of a server, by [`crate::Priority`] in ascending order; each at least
+    /// 1 ms, and none longer than the one before.
     pub intervals: [Nanos; 4],
     /// The age at which a report is stale; above 0.
     pub report_ttl: Nanos,
     /// The size of the subset of servers that are probed.
     pub subset_size: SubsetSize,
-    /// The time after which a probe without an outcome counts as unreachable; above 0, and more than the prober's own timeout.
+    /// The time after which a probe without an outcome counts as unreachable; above 0, and more than the
+    /// prober's own timeout.
     pub lost_after: Nanos,
 }
 
-/// The least and the greatest number of servers that are probed; the least is at least 1 and at most the greatest.
+/// The least and the greatest number of servers that are probed; the least is at least 1 and at most the
+/// greatest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SubsetSize {
     /// The size that the subset has even if the budget can't keep so many reports fresh.
--- a/load-probing/src/scheduler.rs
+++ b/load-probing/src/scheduler.rs
@@ -13,7 +13,8 @@
 
 /// The time constant of the average rate at which requests pay for probes.
 const RATE_TIME_CONSTANT: Nanos = 5 * SECOND;
-/// The part of an interval by which it is varied at random, so that nodes which start together do not probe together.
+/// The part of an interval by which it is varied at random, so that nodes which start together do not probe
+/// together.
 const JITTER: f64 = 0.25;
 /// The least time between two probes of one server, so that one that refuses at once is not probed in a loop.
 const MIN_INTERVAL: Nanos = MILLISECOND;
@@ -75,7 +76,7 @@
     /// A scheduler without candidates. `seed` is for its jitter and should differ between nodes.
     ///
     /// # Errors
-    /// Where a limit is out of the range that its documentation states.
+    /// If a limit is out of the range that its documentation states.
     pub fn new(limits: Limits, seed: u64, now: Nanos) -> Result<Self, LimitsError> {
         limits.validate()?;
         Ok(Self {
@@ -119,15 +120,15 @@
         affordable.clamp(self.limits.subset_size.min, self.limits.subset_size.max)
     }
 
-    /// Replaces the candidates. A server that is missing is not probed again, and one with another incarnation is a new server.
-    /// Takes O(n log n) time.
+    /// Replaces the candidates. A server that is missing is not probed again, and one with another
+    /// incarnation is a new server. Takes O(n log n) time.
     pub fn set_candidates(&mut self, candidates: Vec<Candidate>, now: Nanos) {
         self.candidates = candidates;
         self.select_targets(now);
     }
 
-    /// Selects the subset anew if the budget affords a size that is clearly different: all candidates, more than 1.5 times the present
-    /// size, or less than half of it.
+    /// Selects the subset anew if the budget affords a size that is clearly different: all candidates, more
+    /// than 1.5 times the present size, or less than half of it.
     pub fn resize_subset(&mut self, now: Nanos) {
         let size = self.targets.len();
         let affordable = self.affordable_subset_size(now).min(self.candidates.len());
@@ -181,7 +182,8 @@
         self.targets.keys().copied()
     }
 
-    /// Changes the priority of a server. A higher one may bring its probe forward. Ignored for a server that is not in the subset.
+    /// Changes the priority of a server. A higher one may bring its probe forward. Ignored for a server that
+    /// is not in the subset.
     pub fn set_priority(&mut self, id: ServerId, priority: Priority) {
         let Some(target) = self.targets.get_mut(&id).filter(|target| target.priority != priority) else {
             return;
@@ -199,8 +201,8 @@
         }
     }
 
-    /// The next server to probe now; the probe counts as sent. The caller repeats this until it returns none, and reports the
-    /// outcome of each probe with [`Scheduler::on_probe_ended`].
+    /// The next server to probe now; the probe counts as sent. The caller repeats this until it returns none,
+    /// and reports the outcome of each probe with [`Scheduler::on_probe_ended`].
     pub fn next_probe(&mut self, now: Nanos) -> Option<ServerId> {
         self.expire_lost_probes(now);
         if !self.budget.has_probe() || self.in_flight.len() >= self.limits.max_in_flight {
@@ -250,8 +252,9 @@
         }
     }
 
-    /// Records the outcome of a probe. False where the outcome does not count, and neither does a report: the probe was not in flight,
-    /// was cancelled, or was sent to an earlier incarnation or to a server that is not in the subset any more.
+    /// Records the outcome of a probe. Returns false if the outcome does not count, and neither does a
+    /// report: the probe was not in flight, was cancelled, or was sent to an earlier incarnation or to a
+    /// server that is not in the subset any more.
     pub fn on_probe_ended(&mut self, id: ServerId, outcome: ProbeOutcome, now: Nanos) -> bool {
         let Some(InFlightProbe { sent_at, .. }) = self.in_flight.remove(&id) else { return false };
         let draw = self.random.next_u32();
@@ -277,7 +280,8 @@
         counts
     }
 
-    /// Records a report that came with the response to an ordinary request. It postpones the next probe by a whole interval.
+    /// Records a report that came with the response to an ordinary request. It postpones the next probe by a
+    /// whole interval.
     pub fn on_passive_report(&mut self, id: ServerId, now: Nanos) {
         let Some(target) = self.targets.get_mut(&id) else { return };
         target.last_report_at = Some(now);
@@ -291,8 +295,8 @@
         }
     }
 
-    /// When [`Scheduler::next_probe`] is to be called next; none if there can be no probe before a request or the outcome of a
-    /// probe.
+    /// When [`Scheduler::next_probe`] is to be called next; `None` if there can be no probe before a request
+    /// or the outcome of a probe.
     pub fn next_probe_at(&self) -> Option<Nanos> {
         if !self.budget.has_probe() || self.in_flight.len() >= self.limits.max_in_flight {
             return None;
--- a/load-probing/src/subset.rs
+++ b/load-probing/src/subset.rs
@@ -1,4 +1,4 @@
-//! The choice of a stable subset of servers, where there are too many for the budget.
+//! The choice of a stable subset of servers, if there are too many for the budget.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,15 +15,16 @@
     pub id: ServerId,
     /// The group of the server, such as its zone. Group 0 is the node's own and gets half of the subset.
     pub group: u32,
-    /// A hash of the server and this node (rendezvous hashing): the lowest ranks are chosen, so that nodes choose different subsets,
-    /// and a change of the list moves few servers.
+    /// A hash of the server and this node (rendezvous hashing): the lowest ranks are chosen, so that nodes
+    /// choose different subsets, and a change of the list moves few servers.
     pub rank: u64,
-    /// The incarnation of the server, such as the moment of its start. Reports of another incarnation do not count.
+    /// The incarnation of the server, such as the moment of its start. Reports of another incarnation do not
+    /// count.
     pub incarnation: Nanos,
 }
 
-/// Chooses at most `max_size` candidates: half of them from the local group, as far as it has so many, and the rest from the other
-/// groups in turn. Takes O(n log n) time.
+/// Chooses at most `max_size` candidates: half of them from the local group, as far as it has so many, and
+/// the rest from the other groups in turn. Takes O(n log n) time.
 pub(crate) fn select_subset(candidates: &[Candidate], max_size: usize) -> BTreeSet<ServerId> {
     if candidates.len() <= max_size {
         return candidates.iter().map(|candidate| candidate.id).collect();
--- a/load-probing/src/target.rs
+++ b/load-probing/src/target.rs
@@ -34,8 +34,8 @@
     Cancelled,
 }
 
-/// The longest interval of an unreachable server, unless its ordinary one is longer: a zone that was partitioned for some seconds is
-/// seen again soon after.
+/// The longest interval of an unreachable server, unless its ordinary one is longer: a zone that was
+/// partitioned for some seconds is seen again soon after.
 const MAX_BACKOFF: Nanos = 4 * SECOND;
 /// Doublings after which the backoff is above [`MAX_BACKOFF`] in any case.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
@@ -58,8 +58,8 @@
 }
 
 impl Target {
-    /// The interval until the next probe: the ordinary one, with exponential backoff while the server is unreachable, so that a
-    /// partitioned zone takes little of the budget.
+    /// The interval until the next probe: the ordinary one, with exponential backoff while the server is
+    /// unreachable, so that a partitioned zone takes little of the budget.
     pub fn interval(&self, ordinary: Nanos) -> Nanos {
         let doublings = self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
         ordinary.saturating_mul(1 << doublings).min(MAX_BACKOFF.max(ordinary))
--- a/load-probing/tests/scheduler.rs
+++ b/load-probing/tests/scheduler.rs
@@ -1,5 +1,5 @@
-//! Invariants under any sequence of calls: the budget, one probe in flight for each server, no probe of a removed one. Then how a
-//! short budget is spent.
+//! Invariants under any sequence of calls: the budget, one probe in flight for each server, no probe of a
+//! removed one. Then how a short budget is spent.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -116,8 +116,8 @@
     }
 }
 
-/// Simulates `seconds` of requests at a steady rate; each probe outcome after 5 ms with the outcome that `outcome` gives. Returns the
-/// probes in order.
+/// Simulates `seconds` of requests at a steady rate; each probe outcome after 5 ms with the outcome that
+/// `outcome` gives. Returns the probes in order.
 fn simulate(
     scheduler: &mut Scheduler,
     rate: u64,
--- a/node-settings/src/lib.rs
+++ b/node-settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! Reads the operator's settings of a node: a JSON object, for every program that embeds `ivyhatch-balancer`.
 //!
-//! The balancer knows zones, request classes, machine kinds and tenants by number. [`NodeSettings`] has the balancer's settings, and the
-//! [`NameTable`] by which the embedder translates the names on the wire.
+//! The balancer knows zones, request classes, machine kinds and tenants by number. [`NodeSettings`] has the
+//! balancer's settings, and the [`NameTable`] by which the embedder translates the names on the wire.
 //!
 //! - `parse`: the settings object
 //! - `name_table`: names and their numbers
--- a/node-settings/src/name_table.rs
+++ b/node-settings/src/name_table.rs
@@ -4,8 +4,8 @@
 
 use ivyhatch_balancer::ZoneId;
 
-/// The most names of one kind. Further ones share the last number, so that membership lists with ever new names, which may come for
-/// as long as a node runs, take bounded memory.
+/// The most names of one kind. Further ones share the last number, so that membership lists with ever new
+/// names, which may come for as long as a node runs, take bounded memory.
 pub(crate) const MAX_NAMES: usize = 1024;
 
 /// The numbers of zones, request classes, machine kinds and tenants.
@@ -32,7 +32,8 @@
         number_of(&mut self.kinds, name)
     }
 
-    /// The number of a request's tenant; none for a request without one, and for one that the settings do not list.
+    /// The number of a request's tenant; none for a request without one, and for one that the settings do not
+    /// list.
     pub fn tenant(&self, name: Option<&str>) -> Option<u32> {
         let index = name.and_then(|name| self.tenants.iter().position(|known| known == name));
         index.map(|index| index as u32)
--- a/node-settings/src/parse.rs
+++ b/node-settings/src/parse.rs
@@ -12,11 +12,11 @@
 use crate::fields::Fields;
 use crate::name_table::NameTable;
 
-/// The quantum of time where the settings have none, in nanoseconds.
+/// The quantum of time if the settings have none, in nanoseconds.
 const DEFAULT_QUANTUM: Nanos = 1_000_000;
-/// The idle timeout of backends where the settings have none, in nanoseconds.
+/// The idle timeout of backends if the settings have none, in nanoseconds.
 const DEFAULT_IDLE_TIMEOUT: Nanos = 15_000_000_000;
-/// The connect timeout where the settings have none, in nanoseconds.
+/// The connect timeout if the settings have none, in nanoseconds.
 const DEFAULT_CONNECT_TIMEOUT: Nanos = 250_000_000;
 
 /// Settings of connections to backends, for embedders with sockets.
@@ -158,7 +158,7 @@
     nested(map, "prices", "probe").map_or(Ok(0.0), |price| price.as_f64().ok_or(SettingsError::ProbePrice))
 }
 
-/// The longest pause that a rejected client is asked to make, in nanoseconds; 0 where none is to be asked for.
+/// The longest pause that a rejected client is asked to make, in nanoseconds; 0 if none is to be asked for.
 fn parse_max_retry_after(limits: &Fields) -> Result<Nanos, FieldError> {
     if flag(limits, "retry-after") { limits.unsigned_or("max-retry-after-ns", 0) } else { Ok(0) }
 }
@@ -192,12 +192,12 @@
     })
 }
 
-/// A boolean that is false where the field is missing or of another type.
+/// A boolean that is false if the field is missing or of another type.
 fn flag(fields: &Fields, field: &str) -> bool {
     fields.map.get(field).and_then(Value::as_bool).unwrap_or(false)
 }
 
-/// A field of an object that is a field itself; none where either is missing.
+/// A field of an object that is a field itself; `None` if either is missing.
 fn nested<'a>(map: &'a Map<String, Value>, object: &str, field: &str) -> Option<&'a Value> {
     map.get(object)?.get(field)
 }
--- a/node-settings/tests/golden.rs
+++ b/node-settings/tests/golden.rs
@@ -1,4 +1,5 @@
-//! The settings object's field names, default values and error texts stay as they are: whole files are kept in `golden/`.
+//! The settings object's field names, default values and error texts stay as they are: whole files are kept
+//! in `golden/`.
 
 use ivyhatch_balancer::{Discovery, Idempotency, IdempotencyScope, LoadReporting, Weights, ZoneId};
 use ivyhatch_node_settings::{NodeSettings, parse};
--- a/protocol/src/compression.rs
+++ b/protocol/src/compression.rs
@@ -1,12 +1,14 @@
 //! Compression of large messages: LZ77 with byte-aligned sequences, like the block format of LZ4.
 //!
-//! The items of a configuration resemble each other, so it shrinks to a sixth or less. The compressor prefers speed to density:
-//! one pass, and one candidate for each position. The decompressor only copies.
+//! The items of a configuration resemble each other, so it shrinks to a sixth or less. The compressor prefers
+//! speed to density: one pass, and one candidate for each position. The decompressor only copies.
 //!
 //! A sequence is, in this order:
 //!
-//! - a token byte: the number of literals in its upper half, the length of the match minus 4 in its lower half;
-//! - if the number of literals is 15 or more: further bytes that are added to it, up to and including the first below 255;
+//! - a token byte: the number of literals in its upper half, the length of the match minus 4 in its lower
+//!   half;
+//! - if the number of literals is 15 or more: further bytes that are added to it, up to and including the
+//!   first below 255;
 //! - the literals;
 //! - the distance of the match in two bytes, little-endian: 1 is the byte before;
 //! - if the length of the match minus 4 is 15 or more: further bytes, as for the literals.
@@ -69,7 +71,7 @@
 /// Decompresses to exactly `length` bytes.
 ///
 /// # Errors
-/// Where the bytes are not the compression of so many bytes.
+/// If the bytes are not the compression of so many bytes.
 pub fn decompress(mut bytes: &[u8], length: usize) -> Result<Vec<u8>, CompressionError> {
     // The length is not to be trusted: allocate by the length of the input, and grow with the output.
     let mut out = Vec::with_capacity(length.min(bytes.len().saturating_mul(EXPECTED_RATIO)));
--- a/protocol/src/configuration/change.rs
+++ b/protocol/src/configuration/change.rs
@@ -6,8 +6,8 @@
 
 use super::document::{Document, Item};
 
-/// A change from one configuration to another, by item: an operator's PATCH request, or the difference of two revisions that is
-/// sent to watchers.
+/// A change from one configuration to another, by item: an operator's PATCH request, or the difference of two
+/// revisions that is sent to watchers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct Change {
     /// The resulting revision.
@@ -29,7 +29,8 @@
         changed
     }
 
-    /// Applies a change: removals first, so that an item that is both removed and upserted moves to the end of its section.
+    /// Applies a change: removals first, so that an item that is both removed and upserted moves to the end
+    /// of its section.
     pub fn apply(&mut self, change: &Change) {
         self.revision = change.revision;
         for (section, names) in &change.remove {
@@ -48,8 +49,8 @@
         }
     }
 
-    /// The change from this configuration to another one. Items that only differ in their order keep the order of this one;
-    /// routing does not depend on it.
+    /// The change from this configuration to another one. Items that only differ in their order keep the
+    /// order of this one; routing does not depend on it.
     pub fn diff(&self, other: &Self) -> Change {
         let mut change = Change { revision: other.revision, ..Change::default() };
         let sections: BTreeSet<&String> = self.sections.keys().chain(other.sections.keys()).collect();
--- a/protocol/src/configuration/error.rs
+++ b/protocol/src/configuration/error.rs
@@ -17,7 +17,8 @@
     /// A field is missing or of the wrong type.
     #[error("{path}: {reason}: correct that field")]
     InvalidField {
-        /// The names and indices that lead to the field, separated by dots; empty for a field of the configuration itself.
+        /// The names and indices that lead to the field, separated by dots; empty for a field of the
+        /// configuration itself.
         path: String,
         /// What is wrong.
         reason: String,
--- a/protocol/src/configuration/mod.rs
+++ b/protocol/src/configuration/mod.rs
@@ -1,7 +1,8 @@
 //! The operator's configuration.
 //!
-//! A [`Document`] keeps the operator's JSON item by item, fields of later versions included, so that it is returned as it was sent.
-//! A [`Configuration`] is its typed view, by which requests are routed. A [`Change`] leads from one document to another.
+//! A [`Document`] keeps the operator's JSON item by item, fields of later versions included, so that it is
+//! returned as it was sent. A [`Configuration`] is its typed view, by which requests are routed. A [`Change`]
+//! leads from one document to another.
 //!
 //! - `document`: a configuration as the operator wrote it
 //! - `parse`: JSON to documents and changes
--- a/protocol/src/configuration/nesting.rs
+++ b/protocol/src/configuration/nesting.rs
@@ -1,6 +1,7 @@
 //! How deep JSON is nested.
 
-/// The deepest nesting of arrays and objects. The JSON parsers of other programs that read the configuration have similar limits.
+/// The deepest nesting of arrays and objects. The JSON parsers of other programs that read the configuration
+/// have similar limits.
 pub(super) const MAX_NESTING: usize = 127;
 
 /// How deep arrays and objects are nested in a JSON text.
--- a/protocol/src/configuration/parse.rs
+++ b/protocol/src/configuration/parse.rs
@@ -15,7 +15,8 @@
     /// Parses the body of a PUT request.
     ///
     /// # Errors
-    /// Where it is no JSON object with a revision and with distinct names in each section. [`Document::validate`] checks the rest.
+    /// If it is no JSON object with a revision and with distinct names in each section.
+    /// [`Document::validate`] checks the rest.
     pub fn parse(body: &[u8]) -> Result<Self, ConfigurationError> {
         let mut fields: Fields = serde_json::from_slice(body)?;
         let mut document = Self { revision: take_revision(&mut fields)?, ..Self::default() };
@@ -38,7 +39,8 @@
     /// Parses the body of a PATCH request.
     ///
     /// # Errors
-    /// Where it is no JSON object with a revision, with lists of items under `upsert` and lists of names under `remove`.
+    /// If it is no JSON object with a revision, with lists of items under `upsert` and lists of names under
+    /// `remove`.
     pub fn parse(body: &[u8]) -> Result<Self, ConfigurationError> {
         let mut fields: Fields = serde_json::from_slice(body)?;
         let mut change = Self { revision: take_revision(&mut fields)?, ..Self::default() };
--- a/protocol/src/configuration/schema.rs
+++ b/protocol/src/configuration/schema.rs
@@ -1,6 +1,7 @@
 //! The typed view of a configuration, by which requests are routed. Unknown fields are ignored.
 //!
-//! A field keeps its name in the configuration as a `serde` attribute where the code uses the standard term.
+//! A field that the code calls by the standard term keeps its name in the configuration as a `serde`
+//! attribute.
 
 use serde::Deserialize;
 
@@ -39,13 +40,14 @@
     pub route_kind: RouteKind,
     /// Milliseconds from the arrival of a request until it is given up.
     pub timeout_ms: f64,
-    /// The latency target in milliseconds (SLO): the time within which a response, or the first event of a stream, is on time.
+    /// The latency target in milliseconds (SLO): the time within which a response, or the first event of a
+    /// stream, is on time.
     #[serde(rename = "target_ms", default)]
     pub latency_target_ms: f64,
     /// The priority of requests; 0 is the highest. Lower priorities are shed first.
     #[serde(default)]
     pub priority: u32,
-    /// The only service; none where there is a `split`.
+    /// The only service; `None` if there is a `split`.
     pub service: Option<String>,
     /// The services, by weight.
     #[serde(default)]
@@ -53,7 +55,8 @@
     /// The highest number of servers that one request may be sent to, the first one included.
     #[serde(rename = "max_tries", default = "default_max_attempts")]
     pub max_attempts: u32,
-    /// Whether servers keep state of a session (a prefix cache, say), so that its requests should go to the same one (affinity).
+    /// Whether servers keep state of a session (a prefix cache, say), so that its requests should go to the
+    /// same one (affinity).
     #[serde(default)]
     pub sticky: bool,
     /// Whether a stream that breaks off can be resumed at another server.
@@ -113,7 +116,8 @@
     /// The warm-up (slow start) of a server after its start, in seconds.
     #[serde(rename = "cold_s", default)]
     pub warm_up_s: f64,
-    /// The rate of a server during its warm-up, in requests per second from all routers together; 0 for no limit.
+    /// The rate of a server during its warm-up, in requests per second from all routers together; 0 for no
+    /// limit.
     #[serde(rename = "cold_per_s", default)]
     pub warm_up_rate_per_s: f64,
     /// The capacity of the servers' inference engines; none for other servers.
--- a/protocol/src/configuration/validate.rs
+++ b/protocol/src/configuration/validate.rs
@@ -14,7 +14,7 @@
     /// The typed view of this configuration, by which requests are routed.
     ///
     /// # Errors
-    /// Where a field is missing or of the wrong type, or the nesting is too deep.
+    /// If a field is missing or of the wrong type, or the nesting is too deep.
     pub fn routing_view(&self) -> Result<Configuration, ConfigurationError> {
         let json = self.to_json();
         // The parser does not limit the nesting of fields that it ignores.
@@ -24,10 +24,11 @@
         serde_json::from_str(&json).map_err(|error| locate_error(&json, &error))
     }
 
-    /// Checks that this configuration can replace the one with the current revision, and returns its typed view.
+    /// Checks that this configuration can replace the one with the current revision, and returns its typed
+    /// view.
     ///
     /// # Errors
-    /// Where it can't; the error names the field.
+    /// If it can't; the error names the field.
     pub fn validate(&self, current_revision: u64) -> Result<Configuration, ConfigurationError> {
         if self.revision <= current_revision {
             return Err(ConfigurationError::StaleRevision { sent: self.revision, current: current_revision });
--- a/protocol/src/frame/decoder.rs
+++ b/protocol/src/frame/decoder.rs
@@ -13,7 +13,8 @@
 
 /// Decodes the messages of one connection from chunks of bytes of any size.
 ///
-/// Memory is bounded by [`MAX_MESSAGE_BYTES`] for the fragments of a message, and by the same for a frame that is incomplete.
+/// Memory is bounded by [`MAX_MESSAGE_BYTES`] for the fragments of a message, and by the same for a frame
+/// that is incomplete.
 #[derive(Default)]
 pub struct Decoder {
     bytes: Vec<u8>,
@@ -51,10 +52,10 @@
         self.last_message_bytes
     }
 
-    /// The next message; none while it is incomplete.
+    /// The next message; `None` while it is incomplete.
     ///
     /// # Errors
-    /// Where the bytes are no messages. The decoder is of no further use, and the connection has to be closed.
+    /// If the bytes are no messages. The decoder is of no further use, and the connection has to be closed.
     pub fn next_message<M: for<'a> Readable<'a, LittleEndian>>(&mut self) -> Result<Option<M>, FrameError> {
         while let Some(header) = self.complete_frame()? {
             let decoded = self.decode_frame(&header)?;
--- a/protocol/src/frame/encoder.rs
+++ b/protocol/src/frame/encoder.rs
@@ -13,8 +13,8 @@
     encode_frame(&bytes, flags)
 }
 
-/// A message as the frames of its fragments, or as one frame if it is not longer than [`FRAGMENT_BYTES`]. Frames of other
-/// messages may be sent between those of a message, as long as these are not fragments.
+/// A message as the frames of its fragments, or as one frame if it is not longer than [`FRAGMENT_BYTES`].
+/// Frames of other messages may be sent between those of a message, as long as these are not fragments.
 pub fn encode_fragments<M: Writable<LittleEndian>>(message: &M) -> Vec<Vec<u8>> {
     let EncodedBody { bytes, flags } = encode_body(message);
     if bytes.len() <= FRAGMENT_BYTES {
@@ -32,7 +32,7 @@
     flags: u32,
 }
 
-/// Encodes a message, and compresses it where that makes it shorter.
+/// Encodes a message, and compresses it if that makes it shorter.
 fn encode_body<M: Writable<LittleEndian>>(message: &M) -> EncodedBody {
     // Writing to memory fails for no type of message.
     let plain = message.write_to_vec().unwrap_or_default();
--- a/protocol/src/frame/error.rs
+++ b/protocol/src/frame/error.rs
@@ -3,7 +3,8 @@
 use super::limits::{MAX_MESSAGE_BYTES, PROTOCOL_VERSION};
 use crate::compression::CompressionError;
 
-/// Why bytes of a connection are no messages. The connection has to be closed: where the next frame begins is unknown.
+/// Why bytes of a connection are no messages. The connection has to be closed: where the next frame begins is
+/// unknown.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     /// The bytes don't begin with the magic number of a frame.
@@ -28,15 +29,16 @@
     /// The checksum does not match the body.
     #[error("a damaged message: the connection is opened anew; where it comes again, see to the network")]
     ChecksumMismatch,
-    /// The frame is sound and its body can't be decoded as a message.
+    /// The frame is undamaged and its body can't be decoded as a message.
     #[error("a message that can't be read ({0}): bring all machines to one release")]
     Undecodable(BodyError),
 }
 
-/// Why the body of a sound frame can't be decoded.
+/// Why the body of an undamaged frame can't be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// The bytes are no encoding of the message type; the text is that of `speedy`, whose errors can't be compared.
+    /// The bytes are no encoding of the message type; the text is that of `speedy`, whose errors can't be
+    /// compared.
     #[error("{0}")]
     Encoding(String),
     /// So many bytes follow the message.
--- a/protocol/src/frame/header.rs
+++ b/protocol/src/frame/header.rs
@@ -35,11 +35,11 @@
         bytes.extend_from_slice(&self.checksum.to_le_bytes());
     }
 
-    /// The header at the beginning of these bytes; none where it is incomplete.
+    /// The header at the beginning of these bytes; `None` if it is incomplete.
     ///
     /// # Errors
-    /// Where no frame of this version begins there. Another magic number is an error from the second byte on, so that a foreign
-    /// client that sends a few bytes and waits is not kept waiting.
+    /// If no frame of this version begins there. Another magic number is an error from the second byte on, so
+    /// that a foreign client that sends a few bytes and waits is not kept waiting.
     pub fn read_from(bytes: &[u8]) -> Result<Option<Self>, FrameError> {
         let Some(magic) = read_u16(bytes, 0) else { return Ok(None) };
         if magic != FRAME_MAGIC {
--- a/protocol/src/frame/limits.rs
+++ b/protocol/src/frame/limits.rs
@@ -1,6 +1,7 @@
 //! The protocol version and the limits of frames.
 
-/// The version of all messages. It rises with any change of their encoding; there is no compatibility between versions.
+/// The version of all messages. It rises with any change of their encoding; there is no compatibility between
+/// versions.
 pub const PROTOCOL_VERSION: u16 = 2;
 /// The longest fragment of a body, in bytes. A link of 10 Mbit/s takes 13 ms for it.
 pub const FRAGMENT_BYTES: usize = 16 * 1024;
--- a/protocol/src/frame/mod.rs
+++ b/protocol/src/frame/mod.rs
@@ -10,14 +10,15 @@
 //! | 8 | 4 | [`crate::hash::checksum`] of the body |
 //! | 12 | | body |
 //!
-//! The body is a message, encoded with `speedy`. A compressed body is the length of the message in four bytes, and the message
-//! as [`crate::compression`] encodes it.
+//! The body is a message, encoded with `speedy`. A compressed body is the length of the message in four
+//! bytes, and the message as [`crate::compression`] encodes it.
 //!
-//! A body of more than [`FRAGMENT_BYTES`] can be sent as several frames, each with a fragment of it. The fragments of one message
-//! follow each other; whole messages may be sent between them, so that heartbeats are not delayed by a large message, and each
-//! fragment shows the receiver that the sender is alive.
+//! A body of more than [`FRAGMENT_BYTES`] can be sent as several frames, each with a fragment of it. The
+//! fragments of one message follow each other; whole messages may be sent between them, so that heartbeats
+//! are not delayed by a large message, and each fragment shows the receiver that the sender is alive.
 //!
-//! Any error ends the connection. No state is lost by that, as every message is sent again or fetched over the next one.
+//! Any error ends the connection. No state is lost by that, as every message is sent again or fetched over
+//! the next one.
 
 mod decoder;
 mod encoder;
--- a/protocol/src/ids.rs
+++ b/protocol/src/ids.rs
@@ -7,8 +7,8 @@
 
 use crate::hash::fnv1a_hash;
 
-/// A control node or a router, identified by the IPv4 address of its machine. The id survives a restart of the process; see
-/// [`Ballot::incarnation`] and [`crate::peer::Heartbeat::incarnation`] for what does not.
+/// A control node or a router, identified by the IPv4 address of its machine. The id survives a restart of
+/// the process; see [`Ballot::incarnation`] and [`crate::peer::Heartbeat::incarnation`] for what does not.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct NodeId(pub u32);
 
@@ -33,8 +33,8 @@
 
 /// A replica of the control state: one formatted disk on one machine.
 ///
-/// Quorums count replicas, not nodes. A machine that comes back with an empty disk has lost its promises, so it is another
-/// replica and must not vote as the one before.
+/// Quorums count replicas, not nodes. A machine that comes back with an empty disk has lost its promises, so
+/// it is another replica and must not vote as the one before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct ReplicaId {
     /// The machine.
@@ -51,9 +51,9 @@
 
 /// A proposal number (Lamport, "Paxos Made Simple", section 2.2), ordered by counter, node, incarnation.
 ///
-/// A ballot identifies one term of leadership of a partition. An acceptor that has promised a ballot rejects all lower ones,
-/// so a ballot also serves as a fencing token. No two terms share one: the incarnation is drawn at random at each start of a
-/// process.
+/// A ballot identifies one term of leadership of a partition. An acceptor that has promised a ballot rejects
+/// all lower ones, so a ballot also serves as a fencing token. No two terms share one: the incarnation is
+/// drawn at random at each start of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct Ballot {
     /// Greater than the counter of every ballot that the candidate knew of.
@@ -70,17 +70,20 @@
     }
 }
 
-/// The number of partitions that keys are hashed to. The configuration has a partition of its own beside these.
+/// The number of partitions that keys are hashed to. The configuration has a partition of its own beside
+/// these.
 pub const HASHED_PARTITIONS: u8 = 8;
 
-/// A partition of the control state. Each one is replicated by its own consensus instance and has its own leader.
+/// A partition of the control state. Each one is replicated by its own consensus instance and has its own
+/// leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct PartitionId(pub u8);
 
 impl PartitionId {
     /// Holds the operator's configuration.
     pub const CONFIGURATION: Self = Self(0);
-    /// Decides the next membership. Its state is replaced with each membership, so it is none of [`PartitionId::all`].
+    /// Decides the next membership. Its state is replaced with each membership, so it is none of
+    /// [`PartitionId::all`].
     pub const MEMBERSHIP: Self = Self(HASHED_PARTITIONS + 1);
 
     /// The partitions with durable state: the configuration and the hashed ones, in ascending order.
--- a/protocol/src/lib.rs
+++ b/protocol/src/lib.rs
@@ -1,5 +1,5 @@
-//! The wire formats of the system: messages between its processes, their framing, the settings file and the operator's
-//! configuration. Encodes, decodes and validates; has no sockets and no clock.
+//! The wire formats of the system: messages between its processes, their framing, the settings file and the
+//! operator's configuration. Encodes, decodes and validates; has no sockets and no clock.
 //!
 //! - [`ids`]: nodes, replicas, ballots and partitions
 //! - [`peer`]: messages between control nodes
@@ -11,9 +11,9 @@
 //! - [`compression`]: LZ77 compression of large messages
 //! - [`hash`]: hash functions that are the same everywhere
 //!
-//! Messages and stored values are encoded with `speedy` in little-endian order, which encodes the fields of a struct and the
-//! variants of an enum by position: a field or variant may be renamed, but moving, adding or removing one changes the format and
-//! needs a new [`frame::PROTOCOL_VERSION`].
+//! Messages and stored values are encoded with `speedy` in little-endian order, which encodes the fields of a
+//! struct and the variants of an enum by position: a field or variant may be renamed, but moving, adding or
+//! removing one changes the format and needs a new [`frame::PROTOCOL_VERSION`].
 
 pub mod compression;
 pub mod configuration;
--- a/protocol/src/peer/admin.rs
+++ b/protocol/src/peer/admin.rs
@@ -23,14 +23,16 @@
     },
     /// Reads the configuration; the read is linearizable.
     Read,
-    /// Starts or ends the evacuation of a zone: routers send nothing more to the servers of an evacuated zone.
+    /// Starts or ends the evacuation of a zone: routers send nothing more to the servers of an evacuated
+    /// zone.
     Evacuate {
         /// The zone.
         zone: String,
         /// Whether the zone is to be evacuated from now on.
         active: bool,
-        /// The zone's change count as the node that received the request from the operator knew it. A request with an older
-        /// count than the zone's is not carried out: its sender has timed out, and the zone has changed since.
+        /// The zone's change count as the node that received the request from the operator knew it. A request
+        /// with an older count than the zone's is not carried out: its sender has timed out, and the zone has
+        /// changed since.
         change_count: u64,
     },
 }
@@ -64,6 +66,7 @@
     },
     /// The request is invalid; the text says why. Nothing was changed.
     Invalid(String),
-    /// The outcome is unknown: the change may have been committed or not. The text says what the operator can do.
+    /// The outcome is unknown: the change may have been committed or not. The text says what the operator can
+    /// do.
     Unavailable(String),
 }
--- a/protocol/src/peer/membership.rs
+++ b/protocol/src/peer/membership.rs
@@ -11,22 +11,24 @@
     pub replica: ReplicaId,
     /// The zone of the replica's machine.
     pub zone: String,
-    /// The generation that added the voter. A voter that was added after the first generation must not vote before it has
-    /// received the state of a quorum of the previous generation: see [`crate::peer::PeerMessage::StateTransferRequest`].
+    /// The generation that added the voter. A voter that was added after the first generation must not vote
+    /// before it has received the state of a quorum of the previous generation: see
+    /// [`crate::peer::PeerMessage::StateTransferRequest`].
     pub joined_generation: u64,
 }
 
 /// The replicas that vote, under a generation number.
 ///
-/// Each generation is chosen by a quorum of the previous one in [`crate::ids::PartitionId::MEMBERSHIP`] and replaces one voter.
-/// Votes count only within one generation: see [`crate::peer::PeerMessage::Consensus`].
+/// Each generation is chosen by a quorum of the previous one in [`crate::ids::PartitionId::MEMBERSHIP`] and
+/// replaces one voter. Votes count only within one generation: see [`crate::peer::PeerMessage::Consensus`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Readable, Writable)]
 pub struct Membership {
     /// The number of this membership; 1 for the first, 0 for none.
     pub generation: u64,
     /// The voters, ordered by replica.
     pub voters: Vec<Voter>,
-    /// The voters of the previous generation, from which a new voter fetches its state; empty in the first generation.
+    /// The voters of the previous generation, from which a new voter fetches its state; empty in the first
+    /// generation.
     pub previous: Vec<Voter>,
 }
 
@@ -81,7 +83,8 @@
     /// The replica knows of no membership.
     #[default]
     Uninitialized,
-    /// The replica receives committed values and does not vote: it is no voter, or a voter whose state transfer is not complete.
+    /// The replica receives committed values and does not vote: it is no voter, or a voter whose state
+    /// transfer is not complete.
     Learner,
     /// The replica votes.
     Voter,
--- a/protocol/src/peer/mod.rs
+++ b/protocol/src/peer/mod.rs
@@ -1,8 +1,9 @@
 //! Messages between control nodes.
 //!
-//! Every control node has a connection to every other one, and messages may be lost, delayed and delivered in another order.
-//! A receiver discards what is older than its own state: by ballot and sequence within a partition, by generation across
-//! memberships, by incarnation and sequence for heartbeats, by [`crate::watch::ServerListPosition`] for the server list.
+//! Every control node has a connection to every other one, and messages may be lost, delayed and delivered in
+//! another order. A receiver discards what is older than its own state: by ballot and sequence within a
+//! partition, by generation across memberships, by incarnation and sequence for heartbeats, by
+//! [`crate::watch::ServerListPosition`] for the server list.
 //!
 //! - [`PeerMessage`]: what is sent
 //! - `membership`: the voters
@@ -29,20 +30,21 @@
 pub enum PeerMessage {
     /// Sent periodically to all control nodes.
     Heartbeat(Heartbeat),
-    /// A membership that was chosen. Sent to all nodes when it is chosen, and to a node whose heartbeat shows an older generation.
-    /// The receiver adopts it if its generation is higher than its own.
+    /// A membership that was chosen. Sent to all nodes when it is chosen, and to a node whose heartbeat shows
+    /// an older generation. The receiver adopts it if its generation is higher than its own.
     Membership(Membership),
-    /// From a voter that has not received the state of its predecessors yet, to the voters of the previous generation.
+    /// From a voter that has not received the state of its predecessors yet, to the voters of the previous
+    /// generation.
     StateTransferRequest {
-        /// The incarnation of the requesting process. It is returned in the answer, so that an answer to an earlier process,
-        /// whose merged state may be lost, does not count.
+        /// The incarnation of the requesting process. It is returned in the answer, so that an answer to an
+        /// earlier process, whose merged state may be lost, does not count.
         incarnation: u64,
         /// The generation that the requester joins.
         generation: u64,
     },
-    /// The sender's whole acceptor state, in answer to [`PeerMessage::StateTransferRequest`]. It is durable at the sender, which
-    /// accepts and promises nothing more under an older generation. The requester votes after it has merged the states of a
-    /// quorum of the previous generation.
+    /// The sender's whole acceptor state, in answer to [`PeerMessage::StateTransferRequest`]. It is durable
+    /// at the sender, which accepts and promises nothing more under an older generation. The requester votes
+    /// after it has merged the states of a quorum of the previous generation.
     StateTransfer {
         /// The incarnation in the request.
         incarnation: u64,
@@ -55,21 +57,22 @@
     },
     /// A message of the consensus instance of one partition.
     Consensus {
-        /// The sender's generation. `Commit`, `Fetch` and `Committed` are valid under any generation; a receiver of another
-        /// generation discards all other messages, and sends its membership where the sender's generation is the lower one.
+        /// The sender's generation. `Commit`, `Fetch` and `Committed` are valid under any generation; a
+        /// receiver of another generation discards all other messages, and sends its membership if the
+        /// sender's generation is the lower one.
         generation: u64,
         /// The partition.
         partition: PartitionId,
         /// The message.
         message: ConsensusMessage,
     },
-    /// An operator's request, from the node that received it to the leader of its partition. It is sent again until it is
-    /// answered or times out; the leader carries it out once.
+    /// An operator's request, from the node that received it to the leader of its partition. It is sent again
+    /// until it is answered or times out; the leader carries it out once.
     ForwardRequest {
         /// Random id of the request, returned in the response. No other request of any process has it.
         request_id: u64,
-        /// The sequence of the last heartbeat that the sender has received from the leader. The leader discards a request whose
-        /// heartbeat is too old, as its sender may have timed out long ago.
+        /// The sequence of the last heartbeat that the sender has received from the leader. The leader
+        /// discards a request whose heartbeat is too old, as its sender may have timed out long ago.
         last_heartbeat: u64,
         /// The request.
         request: AdminRequest,
@@ -83,10 +86,10 @@
     },
     /// All routers that have a watch session with the sender. Replaces what the sender has reported before.
     RouterSessions(Vec<Router>),
-    /// A change of the server list, or the whole list. Sent by the node that reads the list from the platform, and in answer to
-    /// [`PeerMessage::ServerListRequest`].
+    /// A change of the server list, or the whole list. Sent by the node that reads the list from the
+    /// platform, and in answer to [`PeerMessage::ServerListRequest`].
     ServerList(ServerListUpdate),
-    /// Asks for the whole server list. Sent to a node whose heartbeat shows a newer position, and after an update that does not
-    /// follow on the sender's position.
+    /// Asks for the whole server list. Sent to a node whose heartbeat shows a newer position, and after an
+    /// update that does not follow on the sender's position.
     ServerListRequest,
 }
--- a/protocol/src/server_list.rs
+++ b/protocol/src/server_list.rs
@@ -1,7 +1,8 @@
 //! The versioned list of servers, as its reader builds it and as all other nodes replicate it.
 //!
-//! One control node at a time, the holder of a singleton role, reads the list from the platform and numbers its versions under
-//! its ballot. The ballot fences the list: an update with a lower one comes from a replaced reader and is discarded.
+//! One control node at a time, the holder of a singleton role, reads the list from the platform and numbers
+//! its versions under its ballot. The ballot fences the list: an update with a lower one comes from a
+//! replaced reader and is discarded.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,8 +12,8 @@
 
 /// The number of past changes that are kept, for replicas that are behind by no more than these.
 const MAX_HISTORY_LENGTH: usize = 64;
-/// A moment that moved by no more than this is unchanged: the platform gives remaining spans, and reading them takes a varying
-/// time.
+/// A moment that moved by no more than this is unchanged: the platform gives remaining spans, and reading
+/// them takes a varying time.
 const TIME_TOLERANCE: Nanos = 400 * MILLISECOND;
 
 /// A server, with its moments on this node's clock.
@@ -102,8 +103,9 @@
         self.entries.is_empty()
     }
 
-    /// Replaces the list by the one that this node has read from the platform, as the reader with this ballot. Returns the update
-    /// for all other nodes; none where nothing has changed, or a reader with a higher ballot has taken over.
+    /// Replaces the list by the one that this node has read from the platform, as the reader with this
+    /// ballot. Returns the update for all other nodes; `None` if nothing has changed, or a reader with a
+    /// higher ballot has taken over.
     pub fn apply_platform_list(
         &mut self,
         now: Nanos,
@@ -152,8 +154,9 @@
         }
     }
 
-    /// Applies an update of another node. An update that is not newer than this replica is discarded. False where the update is a
-    /// change of a version that this replica does not have: the caller has to request the whole list.
+    /// Applies an update of another node. An update that is not newer than this replica is discarded. Returns
+    /// false if the update is a change of a version that this replica does not have: the caller has to
+    /// request the whole list.
     #[must_use]
     pub fn apply_update(&mut self, now: Nanos, update: ServerListUpdate) -> bool {
         let ServerListUpdate { ballot, from, to, upsert, removed } = update;
@@ -184,7 +187,7 @@
         ServerListUpdate { ballot, from: None, to: number, upsert, removed: Vec::new() }
     }
 
-    /// The changes since a version, or the whole list where they are not kept.
+    /// The changes since a version, or the whole list if they are not kept.
     pub fn update_since(&self, now: Nanos, since: ServerListPosition) -> ServerListUpdate {
         let is_kept = since.ballot == self.position.ballot
             && self.history.front().is_some_and(|oldest| oldest.from <= since.number);
--- a/protocol/src/settings/bounds.rs
+++ b/protocol/src/settings/bounds.rs
@@ -12,7 +12,8 @@
     /// Seconds from the signal to shut down until the process is killed.
     #[serde(rename = "grace_s")]
     pub shutdown_grace_s: f64,
-    /// The retry budget of a service: retries as a ratio of its requests, within [`Bounds::retry_budget_window_s`].
+    /// The retry budget of a service: retries as a ratio of its requests, within
+    /// [`Bounds::retry_budget_window_s`].
     #[serde(rename = "budget_ratio")]
     pub retry_budget_ratio: f64,
     /// The window of the retry budget, in seconds.
--- a/protocol/src/settings/mod.rs
+++ b/protocol/src/settings/mod.rs
@@ -1,6 +1,6 @@
 //! The settings file with which the platform starts a process. Unknown fields are ignored.
 //!
-//! A field keeps its name in the file as a `serde` attribute where the code uses the standard term.
+//! A field that the code calls by the standard term keeps its name in the file as a `serde` attribute.
 
 mod bounds;
 mod error;
@@ -72,13 +72,14 @@
     /// Addresses of control nodes to contact first.
     #[serde(default)]
     pub seeds: Vec<SocketAddrV4>,
-    /// Whether this is the first start of the whole deployment: control nodes may create the first membership.
+    /// Whether this is the first start of the whole deployment: control nodes may create the first
+    /// membership.
     #[serde(default)]
     pub first_start: bool,
     /// The resources of the process.
     #[serde(default)]
     pub limits: ResourceLimits,
-    /// The directory on the machine's disk; none where the machine has no disk.
+    /// The directory on the machine's disk; `None` if the machine has no disk.
     #[serde(default)]
     pub data_dir: Option<PathBuf>,
     /// The faults that the deployment has to tolerate.
@@ -139,7 +140,7 @@
         select(&self.listen).ok_or_else(|| SettingsError::MissingAddress { field, role: self.role.clone() })
     }
 
-    /// The region of a zone; the zone's own name where the settings don't list it.
+    /// The region of a zone; the zone's own name if the settings don't list it.
     pub fn region_of<'a>(&'a self, zone: &'a str) -> &'a str {
         self.zones.get(zone).map_or(zone, String::as_str)
     }
--- a/protocol/src/shared.rs
+++ b/protocol/src/shared.rs
@@ -5,8 +5,8 @@
 
 use speedy::{Context, Readable, Reader, Writable, Writer};
 
-/// A large part of a message. Clones share one value, so that a message to many watchers is held in memory once, and a sender
-/// can encode it once.
+/// A large part of a message. Clones share one value, so that a message to many watchers is held in memory
+/// once, and a sender can encode it once.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Shared<T>(Arc<T>);
 
--- a/protocol/src/watch/endpoints.rs
+++ b/protocol/src/watch/endpoints.rs
@@ -12,7 +12,8 @@
     Starting,
     /// The router accepts requests.
     Ready,
-    /// The router is shutting down gracefully: it completes its requests, and clients should not send it new ones.
+    /// The router is shutting down gracefully: it completes its requests, and clients should not send it new
+    /// ones.
     Draining,
 }
 
@@ -33,8 +34,8 @@
 
 /// A server of the platform's list.
 ///
-/// Times are remaining spans, as control nodes and routers share no clock. They are as of the encoding of the message; see
-/// [`crate::server_list::ServerList`].
+/// Times are remaining spans, as control nodes and routers share no clock. They are as of the encoding of the
+/// message; see [`crate::server_list::ServerList`].
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Server {
     /// Identifies one incarnation of the server; a restarted server has another id.
@@ -49,8 +50,9 @@
     pub slots: u32,
     /// Whether the server is draining. It must not get new requests.
     pub draining: bool,
-    /// Milliseconds until the server is warm; 0 once it is. Its request rate is limited meanwhile (slow start).
+    /// Milliseconds until the server is warm; 0 once it is. Its request rate is limited meanwhile (slow
+    /// start).
     pub warm_up_remaining_ms: u32,
-    /// Milliseconds until the platform stops the server; none where no stop is announced.
+    /// Milliseconds until the platform stops the server; `None` if no stop is announced.
     pub lifetime_remaining_ms: Option<u32>,
 }
--- a/protocol/src/watch/mod.rs
+++ b/protocol/src/watch/mod.rs
@@ -1,9 +1,10 @@
 //! Messages between a control node and the routers that watch it.
 //!
-//! The protocol follows etcd's watch: a watcher names the version that it has and receives the changes since then, or a snapshot
-//! where the changes are no longer kept. Versions are the same at every control node, so a watcher can continue with another
-//! node at any time. It has sessions with several nodes, takes changes from one of them (the primary) and fetches from the others
-//! what that one does not bring. It discards whatever is not newer than what it has.
+//! The protocol follows etcd's watch: a watcher names the version that it has and receives the changes since
+//! then, or a snapshot if the changes are no longer kept. Versions are the same at every control node, so a
+//! watcher can continue with another node at any time. It has sessions with several nodes, takes changes from
+//! one of them (the primary) and fetches from the others what that one does not bring. It discards whatever
+//! is not newer than what it has.
 //!
 //! - [`WatchRequest`], [`WatchResponse`]: what is sent
 //! - `position`: versions
@@ -26,21 +27,24 @@
 /// A message from a watcher to a control node.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum WatchRequest {
-    /// The first message of a session, sent again when `primary` changes. The control node registers the router.
+    /// The first message of a session, sent again when `primary` changes. The control node registers the
+    /// router.
     Subscribe {
         /// The watcher.
         router: Router,
-        /// Whether the control node is to send every change as it comes. It sends only [`WatchResponse::Progress`] otherwise.
+        /// Whether the control node is to send every change as it comes. It sends only
+        /// [`WatchResponse::Progress`] otherwise.
         primary: bool,
         /// The versions that the watcher has.
         position: Position,
     },
-    /// Sent periodically and whenever the router's state changes. A session without one is closed after a timeout.
+    /// Sent periodically and whenever the router's state changes. A session without one is closed after a
+    /// timeout.
     Heartbeat {
         /// The router's readiness.
         state: RouterState,
     },
-    /// Asks once for everything that is newer, where the primary has not brought it in time.
+    /// Asks once for everything that is newer, if the primary has not brought it in time.
     Fetch {
         /// The versions that the watcher has.
         position: Position,
@@ -50,15 +54,16 @@
 /// A message from a control node to a watcher.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum WatchResponse {
-    /// The versions that the control node has (as etcd's progress notification). Sent on each change, and periodically as the
-    /// control node's heartbeat.
+    /// The versions that the control node has (as etcd's progress notification). Sent on each change, and
+    /// periodically as the control node's heartbeat.
     Progress {
         /// The versions that the control node has.
         position: Position,
-        /// Whether the control node is connected to a quorum of the voters. Without one its versions may be stale.
+        /// Whether the control node is connected to a quorum of the voters. Without one its versions may be
+        /// stale.
         has_quorum: bool,
-        /// The number of routers, also of those that other control nodes have reported; 0 while the control node can't know all
-        /// of them. Rate limits that hold for all routers together are divided by it.
+        /// The number of routers, also of those that other control nodes have reported; 0 while the control
+        /// node can't know all of them. Rate limits that hold for all routers together are divided by it.
         router_count: u32,
         /// The watcher's index among these routers, from 0 to `router_count - 1`.
         router_index: u32,
--- a/protocol/src/watch/position.rs
+++ b/protocol/src/watch/position.rs
@@ -6,8 +6,9 @@
 
 /// A version of the server list.
 ///
-/// One control node at a time reads the list from the platform and numbers its versions. Positions are ordered by ballot, then
-/// by number, so that a version of a replaced reader is older than any version of its successor.
+/// One control node at a time reads the list from the platform and numbers its versions. Positions are
+/// ordered by ballot, then by number, so that a version of a replaced reader is older than any version of its
+/// successor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct ServerListPosition {
     /// The ballot under which the reader holds its role.
--- a/protocol/src/watch/updates.rs
+++ b/protocol/src/watch/updates.rs
@@ -37,7 +37,8 @@
 pub struct EvacuationUpdate {
     /// The partition.
     pub partition: PartitionId,
-    /// The sequence of the partition's last committed change. An update whose sequence is not higher than the receiver's is stale.
+    /// The sequence of the partition's last committed change. An update whose sequence is not higher than the
+    /// receiver's is stale.
     pub sequence: u64,
     /// Every zone of the partition that was ever evacuated.
     pub zones: Vec<ZoneEvacuation>,
--- a/protocol/tests/golden.rs
+++ b/protocol/tests/golden.rs
@@ -1,6 +1,8 @@
-//! The bytes of each message between processes stay as they are stored in `golden/`: in both directions, whole and framed.
+//! The bytes of each message between processes stay as they are stored in `golden/`: in both directions,
+//! whole and framed.
 //!
-//! A new message is added by `UPDATE_GOLDEN=1 cargo test -p ivyhatch-protocol --test golden`; a line that is there never changes.
+//! A new message is added by `UPDATE_GOLDEN=1 cargo test -p ivyhatch-protocol --test golden`; a line that is
+//! there never changes.
 
 mod golden_files;
 
@@ -368,7 +370,8 @@
     std::iter::from_fn(|| decoder.next_message().expect("sound frames")).collect()
 }
 
-/// Compares the frame of each message with the golden file, and each golden frame's message with the one that made it.
+/// Compares the frame of each message with the golden file, and each golden frame's message with the one that
+/// made it.
 fn check_messages<M>(file: &str, messages: &[(String, M)])
 where
     M: for<'a> Readable<'a, LittleEndian> + Writable<LittleEndian> + PartialEq + Debug,
--- a/protocol/tests/golden_configuration.rs
+++ b/protocol/tests/golden_configuration.rs
@@ -1,5 +1,5 @@
-//! How a configuration and a patch are read, kept and given back stays as it is, as do the texts for invalid ones: whole documents
-//! and texts are kept in `golden/`.
+//! How a configuration and a patch are read, kept and given back stays as it is, as do the texts for invalid
+//! ones: whole documents and texts are kept in `golden/`.
 
 mod golden_files;
 
@@ -130,7 +130,7 @@
 }
 
 #[gtest]
-fn fields_that_a_configuration_lacks_have_their_default_values() {
+fn missing_fields_have_their_default_values() {
     let document = Document::parse(br#"{"revision":1}"#).expect("a readable configuration");
     let limits = RequestLimits {
         max_header_bytes: 16_384.0,
@@ -153,7 +153,7 @@
 }
 
 #[gtest]
-fn golden_configuration_is_given_back_as_the_golden_text() {
+fn golden_configuration_is_encoded_as_the_golden_text() {
     let document = document();
     compare_text("configuration-text.json", &document.to_json());
     let sections: Vec<&str> = document.sections.keys().map(String::as_str).collect();
@@ -178,7 +178,7 @@
 }
 
 #[gtest]
-fn configurations_that_cannot_be_read_are_refused_with_the_same_texts() {
+fn unreadable_configurations_are_rejected_with_the_golden_texts() {
     let errors = [
         ("not_json", error_with("\"revision\": 41,", "\"revision\" 41,")),
         ("not_an_object", Document::parse(b"[]").expect_err("refused").to_string()),
@@ -199,7 +199,7 @@
 }
 
 #[gtest]
-fn configurations_that_make_no_sense_are_refused_with_the_same_texts() {
+fn invalid_configurations_are_rejected_with_the_golden_texts() {
     let weights =
         "[{\"service\": \"chat-large\", \"weight\": 3}, {\"service\": \"chat-small\", \"weight\": 0.5}]";
     let order = "\"host\": \"shop.example\", \"path_prefix\": \"/\"";
@@ -220,7 +220,7 @@
 }
 
 #[gtest]
-fn patches_that_cannot_be_read_are_refused_with_the_same_texts() {
+fn unreadable_patches_are_rejected_with_the_golden_texts() {
     let errors = [
         ("cut_short", patch_error(r#"{"revision":42,"upsert":{"routes":[{"name":"#)),
         ("revision_missing", patch_error(r#"{"upsert":{}}"#)),
--- a/protocol/tests/golden_files/mod.rs
+++ b/protocol/tests/golden_files/mod.rs
@@ -49,8 +49,8 @@
     assert_eq!(text, read(file), "{file}");
 }
 
-/// Compares the lines with those of the golden file, which has to hold the same names in the same order, and returns those of the
-/// file. Where the environment asks for an update, the file is written first.
+/// Compares the lines with those of the golden file, which has to hold the same names in the same order, and
+/// returns those of the file. Where the environment asks for an update, the file is written first.
 pub fn compare(file: &str, lines: &[GoldenLine]) -> Vec<GoldenLine> {
     if is_update() {
         write(file, &to_text(lines));
--- a/protocol/tests/golden_settings.rs
+++ b/protocol/tests/golden_settings.rs
@@ -1,4 +1,5 @@
-//! The fields, default values and error texts of a process's settings file stay as they are: whole files are kept in `golden/`.
+//! The fields, default values and error texts of a process's settings file stay as they are: whole files are
+//! kept in `golden/`.
 
 mod golden_files;
 
@@ -53,7 +54,7 @@
 }
 
 #[gtest]
-fn figures_of_a_file_with_every_field_are_read() {
+fn limits_and_bounds_of_a_file_with_every_field_are_read() {
     let settings = read(EVERY_FIELD);
     expect_that!(settings.limits.cpu_share, eq(0.35));
     expect_that!(settings.limits.memory_mb, eq(310.5));
@@ -74,7 +75,7 @@
 }
 
 #[gtest]
-fn fields_that_a_file_lacks_have_their_default_values() {
+fn missing_fields_have_their_default_values() {
     let settings = read(REQUIRED_FIELDS);
     expect_that!(settings.role.as_str(), eq(""));
     expect_that!(settings.zones.len(), eq(0));
@@ -103,7 +104,7 @@
 }
 
 #[gtest]
-fn wrong_files_are_refused_with_the_same_texts() {
+fn malformed_files_are_rejected_with_the_golden_texts() {
     let texts = [
         ("field_missing", error_with("\"node_name\": \"relay-lim-1\",", "")),
         ("nested_field_missing", error_with("\"address\": \"10.250.0.5:9200\", ", "")),
@@ -121,7 +122,7 @@
 }
 
 #[gtest]
-fn settings_that_are_not_there_are_refused_with_the_same_texts() {
+fn missing_settings_are_rejected_with_the_same_texts() {
     let unread = Settings::from_file(Path::new("/nonexistent/node.json")).expect_err("no such file");
     let text = "settings file /nonexistent/node.json: No such file or directory (os error 2): check the path and who may read it";
     expect_that!(unread.to_string().as_str(), eq(text));
--- a/protocol/tests/properties.rs
+++ b/protocol/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Properties of all decoders on arbitrary and corrupted input: the result is a typed error or a value that round-trips; there are
-//! no panics, and memory is bounded by the length of the input.
+//! Properties of all decoders on arbitrary and corrupted input: the result is a typed error or a value that
+//! round-trips; there are no panics, and memory is bounded by the length of the input.
 //!
 //! A longer run: `PROPTEST_CASES=100000 cargo test --release -p ivyhatch-protocol --test properties`.
 
--- a/wal/src/compaction.rs
+++ b/wal/src/compaction.rs
@@ -9,9 +9,11 @@
 pub const MIN_COMPACTION_BYTES: u64 = 2 << 20;
 /// A file is rewritten at this multiple of its snapshot's length ...
 const GROWTH_FACTOR: u64 = 6;
-/// ... or at this length in bytes, whichever is less: the file, its last block and its replacement have to fit on a disk of 64 MB.
+/// ... or at this length in bytes, whichever is less: the file, its last block and its replacement have to
+/// fit on a disk of 64 MB.
 pub const MAX_COMPACTION_BYTES: u64 = 24 << 20;
-/// A file whose snapshot alone comes near [`MAX_COMPACTION_BYTES`] is rewritten at this multiple of the snapshot's length.
+/// A file whose snapshot alone comes near [`MAX_COMPACTION_BYTES`] is rewritten at this multiple of the
+/// snapshot's length.
 const LARGE_STATE_GROWTH_FACTOR: u64 = 2;
 /// After a compaction that failed, the next one is attempted when the file has grown by this, in bytes.
 const RETRY_GROWTH_BYTES: u64 = 256 << 10;
@@ -29,7 +31,8 @@
 /// The outcome of an append that succeeded.
 #[derive(Debug)]
 pub struct AppendOutcome {
-    /// Why the compaction that was due has failed. The records are durable all the same, and a later append attempts it again.
+    /// Why the compaction that was due has failed. The records are durable all the same, and a later append
+    /// attempts it again.
     pub compaction_error: Option<WalError>,
 }
 
@@ -44,12 +47,13 @@
         self.wal.length()
     }
 
-    /// Appends records; they are durable when this returns without an error. `snapshot` gives records that can replace all records
-    /// of the log, the appended ones included; it is called only when the file is to be rewritten.
+    /// Appends records; they are durable when this returns without an error. `snapshot` gives records that
+    /// can replace all records of the log, the appended ones included; it is called only when the file is to
+    /// be rewritten.
     ///
     /// # Errors
-    /// Where the records may not be durable. The caller has to repeat the same call until it succeeds, and must not append
-    /// anything else before.
+    /// If the records may not be durable. The caller has to repeat the same call until it succeeds, and must
+    /// not append anything else before.
     pub fn append(
         &mut self,
         records: &[Vec<u8>],
@@ -66,8 +70,8 @@
         Ok(AppendOutcome { compaction_error: self.compact_if_due(snapshot).err() })
     }
 
-    /// Repeats an append that failed: by a rewrite, as the present file may be beyond use; else by another append, as the disk may
-    /// have no space for a second file.
+    /// Repeats an append that failed: by a rewrite, as the present file may be beyond use; else by another
+    /// append, as the disk may have no space for a second file.
     fn retry(&mut self, records: &[Vec<u8>], snapshot: impl Fn() -> Vec<Vec<u8>>) -> Result<(), WalError> {
         let Err(error) = self.rewrite(&snapshot()) else { return Ok(()) };
         if self.wal.append(records).is_err() {
--- a/wal/src/error.rs
+++ b/wal/src/error.rs
@@ -83,7 +83,8 @@
 }
 
 impl WalError {
-    /// Whether the file was set aside. The log has lost its records, and opening it again creates an empty one.
+    /// Whether the file was set aside. The log has lost its records, and opening it again creates an empty
+    /// one.
     pub fn is_set_aside(&self) -> bool {
         matches!(self, Self::Damaged { .. } | Self::UnsupportedFormat { .. } | Self::UndecodableRecord { .. })
     }
--- a/wal/src/format/decoder.rs
+++ b/wal/src/format/decoder.rs
@@ -12,7 +12,8 @@
 pub(crate) struct DecodedBlocks {
     /// The records of all valid blocks, in order.
     pub records: Vec<Vec<u8>>,
-    /// Where the valid blocks end, in bytes from the beginning of the file. Behind that there is at most one torn block.
+    /// Where the valid blocks end, in bytes from the beginning of the file. Behind that there is at most one
+    /// torn block.
     pub length: usize,
     pub block_count: u32,
 }
@@ -74,7 +75,8 @@
 }
 
 fn decode_unnumbered_file(bytes: &[u8]) -> DecodedFile {
-    // Format version 1 synced its first block before the log was used, so a file without a valid block is damaged.
+    // Format version 1 synced its first block before the log was used, so a file without a valid block is
+    // damaged.
     let durable_end = 1;
     match decode_blocks(bytes, 0, durable_end, BlockLayout::Unnumbered) {
         Ok(blocks) => DecodedFile::Unnumbered(blocks),
@@ -106,7 +108,8 @@
 /// Decodes the blocks from `start` on.
 ///
 /// # Errors
-/// The offset of damage that a crash does not explain: anywhere before `durable_end`, or before a valid block.
+/// The offset of damage that a crash does not explain: anywhere before `durable_end`, or before a valid
+/// block.
 fn decode_blocks(
     bytes: &[u8],
     start: usize,
@@ -158,7 +161,7 @@
     (sum == expected).then_some(Block { number, body })
 }
 
-/// The records of a body; none where a length does not fit.
+/// The records of a body; `None` if a length does not fit.
 fn decode_records(body: &[u8]) -> Option<Vec<Vec<u8>>> {
     let (mut records, mut offset) = (Vec::new(), 0);
     while offset < body.len() {
--- a/wal/src/format/encoder.rs
+++ b/wal/src/format/encoder.rs
@@ -11,7 +11,8 @@
     pub block_count: u32,
 }
 
-/// A file of one block with these records, or of none without records. It must be durable before it is renamed to the log's name.
+/// A file of one block with these records, or of none without records. It must be durable before it is
+/// renamed to the log's name.
 pub(crate) fn encode_file(records: &[Vec<u8>]) -> EncodedFile {
     let (mut blocks, mut block_count) = (Vec::new(), 0);
     if !records.is_empty() {
--- a/wal/src/format/layout.rs
+++ b/wal/src/format/layout.rs
@@ -1,4 +1,5 @@
-//! Magic numbers, lengths and checksums of the format; the table is in the documentation of the parent module.
+//! Magic numbers, lengths and checksums of the format; the table is in the documentation of the parent
+//! module.
 
 use ivyhatch_protocol::hash::checksum;
 
--- a/wal/src/wal.rs
+++ b/wal/src/wal.rs
@@ -21,8 +21,8 @@
     Ready(F),
     /// An append failed: there may be bytes behind the durable ones.
     TailUnknown(F),
-    /// A rewrite failed after it began to rename its file. Which file a loss of power would leave under the name is unknown, so
-    /// that an append to either could be lost.
+    /// A rewrite failed after it began to rename its file. Which file a loss of power would leave under the
+    /// name is unknown, so that an append to either could be lost.
     NameUnknown,
 }
 
@@ -52,16 +52,17 @@
 }
 
 impl<S: Storage> Wal<S> {
-    /// Opens the log of this name, and creates a file that is missing. The records that are returned are durable, as are the names
-    /// of the file and of its directory.
+    /// Opens the log of this name, and creates a file that is missing. The records that are returned are
+    /// durable, as are the names of the file and of its directory.
     ///
     /// # Errors
-    /// [`WalError::Damaged`] and [`WalError::UnsupportedFormat`] after the file was set aside: the next call creates an empty log.
-    /// [`WalError::Io`] and [`WalError::DiskFull`] where an operation failed.
+    /// [`WalError::Damaged`] and [`WalError::UnsupportedFormat`] after the file was set aside: the next call
+    /// creates an empty log. [`WalError::Io`] and [`WalError::DiskFull`] if an operation failed.
     pub fn open_in(storage: S, name: &str) -> Result<OpenedWal<S>, WalError> {
         let io_error = |source| WalError::from_io(storage.path(name), source);
         storage.create_directory().map_err(io_error)?;
-        // The file of a rewrite that was not completed has no records that count, and does no harm if it can't be removed.
+        // The file of a rewrite that was not completed has no records that count, and does no harm if it
+        // can't be removed.
         let _ = storage.remove(&temporary_name(name));
         let Some(mut file) = storage.open(name).map_err(io_error)? else {
             return Ok((Self::create_with(storage, name, &[])?, Vec::new()));
@@ -98,8 +99,8 @@
 
     /// Makes a file durable as far as its blocks are valid.
     ///
-    /// A process that was killed may have left bytes or a name that were not synced. The caller acts on the records that it reads,
-    /// so a later loss of power must not take them back.
+    /// A process that was killed may have left bytes or a name that were not synced. The caller acts on the
+    /// records that it reads, so a later loss of power must not take them back.
     fn recover(
         storage: S,
         name: &str,
@@ -118,8 +119,8 @@
         Ok((Self { storage, name: name.to_owned(), state, length, block_count }, records))
     }
 
-    /// Creates the file with these records. It gets its name only after it is durable, so that a file without a valid header is
-    /// damaged rather than new.
+    /// Creates the file with these records. It gets its name only after it is durable, so that a file without
+    /// a valid header is damaged rather than new.
     fn create_with(storage: S, name: &str, records: &[Vec<u8>]) -> Result<Self, WalError> {
         let state = State::NameUnknown;
         let mut wal = Self { storage, name: name.to_owned(), state, length: 0, block_count: 0 };
@@ -132,12 +133,13 @@
         self.length
     }
 
-    /// Appends records as one block; they are durable when this returns without an error. After a crash either all of them are in
-    /// the log or none.
+    /// Appends records as one block; they are durable when this returns without an error. After a crash
+    /// either all of them are in the log or none.
     ///
     /// # Errors
-    /// [`WalError::Io`] and [`WalError::DiskFull`] where an operation failed: the records may or may not be in the file, and the
-    /// next append first truncates them. [`WalError::BatchTooLong`] where they do not fit in a block. Earlier records stay durable.
+    /// [`WalError::Io`] and [`WalError::DiskFull`] if an operation failed: the records may or may not be in
+    /// the file, and the next append first truncates them. [`WalError::BatchTooLong`] if they do not fit in a
+    /// block. Earlier records stay durable.
     pub fn append(&mut self, records: &[Vec<u8>]) -> Result<(), WalError> {
         self.check_length(records)?;
         let mut bytes = Vec::new();
@@ -179,9 +181,9 @@
     /// Replaces the file by one with just these records; it is durable when this returns without an error.
     ///
     /// # Errors
-    /// [`WalError::Io`] and [`WalError::DiskFull`] where an operation failed: after a crash the log has either its earlier records or
-    /// these. If the rename was begun, appends fail until a rewrite succeeds. [`WalError::BatchTooLong`] where the records do not
-    /// fit in a block.
+    /// [`WalError::Io`] and [`WalError::DiskFull`] if an operation failed: after a crash the log has either
+    /// its earlier records or these. If the rename was begun, appends fail until a rewrite succeeds.
+    /// [`WalError::BatchTooLong`] if the records do not fit in a block.
     pub fn rewrite(&mut self, records: &[Vec<u8>]) -> Result<(), WalError> {
         self.check_length(records)?;
         let EncodedFile { bytes, block_count } = encode_file(records);
@@ -195,7 +197,8 @@
         let file = match self.write_temporary(&temporary, bytes) {
             Ok(file) => file,
             Err(error) => {
-                // The disk may be full because of the incomplete file. If this fails, the next rewrite overwrites it.
+                // The disk may be full because of the incomplete file. If this fails, the next rewrite
+                // overwrites it.
                 let _ = self.storage.remove(&temporary);
                 return Err(error);
             }
@@ -216,8 +219,9 @@
         Ok(file)
     }
 
-    /// Sets the file aside because the caller can't decode the record at this index, counted from 0 in the order of
-    /// [`OpenedWal`]. Returns the error to report: [`WalError::UndecodableRecord`], or why the file could not be renamed.
+    /// Sets the file aside because the caller can't decode the record at this index, counted from 0 in the
+    /// order of [`OpenedWal`]. Returns the error to report: [`WalError::UndecodableRecord`], or why the file
+    /// could not be renamed.
     pub fn reject_record(self, index: usize, reason: String) -> WalError {
         set_aside_or_io_error(&self.storage, &self.name, |path, set_aside| WalError::UndecodableRecord {
             path,
--- a/wal/tests/model/mod.rs
+++ b/wal/tests/model/mod.rs
@@ -1,5 +1,5 @@
-//! A disk in memory that implements the crash model of `ivyhatch_wal`: it enumerates all disks that a loss of power may leave,
-//! and injects a crash or an error at any operation.
+//! A disk in memory that implements the crash model of `ivyhatch_wal`: it enumerates all disks that a loss of
+//! power may leave, and injects a crash or an error at any operation.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -30,7 +30,8 @@
         }
     }
 
-    /// What a loss of power may leave of the change: nothing, all, its first half, or its first half followed by zeros.
+    /// What a loss of power may leave of the change: nothing, all, its first half, or its first half followed
+    /// by zeros.
     fn outcomes(&self) -> Vec<Option<Pending>> {
         let mut outcomes = vec![None, Some(self.clone())];
         if let Self::Write { offset, bytes } = self {
--- a/wal/tests/power_loss.rs
+++ b/wal/tests/power_loss.rs
@@ -1,5 +1,5 @@
-//! Crashes at every operation, losses of power that keep or lose each name and each unsynced write by itself, and disk operations
-//! that fail: acknowledged records survive, and the file is valid.
+//! Crashes at every operation, losses of power that keep or lose each name and each unsynced write by itself,
+//! and disk operations that fail: acknowledged records survive, and the file is valid.
 
 mod model;
 
@@ -193,7 +193,8 @@
     }
 }
 
-/// Appends and rewrites by turns, whether they succeed or not, and checks after each step what a loss of power would leave.
+/// Appends and rewrites by turns, whether they succeed or not, and checks after each step what a loss of
+/// power would leave.
 fn append_and_rewrite_despite_errors(disk: &ModelDisk) {
     let opened = (0..MAX_OPERATIONS).find_map(|_| Wal::open_in(disk.clone(), NAME).ok());
     let (mut log, mut acknowledged) = opened.expect("opened once the disk is well");
--- a/wal/tests/properties.rs
+++ b/wal/tests/properties.rs
@@ -1,4 +1,5 @@
-//! Properties of a log: arbitrary records round-trip, and corrupted or arbitrary files give a typed error or records that were written.
+//! Properties of a log: arbitrary records round-trip, and corrupted or arbitrary files give a typed error or
+//! records that were written.
 //!
 //! A longer run: `PROPTEST_CASES=100000 cargo test --release -p ivyhatch-wal --test properties`.
 
@@ -107,7 +108,8 @@
         fs::write(folder.path().join(NAME), &bytes).expect("a corrupted file");
         match Wal::open(folder.path(), NAME) {
             Ok((mut log, found)) => {
-                // An empty file is a new one; any other file has at least its first block, and whole blocks only.
+                // An empty file is a new one; any other file has at least its first block, and whole blocks
+                // only.
                 let prefixes = (0..=blocks.len()).map(|count| blocks[..count].concat());
                 let allowed: Vec<Records> = prefixes.skip(usize::from(!bytes.is_empty())).collect();
                 prop_assert!(allowed.contains(&found), "{found:?}");
--- a/wal/tests/wal.rs
+++ b/wal/tests/wal.rs
@@ -156,7 +156,8 @@
     expect_that!(reopened(folder.path()), ok(eq(&all)));
     expect_that!(fs::read(&path).expect("the file")[..4], eq(b"IVHR"));
     expect_that!(reopened(folder.path()), ok(eq(&all)));
-    // The last block may be torn. The first one was durable before the log was used, so a part of it is damage.
+    // The last block may be torn. The first one was durable before the log was used, so a part of it is
+    // damage.
     fs::write(&path, &old[..old.len() - 1]).expect("cut off");
     expect_that!(reopened(folder.path()), ok(eq(&all[..1].to_vec())));
     fs::write(&path, &old[..15]).expect("cut off");
