--- a/cli/src/config.rs
+++ b/cli/src/config.rs
@@ -165,7 +165,7 @@
     let instance = Some(name.clone());
     ivyhatch_node::run_with(ivyhatch_node::RunOptions {
         configuration: Box::new(move || {
-            let unavailable = |reason| ivyhatch_node::ConfigurationUnavailable { reason };
+            let unavailable = |reason: String| ivyhatch_node::ConfigurationUnavailable::Other(reason.into());
             Ok(told(&file, &name, seed).map_err(unavailable)?.1)
         }),
         log_level: log.level.parse().expect("checked"),
--- a/node/src/client_listener.rs
+++ b/node/src/client_listener.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections and serves HTTP/1 on them. What a request is answered is left to a [`RequestHandler`].
+//! Accepts client connections and serves HTTP/1 on them. The response to a request is left to a [`RequestHandler`].
 
 use std::convert::Infallible;
 use std::future::{Future, poll_fn};
@@ -29,7 +29,7 @@
 /// Wait after a failed accept: out of descriptors, the next one would fail at once.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// How far a graceful shutdown or a drain has come.
+/// The phase of a graceful shutdown or a drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DrainPhase {
     /// In service.
@@ -42,13 +42,13 @@
     Closed,
 }
 
-/// Answers requests, and notifies the connection of each one's progress.
+/// Handles requests, and notifies the connection of each one's progress.
 pub trait RequestHandler {
     /// The body of a response.
     type Body: Body<Data = Bytes, Error: std::error::Error + Send + Sync> + 'static;
 
-    /// Answers one request.
-    fn answer(
+    /// Handles one request and returns its response.
+    fn handle(
         &self,
         connection: Rc<ClientConnection>,
         request: Request<Incoming>,
@@ -142,7 +142,7 @@
     let accepted_while_draining = *phase.borrow() != DrainPhase::Serving;
     let handler_phase = phase.clone();
     let service = service_fn(|request| {
-        let response = handler.answer(state.clone(), request, handler_phase.clone());
+        let response = handler.handle(state.clone(), request, handler_phase.clone());
         async { Ok::<_, Infallible>(response.await) }
     });
     let socket = ReadAheadStream::new(stream);
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -48,7 +48,7 @@
     /// # Errors
     /// [`StartError::Settings`] names the setting that is wrong.
     pub fn node_settings(&self) -> Result<NodeSettings, StartError> {
-        ivyhatch_node_settings::parse(&self.settings).map_err(|error| StartError::Settings(error.to_string()))
+        Ok(ivyhatch_node_settings::parse(&self.settings)?)
     }
 
     /// The seed of the node's random decisions.
@@ -61,8 +61,10 @@
 }
 
 /// Reads the file that the environment variable `EDGE_CONFIG` names.
+///
+/// # Errors
+/// [`ConfigurationUnavailable`] if the variable is not set or the file can't be read.
 pub fn read_file_from_environment() -> Result<Vec<u8>, ConfigurationUnavailable> {
-    let unavailable = |reason| ConfigurationUnavailable { reason };
-    let path = std::env::var("EDGE_CONFIG").map_err(|_| unavailable("EDGE_CONFIG is not set".to_owned()))?;
-    std::fs::read(&path).map_err(|error| unavailable(format!("configuration {path}: {error}")))
+    let path = std::env::var("EDGE_CONFIG")?;
+    std::fs::read(&path).map_err(|source| ConfigurationUnavailable::File { path, source })
 }
--- a/node/src/control_socket.rs
+++ b/node/src/control_socket.rs
@@ -106,7 +106,7 @@
         }
     }
 
-    /// As at a shutdown, connections are accepted for a while; then idle ones are closed. Those that come all the same serve
+    /// As at a shutdown, connections are accepted for a while; then idle ones are closed. Connections accepted after that serve
     /// one request each.
     fn drain(self: &Rc<Self>) {
         let drains = self.phase.send_if_modified(|phase| {
--- a/node/src/discovery/client.rs
+++ b/node/src/discovery/client.rs
@@ -22,7 +22,7 @@
 /// Why a call to discovery brought no list.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No connection came about.
+    /// The connect failed.
     #[error(transparent)]
     Connect(#[from] ConnectError),
     /// The connection failed during the call.
@@ -37,7 +37,7 @@
     /// The body is no list.
     #[error("malformed list: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// Nothing came in time.
+    /// No response arrived in time.
     #[error("no response in time")]
     TimedOut,
     /// The target is no valid URI.
@@ -65,7 +65,7 @@
     /// Asks for the list at `target`. Reuses the connection of the last call if that succeeded.
     ///
     /// # Errors
-    /// [`CallError`] where no list comes; it has no overall timeout of its own.
+    /// [`CallError`] where no list arrives; the call has no overall timeout of its own.
     pub async fn fetch(&mut self, target: &str, connect_timeout: Duration) -> Result<BackendList, CallError> {
         let mut sender = match self.sender.take().filter(|sender| !sender.is_closed()) {
             Some(sender) => sender,
--- a/node/src/discovery/schedule.rs
+++ b/node/src/discovery/schedule.rs
@@ -28,7 +28,7 @@
 /// A watch without a response so long after its long poll was over gets none any more. Discovery ends long polls to the
 /// millisecond; a quarter of what is left until the change counts as notified is for a slow network, the rest for the next call.
 const LONG_POLL_OVERDUE_AFTER: Duration = Duration::from_millis(500);
-/// A call for the full list may stand in discovery's queue, which rejects what has stood there for a second or two.
+/// A call for the full list may wait in discovery's queue, which rejects calls that have waited for a second or two.
 const FULL_LIST_TIMEOUT: Duration = Duration::from_secs(3);
 /// A connection that is not up by then is abandoned.
 const MAX_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
@@ -53,7 +53,7 @@
 pub enum CallFailure {
     /// The call was rejected, its connection failed, or it brought no list.
     Error,
-    /// No response came in time.
+    /// No response arrived in time.
     TimedOut,
 }
 
--- a/node/src/driver/backend_directory.rs
+++ b/node/src/driver/backend_directory.rs
@@ -8,8 +8,8 @@
 
 use super::ids::ExpiringMap;
 
-/// A backend that has left keeps its number for this long: by it the balancer knows the notice by which the backend left, and
-/// lets no older list take that notice back. As long as the notice binds in the balancer (`balancer/src/notices.rs`).
+/// A backend that has left keeps its number for this long: by the number the balancer finds the notice by which the backend left,
+/// and lets no older list revoke that notice. As long as the notice is valid in the balancer (`balancer/src/removal_notices.rs`).
 const NUMBER_RETENTION: Nanos = 300_000_000_000;
 /// At most so many numbers are retained; a fleet replaced many times over in five minutes loses the oldest.
 pub(super) const MAX_RETAINED_NUMBERS: usize = 4096;
@@ -74,7 +74,7 @@
         &self.names
     }
 
-    /// The names of backends that `list` takes out: those it says are removed, and, of a full list, those it lacks.
+    /// The names of backends that `list` removes: those whose state is `Removed`, and, by a full list, those that are missing from it.
     pub(super) fn removed_by(&self, scope: ListScope, list: &[BackendRecord]) -> Vec<String> {
         let mut removed: Vec<String> = Vec::new();
         if scope != ListScope::Changes {
--- a/node/src/driver/ids.rs
+++ b/node/src/driver/ids.rs
@@ -73,7 +73,7 @@
             && (self.is_expired(oldest.at, now) || self.insertions.len() >= self.max_entries)
             && let Some(Insertion { at, key }) = self.insertions.pop_front()
         {
-            // A key that was taken and inserted again stands further back as well.
+            // A key that was taken and inserted again has a later entry in the queue as well.
             if self.entries.get(&key).is_some_and(|entry| entry.inserted_at == at) {
                 self.entries.remove(&key);
             }
@@ -112,3 +112,7 @@
         Self { open: HashSet::new(), ended }
     }
 }
+
+#[cfg(test)]
+#[path = "ids_tests.rs"]
+mod tests;
--- a/node/src/driver/timers.rs
+++ b/node/src/driver/timers.rs
@@ -45,3 +45,7 @@
         Self { timers: BTreeSet::new() }
     }
 }
+
+#[cfg(test)]
+#[path = "timers_tests.rs"]
+mod tests;
--- a/node/src/hop_by_hop.rs
+++ b/node/src/hop_by_hop.rs
@@ -16,7 +16,7 @@
 ];
 
 /// The headers that are forwarded: all but those that concern one connection, and those that the `connection` header
-/// names. The framing is made anew by the sender. Headers in `preserved` are kept whatever `connection` says of them.
+/// names. The sender adds its own framing. Headers in `preserved` are kept even if `connection` names them.
 pub fn without_hop_by_hop_headers(mut headers: HeaderMap, preserved: &[&str]) -> HeaderMap {
     let connection_options: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
--- a/node/src/server/mod.rs
+++ b/node/src/server/mod.rs
@@ -38,7 +38,7 @@
 impl RequestHandler for Node {
     type Body = Full<Bytes>;
 
-    async fn answer(
+    async fn handle(
         &self,
         connection: Rc<ClientConnection>,
         request: Request<Incoming>,
--- a/node/src/server/request.rs
+++ b/node/src/server/request.rs
@@ -67,7 +67,7 @@
     Ok(ClientRequest { id, class: class.number, tenant, expected_work, is_retry, budget, forwarded })
 }
 
-/// Transfer codings are rejected altogether: where a length stands beside one, the parser drops it unnoticed, in either order,
+/// Transfer codings are rejected altogether: where a request has a length as well, the parser drops it unnoticed, in either order,
 /// and what one side takes for a body is a request of its own to the other (RFC 9112, section 11.2).
 fn check_framing(
     headers: &HeaderMap,
@@ -112,7 +112,7 @@
     }
 }
 
-/// The client's estimate of the work. No work takes as long as the client's whole time; such an estimate says nothing.
+/// The client's estimate of the work. No work takes as long as the client's whole time; such an estimate is ignored.
 fn read_expected_work(headers: &HeaderMap, deadline: Nanos) -> Result<Option<Nanos>, RequestError> {
     let Some(text) = single(headers, EXPECTED_WORK)? else { return Ok(None) };
     let expected_work = parse_integer(EXPECTED_WORK, text)?.saturating_mul(NANOS_PER_MICROSECOND);
--- a/node/src/serving.rs
+++ b/node/src/serving.rs
@@ -51,8 +51,7 @@
     let schedule = discovery::schedule_for(&node_settings.balancer, seed);
     let transport = BackendTransport::new(node_settings.connections, clock, descriptors.backends);
     spawn_local(transport.clone().close_stale_connections());
-    let node = Node::new(node_settings.balancer, node_settings.names, seed, clock, Rc::new(transport))
-        .map_err(|error| StartError::Settings(error.to_string()))?;
+    let node = Node::new(node_settings.balancer, node_settings.names, seed, clock, Rc::new(transport))?;
     let discovery_watch = DiscoveryWatch::new(node.clone(), config.discovery, config.known, schedule);
     let stop = StopSignals::new()?;
     let listener =
--- a/node/src/start_error.rs
+++ b/node/src/start_error.rs
@@ -1,15 +1,28 @@
 //! Why a node can't start.
 
+use std::env::VarError;
+use std::error::Error;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 /// The configuration could not be read.
 #[derive(Debug, thiserror::Error)]
-#[error("{reason}")]
-pub struct ConfigurationUnavailable {
-    /// One line for the log: which file or setting, and why.
-    pub reason: String,
+pub enum ConfigurationUnavailable {
+    /// The environment variable that names the file is not set, or is not Unicode.
+    #[error("EDGE_CONFIG is not set")]
+    NoPath(#[from] VarError),
+    /// The file can't be read.
+    #[error("configuration {path}: {source}")]
+    File {
+        /// Its path.
+        path: String,
+        /// The operating system's error.
+        source: io::Error,
+    },
+    /// Another source has none; the error is one line that names the file or the setting.
+    #[error(transparent)]
+    Other(Box<dyn Error + Send + Sync>),
 }
 
 /// Why a node can't start, or why a reloaded configuration is not used.
@@ -27,9 +40,12 @@
     /// There are fewer file descriptors than the node itself needs.
     #[error("configuration: limits.sockets: {0} descriptors are too few")]
     TooFewDescriptors(usize),
-    /// A setting is wrong; the text names it.
+    /// A setting is malformed; the error names it.
+    #[error("configuration: {0}")]
+    Settings(#[from] ivyhatch_node_settings::SettingsError),
+    /// The balancer rejects a setting; the error names it.
     #[error("configuration: {0}")]
-    Settings(String),
+    BalancerSettings(#[from] ivyhatch_balancer::SettingsError),
     /// The client listener can't be bound.
     #[error("can't listen at {at}: {source}")]
     Listen {
--- a/node/src/upstream/attempt.rs
+++ b/node/src/upstream/attempt.rs
@@ -139,7 +139,7 @@
             }
             Sent::Ended(response.result)
         }
-        // A request that comes back was not written, not even in part.
+        // The library returns a request of which no byte was written.
         Err(mut error) => match error.take_message() {
             Some(_) => Sent::DeadConnection,
             None => Sent::Ended(AttemptResult::without_response(outcome_of_error(error.error()))),
--- a/node/src/upstream/connection.rs
+++ b/node/src/upstream/connection.rs
@@ -19,8 +19,8 @@
 /// No response's head is larger, nor has more lines.
 const MAX_RESPONSE_HEAD_BYTES: usize = 16 * 1024;
 const MAX_RESPONSE_HEADERS: usize = 64;
-/// An idle connection is kept for one in so many parts of the time after which backends close it: one that is written to as its
-/// backend closes it is reset, and what was sent on it may have run.
+/// An idle connection is kept for this fraction (one over the divisor) of the time after which backends close it: one that is
+/// written to as its backend closes it is reset, and what was sent on it may have run.
 const IDLE_TIMEOUT_DIVISOR: u64 = 2;
 
 /// A backend at one address.
--- a/node/src/upstream/prober.rs
+++ b/node/src/upstream/prober.rs
@@ -23,7 +23,7 @@
 
 /// The path of the load report.
 const LOAD_REPORT_PATH: &str = "/stats";
-/// A report that arrives later than this says too little of the present; and a backend that takes so long over some bytes is
+/// A report that arrives later than this is outdated; and a backend that takes so long over some bytes is
 /// not reachable.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 /// No report is larger: a few numbers.
@@ -81,7 +81,7 @@
     async fn probe(&self, address: BackendAddress, node: &Node) -> AttemptResult {
         if let Some(connection) = self.take_idle(address) {
             match self.exchange(address, connection, node).await {
-                // Closed as it was written to, as idle connections are: that says nothing of the backend. The backend may have
+                // Closed as it was written to, as idle connections are: that is no sign of a fault. The backend may have
                 // counted it as a probe, so there is no other one for it.
                 Some(result) if result.outcome == Outcome::Reset => {
                     return AttemptResult::without_response(Outcome::NotSent);
--- a/node/src/upstream/response.rs
+++ b/node/src/upstream/response.rs
@@ -65,7 +65,7 @@
     match head.status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_rejected => Outcome::Rejected,
         StatusCode::OK => Outcome::Served,
-        // A fault of the request is not the backend's, and says nothing of the backend.
+        // A fault of the request is not the backend's and must not eject it.
         status if status.is_client_error() => Outcome::InvalidResponse,
         // Whatever the status says, the request may have run.
         _ => Outcome::Error,
--- a/system/src/router/clients.rs
+++ b/system/src/router/clients.rs
@@ -109,7 +109,7 @@
 impl RequestHandler for Clients {
     type Body = ResponseBody;
 
-    async fn answer(
+    async fn handle(
         &self,
         connection: Rc<ClientConnection>,
         request: Request<Incoming>,
