--- a/cli/tests/sockets.rs
+++ b/cli/tests/sockets.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_world_on_sockets_serves_what_it_serves_in_virtual_time() {
+fn run_on_sockets_serves_what_the_simulation_serves() {
     let world = world(5.0, vec![]);
     let (model, real) = (simulate(&world, 1, &mut |_| {}), on_sockets(&world));
     assert_eq!(real.rules_broken, 0, "{:?}", real.broken);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn troubles_on_sockets_leave_the_rules_kept_and_each_client_with_one_end() {
+fn faults_on_sockets_violate_no_invariant_and_each_request_has_one_outcome() {
     let server =
         |kind, from, to, servers: &[u32]| Fault { servers: servers.to_vec(), ..Fault::new(kind, from, to) };
     let faults = vec![
@@ -82,7 +82,7 @@
 
 /// As many at once as there are clients, each zone with its share of them.
 #[test]
-fn closed_clients_on_sockets_ask_again_as_soon_as_they_are_answered() {
+fn closed_loop_clients_on_sockets_send_about_as_many_requests_as_in_the_simulation() {
     let mut world = world(4.0, vec![]);
     (world.clients.rate, world.clients.closed_clients, world.clients.zone_shares) =
         (0.0, 6, vec![2.0, 1.0, 0.0]);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn what_sockets_can_not_show_is_refused_with_the_reason() {
+fn world_too_large_for_sockets_or_missing_program_is_rejected_with_the_reason() {
     let mut world = world(5.0, vec![]);
     let node = ivyhatch_socket_lab::NodeCommand { program: "no-such-program".into(), arguments: Vec::new() };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_demo_that_is_stopped_leaves_nothing_behind() {
+fn interrupted_demo_leaves_no_process_running() {
     let mut demo = Command::new(env!("CARGO_BIN_EXE_ivyhatch"))
         .args(["demo", "--seconds", "600"])
         .stdout(Stdio::piped())
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_demo_ends_by_itself_and_tells_what_the_node_did() {
+fn demo_ends_by_itself_and_prints_faults_and_summary() {
     let output =
         Command::new(env!("CARGO_BIN_EXE_ivyhatch")).args(["demo", "--seconds", "4"]).output().unwrap();
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
--- a/lab/src/simulation/mod.rs
+++ b/lab/src/simulation/mod.rs
@@ -5,6 +5,8 @@
 mod clients;
 mod discovery;
 mod event;
+#[cfg(test)]
+mod event_queue_tests;
 mod faults;
 mod model;
 mod network;
--- a/socket-lab/src/lib.rs
+++ b/socket-lab/src/lib.rs
@@ -19,6 +19,8 @@
 mod clock;
 mod discovery;
 mod endpoint_list;
+#[cfg(test)]
+mod endpoint_list_tests;
 mod error;
 mod faults;
 mod jobs;
