--- a/lab/src/simulation/attempts.rs
+++ b/lab/src/simulation/attempts.rs
@@ -132,7 +132,7 @@
         self.schedule_started_job(server, next);
     }
 
-    /// Tells a server that nobody awaits a job's response, unless a partition lies between.
+    /// Notifies a server that nobody awaits a job's response, unless a partition lies between.
     pub(super) fn cancel_job(&mut self, node: usize, server: u32, job: u64) {
         if let Some(latency) = self.message_latency(node, server) {
             self.schedule(self.now + latency, SimulationEvent::JobCancelled { server, job });
--- a/lab/tests/external_forms.rs
+++ b/lab/tests/external_forms.rs
@@ -70,8 +70,8 @@
 #[test]
 fn world_has_the_keys_of_world_files() {
     let written = serde_json::to_value(world()).expect("plain data");
-    let trouble = "trouble"; // wire name
-    assert!(written[trouble].is_array() && written["discovery"]["whole_every"].is_number());
+    let faults = &written["trouble"]; // wire name
+    assert!(faults.is_array() && written["discovery"]["whole_every"].is_number());
     assert_eq!(
         keys(&written["clients"]["class"][0]),
         ["aim_ms", "deadline_ms", "elsewhere_ms", "name", "once", "share", "work_ms", "worth"]
