--- a/simulation/src/disk.rs
+++ b/simulation/src/disk.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use ivyhatch_control::durable_state::DurableState;
+use ivyhatch_control::storage::durable_state::DurableState;
 use ivyhatch_control::{Record, WriteToken};
 
 /// A machine's disk and the writes of its process.
--- a/simulation/src/run/event.rs
+++ b/simulation/src/run/event.rs
@@ -1,6 +1,6 @@
 //! The events of a run and their dispatch.
 
-use ivyhatch_control::server_list_reader::ReadId;
+use ivyhatch_control::server_list::reader::ReadId;
 use ivyhatch_control::{Input, RequestId, SessionId};
 use ivyhatch_protocol::peer::{AdminRequest, AdminResponse, PeerMessage};
 use ivyhatch_protocol::watch::{WatchRequest, WatchResponse};
--- a/simulation/src/run/machine.rs
+++ b/simulation/src/run/machine.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use ivyhatch_control::ControlPlane;
-use ivyhatch_control::durable_state::DurableState;
-use ivyhatch_control::partition_state::PartitionState;
+use ivyhatch_control::consensus::partition_state::PartitionState;
+use ivyhatch_control::storage::durable_state::DurableState;
 use ivyhatch_protocol::Nanos;
 use ivyhatch_protocol::ids::{Ballot, HASHED_PARTITIONS, NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::Membership;
--- a/simulation/src/run/nodes.rs
+++ b/simulation/src/run/nodes.rs
@@ -1,7 +1,7 @@
 //! The inputs of control nodes: ticks, connections, messages, completed writes and the platform's server list.
 
 use ivyhatch_control::Input;
-use ivyhatch_control::server_list_reader::ReadId;
+use ivyhatch_control::server_list::reader::ReadId;
 use ivyhatch_protocol::peer::{ConsensusMessage, PeerMessage};
 use ivyhatch_protocol::watch::Server;
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
--- a/simulation/src/run/observation.rs
+++ b/simulation/src/run/observation.rs
@@ -1,7 +1,7 @@
 //! Shows the oracle what a control node has in effect, and under which membership it votes.
 
 use ivyhatch_control::ControlPlane;
-use ivyhatch_control::partition_state::PartitionState;
+use ivyhatch_control::consensus::partition_state::PartitionState;
 use ivyhatch_protocol::hash::{fnv1a_hash, hash_mix};
 use ivyhatch_protocol::ids::{Ballot, PartitionId};
 use ivyhatch_protocol::peer::PeerMessage;
--- a/simulation/src/run/processes.rs
+++ b/simulation/src/run/processes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use ivyhatch_control::durable_state::FormattedReplica;
+use ivyhatch_control::storage::durable_state::FormattedReplica;
 use ivyhatch_control::{ControlPlane, NodeConfig};
 use ivyhatch_protocol::ids::NodeId;
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
--- a/simulation/src/search/member.rs
+++ b/simulation/src/search/member.rs
@@ -3,9 +3,9 @@
 use std::collections::VecDeque;
 
 use ivyhatch_control::Record;
-use ivyhatch_control::durable_state::DurableState;
-use ivyhatch_control::partition::PartitionReplica;
-use ivyhatch_control::state_transfer::StateCollector;
+use ivyhatch_control::consensus::partition::PartitionReplica;
+use ivyhatch_control::membership::state_transfer::StateCollector;
+use ivyhatch_control::storage::durable_state::DurableState;
 use ivyhatch_protocol::ids::{NodeId, ReplicaId};
 use ivyhatch_protocol::peer::{AcceptorState, Membership, Voter};
 
--- a/simulation/src/search/transitions.rs
+++ b/simulation/src/search/transitions.rs
@@ -1,8 +1,8 @@
 //! The effect of each step of a search, and the invariants that are checked after it.
 
 use ivyhatch_control::Record;
-use ivyhatch_control::durable_state::DurableState;
-use ivyhatch_control::partition::Effect;
+use ivyhatch_control::consensus::partition::Effect;
+use ivyhatch_control::storage::durable_state::DurableState;
 use ivyhatch_protocol::ids::{Ballot, NodeId, ReplicaId};
 use ivyhatch_protocol::peer::{AcceptedValue, ConsensusMessage};
 
