--- a/control/tests/golden_records.rs
+++ b/control/tests/golden_records.rs
@@ -11,8 +11,10 @@
 
 use googletest::prelude::*;
 use ivyhatch_control::Record;
-use ivyhatch_control::durable_state::DurableState;
-use ivyhatch_control::partition_state::{ConfigurationState, EvacuationState, PartitionState};
+use ivyhatch_control::durable_state::{DurableState, FormattedReplica};
+use ivyhatch_control::partition_state::{
+    ConfigurationState, EvacuationState, EvacuationStatus, PartitionState,
+};
 use ivyhatch_protocol::configuration::Document;
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{AcceptedValue, AcceptorState, Membership, Voter};
@@ -66,7 +68,8 @@
 }
 
 fn evacuated() -> EvacuationState {
-    let zones = [("north-a".to_owned(), (false, 2)), ("south-a".to_owned(), (true, 3))];
+    let state = |active, change_count| EvacuationStatus { active, change_count };
+    let zones = [("north-a".to_owned(), state(false, 2)), ("south-a".to_owned(), state(true, 3))];
     EvacuationState { zones: BTreeMap::from(zones) }
 }
 
@@ -109,7 +112,7 @@
         accepted,
     };
     DurableState {
-        replica: Some((replica(1), true)),
+        replica: Some(FormattedReplica { id: replica(1), first_start: true }),
         membership: Some(second_membership()),
         joined: Some(1),
         partitions: BTreeMap::from([
@@ -243,9 +246,10 @@
 fn accepted_values_of_the_golden_file_are_read_as_the_state_of_their_partitions() {
     let folder = folder_with("appended.records");
     let stored = read_state(folder.path());
-    let value =
-        |part: PartitionId| stored.partitions[&part].accepted.as_ref().expect("a value").value.clone();
-    let read = |part: PartitionId| PartitionState::decode(part, &value(part));
+    let value = |partition: PartitionId| {
+        stored.partitions[&partition].accepted.as_ref().expect("a value").value.clone()
+    };
+    let read = |partition: PartitionId| PartitionState::decode(partition, &value(partition));
     expect_that!(read(PartitionId::CONFIGURATION), some(eq(&PartitionState::Configuration(configured()))));
     expect_that!(read(EVACUATIONS), some(eq(&PartitionState::Evacuations(evacuated()))));
     let membership = Membership::read_from_buffer(&value(PartitionId::MEMBERSHIP)).expect("a membership");
--- a/node/src/driver/backend_directory.rs
+++ b/node/src/driver/backend_directory.rs
@@ -4,12 +4,12 @@
 use std::net::SocketAddr;
 
 use ivyhatch_balancer::{BackendId, BackendState, ListScope, Member, Nanos};
-use ivyhatch_node_settings::Words;
+use ivyhatch_node_settings::NameTable;
 
 use super::ids::ExpiringMap;
 
-/// A backend that has left keeps its number for this long: by it the balancer knows the notice by which the backend left, and
-/// lets no older list take that notice back. As long as the notice binds in the balancer (`balancer/src/notices.rs`).
+/// A backend that has left keeps its number for this long: by the number the balancer finds the notice by which the backend left,
+/// and lets no older list revoke that notice. As long as the notice is valid in the balancer (`balancer/src/removal_notices.rs`).
 const NUMBER_RETENTION: Nanos = 300_000_000_000;
 /// At most so many numbers are retained; a fleet replaced many times over in five minutes loses the oldest.
 pub(super) const MAX_RETAINED_NUMBERS: usize = 4096;
@@ -51,7 +51,7 @@
 
 /// The backends by number, and their numbers by name.
 pub(super) struct BackendDirectory {
-    names: Words,
+    names: NameTable,
     ids: HashMap<String, BackendId>,
     backends: HashMap<BackendId, Backend>,
     departed: ExpiringMap<BackendId>,
@@ -59,7 +59,7 @@
 }
 
 impl BackendDirectory {
-    pub(super) fn new(names: Words) -> Self {
+    pub(super) fn new(names: NameTable) -> Self {
         Self {
             names,
             ids: HashMap::new(),
@@ -70,11 +70,11 @@
     }
 
     /// The names that the settings list.
-    pub(super) fn names(&self) -> &Words {
+    pub(super) fn names(&self) -> &NameTable {
         &self.names
     }
 
-    /// The names of backends that `list` takes out: those it says are removed, and, of a full list, those it lacks.
+    /// The names of backends that `list` removes: those whose state is `Removed`, and, by a full list, those that are missing from it.
     pub(super) fn removed_by(&self, scope: ListScope, list: &[BackendRecord]) -> Vec<String> {
         let mut removed: Vec<String> = Vec::new();
         if scope != ListScope::Changes {
--- a/node/src/upstream/prober.rs
+++ b/node/src/upstream/prober.rs
@@ -12,7 +12,7 @@
 use hyper::header::{HOST, HeaderValue};
 use hyper::{Request, Response, StatusCode, Uri};
 use ivyhatch_balancer::{BackendId, LoadReport, Outcome};
-use ivyhatch_node_settings::Links;
+use ivyhatch_node_settings::ConnectionSettings;
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 use tokio::time::sleep;
@@ -23,7 +23,7 @@
 
 /// The path of the load report.
 const LOAD_REPORT_PATH: &str = "/stats";
-/// A report that arrives later than this says too little of the present; and a backend that takes so long over some bytes is
+/// A report that arrives later than this is outdated; and a backend that takes so long over some bytes is
 /// not reachable.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 /// No report is larger: a few numbers.
@@ -34,13 +34,13 @@
     idle: RefCell<HashMap<BackendAddress, IdleConnection>>,
     open: OpenConnections,
     max_open: usize,
-    settings: Links,
+    settings: ConnectionSettings,
     clock: Clock,
 }
 
 impl Prober {
     /// At most `max_open` connections, and at least one, are open at a time; they are no part of those for requests.
-    pub fn new(settings: Links, clock: Clock, max_open: usize) -> Self {
+    pub fn new(settings: ConnectionSettings, clock: Clock, max_open: usize) -> Self {
         let (idle, open) = (RefCell::default(), OpenConnections::default());
         Self { idle, open, max_open: max_open.max(1), settings, clock }
     }
@@ -70,18 +70,18 @@
     /// Drops connections that are closed or have been idle for too long.
     pub fn drop_stale(&self) {
         let now = self.clock.now();
-        self.idle.borrow_mut().retain(|_, idle| idle.is_usable(now, self.settings.idle));
+        self.idle.borrow_mut().retain(|_, idle| idle.is_usable(now, self.settings.idle_timeout));
     }
 
     fn take_idle(&self, address: BackendAddress) -> Option<BackendConnection> {
         let idle = self.idle.borrow_mut().remove(&address)?;
-        idle.is_usable(self.clock.now(), self.settings.idle).then_some(idle.connection)
+        idle.is_usable(self.clock.now(), self.settings.idle_timeout).then_some(idle.connection)
     }
 
     async fn probe(&self, address: BackendAddress, node: &Node) -> AttemptResult {
         if let Some(connection) = self.take_idle(address) {
             match self.exchange(address, connection, node).await {
-                // Closed as it was written to, as idle connections are: that says nothing of the backend. The backend may have
+                // Closed as it was written to, as idle connections are: that is no sign of a fault. The backend may have
                 // counted it as a probe, so there is no other one for it.
                 Some(result) if result.outcome == Outcome::Reset => {
                     return AttemptResult::without_response(Outcome::NotSent);
