--- a/control/src/server_list_role.rs
+++ b/control/src/server_list_role.rs
@@ -4,7 +4,7 @@
 //! token. A list that was read under a lower ballot than the one that is known is rejected by every node.
 
 use ivyhatch_protocol::ids::{Ballot, PartitionId};
-use ivyhatch_protocol::server_list::ServerList;
+use ivyhatch_protocol::server_list::{ListUpdateOutcome, ServerList};
 use ivyhatch_protocol::watch::{Server, ServerListPosition, ServerListUpdate, WatchResponse};
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
@@ -154,13 +154,10 @@
 
     /// Applies an update from another node.
     pub fn apply_update(&mut self, now: Nanos, update: ServerListUpdate) -> UpdateOutcome {
-        let position_before = self.list.position();
-        if !self.list.apply_update(now, update) {
-            UpdateOutcome::Gap
-        } else if position_before != self.list.position() {
-            UpdateOutcome::Applied(self.log_event(ServerListSource::Peer))
-        } else {
-            UpdateOutcome::NotNewer
+        match self.list.apply_update(now, update) {
+            ListUpdateOutcome::Applied => UpdateOutcome::Applied(self.log_event(ServerListSource::Peer)),
+            ListUpdateOutcome::Stale => UpdateOutcome::NotNewer,
+            ListUpdateOutcome::Gap => UpdateOutcome::Gap,
         }
     }
 
--- a/protocol/src/server_list.rs
+++ b/protocol/src/server_list.rs
@@ -73,6 +73,19 @@
     removed: Vec<String>,
 }
 
+/// What [`ServerList::apply_update`] has done.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[must_use]
+pub enum ListUpdateOutcome {
+    /// The replica is at the version that the update leads to.
+    Applied,
+    /// The update is not newer than the replica, and was discarded.
+    Stale,
+    /// The update is a change of a version that the replica does not have, and was discarded. The caller has to
+    /// request the whole list.
+    Gap,
+}
+
 /// A replica of the server list, and its latest changes.
 #[derive(Debug, Default)]
 pub struct ServerList {
@@ -154,30 +167,27 @@
         }
     }
 
-    /// Applies an update of another node. An update that is not newer than this replica is discarded. Returns
-    /// false if the update is a change of a version that this replica does not have: the caller has to
-    /// request the whole list.
-    #[must_use]
-    pub fn apply_update(&mut self, now: Nanos, update: ServerListUpdate) -> bool {
+    /// Applies an update of another node.
+    pub fn apply_update(&mut self, now: Nanos, update: ServerListUpdate) -> ListUpdateOutcome {
         let ServerListUpdate { ballot, from, to, upsert, removed } = update;
         let position = ServerListPosition { ballot, number: to };
         if position <= self.position {
-            return true;
+            return ListUpdateOutcome::Stale;
         }
         let entries = entries(upsert, now);
         let Some(from) = from else {
             self.reset(position, entries);
-            return true;
+            return ListUpdateOutcome::Applied;
         };
         if (ServerListPosition { ballot, number: from }) != self.position {
-            return false;
+            return ListUpdateOutcome::Gap;
         }
         let upsert = entries.keys().cloned().collect();
         self.entries.extend(entries);
         self.entries.retain(|id, _| !removed.contains(id));
         self.position = position;
         self.push_history(HistoryEntry { from, upsert, removed });
-        true
+        ListUpdateOutcome::Applied
     }
 
     /// The whole list.
--- a/routing/src/watch_client/replicated_state.rs
+++ b/routing/src/watch_client/replicated_state.rs
@@ -6,7 +6,7 @@
 use ivyhatch_protocol::Nanos;
 use ivyhatch_protocol::configuration::{Change, Document};
 use ivyhatch_protocol::ids::PartitionId;
-use ivyhatch_protocol::server_list::ServerList;
+use ivyhatch_protocol::server_list::{ListUpdateOutcome, ServerList};
 use ivyhatch_protocol::watch::{EvacuationUpdate, Position, ServerListUpdate, Shared};
 
 /// Whether an update has changed the state.
@@ -111,9 +111,10 @@
     /// Applies an update of the server list. One that does not follow on the list that is known is ignored: its position shows
     /// that this one is behind, so that the complete list is fetched.
     pub(super) fn apply_server_list(&mut self, now: Nanos, update: ServerListUpdate) -> Applied {
-        let previous = self.server_list.position();
-        let follows = self.server_list.apply_update(now, update);
-        if follows && self.server_list.position() != previous { Applied::Changed } else { Applied::Ignored }
+        match self.server_list.apply_update(now, update) {
+            ListUpdateOutcome::Applied => Applied::Changed,
+            ListUpdateOutcome::Stale | ListUpdateOutcome::Gap => Applied::Ignored,
+        }
     }
 
     fn evacuations_are_older(&self, partition: PartitionId, sequence: u64) -> bool {
