--- a/simulation/src/injected_bugs.rs
+++ b/simulation/src/injected_bugs.rs
@@ -12,7 +12,9 @@
     /// A node takes a write for durable before its sync has completed.
     AcknowledgesBeforeSync,
     /// A node that has lost its disk goes on as the replica it was, and votes.
-    VotesAfterWipe,
+    #[serde(rename = "VotesAfterWipe")] // wire name
+    #[strum(serialize = "votes_after_wipe")] // wire name
+    VotesAfterDiskLoss,
     /// A leader answers without the confirmation of a quorum.
     SkipsConfirmation,
     /// A replica accepts a proposal under a lower ballot than it has promised.
--- a/simulation/src/oracle/invariant.rs
+++ b/simulation/src/oracle/invariant.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 /// An invariant. The numbers are those of `docs/design/control-safety.md`; those without a number stand in
-/// `docs/design/control-worlds.md` alone.
+/// `docs/design/control-simulation.md` alone.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, strum::Display,
 )]
--- a/simulation/src/run/machine.rs
+++ b/simulation/src/run/machine.rs
@@ -21,7 +21,7 @@
 /// The generation of the membership that the first start decides.
 const FIRST_GENERATION: u64 = 1;
 
-/// The identity of a replica whose disk was lost, for [`crate::InjectedBug::VotesAfterWipe`].
+/// The identity of a replica whose disk was lost, for [`crate::InjectedBug::VotesAfterDiskLoss`].
 pub(super) struct LostReplica {
     pub(super) replica: ReplicaId,
     pub(super) membership: Option<Membership>,
--- a/simulation/src/run/processes.rs
+++ b/simulation/src/run/processes.rs
@@ -61,7 +61,8 @@
         let mut stored = this.disk.stored().clone();
         let needs_state = !first_start && !may_vote(&stored);
         this.state_sources = needs_state.then(BTreeSet::new);
-        if let (Some(InjectedBug::VotesAfterWipe), Some(lost)) = (self.injected_bug, this.lost_replica.take())
+        if let (Some(InjectedBug::VotesAfterDiskLoss), Some(lost)) =
+            (self.injected_bug, this.lost_replica.take())
         {
             stored.replica = Some((lost.replica, false));
             stored.membership = lost.membership;
--- a/simulation/tests/hunt.rs
+++ b/simulation/tests/hunt.rs
@@ -115,7 +115,7 @@
 
 #[gtest]
 fn vote_after_a_lost_disk_is_found() {
-    let (played, found) = found_within(InjectedBug::VotesAfterWipe, 50).expect("the bug is found");
+    let (played, found) = found_within(InjectedBug::VotesAfterDiskLoss, 50).expect("the bug is found");
     println!("after {played} plans: {:?}", found.violation);
     expect_that!(found.violation.invariant, eq(Invariant::NoVoteAfterDiskLoss));
     expect_that!(found.plan.faults, len(eq(1)));
