--- a/cli/tests/golden_http/control.rs
+++ b/cli/tests/golden_http/control.rs
@@ -7,15 +7,17 @@
 use super::golden::assert_golden;
 use super::system_common::calls::{Client, call, route};
 use super::system_common::transcript::{Transcript, operator_request};
-use super::system_common::{CONTROL, CORE, DIRECTORY, FRONT, Process, Site, configuration, until};
+use super::system_common::{
+    CONTROL, CORE, DIRECTORY, FRONT, Process, TestCluster, configuration, wait_until,
+};
 
 const CONFIG: &str = "/-/config";
 
 /// A control node that is a group by itself, and where its operators call.
-fn single_control(site: &Site) -> (Process, SocketAddr) {
-    let control = site.control(CORE[0], &CORE[..1], true);
-    let at = site.at(CORE[0], CONTROL);
-    until("the control node leads", || {
+fn single_control(cluster: &TestCluster) -> (Process, SocketAddr) {
+    let control = cluster.control(CORE[0], &CORE[..1], true);
+    let at = cluster.at(CORE[0], CONTROL);
+    wait_until("the control node leads", || {
         call(at, "GET", "/-/status", None, "").is_some_and(|(_, status)| is_settled(&status, 1))
     });
     (control, at)
@@ -53,9 +55,9 @@
 
 #[test]
 fn config_answers_before_and_after_the_first_configuration() {
-    let site = Site::new();
-    let (_control, at) = single_control(&site);
-    let mut transcript = Transcript::of(&site);
+    let cluster = TestCluster::new();
+    let (_control, at) = single_control(&cluster);
+    let mut transcript = Transcript::of(&cluster);
     let mut send = |title: &str, method: &str, headers: &str, body: &str| {
         transcript.ask(title, at, &operator_request(method, CONFIG, headers, body));
     };
@@ -91,9 +93,9 @@
 
 #[test]
 fn patch_builds_on_revision_0_before_the_first_configuration() {
-    let site = Site::new();
-    let (_control, at) = single_control(&site);
-    let mut transcript = Transcript::of(&site);
+    let cluster = TestCluster::new();
+    let (_control, at) = single_control(&cluster);
+    let mut transcript = Transcript::of(&cluster);
     let change = json!({"revision": 1, "upsert": {"services": [{"name": "s"}]}}).to_string();
     transcript.ask("PATCH on revision 0", at, &operator_request("PATCH", CONFIG, &if_match("0"), &change));
     transcript.ask("GET of the configuration", at, &operator_request("GET", CONFIG, "", ""));
@@ -161,11 +163,11 @@
 
 #[test]
 fn config_rejections_name_what_is_wrong() {
-    let site = Site::new();
-    let (_control, at) = single_control(&site);
+    let cluster = TestCluster::new();
+    let (_control, at) = single_control(&cluster);
     let current = configuration(5, &[("a", json!({})), ("b", json!({}))]);
-    site.put(CORE[0], 0, &current);
-    let mut transcript = Transcript::of(&site);
+    cluster.put(CORE[0], 0, &current);
+    let mut transcript = Transcript::of(&cluster);
     let mut send = |title: &str, request: &[u8]| transcript.ask(title, at, request);
     let put = |body: &str| operator_request("PUT", CONFIG, &if_match("5"), body);
     for (what, body) in wrong_configurations() {
@@ -185,9 +187,9 @@
 
 #[test]
 fn evacuations_and_unknown_calls_are_answered() {
-    let site = Site::new();
-    let (_control, at) = single_control(&site);
-    let mut transcript = Transcript::of(&site);
+    let cluster = TestCluster::new();
+    let (_control, at) = single_control(&cluster);
+    let mut transcript = Transcript::of(&cluster);
     for (title, method, path) in [
         ("POST of an evacuation", "POST", "/-/evacuations/za"),
         ("POST of the same evacuation again", "POST", "/-/evacuations/za"),
@@ -210,11 +212,11 @@
 
 #[test]
 fn control_node_without_a_quorum_is_unavailable() {
-    let site = Site::new();
-    let _control = site.control(CORE[0], &CORE, true);
-    let at = site.at(CORE[0], CONTROL);
-    until("it listens", || call(at, "GET", "/-/status", None, "").is_some());
-    let mut transcript = Transcript::of(&site);
+    let cluster = TestCluster::new();
+    let _control = cluster.control(CORE[0], &CORE, true);
+    let at = cluster.at(CORE[0], CONTROL);
+    wait_until("it listens", || call(at, "GET", "/-/status", None, "").is_some());
+    let mut transcript = Transcript::of(&cluster);
     let first = full_configuration().to_string();
     transcript.ask("GET of the configuration", at, &operator_request("GET", CONFIG, "", ""));
     transcript.ask("PUT of the configuration", at, &operator_request("PUT", CONFIG, &if_match("0"), &first));
@@ -234,9 +236,9 @@
 }
 
 /// Masks which node leads a partition: the first one to ask for it.
-fn mask_leaders(transcript: &mut Transcript, site: &Site) {
+fn mask_leaders(transcript: &mut Transcript, cluster: &TestCluster) {
     for host in CORE {
-        transcript.replace(&format!(r#""leader":"{}""#, site.ip(host)), r#""leader":"<leader>""#);
+        transcript.replace(&format!(r#""leader":"{}""#, cluster.ip(host)), r#""leader":"<leader>""#);
     }
 }
 
@@ -248,7 +250,7 @@
     mut is_expected: impl FnMut(&Value) -> bool,
 ) {
     let mut last = None;
-    until(title, || {
+    wait_until(title, || {
         let answer = Client::to(at).ask(&operator_request("GET", "/-/status", "", ""));
         let status = serde_json::from_slice(&answer.body).expect("JSON");
         let is_found = is_expected(&status);
@@ -262,22 +264,22 @@
 
 #[test]
 fn status_shows_replicas_and_partitions() {
-    let site = Site::new();
-    let (_control, at) = single_control(&site);
-    site.put(CORE[0], 0, &full_configuration());
-    let mut transcript = Transcript::of(&site);
+    let cluster = TestCluster::new();
+    let (_control, at) = single_control(&cluster);
+    cluster.put(CORE[0], 0, &full_configuration());
+    let mut transcript = Transcript::of(&cluster);
     ask_status(&mut transcript, "GET of the status of a group of one", at, |status| is_settled(status, 1));
     assert_golden("control/status_of_one.txt", transcript.text());
 }
 
 #[test]
 fn status_shows_a_lost_replica_as_unreachable() {
-    let site = Site::new();
-    let mut core = site.core();
-    site.put(CORE[0], 0, &full_configuration());
-    let mut transcript = Transcript::of(&site);
-    mask_leaders(&mut transcript, &site);
-    let at = site.at(CORE[0], CONTROL);
+    let cluster = TestCluster::new();
+    let mut core = cluster.core();
+    cluster.put(CORE[0], 0, &full_configuration());
+    let mut transcript = Transcript::of(&cluster);
+    mask_leaders(&mut transcript, &cluster);
+    let at = cluster.at(CORE[0], CONTROL);
     ask_status(&mut transcript, "GET of the status of a group of three", at, |status| is_settled(status, 3));
     core[2].kill();
     ask_status(&mut transcript, "GET of the status after the loss of one", at, |status| {
@@ -288,16 +290,16 @@
 
 #[test]
 fn status_shows_a_replica_without_a_seat() {
-    let site = Site::new();
-    let _core = site.core();
-    site.put(CORE[0], 0, &full_configuration());
-    let mut transcript = Transcript::of(&site);
-    mask_leaders(&mut transcript, &site);
-    let at = site.at(CORE[0], CONTROL);
-    until("three vote", || {
+    let cluster = TestCluster::new();
+    let _core = cluster.core();
+    cluster.put(CORE[0], 0, &full_configuration());
+    let mut transcript = Transcript::of(&cluster);
+    mask_leaders(&mut transcript, &cluster);
+    let at = cluster.at(CORE[0], CONTROL);
+    wait_until("three vote", || {
         call(at, "GET", "/-/status", None, "").is_some_and(|(_, status)| is_settled(&status, 3))
     });
-    let _fourth = site.control(16, &CORE, false);
+    let _fourth = cluster.control(16, &CORE, false);
     ask_status(&mut transcript, "GET of the status with a fourth control node", at, |status| {
         is_settled(status, 3) && status["replicas"][3]["status"] == "learner"
     });
@@ -306,18 +308,18 @@
 
 #[test]
 fn directory_names_routers() {
-    let site = Site::new();
-    let (_control, _) = single_control(&site);
-    let at = site.at(CORE[0], DIRECTORY);
-    let mut transcript = Transcript::of(&site);
+    let cluster = TestCluster::new();
+    let (_control, _) = single_control(&cluster);
+    let at = cluster.at(CORE[0], DIRECTORY);
+    let mut transcript = Transcript::of(&cluster);
     let resolve = |query: &str| operator_request("GET", &format!("/-/resolve{query}"), "", "");
     transcript.ask("GET without a router", at, &resolve("?name=h.example&region=ra&zone=za"));
-    let _routers = [21, 22].map(|host| site.router(host, &CORE[..1]));
-    site.put(CORE[0], 0, &full_configuration());
+    let _routers = [21, 22].map(|host| cluster.router(host, &CORE[..1]));
+    cluster.put(CORE[0], 0, &full_configuration());
     for (region, host) in [("ra", 21), ("rb", 22)] {
-        let front = json!([site.at(host, FRONT).to_string()]);
-        let knows = || site.directory(CORE[0], region).is_some_and(|answer| answer["addresses"] == front);
-        until("the directory knows the router", knows);
+        let front = json!([cluster.at(host, FRONT).to_string()]);
+        let knows = || cluster.directory(CORE[0], region).is_some_and(|answer| answer["addresses"] == front);
+        wait_until("the directory knows the router", knows);
     }
     for (title, query) in [
         ("GET for a region", "?name=h.example&region=ra&zone=za"),
--- a/cli/tests/golden_http/router.rs
+++ b/cli/tests/golden_http/router.rs
@@ -6,9 +6,11 @@
 
 use super::golden::assert_golden;
 use super::system_common::calls::{Answer, Client, ask, call, get, request, route};
-use super::system_common::server::{Asked, Gate, STAMP, Step, id, ok, sheds, stream, whole};
+use super::system_common::server::{
+    Gate, ReceivedRequest, STAMP, Step, complete_response, id, ok, overloaded, stream,
+};
 use super::system_common::transcript::{Transcript, operator_request};
-use super::system_common::{CORE, FRONT, READINESS, ROUTER, Site, configuration, until};
+use super::system_common::{CORE, FRONT, READINESS, ROUTER, TestCluster, configuration, wait_until};
 
 /// Two routes to one service: requests of the first may run more than once, those of the second may not.
 fn routes() -> Value {
@@ -22,25 +24,25 @@
 
 #[test]
 fn router_says_whether_it_is_ready() {
-    let site = Site::new();
-    let mut router = site.router(ROUTER, &CORE[..1]);
-    let (front, readiness) = (site.at(ROUTER, FRONT), site.at(ROUTER, READINESS));
+    let cluster = TestCluster::new();
+    let mut router = cluster.router(ROUTER, &CORE[..1]);
+    let (front, readiness) = (cluster.at(ROUTER, FRONT), cluster.at(ROUTER, READINESS));
     let ready = operator_request("GET", "/-/readyz", "", "");
-    until("it listens", || call(readiness, "GET", "/-/readyz", None, "").is_some());
-    let mut transcript = Transcript::of(&site);
+    wait_until("it listens", || call(readiness, "GET", "/-/readyz", None, "").is_some());
+    let mut transcript = Transcript::of(&cluster);
     transcript.ask("GET of the readiness without a configuration", readiness, &ready);
     transcript.ask("request without a configuration", front, &get("r1", "/safe/x"));
-    let server = site.server(("i-1", "s", "za"), |asked| ok(asked, b"here"));
-    site.platform.set(vec![server.listed()]);
-    let _control = site.control(CORE[0], &CORE[..1], true);
-    site.put(CORE[0], 0, &routes());
-    site.until_ready(ROUTER);
+    let server = cluster.server(("i-1", "s", "za"), |received| ok(received, b"here"));
+    cluster.platform.set(vec![server.listed()]);
+    let _control = cluster.control(CORE[0], &CORE[..1], true);
+    cluster.put(CORE[0], 0, &routes());
+    cluster.wait_until_ready(ROUTER);
     transcript.ask("GET of the readiness of a router that serves", readiness, &ready);
     transcript.ask("GET of an unknown path", readiness, &operator_request("GET", "/", "", ""));
     transcript.ask("POST to the readiness", readiness, &operator_request("POST", "/-/readyz", "", ""));
     transcript.ask("request to a router that serves", front, &get("r2", "/safe/x"));
     router.signal("TERM");
-    until("it is no longer ready", || !site.is_ready(ROUTER));
+    wait_until("it is no longer ready", || !cluster.is_ready(ROUTER));
     transcript.ask("GET of the readiness of a router that ends", readiness, &ready);
     transcript.ask("request to a router that ends", front, &get("r3", "/safe/x"));
     router.kill();
@@ -49,14 +51,14 @@
 
 #[test]
 fn router_rejects_requests_that_it_cannot_route() {
-    let site = Site::new();
-    let server = site.server(("i-1", "s", "za"), |asked| ok(asked, b"here"));
+    let cluster = TestCluster::new();
+    let server = cluster.server(("i-1", "s", "za"), |received| ok(received, b"here"));
     let mut all = routes();
     all["limits"] = json!({"max_body_bytes": 1000});
-    let _served = site.serving(&[&server], &all);
-    let front = site.at(ROUTER, FRONT);
+    let _served = cluster.serving(&[&server], &all);
+    let front = cluster.at(ROUTER, FRONT);
     let id = "Ivyhatch-Attempt-Id: r1\r\n";
-    let mut transcript = Transcript::of(&site);
+    let mut transcript = Transcript::of(&cluster);
     let too_large = "x".repeat(1001);
     for (title, request) in [
         ("path without a route", router_request("/nowhere/x", id)),
@@ -99,18 +101,18 @@
 
 #[test]
 fn router_rejects_an_id_that_an_open_request_has() {
-    let site = Site::new();
+    let cluster = TestCluster::new();
     let gate = Arc::new(Gate::default());
     let held = gate.clone();
-    let server = site.server(("i-1", "s", "za"), move |asked| {
-        [vec![Step::Waits(held.clone())], ok(asked, b"here")].concat()
+    let server = cluster.server(("i-1", "s", "za"), move |received| {
+        [vec![Step::Wait(held.clone())], ok(received, b"here")].concat()
     });
-    let _served = site.serving(&[&server], &routes());
-    let front = site.at(ROUTER, FRONT);
+    let _served = cluster.serving(&[&server], &routes());
+    let front = cluster.at(ROUTER, FRONT);
     let mut first = Client::to(front);
     first.write(&get("r1", "/safe/x"));
     server.next();
-    let mut transcript = Transcript::of(&site);
+    let mut transcript = Transcript::of(&cluster);
     transcript.ask("request with the id of an open request", front, &get("r1", "/safe/x"));
     gate.open();
     let head = first.head();
@@ -121,10 +123,10 @@
 
 #[test]
 fn router_without_a_server_asks_clients_to_retry_later() {
-    let site = Site::new();
-    let _served = site.serving(&[], &routes());
-    let front = site.at(ROUTER, FRONT);
-    let mut transcript = Transcript::of(&site);
+    let cluster = TestCluster::new();
+    let _served = cluster.serving(&[], &routes());
+    let front = cluster.at(ROUTER, FRONT);
+    let mut transcript = Transcript::of(&cluster);
     transcript.ask("safe request", front, &get("r1", "/safe/x"));
     transcript.ask("unsafe request", front, &request("r2", "POST", "/unsafe/x", "", b"body"));
     transcript.ask(
@@ -137,17 +139,21 @@
 
 /// Compares what a router answers once on each route, with servers that do this with each request. Each route's request has a
 /// system of its own, so that neither finds what the other has left: kept connections, or servers that are ejected.
-fn assert_failure(name: &str, headers: &str, does: impl Fn(&Asked) -> Vec<Step> + Send + Sync + 'static) {
+fn assert_failure(
+    name: &str,
+    headers: &str,
+    does: impl Fn(&ReceivedRequest) -> Vec<Step> + Send + Sync + 'static,
+) {
     let does = Arc::new(does);
     let ask_once = |method: &str, path: &str| {
-        let site = Site::new();
+        let cluster = TestCluster::new();
         let does = does.clone();
-        let servers = site.pair(move |_, asked| does(asked));
-        let _served = site.serving(&[&servers[0], &servers[1]], &routes());
+        let servers = cluster.pair(move |_, received| does(received));
+        let _served = cluster.serving(&[&servers[0], &servers[1]], &routes());
         let request = format!(
             "{method} {path} HTTP/1.1\r\nHost: h.example\r\nIvyhatch-Attempt-Id: r1\r\n{headers}\r\n"
         );
-        ask(site.at(ROUTER, FRONT), request.as_bytes())
+        ask(cluster.at(ROUTER, FRONT), request.as_bytes())
     };
     let mut transcript = Transcript::default();
     std::thread::scope(|scope| {
@@ -161,32 +167,36 @@
 
 #[test]
 fn router_refuses_what_all_servers_shed() {
-    assert_failure("servers_shed", "", |_| sheds());
+    assert_failure("servers_shed", "", |_| overloaded());
 }
 
 #[test]
 fn router_answers_for_servers_that_close_the_connection() {
-    assert_failure("servers_close", "", |_| vec![Step::Closes]);
+    assert_failure("servers_close", "", |_| vec![Step::Close]);
 }
 
 #[test]
 fn router_forwards_failures_of_servers() {
-    assert_failure("servers_fail", "", |asked| {
-        vec![Step::Writes(whole(500, &format!("{}{STAMP}X-Own: 1\r\n", id(asked.id())), b"failed"))]
+    assert_failure("servers_fail", "", |received| {
+        vec![Step::Write(complete_response(
+            500,
+            &format!("{}{STAMP}X-Own: 1\r\n", id(received.id())),
+            b"failed",
+        ))]
     });
 }
 
 #[test]
 fn router_forwards_429_only_where_the_request_may_run_again() {
-    assert_failure("servers_answer_429", "", |asked| {
-        vec![Step::Writes(whole(429, &format!("{}{STAMP}", id(asked.id())), b"failed"))]
+    assert_failure("servers_answer_429", "", |received| {
+        vec![Step::Write(complete_response(429, &format!("{}{STAMP}", id(received.id())), b"failed"))]
     });
 }
 
 #[test]
 fn router_does_not_forward_a_success_without_a_stamp() {
-    assert_failure("servers_without_a_stamp", "", |asked| {
-        vec![Step::Writes(whole(200, &id(asked.id()), b"no stamp"))]
+    assert_failure("servers_without_a_stamp", "", |received| {
+        vec![Step::Write(complete_response(200, &id(received.id()), b"no stamp"))]
     });
 }
 
@@ -195,28 +205,32 @@
     let gate = Arc::new(Gate::default());
     let held = gate.clone();
     assert_failure("servers_are_late", "Ivyhatch-Deadline-Ms: 700\r\n", move |_| {
-        vec![Step::Waits(held.clone())]
+        vec![Step::Wait(held.clone())]
     });
     gate.open();
 }
 
 #[test]
 fn router_forwards_answers_and_streams() {
-    let site = Site::new();
-    let server = site.server(("i-1", "s", "za"), |asked| match asked.id() {
-        "events" => stream(asked, 1..=3),
+    let cluster = TestCluster::new();
+    let server = cluster.server(("i-1", "s", "za"), |received| match received.id() {
+        "events" => stream(received, 1..=3),
         _ => {
             let headers = "Content-Type: text/plain\r\nX-Own: 1\r\nIvyhatch-Server-Load: 1, 0, 8\r\n\
                 Keep-Alive: timeout=5\r\nConnection: X-Hop\r\nX-Hop: 1\r\n";
-            vec![Step::Writes(whole(201, &format!("{headers}{}{STAMP}", id(asked.id())), b"here"))]
+            vec![Step::Write(complete_response(
+                201,
+                &format!("{headers}{}{STAMP}", id(received.id())),
+                b"here",
+            ))]
         }
     });
     let mut all = routes();
     let streaming = route("events", &json!({"route_kind": "streaming", "resumable": true}));
     all["routes"].as_array_mut().expect("routes").push(streaming);
-    let _served = site.serving(&[&server], &all);
-    let front = site.at(ROUTER, FRONT);
-    let mut transcript = Transcript::of(&site);
+    let _served = cluster.serving(&[&server], &all);
+    let front = cluster.at(ROUTER, FRONT);
+    let mut transcript = Transcript::of(&cluster);
     transcript.add("an answer", &ask(front, &get("r1", "/safe/x")));
     transcript.add("a stream", &ask(front, &request("events", "POST", "/events/x", "", b"prompt")));
     assert_golden("router/forwarded.txt", transcript.text());
--- a/cli/tests/system_common/calls.rs
+++ b/cli/tests/system_common/calls.rs
@@ -6,7 +6,7 @@
 
 use serde_json::{Value, json};
 
-use super::PATIENCE;
+use super::WAIT_LIMIT;
 
 /// One call on a connection of its own; none without an answer.
 pub fn call(at: SocketAddr, method: &str, path: &str, base: Option<u64>, body: &str) -> Option<(u16, Value)> {
@@ -79,7 +79,7 @@
     pub fn try_to(at: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect_timeout(&at, Duration::from_secs(2)).ok()?;
         stream.set_nodelay(true).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).ok()?;
+        stream.set_read_timeout(Some(WAIT_LIMIT)).ok()?;
         Some(Self(BufReader::new(stream)))
     }
 
--- a/cli/tests/system_common/faults.rs
+++ b/cli/tests/system_common/faults.rs
@@ -76,7 +76,7 @@
     pub begun: usize,
     /// Whole rejections that were written.
     pub rejections: usize,
-    /// Requests that came on a connection that had brought bytes nobody asked for.
+    /// Requests on a connection that had delivered surplus bytes.
     pub after_surplus: Vec<String>,
     fresh: Vec<Plan>,
     kept: Vec<Plan>,
@@ -166,7 +166,7 @@
                 for (connection, stream) in listener.incoming().flatten().enumerate() {
                     let servers = servers.clone();
                     // Every other connection begins well, so that there are kept ones.
-                    thread::spawn(move || servers.attend(stream, connection % 2 == 0));
+                    thread::spawn(move || servers.serve_connection(stream, connection % 2 == 0));
                 }
             });
             json!({"service": "s", "address": at.to_string(), "zone": "za", "revision": "v1", "slots": 64, "state": "ready",
@@ -175,7 +175,7 @@
         (0..count).map(start).collect()
     }
 
-    fn attend(&self, mut stream: TcpStream, wrong_at_once: bool) {
+    fn serve_connection(&self, mut stream: TcpStream, wrong_at_once: bool) {
         let _ = stream.set_nodelay(true);
         let (mut kept, mut owed) = (false, Owed::default());
         while stream.peek(&mut [0]).is_ok_and(|count| count > 0) {
@@ -204,29 +204,29 @@
 
     /// One exchange. None where the connection has ended; else whether anything more is read from it.
     fn exchange(&self, stream: &mut TcpStream, plan: Option<Plan>, owed: &mut Owed) -> Option<bool> {
-        let mut asked = Vec::new();
+        let mut received = Vec::new();
         if let Some(plan) = plan.filter(|plan| plan.part == Part::Request) {
-            read_up_to(stream, &mut asked, plan.at)?;
-            self.note(&asked, |seen| seen.plans.push(plan));
+            read_up_to(stream, &mut received, plan.at)?;
+            self.note(&received, |seen| seen.plans.push(plan));
             match plan.fault {
                 Fault::Delay => thread::sleep(DELAY),
                 fault => {
-                    self.note(&asked, |seen| seen.arrivals += 1);
+                    self.note(&received, |seen| seen.arrivals += 1);
                     return end(stream, fault);
                 }
             }
         }
-        read_up_to(stream, &mut asked, usize::MAX)?;
-        let id = id_of(&asked).expect("a whole request has an id");
+        read_up_to(stream, &mut received, usize::MAX)?;
+        let id = id_of(&received).expect("a whole request has an id");
         let reply = (self.answers)(&id);
-        self.record(&asked, &id, &reply, plan, owed);
+        self.record(&received, &id, &reply, plan, owed);
         let (first, then) = cut_up(&reply.bytes, plan, owed);
         // A refusal is one once its head is whole.
         if reply.refuses
             && first.len() + then.as_ref().map_or(0, |(_, rest)| rest.len()) >= head_length(&reply.bytes)
         {
             self.request_log().rejections += 1;
-            self.note(&asked, |seen| seen.rejections += 1);
+            self.note(&received, |seen| seen.rejections += 1);
         }
         stream.write_all(&first).ok()?;
         match then {
@@ -240,11 +240,11 @@
         }
     }
 
-    fn record(&self, asked: &[u8], id: &str, reply: &Reply, plan: Option<Plan>, owed: &Owed) {
+    fn record(&self, received: &[u8], id: &str, reply: &Reply, plan: Option<Plan>, owed: &Owed) {
         let mut request_log = self.request_log();
         let answer_head = head_length(&reply.bytes);
         request_log.recorded =
-            Some(Recorded { request: asked.len(), answer: reply.bytes.len(), answer_head });
+            Some(Recorded { request: received.len(), answer: reply.bytes.len(), answer_head });
         if owed.was_paid {
             request_log.after_surplus.push(id.to_owned());
         }
@@ -255,8 +255,8 @@
         seen.plans.extend(plan.filter(|plan| plan.part == Part::Answer));
     }
 
-    fn note(&self, asked: &[u8], note: impl FnOnce(&mut Seen)) {
-        if let Some(id) = id_of(asked) {
+    fn note(&self, received: &[u8], note: impl FnOnce(&mut Seen)) {
+        if let Some(id) = id_of(received) {
             note(self.request_log().requests.entry(id).or_default());
         }
     }
@@ -320,12 +320,12 @@
 }
 
 /// Reads until so many bytes have come, or a whole request has. None where the connection ends first.
-fn read_up_to(stream: &mut TcpStream, asked: &mut Vec<u8>, most: usize) -> Option<()> {
-    while asked.len() < most && !is_whole(asked) {
+fn read_up_to(stream: &mut TcpStream, received: &mut Vec<u8>, most: usize) -> Option<()> {
+    while received.len() < most && !is_whole(received) {
         let mut byte = [0];
         match stream.read(&mut byte) {
             Ok(0) => return None,
-            Ok(_) => asked.push(byte[0]),
+            Ok(_) => received.push(byte[0]),
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(_) => return None,
         }
@@ -338,19 +338,19 @@
     bytes.windows(4).position(|four| four == b"\r\n\r\n").map_or(bytes.len(), |at| at + 4)
 }
 
-fn is_whole(asked: &[u8]) -> bool {
-    if !asked.windows(4).any(|four| four == b"\r\n\r\n") {
+fn is_whole(received: &[u8]) -> bool {
+    if !received.windows(4).any(|four| four == b"\r\n\r\n") {
         return false;
     }
-    let (head, body) = asked.split_at(head_length(asked));
+    let (head, body) = received.split_at(head_length(received));
     let head = String::from_utf8_lossy(head).to_ascii_lowercase();
     let length = head.split("content-length: ").nth(1).and_then(|rest| rest.lines().next());
     body.len() >= length.and_then(|text| text.trim().parse().ok()).unwrap_or(0)
 }
 
 /// The id of a request, which ends its path.
-fn id_of(asked: &[u8]) -> Option<String> {
-    let text = String::from_utf8_lossy(asked);
+fn id_of(received: &[u8]) -> Option<String> {
+    let text = String::from_utf8_lossy(received);
     let path = text.split(' ').nth(1)?;
     let id = path.rsplit('/').next()?;
     (id.len() == ID_LENGTH).then(|| id.to_owned())
--- a/cli/tests/system_common/mod.rs
+++ b/cli/tests/system_common/mod.rs
@@ -1,5 +1,5 @@
-//! A system of control nodes and routers over loopback addresses, with stand-ins for all that is around it. Each test has a network
-//! of its own, so that all of them have the usual ports and run side by side.
+//! A cluster of control nodes and routers as processes on loopback addresses, with test doubles for the platform and the servers. Each
+//! test has a network of its own, so that all tests use the default ports and run concurrently.
 
 #![allow(dead_code)]
 
@@ -24,8 +24,8 @@
 use platform::Platform;
 use server::{Server, Step};
 
-/// Nothing that is awaited takes so long.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// A condition that does not hold within this fails its test.
+pub const WAIT_LIMIT: Duration = Duration::from_secs(20);
 pub const CONTROL: u16 = 8166;
 pub const DIRECTORY: u16 = 8164;
 pub const FRONT: u16 = 8161;
@@ -35,27 +35,27 @@
 pub const CORE: [u8; 3] = [11, 12, 13];
 /// The machine of the first router, in the first zone.
 pub const ROUTER: u8 = 21;
-/// Held by the test that has the network.
+/// Bound by the test that uses the network.
 const CLAIM: u16 = 7700;
 
-/// Waits for a condition.
-pub fn until(what: &str, mut done: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+/// Waits for a condition; fails the test after [`WAIT_LIMIT`].
+pub fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
+    let end = Instant::now() + WAIT_LIMIT;
     while !done() {
         assert!(Instant::now() < end, "in vain: {what}");
         thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// The machines of a test, and the platform around them.
-pub struct Site {
+/// The machines of a test, and the platform.
+pub struct TestCluster {
     network: (u8, u8),
     _claim: TcpListener,
     folder: TempDir,
     pub platform: Platform,
 }
 
-impl Site {
+impl TestCluster {
     pub fn new() -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let (network, claim) = loop {
@@ -86,7 +86,7 @@
         self.folder.path().join(format!("settings-{host}.json"))
     }
 
-    /// A machine's settings; its last digit determines its zone. The seeds are these.
+    /// A machine's settings. The last digit of `host` determines the zone.
     pub fn settings(&self, host: u8, seeds: &[u8], first_start: bool) -> Value {
         let zone = ["za", "zb", "zc"][usize::from((host - 1) % 10) % 3];
         let seeds: Vec<String> = seeds.iter().map(|seed| self.at(*seed, CONTROL).to_string()).collect();
@@ -137,7 +137,7 @@
         let control = self.control(CORE[0], &CORE[..1], true);
         let router = self.router(ROUTER, &CORE[..1]);
         self.put(CORE[0], 0, configuration);
-        self.until_ready(ROUTER);
+        self.wait_until_ready(ROUTER);
         Served { control, router }
     }
 
@@ -145,9 +145,9 @@
     pub fn server(
         &self,
         (id, service, zone): (&str, &str, &str),
-        does: impl Fn(&server::Asked) -> Vec<Step> + Send + Sync + 'static,
+        script: impl Fn(&server::ReceivedRequest) -> Vec<Step> + Send + Sync + 'static,
     ) -> Server {
-        Server::new(self.ip(31), (id, service, zone), does)
+        Server::new(self.ip(31), (id, service, zone), script)
     }
 
     /// Has a configuration taken, on top of this version.
@@ -158,7 +158,7 @@
     /// Sends an order until it is acknowledged.
     pub fn order(&self, host: u8, method: &str, path: &str, base: Option<u64>, body: &str) {
         let mut last = None;
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_LIMIT;
         while Instant::now() < end {
             last = call(self.at(host, CONTROL), method, path, base, body);
             match &last {
@@ -177,17 +177,19 @@
             .map(|(_, body)| body)
     }
 
-    pub fn until_revision(&self, host: u8, revision: u64) {
+    pub fn wait_until_revision(&self, host: u8, revision: u64) {
         let what = format!("{host} knows version {revision}");
-        until(&what, || self.configuration(host).is_some_and(|whole| whole["revision"] == json!(revision)));
+        wait_until(&what, || {
+            self.configuration(host).is_some_and(|whole| whole["revision"] == json!(revision))
+        });
     }
 
     pub fn is_ready(&self, host: u8) -> bool {
         call(self.at(host, READINESS), "GET", "/-/readyz", None, "").is_some_and(|(status, _)| status == 200)
     }
 
-    pub fn until_ready(&self, host: u8) {
-        until(&format!("router {host} is ready"), || self.is_ready(host));
+    pub fn wait_until_ready(&self, host: u8) {
+        wait_until(&format!("router {host} is ready"), || self.is_ready(host));
     }
 
     /// Where clients of this region are sent.
@@ -247,7 +249,7 @@
 
     /// Waits for its end.
     pub fn end(&mut self) -> ExitStatus {
-        until("the process ends", || !self.is_running());
+        wait_until("the process ends", || !self.is_running());
         self.child.wait().unwrap()
     }
 
--- a/cli/tests/system_common/platform.rs
+++ b/cli/tests/system_common/platform.rs
@@ -13,7 +13,7 @@
 const TOKEN: &str = "p&=+ %-";
 const TOKEN_IN_QUERY: &str = "page_token=p%26%3D%2B%20%25-";
 
-/// The list, and how often it was asked for.
+/// The instance list, and how often it was requested.
 pub struct Platform {
     pub at: SocketAddr,
     state: Arc<Mutex<State>>,
--- a/cli/tests/system_common/server.rs
+++ b/cli/tests/system_common/server.rs
@@ -1,4 +1,4 @@
-//! A server that does what a test's script says, step by step, with each request.
+//! A server that responds to each request by a test's script.
 
 use std::io::{BufReader, Write};
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -10,90 +10,90 @@
 use ivyhatch_socket_lab::scripted::{Message, read_message};
 use serde_json::{Value, json};
 
-use super::PATIENCE;
+use super::WAIT_LIMIT;
 
-/// A request as a server has read it.
+/// A request as a server received it.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct ReceivedRequest {
     pub message: Message,
-    /// How many came to this server before it.
+    /// The number of earlier requests to this server.
     pub number: usize,
-    /// How many came on its connection before it.
+    /// The number of earlier requests on its connection.
     pub on_connection: usize,
 }
 
-impl Asked {
+impl ReceivedRequest {
     pub fn id(&self) -> &str {
         self.message.value("ivyhatch-attempt-id").unwrap_or("")
     }
 }
 
-/// What a server does next.
+/// A step of a script.
 #[derive(Clone)]
 pub enum Step {
-    Writes(Vec<u8>),
-    Waits(Arc<Gate>),
+    Write(Vec<u8>),
+    Wait(Arc<Gate>),
     /// Ends the connection.
-    Closes,
-    /// Ends it with a reset.
-    Resets,
+    Close,
+    /// Ends the connection with a reset.
+    Reset,
 }
 
-/// A server, and what it has got.
+/// A scripted server, and the requests that it received.
 pub struct Server {
     pub at: SocketAddr,
     pub id: String,
     service: String,
     zone: String,
-    got: Receiver<Asked>,
+    got: Receiver<ReceivedRequest>,
 }
 
 impl Server {
     pub fn new(
         ip: Ipv4Addr,
         (id, service, zone): (&str, &str, &str),
-        does: impl Fn(&Asked) -> Vec<Step> + Send + Sync + 'static,
+        script: impl Fn(&ReceivedRequest) -> Vec<Step> + Send + Sync + 'static,
     ) -> Self {
         let listener = TcpListener::bind((ip, 0)).unwrap();
         let at = listener.local_addr().unwrap();
         let (sender, got) = channel();
-        let (does, count) = (Arc::new(does), Arc::new(Mutex::new(0)));
+        let (script, count) = (Arc::new(script), Arc::new(Mutex::new(0)));
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (does, count, sender) = (does.clone(), count.clone(), sender.clone());
-                thread::spawn(move || attend(stream, &*does, &count, &sender));
+                let (script, count, sender) = (script.clone(), count.clone(), sender.clone());
+                thread::spawn(move || serve_connection(stream, &*script, &count, &sender));
             }
         });
         Self { at, id: id.to_owned(), service: service.to_owned(), zone: zone.to_owned(), got }
     }
 
-    /// Its line in the platform's list.
+    /// Its entry in the platform's instance list.
     pub fn listed(&self) -> Value {
         json!({"service": self.service, "address": self.at.to_string(), "zone": self.zone, "revision": "v1", "slots": 8,
             "state": "ready", "cold_left_ms": 0, "id": self.id})
     }
 
     /// The next request.
-    pub fn next(&self) -> Asked {
-        self.got.recv_timeout(PATIENCE).expect("a request reaches the server")
+    pub fn next(&self) -> ReceivedRequest {
+        self.got.recv_timeout(WAIT_LIMIT).expect("a request reaches the server")
     }
 
-    /// Requests that have come and were not received yet.
-    pub fn all(&self) -> Vec<Asked> {
+    /// The requests that the test has not taken yet.
+    pub fn all(&self) -> Vec<ReceivedRequest> {
         self.got.try_iter().collect()
     }
 
-    /// How many have come; they are received by this.
+    /// The number of requests that the test has not taken yet; takes them.
     pub fn count(&self) -> usize {
         self.all().len()
     }
 }
 
-fn attend(
+fn serve_connection(
     stream: TcpStream,
-    does: &dyn Fn(&Asked) -> Vec<Step>,
+    script: &dyn Fn(&ReceivedRequest) -> Vec<Step>,
     count: &Mutex<usize>,
-    sender: &Sender<Asked>,
+    sender: &Sender<ReceivedRequest>,
 ) {
     let mut writer = stream.try_clone().unwrap();
     let mut reader = BufReader::new(stream);
@@ -104,24 +104,24 @@
             *count += 1;
             *count - 1
         };
-        let asked = Asked { message, number, on_connection };
-        let steps = does(&asked);
-        if sender.send(asked).is_err() {
+        let received = ReceivedRequest { message, number, on_connection };
+        let steps = script(&received);
+        if sender.send(received).is_err() {
             return;
         }
         for step in steps {
             match step {
-                Step::Writes(bytes) => {
+                Step::Write(bytes) => {
                     if writer.write_all(&bytes).is_err() {
                         return;
                     }
                 }
-                Step::Waits(gate) => gate.wait(),
-                Step::Closes => {
+                Step::Wait(gate) => gate.wait(),
+                Step::Close => {
                     let _ = writer.shutdown(Shutdown::Both);
                     return;
                 }
-                Step::Resets => {
+                Step::Reset => {
                     ivyhatch_socket_lab::scripted::Client::from_stream(writer).reset();
                     return;
                 }
@@ -132,8 +132,8 @@
 
 pub const STAMP: &str = "Ivyhatch-Server-Stamp: st.1\r\n";
 
-/// The bytes of a whole answer; `headers` are whole lines.
-pub fn whole(status: u16, headers: &str, body: &[u8]) -> Vec<u8> {
+/// The bytes of a complete response; `headers` are complete lines.
+pub fn complete_response(status: u16, headers: &str, body: &[u8]) -> Vec<u8> {
     let mut bytes =
         format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n", body.len()).into_bytes();
     bytes.extend_from_slice(body);
@@ -155,22 +155,22 @@
 }
 
 /// A sound answer to a request.
-pub fn ok(asked: &Asked, body: &[u8]) -> Vec<Step> {
-    vec![Step::Writes(whole(200, &format!("{}{STAMP}", id(asked.id())), body))]
+pub fn ok(received: &ReceivedRequest, body: &[u8]) -> Vec<Step> {
+    vec![Step::Write(complete_response(200, &format!("{}{STAMP}", id(received.id())), body))]
 }
 
 /// A server that is full.
-pub fn sheds() -> Vec<Step> {
-    vec![Step::Writes(whole(503, "Ivyhatch-Not-Executed: 1\r\n", b"full"))]
+pub fn overloaded() -> Vec<Step> {
+    vec![Step::Write(complete_response(503, "Ivyhatch-Not-Executed: 1\r\n", b"full"))]
 }
 
 /// The head of a stream.
-pub fn stream_head(asked: &Asked) -> Step {
-    let id = id(asked.id());
+pub fn stream_head(received: &ReceivedRequest) -> Step {
+    let id = id(received.id());
     let text = format!(
         "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n{id}{STAMP}\r\n"
     );
-    Step::Writes(text.into_bytes())
+    Step::Write(text.into_bytes())
 }
 
 /// An event's text.
@@ -180,33 +180,36 @@
 
 /// A piece of a stream.
 pub fn chunk(text: &str) -> Step {
-    Step::Writes(format!("{:x}\r\n{text}\r\n", text.len()).into_bytes())
+    Step::Write(format!("{:x}\r\n{text}\r\n", text.len()).into_bytes())
 }
 
 /// The end of a stream.
 pub fn last_chunk() -> Step {
-    Step::Writes(b"0\r\n\r\n".to_vec())
+    Step::Write(b"0\r\n\r\n".to_vec())
 }
 
-/// A whole stream of these events.
-pub fn stream(asked: &Asked, events: std::ops::RangeInclusive<u64>) -> Vec<Step> {
+/// A complete stream of these events.
+pub fn stream(received: &ReceivedRequest, events: std::ops::RangeInclusive<u64>) -> Vec<Step> {
     let events = events.map(|number| chunk(&event(number)));
-    std::iter::once(stream_head(asked)).chain(events).chain([last_chunk()]).collect()
+    std::iter::once(stream_head(received)).chain(events).chain([last_chunk()]).collect()
 }
 
-impl super::Site {
+impl super::TestCluster {
     /// Two servers of service `s` in the router's zone. `does` gets the number of earlier requests to either of them.
-    pub fn pair(&self, does: impl Fn(usize, &Asked) -> Vec<Step> + Send + Sync + 'static) -> [Server; 2] {
-        let (does, turn) = (Arc::new(does), Arc::new(Mutex::new(0)));
+    pub fn pair(
+        &self,
+        script: impl Fn(usize, &ReceivedRequest) -> Vec<Step> + Send + Sync + 'static,
+    ) -> [Server; 2] {
+        let (script, turn) = (Arc::new(script), Arc::new(Mutex::new(0)));
         ["i-1", "i-2"].map(|id| {
-            let (does, turn) = (does.clone(), turn.clone());
-            self.server((id, "s", "za"), move |asked| {
+            let (script, turn) = (script.clone(), turn.clone());
+            self.server((id, "s", "za"), move |received| {
                 let turn = {
                     let mut turn = turn.lock().unwrap();
                     *turn += 1;
                     *turn - 1
                 };
-                does(turn, asked)
+                script(turn, received)
             })
         })
     }
--- a/cli/tests/system_common/transcript.rs
+++ b/cli/tests/system_common/transcript.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-use super::Site;
+use super::TestCluster;
 use super::calls::{Answer, Client};
 
 /// Headers whose values differ from run to run.
@@ -17,9 +17,9 @@
 }
 
 impl Transcript {
-    /// A transcript in which the site's network is written as `127.x.y`.
-    pub fn of(site: &Site) -> Self {
-        let address = site.ip(0).to_string();
+    /// A transcript in which the cluster's network is written as `127.x.y`.
+    pub fn of(cluster: &TestCluster) -> Self {
+        let address = cluster.ip(0).to_string();
         let network = address.strip_suffix('0').expect("host 0").to_owned();
         Self { text: String::new(), placeholders: vec![(network, "127.x.y.".to_owned())] }
     }
--- a/cli/tests/system_control.rs
+++ b/cli/tests/system_control.rs
@@ -4,36 +4,36 @@
 
 use serde_json::{Value, json};
 use system_common::calls::{call, route};
-use system_common::{CONTROL, CORE, INNER, Process, Site, configuration, until};
+use system_common::{CONTROL, CORE, INNER, Process, TestCluster, configuration, wait_until};
 
 fn first() -> Value {
     configuration(5, &[("a", json!({})), ("b", json!({"route_kind": "unsafe"}))])
 }
 
-fn sends(site: &Site, host: u8, method: &str, base: Option<u64>, body: &str) -> (u16, Value) {
-    call(site.at(host, CONTROL), method, "/-/config", base, body).expect("an answer")
+fn sends(cluster: &TestCluster, host: u8, method: &str, base: Option<u64>, body: &str) -> (u16, Value) {
+    call(cluster.at(host, CONTROL), method, "/-/config", base, body).expect("an answer")
 }
 
 #[test]
 fn three_control_nodes_form_a_quorum_and_accept_a_configuration() {
-    let site = Site::new();
-    let _core = site.core();
-    site.put(12, 0, &first());
+    let cluster = TestCluster::new();
+    let _core = cluster.core();
+    cluster.put(12, 0, &first());
     for host in CORE {
-        site.until_revision(host, 5);
-        assert_eq!(site.configuration(host), Some(first()), "given back as it was sent");
+        cluster.wait_until_revision(host, 5);
+        assert_eq!(cluster.configuration(host), Some(first()), "given back as it was sent");
     }
     // Sent again unchanged, to any node, it is taken; another one on the same version is not.
     for host in CORE {
-        assert_eq!(sends(&site, host, "PUT", Some(0), &first().to_string()).0, 200);
+        assert_eq!(sends(&cluster, host, "PUT", Some(0), &first().to_string()).0, 200);
         let other = configuration(6, &[("c", json!({}))]);
-        assert_eq!(sends(&site, host, "PUT", Some(0), &other.to_string()).0, 412);
+        assert_eq!(sends(&cluster, host, "PUT", Some(0), &other.to_string()).0, 412);
     }
     let next = configuration(9, &[("a", json!({"timeout_ms": 10}))]);
-    site.put(13, 5, &next);
-    CORE.iter().for_each(|host| site.until_revision(*host, 9));
+    cluster.put(13, 5, &next);
+    CORE.iter().for_each(|host| cluster.wait_until_revision(*host, 9));
     assert_eq!(
-        sends(&site, 11, "PUT", Some(5), &first().to_string()).0,
+        sends(&cluster, 11, "PUT", Some(5), &first().to_string()).0,
         412,
         "what was replaced is not taken again"
     );
@@ -41,32 +41,32 @@
 
 #[test]
 fn patch_changes_items_under_the_same_revision_check() {
-    let site = Site::new();
-    let _core = site.core();
-    site.put(11, 0, &first());
+    let cluster = TestCluster::new();
+    let _core = cluster.core();
+    cluster.put(11, 0, &first());
     let change =
         json!({"revision": 8, "upsert": {"routes": [route("c", &json!({}))]}, "remove": {"routes": ["a"]}})
             .to_string();
-    assert_eq!(sends(&site, 13, "PATCH", Some(4), &change).0, 412);
-    site.order(13, "PATCH", "/-/config", Some(5), &change);
+    assert_eq!(sends(&cluster, 13, "PATCH", Some(4), &change).0, 412);
+    cluster.order(13, "PATCH", "/-/config", Some(5), &change);
     for host in CORE {
-        site.until_revision(host, 8);
-        let routes = site.configuration(host).expect("one")["routes"].clone();
+        cluster.wait_until_revision(host, 8);
+        let routes = cluster.configuration(host).expect("one")["routes"].clone();
         let names: Vec<&str> =
             routes.as_array().expect("routes").iter().filter_map(|r| r["name"].as_str()).collect();
         assert_eq!(names, ["b", "c"]);
-        assert_eq!(sends(&site, host, "PATCH", Some(5), &change).0, 200, "sent again unchanged");
+        assert_eq!(sends(&cluster, host, "PATCH", Some(5), &change).0, 200, "sent again unchanged");
     }
     let other = json!({"revision": 8, "remove": {"routes": ["b"]}}).to_string();
-    assert_eq!(sends(&site, 12, "PATCH", Some(5), &other).0, 412);
+    assert_eq!(sends(&cluster, 12, "PATCH", Some(5), &other).0, 412);
 }
 
 #[test]
 fn invalid_configuration_is_rejected_and_changes_nothing() {
-    let site = Site::new();
-    let _core = site.core();
-    site.put(11, 0, &first());
-    CORE.iter().for_each(|host| site.until_revision(*host, 5));
+    let cluster = TestCluster::new();
+    let _core = cluster.core();
+    cluster.put(11, 0, &first());
+    CORE.iter().for_each(|host| cluster.wait_until_revision(*host, 5));
     let with = |change: &dyn Fn(&mut Value)| {
         let mut changed = configuration(7, &[("a", json!({})), ("b", json!({}))]);
         change(&mut changed);
@@ -85,39 +85,39 @@
         ("no revision", with(&|all| drop(all.as_object_mut().map(|all| all.remove("revision"))))),
     ];
     for (host, (what, body)) in CORE.iter().cycle().zip(&invalid) {
-        let (status, answer) = sends(&site, *host, "PUT", Some(5), body);
+        let (status, answer) = sends(&cluster, *host, "PUT", Some(5), body);
         assert_eq!(status, 400, "{what}: {answer}");
         assert!(answer["error"].as_str().is_some_and(|text| !text.is_empty()), "{what}");
     }
     for body in
         [r#"{"revision":5}"#, r#"{"revision":8,"remove":7}"#, r#"{"revision":8,"remove":{"services":["s"]}}"#]
     {
-        assert_eq!(sends(&site, 12, "PATCH", Some(5), body).0, 400, "{body}");
+        assert_eq!(sends(&cluster, 12, "PATCH", Some(5), body).0, 400, "{body}");
     }
-    assert_eq!(sends(&site, 12, "PUT", None, &sound).0, 400, "without If-Match");
-    CORE.iter().for_each(|host| assert_eq!(site.configuration(*host), Some(first())));
-    site.put(12, 5, &serde_json::from_str(&sound).expect("JSON"));
+    assert_eq!(sends(&cluster, 12, "PUT", None, &sound).0, 400, "without If-Match");
+    CORE.iter().for_each(|host| assert_eq!(cluster.configuration(*host), Some(first())));
+    cluster.put(12, 5, &serde_json::from_str(&sound).expect("JSON"));
 }
 
 #[test]
 fn one_of_two_concurrent_writes_wins() {
-    let site = Site::new();
-    let _core = site.core();
-    site.put(11, 0, &first());
-    CORE.iter().for_each(|host| site.until_revision(*host, 5));
+    let cluster = TestCluster::new();
+    let _core = cluster.core();
+    cluster.put(11, 0, &first());
+    CORE.iter().for_each(|host| cluster.wait_until_revision(*host, 5));
     for base in [5_u64, 20, 30, 40] {
         let next = if base == 5 { 20 } else { base + 10 };
         let answers: Vec<u16> = std::thread::scope(|scope| {
             let writers: Vec<_> = CORE
                 .iter()
                 .map(|host| {
-                    let site = &site;
+                    let cluster = &cluster;
                     scope.spawn(move || {
                         let name = format!("w{host}");
                         let body = configuration(next, &[(&name, json!({}))]).to_string();
                         let mut status = 503;
-                        until("a clear answer", || {
-                            status = call(site.at(*host, CONTROL), "PUT", "/-/config", Some(base), &body)
+                        wait_until("a clear answer", || {
+                            status = call(cluster.at(*host, CONTROL), "PUT", "/-/config", Some(base), &body)
                                 .map_or(503, |a| a.0);
                             status != 503
                         });
@@ -131,8 +131,8 @@
         assert_eq!((taken, answers.iter().filter(|status| **status == 412).count()), (1, 2), "{answers:?}");
         let winner = CORE[answers.iter().position(|status| *status == 200).expect("one")];
         for host in CORE {
-            site.until_revision(host, next);
-            let whole = site.configuration(host).expect("one");
+            cluster.wait_until_revision(host, next);
+            let whole = cluster.configuration(host).expect("one");
             assert_eq!(whole["routes"][0]["name"], json!(format!("w{winner}")));
         }
     }
@@ -141,80 +141,80 @@
 #[test]
 fn lost_control_node_catches_up_after_restart() {
     for lost in 0..3 {
-        let site = Site::new();
-        let mut core = site.core();
-        site.put(11, 0, &first());
+        let cluster = TestCluster::new();
+        let mut core = cluster.core();
+        cluster.put(11, 0, &first());
         core[lost].kill();
         let left: Vec<u8> = CORE.into_iter().filter(|host| *host != CORE[lost]).collect();
-        site.put(left[0], 5, &configuration(6, &[("c", json!({}))]));
-        site.until_revision(left[1], 6);
-        core[lost] = site.control(CORE[lost], &CORE, false);
-        site.until_revision(CORE[lost], 6);
+        cluster.put(left[0], 5, &configuration(6, &[("c", json!({}))]));
+        cluster.wait_until_revision(left[1], 6);
+        core[lost] = cluster.control(CORE[lost], &CORE, false);
+        cluster.wait_until_revision(CORE[lost], 6);
     }
 }
 
 #[test]
 fn acknowledged_configuration_survives_restart_of_all_control_nodes() {
-    let site = Site::new();
-    let mut core = site.core();
-    site.put(11, 0, &first());
-    site.order(12, "POST", "/-/evacuations/zb", None, "");
+    let cluster = TestCluster::new();
+    let mut core = cluster.core();
+    cluster.put(11, 0, &first());
+    cluster.order(12, "POST", "/-/evacuations/zb", None, "");
     for (turn, base) in [5_u64, 6, 7].into_iter().enumerate() {
         let next = configuration(base + 1, &[("c", json!({"timeout_ms": 1000 + turn}))]);
-        site.put(CORE[turn], base, &next);
+        cluster.put(CORE[turn], base, &next);
         // Right behind the acknowledgement.
         core.iter_mut().for_each(Process::kill);
-        core = CORE.map(|host| site.control(host, &CORE, false)).into();
+        core = CORE.map(|host| cluster.control(host, &CORE, false)).into();
         for host in CORE {
-            site.until_revision(host, base + 1);
-            assert_eq!(site.configuration(host).as_ref(), Some(&next));
+            cluster.wait_until_revision(host, base + 1);
+            assert_eq!(cluster.configuration(host).as_ref(), Some(&next));
         }
     }
 }
 
 #[test]
 fn control_node_without_its_disk_recovers_from_the_others() {
-    let site = Site::new();
-    let mut core = site.core();
-    site.put(11, 0, &first());
+    let cluster = TestCluster::new();
+    let mut core = cluster.core();
+    cluster.put(11, 0, &first());
     core[2].kill();
-    std::fs::remove_dir_all(site.data(13)).expect("its disk is lost");
-    core[2] = site.control(13, &CORE, false);
-    site.until_revision(13, 5);
-    site.put(13, 5, &configuration(6, &[("c", json!({}))]));
+    std::fs::remove_dir_all(cluster.data(13)).expect("its disk is lost");
+    core[2] = cluster.control(13, &CORE, false);
+    cluster.wait_until_revision(13, 5);
+    cluster.put(13, 5, &configuration(6, &[("c", json!({}))]));
     // Again right behind an acknowledgement, and then the two that remember are not both there.
     core[2].kill();
-    std::fs::remove_dir_all(site.data(13)).expect("its disk is lost");
-    core[2] = site.control(13, &CORE, false);
-    site.until_revision(13, 6);
-    site.put(13, 6, &configuration(7, &[("d", json!({}))]));
+    std::fs::remove_dir_all(cluster.data(13)).expect("its disk is lost");
+    core[2] = cluster.control(13, &CORE, false);
+    cluster.wait_until_revision(13, 6);
+    cluster.put(13, 6, &configuration(7, &[("d", json!({}))]));
     core[0].kill();
-    site.until_revision(12, 7);
-    site.until_revision(13, 7);
-    site.put(12, 7, &configuration(8, &[("e", json!({}))]));
+    cluster.wait_until_revision(12, 7);
+    cluster.wait_until_revision(13, 7);
+    cluster.put(12, 7, &configuration(8, &[("e", json!({}))]));
 }
 
 #[test]
 fn control_node_without_quorum_acknowledges_nothing() {
-    let site = Site::new();
-    let mut core = site.core();
-    site.put(11, 0, &first());
+    let cluster = TestCluster::new();
+    let mut core = cluster.core();
+    cluster.put(11, 0, &first());
     core[1].kill();
     core[2].kill();
     let next = configuration(6, &[("c", json!({}))]).to_string();
     for _ in 0..2 {
-        let answer = call(site.at(11, CONTROL), "PUT", "/-/config", Some(5), &next);
+        let answer = call(cluster.at(11, CONTROL), "PUT", "/-/config", Some(5), &next);
         assert!(answer.as_ref().is_none_or(|(status, _)| *status == 503), "{answer:?}");
     }
-    core[1] = site.control(12, &CORE, false);
-    site.put(11, 5, &serde_json::from_str(&next).expect("JSON"));
+    core[1] = cluster.control(12, &CORE, false);
+    cluster.put(11, 5, &serde_json::from_str(&next).expect("JSON"));
 }
 
 #[test]
 fn garbage_on_any_port_does_no_harm() {
-    let site = Site::new();
-    let mut core = site.core();
-    site.put(11, 0, &first());
+    let cluster = TestCluster::new();
+    let mut core = cluster.core();
+    cluster.put(11, 0, &first());
     let frame =
         |length: u32, sum: u32| [&b"vi\x01\x00"[..], &length.to_le_bytes(), &sum.to_le_bytes()].concat();
     let noise: Vec<u8> = (0..70_000_u32).map(|at| (at.wrapping_mul(2_654_435_761) >> 13) as u8).collect();
@@ -234,25 +234,25 @@
     let mut held = Vec::new();
     for port in [INNER, INNER + 1, CONTROL, system_common::DIRECTORY] {
         for bytes in &garbage {
-            let mut client = system_common::calls::Client::to(site.at(11, port));
+            let mut client = system_common::calls::Client::to(cluster.at(11, port));
             // It may be closed while it is being written.
             let _ = client.try_write(bytes);
             held.push(client);
         }
     }
-    site.put(12, 5, &configuration(6, &[("c", json!({}))]));
-    site.until_revision(11, 6);
+    cluster.put(12, 5, &configuration(6, &[("c", json!({}))]));
+    cluster.wait_until_revision(11, 6);
     drop(held);
-    site.put(11, 6, &configuration(7, &[("d", json!({}))]));
+    cluster.put(11, 6, &configuration(7, &[("d", json!({}))]));
     assert!(core.iter_mut().all(Process::is_running));
 }
 
 #[test]
 fn unknown_calls_are_rejected() {
-    let site = Site::new();
-    let _control = site.control(11, &CORE[..1], true);
-    let at = site.at(11, CONTROL);
-    until("it listens", || call(at, "GET", "/x", None, "").is_some());
+    let cluster = TestCluster::new();
+    let _control = cluster.control(11, &CORE[..1], true);
+    let at = cluster.at(11, CONTROL);
+    wait_until("it listens", || call(at, "GET", "/x", None, "").is_some());
     for (method, path) in [
         ("GET", "/"),
         ("POST", "/-/config"),
@@ -269,39 +269,41 @@
 
 #[test]
 fn platform_errors_do_not_remove_servers() {
-    let site = Site::new();
-    site.platform.refuse(true);
-    let _control = site.control(11, &CORE[..1], true);
-    let _router = site.router(21, &CORE[..1]);
-    site.put(11, 0, &first());
-    let calls = site.platform.calls();
-    until("it asks again", || site.platform.calls() > calls + 1);
-    assert!(!site.is_ready(21), "no list is known");
-    site.platform.refuse(false);
-    site.until_ready(21);
+    let cluster = TestCluster::new();
+    cluster.platform.refuse(true);
+    let _control = cluster.control(11, &CORE[..1], true);
+    let _router = cluster.router(21, &CORE[..1]);
+    cluster.put(11, 0, &first());
+    let calls = cluster.platform.calls();
+    wait_until("it asks again", || cluster.platform.calls() > calls + 1);
+    assert!(!cluster.is_ready(21), "no list is known");
+    cluster.platform.refuse(false);
+    cluster.wait_until_ready(21);
 }
 
 #[test]
 fn directory_lists_ready_routers_nearest_first() {
-    let site = Site::new();
-    let _core = site.core();
-    let mut routers = [site.router(21, &CORE), site.router(22, &CORE)];
-    until("it listens", || call(site.at(11, system_common::DIRECTORY), "GET", "/x", None, "").is_some());
-    assert_eq!(site.directory(11, "ra"), None, "none is ready");
-    site.put(11, 0, &first());
-    let front = |host| json!([site.at(host, system_common::FRONT).to_string()]);
+    let cluster = TestCluster::new();
+    let _core = cluster.core();
+    let mut routers = [cluster.router(21, &CORE), cluster.router(22, &CORE)];
+    wait_until("it listens", || {
+        call(cluster.at(11, system_common::DIRECTORY), "GET", "/x", None, "").is_some()
+    });
+    assert_eq!(cluster.directory(11, "ra"), None, "none is ready");
+    cluster.put(11, 0, &first());
+    let front = |host| json!([cluster.at(host, system_common::FRONT).to_string()]);
     for host in CORE {
         for (region, router) in [("ra", 21), ("rb", 22)] {
-            until(&format!("{host} knows {router}"), || {
-                site.directory(host, region).is_some_and(|answer| answer["addresses"] == front(router))
+            wait_until(&format!("{host} knows {router}"), || {
+                cluster.directory(host, region).is_some_and(|answer| answer["addresses"] == front(router))
             });
         }
-        let both = site.directory(host, "rc").expect("an answer");
+        let both = cluster.directory(host, "rc").expect("an answer");
         assert_eq!(both["addresses"].as_array().map(Vec::len), Some(2), "a region without one");
         assert!(both["ttl_s"].as_f64().is_some_and(|ttl| ttl > 0.0 && ttl <= 5.0));
     }
     routers[0].kill();
-    until("it is no longer named", || {
-        site.directory(12, "ra").is_some_and(|answer| answer["addresses"] == front(22))
+    wait_until("it is no longer named", || {
+        cluster.directory(12, "ra").is_some_and(|answer| answer["addresses"] == front(22))
     });
 }
--- a/cli/tests/system_draining.rs
+++ b/cli/tests/system_draining.rs
@@ -8,9 +8,9 @@
 use serde_json::{Value, json};
 use system_common::calls::{Client, ask, call, get, request};
 use system_common::server::{
-    Gate, STAMP, Server, Step, chunk, event, id, last_chunk, ok, stream_head, whole,
+    Gate, STAMP, Server, Step, chunk, complete_response, event, id, last_chunk, ok, stream_head,
 };
-use system_common::{CORE, FRONT, READINESS, ROUTER, Served, Site, configuration, until};
+use system_common::{CORE, FRONT, READINESS, ROUTER, Served, TestCluster, configuration, wait_until};
 
 fn usual() -> Value {
     configuration(1, &[("safe", json!({})), ("once", json!({"route_kind": "streaming"}))])
@@ -19,35 +19,35 @@
 /// A router and two servers, which answer with their own names.
 struct Scene {
     served: Served,
-    site: Site,
+    cluster: TestCluster,
     servers: [Server; 2],
-    asked: u64,
+    received: u64,
 }
 
 impl Scene {
     /// The second server's zone is its own: the first one's is the router's.
     fn new(second: &str, configuration: &Value) -> Self {
-        let site = Site::new();
+        let cluster = TestCluster::new();
         let servers = [("i-1", "s", "za"), ("i-2", "s", second)].map(|(name, service, zone)| {
-            site.server((name, service, zone), move |asked| ok(asked, name.as_bytes()))
+            cluster.server((name, service, zone), move |received| ok(received, name.as_bytes()))
         });
-        let served = site.serving(&[&servers[0], &servers[1]], configuration);
-        Self { served, site, servers, asked: 0 }
+        let served = cluster.serving(&[&servers[0], &servers[1]], configuration);
+        Self { served, cluster, servers, received: 0 }
     }
 
     /// Who answers the next request.
     fn ask(&mut self) -> String {
-        self.asked += 1;
-        let answer = ask(self.site.at(ROUTER, FRONT), &get(&format!("r{}", self.asked), "/safe/x"));
+        self.received += 1;
+        let answer = ask(self.cluster.at(ROUTER, FRONT), &get(&format!("r{}", self.received), "/safe/x"));
         assert_eq!(answer.head.status, 200, "{answer:?}");
         String::from_utf8(answer.body).expect("text")
     }
 
     /// Asks until this many in a row were answered by one server alone; returns how long it took to begin.
-    fn until_only(&mut self, server: &str, many: usize) -> Duration {
+    fn wait_until_only(&mut self, server: &str, many: usize) -> Duration {
         let began = Instant::now();
         let (mut row, mut since) = (0, began);
-        until(&format!("only {server} is sent to"), || {
+        wait_until(&format!("only {server} is sent to"), || {
             if self.ask() == server {
                 row += 1;
             } else {
@@ -59,13 +59,13 @@
     }
 
     /// Asks until this one answers; others are to be worse for it, as an idle one is not sent to for its idleness.
-    fn until_used(&mut self, server: &str) {
-        until(&format!("{server} is sent to"), || self.ask() == server);
+    fn wait_until_used(&mut self, server: &str) {
+        wait_until(&format!("{server} is sent to"), || self.ask() == server);
     }
 
     /// Changes the list's lines of the two servers in one.
     fn change(&self, change: impl FnOnce(&mut Value, &mut Value)) {
-        self.site.platform.change(|instances| {
+        self.cluster.platform.change(|instances| {
             let [first, second] = instances.as_mut_slice() else { panic!("two servers") };
             change(first, second);
         });
@@ -76,7 +76,7 @@
 fn draining_server_gets_no_new_requests() {
     let mut scene = Scene::new("za", &usual());
     scene.change(|first, _| first["state"] = json!("draining"));
-    let took = scene.until_only("i-2", 300);
+    let took = scene.wait_until_only("i-2", 300);
     assert!(took < Duration::from_secs(3), "the list's word counts from when it shows: {took:?}");
     // It is back, as another incarnation at the same address, and the other one drains.
     scene.servers[0].all();
@@ -84,10 +84,10 @@
         (first["state"], first["id"]) = (json!("ready"), json!("i-3"));
         second["state"] = json!("draining");
     });
-    let took = scene.until_only("i-1", 300);
+    let took = scene.wait_until_only("i-1", 300);
     assert!(took < Duration::from_secs(3), "{took:?}");
     let came = scene.servers[0].all();
-    assert!(came.iter().all(|asked| asked.message.value("ivyhatch-expect-instance") == Some("i-3")));
+    assert!(came.iter().all(|received| received.message.value("ivyhatch-expect-instance") == Some("i-3")));
 }
 
 #[test]
@@ -97,34 +97,34 @@
         first["state"] = json!("draining");
         first["remaining_ms"] = json!(9000);
     });
-    assert!(scene.until_only("i-2", 200) < Duration::from_secs(3));
-    scene.site.platform.set(vec![scene.servers[0].listed()]);
-    assert!(scene.until_only("i-1", 200) < Duration::from_secs(3), "the other has gone");
-    scene.site.platform.set(vec![scene.servers[1].listed()]);
-    assert!(scene.until_only("i-2", 200) < Duration::from_secs(3));
+    assert!(scene.wait_until_only("i-2", 200) < Duration::from_secs(3));
+    scene.cluster.platform.set(vec![scene.servers[0].listed()]);
+    assert!(scene.wait_until_only("i-1", 200) < Duration::from_secs(3), "the other has gone");
+    scene.cluster.platform.set(vec![scene.servers[1].listed()]);
+    assert!(scene.wait_until_only("i-2", 200) < Duration::from_secs(3));
 }
 
 #[test]
 fn draining_server_completes_its_requests() {
-    let site = Site::new();
+    let cluster = TestCluster::new();
     let gate = Arc::new(Gate::default());
     let held = gate.clone();
-    let server = site.server(("i-1", "s", "za"), move |asked| {
-        let answer = ok(asked, asked.id().as_bytes());
-        if asked.id() == "slow" { [vec![Step::Waits(held.clone())], answer].concat() } else { answer }
+    let server = cluster.server(("i-1", "s", "za"), move |received| {
+        let answer = ok(received, received.id().as_bytes());
+        if received.id() == "slow" { [vec![Step::Wait(held.clone())], answer].concat() } else { answer }
     });
-    let other = site.server(("i-2", "s", "zb"), |asked| ok(asked, b"other"));
-    let _served = site.serving(&[&server, &other], &usual());
-    let mut client = Client::to(site.at(ROUTER, FRONT));
+    let other = cluster.server(("i-2", "s", "zb"), |received| ok(received, b"other"));
+    let _served = cluster.serving(&[&server, &other], &usual());
+    let mut client = Client::to(cluster.at(ROUTER, FRONT));
     client.write(&get("slow", "/safe/x"));
     server.next();
     let mut line = server.listed();
     line["state"] = json!("draining");
-    site.platform.set(vec![line, other.listed()]);
+    cluster.platform.set(vec![line, other.listed()]);
     let mut number = 0;
-    until("it drains", || {
+    wait_until("it drains", || {
         number += 1;
-        ask(site.at(ROUTER, FRONT), &get(&format!("r{number}"), "/safe/x")).body == b"other"
+        ask(cluster.at(ROUTER, FRONT), &get(&format!("r{number}"), "/safe/x")).body == b"other"
     });
     gate.open();
     let head = client.head();
@@ -134,36 +134,36 @@
 #[test]
 fn evacuated_zone_gets_no_requests_until_it_is_restored() {
     let mut scene = Scene::new("zb", &usual());
-    scene.until_only("i-1", 20);
-    let order = |scene: &Scene, method| scene.site.order(CORE[0], method, "/-/evacuations/za", None, "");
+    scene.wait_until_only("i-1", 20);
+    let order = |scene: &Scene, method| scene.cluster.order(CORE[0], method, "/-/evacuations/za", None, "");
     for _ in 0..2 {
         order(&scene, "POST");
-        let took = scene.until_only("i-2", 200);
+        let took = scene.wait_until_only("i-2", 200);
         assert!(took < Duration::from_secs(5), "{took:?}");
         order(&scene, "POST");
-        scene.until_only("i-2", 50);
+        scene.wait_until_only("i-2", 50);
         order(&scene, "DELETE");
-        scene.until_only("i-1", 50);
+        scene.wait_until_only("i-1", 50);
     }
     // One that was never ordered is taken back all the same.
-    scene.site.order(CORE[0], "DELETE", "/-/evacuations/zc", None, "");
-    scene.until_only("i-1", 20);
+    scene.cluster.order(CORE[0], "DELETE", "/-/evacuations/zc", None, "");
+    scene.wait_until_only("i-1", 20);
 }
 
 #[test]
 fn evacuation_survives_restart_of_control_nodes_and_router() {
     let mut scene = Scene::new("zb", &usual());
-    scene.until_only("i-1", 20);
-    scene.site.order(CORE[0], "POST", "/-/evacuations/za", None, "");
+    scene.wait_until_only("i-1", 20);
+    scene.cluster.order(CORE[0], "POST", "/-/evacuations/za", None, "");
     scene.served.control.kill();
-    scene.served.control = scene.site.control(CORE[0], &CORE[..1], false);
-    scene.site.until_revision(CORE[0], 1);
-    scene.until_only("i-2", 50);
+    scene.served.control = scene.cluster.control(CORE[0], &CORE[..1], false);
+    scene.cluster.wait_until_revision(CORE[0], 1);
+    scene.wait_until_only("i-2", 50);
     scene.served.router.kill();
     scene.servers[0].all();
-    scene.served.router = scene.site.router(ROUTER, &CORE[..1]);
-    scene.site.until_ready(ROUTER);
-    scene.until_only("i-2", 50);
+    scene.served.router = scene.cluster.router(ROUTER, &CORE[..1]);
+    scene.cluster.wait_until_ready(ROUTER);
+    scene.wait_until_only("i-2", 50);
     assert_eq!(scene.servers[0].count(), 0, "also right behind the start");
 }
 
@@ -173,12 +173,12 @@
     all["services"][0]["cold_s"] = json!(3);
     all["services"][0]["cold_per_s"] = json!(10);
     let mut scene = Scene::new("zb", &all);
-    scene.until_only("i-1", 20);
-    scene.site.order(CORE[0], "POST", "/-/evacuations/za", None, "");
-    scene.until_only("i-2", 100);
+    scene.wait_until_only("i-1", 20);
+    scene.cluster.order(CORE[0], "POST", "/-/evacuations/za", None, "");
+    scene.wait_until_only("i-2", 100);
     scene.servers[0].all();
-    scene.site.order(CORE[0], "DELETE", "/-/evacuations/za", None, "");
-    scene.until_used("i-1");
+    scene.cluster.order(CORE[0], "DELETE", "/-/evacuations/za", None, "");
+    scene.wait_until_used("i-1");
     // 10 a second, times 1.5, and 5 more.
     let (first, mut sent) = (Instant::now(), vec![Instant::now()]);
     while first.elapsed() < Duration::from_millis(2500) {
@@ -195,38 +195,38 @@
 
 #[test]
 fn terminated_router_completes_its_requests() {
-    let site = Site::new();
+    let cluster = TestCluster::new();
     let (slow, events): (Arc<Gate>, Arc<Gate>) = (Arc::default(), Arc::default());
     let held = (slow.clone(), events.clone());
-    let server = site.server(("i-1", "s", "za"), move |asked| match asked.id() {
+    let server = cluster.server(("i-1", "s", "za"), move |received| match received.id() {
         "slow" => vec![
-            Step::Waits(held.0.clone()),
-            Step::Writes(whole(200, &format!("{}{STAMP}", id("slow")), b"slow")),
+            Step::Wait(held.0.clone()),
+            Step::Write(complete_response(200, &format!("{}{STAMP}", id("slow")), b"slow")),
         ],
         "stream" => {
             vec![
-                stream_head(asked),
+                stream_head(received),
                 chunk(&event(1)),
-                Step::Waits(held.1.clone()),
+                Step::Wait(held.1.clone()),
                 chunk(&event(2)),
                 last_chunk(),
             ]
         }
-        _ => ok(asked, b"quick"),
+        _ => ok(received, b"quick"),
     });
-    let mut served = site.serving(&[&server], &usual());
-    let at = site.at(ROUTER, FRONT);
-    until("clients are sent there", || site.directory(CORE[0], "ra").is_some());
+    let mut served = cluster.serving(&[&server], &usual());
+    let at = cluster.at(ROUTER, FRONT);
+    wait_until("clients are sent there", || cluster.directory(CORE[0], "ra").is_some());
     let (mut first, mut second, mut idle) = (Client::to(at), Client::to(at), Client::to(at));
     first.write(&get("slow", "/safe/x"));
     second.write(&request("stream", "POST", "/once/x", "", b"prompt"));
     let head = second.head();
     assert_eq!(second.chunk(), Some(event(1).into_bytes()));
     assert_eq!(idle.ask(&get("r1", "/safe/x")).body, b"quick");
-    until("all have come", || server.count() > 0 || first.try_write(b"").is_some());
+    wait_until("all have come", || server.count() > 0 || first.try_write(b"").is_some());
     served.router.signal("TERM");
-    until("it is no longer ready", || !site.is_ready(ROUTER));
-    until("clients are no longer sent there", || site.directory(CORE[0], "ra").is_none());
+    wait_until("it is no longer ready", || !cluster.is_ready(ROUTER));
+    wait_until("clients are no longer sent there", || cluster.directory(CORE[0], "ra").is_none());
     // Clients cache the directory's responses for a while: late requests are served, and their connections closed.
     for (number, client) in [&mut idle, &mut Client::to(at)].into_iter().enumerate() {
         let answer = client.ask(&get(&format!("late{number}"), "/safe/x"));
@@ -234,7 +234,7 @@
     }
     assert!(served.router.is_running());
     // Past the time for which it takes connections.
-    until("it takes no more", || Client::try_to(at).is_none());
+    wait_until("it takes no more", || Client::try_to(at).is_none());
     slow.open();
     events.open();
     let head_of_first = first.head();
@@ -245,18 +245,18 @@
 
 #[test]
 fn router_exits_before_its_kill_though_a_server_never_answers() {
-    let site = Site::new();
+    let cluster = TestCluster::new();
     let gate = Arc::new(Gate::default());
     let held = gate.clone();
-    let server = site.server(("i-1", "s", "za"), move |_| vec![Step::Waits(held.clone())]);
-    site.platform.set(vec![server.listed()]);
-    let _control = site.control(CORE[0], &CORE[..1], true);
-    let mut settings = site.settings(ROUTER, &CORE[..1], false);
+    let server = cluster.server(("i-1", "s", "za"), move |_| vec![Step::Wait(held.clone())]);
+    cluster.platform.set(vec![server.listed()]);
+    let _control = cluster.control(CORE[0], &CORE[..1], true);
+    let mut settings = cluster.settings(ROUTER, &CORE[..1], false);
     settings["bounds"]["grace_s"] = json!(5);
-    let mut router = site.start_with("router", ROUTER, &settings);
-    site.put(CORE[0], 0, &usual());
-    site.until_ready(ROUTER);
-    let mut client = Client::to(site.at(ROUTER, FRONT));
+    let mut router = cluster.start_with("router", ROUTER, &settings);
+    cluster.put(CORE[0], 0, &usual());
+    cluster.wait_until_ready(ROUTER);
+    let mut client = Client::to(cluster.at(ROUTER, FRONT));
     client.write(b"GET /safe/x HTTP/1.1\r\nHost: h.example\r\nIvyhatch-Attempt-Id: r1\r\nIvyhatch-Deadline-Ms: 60000\r\n\r\n");
     server.next();
     let began = Instant::now();
@@ -269,16 +269,16 @@
 
 #[test]
 fn terminated_control_node_exits_and_its_state_is_kept() {
-    let site = Site::new();
-    let mut core = site.core();
-    site.put(CORE[0], 0, &usual());
+    let cluster = TestCluster::new();
+    let mut core = cluster.core();
+    cluster.put(CORE[0], 0, &usual());
     for (turn, host) in CORE.into_iter().enumerate() {
         core[turn].signal("TERM");
         assert_eq!(core[turn].end().code(), Some(0));
-        assert_eq!(call(site.at(host, READINESS), "GET", "/", None, ""), None);
+        assert_eq!(call(cluster.at(host, READINESS), "GET", "/", None, ""), None);
         let base = 1 + turn as u64;
-        site.put(CORE[(turn + 1) % 3], base, &configuration(base + 1, &[("a", json!({}))]));
-        core[turn] = site.control(host, &CORE, false);
-        site.until_revision(host, base + 1);
+        cluster.put(CORE[(turn + 1) % 3], base, &configuration(base + 1, &[("a", json!({}))]));
+        core[turn] = cluster.control(host, &CORE, false);
+        cluster.wait_until_revision(host, base + 1);
     }
 }
--- a/cli/tests/system_exchange_faults.rs
+++ b/cli/tests/system_exchange_faults.rs
@@ -14,7 +14,7 @@
 use serde_json::json;
 use system_common::calls::{Broken, Client};
 use system_common::faults::{Answers, Fault, Faulty, Part, Plan, Recorded, Reply, Seen};
-use system_common::{CORE, FRONT, PATIENCE, ROUTER, Served, Site, configuration, until};
+use system_common::{CORE, FRONT, ROUTER, Served, TestCluster, WAIT_LIMIT, configuration, wait_until};
 
 /// Servers, and clients that ask at the same time.
 const SERVERS: usize = 12;
@@ -58,7 +58,7 @@
 
 /// A system whose servers go wrong.
 struct Trial {
-    site: Site,
+    cluster: TestCluster,
     servers: Faulty,
     route: &'static str,
     next: AtomicUsize,
@@ -111,21 +111,21 @@
 
 impl Trial {
     fn new(route: &'static str, answers: Answers, servers_count: usize) -> Self {
-        let site = Site::new();
+        let cluster = TestCluster::new();
         let servers = Faulty::new(answers);
-        site.platform.set(servers.start(site.ip(31), servers_count));
+        cluster.platform.set(servers.start(cluster.ip(31), servers_count));
         let routes = [
             ("unsafe", json!({"route_kind": "unsafe"})),
             ("stream", json!({"route_kind": "streaming", "resumable": false})),
         ];
         let mut configuration = configuration(1, &routes);
         configuration["services"][0]["max_conns"] = json!(10_000);
-        let control = site.control(CORE[0], &CORE[..1], true);
-        let router = site.router(ROUTER, &CORE[..1]);
-        site.put(CORE[0], 0, &configuration);
-        site.until_ready(ROUTER);
+        let control = cluster.control(CORE[0], &CORE[..1], true);
+        let router = cluster.router(ROUTER, &CORE[..1]);
+        cluster.put(CORE[0], 0, &configuration);
+        cluster.wait_until_ready(ROUTER);
         let served = Served { control, router };
-        Self { site, servers, route, next: AtomicUsize::new(0), got: Mutex::default(), _served: served }
+        Self { cluster, servers, route, next: AtomicUsize::new(0), got: Mutex::default(), _served: served }
     }
 
     /// A request with a new id; all those of one wait are of one length.
@@ -140,7 +140,7 @@
     }
 
     fn connect(&self) -> Client {
-        Client::to(self.site.at(ROUTER, FRONT))
+        Client::to(self.cluster.at(ROUTER, FRONT))
     }
 
     fn record(&self, id: String, got: Got) {
@@ -172,7 +172,7 @@
 
     /// Records an exchange that nothing disturbs.
     fn record_exchange(&self, wait_ms: u64) -> Recorded {
-        until("an exchange is recorded", || {
+        wait_until("an exchange is recorded", || {
             self.ask(&mut None, wait_ms);
             self.servers.recorded().is_some()
         });
@@ -183,7 +183,7 @@
     fn play(&self, faults: &[(Part, Fault)], wait_ms: u64) -> usize {
         self.record_exchange(wait_ms);
         let plans = self.servers.plan(faults);
-        let end = Instant::now() + 3 * PATIENCE;
+        let end = Instant::now() + 3 * WAIT_LIMIT;
         side_by_side(|| {
             let mut client = None;
             while self.servers.request_log().left() > 0 {
@@ -265,9 +265,9 @@
 }
 
 /// BackendReply this in as many threads as there are clients.
-fn side_by_side(does: impl Fn() + Sync) {
+fn side_by_side(script: impl Fn() + Sync) {
     thread::scope(|scope| {
-        (0..CLIENTS).for_each(|_| drop(scope.spawn(&does)));
+        (0..CLIENTS).for_each(|_| drop(scope.spawn(&script)));
     });
 }
 
--- a/cli/tests/system_rejections.rs
+++ b/cli/tests/system_rejections.rs
@@ -8,8 +8,8 @@
 
 use serde_json::{Value, json};
 use system_common::calls::{ask, get, request};
-use system_common::server::{Gate, STAMP, Server, Step, id, ok, whole};
-use system_common::{FRONT, ROUTER, Site, configuration};
+use system_common::server::{Gate, STAMP, Server, Step, complete_response, id, ok};
+use system_common::{FRONT, ROUTER, TestCluster, configuration};
 
 /// One route whose requests may run more than once, and one whose requests may not.
 fn both_kinds() -> Value {
@@ -20,12 +20,12 @@
 #[test]
 fn rejection_without_proof_of_non_execution_is_not_forwarded_as_one() {
     for status in [408, 429, 503] {
-        let site = Site::new();
-        let servers = site.pair(move |_, asked| {
-            vec![Step::Writes(whole(status, &format!("{}{STAMP}", id(asked.id())), b"failed"))]
+        let cluster = TestCluster::new();
+        let servers = cluster.pair(move |_, received| {
+            vec![Step::Write(complete_response(status, &format!("{}{STAMP}", id(received.id())), b"failed"))]
         });
-        let _served = site.serving(&[&servers[0], &servers[1]], &both_kinds());
-        let answer = ask(site.at(ROUTER, FRONT), &request("r1", "POST", "/unsafe/x", "", b""));
+        let _served = cluster.serving(&[&servers[0], &servers[1]], &both_kinds());
+        let answer = ask(cluster.at(ROUTER, FRONT), &request("r1", "POST", "/unsafe/x", "", b""));
         let count: usize = servers.iter().map(Server::count).sum();
         assert_eq!((answer.head.status, count), (502, 1), "{status}: {answer:?}");
         assert_eq!(answer.head.value("ivyhatch-server-stamp"), None, "no server gave this status");
@@ -35,18 +35,18 @@
 #[test]
 fn server_that_stalls_within_its_rejection_delays_nothing() {
     let gate = Arc::new(Gate::default());
-    let site = Site::new();
+    let cluster = TestCluster::new();
     let held = gate.clone();
-    let servers = site.pair(move |turn, asked| {
+    let servers = cluster.pair(move |turn, received| {
         let part = format!(
             "HTTP/1.1 503 X\r\n{}Ivyhatch-Not-Executed: 1\r\nContent-Length: 9\r\n\r\nfu",
-            id(asked.id())
+            id(received.id())
         );
-        let silent = vec![Step::Writes(part.into_bytes()), Step::Waits(held.clone())];
-        if turn == 0 { silent } else { ok(asked, b"second") }
+        let silent = vec![Step::Write(part.into_bytes()), Step::Wait(held.clone())];
+        if turn == 0 { silent } else { ok(received, b"second") }
     });
-    let _served = site.serving(&[&servers[0], &servers[1]], &both_kinds());
-    let answer = ask(site.at(ROUTER, FRONT), &request("r1", "POST", "/unsafe/x", "", b""));
+    let _served = cluster.serving(&[&servers[0], &servers[1]], &both_kinds());
+    let answer = ask(cluster.at(ROUTER, FRONT), &request("r1", "POST", "/unsafe/x", "", b""));
     assert_eq!(
         (answer.head.status, answer.body.as_slice(), servers.iter().map(Server::count).sum::<usize>()),
         (200, &b"second"[..], 2),
@@ -58,18 +58,21 @@
 /// The request goes to its one server again; the duplicate of the rejection has the same id, and only the connection distinguishes it from a response.
 #[test]
 fn late_duplicate_of_a_rejection_is_not_taken_for_the_next_response() {
-    let site = Site::new();
-    let server = site.server(("i-1", "s", "za"), |asked| {
-        let rejection =
-            Step::Writes(whole(503, &format!("{}Ivyhatch-Not-Executed: 1\r\n", id(asked.id())), b""));
-        match (asked.number, asked.on_connection) {
+    let cluster = TestCluster::new();
+    let server = cluster.server(("i-1", "s", "za"), |received| {
+        let rejection = Step::Write(complete_response(
+            503,
+            &format!("{}Ivyhatch-Not-Executed: 1\r\n", id(received.id())),
+            b"",
+        ));
+        match (received.number, received.on_connection) {
             (0, _) => vec![rejection],
-            (_, 0) => ok(asked, b"own"),
-            _ => [vec![rejection], ok(asked, b"own")].concat(),
+            (_, 0) => ok(received, b"own"),
+            _ => [vec![rejection], ok(received, b"own")].concat(),
         }
     });
-    let _served = site.serving(&[&server], &both_kinds());
-    let answer = ask(site.at(ROUTER, FRONT), &request("r1", "POST", "/unsafe/x", "", b""));
+    let _served = cluster.serving(&[&server], &both_kinds());
+    let answer = ask(cluster.at(ROUTER, FRONT), &request("r1", "POST", "/unsafe/x", "", b""));
     assert_eq!(
         (answer.head.status, answer.body.as_slice(), server.count()),
         (200, &b"own"[..], 2),
@@ -81,14 +84,14 @@
 /// that one's.
 #[test]
 fn late_rejection_without_an_id_proves_nothing() {
-    let site = Site::new();
-    let server = site.server(("i-1", "s", "za"), |asked| {
-        let rejection = Step::Writes(whole(503, "Ivyhatch-Not-Executed: 1\r\n", b""));
-        let own = ok(asked, b"own");
-        if asked.on_connection == 0 { own } else { [vec![rejection], own].concat() }
+    let cluster = TestCluster::new();
+    let server = cluster.server(("i-1", "s", "za"), |received| {
+        let rejection = Step::Write(complete_response(503, "Ivyhatch-Not-Executed: 1\r\n", b""));
+        let own = ok(received, b"own");
+        if received.on_connection == 0 { own } else { [vec![rejection], own].concat() }
     });
-    let _served = site.serving(&[&server], &both_kinds());
-    let at = site.at(ROUTER, FRONT);
+    let _served = cluster.serving(&[&server], &both_kinds());
+    let at = cluster.at(ROUTER, FRONT);
     assert_eq!(ask(at, &get("r1", "/safe/x")).body, b"own");
     // Once it has rested, the connection is used again.
     thread::sleep(Duration::from_millis(20));
--- a/cli/tests/system_requests.rs
+++ b/cli/tests/system_requests.rs
@@ -9,8 +9,10 @@
 
 use serde_json::{Value, json};
 use system_common::calls::{Answer, Client, ask, call, get, request};
-use system_common::server::{Asked, Gate, STAMP, Server, Step, id, ok, sheds, whole};
-use system_common::{CORE, FRONT, INNER, READINESS, ROUTER, Site, configuration, until};
+use system_common::server::{
+    Gate, ReceivedRequest, STAMP, Server, Step, complete_response, id, ok, overloaded,
+};
+use system_common::{CORE, FRONT, INNER, READINESS, ROUTER, TestCluster, configuration, wait_until};
 
 /// One route whose requests may run more than once, and one whose requests may not.
 fn usual() -> Value {
@@ -27,13 +29,15 @@
 
 /// Runs two servers that do this with the first request and answer all others; asks once on the safe and on the unsafe route, and
 /// returns each response with how many requests reached the servers.
-fn against(does: impl Fn(&Asked) -> Vec<Step> + Send + Sync + Copy + 'static) -> [(Answer, usize); 2] {
+fn against(
+    script: impl Fn(&ReceivedRequest) -> Vec<Step> + Send + Sync + Copy + 'static,
+) -> [(Answer, usize); 2] {
     let one = |(method, path)| {
-        let site = Site::new();
-        let servers =
-            site.pair(move |turn, asked| if turn == 0 { does(asked) } else { ok(asked, b"second") });
-        let _served = site.serving(&[&servers[0], &servers[1]], &usual());
-        let answer = ask(site.at(ROUTER, FRONT), &request("r1", method, path, "", b""));
+        let cluster = TestCluster::new();
+        let servers = cluster
+            .pair(move |turn, received| if turn == 0 { script(received) } else { ok(received, b"second") });
+        let _served = cluster.serving(&[&servers[0], &servers[1]], &usual());
+        let answer = ask(cluster.at(ROUTER, FRONT), &request("r1", method, path, "", b""));
         (answer, counts(&servers))
     };
     // Each has a system of its own; they start side by side.
@@ -63,35 +67,36 @@
 
 #[test]
 fn router_is_ready_once_configuration_and_servers_are_known() {
-    let site = Site::new();
-    let router = site.router(ROUTER, &CORE[..1]);
-    let at = site.at(ROUTER, FRONT);
-    until("it listens", || call(site.at(ROUTER, READINESS), "GET", "/-/readyz", None, "").is_some());
-    assert!(!site.is_ready(ROUTER));
+    let cluster = TestCluster::new();
+    let router = cluster.router(ROUTER, &CORE[..1]);
+    let at = cluster.at(ROUTER, FRONT);
+    wait_until("it listens", || call(cluster.at(ROUTER, READINESS), "GET", "/-/readyz", None, "").is_some());
+    assert!(!cluster.is_ready(ROUTER));
     let answer = ask(at, &get("r1", "/safe/x"));
     assert_eq!((answer.head.status, answer.head.value("connection")), (503, Some("close")));
     assert!(
         answer.head.value("retry-after").and_then(|text| text.parse::<f64>().ok()).is_some_and(|s| s > 0.0)
     );
-    let server = site.server(("i-1", "s", "za"), |asked| ok(asked, b"here"));
-    site.platform.set(vec![server.listed()]);
-    let _control = site.control(CORE[0], &CORE[..1], true);
-    site.put(CORE[0], 0, &usual());
-    site.until_ready(ROUTER);
+    let server = cluster.server(("i-1", "s", "za"), |received| ok(received, b"here"));
+    cluster.platform.set(vec![server.listed()]);
+    let _control = cluster.control(CORE[0], &CORE[..1], true);
+    cluster.put(CORE[0], 0, &usual());
+    cluster.wait_until_ready(ROUTER);
     assert_eq!(ask(at, &get("r2", "/safe/x")).body, b"here");
     drop(router);
 }
 
 #[test]
 fn request_goes_to_the_service_of_its_route_or_gets_404() {
-    let site = Site::new();
-    let servers = ["s", "t"]
-        .map(|service| site.server((&format!("i-{service}"), service, "za"), |asked| ok(asked, b"")));
+    let cluster = TestCluster::new();
+    let servers = ["s", "t"].map(|service| {
+        cluster.server((&format!("i-{service}"), service, "za"), |received| ok(received, b""))
+    });
     let mut all =
         configuration(1, &[("a", json!({})), ("b", json!({"path_prefix": "/a/b/", "service": "t"}))]);
     all["services"].as_array_mut().expect("a list").push(json!({"name": "t"}));
-    let _served = site.serving(&[&servers[0], &servers[1]], &all);
-    let at = site.at(ROUTER, FRONT);
+    let _served = cluster.serving(&[&servers[0], &servers[1]], &all);
+    let at = cluster.at(ROUTER, FRONT);
     for (number, (path, to)) in
         [("/a/x", 0), ("/a/b/x", 1), ("/a/", 0), ("/a/b/", 1), ("/a/bc", 0)].into_iter().enumerate()
     {
@@ -108,9 +113,9 @@
     all["routes"].as_array_mut().expect("a list").pop();
     all["revision"] = json!(2);
     servers.iter().for_each(|server| drop(server.all()));
-    site.put(CORE[0], 1, &all);
+    cluster.put(CORE[0], 1, &all);
     let mut number = 10;
-    until("the other service has it", || {
+    wait_until("the other service has it", || {
         number += 1;
         ask(at, &get(&format!("r{number}"), "/a/x"));
         servers[1].count() > 0
@@ -122,9 +127,9 @@
 
 #[test]
 fn request_reaches_the_server_unchanged() {
-    let site = Site::new();
-    let server = site.server(("i-1", "s", "za"), |asked| ok(asked, b""));
-    let _served = site.serving(&[&server], &usual());
+    let cluster = TestCluster::new();
+    let server = cluster.server(("i-1", "s", "za"), |received| ok(received, b""));
+    let _served = cluster.serving(&[&server], &usual());
     let body: Vec<u8> = (0..300_000_u32).map(|at| (at.wrapping_mul(2_654_435_761) >> 11) as u8).collect();
     let headers = "X-One: 1\r\nX-Two: a, b\r\nIvyhatch-Model: m\r\nIvyhatch-Expect-Instance: i-other\r\n\
         Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=5\r\n";
@@ -138,7 +143,7 @@
     }
     chunked.extend_from_slice(b"0\r\n\r\n");
     // Both on one connection.
-    let mut client = Client::to(site.at(ROUTER, FRONT));
+    let mut client = Client::to(cluster.at(ROUTER, FRONT));
     for (id, bytes) in [("r1", by_length), ("r2", chunked)] {
         assert_eq!(client.ask(&bytes).head.status, 200);
         let came = server.next().message;
@@ -165,14 +170,14 @@
 
 #[test]
 fn response_reaches_the_client_unchanged() {
-    let site = Site::new();
+    let cluster = TestCluster::new();
     let body: Vec<u8> = (0..200_000_u32).map(|at| (at.wrapping_mul(2_654_435_761) >> 9) as u8).collect();
     let sent = body.clone();
-    let server = site.server(("i-1", "s", "za"), move |asked| {
-        let status = asked.id().split('-').nth(1).and_then(|text| text.parse().ok()).expect("a status");
-        let head = format!("{}{STAMP}X-More: a b\r\nContent-Type: x/y\r\n", id(asked.id()));
-        if asked.id().starts_with("length") {
-            return vec![Step::Writes(whole(status, &head, &sent))];
+    let server = cluster.server(("i-1", "s", "za"), move |received| {
+        let status = received.id().split('-').nth(1).and_then(|text| text.parse().ok()).expect("a status");
+        let head = format!("{}{STAMP}X-More: a b\r\nContent-Type: x/y\r\n", id(received.id()));
+        if received.id().starts_with("length") {
+            return vec![Step::Write(complete_response(status, &head, &sent))];
         }
         let mut bytes =
             format!("HTTP/1.1 {status} X\r\n{head}Transfer-Encoding: chunked\r\n\r\n").into_bytes();
@@ -182,10 +187,10 @@
             bytes.extend_from_slice(b"\r\n");
         }
         bytes.extend_from_slice(b"0\r\n\r\n");
-        vec![Step::Writes(bytes)]
+        vec![Step::Write(bytes)]
     });
-    let _served = site.serving(&[&server], &usual());
-    let mut client = Client::to(site.at(ROUTER, FRONT));
+    let _served = cluster.serving(&[&server], &usual());
+    let mut client = Client::to(cluster.at(ROUTER, FRONT));
     for status in [200, 201, 400, 404, 409, 422] {
         for framing in ["length", "chunks"] {
             let name = format!("{framing}-{status}");
@@ -207,24 +212,26 @@
 
 #[test]
 fn request_shed_by_one_server_is_retried_at_another() {
-    assert_retried_elsewhere(against(|_| sheds()));
+    assert_retried_elsewhere(against(|_| overloaded()));
 }
 
 #[test]
 fn misdirected_request_is_retried_at_another_server() {
-    assert_retried_elsewhere(against(|asked| vec![Step::Writes(whole(421, &id(asked.id()), b""))]));
+    assert_retried_elsewhere(against(|received| {
+        vec![Step::Write(complete_response(421, &id(received.id()), b""))]
+    }));
     assert_retried_elsewhere(against(|_| {
-        vec![Step::Writes(whole(421, "Ivyhatch-Not-Executed: 1\r\n", b"")), Step::Closes]
+        vec![Step::Write(complete_response(421, "Ivyhatch-Not-Executed: 1\r\n", b"")), Step::Close]
     }));
 }
 
 #[test]
 fn request_shed_by_all_servers_is_rejected_with_retry_after() {
-    let site = Site::new();
-    let servers = site.pair(|_, _| sheds());
-    let _served = site.serving(&[&servers[0], &servers[1]], &usual());
+    let cluster = TestCluster::new();
+    let servers = cluster.pair(|_, _| overloaded());
+    let _served = cluster.serving(&[&servers[0], &servers[1]], &usual());
     for (method, path) in both() {
-        let answer = ask(site.at(ROUTER, FRONT), &request("r1", method, path, "", b""));
+        let answer = ask(cluster.at(ROUTER, FRONT), &request("r1", method, path, "", b""));
         assert_eq!(answer.head.status, 503);
         assert!(
             answer
@@ -240,68 +247,73 @@
 #[test]
 fn response_with_a_wrong_id_is_not_forwarded() {
     assert_retried_only_if_idempotent(against(|_| {
-        vec![Step::Writes(whole(200, &format!("{}{STAMP}", id("other")), b"other's"))]
+        vec![Step::Write(complete_response(200, &format!("{}{STAMP}", id("other")), b"other's"))]
+    }));
+    assert_retried_only_if_idempotent(against(|_| {
+        vec![Step::Write(complete_response(404, &id("other"), b"other's"))]
     }));
-    assert_retried_only_if_idempotent(against(|_| vec![Step::Writes(whole(404, &id("other"), b"other's"))]));
 }
 
 #[test]
 fn response_without_an_id_is_not_forwarded() {
-    assert_retried_only_if_idempotent(against(|_| vec![Step::Writes(whole(200, STAMP, b"whose"))]));
+    assert_retried_only_if_idempotent(against(|_| {
+        vec![Step::Write(complete_response(200, STAMP, b"whose"))]
+    }));
 }
 
 #[test]
 fn success_without_a_stamp_is_not_forwarded() {
-    assert_retried_only_if_idempotent(against(|asked| {
-        vec![Step::Writes(whole(200, &id(asked.id()), b"bare"))]
+    assert_retried_only_if_idempotent(against(|received| {
+        vec![Step::Write(complete_response(200, &id(received.id()), b"bare"))]
     }));
 }
 
 #[test]
 fn encoded_or_unframed_response_is_not_forwarded() {
-    assert_retried_only_if_idempotent(against(|asked| {
-        vec![Step::Writes(whole(
+    assert_retried_only_if_idempotent(against(|received| {
+        vec![Step::Write(complete_response(
             200,
-            &format!("{}{STAMP}Content-Encoding: gzip\r\n", id(asked.id())),
+            &format!("{}{STAMP}Content-Encoding: gzip\r\n", id(received.id())),
             b"zipped",
         ))]
     }));
-    assert_retried_only_if_idempotent(against(|asked| {
-        let head = format!("HTTP/1.1 200 OK\r\n{}{STAMP}\r\nuntil the end", id(asked.id()));
-        vec![Step::Writes(head.into_bytes()), Step::Closes]
+    assert_retried_only_if_idempotent(against(|received| {
+        let head = format!("HTTP/1.1 200 OK\r\n{}{STAMP}\r\nuntil the end", id(received.id()));
+        vec![Step::Write(head.into_bytes()), Step::Close]
     }));
 }
 
 #[test]
 fn truncated_response_is_not_forwarded() {
-    let part = |asked: &Asked| {
-        let all = whole(200, &format!("{}{STAMP}", id(asked.id())), &[b'x'; 5000]);
-        Step::Writes(all[..all.len() - 1].to_vec())
+    let part = |received: &ReceivedRequest| {
+        let all = complete_response(200, &format!("{}{STAMP}", id(received.id())), &[b'x'; 5000]);
+        Step::Write(all[..all.len() - 1].to_vec())
     };
-    assert_retried_only_if_idempotent(against(move |asked| vec![part(asked), Step::Closes]));
-    assert_retried_only_if_idempotent(against(move |asked| vec![part(asked), Step::Resets]));
-    assert_retried_only_if_idempotent(against(|asked| {
+    assert_retried_only_if_idempotent(against(move |received| vec![part(received), Step::Close]));
+    assert_retried_only_if_idempotent(against(move |received| vec![part(received), Step::Reset]));
+    assert_retried_only_if_idempotent(against(|received| {
         let head = format!(
             "HTTP/1.1 200 OK\r\n{}{STAMP}Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n",
-            id(asked.id())
+            id(received.id())
         );
-        vec![Step::Writes(head.into_bytes()), Step::Closes]
+        vec![Step::Write(head.into_bytes()), Step::Close]
     }));
 }
 
 #[test]
 fn malformed_response_is_not_forwarded() {
     assert_retried_only_if_idempotent(against(|_| {
-        vec![Step::Writes(b"\x00\xff no answer at all\r\n\r\n".to_vec()), Step::Closes]
+        vec![Step::Write(b"\x00\xff no answer at all\r\n\r\n".to_vec()), Step::Close]
     }));
-    assert_retried_only_if_idempotent(against(|_| vec![Step::Closes]));
-    assert_retried_only_if_idempotent(against(|_| vec![Step::Resets]));
+    assert_retried_only_if_idempotent(against(|_| vec![Step::Close]));
+    assert_retried_only_if_idempotent(against(|_| vec![Step::Reset]));
 }
 
 #[test]
 fn server_error_is_retried_only_if_idempotent() {
-    let [safe, once] =
-        against(|asked| vec![Step::Writes(whole(500, &format!("{}{STAMP}", id(asked.id())), b"failed"))]);
+    let [safe, once] = against(|received| {
+        vec![Step::Write(complete_response(500, &format!("{}{STAMP}", id(received.id())), b"failed"))]
+    });
     assert_eq!((safe.0.head.status, safe.1), (200, 2));
     assert_eq!(
         (once.0.head.status, once.0.body.as_slice(), once.1),
@@ -313,19 +325,20 @@
 #[test]
 fn surplus_bytes_after_a_response_belong_to_no_request() {
     for more in ["same", "other", "garbage"] {
-        let site = Site::new();
-        let server = site.server(("i-1", "s", "za"), move |asked| {
-            let own = whole(200, &format!("{}{STAMP}", id(asked.id())), asked.id().as_bytes());
+        let cluster = TestCluster::new();
+        let server = cluster.server(("i-1", "s", "za"), move |received| {
+            let own =
+                complete_response(200, &format!("{}{STAMP}", id(received.id())), received.id().as_bytes());
             let surplus = match more {
                 "same" => own.clone(),
-                "other" => whole(200, &format!("{}{STAMP}", id("other")), b"other's"),
+                "other" => complete_response(200, &format!("{}{STAMP}", id("other")), b"other's"),
                 _ => b"what is this\r\n".to_vec(),
             };
             // In one go with the answer: it is there before the next request can be.
-            vec![Step::Writes(if asked.number % 3 == 0 { [own, surplus].concat() } else { own })]
+            vec![Step::Write(if received.number % 3 == 0 { [own, surplus].concat() } else { own })]
         });
-        let _served = site.serving(&[&server], &usual());
-        let mut client = Client::to(site.at(ROUTER, FRONT));
+        let _served = cluster.serving(&[&server], &usual());
+        let mut client = Client::to(cluster.at(ROUTER, FRONT));
         for number in 0..30 {
             let name = format!("r{number}");
             let answer = client.ask(&get(&name, "/safe/x"));
@@ -337,15 +350,15 @@
 #[test]
 fn late_duplicate_response_is_not_taken_for_the_next_one() {
     for (method, path) in both() {
-        let site = Site::new();
+        let cluster = TestCluster::new();
         // The first's answer comes again in place of the second's.
-        let server = site.server(("i-1", "s", "za"), |asked| {
-            let own = ok(asked, asked.id().as_bytes());
-            let late = Step::Writes(whole(200, &format!("{}{STAMP}", id("r1")), b"r1"));
-            if asked.number == 1 { [vec![late], own].concat() } else { own }
+        let server = cluster.server(("i-1", "s", "za"), |received| {
+            let own = ok(received, received.id().as_bytes());
+            let late = Step::Write(complete_response(200, &format!("{}{STAMP}", id("r1")), b"r1"));
+            if received.number == 1 { [vec![late], own].concat() } else { own }
         });
-        let _served = site.serving(&[&server], &usual());
-        let mut client = Client::to(site.at(ROUTER, FRONT));
+        let _served = cluster.serving(&[&server], &usual());
+        let mut client = Client::to(cluster.at(ROUTER, FRONT));
         assert_eq!(client.ask(&request("r1", method, path, "", b"")).body, b"r1");
         let answer = client.ask(&request("r2", method, path, "", b""));
         if answer.head.status == 200 {
@@ -359,34 +372,36 @@
 
 #[test]
 fn server_that_does_not_listen_is_skipped() {
-    let site = Site::new();
-    let server = site.server(("i-1", "s", "za"), |asked| ok(asked, b"here"));
+    let cluster = TestCluster::new();
+    let server = cluster.server(("i-1", "s", "za"), |received| ok(received, b"here"));
     let mut dead = server.listed();
-    (dead["id"], dead["address"]) = (json!("i-0"), json!(site.at(39, 9).to_string()));
-    let _served = site.serving(&[&server], &usual());
-    site.platform.set(vec![dead, server.listed()]);
+    (dead["id"], dead["address"]) = (json!("i-0"), json!(cluster.at(39, 9).to_string()));
+    let _served = cluster.serving(&[&server], &usual());
+    cluster.platform.set(vec![dead, server.listed()]);
     for number in 0..60 {
         let (method, path) = both()[number % 2];
-        let answer = ask(site.at(ROUTER, FRONT), &request(&format!("r{number}"), method, path, "", b""));
+        let answer = ask(cluster.at(ROUTER, FRONT), &request(&format!("r{number}"), method, path, "", b""));
         assert_eq!((answer.head.status, answer.body.as_slice()), (200, &b"here"[..]), "{number}");
     }
 }
 
 #[test]
 fn request_is_sent_to_its_home_regions_only() {
-    let site = Site::new();
-    let servers =
-        ["za", "zb", "zc"].map(|zone| site.server((&format!("i-{zone}"), "s", zone), |asked| ok(asked, b"")));
+    let cluster = TestCluster::new();
+    let servers = ["za", "zb", "zc"]
+        .map(|zone| cluster.server((&format!("i-{zone}"), "s", zone), |received| ok(received, b"")));
     let homes = |regions: &[&str]| json!({"home_regions": regions});
     let routes =
         [("all", json!({})), ("b", homes(&["rb"])), ("bc", homes(&["rb", "rc"])), ("none", homes(&["rx"]))];
-    let _served = site.serving(&[&servers[0], &servers[1], &servers[2]], &configuration(1, &routes));
-    let mut asked = 0;
+    let _served = cluster.serving(&[&servers[0], &servers[1], &servers[2]], &configuration(1, &routes));
+    let mut received = 0;
     let mut used = |name: &str, status: u16| {
         (0..20).for_each(|_| {
-            asked += 1;
+            received += 1;
             assert_eq!(
-                ask(site.at(ROUTER, FRONT), &get(&format!("r{asked}"), &format!("/{name}/x"))).head.status,
+                ask(cluster.at(ROUTER, FRONT), &get(&format!("r{received}"), &format!("/{name}/x")))
+                    .head
+                    .status,
                 status,
                 "{name}"
             );
@@ -402,11 +417,11 @@
 
 #[test]
 fn request_without_available_server_is_rejected_early() {
-    let site = Site::new();
-    let _served = site.serving(&[], &usual());
+    let cluster = TestCluster::new();
+    let _served = cluster.serving(&[], &usual());
     for (method, path) in both() {
         let began = Instant::now();
-        let answer = ask(site.at(ROUTER, FRONT), &request("r1", method, path, "", b""));
+        let answer = ask(cluster.at(ROUTER, FRONT), &request("r1", method, path, "", b""));
         assert_eq!(answer.head.status, 503);
         assert!(answer.head.value("retry-after").is_some());
         // A quarter of the route's aim of two seconds.
@@ -416,14 +431,14 @@
 
 #[test]
 fn request_at_a_silent_server_ends_at_its_deadline() {
-    let site = Site::new();
+    let cluster = TestCluster::new();
     let gate = std::sync::Arc::new(Gate::default());
     let held = gate.clone();
-    let server = site.server(("i-1", "s", "za"), move |_| vec![Step::Waits(held.clone())]);
-    let _served = site.serving(&[&server], &usual());
+    let server = cluster.server(("i-1", "s", "za"), move |_| vec![Step::Wait(held.clone())]);
+    let _served = cluster.serving(&[&server], &usual());
     let text = "POST /unsafe/x HTTP/1.1\r\nHost: h.example\r\nIvyhatch-Attempt-Id: r1\r\nIvyhatch-Deadline-Ms: 700\r\n\r\n";
     let began = Instant::now();
-    let answer = ask(site.at(ROUTER, FRONT), text.as_bytes());
+    let answer = ask(cluster.at(ROUTER, FRONT), text.as_bytes());
     assert!(matches!(answer.head.status, 502 | 504), "it may have run: {answer:?}");
     let took = began.elapsed();
     assert!(took > Duration::from_millis(500) && took < Duration::from_millis(1500), "{took:?}");
@@ -432,12 +447,12 @@
 
 #[test]
 fn malformed_request_reaches_no_server() {
-    let site = Site::new();
-    let server = site.server(("i-1", "s", "za"), |asked| ok(asked, b"here"));
+    let cluster = TestCluster::new();
+    let server = cluster.server(("i-1", "s", "za"), |received| ok(received, b"here"));
     let mut all = usual();
     all["limits"] = json!({"max_body_bytes": 1000});
-    let mut served = site.serving(&[&server], &all);
-    let at = site.at(ROUTER, FRONT);
+    let mut served = cluster.serving(&[&server], &all);
+    let at = cluster.at(ROUTER, FRONT);
     let head = "POST /unsafe/x HTTP/1.1\r\nHost: h.example\r\n";
     for (text, status) in [
         (format!("{head}Content-Length: 0\r\n\r\n"), 400),
@@ -479,15 +494,15 @@
 /// One that has both is taken by its chunks alone (RFC 9112, 6.3), and what stands behind it is no request.
 #[test]
 fn request_with_two_content_lengths_smuggles_nothing() {
-    let site = Site::new();
-    let server = site.server(("i-1", "s", "za"), |asked| ok(asked, b"here"));
-    let _served = site.serving(&[&server], &usual());
+    let cluster = TestCluster::new();
+    let server = cluster.server(("i-1", "s", "za"), |received| ok(received, b"here"));
+    let _served = cluster.serving(&[&server], &usual());
     let hidden = String::from_utf8(get("hidden", "/safe/y")).expect("text");
     let text = format!(
         "POST /unsafe/x HTTP/1.1\r\nHost: h.example\r\nIvyhatch-Attempt-Id: a\r\nContent-Length: 3\r\n\
          Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n{hidden}"
     );
-    let mut client = Client::to(site.at(ROUTER, FRONT));
+    let mut client = Client::to(cluster.at(ROUTER, FRONT));
     client.write(text.as_bytes());
     if let Some(head) = client.try_head().filter(|head| head.status == 200) {
         assert_eq!(server.next().message.body, b"ab");
@@ -499,10 +514,10 @@
 
 #[test]
 fn stalled_and_disconnected_clients_delay_nothing() {
-    let site = Site::new();
-    let server = site.server(("i-1", "s", "za"), |asked| ok(asked, b"here"));
-    let mut served = site.serving(&[&server], &usual());
-    let at = site.at(ROUTER, FRONT);
+    let cluster = TestCluster::new();
+    let server = cluster.server(("i-1", "s", "za"), |received| ok(received, b"here"));
+    let mut served = cluster.serving(&[&server], &usual());
+    let at = cluster.at(ROUTER, FRONT);
     let mut held: Vec<Client> = (0..50).map(|_| Client::to(at)).collect();
     for (number, client) in held.iter_mut().enumerate() {
         let whole = request(&format!("h{number}"), "POST", "/unsafe/x", "", b"body");
@@ -518,35 +533,35 @@
 
 #[test]
 fn requests_are_served_without_control_nodes() {
-    let site = Site::new();
-    let server = site.server(("i-1", "s", "za"), |asked| ok(asked, b"here"));
-    site.platform.set(vec![server.listed()]);
-    let mut core = site.core();
-    let _router = site.router(ROUTER, &CORE);
-    site.put(CORE[0], 0, &usual());
-    site.until_ready(ROUTER);
+    let cluster = TestCluster::new();
+    let server = cluster.server(("i-1", "s", "za"), |received| ok(received, b"here"));
+    cluster.platform.set(vec![server.listed()]);
+    let mut core = cluster.core();
+    let _router = cluster.router(ROUTER, &CORE);
+    cluster.put(CORE[0], 0, &usual());
+    cluster.wait_until_ready(ROUTER);
     core.clear();
-    until("they are gone", || call(site.at(CORE[0], INNER), "GET", "/", None, "").is_none());
+    wait_until("they are gone", || call(cluster.at(CORE[0], INNER), "GET", "/", None, "").is_none());
     for number in 0..50 {
-        assert_eq!(ask(site.at(ROUTER, FRONT), &get(&format!("r{number}"), "/safe/x")).body, b"here");
+        assert_eq!(ask(cluster.at(ROUTER, FRONT), &get(&format!("r{number}"), "/safe/x")).body, b"here");
     }
-    let _core: Vec<_> = CORE.map(|host| site.control(host, &CORE, false)).into();
-    site.put(CORE[1], 1, &configuration(2, &[("new", json!({}))]));
+    let _core: Vec<_> = CORE.map(|host| cluster.control(host, &CORE, false)).into();
+    cluster.put(CORE[1], 1, &configuration(2, &[("new", json!({}))]));
     let mut number = 100;
-    until("it follows again", || {
+    wait_until("it follows again", || {
         number += 1;
-        ask(site.at(ROUTER, FRONT), &get(&format!("r{number}"), "/new/x")).head.status == 200
+        ask(cluster.at(ROUTER, FRONT), &get(&format!("r{number}"), "/new/x")).head.status == 200
     });
-    assert_eq!(ask(site.at(ROUTER, FRONT), &get("last", "/safe/x")).head.status, 404);
+    assert_eq!(ask(cluster.at(ROUTER, FRONT), &get("last", "/safe/x")).head.status, 404);
 }
 
 #[test]
 fn router_leaves_a_control_node_that_sends_garbage() {
-    let site = Site::new();
-    let server = site.server(("i-1", "s", "za"), |asked| ok(asked, b"here"));
-    site.platform.set(vec![server.listed()]);
+    let cluster = TestCluster::new();
+    let server = cluster.server(("i-1", "s", "za"), |received| ok(received, b"here"));
+    cluster.platform.set(vec![server.listed()]);
     // Nearer than any: it answers at once, and never with a message of the system.
-    let listener = TcpListener::bind(site.at(19, INNER + 1)).expect("free");
+    let listener = TcpListener::bind(cluster.at(19, INNER + 1)).expect("free");
     thread::spawn(move || {
         let mut held = Vec::new();
         for (number, mut stream) in listener.incoming().flatten().enumerate() {
@@ -556,17 +571,17 @@
             held.push(stream);
         }
     });
-    let _control = site.control(CORE[0], &CORE[..1], true);
-    let mut router = site.router(ROUTER, &[19, CORE[0]]);
-    site.put(CORE[0], 0, &usual());
-    site.until_ready(ROUTER);
+    let _control = cluster.control(CORE[0], &CORE[..1], true);
+    let mut router = cluster.router(ROUTER, &[19, CORE[0]]);
+    cluster.put(CORE[0], 0, &usual());
+    cluster.wait_until_ready(ROUTER);
     for revision in 2..5 {
         let name = format!("new{revision}");
-        site.put(CORE[0], revision - 1, &configuration(revision, &[(&name, json!({}))]));
+        cluster.put(CORE[0], revision - 1, &configuration(revision, &[(&name, json!({}))]));
         let mut number = 0;
-        until("it follows", || {
+        wait_until("it follows", || {
             number += 1;
-            ask(site.at(ROUTER, FRONT), &get(&format!("r{revision}{number}"), &format!("/{name}/x")))
+            ask(cluster.at(ROUTER, FRONT), &get(&format!("r{revision}{number}"), &format!("/{name}/x")))
                 .head
                 .status
                 == 200
--- a/cli/tests/system_server_list.rs
+++ b/cli/tests/system_server_list.rs
@@ -8,24 +8,24 @@
 use serde_json::json;
 use system_common::calls::{ask, get};
 use system_common::server::ok;
-use system_common::{FRONT, ROUTER, Site, configuration, until};
+use system_common::{FRONT, ROUTER, TestCluster, configuration, wait_until};
 
 /// A list of two pages, of which the second comes again in the place of the next reading's first: no server is taken for gone.
 #[test]
 fn late_duplicate_of_the_last_page_is_not_taken_for_the_first() {
-    let site = Site::new();
-    let servers = ["i-1", "i-2"].map(|id| site.server((id, "s", "za"), |asked| ok(asked, b"here")));
-    let other = site.server(("i-3", "t", "za"), |asked| ok(asked, b"here"));
+    let cluster = TestCluster::new();
+    let servers = ["i-1", "i-2"].map(|id| cluster.server((id, "s", "za"), |received| ok(received, b"here")));
+    let other = cluster.server(("i-3", "t", "za"), |received| ok(received, b"here"));
     let mut all = configuration(1, &[("s", json!({})), ("t", json!({"service": "t"}))]);
     all["services"].as_array_mut().expect("a list").push(json!({"name": "t"}));
-    let _served = site.serving(&[&servers[0], &servers[1], &other], &all);
-    let at = site.at(ROUTER, FRONT);
+    let _served = cluster.serving(&[&servers[0], &servers[1], &other], &all);
+    let at = cluster.at(ROUTER, FRONT);
     let read_on = |what: &str| {
-        let calls = site.platform.calls();
-        until(what, || site.platform.calls() >= calls + 4);
+        let calls = cluster.platform.calls();
+        wait_until(what, || cluster.platform.calls() >= calls + 4);
     };
     read_on("the list is read");
-    site.platform.repeat_late(true);
+    cluster.platform.repeat_late(true);
     let end = Instant::now() + Duration::from_secs(3);
     let mut number = 0;
     while Instant::now() < end {
--- a/cli/tests/system_settings.rs
+++ b/cli/tests/system_settings.rs
@@ -6,10 +6,10 @@
 
 use serde_json::{Value, json};
 use system_common::calls::call;
-use system_common::{CONTROL, CORE, FRONT, Process, Site, configuration, until};
+use system_common::{CONTROL, CORE, FRONT, Process, TestCluster, configuration, wait_until};
 
-fn start_error(site: &Site, role: &str, settings: &Value) -> String {
-    let mut process = site.start_with(role, 11, settings);
+fn start_error(cluster: &TestCluster, role: &str, settings: &Value) -> String {
+    let mut process = cluster.start_with(role, 11, settings);
     assert_eq!(process.end().code(), Some(1), "{role}: {}", process.logged());
     process.logged()
 }
@@ -17,11 +17,11 @@
 #[test]
 fn missing_field_is_named() {
     for role in ["control", "router"] {
-        let site = Site::new();
+        let cluster = TestCluster::new();
         for field in ["node_name", "ip", "zone", "region", "zones", "listen", "inner_ports", "cloud_api"] {
-            let mut settings = site.settings(11, &CORE, true);
+            let mut settings = cluster.settings(11, &CORE, true);
             settings.as_object_mut().expect("an object").remove(field);
-            let logged = start_error(&site, role, &settings);
+            let logged = start_error(&cluster, role, &settings);
             assert!(logged.contains(field), "{role} {field}: {logged}");
         }
     }
@@ -29,37 +29,37 @@
 
 #[test]
 fn field_of_the_wrong_type_is_named() {
-    let site = Site::new();
+    let cluster = TestCluster::new();
     for (field, value) in
         [("ip", json!("nowhere")), ("zones", json!(7)), ("inner_ports", json!([1])), ("seeds", json!(["x"]))]
     {
-        let mut settings = site.settings(11, &CORE, true);
+        let mut settings = cluster.settings(11, &CORE, true);
         settings[field] = value;
-        let logged = start_error(&site, "router", &settings);
+        let logged = start_error(&cluster, "router", &settings);
         assert!(logged.contains(field), "{field}: {logged}");
     }
 }
 
 #[test]
 fn missing_listen_address_is_named() {
-    let site = Site::new();
+    let cluster = TestCluster::new();
     for (role, field) in
         [("router", "front"), ("router", "readiness"), ("control", "control"), ("control", "directory")]
     {
-        let mut settings = site.settings(11, &CORE, true);
+        let mut settings = cluster.settings(11, &CORE, true);
         settings["listen"].as_object_mut().expect("an object").remove(field);
-        let logged = start_error(&site, role, &settings);
+        let logged = start_error(&cluster, role, &settings);
         assert!(logged.contains(&format!("listen.{field}")), "{role}: {logged}");
     }
 }
 
 #[test]
 fn address_in_use_is_named() {
-    let site = Site::new();
+    let cluster = TestCluster::new();
     for (role, port) in [("router", FRONT), ("control", CONTROL)] {
-        let _taken = TcpListener::bind(site.at(11, port)).expect("free");
-        let logged = start_error(&site, role, &site.settings(11, &CORE, true));
-        assert!(logged.contains(&site.at(11, port).to_string()), "{role}: {logged}");
+        let _taken = TcpListener::bind(cluster.at(11, port)).expect("free");
+        let logged = start_error(&cluster, role, &cluster.settings(11, &CORE, true));
+        assert!(logged.contains(&cluster.at(11, port).to_string()), "{role}: {logged}");
     }
 }
 
@@ -82,39 +82,39 @@
 
 #[test]
 fn unknown_and_missing_optional_fields_are_accepted() {
-    let site = Site::new();
-    let mut settings = site.settings(11, &CORE[..1], true);
+    let cluster = TestCluster::new();
+    let mut settings = cluster.settings(11, &CORE[..1], true);
     for field in ["role", "limits", "bounds", "tolerate", "machine_class", "serves"] {
         settings.as_object_mut().expect("an object").remove(field);
     }
     settings["tolerate"] = json!({"machines": 0});
     settings["later"] = json!({"than": ["this"]});
-    let _control = site.start_with("control", 11, &settings);
-    site.put(11, 0, &configuration(1, &[("a", json!({}))]));
+    let _control = cluster.start_with("control", 11, &settings);
+    cluster.put(11, 0, &configuration(1, &[("a", json!({}))]));
 }
 
 #[test]
 fn changed_settings_are_reloaded_and_invalid_ones_ignored() {
-    let site = Site::new();
-    let mut control = site.control(11, &CORE[..1], true);
+    let cluster = TestCluster::new();
+    let mut control = cluster.control(11, &CORE[..1], true);
     // Its seed is nobody; the control node is named later.
-    let mut router = site.router(21, &[19]);
-    site.put(11, 0, &configuration(1, &[("a", json!({}))]));
-    until("it listens", || {
-        call(site.at(21, system_common::READINESS), "GET", "/-/readyz", None, "").is_some()
+    let mut router = cluster.router(21, &[19]);
+    cluster.put(11, 0, &configuration(1, &[("a", json!({}))]));
+    wait_until("it listens", || {
+        call(cluster.at(21, system_common::READINESS), "GET", "/-/readyz", None, "").is_some()
     });
-    std::fs::write(site.settings_file(21), "{").expect("written");
+    std::fs::write(cluster.settings_file(21), "{").expect("written");
     router.signal("HUP");
-    until("it says so", || router.logged().contains("settings_reload_failed"));
-    assert!(!site.is_ready(21));
-    std::fs::write(site.settings_file(21), site.settings(21, &CORE[..1], false).to_string())
+    wait_until("it says so", || router.logged().contains("settings_reload_failed"));
+    assert!(!cluster.is_ready(21));
+    std::fs::write(cluster.settings_file(21), cluster.settings(21, &CORE[..1], false).to_string())
         .expect("written");
     router.signal("HUP");
-    site.until_ready(21);
-    std::fs::write(site.settings_file(11), "{").expect("written");
+    cluster.wait_until_ready(21);
+    std::fs::write(cluster.settings_file(11), "{").expect("written");
     control.signal("HUP");
-    until("it says so", || control.logged().contains("settings_reload_failed"));
-    site.put(11, 1, &configuration(2, &[("a", json!({}))]));
+    wait_until("it says so", || control.logged().contains("settings_reload_failed"));
+    cluster.put(11, 1, &configuration(2, &[("a", json!({}))]));
     assert!(control.is_running() && router.is_running());
     for process in [&mut control, &mut router] {
         process.signal("TERM");
--- a/cli/tests/system_streams.rs
+++ b/cli/tests/system_streams.rs
@@ -8,9 +8,10 @@
 use serde_json::{Value, json};
 use system_common::calls::{Broken, Client, Head, request};
 use system_common::server::{
-    Asked, Gate, STAMP, Server, Step, chunk, event, id, last_chunk, ok, sheds, stream, stream_head, whole,
+    Gate, ReceivedRequest, STAMP, Server, Step, chunk, complete_response, event, id, last_chunk, ok,
+    overloaded, stream, stream_head,
 };
-use system_common::{FRONT, ROUTER, Served, Site, configuration};
+use system_common::{FRONT, ROUTER, Served, TestCluster, configuration};
 
 /// One route whose streams may be resumed, and one whose streams may not.
 fn usual() -> Value {
@@ -31,8 +32,8 @@
 }
 
 /// The head of a stream, some of its events, and no more.
-fn part(asked: &Asked, numbers: std::ops::RangeInclusive<u64>) -> Vec<Step> {
-    std::iter::once(stream_head(asked)).chain(numbers.map(|number| chunk(&event(number)))).collect()
+fn part(received: &ReceivedRequest, numbers: std::ops::RangeInclusive<u64>) -> Vec<Step> {
+    std::iter::once(stream_head(received)).chain(numbers.map(|number| chunk(&event(number)))).collect()
 }
 
 fn then(mut steps: Vec<Step>, more: impl IntoIterator<Item = Step>) -> Vec<Step> {
@@ -42,21 +43,21 @@
 
 struct Scene {
     _served: Served,
-    site: Site,
+    cluster: TestCluster,
     servers: [Server; 2],
 }
 
 impl Scene {
     /// Two servers; what they do goes by how many requests came before to either.
-    fn new(does: impl Fn(usize, &Asked) -> Vec<Step> + Send + Sync + 'static) -> Self {
-        let site = Site::new();
-        let servers = site.pair(does);
-        let served = site.serving(&[&servers[0], &servers[1]], &usual());
-        Self { _served: served, site, servers }
+    fn new(script: impl Fn(usize, &ReceivedRequest) -> Vec<Step> + Send + Sync + 'static) -> Self {
+        let cluster = TestCluster::new();
+        let servers = cluster.pair(script);
+        let served = cluster.serving(&[&servers[0], &servers[1]], &usual());
+        Self { _served: served, cluster, servers }
     }
 
     fn client(&self) -> Client {
-        Client::to(self.site.at(ROUTER, FRONT))
+        Client::to(self.cluster.at(ROUTER, FRONT))
     }
 
     /// Asks once and reads all that comes.
@@ -72,12 +73,12 @@
 /// The `Last-Event-ID` of each request that reached the servers.
 fn last_event_ids(servers: &[Server; 2], requests: usize) -> Vec<Option<String>> {
     let mut last = Vec::new();
-    system_common::until("the requests came", || {
+    system_common::wait_until("the requests came", || {
         last.extend(
             servers
                 .iter()
                 .flat_map(Server::all)
-                .map(|asked| asked.message.value("last-event-id").map(str::to_owned)),
+                .map(|received| received.message.value("last-event-id").map(str::to_owned)),
         );
         last.len() >= requests
     });
@@ -89,10 +90,10 @@
 fn stream_is_forwarded_event_by_event() {
     let gates: Vec<Arc<Gate>> = (0..4).map(|_| Arc::default()).collect();
     let held = gates.clone();
-    let scene = Scene::new(move |_, asked| {
-        let mut steps = vec![stream_head(asked)];
+    let scene = Scene::new(move |_, received| {
+        let mut steps = vec![stream_head(received)];
         for (gate, number) in held.iter().zip(1..) {
-            steps.extend([chunk(&event(number)), Step::Waits(gate.clone())]);
+            steps.extend([chunk(&event(number)), Step::Wait(gate.clone())]);
         }
         then(steps, [last_chunk()])
     });
@@ -114,11 +115,11 @@
 #[test]
 fn stream_in_chunks_of_any_size_is_forwarded_completely() {
     const SIZES: [usize; 4] = [1, 3, 17, 1000];
-    let scene = Scene::new(|turn, asked| {
+    let scene = Scene::new(|turn, received| {
         let text = String::from_utf8(events(1..=20)).expect("text");
         let pieces = text.as_bytes().chunks(SIZES[turn / 2]);
         let pieces = pieces.map(|piece| chunk(std::str::from_utf8(piece).expect("text")));
-        std::iter::once(stream_head(asked)).chain(pieces).chain([last_chunk()]).collect()
+        std::iter::once(stream_head(received)).chain(pieces).chain([last_chunk()]).collect()
     });
     for size in SIZES {
         for route in ["again", "once"] {
@@ -129,11 +130,11 @@
 
 #[test]
 fn resumable_stream_continues_at_another_server_in_the_same_response() {
-    for ends in [Step::Closes, Step::Resets] {
-        let scene = Scene::new(move |turn, asked| match turn {
+    for ends in [Step::Close, Step::Reset] {
+        let scene = Scene::new(move |turn, received| match turn {
             // It breaks off inside its fourth event.
-            0 => then(part(asked, 1..=3), [chunk("id: 4\ndata: wo"), ends.clone()]),
-            _ => stream(asked, 4..=6),
+            0 => then(part(received, 1..=3), [chunk("id: 4\ndata: wo"), ends.clone()]),
+            _ => stream(received, 4..=6),
         });
         let (head, body) = scene.ask("again", "");
         assert_eq!((head.status, head.value("ivyhatch-server-stamp")), (200, Some("st.1")));
@@ -144,29 +145,26 @@
 
 #[test]
 fn each_attempt_carries_the_request_id_and_its_servers_instance() {
-    let scene =
-        Scene::new(
-            |turn, asked| {
-                if turn == 0 { then(part(asked, 1..=3), [Step::Closes]) } else { stream(asked, 4..=6) }
-            },
-        );
+    let scene = Scene::new(|turn, received| {
+        if turn == 0 { then(part(received, 1..=3), [Step::Close]) } else { stream(received, 4..=6) }
+    });
     assert_eq!(scene.ask("again", "").1, Ok(events(1..=6)));
     for server in &scene.servers {
-        let asked = server.next();
+        let received = server.next();
         assert_eq!(
-            (asked.id(), asked.message.value("ivyhatch-expect-instance")),
+            (received.id(), received.message.value("ivyhatch-expect-instance")),
             ("r1", Some(server.id.as_str()))
         );
-        assert_eq!(asked.message.body, b"prompt");
+        assert_eq!(received.message.body, b"prompt");
     }
 }
 
 #[test]
 fn stream_broken_before_its_first_event_is_restarted() {
     for first in [vec![], vec![chunk("id: 1\n")]] {
-        let scene = Scene::new(move |turn, asked| match turn {
-            0 => then(vec![stream_head(asked)], first.iter().cloned().chain([Step::Closes])),
-            _ => stream(asked, 1..=3),
+        let scene = Scene::new(move |turn, received| match turn {
+            0 => then(vec![stream_head(received)], first.iter().cloned().chain([Step::Close])),
+            _ => stream(received, 1..=3),
         });
         assert_eq!(scene.ask("again", "").1, Ok(events(1..=3)));
         assert_eq!(last_event_ids(&scene.servers, 2), [None, None]);
@@ -175,18 +173,18 @@
 
 #[test]
 fn resumption_skips_servers_that_shed_or_send_malformed_responses() {
-    type BackendReply = fn(&Asked) -> Vec<Step>;
+    type BackendReply = fn(&ReceivedRequest) -> Vec<Step>;
     let between: [BackendReply; 4] = [
-        |_| sheds(),
-        |asked| vec![Step::Writes(whole(421, &id(asked.id()), b""))],
-        |_| vec![Step::Closes],
-        |_| vec![Step::Writes(b"garbage\r\n\r\n".to_vec()), Step::Closes],
+        |_| overloaded(),
+        |received| vec![Step::Write(complete_response(421, &id(received.id()), b""))],
+        |_| vec![Step::Close],
+        |_| vec![Step::Write(b"garbage\r\n\r\n".to_vec()), Step::Close],
     ];
-    for (number, does) in between.into_iter().enumerate() {
-        let scene = Scene::new(move |turn, asked| match turn {
-            0 => then(part(asked, 1..=3), [Step::Closes]),
-            1 => does(asked),
-            _ => stream(asked, 4..=6),
+    for (number, script) in between.into_iter().enumerate() {
+        let scene = Scene::new(move |turn, received| match turn {
+            0 => then(part(received, 1..=3), [Step::Close]),
+            1 => script(received),
+            _ => stream(received, 4..=6),
         });
         let (_, body) = scene.ask("again", "");
         // There may be no further server to go to; then it has to show.
@@ -196,8 +194,9 @@
 
 #[test]
 fn non_resumable_stream_breaks_visibly() {
-    for ends in [Step::Closes, Step::Resets] {
-        let scene = Scene::new(move |_, asked| then(part(asked, 1..=3), [chunk("id: 4\n"), ends.clone()]));
+    for ends in [Step::Close, Step::Reset] {
+        let scene =
+            Scene::new(move |_, received| then(part(received, 1..=3), [chunk("id: 4\n"), ends.clone()]));
         let (head, body) = scene.ask("once", "");
         assert_eq!((head.status, body), (200, Err(Broken(events(1..=3)))));
         assert_eq!(last_event_ids(&scene.servers, 1).len(), 1, "it runs once");
@@ -206,7 +205,7 @@
 
 #[test]
 fn non_resumable_stream_broken_before_its_first_event_fails() {
-    let scene = Scene::new(|_, asked| vec![stream_head(asked), Step::Closes]);
+    let scene = Scene::new(|_, received| vec![stream_head(received), Step::Close]);
     let (head, _) = scene.ask("once", "");
     assert_eq!(head.status, 502);
     assert_eq!(last_event_ids(&scene.servers, 1).len(), 1);
@@ -214,62 +213,64 @@
 
 #[test]
 fn stream_with_an_incomplete_last_event_does_not_look_complete() {
-    let scene = Scene::new(|_, asked| then(part(asked, 1..=3), [chunk("id: 4\ndata: wo\n"), last_chunk()]));
+    let scene =
+        Scene::new(|_, received| then(part(received, 1..=3), [chunk("id: 4\ndata: wo\n"), last_chunk()]));
     assert_eq!(scene.ask("once", "").1, Err(Broken(events(1..=3))));
 }
 
 #[test]
 fn stream_with_ids_that_do_not_increase_is_not_forwarded() {
-    let scene =
-        Scene::new(|_, asked| then(part(asked, 1..=3), [chunk(&event(3)), chunk(&event(4)), last_chunk()]));
+    let scene = Scene::new(|_, received| {
+        then(part(received, 1..=3), [chunk(&event(3)), chunk(&event(4)), last_chunk()])
+    });
     assert_eq!(scene.ask("once", "").1, Err(Broken(events(1..=3))));
 }
 
 #[test]
 fn stream_that_restarts_from_its_first_event_is_not_appended() {
-    let scene =
-        Scene::new(
-            |turn, asked| {
-                if turn == 0 { then(part(asked, 1..=3), [Step::Closes]) } else { stream(asked, 1..=6) }
-            },
-        );
+    let scene = Scene::new(|turn, received| {
+        if turn == 0 { then(part(received, 1..=3), [Step::Close]) } else { stream(received, 1..=6) }
+    });
     let (_, body) = scene.ask("twice", "");
     assert_eq!(body, Err(Broken(events(1..=3))));
 }
 
 /// What another server answers instead of the rest of a stream; the client must see that the stream is not whole.
-fn assert_never_complete(does: impl Fn(&Asked) -> Vec<Step> + Send + Sync + 'static) {
-    let scene = Scene::new(
-        move |turn, asked| if turn == 0 { then(part(asked, 1..=3), [Step::Closes]) } else { does(asked) },
-    );
+fn assert_never_complete(script: impl Fn(&ReceivedRequest) -> Vec<Step> + Send + Sync + 'static) {
+    let scene =
+        Scene::new(
+            move |turn, received| {
+                if turn == 0 { then(part(received, 1..=3), [Step::Close]) } else { script(received) }
+            },
+        );
     let (head, body) = scene.ask("twice", "");
     assert_eq!((head.status, body), (200, Err(Broken(events(1..=3)))));
 }
 
 #[test]
 fn stream_whose_rest_is_rejected_does_not_look_complete() {
-    assert_never_complete(|asked| {
-        vec![Step::Writes(whole(404, &format!("{}{STAMP}", id(asked.id())), b"what?"))]
+    assert_never_complete(|received| {
+        vec![Step::Write(complete_response(404, &format!("{}{STAMP}", id(received.id())), b"what?"))]
     });
 }
 
 #[test]
 fn stream_whose_rest_is_a_complete_response_does_not_look_complete() {
-    assert_never_complete(|asked| ok(asked, b"all at once"));
+    assert_never_complete(|received| ok(received, b"all at once"));
 }
 
 #[test]
 fn stream_whose_rest_fails_does_not_look_complete() {
-    assert_never_complete(|asked| {
-        vec![Step::Writes(whole(500, &format!("{}{STAMP}", id(asked.id())), b"failed"))]
+    assert_never_complete(|received| {
+        vec![Step::Write(complete_response(500, &format!("{}{STAMP}", id(received.id())), b"failed"))]
     });
 }
 
 #[test]
 fn stream_whose_rest_has_another_id_does_not_look_complete() {
-    assert_never_complete(|asked| {
-        let other = Asked {
-            message: system_common::server::renamed(&asked.message, "other"),
+    assert_never_complete(|received| {
+        let other = ReceivedRequest {
+            message: system_common::server::renamed(&received.message, "other"),
             number: 0,
             on_connection: 0,
         };
@@ -279,17 +280,17 @@
 
 #[test]
 fn stream_whose_rest_has_no_stamp_does_not_look_complete() {
-    assert_never_complete(|asked| {
-        let head = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n{}\r\n", id(asked.id()));
-        vec![Step::Writes(head.into_bytes()), chunk(&event(4)), last_chunk()]
+    assert_never_complete(|received| {
+        let head = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n{}\r\n", id(received.id()));
+        vec![Step::Write(head.into_bytes()), chunk(&event(4)), last_chunk()]
     });
 }
 
 #[test]
 fn stream_gets_no_more_attempts_than_its_route_allows() {
-    let scene = Scene::new(|turn, asked| {
+    let scene = Scene::new(|turn, received| {
         let from = 1 + 2 * turn as u64;
-        then(part(asked, from..=from + 1), [Step::Closes])
+        then(part(received, from..=from + 1), [Step::Close])
     });
     assert_eq!(scene.ask("twice", "").1, Err(Broken(events(1..=4))));
     assert_eq!(last_event_ids(&scene.servers, 2).len(), 2);
@@ -297,7 +298,7 @@
 
 #[test]
 fn client_that_resumes_gets_the_events_after_its_last() {
-    let scene = Scene::new(|_, asked| stream(asked, 8..=9));
+    let scene = Scene::new(|_, received| stream(received, 8..=9));
     for route in ["again", "once"] {
         assert_eq!(scene.ask(route, "Last-Event-Id: 7\r\n").1, Ok(events(8..=9)), "{route}");
     }
@@ -306,8 +307,12 @@
 
 #[test]
 fn complete_response_on_a_streaming_route_is_forwarded() {
-    let scene = Scene::new(|_, asked| {
-        vec![Step::Writes(whole(400, &format!("{}{STAMP}", id(asked.id())), b"too long a prompt"))]
+    let scene = Scene::new(|_, received| {
+        vec![Step::Write(complete_response(
+            400,
+            &format!("{}{STAMP}", id(received.id())),
+            b"too long a prompt",
+        ))]
     });
     for route in ["again", "once"] {
         let (head, body) = scene.ask(route, "");
@@ -319,10 +324,10 @@
 fn disconnected_client_ends_its_stream_at_the_server() {
     let gate = Arc::new(Gate::default());
     let held = gate.clone();
-    let scene = Scene::new(move |turn, asked| match turn {
+    let scene = Scene::new(move |turn, received| match turn {
         // Once the client has left there is nobody to write to.
-        0 => then(part(asked, 1..=1), [Step::Waits(held.clone())]),
-        _ => stream(asked, 1..=2),
+        0 => then(part(received, 1..=1), [Step::Wait(held.clone())]),
+        _ => stream(received, 1..=2),
     });
     let mut client = scene.client();
     client.write(&asks("r1", "again", ""));
--- a/cli/tests/system_wal_recovery.rs
+++ b/cli/tests/system_wal_recovery.rs
@@ -9,40 +9,40 @@
 use googletest::prelude::*;
 use ivyhatch_wal::Wal;
 use serde_json::json;
-use system_common::{CORE, Process, Site, configuration};
+use system_common::{CORE, Process, TestCluster, configuration};
 
 const NAME: &str = "control.records";
 const REPLICA: u8 = 13;
 
 /// Three control nodes with two changes, and the last of them without a process.
-fn stopped(site: &Site) -> Vec<Process> {
-    let mut core = site.core();
-    site.put(11, 0, &configuration(5, &[("a", json!({}))]));
-    site.put(11, 5, &configuration(6, &[("b", json!({}))]));
-    site.until_revision(REPLICA, 6);
+fn stopped(cluster: &TestCluster) -> Vec<Process> {
+    let mut core = cluster.core();
+    cluster.put(11, 0, &configuration(5, &[("a", json!({}))]));
+    cluster.put(11, 5, &configuration(6, &[("b", json!({}))]));
+    cluster.wait_until_revision(REPLICA, 6);
     core[2].kill();
     core
 }
 
-fn file(site: &Site) -> PathBuf {
-    site.data(REPLICA).join(NAME)
+fn file(cluster: &TestCluster) -> PathBuf {
+    cluster.data(REPLICA).join(NAME)
 }
 
 /// Starts the replica with a file that it can't use.
-fn expect_recovery(site: &Site, core: &mut [Process], first_start: bool, says: &str) {
-    let unusable = fs::read(file(site)).expect("the file");
-    core[2] = site.control(REPLICA, &CORE, first_start);
-    site.until_revision(REPLICA, 6);
+fn expect_recovery(cluster: &TestCluster, core: &mut [Process], first_start: bool, says: &str) {
+    let unusable = fs::read(file(cluster)).expect("the file");
+    core[2] = cluster.control(REPLICA, &CORE, first_start);
+    cluster.wait_until_revision(REPLICA, 6);
     let log = core[2].logged();
     let lines: Vec<&str> = log.lines().filter(|line| line.contains("event=records_set_aside")).collect();
     assert_that!(lines, elements_are![contains_substring(says)]);
-    expect_that!(fs::read(set_aside(&file(site))).expect("kept"), eq(&unusable));
+    expect_that!(fs::read(set_aside(&file(cluster))).expect("kept"), eq(&unusable));
     // It votes again, and its new file is sound.
     core[0].kill();
-    site.put(12, 6, &configuration(7, &[("c", json!({}))]));
+    cluster.put(12, 6, &configuration(7, &[("c", json!({}))]));
     core[2].kill();
-    core[2] = site.control(REPLICA, &CORE, false);
-    site.until_revision(REPLICA, 7);
+    core[2] = cluster.control(REPLICA, &CORE, false);
+    cluster.wait_until_revision(REPLICA, 7);
     expect_that!(core[2].logged(), not(contains_substring("records_set_aside")));
 }
 
@@ -52,29 +52,29 @@
 
 #[gtest]
 fn replica_with_a_corrupted_log_recovers_from_the_others() {
-    let site = Site::new();
-    let mut core = stopped(&site);
-    let mut bytes = fs::read(file(&site)).expect("the file");
+    let cluster = TestCluster::new();
+    let mut core = stopped(&cluster);
+    let mut bytes = fs::read(file(&cluster)).expect("the file");
     bytes[30] ^= 4;
-    fs::write(file(&site), bytes).expect("damaged");
-    expect_recovery(&site, &mut core, false, "damaged at byte");
+    fs::write(file(&cluster), bytes).expect("damaged");
+    expect_recovery(&cluster, &mut core, false, "damaged at byte");
 }
 
 #[gtest]
 fn corrupted_log_is_no_first_start() {
-    let site = Site::new();
-    let mut core = stopped(&site);
-    fs::write(file(&site), b"not a file of records").expect("damaged");
-    expect_recovery(&site, &mut core, true, "damaged at byte 0");
+    let cluster = TestCluster::new();
+    let mut core = stopped(&cluster);
+    fs::write(file(&cluster), b"not a file of records").expect("damaged");
+    expect_recovery(&cluster, &mut core, true, "damaged at byte 0");
 }
 
 #[gtest]
 fn replica_with_an_unknown_record_recovers_from_the_others() {
-    let site = Site::new();
-    let mut core = stopped(&site);
+    let cluster = TestCluster::new();
+    let mut core = stopped(&cluster);
     {
-        let (mut log, _) = Wal::open(&site.data(REPLICA), NAME).expect("a sound file");
+        let (mut log, _) = Wal::open(&cluster.data(REPLICA), NAME).expect("a sound file");
         log.append(&[vec![0xee; 9]]).expect("written");
     }
-    expect_recovery(&site, &mut core, false, "install the release that wrote it");
+    expect_recovery(&cluster, &mut core, false, "install the release that wrote it");
 }
