--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -5,10 +5,12 @@
 use ivyhatch_node_settings::NodeSettings;
 use serde::Deserialize;
 
-use crate::ConfigurationSource;
 use crate::discovery::BackendList;
 use crate::start_error::{ConfigurationUnavailable, StartError};
 
+/// Reads the configuration's text, in the form of the file that `EDGE_CONFIG` names; called at the start and at each SIGHUP.
+pub type ConfigurationSource = Box<dyn Fn() -> Result<Vec<u8>, ConfigurationUnavailable>>;
+
 /// The configuration, as its file has it.
 #[derive(Deserialize)]
 pub struct Config {
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -29,15 +29,13 @@
 
 use tokio::task::LocalSet;
 
+pub use config::ConfigurationSource;
 pub use logging::{LogFormat, init_logging};
 pub use start_error::ConfigurationUnavailable;
 
 use config::{Config, read_file_from_environment};
 use start_error::StartError;
 
-/// Reads the configuration's text, in the form of the file that `EDGE_CONFIG` names; called at the start and at each SIGHUP.
-pub type ConfigurationSource = Box<dyn Fn() -> Result<Vec<u8>, ConfigurationUnavailable>>;
-
 /// Where a node's configuration comes from, how it logs and where it is administered.
 pub struct RunOptions {
     /// Reads the configuration.
--- a/node/src/serving.rs
+++ b/node/src/serving.rs
@@ -13,9 +13,8 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{sleep, timeout};
 
-use crate::ConfigurationSource;
 use crate::client_listener::DrainPhase;
-use crate::config::Config;
+use crate::config::{Config, ConfigurationSource};
 use crate::connection_limits::{REQUEST_READ_TIMEOUT, RESPONSE_WRITE_TIMEOUT};
 use crate::control_socket::ControlSocket;
 use crate::descriptor_budget::DescriptorBudget;
