--- a/cli/src/experiment.rs
+++ b/cli/src/experiment.rs
@@ -1,17 +1,23 @@
-//! `ivyhatch lab experiment`.
+//! `ivyhatch lab experiment`: plays many worlds, seeds and variants, and reports which variant serves better.
 
+use std::fs::{create_dir_all, read_to_string, write};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use clap::Args;
 use ivyhatch_experiments::{
-    BUILT_IN, Experiment, Plan, Results, Summary, page, run as play_missing, summarise,
+    BUILT_IN, Experiment, Failure, Plan, Results, ResultsError, Summary, page, run as play_missing, summarise,
 };
 
-use crate::{bar, threads, unusable};
+use crate::error::CommandError;
+use crate::exit::{code_for_failures, report_unusable};
+use crate::progress::{default_threads, progress_bar};
+
+/// Results go to a folder of the experiment's name in here if `--out` is not given.
+const DEFAULT_OUT_FOLDER: &str = "ivyhatch-results";
 
 #[derive(Args)]
-pub struct Arguments {
+pub struct ExperimentArguments {
     /// An experiment's file, or the name of a built-in one: policies, paper.
     #[arg(default_value = "policies")]
     experiment: PathBuf,
@@ -29,41 +35,73 @@
     print: bool,
 }
 
-/// What marks results as this build's: the same world played by another build is another result.
-fn build() -> String {
+/// An experiment's text, and the folder from which it names worlds.
+struct ExperimentSource {
+    text: String,
+    folder: PathBuf,
+}
+
+impl ExperimentSource {
+    fn read(path: &Path) -> Result<Self, CommandError> {
+        let built_in = BUILT_IN.iter().find(|(name, _)| path.to_str() == Some(*name));
+        if let Some((_, text)) = built_in {
+            return Ok(Self { text: (*text).to_owned(), folder: PathBuf::new() });
+        }
+        let text =
+            read_to_string(path).map_err(|source| CommandError::File { path: path.to_owned(), source })?;
+        Ok(Self { text, folder: path.parent().map(Path::to_path_buf).unwrap_or_default() })
+    }
+}
+
+/// Identifies this build: results of another build are not reused, as the same world may end differently there.
+fn build_fingerprint() -> String {
     let bytes = std::env::current_exe().and_then(std::fs::read);
     bytes.map_or_else(|_| "unknown build".to_owned(), |bytes| ivyhatch_experiments::mark(&bytes))
 }
 
-pub fn run(arguments: &Arguments) -> ExitCode {
-    let named = arguments.experiment.to_str().and_then(|name| BUILT_IN.iter().find(|(of, _)| *of == name));
-    let (text, folder) = match named {
-        Some((_, text)) => ((*text).to_owned(), PathBuf::new()),
-        None => match std::fs::read_to_string(&arguments.experiment) {
-            Ok(text) => (text, arguments.experiment.parent().map(Path::to_path_buf).unwrap_or_default()),
-            Err(error) => return unusable(&format!("{}: {error}", arguments.experiment.display())),
-        },
-    };
+/// Runs `ivyhatch lab experiment`.
+pub fn run(arguments: &ExperimentArguments) -> ExitCode {
+    try_run(arguments).unwrap_or_else(report_unusable)
+}
+
+fn try_run(arguments: &ExperimentArguments) -> Result<ExitCode, CommandError> {
+    let path = &arguments.experiment;
+    let source = ExperimentSource::read(path)?;
     if arguments.print {
-        print!("{text}");
-        return ExitCode::SUCCESS;
-    }
-    let plan = match Experiment::read(&text).and_then(|experiment| experiment.plan(&folder, &build())) {
-        Ok(plan) => plan,
-        Err(error) => return unusable(&format!("{}: {error}", arguments.experiment.display())),
-    };
-    match carry_out(arguments, &plan) {
-        Ok(code) => code,
-        Err(error) => unusable(&error),
+        print!("{}", source.text);
+        return Ok(ExitCode::SUCCESS);
     }
+    let plan = Experiment::read(&source.text)
+        .and_then(|experiment| experiment.plan(&source.folder, &build_fingerprint()))
+        .map_err(|error| CommandError::Experiment { path: path.clone(), source: Box::new(error) })?;
+    run_plan(arguments, &plan)
 }
 
-fn carry_out(arguments: &Arguments, plan: &Plan) -> Result<ExitCode, String> {
+/// Plays what has no result yet, writes the report and prints the summary.
+fn run_plan(arguments: &ExperimentArguments, plan: &Plan) -> Result<ExitCode, CommandError> {
     let stem = arguments.experiment.file_stem().unwrap_or_default();
-    let out = arguments.out.clone().unwrap_or_else(|| Path::new("ivyhatch-results").join(stem));
-    std::fs::create_dir_all(&out).map_err(|error| format!("{}: {error}", out.display()))?;
+    let out = arguments.out.clone().unwrap_or_else(|| Path::new(DEFAULT_OUT_FOLDER).join(stem));
+    create_dir_all(&out).map_err(|source| CommandError::File { path: out.clone(), source })?;
     let path = out.join("results.jsonl");
-    let mut results = Results::open(&path).map_err(|error| format!("{}: {error}", path.display()))?;
+    let results_error = |source| CommandError::Results { path: path.clone(), source };
+    let mut results = Results::open(&path).map_err(results_error)?;
+    warn_of_damage(&path, &results);
+    let failures = play_with_progress(arguments, plan, &mut results).map_err(results_error)?;
+    let summary = summarise(plan, &results);
+    let report = out.join("report.html");
+    write(&report, page(plan, &results, &summary))
+        .map_err(|source| CommandError::File { path: report.clone(), source })?;
+    if arguments.json {
+        println!("{}", serde_json::to_string(&summary).expect("a summary is plain data"));
+    } else {
+        print_summary(&summary);
+        println!("report: {}", report.display());
+    }
+    print_failures(plan, &failures);
+    Ok(code_for_failures(failures.len() + summary.module_rules_broken))
+}
+
+fn warn_of_damage(path: &Path, results: &Results) {
     if results.cut > 0 || results.unread > 0 {
         eprintln!(
             "{}: cut {} bytes of an unfinished line off, and left {} lines alone that are no result",
@@ -72,33 +110,31 @@
             results.unread
         );
     }
-    let bar = bar(0, arguments.json, "{pos}/{len} plays [{bar:40}] {elapsed} gone, {eta} to go");
-    let threads = arguments.threads.map_or_else(threads, |threads| threads as usize);
-    let failures = play_missing(plan, &mut results, threads, &mut |done, all| {
+}
+
+fn play_with_progress(
+    arguments: &ExperimentArguments,
+    plan: &Plan,
+    results: &mut Results,
+) -> Result<Vec<Failure>, ResultsError> {
+    let template = "{pos}/{len} plays [{bar:40}] {elapsed} gone, {eta} to go";
+    let bar = progress_bar(0, arguments.json, template);
+    let threads = arguments.threads.map_or_else(default_threads, |threads| threads as usize);
+    let failures = play_missing(plan, results, threads, &mut |done, all| {
         bar.set_length(all as u64);
         bar.set_position(done as u64);
     });
     bar.finish_and_clear();
-    let failures = failures.map_err(|error| format!("{}: {error}", path.display()))?;
-    let summary = summarise(plan, &results);
-    let report = out.join("report.html");
-    std::fs::write(&report, page(plan, &results, &summary))
-        .map_err(|error| format!("{}: {error}", report.display()))?;
-    if arguments.json {
-        println!("{}", serde_json::to_string(&summary).expect("a summary is plain data"));
-    } else {
-        print_summary(&summary);
-        println!("report: {}", report.display());
-    }
-    for failure in &failures {
+    failures
+}
+
+fn print_failures(plan: &Plan, failures: &[Failure]) {
+    for failure in failures {
         let (world, variant) =
             (&plan.worlds[failure.run.world].name, &plan.experiment.variants[failure.run.variant].name);
         eprintln!("ivyhatch: {world}, {variant}, seed {}: {}", failure.run.seed, failure.reason);
     }
-    let well = failures.is_empty() && summary.module_rules_broken == 0;
-    Ok(if well { ExitCode::SUCCESS } else { ExitCode::from(1) })
 }
-
 fn print_summary(summary: &Summary) {
     println!(
         "{}: {} of {} plays; differences are to {}",
@@ -113,10 +149,12 @@
             );
             world = &cell.world;
         }
-        let spread = cell.interval.map_or(String::new(), |i| format!("{:.3} to {:.3}", i.low, i.high));
+        let spread = cell
+            .interval
+            .map_or(String::new(), |interval| format!("{:.3} to {:.3}", interval.low, interval.high));
         let difference = match (cell.difference, cell.verdict) {
             (Some(difference), Some(verdict)) => format!("{difference:+.3} {verdict}"),
-            (Some(difference), None) => format!("{difference:+.3} too few seeds to tell"),
+            (Some(difference), None) => format!("{difference:+.3} too few seeds to tell"), // wire name: printed
             _ => String::new(),
         };
         println!("{:<24} {:<16} {:>10.3} {spread:>22}  {difference}", cell.variant, cell.measure, cell.mean);
--- a/cli/src/fleet/agent.rs
+++ b/cli/src/fleet/agent.rs
@@ -3,37 +3,48 @@
 use std::process::ExitCode;
 
 use ivyhatch_agent::AgentOptions;
+use tokio::signal::ctrl_c;
+use tokio::signal::unix::{SignalKind, signal};
 
-use super::arguments::Agent;
-use super::block_on;
-use crate::{config, unusable};
+use super::arguments::AgentArguments;
+use super::runtime::block_on;
+use crate::config;
+use crate::exit::{INTERRUPTED, report_unusable};
 
-pub fn agent(agent: &Agent) -> ExitCode {
-    let read = match config::read(&agent.config) {
-        Ok(read) => read,
-        Err(mistakes) => return config::tell(&mistakes, false),
+/// Runs the agent. SIGTERM ends it with success, Ctrl-C with [`INTERRUPTED`].
+pub fn agent(arguments: &AgentArguments) -> ExitCode {
+    let loaded = match config::load(&arguments.config) {
+        Ok(loaded) => loaded,
+        Err(diagnostics) => return config::report_diagnostics(&diagnostics, false),
     };
-    let log = &read.config.log;
-    ivyhatch_node::init_logging(log.level.parse().expect("checked"), config::log_format(log));
+    let log = &loaded.config.log;
+    let level = log.level.parse().expect("the level is checked when the file is loaded");
+    ivyhatch_node::init_logging(level, config::log_format(log));
     let program = match std::env::current_exe() {
         Ok(program) => program,
-        Err(error) => return unusable(&format!("this program's own path: {error}")),
+        Err(error) => return report_unusable(format_args!("this program's own path: {error}")),
     };
-    let socket = agent.socket.clone().unwrap_or_else(|| read.config.agent.state.join("agent.sock"));
-    let options = AgentOptions { config: read.config, file: agent.config.clone(), program, socket };
-    block_on(async move {
-        let mut terminate = match tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate()) {
-            Ok(signal) => signal,
-            Err(error) => return unusable(&error.to_string()),
-        };
-        // Its nodes go on; the next agent finds them.
-        tokio::select! {
-            ended = ivyhatch_agent::run(options) => match ended {
-                Ok(()) => ExitCode::SUCCESS,
-                Err(error) => unusable(&error.to_string()),
-            },
-            _ = terminate.recv() => ExitCode::SUCCESS,
-            _ = tokio::signal::ctrl_c() => ExitCode::from(130),
-        }
-    })
+    let socket = arguments.socket.clone().unwrap_or_else(|| loaded.config.agent.state.join("agent.sock"));
+    block_on(run_until_signal(AgentOptions {
+        config: loaded.config,
+        file: arguments.config.clone(),
+        program,
+        socket,
+    }))
+}
+
+/// The agent's nodes outlive it: the next agent finds them.
+async fn run_until_signal(options: AgentOptions) -> ExitCode {
+    let mut terminate = match signal(SignalKind::terminate()) {
+        Ok(terminate) => terminate,
+        Err(error) => return report_unusable(error),
+    };
+    tokio::select! {
+        ended = ivyhatch_agent::run(options) => match ended {
+            Ok(()) => ExitCode::SUCCESS,
+            Err(error) => report_unusable(error),
+        },
+        _ = terminate.recv() => ExitCode::SUCCESS,
+        _ = ctrl_c() => ExitCode::from(INTERRUPTED),
+    }
 }
--- a/cli/src/fleet/arguments.rs
+++ b/cli/src/fleet/arguments.rs
@@ -1,4 +1,5 @@
-//! The arguments of the commands that run and ask agents.
+//! The arguments of the commands that run and call agents. clap prints the doc comments here in `--help`, and takes the names of
+//! flags from the fields.
 
 use std::path::PathBuf;
 
@@ -7,7 +8,7 @@
 use crate::config::DEFAULT_FILE;
 
 #[derive(Args)]
-pub struct Agent {
+pub struct AgentArguments {
     /// The operators' file.
     #[arg(long, default_value = DEFAULT_FILE)]
     pub(super) config: PathBuf,
@@ -17,7 +18,7 @@
 }
 
 #[derive(Args)]
-pub struct Agents {
+pub struct AgentSocketArguments {
     /// An agent's socket; may be given several times. Without it, the one that the file names.
     #[arg(long = "agent")]
     pub(super) agents: Vec<PathBuf>,
@@ -26,22 +27,22 @@
     pub(super) config: PathBuf,
     /// One JSON object a line, in place of the table.
     #[arg(long)]
-    pub json: bool,
+    pub(super) json: bool,
 }
 
 #[derive(Args)]
-pub struct Show {
+pub struct SelectionArguments {
     /// Which instances: `all`, a name with `*` in it, `zone=a`, `tier=front` for a label; with commas for all of several.
     #[arg(default_value = "all")]
     pub(super) selectors: Vec<String>,
     #[command(flatten)]
-    pub(super) agents: Agents,
+    pub(super) agents: AgentSocketArguments,
 }
 
 #[derive(Args)]
-pub struct Top {
+pub struct TopArguments {
     #[command(flatten)]
-    pub(super) show: Show,
+    pub(super) selection: SelectionArguments,
     /// Seconds between two tables.
     #[arg(long, default_value_t = 1.0)]
     pub(super) every: f64,
@@ -51,25 +52,25 @@
 }
 
 #[derive(Args)]
-pub struct Logs {
+pub struct LogsArguments {
     #[command(flatten)]
-    pub(super) show: Show,
+    pub(super) selection: SelectionArguments,
     /// So many of each instance's last lines.
     #[arg(long, default_value_t = 20)]
     pub(super) lines: usize,
 }
 
 #[derive(Args)]
-pub struct Change {
+pub struct ChangeArguments {
     /// Which instances: `all`, a name with `*` in it, `zone=a`, `tier=front` for a label; with commas for all of several.
     #[arg(required = true)]
-    pub selectors: Vec<String>,
+    pub(super) selectors: Vec<String>,
     /// Seconds by which each instance has to be as asked.
     #[arg(long, default_value_t = 30.0)]
     pub(super) deadline: f64,
     /// Shows what would be done, and does nothing.
     #[arg(long)]
-    pub dry_run: bool,
+    pub(super) dry_run: bool,
     /// Does not ask before more than half of a zone is taken away.
     #[arg(long)]
     pub(super) yes: bool,
@@ -80,5 +81,17 @@
     #[arg(long)]
     pub(super) by: Option<String>,
     #[command(flatten)]
-    pub agents: Agents,
+    pub(super) agents: AgentSocketArguments,
+}
+
+#[derive(Args)]
+pub struct RolloutArguments {
+    #[command(flatten)]
+    pub(super) change: ChangeArguments,
+    /// Seconds for which the share served is watched, before the first zone and after each.
+    #[arg(long, default_value_t = 10.0)]
+    pub(super) watch: f64,
+    /// Stops when the share served is lower by so much than before, from 0 to 1.
+    #[arg(long, default_value_t = 0.05)]
+    pub(super) fall: f64,
 }
--- a/cli/src/fleet/change.rs
+++ b/cli/src/fleet/change.rs
@@ -1,108 +1,155 @@
-//! `ivyhatch start`, `stop`, `drain`, `undrain`, `restart` and `rollout`: a command for many instances at once.
+//! `ivyhatch start`, `stop`, `drain`, `undrain` and `restart`: a command for many instances at once.
 
 use std::collections::BTreeMap;
-use std::io::{BufRead, IsTerminal};
+use std::io::{BufRead, IsTerminal, stdin};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use ivyhatch_agent::Phase;
 use tokio::task::JoinSet;
 
-use super::arguments::Change;
-use super::block_on;
-use super::command::{Verb, one, prepare};
-use super::outcome::{End, REFUSED, finish};
-use super::query::{all_statuses, selects, sockets, word};
-use crate::bar;
-use crate::rollout::{self, Rollout};
+use super::arguments::ChangeArguments;
+use super::command::{CommandOptions, Verb, run_command};
+use super::outcome::{CommandResult, Outcome, REJECTED, print_results};
+use super::query::{Target, phase_name, query_agents, sockets_for_change};
+use super::runtime::block_on;
+use super::selector::matches_any;
+use crate::progress::progress_bar;
 
-pub fn rollout(rollout: &Rollout) -> ExitCode {
-    if !(rollout.watch > 0.0 && rollout.watch <= 3600.0 && (0.0..=1.0).contains(&rollout.fall)) {
-        eprintln!("ivyhatch: --watch: seconds above 0, an hour at most; --fall: from 0 to 1");
-        return ExitCode::from(2);
-    }
-    with_sockets(&rollout.change, |sockets| block_on(rollout::rollout(rollout, sockets)))
-}
-
-pub fn change(verb: Verb, change: &Change) -> ExitCode {
-    with_sockets(change, |sockets| block_on(change_all(verb, change, sockets)))
+/// The instances of a zone, and how many of them a command would take away.
+#[derive(Default)]
+struct ZoneCapacity {
+    instances: u32,
+    serving: u32,
+    /// Selected instances that serve now.
+    selected: u32,
 }
 
-fn with_sockets(change: &Change, what: impl FnOnce(Vec<PathBuf>) -> ExitCode) -> ExitCode {
-    if !(change.deadline > 0.0 && change.deadline <= 86_400.0) {
-        eprintln!("ivyhatch: --deadline {}: seconds above 0, a day at most", change.deadline);
-        return ExitCode::from(2);
+impl ZoneCapacity {
+    fn remaining(&self) -> u32 {
+        self.serving - self.selected
     }
-    match sockets(&change.agents) {
-        Ok(sockets) => what(sockets),
-        Err(code) => code,
+
+    /// Whether less than half of the zone would serve.
+    fn loses_majority(&self) -> bool {
+        self.selected > 0 && 2 * self.remaining() < self.instances
     }
 }
 
-async fn change_all(verb: Verb, change: &Change, sockets: Vec<PathBuf>) -> ExitCode {
-    let (mut ends, mut meant, mut zones) = (Vec::new(), Vec::new(), BTreeMap::new());
-    for (socket, status) in all_statuses(&sockets).await {
-        match status {
-            Err(why) => ends.push((format!("agent {}", socket.display()), End::Unknown(why))),
-            Ok(status) => {
-                for shown in status.instances {
-                    let zone: &mut (u32, u32, u32) = zones.entry(shown.zone.clone()).or_default();
-                    let serves = u32::from(shown.phase == Phase::Ready);
-                    *zone = (zone.0 + 1, zone.1 + serves, zone.2);
-                    if selects(&change.selectors, &shown) {
-                        zone.2 += serves;
-                        meant.push((socket.clone(), status.revision, shown));
+/// What agents reported of the instances that a command selects.
+#[derive(Default)]
+struct Selection {
+    targets: Vec<Target>,
+    zones: BTreeMap<String, ZoneCapacity>,
+    /// A result for each agent that gave no status.
+    unknown: Vec<CommandResult>,
+}
+
+impl Selection {
+    async fn query(sockets: &[PathBuf], selectors: &[String]) -> Self {
+        let mut selection = Self::default();
+        for mut reply in query_agents(sockets).await {
+            match &mut reply.status {
+                Err(error) => {
+                    let error = error.to_string();
+                    selection.unknown.push(CommandResult::agent_unknown(&reply, error));
+                }
+                Ok(status) => {
+                    for instance in std::mem::take(&mut status.instances) {
+                        let (socket, revision) = (reply.socket.clone(), status.revision);
+                        selection.add(Target { socket, revision, instance }, selectors);
                     }
                 }
             }
         }
+        selection
     }
-    if meant.is_empty() && ends.is_empty() {
-        eprintln!("ivyhatch: no instance is meant by {}", change.selectors.join(" "));
-        return ExitCode::from(REFUSED);
-    }
-    let taken: Vec<String> = zones
-        .iter()
-        .filter(|(_, (all, serving, taken))| verb.takes_away() && *taken > 0 && 2 * (serving - taken) < *all)
-        .map(|(zone, (all, serving, taken))| {
-            format!("{taken} of zone {zone}, of whose {all} {} would serve", serving - taken)
-        })
-        .collect();
-    if change.dry_run {
-        for (_, _, shown) in &meant {
-            println!("would {verb:?} {} ({})", shown.name, word(shown.phase, shown.drained));
+
+    fn add(&mut self, target: Target, selectors: &[String]) {
+        let zone = self.zones.entry(target.instance.zone.clone()).or_default();
+        let serving = u32::from(target.instance.phase == Phase::Ready);
+        zone.instances += 1;
+        zone.serving += serving;
+        if matches_any(selectors, &target.instance) {
+            zone.selected += serving;
+            self.targets.push(target);
         }
-        taken.iter().for_each(|taken| println!("takes away {taken}, and would ask first"));
-        return finish(ends, change.agents.json);
     }
-    if !taken.is_empty() && !change.yes && !confirmed(&taken) {
-        ends.extend(meant.into_iter().map(|(_, _, shown)| {
-            (shown.name, End::Refused(format!("it takes away {}; --yes if that is meant", taken.join(", "))))
+
+    /// A description of each zone of which less than half would serve.
+    fn capacity_warnings(&self, verb: Verb) -> Vec<String> {
+        let zones = self.zones.iter().filter(|(_, zone)| verb.removes_capacity() && zone.loses_majority());
+        let describe = |(name, zone): (&String, &ZoneCapacity)| {
+            let ZoneCapacity { instances, selected, .. } = zone;
+            format!("{selected} of zone {name}, of whose {instances} {} would serve", zone.remaining())
+        };
+        zones.map(describe).collect()
+    }
+}
+
+/// Runs a command for all selected instances.
+pub fn change(verb: Verb, arguments: &ChangeArguments) -> ExitCode {
+    match sockets_for_change(arguments) {
+        Ok(sockets) => block_on(change_selected(verb, arguments, sockets)),
+        Err(code) => code,
+    }
+}
+
+async fn change_selected(verb: Verb, arguments: &ChangeArguments, sockets: Vec<PathBuf>) -> ExitCode {
+    let selection = Selection::query(&sockets, &arguments.selectors).await;
+    if selection.targets.is_empty() && selection.unknown.is_empty() {
+        eprintln!("ivyhatch: no instance is meant by {}", arguments.selectors.join(" "));
+        return ExitCode::from(REJECTED);
+    }
+    let warnings = selection.capacity_warnings(verb);
+    let Selection { targets, unknown: mut results, .. } = selection;
+    if arguments.dry_run {
+        print_dry_run(verb, &targets, &warnings);
+    } else if !warnings.is_empty() && !arguments.yes && !confirmed(&warnings) {
+        let reason = format!("it takes away {}; --yes if that is meant", warnings.join(", "));
+        results.extend(targets.into_iter().map(|target| CommandResult {
+            name: target.instance.name,
+            outcome: Outcome::Refused(reason.clone()),
         }));
-        return finish(ends, change.agents.json);
+    } else {
+        results.extend(run_all(verb, arguments, targets).await);
     }
-    let prepared = prepare(change);
-    let bar = bar(meant.len() as u64, change.agents.json, "{bar:40} {pos}/{len} {msg}");
-    let mut running = JoinSet::new();
-    for (socket, revision, shown) in meant {
-        let (prepared, bar) = (prepared.clone(), bar.clone());
-        running.spawn_local(async move {
-            let name = shown.name.clone();
-            let end = one(verb, &socket, revision, &shown, &prepared).await;
+    print_results(results, arguments.agents.json)
+}
+
+fn print_dry_run(verb: Verb, targets: &[Target], warnings: &[String]) {
+    for Target { instance, .. } in targets {
+        println!("would {verb:?} {} ({})", instance.name, phase_name(instance.phase, instance.drained));
+    }
+    for warning in warnings {
+        println!("takes away {warning}, and would ask first");
+    }
+}
+
+/// Runs the command for all targets at once.
+async fn run_all(verb: Verb, arguments: &ChangeArguments, targets: Vec<Target>) -> Vec<CommandResult> {
+    let options = CommandOptions::new(arguments);
+    let bar = progress_bar(targets.len() as u64, arguments.agents.json, "{bar:40} {pos}/{len} {msg}");
+    let mut commands = JoinSet::new();
+    for target in targets {
+        let (options, bar) = (options.clone(), bar.clone());
+        commands.spawn_local(async move {
+            let outcome = run_command(verb, &target, &options).await;
             bar.inc(1);
-            (name, end)
+            CommandResult { name: target.instance.name, outcome }
         });
     }
-    ends.extend(running.join_all().await);
+    let results = commands.join_all().await;
     bar.finish_and_clear();
-    finish(ends, change.agents.json)
+    results
 }
 
-fn confirmed(taken: &[String]) -> bool {
-    if !std::io::stdin().is_terminal() {
+/// Asks the operator; a command without a terminal is never confirmed.
+fn confirmed(warnings: &[String]) -> bool {
+    if !stdin().is_terminal() {
         return false;
     }
-    eprint!("This takes away {}. Type yes to go on: ", taken.join(", "));
+    eprint!("This takes away {}. Type yes to go on: ", warnings.join(", "));
     let mut line = String::new();
-    std::io::stdin().lock().read_line(&mut line).is_ok() && line.trim() == "yes"
+    stdin().lock().read_line(&mut line).is_ok() && line.trim() == "yes"
 }
--- a/cli/src/fleet/command.rs
+++ b/cli/src/fleet/command.rs
@@ -1,18 +1,21 @@
-//! One command for one instance: gives it to the agent, and waits until the instance is as asked.
+//! One command for one instance: sends it to the agent, and polls until the instance is as requested.
 
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use ivyhatch_admin_protocol::{CallError, call};
-use ivyhatch_agent::{DesiredState, InstanceStatus, Outcome, Phase, Rejection};
-use serde_json::json;
+use ivyhatch_agent::{DesiredState, InstanceStatus, Outcome as ApplyOutcome, Phase, Rejection};
+use serde_json::{Value, json};
 use tokio::time::sleep;
 
-use super::arguments::Change;
-use super::outcome::End;
-use super::query::{status_of, word};
+use super::arguments::ChangeArguments;
+use super::outcome::Outcome;
+use super::query::{Target, phase_name, query_status};
 
-/// What is asked of instances.
+/// How often the agent is asked whether the instance is as requested.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// What is requested of instances; `--dry-run` prints the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verb {
     Start,
@@ -23,7 +26,7 @@
 }
 
 impl Verb {
-    fn wanted(self) -> DesiredState {
+    fn desired_state(self) -> DesiredState {
         match self {
             Self::Start | Self::Undrain | Self::Restart => DesiredState::Running,
             Self::Stop => DesiredState::Stopped,
@@ -31,96 +34,127 @@
         }
     }
 
-    pub(super) fn takes_away(self) -> bool {
+    /// Whether the instance stops serving, for a while at least.
+    pub(super) fn removes_capacity(self) -> bool {
         matches!(self, Self::Stop | Self::Drain | Self::Restart)
     }
+
+    /// Whether the instance is as requested; `before` is its status when the command was sent.
+    fn is_reached(self, before: &InstanceStatus, now: &InstanceStatus) -> bool {
+        match self {
+            Self::Start | Self::Undrain => now.phase == Phase::Ready,
+            Self::Stop => now.phase == Phase::Stopped,
+            Self::Drain => now.drained || now.phase == Phase::Stopped,
+            Self::Restart => now.phase == Phase::Ready && now.pid != before.pid,
+        }
+    }
 }
 
 /// What all instances of a command have in common.
 #[derive(Clone)]
-pub struct Prepared {
-    pub(super) id: String,
-    pub(super) by: String,
-    pub(super) within: Duration,
+pub(super) struct CommandOptions {
+    /// Identifies the command: an agent carries it out once for each instance.
+    id: String,
+    requested_by: String,
+    timeout: Duration,
 }
 
-pub fn prepare(change: &Change) -> Prepared {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |now| now.as_nanos());
-    let id = change.id.clone().unwrap_or_else(|| format!("{since:x}-{}", std::process::id()));
-    let by = change.by.clone().or_else(|| std::env::var("USER").ok()).unwrap_or_else(|| "unknown".into());
-    Prepared { id, by, within: Duration::from_secs_f64(change.deadline) }
-}
+impl CommandOptions {
+    /// Takes the options from the arguments; without `--id`, the id is made of the time and the process id.
+    pub(super) fn new(arguments: &ChangeArguments) -> Self {
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+        let nanos = since_epoch.map_or(0, |elapsed| elapsed.as_nanos());
+        let new_id = || format!("{nanos:x}-{}", std::process::id());
+        let id = arguments.id.clone().unwrap_or_else(new_id);
+        let user = || std::env::var("USER").ok();
+        let requested_by = arguments.by.clone().or_else(user).unwrap_or_else(|| "unknown".into());
+        Self { id, requested_by, timeout: Duration::from_secs_f64(arguments.deadline) }
+    }
 
-/// Gives the command for one instance and waits until it is as asked.
-pub async fn one(
-    verb: Verb,
-    socket: &Path,
-    against: u64,
-    shown: &InstanceStatus,
-    prepared: &Prepared,
-) -> End {
-    let Prepared { id, by, within } = prepared;
-    let begun = Instant::now();
-    let left = || within.saturating_sub(begun.elapsed());
-    let name = &shown.name;
-    let what = match verb {
-        Verb::Restart => json!({"op": "restart", "instance": name, "by": by}),
-        verb => json!({"op": "apply", "id": format!("{id}/{name}"), "by": by, "against": against,
-            "changes": [{"instance": name, "wanted": verb.wanted()}]}),
-    };
-    match call(socket, &what, left()).await {
-        Err(error @ CallError::TimedOut(_)) => {
-            return End::TimedOut(format!("{error}; it may have been taken"));
-        }
-        Err(error @ CallError::Unreachable(_)) => return End::Unknown(error.to_string()),
-        Err(error) => return End::Unknown(format!("{error}; it may have been taken")),
-        Ok(answer) => {
-            if let Some(error) = answer.get("error") {
-                return End::Failed(error.as_str().map_or(error.to_string(), str::to_owned));
-            }
-            if let Ok(Outcome::Rejected(refusal)) = serde_json::from_value(answer) {
-                return End::Refused(worded(&refusal));
+    fn request(&self, verb: Verb, target: &Target) -> Value {
+        let (name, by) = (&target.instance.name, &self.requested_by);
+        match verb {
+            Verb::Restart => json!({"op": "restart", "instance": name, "by": by}),
+            verb => {
+                json!({"op": "apply", "id": format!("{}/{name}", self.id), "by": by, "against": target.revision,
+                "changes": [{"instance": name, "wanted": verb.desired_state()}]})
             }
         }
     }
-    let mut last = "nothing was heard of it".to_owned();
-    loop {
-        if left().is_zero() {
-            return End::TimedOut(format!("not so within {within:?}: {last}"));
+}
+
+/// Sends the command for one instance and waits until it is as requested, within the time-out of the options.
+pub(super) async fn run_command(verb: Verb, target: &Target, options: &CommandOptions) -> Outcome {
+    let deadline = Instant::now() + options.timeout;
+    let request = options.request(verb, target);
+    match submit(&target.socket, &request, remaining(deadline)).await {
+        Ok(()) => wait_until_reached(verb, target, deadline, options.timeout).await,
+        Err(outcome) => outcome,
+    }
+}
+
+fn remaining(deadline: Instant) -> Duration {
+    deadline.saturating_duration_since(Instant::now())
+}
+
+/// Sends the request; the error is the outcome of a command that the agent did not accept for sure.
+async fn submit(socket: &Path, request: &Value, timeout: Duration) -> Result<(), Outcome> {
+    let answer = match call(socket, request, timeout).await {
+        Ok(answer) => answer,
+        Err(error @ CallError::TimedOut(_)) => {
+            return Err(Outcome::TimedOut(format!("{error}; it may have been taken")));
         }
-        match status_of(socket, Some(name)).await {
-            Err(why) => last = why,
+        Err(error @ CallError::Unreachable(_)) => return Err(Outcome::Unknown(error.to_string())),
+        Err(error) => return Err(Outcome::Unknown(format!("{error}; it may have been taken"))),
+    };
+    if let Some(error) = answer.get("error") {
+        return Err(Outcome::Failed(error.as_str().map_or(error.to_string(), str::to_owned)));
+    }
+    match serde_json::from_value(answer) {
+        Ok(ApplyOutcome::Rejected(rejection)) => Err(Outcome::Refused(describe_rejection(&rejection))),
+        // Applied, or the answer to a restart, which has another form.
+        _ => Ok(()),
+    }
+}
+
+async fn wait_until_reached(verb: Verb, target: &Target, deadline: Instant, timeout: Duration) -> Outcome {
+    let before = &target.instance;
+    let mut last_seen = "nothing was heard of it".to_owned(); // wire name: printed
+    while !remaining(deadline).is_zero() {
+        match query_status(&target.socket, Some(&before.name)).await {
+            Err(error) => last_seen = error.to_string(),
             Ok(status) => {
                 let Some(now) = status.instances.first() else {
-                    return End::Unknown("its agent does not have it any more".into());
-                };
-                last = format!("{}: {}", word(now.phase, now.drained), now.reason);
-                let done = match verb {
-                    Verb::Start | Verb::Undrain => now.phase == Phase::Ready,
-                    Verb::Stop => now.phase == Phase::Stopped,
-                    Verb::Drain => now.drained || now.phase == Phase::Stopped,
-                    Verb::Restart => now.phase == Phase::Ready && now.pid != shown.pid,
+                    return Outcome::Unknown("its agent does not have it any more".into());
                 };
-                if verb != Verb::Restart && now.desired_state != verb.wanted() {
-                    return End::Refused(format!("overtaken: {:?} is wanted now", now.desired_state));
-                }
-                match now.phase {
-                    _ if done => return End::Done(last),
-                    Phase::Crashed => return End::Failed(last),
-                    _ => {}
+                last_seen = format!("{}: {}", phase_name(now.phase, now.drained), now.reason);
+                if let Some(outcome) = settled_outcome(verb, before, now, &last_seen) {
+                    return outcome;
                 }
             }
         }
-        sleep(Duration::from_millis(50).min(left())).await;
+        sleep(POLL_INTERVAL.min(remaining(deadline))).await;
+    }
+    Outcome::TimedOut(format!("not so within {timeout:?}: {last_seen}"))
+}
+
+/// The outcome, once a status settles it: another command took over, the instance is as requested, or it crashed too often.
+fn settled_outcome(verb: Verb, before: &InstanceStatus, now: &InstanceStatus, seen: &str) -> Option<Outcome> {
+    if verb != Verb::Restart && now.desired_state != verb.desired_state() {
+        return Some(Outcome::Refused(format!("overtaken: {:?} is wanted now", now.desired_state)));
+    }
+    if verb.is_reached(before, now) {
+        return Some(Outcome::Done(seen.to_owned()));
     }
+    (now.phase == Phase::Crashed).then(|| Outcome::Failed(seen.to_owned()))
 }
 
-fn worded(refusal: &Rejection) -> String {
-    match refusal {
+fn describe_rejection(rejection: &Rejection) -> String {
+    match rejection {
         Rejection::Conflict { other, .. } => {
-            let (wanted, by, command) = (json!(other.desired_state), &other.requested_by, &other.command);
+            let (desired, by, command) = (json!(other.desired_state), &other.requested_by, &other.command);
             format!(
-                "in conflict with command {command} by {by}, which wants it {wanted} (revision {})",
+                "in conflict with command {command} by {by}, which wants it {desired} (revision {})",
                 other.revision
             )
         }
--- a/cli/src/fleet/mod.rs
+++ b/cli/src/fleet/mod.rs
@@ -1,24 +1,25 @@
-//! `ivyhatch agent`, and the commands that ask agents: `status`, `start`, `stop`, `drain`, `undrain`, `restart`.
+//! `ivyhatch agent`, and the commands that call agents: `status`, `top`, `logs`, `start`, `stop`, `drain`, `undrain`, `restart` and
+//! `rollout`. The instances of one fleet may be kept by several agents, each with its own socket.
 
 mod agent;
 mod arguments;
 mod change;
 mod command;
+mod logs;
 mod outcome;
 mod query;
-mod show;
-
-use tokio::task::LocalSet;
+mod rollout;
+mod runtime;
+mod selector;
+mod served_ratio;
+mod status;
 
 pub use agent::agent;
-pub use arguments::{Agent, Change, Logs, Show, Top};
-pub use change::{change, rollout};
-pub use command::{Verb, one, prepare};
-pub use outcome::{End, finish};
-pub use query::{all_statuses, selects};
-pub use show::{logs, status, top};
-
-fn block_on<T>(what: impl Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    LocalSet::new().block_on(&runtime, what)
-}
+pub use arguments::{
+    AgentArguments, ChangeArguments, LogsArguments, RolloutArguments, SelectionArguments, TopArguments,
+};
+pub use change::change;
+pub use command::Verb;
+pub use logs::logs;
+pub use rollout::rollout;
+pub use status::{status, top};
--- a/cli/src/fleet/outcome.rs
+++ b/cli/src/fleet/outcome.rs
@@ -1,4 +1,4 @@
-//! What became of a command at each instance: its line of output, and the exit code for all of them.
+//! The outcome of a command at each instance: its line of output, and the exit code for all of them.
 
 use std::fmt::Write as _;
 use std::process::ExitCode;
@@ -6,19 +6,19 @@
 use serde::Serialize;
 use serde_json::{Value, json};
 
-/// Some instance failed.
-const FAILED: u8 = 1;
+use super::query::AgentReply;
+use crate::exit::FAILURE;
 
-/// Some command was refused, and nothing failed.
-pub(super) const REFUSED: u8 = 4;
+/// Exit code: the command was rejected for some instance and failed for none, or no instance matches.
+pub(super) const REJECTED: u8 = 4;
 
-/// Of some instance it is not known, and nothing failed or was refused.
-pub(super) const OPEN: u8 = 5;
+/// Exit code: the outcome at some instance is unknown, and the command failed or was rejected for none.
+pub(super) const UNKNOWN: u8 = 5;
 
-/// What became of a command at one instance.
+/// The outcome of a command at one instance, with the reason. The names of variants are the values of `result` in JSON.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "result", content = "why", rename_all = "snake_case")]
-pub enum End {
+pub(super) enum Outcome {
     Done(String),
     Refused(String),
     Failed(String),
@@ -26,37 +26,69 @@
     Unknown(String),
 }
 
-pub fn finish(mut ends: Vec<(String, End)>, as_json: bool) -> ExitCode {
-    ends.sort_by(|one, other| one.0.cmp(&other.0));
-    let mut text = String::new();
-    let mut code = 0;
-    for (name, end) in &ends {
+/// The outcome of a command at a named instance, or at an agent that could not be queried.
+pub(super) struct CommandResult {
+    pub name: String,
+    pub outcome: Outcome,
+}
+
+impl CommandResult {
+    /// The result for all instances of an agent that gave no status.
+    pub(super) fn agent_unknown(reply: &AgentReply, error: impl ToString) -> Self {
+        let name = format!("agent {}", reply.socket.display());
+        Self { name, outcome: Outcome::Unknown(error.to_string()) }
+    }
+
+    fn line(&self, as_json: bool) -> String {
         if as_json {
-            let mut object = json!(end);
-            object["instance"] = Value::from(name.as_str());
-            let _ = writeln!(text, "{object}");
-        } else {
-            let (word, why) = match end {
-                End::Done(why) => ("done", why),
-                End::Refused(why) => ("refused", why),
-                End::Failed(why) => ("failed", why),
-                End::TimedOut(why) => ("timed out", why),
-                End::Unknown(why) => ("unknown", why),
-            };
-            let _ = writeln!(text, "{name:<20} {word:<10} {why}");
+            let mut object = json!(self.outcome);
+            object["instance"] = Value::from(self.name.as_str());
+            return object.to_string();
+        }
+        let (label, reason) = self.outcome.label_and_reason();
+        format!("{:<20} {label:<10} {reason}", self.name)
+    }
+}
+
+impl Outcome {
+    fn label_and_reason(&self) -> (&'static str, &str) {
+        match self {
+            Self::Done(reason) => ("done", reason),
+            Self::Refused(reason) => ("refused", reason),
+            Self::Failed(reason) => ("failed", reason),
+            Self::TimedOut(reason) => ("timed out", reason),
+            Self::Unknown(reason) => ("unknown", reason),
         }
-        let this = match end {
-            End::Done(_) => 0,
-            End::Failed(_) => FAILED,
-            End::Refused(_) => REFUSED,
-            End::TimedOut(_) | End::Unknown(_) => OPEN,
-        };
-        code = match (code, this) {
-            (0, this) | (_, this @ FAILED) => this,
-            (OPEN, REFUSED) => REFUSED,
-            (code, _) => code,
-        };
+    }
+
+    fn exit_code(&self) -> u8 {
+        match self {
+            Self::Done(_) => 0,
+            Self::Failed(_) => FAILURE,
+            Self::Refused(_) => REJECTED,
+            Self::TimedOut(_) | Self::Unknown(_) => UNKNOWN,
+        }
+    }
+}
+
+/// The more severe of two exit codes: a failure, then a rejection, then an unknown outcome.
+fn more_severe(one: u8, other: u8) -> u8 {
+    let severity = |code: u8| match code {
+        FAILURE => 3,
+        REJECTED => 2,
+        UNKNOWN => 1,
+        _ => 0,
+    };
+    if severity(other) > severity(one) { other } else { one }
+}
+
+/// Prints the results by name and returns the most severe exit code of them.
+pub(super) fn print_results(mut results: Vec<CommandResult>, as_json: bool) -> ExitCode {
+    results.sort_by(|one, other| one.name.cmp(&other.name));
+    let mut text = String::new();
+    for result in &results {
+        let _ = writeln!(text, "{}", result.line(as_json));
     }
     print!("{text}");
-    ExitCode::from(code)
+    ExitCode::from(results.iter().map(|result| result.outcome.exit_code()).fold(0, more_severe))
 }
--- a/cli/src/fleet/query.rs
+++ b/cli/src/fleet/query.rs
@@ -1,73 +1,101 @@
-//! Asks agents for the status of their instances, and picks the instances that a command names.
+//! Calls agents for the status of their instances.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
 
-use ivyhatch_admin_protocol::call;
+use ivyhatch_admin_protocol::{CallError, call};
 use ivyhatch_agent::{AgentStatus, InstanceStatus, Phase};
-use serde_json::json;
+use serde_json::{Value, json};
+use thiserror::Error;
 use tokio::task::JoinSet;
 
-use super::arguments::Agents;
+use super::arguments::{AgentSocketArguments, ChangeArguments};
 use crate::config;
+use crate::exit::report_wrong_usage;
 
-/// An agent that does not say how it stands by then is not waited for.
-pub(super) const SAYS: Duration = Duration::from_secs(2);
+/// How long an agent may take to answer a query.
+pub(super) const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 
-pub(super) fn sockets(agents: &Agents) -> Result<Vec<PathBuf>, ExitCode> {
-    if !agents.agents.is_empty() {
-        return Ok(agents.agents.clone());
-    }
-    let read = config::read(&agents.config).map_err(|mistakes| config::tell(&mistakes, agents.json))?;
-    Ok(vec![read.config.agent.state.join("agent.sock")])
+/// The longest `--deadline`: a day.
+const MAX_DEADLINE_S: f64 = 86_400.0;
+
+/// Why an agent's status is unknown.
+#[derive(Debug, Error)]
+pub(super) enum StatusError {
+    /// The agent could not be called, or did not answer in time.
+    #[error(transparent)]
+    Call(#[from] CallError),
+    /// The agent answered with an error.
+    #[error("{0}")]
+    Rejected(Value),
+    /// The agent's answer has another form.
+    #[error("it answered what is no status: {0}")]
+    Malformed(serde_json::Error),
 }
 
-/// Of one instance, or of all: who waits for one need not have all of them read out again and again.
-pub(super) async fn status_of(socket: &Path, instance: Option<&str>) -> Result<AgentStatus, String> {
-    let answer = call(socket, &json!({"op": "status", "instance": instance}), SAYS)
-        .await
-        .map_err(|error| error.to_string())?;
-    match answer.get("error") {
-        Some(error) => Err(error.to_string()),
-        None => {
-            serde_json::from_value(answer).map_err(|error| format!("it answered what is no status: {error}"))
-        }
+/// The status that the agent at a socket reported.
+pub(super) struct AgentReply {
+    pub socket: PathBuf,
+    pub status: Result<AgentStatus, StatusError>,
+}
+
+/// An instance that a command is for, as its agent last reported it.
+#[derive(Clone)]
+pub(super) struct Target {
+    pub socket: PathBuf,
+    /// The agent's revision of desired states that the report shows.
+    pub revision: u64,
+    pub instance: InstanceStatus,
+}
+
+/// The sockets of the agents that the arguments name. If the operators' file can't be used, its errors are printed and the exit
+/// code is returned.
+pub(super) fn agent_sockets(arguments: &AgentSocketArguments) -> Result<Vec<PathBuf>, ExitCode> {
+    if !arguments.agents.is_empty() {
+        return Ok(arguments.agents.clone());
     }
+    let loaded = config::load(&arguments.config)
+        .map_err(|diagnostics| config::report_diagnostics(&diagnostics, arguments.json))?;
+    Ok(vec![loaded.config.agent.state.join("agent.sock")])
 }
 
-/// All agents at once: one that does not answer holds up none.
-pub async fn all_statuses(sockets: &[PathBuf]) -> Vec<(PathBuf, Result<AgentStatus, String>)> {
-    let mut asked = JoinSet::new();
-    for (number, socket) in sockets.iter().cloned().enumerate() {
-        asked.spawn_local(async move {
-            let status = status_of(&socket, None).await;
-            (number, socket, status)
-        });
+/// The sockets of the agents for a command that changes instances; checks its deadline first.
+pub(super) fn sockets_for_change(arguments: &ChangeArguments) -> Result<Vec<PathBuf>, ExitCode> {
+    let deadline = arguments.deadline;
+    if !(deadline > 0.0 && deadline <= MAX_DEADLINE_S) {
+        let message = format_args!("--deadline {deadline}: seconds above 0, a day at most");
+        return Err(report_wrong_usage(message));
     }
-    let mut all = asked.join_all().await;
-    all.sort_by_key(|(number, ..)| *number);
-    all.into_iter().map(|(_, socket, status)| (socket, status)).collect()
+    agent_sockets(&arguments.agents)
 }
 
-/// Whether one of the selectors means this instance.
-pub fn selects(selectors: &[String], shown: &InstanceStatus) -> bool {
-    let fits = |part: &str| match part.split_once('=') {
-        Some(("zone", zone)) => glob(zone, &shown.zone),
-        Some((label, word)) => shown.labels.get(label).is_some_and(|has| glob(word, has)),
-        None => part == "all" || glob(part, &shown.name),
-    };
-    selectors.iter().any(|selector| selector.split(',').all(fits))
+/// Queries one instance, or all: who polls one instance need not have all of them sent each time.
+pub(super) async fn query_status(socket: &Path, instance: Option<&str>) -> Result<AgentStatus, StatusError> {
+    let request = json!({"op": "status", "instance": instance});
+    let answer = call(socket, &request, QUERY_TIMEOUT).await?;
+    match answer.get("error") {
+        Some(error) => Err(StatusError::Rejected(error.clone())),
+        None => serde_json::from_value(answer).map_err(StatusError::Malformed),
+    }
 }
 
-/// `*` stands for anything.
-fn glob(pattern: &str, text: &str) -> bool {
-    let Some((head, rest)) = pattern.split_once('*') else { return pattern == text };
-    let Some(text) = text.strip_prefix(head) else { return false };
-    (0..=text.len()).any(|at| text.is_char_boundary(at) && glob(rest, &text[at..]))
+/// Queries all agents at once, so that one that does not answer delays none; replies are in the order of the sockets.
+pub(super) async fn query_agents(sockets: &[PathBuf]) -> Vec<AgentReply> {
+    let mut queries = JoinSet::new();
+    for (index, socket) in sockets.iter().cloned().enumerate() {
+        queries.spawn_local(async move {
+            let status = query_status(&socket, None).await;
+            (index, AgentReply { socket, status })
+        });
+    }
+    let mut replies = queries.join_all().await;
+    replies.sort_by_key(|(index, _)| *index);
+    replies.into_iter().map(|(_, reply)| reply).collect()
 }
 
-pub(super) fn word(phase: Phase, drained: bool) -> String {
+/// The name of a phase in tables and messages.
+pub(super) fn phase_name(phase: Phase, drained: bool) -> String {
     match (phase, drained) {
         (Phase::Draining, true) => "drained".into(),
         (phase, _) => json!(phase).as_str().unwrap_or("?").replace('_', " "),
--- a/cli/src/hunt.rs
+++ b/cli/src/hunt.rs
@@ -1,16 +1,20 @@
-//! `ivyhatch lab hunt`.
+//! `ivyhatch lab hunt`: searches for a world on which reference policies serve more than the decision module.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use clap::Args;
-use ivyhatch_experiments::{Hunt, hunt};
-use ivyhatch_lab::Policy;
+use ivyhatch_experiments::{Found, Hunt, hunt};
+use ivyhatch_lab::{Policy, World};
+use serde_json::json;
 
-use crate::{bar, lab, threads, unusable};
+use crate::error::CommandError;
+use crate::exit::{code_for_failures, report_unusable};
+use crate::progress::{default_threads, progress_bar};
+use crate::world_file::read_world;
 
 #[derive(Args)]
-pub struct Arguments {
+pub struct HuntArguments {
     /// The world's file from which it starts; the built-in evening without.
     world: Option<PathBuf>,
     /// Rounds; each tries 16 worlds.
@@ -33,50 +37,61 @@
     json: bool,
 }
 
-pub fn run(arguments: &Arguments) -> ExitCode {
-    let from = match lab::world(arguments.world.as_deref()) {
-        Ok(from) => from,
-        Err(error) => return unusable(&error),
+/// Searches for a world, writes the worst one that is found to `--out` and prints what it shows.
+pub fn run(arguments: &HuntArguments) -> ExitCode {
+    let start = match read_world(arguments.world.as_deref()) {
+        Ok(world) => world,
+        Err(error) => return report_unusable(error),
     };
-    let against = Policy::REFERENCES
+    let Some(found) = search(arguments, start) else {
+        match arguments.json {
+            true => println!("{}", json!({ "found": null })),
+            false => println!(
+                "nothing found: no reference serves more than the module by {} on any world tried",
+                arguments.least
+            ),
+        }
+        return ExitCode::SUCCESS;
+    };
+    match write_and_print(arguments, &found) {
+        Ok(()) => code_for_failures(found.rules_broken),
+        Err(error) => report_unusable(error),
+    }
+}
+
+fn search(arguments: &HuntArguments, start: World) -> Option<Found> {
+    let references = Policy::REFERENCES
         .into_iter()
         .filter(|policy| arguments.truth || *policy != Policy::Omniscient)
         .collect();
-    let &Arguments { rounds, seed, least, .. } = arguments;
-    let hunted = Hunt { from, against, rounds, seed, threads: threads(), least };
-    let bar =
-        bar(rounds.into(), arguments.json, "{pos}/{len} rounds [{bar:40}] {eta} to go; largest gap {msg}");
-    let found = hunt(&hunted, &mut |round, _, gap| {
+    let &HuntArguments { rounds, seed, least, .. } = arguments;
+    let plan = Hunt { from: start, against: references, rounds, seed, threads: default_threads(), least };
+    let template = "{pos}/{len} rounds [{bar:40}] {eta} to go; largest gap {msg}";
+    let bar = progress_bar(rounds.into(), arguments.json, template);
+    let found = hunt(&plan, &mut |round, _, gap| {
         bar.set_position(round.into());
         bar.set_message(format!("{gap:.3}"));
     });
     bar.finish_and_clear();
-    let Some(found) = found else {
-        match arguments.json {
-            true => println!("{}", serde_json::json!({ "found": null })),
-            false => println!(
-                "nothing found: no reference serves more than the module by {least} on any world tried"
-            ),
-        }
-        return ExitCode::SUCCESS;
-    };
+    found
+}
+
+fn write_and_print(arguments: &HuntArguments, found: &Found) -> Result<(), CommandError> {
     let (policy, best) = found.best;
-    let story = format!(
+    let summary = format!(
         "the module serves {:.3}, {policy:?} {best:.3}; {} rules broken; {} worlds played",
         found.module, found.rules_broken, found.played
     );
-    let text = format!("# {story}\n{}", found.world.write());
-    if let Err(error) = std::fs::write(&arguments.out, text) {
-        return unusable(&format!("{}: {error}", arguments.out.display()));
-    }
-    match arguments.json {
-        true => {
-            let (module, out) = (found.module, arguments.out.display().to_string());
-            let line = serde_json::json!({ "found": out, "module": module, "best": best, "policy": policy,
-                "rules_broken": found.rules_broken, "played": found.played });
-            println!("{line}");
-        }
-        false => println!("{}: {story}", arguments.out.display()),
+    let path = &arguments.out;
+    std::fs::write(path, format!("# {summary}\n{}", found.world.write()))
+        .map_err(|source| CommandError::File { path: path.clone(), source })?;
+    if arguments.json {
+        let (module, out) = (found.module, path.display().to_string());
+        let line = json!({ "found": out, "module": module, "best": best, "policy": policy,
+            "rules_broken": found.rules_broken, "played": found.played });
+        println!("{line}");
+    } else {
+        println!("{}: {summary}", path.display());
     }
-    if found.rules_broken > 0 { ExitCode::from(1) } else { ExitCode::SUCCESS }
+    Ok(())
 }
--- a/cli/src/lab.rs
+++ b/cli/src/lab.rs
@@ -1,34 +1,42 @@
-//! `ivyhatch lab`: one world, played with some seeds.
+//! `ivyhatch lab`: plays one world with one or several seeds.
 
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::process::ExitCode;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 use clap::{Args, Subcommand};
 use ivyhatch_lab::{DEFAULT_WORLD, Report, World, simulate};
 
-use crate::{bar, experiment, hunt, sockets, unusable};
+use crate::exit::{code_for_failures, report_unusable};
+use crate::progress::progress_bar;
+use crate::report::print_broken_rules;
+use crate::socket_run::compare_with_simulation;
+use crate::world_file::read_world;
+use crate::{experiment, hunt};
+
+/// The help text of the world argument.
+const WORLD_HELP: &str = "A world's file; without one, the built-in evening with its troubles"; // wire name
 
 #[derive(Args)]
 #[command(args_conflicts_with_subcommands = true)]
-pub struct Lab {
+pub struct LabArguments {
     #[command(subcommand)]
-    command: Option<Command>,
+    command: Option<LabCommand>,
     #[command(flatten)]
-    play: Play,
+    play: PlayArguments,
 }
 
 #[derive(Subcommand)]
-enum Command {
+enum LabCommand {
     /// Plays many worlds, seeds and variants, and reports which serves better.
-    Experiment(experiment::Arguments),
+    Experiment(experiment::ExperimentArguments),
     /// Looks for worlds on which the decision module does worst, and shrinks them.
-    Hunt(hunt::Arguments),
+    Hunt(hunt::HuntArguments),
 }
 
 #[derive(Args)]
-struct Play {
-    /// A world's file; without one, the built-in evening with its troubles.
+struct PlayArguments {
+    #[arg(help = WORLD_HELP)]
     world: Option<PathBuf>,
     /// First seed.
     #[arg(long, default_value_t = 1)]
@@ -47,60 +55,47 @@
     print_world: bool,
 }
 
-pub fn run(lab: Lab) -> ExitCode {
-    match lab.command {
-        Some(Command::Experiment(arguments)) => experiment::run(&arguments),
-        Some(Command::Hunt(arguments)) => hunt::run(&arguments),
-        None => run_world(&lab.play),
+/// Runs `ivyhatch lab` or one of its subcommands.
+pub fn run(arguments: LabArguments) -> ExitCode {
+    match arguments.command {
+        Some(LabCommand::Experiment(arguments)) => experiment::run(&arguments),
+        Some(LabCommand::Hunt(arguments)) => hunt::run(&arguments),
+        None => play(&arguments.play),
     }
 }
 
-/// Reads a world's file, or the built-in world.
-pub fn world(path: Option<&Path>) -> Result<World, String> {
-    let (from, text) = match path {
-        None => ("the built-in world".to_owned(), DEFAULT_WORLD.to_owned()),
-        Some(path) => {
-            let from = path.display().to_string();
-            let text = std::fs::read_to_string(path).map_err(|error| format!("{from}: {error}"))?;
-            (from, text)
-        }
-    };
-    World::read(&text).map_err(|error| format!("{from}: {error}"))
-}
-
-fn run_world(lab: &Play) -> ExitCode {
-    if lab.print_world {
+fn play(arguments: &PlayArguments) -> ExitCode {
+    if arguments.print_world {
         print!("{DEFAULT_WORLD}");
         return ExitCode::SUCCESS;
     }
-    let world = match world(lab.world.as_deref()) {
+    let world = match read_world(arguments.world.as_deref()) {
         Ok(world) => world,
-        Err(error) => return unusable(&error),
+        Err(error) => return report_unusable(error),
     };
-    if lab.sockets {
-        return sockets::both(&world, lab.seed, lab.json);
+    if arguments.sockets {
+        return compare_with_simulation(&world, arguments.seed, arguments.json);
     }
-    let mut broken = 0;
-    for seed in lab.seed..lab.seed.saturating_add(lab.seeds) {
-        let began = Instant::now();
-        let bar = bar(100, lab.json, "{msg} [{bar:40}] {pos}%").with_message(format!("seed {seed}"));
-        let report = simulate(&world, seed, &mut |part| bar.set_position((part * 100.0) as u64));
-        bar.finish_and_clear();
-        broken += report.rules_broken;
-        if lab.json {
-            println!("{}", serde_json::to_string(&report).expect("a report is plain data"));
-        } else {
-            print_table(&report, began.elapsed().as_secs_f64());
-        }
-        for broken in &report.broken {
-            eprintln!("rule broken in {} with seed {seed}: {:?}", report.world, broken.rule);
-            broken.events.iter().for_each(|event| eprintln!("    {event}"));
-        }
+    let seeds = arguments.seed..arguments.seed.saturating_add(arguments.seeds);
+    code_for_failures(seeds.map(|seed| play_seed(&world, seed, arguments.json)).sum())
+}
+
+/// Plays the world with one seed, prints its report and returns the number of broken rules.
+fn play_seed(world: &World, seed: u64, as_json: bool) -> usize {
+    let started = Instant::now();
+    let bar = progress_bar(100, as_json, "{msg} [{bar:40}] {pos}%").with_message(format!("seed {seed}"));
+    let report = simulate(world, seed, &mut |part| bar.set_position((part * 100.0) as u64));
+    bar.finish_and_clear();
+    if as_json {
+        println!("{}", serde_json::to_string(&report).expect("a report is plain data"));
+    } else {
+        print_table(&report, started.elapsed());
     }
-    if broken > 0 { ExitCode::from(1) } else { ExitCode::SUCCESS }
+    print_broken_rules(&report, seed);
+    report.rules_broken
 }
 
-fn print_table(report: &Report, took: f64) {
+fn print_table(report: &Report, elapsed: Duration) {
     println!("{} with seed {}: {:.3} of the worth served in time", report.world, report.seed, report.served);
     println!(
         "{:<14} {:>8} {:>8} {:>7} {:>8} {:>7} {:>7} {:>8} {:>8}",
@@ -124,5 +119,5 @@
         "{} attempts, {} of them into another zone, {} probes; servers choked {} times; {} rules broken",
         report.attempts, report.crossed, report.probes, report.chokes, report.rules_broken
     );
-    println!("{} events in {took:.2} s", report.events);
+    println!("{} events in {:.2} s", report.events, elapsed.as_secs_f64());
 }
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,20 +1,38 @@
-//! `ivyhatch`: the command line. Exit codes: 0 all well, 1 a rule was broken or a play failed, 2 wrong use, 3 a file that can't
-//! be used, 130 stopped by Ctrl-C.
+//! `ivyhatch`: the command line.
+//!
+//! | exit code | meaning |
+//! | --- | --- |
+//! | 0 | success |
+//! | 1 | a rule was broken, a run failed, or an instance failed |
+//! | 2 | wrong usage |
+//! | 3 | a file or a resource cannot be used |
+//! | 4 | a command was rejected for some instance, or no instance matches |
+//! | 5 | the outcome at some instance is unknown |
+//! | 130 | interrupted by Ctrl-C |
+//!
+//! clap takes the help texts from doc comments: `///` on a command or argument is printed by `--help`, so
+//! notes for readers of the code are written as `//` there.
 
 mod config;
+mod control_hunt;
+mod demo;
+mod demo_table;
+mod error;
+mod exit;
 mod experiment;
 mod fleet;
 mod hunt;
 mod lab;
-mod rollout;
-mod sockets;
-mod system;
+mod node;
+mod progress;
+mod report;
+mod roles;
+mod socket_run;
+mod world_file;
 
-use std::io::IsTerminal;
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use indicatif::{ProgressBar, ProgressStyle};
 
 #[derive(Parser)]
 #[command(name = "ivyhatch", version, about = "Load balancing for match servers, and its lab")]
@@ -26,75 +44,56 @@
 #[derive(Subcommand)]
 enum Command {
     /// Shows one real node among stand-in servers while a zone is cut off and a server turns slow.
-    Demo(sockets::Demo),
+    Demo(demo::DemoArguments),
     /// Plays a model of the fleet, in virtual time or on sockets.
-    Lab(lab::Lab),
+    Lab(lab::LabArguments),
     /// Runs one node in the foreground, as the configuration says that `EDGE_CONFIG` names, or as an instance of the operators'.
-    Node(config::Node),
+    Node(node::NodeArguments),
     /// Keeps the instances of the operators' configuration on this machine.
-    Agent(fleet::Agent),
+    Agent(fleet::AgentArguments),
     /// Shows instances: where each stands, why, and since when.
-    Status(fleet::Show),
+    Status(fleet::SelectionArguments),
     /// Has instances run.
-    Start(fleet::Change),
+    Start(fleet::ChangeArguments),
     /// Drains instances and ends them.
-    Stop(fleet::Change),
+    Stop(fleet::ChangeArguments),
     /// Has instances take nothing new, and stay.
-    Drain(fleet::Change),
+    Drain(fleet::ChangeArguments),
     /// Has drained instances take again.
-    Undrain(fleet::Change),
+    Undrain(fleet::ChangeArguments),
     /// Drains instances and starts them anew, also those that crashed too often.
-    Restart(fleet::Change),
+    Restart(fleet::ChangeArguments),
     /// Restarts instances zone by zone, and stops by itself when less is served than before.
-    Rollout(rollout::Rollout),
+    Rollout(fleet::RolloutArguments),
     /// Shows instances again and again.
-    Top(fleet::Top),
+    Top(fleet::TopArguments),
     /// Prints the last lines of instances' logs.
-    Logs(fleet::Logs),
+    Logs(fleet::LogsArguments),
     /// Checks and shows the operators' configuration.
     #[command(subcommand)]
-    Config(config::Config),
+    Config(config::ConfigCommand),
 }
 
 fn main() -> ExitCode {
-    // The roles of the system, apart: they have one argument, and start where nobody reads help.
+    // The roles have a parser of their own: deploy files start them, and their arguments stay apart from the operators' commands.
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    if let Some(ended) = system::role(&arguments) {
-        return ended;
+    if let Some(code) = roles::run_role(&arguments) {
+        return code;
     }
     match Cli::parse().command {
-        Command::Demo(demo) => sockets::demo(&demo),
-        Command::Lab(lab) => lab::run(lab),
-        Command::Node(node) => config::node(node),
-        Command::Agent(agent) => fleet::agent(&agent),
-        Command::Status(show) => fleet::status(&show),
-        Command::Start(change) => fleet::change(fleet::Verb::Start, &change),
-        Command::Stop(change) => fleet::change(fleet::Verb::Stop, &change),
-        Command::Drain(change) => fleet::change(fleet::Verb::Drain, &change),
-        Command::Undrain(change) => fleet::change(fleet::Verb::Undrain, &change),
-        Command::Restart(change) => fleet::change(fleet::Verb::Restart, &change),
-        Command::Rollout(rollout) => fleet::rollout(&rollout),
-        Command::Top(top) => fleet::top(&top),
-        Command::Logs(logs) => fleet::logs(&logs),
+        Command::Demo(arguments) => demo::run(&arguments),
+        Command::Lab(arguments) => lab::run(arguments),
+        Command::Node(arguments) => node::run(arguments),
+        Command::Agent(arguments) => fleet::agent(&arguments),
+        Command::Status(arguments) => fleet::status(&arguments),
+        Command::Start(arguments) => fleet::change(fleet::Verb::Start, &arguments),
+        Command::Stop(arguments) => fleet::change(fleet::Verb::Stop, &arguments),
+        Command::Drain(arguments) => fleet::change(fleet::Verb::Drain, &arguments),
+        Command::Undrain(arguments) => fleet::change(fleet::Verb::Undrain, &arguments),
+        Command::Restart(arguments) => fleet::change(fleet::Verb::Restart, &arguments),
+        Command::Rollout(arguments) => fleet::rollout(&arguments),
+        Command::Top(arguments) => fleet::top(&arguments),
+        Command::Logs(arguments) => fleet::logs(&arguments),
         Command::Config(command) => config::run(&command),
     }
 }
-
-fn unusable(text: &str) -> ExitCode {
-    eprintln!("ivyhatch: {text}");
-    ExitCode::from(3)
-}
-
-/// A progress bar on standard error; hidden where nobody watches, or where `quiet`.
-fn bar(length: u64, quiet: bool, template: &str) -> ProgressBar {
-    if quiet || !std::io::stderr().is_terminal() {
-        return ProgressBar::hidden();
-    }
-    let style = ProgressStyle::with_template(template).expect("a sound template");
-    ProgressBar::new(length).with_style(style)
-}
-
-/// As many as there are cores.
-fn threads() -> usize {
-    std::thread::available_parallelism().map_or(1, std::num::NonZero::get)
-}
--- /dev/null
+++ b/cli/src/node.rs
@@ -0,0 +1,69 @@
+//! `ivyhatch node`: runs one node in the foreground.
+
+use std::path::{Path, PathBuf};
+use std::process::ExitCode;
+
+use clap::Args;
+use ivyhatch_config::LoadedConfig;
+use ivyhatch_node::{ConfigurationUnavailable, RunOptions};
+
+use crate::config;
+use crate::error::NodeConfigurationError;
+use crate::exit::report_unusable;
+
+#[derive(Args)]
+pub struct NodeArguments {
+    /// Where its control socket listens; without it there is none.
+    #[arg(long, requires = "config")]
+    control: Option<PathBuf>,
+    /// The operators' file; without it, `EDGE_CONFIG` names the platform's.
+    #[arg(long, requires = "instance")]
+    config: Option<PathBuf>,
+    /// Which of its instances this is.
+    #[arg(long, requires = "config")]
+    instance: Option<String>,
+}
+
+/// A node's configuration in the platform's form, and the operators' file that it is made from.
+struct NodeConfiguration {
+    loaded: LoadedConfig,
+    text: Vec<u8>,
+}
+
+impl NodeConfiguration {
+    /// `seed` stays the same for the whole run of the process, so that a reload changes only what the file changes.
+    fn load(file: &Path, name: &str, seed: u64) -> Result<Self, NodeConfigurationError> {
+        let loaded = config::load(file).map_err(NodeConfigurationError::Invalid)?;
+        let Some(instance) = loaded.config.instance(name) else {
+            let known = loaded.config.instances.iter().map(|instance| instance.name.clone()).collect();
+            let (file, name) = (file.to_owned(), name.to_owned());
+            return Err(NodeConfigurationError::UnknownInstance { file, name, known });
+        };
+        let text = loaded.config.node_configuration(instance, seed).to_string().into_bytes();
+        Ok(Self { loaded, text })
+    }
+}
+
+/// Runs a node until a signal ends it.
+pub fn run(arguments: NodeArguments) -> ExitCode {
+    let (Some(file), Some(name)) = (arguments.config, arguments.instance) else {
+        return ivyhatch_node::run();
+    };
+    let seed = rand::random();
+    let log = match NodeConfiguration::load(&file, &name, seed) {
+        Ok(configuration) => configuration.loaded.config.log,
+        Err(error) => return report_unusable(error),
+    };
+    let instance = Some(name.clone());
+    ivyhatch_node::run_with(RunOptions {
+        // Called again at each SIGHUP: the file may have changed by then, and may have become invalid.
+        configuration: Box::new(move || match NodeConfiguration::load(&file, &name, seed) {
+            Ok(configuration) => Ok(configuration.text),
+            Err(error) => Err(ConfigurationUnavailable::Other(error.into())),
+        }),
+        log_level: log.level.parse().expect("the level is checked when the file is loaded"),
+        log_format: config::log_format(&log),
+        instance,
+        control_socket: arguments.control,
+    })
+}
--- /dev/null
+++ b/cli/src/socket_run.rs
@@ -0,0 +1,85 @@
+//! Runs a world on loopback sockets, and `ivyhatch lab --sockets`.
+
+use std::process::ExitCode;
+
+use ivyhatch_lab::{Report, World, simulate};
+use ivyhatch_socket_lab::{NodeCommand, Snapshot};
+use tokio::signal::ctrl_c;
+
+use crate::error::CommandError;
+use crate::exit::{INTERRUPTED, code_for_failures, report_unusable};
+use crate::progress::progress_bar;
+use crate::report::print_broken_rules;
+
+/// Progress is shown in steps of a tenth of a second.
+const PROGRESS_STEPS_PER_SECOND: f64 = 10.0;
+
+/// How a run on sockets ended.
+pub enum SocketRun {
+    /// The world was played to its end.
+    Finished(Box<Report>),
+    /// Ctrl-C came first; all processes have been ended.
+    Interrupted,
+}
+
+/// The command that starts a node: this executable runs nodes as well.
+fn node_command() -> Result<NodeCommand, CommandError> {
+    let program = std::env::current_exe().map_err(CommandError::OwnExecutable)?;
+    Ok(NodeCommand { program, arguments: vec!["node".into()] })
+}
+
+/// Plays a world on sockets until it ends or Ctrl-C comes; `observe` is called with each snapshot.
+pub fn run_on_sockets(
+    world: &World,
+    seed: u64,
+    observe: impl Fn(&Snapshot) + 'static,
+) -> Result<SocketRun, CommandError> {
+    let node = node_command()?;
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = runtime.map_err(CommandError::Runtime)?;
+    runtime.block_on(async {
+        tokio::select! {
+            report = ivyhatch_socket_lab::run(world, seed, &node, observe) => Ok(SocketRun::Finished(Box::new(report?))),
+            _ = ctrl_c() => Ok(SocketRun::Interrupted),
+        }
+    })
+}
+
+/// Plays a world in virtual time and on sockets with the same clients, and prints both results side by side.
+pub fn compare_with_simulation(world: &World, seed: u64, as_json: bool) -> ExitCode {
+    let simulated = simulate(world, seed, &mut |_| {});
+    let steps = |seconds: f64| (seconds * PROGRESS_STEPS_PER_SECOND) as u64;
+    let bar = progress_bar(steps(world.seconds), as_json, "on sockets [{bar:40}] {elapsed}");
+    let observer = bar.clone();
+    let run = run_on_sockets(world, seed, move |now| observer.set_position(steps(now.seconds)));
+    bar.finish_and_clear();
+    let measured = match run {
+        Ok(SocketRun::Finished(report)) => report,
+        Ok(SocketRun::Interrupted) => return ExitCode::from(INTERRUPTED),
+        Err(error) => return report_unusable(error),
+    };
+    if as_json {
+        println!("{}", serde_json::json!({ "virtual": simulated, "sockets": measured }));
+    } else {
+        print_comparison(world, seed, &simulated, &measured);
+    }
+    print_broken_rules(&measured, seed);
+    code_for_failures(simulated.rules_broken + measured.rules_broken)
+}
+
+fn print_comparison(world: &World, seed: u64, simulated: &Report, measured: &Report) {
+    println!("{} with seed {seed}   {:>10} {:>10}", world.name, "virtual", "sockets");
+    println!("{:<24} {:>10.3} {:>10.3}", "served in time", simulated.served, measured.served);
+    for (one, other) in simulated.classes.iter().zip(&measured.classes) {
+        let print_row = |label: &str, simulated: f64, measured: f64| {
+            println!("{:<24} {simulated:>10.0} {measured:>10.0}", format!("{} {label}", one.name));
+        };
+        print_row("asked", one.asked as f64, other.asked as f64);
+        print_row("p50 ms", one.p50_ms, other.p50_ms);
+        print_row("p99 ms", one.p99_ms, other.p99_ms);
+    }
+    println!("{:<24} {:>10} {:>10}", "attempts", simulated.attempts, measured.attempts);
+    println!("{:<24} {:>10} {:>10}", "into another zone", simulated.crossed, measured.crossed);
+    println!("{:<24} {:>10} {:>10}", "probes", simulated.probes, measured.probes);
+    println!("{:<24} {:>10} {:>10}", "rules broken", simulated.rules_broken, measured.rules_broken);
+}
