--- a/balancer/src/policy/admission.rs
+++ b/balancer/src/policy/admission.rs
@@ -23,14 +23,16 @@
         }
         let budget = self.latency_budget_share(request) * time_left / slowness;
         let band = Band { class: request.class, over_quota: request.over_quota };
-        backend.load(self.nodes_per_zone()) <= self.load_for_latency(request.class, budget)
-            && self.is_within_load_limit(band, slowness, backend)
+        let load = backend.load(self.nodes_per_zone());
+        load <= self.load_for_latency(request.class, budget)
+            && self.is_within_load_limit(band, slowness, load, backend)
     }
 
     /// What [`Balancer::admits`] asks that does not depend on the request's own time.
     pub(super) fn has_headroom(&self, band: Band, backend: &Backend) -> bool {
         let slowness = backend.slowness(self.now, &self.settings.rules);
-        self.is_idle(slowness, backend) || self.is_within_load_limit(band, slowness, backend)
+        let load = backend.load(self.nodes_per_zone());
+        self.is_idle(slowness, backend) || self.is_within_load_limit(band, slowness, load, backend)
     }
 
     /// Share of the time left that a send's expected latency may take. A retry that waits for more capacity
@@ -48,12 +50,11 @@
         is_unused || (reports_spare && f64::from(backend.in_flight) < backend.weight())
     }
 
-    fn is_within_load_limit(&self, band: Band, slowness: f64, backend: &Backend) -> bool {
+    fn is_within_load_limit(&self, band: Band, slowness: f64, load: f64, backend: &Backend) -> bool {
         // One request overloads no backend: with none there, no response would show that it has recovered.
         if backend.in_flight == 0 {
             return true;
         }
-        let load = backend.load(self.nodes_per_zone());
         // Slow start has a budget of its own: capacity that a backend does not have yet is no sign of load.
         let effective_load = slowness * backend.capacity_share(self.now, &self.settings.rules) * load;
         let class_limit = self.classes[band.class].load_limit;
--- a/balancer/src/policy/backend_choice.rs
+++ b/balancer/src/policy/backend_choice.rs
@@ -43,18 +43,15 @@
         let seed = self.random.state() ^ id.0.wrapping_mul(ID_MULTIPLIER);
         let mut jitter = PickJitter::new(seed);
         let mut best = Best::default();
-        if candidates.len() <= MAX_SCANNED_BACKENDS {
-            candidates.iter().for_each(|&to| self.consider(request, to, &mut jitter, &mut best));
-            return best.0.map(|(_, to)| to);
-        }
         // Of very many a sample is looked at; where none of it has capacity, a second one.
+        let scans_all = candidates.len() <= MAX_SCANNED_BACKENDS;
+        let looks = if scans_all { candidates.len() } else { 2 * PICK_SAMPLE_SIZE };
         let mut position = seed;
-        for look in 0..2 * PICK_SAMPLE_SIZE {
-            if look == PICK_SAMPLE_SIZE && best.0.is_some() {
+        for look in 0..looks {
+            if !scans_all && look == PICK_SAMPLE_SIZE && best.0.is_some() {
                 break;
             }
-            position = position.wrapping_add(SPLITMIX_INCREMENT);
-            let index = (hash_mix(position) % candidates.len() as u64) as usize;
+            let index = if scans_all { look } else { next_sample(&mut position, candidates.len()) };
             self.consider(request, candidates[index], &mut jitter, &mut best);
         }
         best.0.map(|(_, to)| to)
@@ -84,3 +81,9 @@
         }
     }
 }
+
+/// A random index below `count`.
+fn next_sample(position: &mut u64, count: usize) -> usize {
+    *position = position.wrapping_add(SPLITMIX_INCREMENT);
+    (hash_mix(*position) % count as u64) as usize
+}
