--- a/system/src/control/directory_api.rs
+++ b/system/src/control/directory_api.rs
@@ -6,7 +6,7 @@
 use super::host::Host;
 use crate::http_server::{self, HttpRequest, HttpResponse};
 
-/// Time for which clients may cache a response, in seconds: a lost router stays in their caches for so long.
+/// How long clients may cache a response, in seconds; a lost router stays in their caches until then.
 const MAX_TTL_SECONDS: f64 = 2.0;
 
 /// Responds to `GET /-/resolve`.
--- a/system/src/control/peers.rs
+++ b/system/src/control/peers.rs
@@ -19,7 +19,7 @@
 use crate::transport::reader::{ConnectionError, read_messages};
 use crate::transport::socket::accept_each;
 
-/// A connection on which nothing is received for so long is closed: what comes on it later may be outdated.
+/// A connection is closed when nothing is received on it for this long: later messages on it may be outdated.
 const PEER_IDLE_TIMEOUT: Duration = Duration::from_millis(1300);
 
 impl SessionHandler for Host {
--- a/system/src/control/watch_server.rs
+++ b/system/src/control/watch_server.rs
@@ -12,7 +12,7 @@
 use crate::transport::reader::{ConnectionError, read_messages};
 use crate::transport::socket::{accept_each, set_options};
 
-/// A session on which nothing is received for so long is closed.
+/// A session is closed when nothing is received on it for this long.
 const SESSION_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Accepts sessions; never returns.
--- a/system/src/disk.rs
+++ b/system/src/disk.rs
@@ -1,9 +1,9 @@
 //! The control state's write-ahead log on disk, written by a thread of its own.
 //!
-//! The thread owns the file. It takes writes in order from an unbounded channel (the control state machine has few in flight), gathers
-//! what is queued into one batch, and reports each write's token once it is durable. A disk that hangs blocks this thread and nothing
-//! else; a write that fails is retried until it succeeds. The thread ends with the process: writes that are not durable by then were
-//! acknowledged to nobody.
+//! The thread owns the file. It takes writes in order from a channel, gathers what is queued into one batch, and reports each write's
+//! token once it is durable. The channel has no bound of its own: the state machine acknowledges nothing before its token is back. A
+//! disk that hangs blocks this thread and nothing else; a write that fails is retried until it succeeds. The thread ends with the
+//! process: writes that are not durable by then were not acknowledged.
 
 use std::path::Path;
 use std::sync::mpsc::{Receiver, Sender, channel};
--- a/system/src/lib.rs
+++ b/system/src/lib.rs
@@ -4,12 +4,12 @@
 //! its tasks in one thread on a current-thread runtime; the only other thread writes to the disk, so that a disk that hangs delays
 //! nothing else.
 //!
-//! - [`control`]: the control role: the replicated configuration, the server list, and the directory
-//! - [`router`]: the router role: clients' requests
-//! - [`outgoing`], [`transport`]: connections between the processes
-//! - [`disk`]: the control role's write-ahead log
+//! - `control`: the control role: the replicated configuration, the server list, and the directory
+//! - `router`: the router role: clients' requests
+//! - `outgoing`, [`transport`]: connections between the processes
+//! - `disk`: the control role's write-ahead log
 //! - [`instance_list`]: the client of the platform's API
-//! - [`http_server`]: the server of the roles' own HTTP interfaces
+//! - `http_server`: the server of the roles' own HTTP interfaces
 
 pub mod clock;
 mod control;
@@ -52,7 +52,7 @@
     System(#[from] std::io::Error),
     /// The write-ahead log can't be read or written.
     #[error(transparent)]
-    Records(#[from] WalError),
+    Wal(#[from] WalError),
 }
 
 /// Runs a control node in the foreground until SIGTERM, and then until its state is handed over.
--- a/system/src/router/clients.rs
+++ b/system/src/router/client_handler.rs
@@ -28,24 +28,24 @@
 use super::rejection::Rejection;
 use super::response_body::{self, ResponseBody};
 
-/// A client's deadline runs from its send to the last byte of the response: the way there and back comes off.
+/// A client's deadline runs from its send to the last byte of the response: the network time is subtracted.
 const NETWORK_ALLOWANCE: Nanos = 10 * MILLISECOND;
 /// The deadline of clients that name none, in milliseconds.
 const DEFAULT_DEADLINE_MS: f64 = 30_000.0;
 /// The advertised keep-alive is shorter than the real one by this, so that a request does not cross its connection's closing.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_secs(2);
-/// A router that has just started is ready within this as a rule: a request waits for it for as long as a rejection is still early.
+/// A request waits this long for a router that has just started: usually enough, and a rejection after it is still early.
 const READY_TIMEOUT: Duration = Duration::from_millis(150);
 /// The least urgent priority that servers know.
 const MAX_PRIORITY: u32 = 9;
 
 /// Handles client requests.
-pub struct Clients {
+pub struct ClientHandler {
     dispatcher: Dispatcher,
     connections: Rc<ConnectionLimiter>,
 }
 
-impl Clients {
+impl ClientHandler {
     /// A handler that submits requests to this dispatcher.
     pub fn new(dispatcher: Dispatcher, connections: Rc<ConnectionLimiter>) -> Self {
         Self { dispatcher, connections }
@@ -106,7 +106,7 @@
     }
 }
 
-impl RequestHandler for Clients {
+impl RequestHandler for ClientHandler {
     type Body = ResponseBody;
 
     async fn handle(
--- a/system/src/router/dispatch/mod.rs
+++ b/system/src/router/dispatch/mod.rs
@@ -110,7 +110,7 @@
     }
 
     /// The number of requests without a response, or whose stream is under way.
-    pub fn open(&self) -> usize {
+    pub fn requests_in_progress(&self) -> usize {
         self.state.borrow().requests.values().filter(|request| !request.has_ended).count()
     }
 
--- a/system/src/router/mod.rs
+++ b/system/src/router/mod.rs
@@ -2,15 +2,15 @@
 //!
 //! `ivyhatch-balancer` and `ivyhatch-routing` decide; this module's parts carry out what they decide, in one thread:
 //!
-//! - [`clients`]: reads requests and writes responses
+//! - [`client_handler`]: reads requests and writes responses
 //! - [`dispatch`]: the request table, and the balancers of all services
 //! - [`upstream`]: attempts over connections to servers
 //! - [`watch_session`]: the configuration and the server list, from control nodes
 //! - [`readiness`]: whether clients may be sent here
 
 mod attempt;
+mod client_handler;
 mod client_response;
-mod clients;
 mod dispatch;
 mod headers;
 mod readiness;
@@ -36,14 +36,14 @@
 use crate::clock::Clock;
 use crate::transport::socket;
 use crate::{RoleError, http_server};
-use clients::Clients;
+use client_handler::ClientHandler;
 use dispatch::Dispatcher;
 use upstream::Upstream;
 use watch_session::WatchSession;
 
-/// After SIGTERM connections are still accepted for so long: clients cache the directory's responses for some seconds.
+/// How long connections are accepted after SIGTERM: clients cache the directory's responses for some seconds.
 const DRAIN_DURATION: Duration = Duration::from_millis(3000);
-/// Once idle connections are closed, new ones are accepted for so long: clients' connects may cross the closing.
+/// How long new connections are accepted once idle ones are closed: a connect may cross the closing.
 const CLOSING_DURATION: Duration = Duration::from_millis(100);
 /// The last responses are written this long before the process is killed.
 const KILL_MARGIN: Duration = Duration::from_millis(600);
@@ -99,7 +99,7 @@
     let watch_session = WatchSession::start(&settings, clock, router, dispatcher.clone());
     let (phase, phases) = watch::channel(DrainPhase::Serving);
     spawn_readiness(listeners.readiness, &dispatcher, &phases);
-    let handler = Clients::new(dispatcher.clone(), connections.clone());
+    let handler = ClientHandler::new(dispatcher.clone(), connections.clone());
     let server = client_listener::serve(listeners.clients, connections, phases, MAX_HEAD_BYTES, handler);
     let server = spawn_local(server);
     loop {
@@ -129,7 +129,7 @@
     server: JoinHandle<()>,
     end_by: Instant,
 ) {
-    log::info!("event=shutdown_begun role=router open={}", dispatcher.open());
+    log::info!("event=shutdown_begun role=router open={}", dispatcher.requests_in_progress());
     phase.send_replace(DrainPhase::Draining);
     watch_session.set_state(RouterState::Draining);
     sleep(DRAIN_DURATION).await;
@@ -137,8 +137,8 @@
     sleep(CLOSING_DURATION).await;
     phase.send_replace(DrainPhase::Closed);
     let _ = timeout_at(end_by, server).await;
-    if dispatcher.open() > 0 {
+    if dispatcher.requests_in_progress() > 0 {
         sleep_until(end_by).await;
     }
-    log::info!("event=shutdown_complete role=router open={}", dispatcher.open());
+    log::info!("event=shutdown_complete role=router open={}", dispatcher.requests_in_progress());
 }
--- a/system/src/router/upstream/mod.rs
+++ b/system/src/router/upstream/mod.rs
@@ -35,7 +35,7 @@
 
 /// The longest complete response.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
-/// The body of a rejection is awaited for so long, to reuse its connection.
+/// How long the body of a rejection is awaited, to reuse its connection.
 const REJECTION_BODY_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// Makes attempts over pooled connections.
--- a/system/src/router/watch_session.rs
+++ b/system/src/router/watch_session.rs
@@ -26,7 +26,7 @@
 use crate::ticker::{TICK_INTERVAL, run_ticks};
 use crate::transport::reader::{ConnectionError, Received, read_messages_and_fragments};
 
-/// A session on which nothing is received for so long is closed.
+/// A session is closed when nothing is received on it for this long.
 const SESSION_IDLE_TIMEOUT: Duration = Duration::from_millis(1800);
 /// A tick that is late by this much is logged: no other task ran in that time either.
 const STALL_THRESHOLD: Duration = Duration::from_millis(50);
--- a/system/src/transport/frame_cache.rs
+++ b/system/src/transport/frame_cache.rs
@@ -1,6 +1,6 @@
 //! The encoded form of large watch messages, shared by all connections that get the same message.
 //!
-//! Owned by the control role's host and used in its single thread. Holds the fragments of the last [`CACHED_MESSAGES`] messages; a
+//! Owned by the control role's host and used in its single thread. Holds the fragments of the last `CACHED_MESSAGES` messages; a
 //! send queue that still holds evicted fragments keeps them alive by its own reference.
 
 use std::collections::VecDeque;
--- a/system/src/transport/writer.rs
+++ b/system/src/transport/writer.rs
@@ -1,7 +1,7 @@
 //! The send queue of a connection: small messages first, fragments of large ones (bulk) behind them at a limited rate.
 //!
 //! [`Writer`] is the queue's sending end and is held by the part that addresses the peer; [`SendQueue`] is owned by the connection's task,
-//! which drains it with [`SendQueue::write_to`]. Both count the queued bytes in one shared [`QueuedBytes`]. Dropping all writers ends
+//! which drains it with [`SendQueue::write_to`]. Both count the queued bytes in one shared `QueuedBytes`. Dropping all writers ends
 //! the task's loop; dropping the queue makes each further send return false.
 
 use std::cell::Cell;
@@ -14,7 +14,7 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// A write that was not taken for so long ends the connection.
+/// A write that the peer does not accept within this ends the connection.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Bytes queued at most; over this the peer does not read.
 const MAX_QUEUED_BYTES: usize = 32 << 20;
