--- a/simulation/src/run/processes.rs
+++ b/simulation/src/run/processes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use ivyhatch_control::durable_state::FormattedReplica;
+use ivyhatch_control::storage::durable_state::FormattedReplica;
 use ivyhatch_control::{ControlPlane, NodeConfig};
 use ivyhatch_protocol::ids::NodeId;
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
@@ -62,7 +62,8 @@
         let mut stored = this.disk.stored().clone();
         let needs_state = !first_start && !may_vote(&stored);
         this.state_sources = needs_state.then(BTreeSet::new);
-        if let (Some(InjectedBug::VotesAfterWipe), Some(lost)) = (self.injected_bug, this.lost_replica.take())
+        if let (Some(InjectedBug::VotesAfterDiskLoss), Some(lost)) =
+            (self.injected_bug, this.lost_replica.take())
         {
             stored.replica = Some(FormattedReplica { id: lost.replica, first_start: false });
             stored.membership = lost.membership;
