--- a/control/src/consensus/elections.rs
+++ b/control/src/consensus/elections.rs
@@ -13,9 +13,9 @@
 /// The backoff of a node that a higher ballot has made step down, for each voter before it in the election order.
 const ELECTION_BACKOFF: Nanos = 300 * MILLISECOND;
 
-/// How well a voter is suited to lead; the lowest leads. Fields are compared in their order.
+/// What speaks against a voter as the leader. Fields are compared in their order; the voter with the least leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Suitability {
+struct LeaderPenalty {
     cannot_perform_role: bool,
     is_draining: bool,
 }
@@ -25,23 +25,23 @@
 pub fn leader(view: &ClusterView<'_>, partition: PartitionId) -> Option<NodeId> {
     let membership = view.local.membership()?;
     let reads_server_list = partition == reader_partition();
-    let suitability = |can_read: bool, is_draining: bool| Suitability {
+    let penalty = |can_read: bool, is_draining: bool| LeaderPenalty {
         cannot_perform_role: reads_server_list && !can_read,
         is_draining,
     };
     let eligible = |node: NodeId| {
         if node == view.node {
             let is_eligible = view.local.is_voter() && view.has_quorum();
-            return is_eligible.then(|| suitability(view.can_read_server_list, view.is_draining));
+            return is_eligible.then(|| penalty(view.can_read_server_list, view.is_draining));
         }
         let can_lead =
             |heartbeat: &&Heartbeat| heartbeat.status == ReplicaStatus::Voter && heartbeat.has_quorum;
         let heartbeat = view.current_heartbeat(node).filter(can_lead)?;
-        Some(suitability(heartbeat.can_read_server_list, heartbeat.draining))
+        Some(penalty(heartbeat.can_read_server_list, heartbeat.draining))
     };
     let candidates = election_order(membership, partition)
-        .filter_map(|node| eligible(node).map(|suitability| (suitability, node)));
-    candidates.min_by_key(|(suitability, _)| *suitability).map(|(_, node)| node)
+        .filter_map(|node| eligible(node).map(|penalty| (penalty, node)));
+    candidates.min_by_key(|(penalty, _)| *penalty).map(|(_, node)| node)
 }
 
 /// The index of this node in the election order of a partition; 0 where it is no voter.
--- a/control/src/storage/record.rs
+++ b/control/src/storage/record.rs
@@ -4,8 +4,8 @@
 use ivyhatch_protocol::peer::{AcceptedValue, Membership};
 use speedy::{Readable, Writable};
 
-/// One record. All records together, in order, are what the replica has promised; see
-/// [`DurableState`](crate::storage::durable_state::DurableState). The encoding is that of the order of variants and fields.
+/// One record. All records together, in order, are what the replica has promised; `DurableState` is what they make up. The encoding
+/// follows the order of variants and fields.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum Record {
     /// The disk is this replica's from here on; earlier records do not count.
