--- a/cli/src/hunt.rs
+++ b/cli/src/hunt.rs
@@ -62,7 +62,7 @@
     };
     let (policy, best) = found.best;
     let story = format!(
-        "the module serves {:.3}, {policy:?} {best:.3}; {} rules broken; {} worlds played",
+        "the module serves {:.3}, {policy} {best:.3}; {} rules broken; {} worlds played",
         found.module, found.rules_broken, found.played
     );
     let text = format!("# {story}\n{}", found.world.write());
--- a/lab/src/policy.rs
+++ b/lab/src/policy.rs
@@ -1,5 +1,7 @@
 //! The load-balancing policies that a simulation can run, and their configuration.
 
+use std::fmt;
+
 use serde::{Deserialize, Serialize};
 
 /// A load-balancing policy.
@@ -40,6 +42,21 @@
     ];
 }
 
+/// The name in the sentences of reports.
+impl fmt::Display for Policy {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            Self::Balancer => "Module",
+            Self::Random => "Random",
+            Self::RoundRobin => "RoundRobin",
+            Self::LeastRequests => "LeastRequests",
+            Self::PowerOfTwoChoices => "TwoChoices",
+            Self::Paper => "Paper",
+            Self::Omniscient => "Truth",
+        })
+    }
+}
+
 /// Utilisation threshold of [`Policy::Paper`] where none is configured.
 const DEFAULT_THRESHOLD: f64 = 0.9;
 /// Limit of attempts a request where none is configured.
--- a/lab/tests/external_forms.rs
+++ b/lab/tests/external_forms.rs
@@ -47,6 +47,12 @@
 fn policies_have_the_names_of_experiment_files() {
     let names: Vec<String> = Policy::REFERENCES.into_iter().chain([Policy::Balancer]).map(name).collect();
     assert_eq!(names, ["random", "round_robin", "least_requests", "two_choices", "paper", "truth", "module"]);
+    let in_sentences: Vec<String> =
+        Policy::REFERENCES.into_iter().chain([Policy::Balancer]).map(|policy| policy.to_string()).collect();
+    assert_eq!(
+        in_sentences,
+        ["Random", "RoundRobin", "LeastRequests", "TwoChoices", "Paper", "Truth", "Module"]
+    );
     let config = PolicyConfig {
         policy: Policy::Paper,
         threshold: Some(0.5),
