--- a/cli/src/experiment.rs
+++ b/cli/src/experiment.rs
@@ -5,7 +5,7 @@
 
 use clap::Args;
 use ivyhatch_experiments::{
-    BUILT_IN, Experiment, Plan, Results, Summary, page, run as play_missing, summarise,
+    BUILT_IN, Experiment, Plan, Results, Summary, render_report, run_missing, summarise,
 };
 
 use crate::{bar, threads, unusable};
@@ -32,7 +32,7 @@
 /// What marks results as this build's: the same world played by another build is another result.
 fn build() -> String {
     let bytes = std::env::current_exe().and_then(std::fs::read);
-    bytes.map_or_else(|_| "unknown build".to_owned(), |bytes| ivyhatch_experiments::mark(&bytes))
+    bytes.map_or_else(|_| "unknown build".to_owned(), |bytes| ivyhatch_experiments::fingerprint(&bytes))
 }
 
 pub fn run(arguments: &Arguments) -> ExitCode {
@@ -64,17 +64,17 @@
     std::fs::create_dir_all(&out).map_err(|error| format!("{}: {error}", out.display()))?;
     let path = out.join("results.jsonl");
     let mut results = Results::open(&path).map_err(|error| format!("{}: {error}", path.display()))?;
-    if results.cut > 0 || results.unread > 0 {
+    if results.truncated_bytes > 0 || results.unreadable_lines > 0 {
         eprintln!(
             "{}: cut {} bytes of an unfinished line off, and left {} lines alone that are no result",
             path.display(),
-            results.cut,
-            results.unread
+            results.truncated_bytes,
+            results.unreadable_lines
         );
     }
     let bar = bar(0, arguments.json, "{pos}/{len} plays [{bar:40}] {elapsed} gone, {eta} to go");
     let threads = arguments.threads.map_or_else(threads, |threads| threads as usize);
-    let failures = play_missing(plan, &mut results, threads, &mut |done, all| {
+    let failures = run_missing(plan, &mut results, threads, &mut |done, all| {
         bar.set_length(all as u64);
         bar.set_position(done as u64);
     });
@@ -82,7 +82,7 @@
     let failures = failures.map_err(|error| format!("{}: {error}", path.display()))?;
     let summary = summarise(plan, &results);
     let report = out.join("report.html");
-    std::fs::write(&report, page(plan, &results, &summary))
+    std::fs::write(&report, render_report(plan, &results, &summary))
         .map_err(|error| format!("{}: {error}", report.display()))?;
     if arguments.json {
         println!("{}", serde_json::to_string(&summary).expect("a summary is plain data"));
@@ -93,7 +93,7 @@
     for failure in &failures {
         let (world, variant) =
             (&plan.worlds[failure.run.world].name, &plan.experiment.variants[failure.run.variant].name);
-        eprintln!("ivyhatch: {world}, {variant}, seed {}: {}", failure.run.seed, failure.reason);
+        eprintln!("ivyhatch: {world}, {variant}, seed {}: {}", failure.run.seed, failure.error);
     }
     let well = failures.is_empty() && summary.module_rules_broken == 0;
     Ok(if well { ExitCode::SUCCESS } else { ExitCode::from(1) })
--- a/cli/src/hunt.rs
+++ b/cli/src/hunt.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use clap::Args;
-use ivyhatch_experiments::{Hunt, hunt};
+use ivyhatch_experiments::{HuntConfig, ReferenceShare, hunt};
 use ivyhatch_lab::Policy;
 
 use crate::{bar, lab, threads, unusable};
@@ -34,19 +34,19 @@
 }
 
 pub fn run(arguments: &Arguments) -> ExitCode {
-    let from = match lab::world(arguments.world.as_deref()) {
-        Ok(from) => from,
+    let initial = match lab::world(arguments.world.as_deref()) {
+        Ok(initial) => initial,
         Err(error) => return unusable(&error),
     };
-    let against = Policy::REFERENCES
+    let references = Policy::REFERENCES
         .into_iter()
         .filter(|policy| arguments.truth || *policy != Policy::Omniscient)
         .collect();
     let &Arguments { rounds, seed, least, .. } = arguments;
-    let hunted = Hunt { from, against, rounds, seed, threads: threads(), least };
+    let config = HuntConfig { initial, references, rounds, seed, threads: threads(), min_gap: least };
     let bar =
         bar(rounds.into(), arguments.json, "{pos}/{len} rounds [{bar:40}] {eta} to go; largest gap {msg}");
-    let found = hunt(&hunted, &mut |round, _, gap| {
+    let found = hunt(&config, &mut |round, _, gap| {
         bar.set_position(round.into());
         bar.set_message(format!("{gap:.3}"));
     });
@@ -60,10 +60,10 @@
         }
         return ExitCode::SUCCESS;
     };
-    let (policy, best) = found.best;
+    let ReferenceShare { policy, share: best } = found.best;
     let story = format!(
         "the module serves {:.3}, {policy:?} {best:.3}; {} rules broken; {} worlds played",
-        found.module, found.rules_broken, found.played
+        found.balancer_share, found.rules_broken, found.worlds_run
     );
     let text = format!("# {story}\n{}", found.world.write());
     if let Err(error) = std::fs::write(&arguments.out, text) {
@@ -71,9 +71,9 @@
     }
     match arguments.json {
         true => {
-            let (module, out) = (found.module, arguments.out.display().to_string());
+            let (module, out) = (found.balancer_share, arguments.out.display().to_string());
             let line = serde_json::json!({ "found": out, "module": module, "best": best, "policy": policy,
-                "rules_broken": found.rules_broken, "played": found.played });
+                "rules_broken": found.rules_broken, "played": found.worlds_run });
             println!("{line}");
         }
         false => println!("{}: {story}", arguments.out.display()),
--- a/experiments/src/lib.rs
+++ b/experiments/src/lib.rs
@@ -1,30 +1,42 @@
-//! Experiments in the lab: worlds, seeds and variants go in; result lines, a summary with confidence intervals and a report
-//! come out. And the hunt for worlds on which the module does worst.
+//! Experiments in the lab: worlds, seeds and variants go in; results, a summary with confidence intervals and an HTML report come
+//! out. Beside them the hunt for worlds in which the balancer does worst.
 //!
-//! | file | concern |
+//! | module | its one job |
 //! | --- | --- |
-//! | `spec` | what an experiment is, read from TOML and checked |
-//! | `results` | result lines on disk, and what an interruption leaves of them |
-//! | `run` | plays what is missing, in parallel |
-//! | `summary` | measures, means and differences with bootstrap confidence intervals |
-//! | `page` | the report: one HTML file with its plots inside |
-//! | `hunt` | looks for worlds on which the module does worst, and shrinks them |
+//! | `spec`, `world_spec` | the experiment as its TOML file words it, validated |
+//! | `plan` | the runs of an experiment and their keys |
+//! | `run` | runs what has no result yet, in parallel |
+//! | `results` | results on disk |
+//! | `measure`, `latencies` | the measures of a run |
+//! | `summary`, `bootstrap` | means and differences with confidence intervals |
+//! | `report` | the report: one HTML file with its plots inside |
+//! | `hunt` | looks for worlds in which the balancer does worst, and shrinks them |
 
+mod bootstrap;
 mod hunt;
-mod page;
+mod latencies;
+mod measure;
+mod plan;
+mod report;
 mod results;
 mod run;
 mod spec;
 mod summary;
+#[cfg(test)]
+mod summary_tests;
+mod world_spec;
 
-pub use hunt::{Found, Hunt, hunt};
-pub use page::page;
-pub use results::{Line, Results, ResultsError};
-pub use run::{Failure, Progress, run};
-pub use spec::{Experiment, Measure, Place, Plan, Run, SpecError, Variant, mark};
-pub use summary::{Cell, Interval, Summary, summarise};
+pub use bootstrap::Interval;
+pub use hunt::{Finding, HuntConfig, ReferenceShare, hunt};
+pub use measure::Measure;
+pub use plan::{Plan, Run, fingerprint};
+pub use report::render_report;
+pub use results::{ResultLine, Results, ResultsError};
+pub use run::{Failure, Progress, RunError, run_missing};
+pub use spec::{Experiment, SpecError, Variant, WorldSpec};
+pub use summary::{Cell, Summary, Verdict, summarise};
 
-/// The experiments that are built in, by name.
+/// The built-in experiments: name and TOML text.
 pub const BUILT_IN: [(&str, &str); 2] = [
     ("policies", include_str!("../../lab/experiments/policies.toml")),
     ("paper", include_str!("../../lab/experiments/paper.toml")),
--- a/experiments/src/results.rs
+++ b/experiments/src/results.rs
@@ -1,5 +1,5 @@
-//! Result lines on disk. A line is written whole or not at all as far as a reader can tell: what an interruption leaves
-//! of the last one is cut off when the file is opened again.
+//! Results on disk, one JSON line for each run. Opening a file truncates an incomplete last line, which an interruption may leave, so
+//! that readers see whole lines only.
 
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions, TryLockError};
@@ -9,43 +9,43 @@
 use ivyhatch_lab::Report;
 use serde::{Deserialize, Serialize};
 
-/// One result.
+/// The result of one run. The field names are those of the file.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Line {
-    /// What the run is known by; see [`crate::Plan::key`].
+pub struct ResultLine {
+    /// The run's key; see [`crate::Plan::key`].
     pub run: String,
-    /// The variant's name, for readers; the world's name and the seed are in the report.
+    /// The variant's name, for human readers; the world's name and the seed are in the report.
     pub variant: String,
-    /// What came out.
+    /// The report of the run.
     pub report: Report,
 }
 
-/// Results that can't be kept.
+/// Why results cannot be stored.
 #[derive(Debug, thiserror::Error)]
 pub enum ResultsError {
-    /// The file can't be used.
+    /// The file cannot be read or written.
     #[error("{0}")]
     File(#[from] std::io::Error),
-    /// Somebody else writes to it.
+    /// Another process has the file open.
     #[error("another experiment is writing to it; wait for that, or name another folder")]
     Busy,
 }
 
-/// The results of an experiment so far, and the file that they stand in. The file is locked as long as this lives.
+/// The results of an experiment so far, and their file, which stays locked until this is dropped.
 pub struct Results {
     file: File,
-    lines: BTreeMap<String, Line>,
-    /// Whole lines that are no result, left as they are.
-    pub unread: usize,
-    /// Bytes of a last line that was cut short, taken off.
-    pub cut: usize,
+    lines: BTreeMap<String, ResultLine>,
+    /// Complete lines that are not results; they stay in the file.
+    pub unreadable_lines: usize,
+    /// Bytes of an incomplete last line that were truncated.
+    pub truncated_bytes: usize,
 }
 
 impl Results {
-    /// Opens a file of results, or makes one.
+    /// Opens a file of results, and creates it if need be.
     ///
     /// # Errors
-    /// Where the file can't be read and written, or another process has it open.
+    /// [`ResultsError::File`] where the file cannot be read and written, [`ResultsError::Busy`] where another process has it open.
     pub fn open(path: &Path) -> Result<Self, ResultsError> {
         let mut file = OpenOptions::new().read(true).append(true).create(true).open(path)?;
         match file.try_lock() {
@@ -55,35 +55,33 @@
         }
         let mut bytes = Vec::new();
         file.read_to_end(&mut bytes)?;
-        let whole = bytes.iter().rposition(|byte| *byte == b'\n').map_or(0, |at| at + 1);
-        if whole < bytes.len() {
-            file.set_len(whole as u64)?;
+        let complete_length =
+            bytes.iter().rposition(|byte| *byte == b'\n').map_or(0, |position| position + 1);
+        if complete_length < bytes.len() {
+            file.set_len(complete_length as u64)?;
             file.seek(SeekFrom::End(0))?;
         }
-        let (mut lines, mut unread) = (BTreeMap::new(), 0);
-        for line in bytes[..whole].split(|byte| *byte == b'\n').filter(|line| !line.is_empty()) {
-            match serde_json::from_slice::<Line>(line) {
+        let (mut lines, mut unreadable_lines) = (BTreeMap::new(), 0);
+        for line in bytes[..complete_length].split(|byte| *byte == b'\n').filter(|line| !line.is_empty()) {
+            match serde_json::from_slice::<ResultLine>(line) {
                 Ok(line) => drop(lines.insert(line.run.clone(), line)),
-                Err(_) => unread += 1,
+                Err(_) => unreadable_lines += 1,
             }
         }
-        Ok(Self { file, lines, unread, cut: bytes.len() - whole })
+        Ok(Self { file, lines, unreadable_lines, truncated_bytes: bytes.len() - complete_length })
     }
 
     /// The result of a run, by its key.
-    pub fn get(&self, key: &str) -> Option<&Line> {
+    pub fn get(&self, key: &str) -> Option<&ResultLine> {
         self.lines.get(key)
     }
 
-    /// Keeps a result, on disk before in memory.
+    /// Stores a result, on disk before in memory.
     ///
     /// # Errors
-    /// Where the file can't be written.
-    ///
-    /// # Panics
-    /// Never: a report is plain data.
-    pub fn add(&mut self, line: Line) -> Result<(), ResultsError> {
-        let mut text = serde_json::to_string(&line).expect("plain data");
+    /// [`ResultsError::File`] where the file cannot be written.
+    pub fn append(&mut self, line: ResultLine) -> Result<(), ResultsError> {
+        let mut text = serde_json::to_string(&line).expect("a report is plain data");
         text.push('\n');
         self.file.write_all(text.as_bytes())?;
         self.lines.insert(line.run.clone(), line);
--- a/experiments/src/run.rs
+++ b/experiments/src/run.rs
@@ -1,37 +1,68 @@
-//! Plays what is missing, in parallel.
+//! Runs what has no result yet, in parallel.
 
 use std::io::Write;
-use std::path::Path;
-use std::process::Command;
+use std::path::{Path, PathBuf};
+use std::process::{Command, ExitStatus};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc;
 
 use ivyhatch_lab::{Report, World, simulate_with};
 
-use crate::results::{Line, Results, ResultsError};
-use crate::spec::{Plan, Run};
+use crate::plan::{Plan, Run};
+use crate::results::{ResultLine, Results, ResultsError};
 
-/// Told of how far an experiment has come: runs done, those that were there already included, and all.
+/// Is called with the number of runs that have a result or have failed, and the number of all runs.
 pub type Progress<'a> = &'a mut dyn FnMut(usize, usize);
 
-/// A run that gave no result.
-#[derive(Clone, Debug)]
+/// Why a run has no result. Only the program of another build can fail.
+#[derive(Debug, thiserror::Error)]
+pub enum RunError {
+    /// The program cannot be started, or its world cannot be written to a file.
+    #[error("{}: {source}", program.display())]
+    Start {
+        /// The program.
+        program: PathBuf,
+        /// The error of the operating system.
+        source: std::io::Error,
+    },
+    /// The program ended without a report.
+    #[error("{}: {status}: {stderr}", program.display())]
+    NoReport {
+        /// The program.
+        program: PathBuf,
+        /// How it ended.
+        status: ExitStatus,
+        /// What it wrote to its standard error.
+        stderr: String,
+    },
+    /// The program's report is not one of this version.
+    #[error("{}: its report can't be read: {source}", program.display())]
+    UnreadableReport {
+        /// The program.
+        program: PathBuf,
+        /// The error of the JSON parser.
+        source: serde_json::Error,
+    },
+}
+
+/// A run without a result.
+#[derive(Debug)]
 pub struct Failure {
-    /// Which.
+    /// The run.
     pub run: Run,
     /// Why.
-    pub reason: String,
+    pub error: RunError,
 }
 
-/// Plays those runs of a plan that have no result yet, on so many threads, and keeps each as soon as it is there.
-/// Only another build's program can fail to give one.
+/// Runs what has no result yet on some threads, and stores each result as soon as it is there. Returns the runs that failed, in the
+/// order of the plan.
 ///
 /// # Errors
-/// Where results can't be kept.
+/// [`ResultsError`] where a result cannot be stored; the other results stay.
 ///
 /// # Panics
-/// Where a play does.
-pub fn run(
+/// Where a simulation panics.
+pub fn run_missing(
     plan: &Plan,
     results: &mut Results,
     threads: usize,
@@ -44,65 +75,64 @@
     progress(done, all.len());
     let next = AtomicUsize::new(0);
     let mut failures = Vec::new();
-    let mut kept = Ok(());
+    let mut stored = Ok(());
     std::thread::scope(|scope| {
-        // No more than this many results wait to be written.
-        let (tell, told) = mpsc::sync_channel(threads.max(1));
+        // The bound limits how many results wait to be stored.
+        let (sender, receiver) = mpsc::sync_channel(threads.max(1));
         for _ in 0..threads.clamp(1, missing.len().max(1)) {
-            let (tell, next, missing) = (tell.clone(), &next, &missing);
+            let (sender, next, missing) = (sender.clone(), &next, &missing);
             scope.spawn(move || {
                 while let Some(run) = missing.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    // Who listens no more has met an error of its own.
-                    if tell.send((*run, one(plan, *run))).is_err() {
+                    // The receiver is dropped once a result could not be stored.
+                    if sender.send((*run, execute(plan, *run))).is_err() {
                         return;
                     }
                 }
             });
         }
-        drop(tell);
-        for (run, outcome) in told {
+        drop(sender);
+        for (run, outcome) in receiver {
             match outcome {
                 Ok(report) => {
                     let variant = plan.experiment.variants[run.variant].name.clone();
-                    kept = results.add(Line { run: plan.key(run), variant, report });
-                    if kept.is_err() {
+                    stored = results.append(ResultLine { run: plan.key(run), variant, report });
+                    if stored.is_err() {
                         return;
                     }
                 }
-                Err(reason) => failures.push(Failure { run, reason }),
+                Err(error) => failures.push(Failure { run, error }),
             }
             done += 1;
             progress(done, all.len());
         }
     });
     failures.sort_by_key(|failure| (failure.run.world, failure.run.variant, failure.run.seed));
-    kept.map(|()| failures)
+    stored.map(|()| failures)
 }
 
-fn one(plan: &Plan, run: Run) -> Result<Report, String> {
+fn execute(plan: &Plan, run: Run) -> Result<Report, RunError> {
     let world = &plan.worlds[run.world];
-    match &plan.programs[run.variant] {
-        None => {
-            Ok(simulate_with(world, &plan.experiment.variants[run.variant].decider(), run.seed, &mut |_| {}))
-        }
-        Some(program) => other_build(program, world, run.seed),
+    if let Some(program) = &plan.programs[run.variant] {
+        return execute_other_build(program, world, run.seed);
     }
+    let policy = plan.experiment.variants[run.variant].policy_config();
+    Ok(simulate_with(world, &policy, run.seed, &mut |_| {}))
 }
 
-/// Has another build play a world, over its command line.
-fn other_build(program: &Path, world: &World, seed: u64) -> Result<Report, String> {
-    let named = |error: std::io::Error| format!("{}: {error}", program.display());
-    let mut file = tempfile::Builder::new().suffix(".toml").tempfile().map_err(named)?;
-    file.write_all(world.write().as_bytes()).map_err(named)?;
+/// Runs a world by the command line of another build.
+fn execute_other_build(program: &Path, world: &World, seed: u64) -> Result<Report, RunError> {
+    let start_error = |source: std::io::Error| RunError::Start { program: program.to_owned(), source };
+    let mut file = tempfile::Builder::new().suffix(".toml").tempfile().map_err(start_error)?;
+    file.write_all(world.write().as_bytes()).map_err(start_error)?;
     let mut command = Command::new(program);
     command.arg("lab").arg(file.path()).args(["--json", "--seed", &seed.to_string()]);
-    let output = command.output().map_err(named)?;
-    // A broken rule is a result too: the report says so.
-    let line = String::from_utf8_lossy(&output.stdout);
-    let Some(line) = line.lines().next() else {
-        let error = String::from_utf8_lossy(&output.stderr);
-        return Err(format!("{}: {}: {}", program.display(), output.status, error.trim()));
+    let output = command.output().map_err(start_error)?;
+    // The exit status does not count: a run with violated rules has a report and a status of its own.
+    let stdout = String::from_utf8_lossy(&output.stdout);
+    let Some(report) = stdout.lines().next() else {
+        let stderr = String::from_utf8_lossy(&output.stderr).trim().to_owned();
+        return Err(RunError::NoReport { program: program.to_owned(), status: output.status, stderr });
     };
-    serde_json::from_str(line)
-        .map_err(|error| format!("{}: its report can't be read: {error}", program.display()))
+    serde_json::from_str(report)
+        .map_err(|source| RunError::UnreadableReport { program: program.to_owned(), source })
 }
--- a/experiments/src/summary.rs
+++ b/experiments/src/summary.rs
@@ -1,37 +1,68 @@
-//! Means, and differences with their confidence intervals.
+//! The summary of an experiment: means, differences to the baseline, and their confidence intervals.
 
-use hdrhistogram::Histogram;
-use ivyhatch_lab::{ClassReport, Report};
-use rand::RngExt;
-use rand_chacha::ChaCha8Rng;
-use rand_chacha::rand_core::SeedableRng;
-use serde::Serialize;
+use std::fmt;
 
+use ivyhatch_lab::{Policy, Report};
+use serde::{Serialize, Serializer};
+
+use crate::bootstrap::{Interval, confidence_interval, mean};
+use crate::measure::Measure;
+use crate::plan::Plan;
 use crate::results::Results;
-use crate::spec::{Measure, Plan, Run};
 
-/// Resamples of a bootstrap.
-const RESAMPLES: usize = 2000;
-/// Fewer seeds than this have no interval worth the name.
-const LEAST_SEEDS: usize = 5;
+/// What a difference to the baseline means.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Verdict {
+    /// The difference is an improvement.
+    Better,
+    /// The difference is a regression.
+    Worse,
+    /// There is more of a measure of which neither direction is better.
+    More,
+    /// There is less of a measure of which neither direction is better.
+    Less,
+    /// The confidence interval of the difference includes 0.
+    NoDifference,
+}
+
+impl Verdict {
+    /// The verdict in reports and in JSON.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Better => "better",
+            Self::Worse => "worse",
+            Self::More => "more",
+            Self::Less => "less",
+            Self::NoDifference => "no difference seen",
+        }
+    }
+
+    /// The verdict on the difference of a measure.
+    pub(crate) fn of(measure: Measure, difference: Interval) -> Self {
+        let is_more = difference.low > 0.0;
+        match measure.more_is_better() {
+            _ if !difference.excludes_zero() => Self::NoDifference,
+            Some(more_is_better) if more_is_better == is_more => Self::Better,
+            Some(_) => Self::Worse,
+            None if is_more => Self::More,
+            None => Self::Less,
+        }
+    }
+}
 
-/// Where a mean lies, with 95 in 100 confidence.
-#[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Interval {
-    /// Lower end.
-    pub low: f64,
-    /// Upper end.
-    pub high: f64,
+impl fmt::Display for Verdict {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(self.as_str())
+    }
 }
 
-impl Interval {
-    /// Whether all of it lies to one side of 0.
-    pub fn excludes_zero(self) -> bool {
-        self.low > 0.0 || self.high < 0.0
+impl Serialize for Verdict {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.serialize_str(self.as_str())
     }
 }
 
-/// One measure of one variant on one world.
+/// One measure of one variant in one world. The field names are those of the JSON summary.
 #[derive(Clone, Debug, Serialize)]
 pub struct Cell {
     /// The world's name.
@@ -40,128 +71,75 @@
     pub variant: String,
     /// The measure's name.
     pub measure: &'static str,
-    /// Plays that it is made of.
+    /// Runs that have a result.
     pub seeds: usize,
     /// Their mean.
     pub mean: f64,
-    /// Where the mean of all seeds would lie; none with fewer than 5.
+    /// The confidence interval of the mean; none with fewer than 5 runs.
     pub interval: Option<Interval>,
-    /// By how much more than under the baseline, seed by seed; none for the baseline itself.
+    /// The mean of the differences to the baseline, seed by seed; none for the baseline itself.
     pub difference: Option<f64>,
-    /// Where that lies; none with fewer than 5 seeds in common.
+    /// The confidence interval of that mean; none with fewer than 5 seeds in common.
     pub difference_interval: Option<Interval>,
-    /// What that means: `better`, `worse`, `more`, `less`, or `no difference seen`; none without an interval.
-    pub verdict: Option<&'static str>,
+    /// What the difference means; none without its interval.
+    pub verdict: Option<Verdict>,
 }
 
-/// All that an experiment found.
+/// The summary of an experiment. The field names are those of the JSON summary.
 #[derive(Clone, Debug, Serialize)]
 pub struct Summary {
-    /// Its name.
+    /// The experiment's name.
     pub name: String,
     /// The baseline's name.
     pub baseline: String,
-    /// Runs that are planned, and that have a result.
+    /// Runs of the plan.
     pub planned: usize,
-    /// See [`Summary::planned`].
+    /// Runs that have a result.
     pub played: usize,
-    /// Broken rules over all plays of the module and other builds; references break them as they please.
+    /// Rules that the balancer of this or another build has violated in all runs; reference policies may violate them.
     pub module_rules_broken: usize,
     /// World by world, variant by variant, measure by measure.
     pub cells: Vec<Cell>,
 }
 
-/// The times of several plays together, in microseconds; none where nothing was served.
-pub(crate) fn times<'a>(reports: impl Iterator<Item = &'a Report>) -> Option<Histogram<u64>> {
-    together(reports.flat_map(|report| &report.classes))
-}
-
-/// The times of several parts together; see [`times`].
-pub(crate) fn together<'a>(parts: impl Iterator<Item = &'a ClassReport>) -> Option<Histogram<u64>> {
-    parts.filter_map(ClassReport::histogram).reduce(|mut sum, other| {
-        sum.add(&other).expect("the same bounds");
-        sum
-    })
+/// The report of a run, with the run's seed.
+pub(crate) struct SeedReport<'a> {
+    pub(crate) seed: u64,
+    pub(crate) report: &'a Report,
 }
 
-/// The plays of one variant on one world that have a result, in the order of their seeds.
+/// The reports of one variant in one world, of the runs that have a result, in the order of their seeds.
 pub(crate) fn reports<'a>(
     plan: &Plan,
     results: &'a Results,
     world: usize,
     variant: usize,
-) -> Vec<(u64, &'a Report)> {
-    let first = plan.experiment.first_seed;
-    let runs = (first..first + u64::from(plan.experiment.seeds)).map(|seed| Run { world, variant, seed });
-    runs.filter_map(|run| Some((run.seed, &results.get(&plan.key(run))?.report))).collect()
+) -> Vec<SeedReport<'a>> {
+    plan.runs_of(world, variant)
+        .filter_map(|run| {
+            let report = &results.get(&plan.key(run))?.report;
+            Some(SeedReport { seed: run.seed, report })
+        })
+        .collect()
 }
 
-fn mean(figures: &[f64]) -> f64 {
-    figures.iter().sum::<f64>() / figures.len().max(1) as f64
-}
-
-/// The percentile bootstrap: means of resamples, of which the middle 95 in 100 are kept. Seeded by what it is for, so
-/// that the same results give the same interval.
-fn interval(figures: &[f64], purpose: &str) -> Option<Interval> {
-    if figures.len() < LEAST_SEEDS {
-        return None;
-    }
-    let mut random = ChaCha8Rng::from_seed(*blake3::hash(purpose.as_bytes()).as_bytes());
-    let mut draw = || figures[random.random_range(0..figures.len())];
-    let mut means: Vec<f64> = (0..RESAMPLES)
-        .map(|_| (0..figures.len()).map(|_| draw()).sum::<f64>() / figures.len() as f64)
-        .collect();
-    means.sort_by(f64::total_cmp);
-    let at = |part: f64| means[((RESAMPLES - 1) as f64 * part).round() as usize];
-    Some(Interval { low: at(0.025), high: at(0.975) })
-}
-
-fn verdict(measure: Measure, interval: Interval) -> &'static str {
-    let more = interval.low > 0.0;
-    match measure.more_is_better() {
-        _ if !interval.excludes_zero() => "no difference seen",
-        Some(better) if better == more => "better",
-        Some(_) => "worse",
-        None if more => "more",
-        None => "less",
-    }
-}
-
-/// Sums an experiment up, over those of its runs that have a result.
+/// Summarises an experiment over the runs that have a result.
 pub fn summarise(plan: &Plan, results: &Results) -> Summary {
     let experiment = &plan.experiment;
     let mut cells = Vec::new();
     let (mut played, mut module_rules_broken) = (0, 0);
     for world in 0..plan.worlds.len() {
-        let base = reports(plan, results, world, plan.baseline);
+        let baseline = reports(plan, results, world, plan.baseline);
         for (number, variant) in experiment.variants.iter().enumerate() {
-            let plays = reports(plan, results, world, number);
-            played += plays.len();
-            if variant.policy == ivyhatch_lab::Policy::Balancer {
-                module_rules_broken += plays.iter().map(|(_, report)| report.rules_broken).sum::<usize>();
+            let runs = reports(plan, results, world, number);
+            played += runs.len();
+            if variant.policy == Policy::Balancer {
+                module_rules_broken += runs.iter().map(|run| run.report.rules_broken).sum::<usize>();
             }
+            let compared = (number != plan.baseline).then_some(baseline.as_slice());
             for &measure in &experiment.measures {
-                let figures: Vec<f64> = plays.iter().map(|(_, report)| measure.of(report)).collect();
-                let purpose = format!("{} {} {}", plan.worlds[world].name, variant.name, measure.name());
-                let pair = |(seed, report): &(u64, &Report)| {
-                    let (_, other) = base.iter().find(|(of, _)| of == seed)?;
-                    Some(measure.of(report) - measure.of(other))
-                };
-                let differences: Vec<f64> = plays.iter().filter_map(pair).collect();
-                let compares = number != plan.baseline && !differences.is_empty();
-                let difference_interval =
-                    interval(&differences, &format!("{purpose}, difference")).filter(|_| compares);
-                cells.push(Cell {
-                    world: plan.worlds[world].name.clone(),
-                    variant: variant.name.clone(),
-                    measure: measure.name(),
-                    seeds: figures.len(),
-                    mean: mean(&figures),
-                    interval: interval(&figures, &purpose),
-                    difference: compares.then(|| mean(&differences)),
-                    difference_interval,
-                    verdict: difference_interval.map(|interval| verdict(measure, interval)),
-                });
+                let (world, variant) = (&plan.worlds[world].name, &variant.name);
+                cells.push(Cell::new(world, variant, measure, &runs, compared));
             }
         }
     }
@@ -170,32 +148,38 @@
     Summary { name: experiment.name.clone(), baseline, planned, played, module_rules_broken, cells }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn an_interval_covers_the_mean_about_as_often_as_it_says() {
-        let mut random = ChaCha8Rng::seed_from_u64(3);
-        let covers = (0..400)
-            .filter(|number| {
-                let figures: Vec<f64> = (0..20).map(|_| random.random::<f64>()).collect();
-                let interval = interval(&figures, &format!("{number}")).expect("enough seeds");
-                (interval.low..=interval.high).contains(&0.5)
-            })
-            .count();
-        // A percentile bootstrap of twenty is a little narrow: 92 to 95 in 100 in the literature.
-        assert!((360..=390).contains(&covers), "{covers} of 400");
+impl Cell {
+    /// The cell of some runs, compared with those of the baseline if it is another variant.
+    fn new(
+        world: &str,
+        variant: &str,
+        measure: Measure,
+        runs: &[SeedReport],
+        baseline: Option<&[SeedReport]>,
+    ) -> Self {
+        let values: Vec<f64> = runs.iter().map(|run| measure.of(run.report)).collect();
+        let purpose = format!("{world} {variant} {}", measure.name());
+        let differences = differences(measure, runs, baseline.unwrap_or_default());
+        let difference_interval = confidence_interval(&differences, &format!("{purpose}, difference"));
+        Self {
+            world: world.to_owned(),
+            variant: variant.to_owned(),
+            measure: measure.name(),
+            seeds: values.len(),
+            mean: mean(&values),
+            interval: confidence_interval(&values, &purpose),
+            difference: (!differences.is_empty()).then(|| mean(&differences)),
+            difference_interval,
+            verdict: difference_interval.map(|interval| Verdict::of(measure, interval)),
+        }
     }
+}
 
-    #[test]
-    fn a_difference_is_seen_only_where_there_is_one() {
-        let figures = |shift: f64| (0..10).map(|n| f64::from(n % 5) - 2.0 + shift).collect::<Vec<_>>();
-        let of = |shift, measure| verdict(measure, interval(&figures(shift), "x").expect("enough"));
-        assert_eq!(of(0.0, Measure::Served), "no difference seen");
-        assert_eq!((of(3.0, Measure::Served), of(3.0, Measure::P99Ms)), ("better", "worse"));
-        assert_eq!((of(-3.0, Measure::Served), of(3.0, Measure::Crossed)), ("worse", "more"));
-        assert_eq!(interval(&[1.0; 4], "x"), None, "too few");
-        assert_eq!(interval(&figures(1.0), "x"), interval(&figures(1.0), "x"), "the same again");
-    }
+/// The differences of a measure to the baseline, for the seeds that both have.
+fn differences(measure: Measure, runs: &[SeedReport], baseline: &[SeedReport]) -> Vec<f64> {
+    let difference = |run: &SeedReport| {
+        let other = baseline.iter().find(|other| other.seed == run.seed)?;
+        Some(measure.of(run.report) - measure.of(other.report))
+    };
+    runs.iter().filter_map(difference).collect()
 }
--- /dev/null
+++ b/experiments/src/summary_tests.rs
@@ -0,0 +1,40 @@
+//! Confidence intervals and verdicts.
+
+use rand::RngExt;
+use rand_chacha::ChaCha8Rng;
+use rand_chacha::rand_core::SeedableRng;
+
+use crate::bootstrap::confidence_interval;
+use crate::measure::Measure;
+use crate::summary::Verdict;
+
+#[test]
+fn interval_covers_the_mean_about_as_often_as_it_says() {
+    let mut random = ChaCha8Rng::seed_from_u64(3);
+    let covers = (0..400)
+        .filter(|number| {
+            let figures: Vec<f64> = (0..20).map(|_| random.random::<f64>()).collect();
+            let interval = confidence_interval(&figures, &format!("{number}")).expect("enough seeds");
+            (interval.low..=interval.high).contains(&0.5)
+        })
+        .count();
+    // A percentile bootstrap of twenty is a little narrow: 92 to 95 in 100 in the literature.
+    assert!((360..=390).contains(&covers), "{covers} of 400");
+}
+
+#[test]
+fn verdict_names_a_difference_only_where_the_interval_excludes_zero() {
+    let figures = |shift: f64| (0..10).map(|n| f64::from(n % 5) - 2.0 + shift).collect::<Vec<_>>();
+    let of = |shift, measure| {
+        Verdict::of(measure, confidence_interval(&figures(shift), "x").expect("enough")).as_str()
+    };
+    assert_eq!(of(0.0, Measure::Served), "no difference seen");
+    assert_eq!((of(3.0, Measure::Served), of(3.0, Measure::P99Ms)), ("better", "worse"));
+    assert_eq!((of(-3.0, Measure::Served), of(3.0, Measure::Crossed)), ("worse", "more"));
+    assert_eq!(confidence_interval(&[1.0; 4], "x"), None, "too few");
+    assert_eq!(
+        confidence_interval(&figures(1.0), "x"),
+        confidence_interval(&figures(1.0), "x"),
+        "the same again"
+    );
+}
--- a/experiments/tests/experiments.rs
+++ b/experiments/tests/experiments.rs
@@ -1,9 +1,10 @@
-//! Whole experiments: resumed after any interruption, the same on any number of threads, and honest about what is missing.
+//! Whole experiments: completed after any interruption, equal on any number of threads, with missing results named.
 
 use std::path::Path;
 
 use ivyhatch_experiments::{
-    BUILT_IN, Experiment, Hunt, Measure, Plan, Results, ResultsError, hunt, page, run, summarise,
+    BUILT_IN, Experiment, HuntConfig, Measure, Plan, Results, ResultsError, hunt, render_report, run_missing,
+    summarise,
 };
 use ivyhatch_lab::{DEFAULT_WORLD, Policy, World};
 
@@ -14,11 +15,11 @@
 
 [[world]]
 name = "calm"
-set = { "seconds" = 2.0, "trouble" = [] }
+set = { "seconds" = 2.0, "trouble" = [] } # wire name
 
 [[world]]
 name = "crowded"
-set = { "seconds" = 2.0, "trouble" = [], "clients.rate" = 400.0, "servers[0].count" = 3 }
+set = { "seconds" = 2.0, "trouble" = [], "clients.rate" = 400.0, "servers[0].count" = 3 } # wire name
 
 [[variant]]
 name = "module"
@@ -35,21 +36,21 @@
 fn played(path: &Path, threads: usize) -> (Results, usize) {
     let mut results = Results::open(path).expect("a file");
     let (plan, mut first) = (plan(), None);
-    let failures = run(&plan, &mut results, threads, &mut |done, _| {
+    let failures = run_missing(&plan, &mut results, threads, &mut |done, _| {
         first.get_or_insert(done);
     })
     .expect("kept");
     assert!(failures.is_empty());
-    (results, first.expect("told how many were there"))
+    (results, first.expect("progress reports the results that were there"))
 }
 
 fn report(results: &Results) -> String {
     let plan = plan();
-    page(&plan, results, &summarise(&plan, results))
+    render_report(&plan, results, &summarise(&plan, results))
 }
 
 #[test]
-fn the_report_is_the_same_on_one_thread_and_on_four() {
+fn report_is_equal_on_one_thread_and_on_four() {
     let folder = tempfile::tempdir().unwrap();
     let one = report(&played(&folder.path().join("one"), 1).0);
     assert_eq!(one, report(&played(&folder.path().join("four"), 4).0));
@@ -61,9 +62,9 @@
     assert_eq!(one.matches("<svg").count(), 4);
 }
 
-/// Whatever an interruption leaves of the file, what was whole is kept, the rest is played, and the report is the same.
+/// Whatever an interruption leaves of the file, complete lines are kept, the rest is run, and the report is equal.
 #[test]
-fn results_cut_at_any_byte_are_resumed() {
+fn results_truncated_at_any_byte_are_completed() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("whole");
     let whole = report(&played(&path, 2).0);
@@ -82,8 +83,12 @@
         std::fs::write(&path, &bytes[..cut]).unwrap();
         let there = bytes[..cut].iter().filter(|byte| **byte == b'\n').count();
         let results = Results::open(&path).expect("a file");
-        assert_eq!(results.unread, 0);
-        assert_eq!(std::fs::metadata(&path).unwrap().len() as usize, cut - results.cut, "cut to whole lines");
+        assert_eq!(results.unreadable_lines, 0);
+        assert_eq!(
+            std::fs::metadata(&path).unwrap().len() as usize,
+            cut - results.truncated_bytes,
+            "cut to whole lines"
+        );
         drop(results);
         if near {
             let (results, first) = played(&path, 4);
@@ -94,12 +99,12 @@
 }
 
 #[test]
-fn lines_that_are_no_result_are_left_alone_and_two_writers_are_kept_apart() {
+fn unreadable_lines_stay_and_a_second_writer_is_rejected() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("results");
     std::fs::write(&path, "{\"run\": 5}\nnot even JSON\n").unwrap();
     let results = Results::open(&path).expect("a file");
-    assert_eq!((results.unread, results.cut), (2, 0));
+    assert_eq!((results.unreadable_lines, results.truncated_bytes), (2, 0));
     assert!(matches!(Results::open(&path), Err(ResultsError::Busy)));
     drop(results);
     assert!(Results::open(&path).is_ok(), "free again");
@@ -107,7 +112,7 @@
 
 /// What changes a result changes its key: the world, the variant, the seed, the build.
 #[test]
-fn results_of_another_build_or_world_are_played_again() {
+fn results_of_another_build_or_world_have_other_keys() {
     let of = |text: &str, build: &str| {
         let plan =
             Experiment::read(text).and_then(|experiment| experiment.plan(Path::new(""), build)).unwrap();
@@ -125,7 +130,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_named_with_what_would_be_right() {
+fn invalid_experiment_is_rejected_with_the_field_and_what_it_should_be() {
     for (from, to, says) in [
         ("seeds = 3", "seeds = 0", "seeds: 0: 1 to 100000"),
         ("\"served\"", "\"severed\"", "unknown variant `severed`"),
@@ -150,23 +155,23 @@
     }
 }
 
-/// Another build that is none, or breaks off, is told of; the others' results stand.
+/// A program that is no build, or fails, is a failure; the other results stay.
 #[test]
-fn a_build_that_gives_no_report_is_told_of() {
+fn program_without_a_report_is_a_failure_and_other_results_stay() {
     let folder = tempfile::tempdir().unwrap();
     let text = TEXT.replace("policy = \"round_robin\"", "program = \"/bin/false\"");
     let plan = Experiment::read(&text).and_then(|experiment| experiment.plan(folder.path(), "test")).unwrap();
     let mut results = Results::open(&folder.path().join("results")).unwrap();
-    let failures = run(&plan, &mut results, 2, &mut |_, _| {}).expect("kept");
+    let failures = run_missing(&plan, &mut results, 2, &mut |_, _| {}).expect("kept");
     assert_eq!(failures.len(), 6);
-    assert!(failures[0].reason.starts_with("/bin/false: exit status: 1"), "{}", failures[0].reason);
+    assert!(failures[0].error.to_string().starts_with("/bin/false: exit status: 1"), "{}", failures[0].error);
     let summary = summarise(&plan, &results);
     assert_eq!((summary.played, summary.planned), (6, 12));
-    assert!(page(&plan, &results, &summary).contains("not played"));
+    assert!(render_report(&plan, &results, &summary).contains("not played"));
 }
 
 #[test]
-fn the_built_in_experiments_are_sound() {
+fn built_in_experiments_are_valid() {
     for (name, text) in BUILT_IN {
         let plan = Experiment::read(text).and_then(|experiment| experiment.plan(Path::new(""), "test"));
         let plan = plan.unwrap_or_else(|error| panic!("{name}: {error}"));
@@ -177,7 +182,7 @@
 /// The paper's finding, on its cluster: delay between workers costs round robin most of its throughput, and the rule
 /// hardly any.
 #[test]
-fn the_papers_order_is_rebuilt() {
+fn delay_costs_round_robin_throughput_and_the_papers_rule_hardly_any() {
     let (_, text) = BUILT_IN.iter().find(|(name, _)| *name == "paper").expect("built in");
     let mut experiment = Experiment::read(text).expect("sound");
     experiment.seeds = 1;
@@ -191,7 +196,7 @@
     let plan = experiment.plan(Path::new(""), "test").expect("sound");
     let folder = tempfile::tempdir().unwrap();
     let mut results = Results::open(&folder.path().join("results")).unwrap();
-    run(&plan, &mut results, 2, &mut |_, _| {}).expect("kept");
+    run_missing(&plan, &mut results, 2, &mut |_, _| {}).expect("kept");
     let summary = summarise(&plan, &results);
     let throughput = |world: &str, variant: &str| {
         let of = |cell: &&ivyhatch_experiments::Cell| {
@@ -208,20 +213,22 @@
     assert!(throughput("delay 3 ", "paper at 0.9") > 1.1 * throughput("delay 3 ", "round robin"));
 }
 
-/// A hunt finds where turns serve less than random choice or the reverse, shrinks it, and does so again the same.
+/// A hunt finds a gap to the reference policies, shrinks its world, and finds the same with another number of threads.
 #[test]
-fn a_hunt_finds_the_same_again_and_shrinks_it() {
-    let mut from = World::read(DEFAULT_WORLD).expect("sound");
-    from.seconds = 4.0;
-    from.faults.clear();
-    let hunted = |threads, least| {
-        let against = vec![Policy::Paper, Policy::LeastRequests];
-        hunt(&Hunt { from: from.clone(), against, rounds: 2, seed: 5, threads, least }, &mut |_, _, _| {})
+fn hunt_is_deterministic_and_shrinks_its_finding() {
+    let mut initial = World::read(DEFAULT_WORLD).expect("sound");
+    initial.seconds = 4.0;
+    initial.faults.clear();
+    let hunted = |threads, min_gap| {
+        let references = vec![Policy::Paper, Policy::LeastRequests];
+        let initial = initial.clone();
+        let config = HuntConfig { initial, references, rounds: 2, seed: 5, threads, min_gap };
+        hunt(&config, &mut |_, _, _| {})
     };
     let found = hunted(1, 0.0).expect("some gap");
     let again = hunted(4, 0.0).expect("the same");
     assert_eq!(found.world.write(), again.world.write());
-    assert!(found.best.1 > found.module && found.rules_broken == 0);
+    assert!(found.best.share > found.balancer_share && found.rules_broken == 0);
     World::read(&found.world.write()).expect("a world that can be kept");
     assert!(hunted(4, 1.0).is_none(), "no gap is that large");
 }
