--- a/cli/src/hunt.rs
+++ b/cli/src/hunt.rs
@@ -62,7 +62,7 @@
     };
     let ReferenceShare { policy, share: best } = found.best;
     let story = format!(
-        "the module serves {:.3}, {policy:?} {best:.3}; {} rules broken; {} worlds played",
+        "the module serves {:.3}, {policy} {best:.3}; {} rules broken; {} worlds played",
         found.balancer_share, found.rules_broken, found.worlds_run
     );
     let text = format!("# {story}\n{}", found.world.write());
