--- a/cli/src/experiment.rs
+++ b/cli/src/experiment.rs
@@ -6,7 +6,8 @@
 
 use clap::Args;
 use ivyhatch_experiments::{
-    BUILT_IN, Experiment, Failure, Plan, Results, ResultsError, Summary, page, run as play_missing, summarise,
+    BUILT_IN, Experiment, Failure, Plan, Results, ResultsError, Summary, render_report, run_missing,
+    summarise,
 };
 
 use crate::error::CommandError;
@@ -56,7 +57,7 @@
 /// Identifies this build: results of another build are not reused, as the same world may end differently there.
 fn build_fingerprint() -> String {
     let bytes = std::env::current_exe().and_then(std::fs::read);
-    bytes.map_or_else(|_| "unknown build".to_owned(), |bytes| ivyhatch_experiments::mark(&bytes))
+    bytes.map_or_else(|_| "unknown build".to_owned(), |bytes| ivyhatch_experiments::fingerprint(&bytes))
 }
 
 /// Runs `ivyhatch lab experiment`.
@@ -89,7 +90,7 @@
     let failures = play_with_progress(arguments, plan, &mut results).map_err(results_error)?;
     let summary = summarise(plan, &results);
     let report = out.join("report.html");
-    write(&report, page(plan, &results, &summary))
+    write(&report, render_report(plan, &results, &summary))
         .map_err(|source| CommandError::File { path: report.clone(), source })?;
     if arguments.json {
         println!("{}", serde_json::to_string(&summary).expect("a summary is plain data"));
@@ -102,12 +103,12 @@
 }
 
 fn warn_of_damage(path: &Path, results: &Results) {
-    if results.cut > 0 || results.unread > 0 {
+    if results.truncated_bytes > 0 || results.unreadable_lines > 0 {
         eprintln!(
             "{}: cut {} bytes of an unfinished line off, and left {} lines alone that are no result",
             path.display(),
-            results.cut,
-            results.unread
+            results.truncated_bytes,
+            results.unreadable_lines
         );
     }
 }
@@ -120,7 +121,7 @@
     let template = "{pos}/{len} plays [{bar:40}] {elapsed} gone, {eta} to go";
     let bar = progress_bar(0, arguments.json, template);
     let threads = arguments.threads.map_or_else(default_threads, |threads| threads as usize);
-    let failures = play_missing(plan, results, threads, &mut |done, all| {
+    let failures = run_missing(plan, results, threads, &mut |done, all| {
         bar.set_length(all as u64);
         bar.set_position(done as u64);
     });
@@ -132,7 +133,7 @@
     for failure in failures {
         let (world, variant) =
             (&plan.worlds[failure.run.world].name, &plan.experiment.variants[failure.run.variant].name);
-        eprintln!("ivyhatch: {world}, {variant}, seed {}: {}", failure.run.seed, failure.reason);
+        eprintln!("ivyhatch: {world}, {variant}, seed {}: {}", failure.run.seed, failure.error);
     }
 }
 fn print_summary(summary: &Summary) {
--- a/cli/src/hunt.rs
+++ b/cli/src/hunt.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use clap::Args;
-use ivyhatch_experiments::{Found, Hunt, hunt};
+use ivyhatch_experiments::{Finding, HuntConfig, ReferenceShare, hunt};
 use ivyhatch_lab::{Policy, World};
 use serde_json::json;
 
@@ -59,16 +59,17 @@
     }
 }
 
-fn search(arguments: &HuntArguments, start: World) -> Option<Found> {
+fn search(arguments: &HuntArguments, start: World) -> Option<Finding> {
     let references = Policy::REFERENCES
         .into_iter()
         .filter(|policy| arguments.truth || *policy != Policy::Omniscient)
         .collect();
     let &HuntArguments { rounds, seed, least, .. } = arguments;
-    let plan = Hunt { from: start, against: references, rounds, seed, threads: default_threads(), least };
+    let config =
+        HuntConfig { initial: start, references, rounds, seed, threads: default_threads(), min_gap: least };
     let template = "{pos}/{len} rounds [{bar:40}] {eta} to go; largest gap {msg}";
     let bar = progress_bar(rounds.into(), arguments.json, template);
-    let found = hunt(&plan, &mut |round, _, gap| {
+    let found = hunt(&config, &mut |round, _, gap| {
         bar.set_position(round.into());
         bar.set_message(format!("{gap:.3}"));
     });
@@ -76,19 +77,19 @@
     found
 }
 
-fn write_and_print(arguments: &HuntArguments, found: &Found) -> Result<(), CommandError> {
-    let (policy, best) = found.best;
+fn write_and_print(arguments: &HuntArguments, found: &Finding) -> Result<(), CommandError> {
+    let ReferenceShare { policy, share: best } = found.best;
     let summary = format!(
-        "the module serves {:.3}, {policy:?} {best:.3}; {} rules broken; {} worlds played",
-        found.module, found.rules_broken, found.played
+        "the module serves {:.3}, {policy} {best:.3}; {} rules broken; {} worlds played",
+        found.balancer_share, found.rules_broken, found.worlds_run
     );
     let path = &arguments.out;
     std::fs::write(path, format!("# {summary}\n{}", found.world.write()))
         .map_err(|source| CommandError::File { path: path.clone(), source })?;
     if arguments.json {
-        let (module, out) = (found.module, path.display().to_string());
+        let (module, out) = (found.balancer_share, path.display().to_string());
         let line = json!({ "found": out, "module": module, "best": best, "policy": policy,
-            "rules_broken": found.rules_broken, "played": found.played });
+            "rules_broken": found.rules_broken, "played": found.worlds_run });
         println!("{line}");
     } else {
         println!("{}: {summary}", path.display());
