--- a/balancer/src/api/attempt.rs
+++ b/balancer/src/api/attempt.rs
@@ -29,6 +29,8 @@
     TimedOut,
     /// No connection was established.
     ConnectFailed,
+    /// Another instance has the backend's address, and did not process the request.
+    Misdirected,
     /// The connection was reset while the attempt was in flight.
     Reset,
     /// Cancelled by this node.
@@ -40,11 +42,16 @@
 impl Outcome {
     /// Whether the attempt may have taken effect at the backend.
     pub fn may_have_run(self) -> bool {
-        !matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotSent)
+        !matches!(self, Self::Rejected | Self::ConnectFailed | Self::Misdirected | Self::NotSent)
     }
 
     /// Whether nothing of the attempt reached the backend.
     pub(crate) fn never_reached_backend(self) -> bool {
+        matches!(self, Self::ConnectFailed | Self::Misdirected | Self::NotSent)
+    }
+
+    /// Whether nothing of the attempt reached any server, so that one more attempt adds no arrival.
+    pub(crate) fn never_reached_server(self) -> bool {
         matches!(self, Self::ConnectFailed | Self::NotSent)
     }
 }
--- a/balancer/src/policy/load_probes.rs
+++ b/balancer/src/policy/load_probes.rs
@@ -111,7 +111,9 @@
     ) {
         let end = match outcome {
             Outcome::Cancelled | Outcome::NotSent => ProbeOutcome::Cancelled,
-            Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => ProbeOutcome::Unreachable,
+            Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Misdirected | Outcome::Reset => {
+                ProbeOutcome::Unreachable
+            }
             Outcome::Served if report.valid_utilisation().is_some() => ProbeOutcome::Report,
             _ => ProbeOutcome::NoReport,
         };
--- a/balancer/src/policy/outlier_ejection.rs
+++ b/balancer/src/policy/outlier_ejection.rs
@@ -29,7 +29,7 @@
             Outcome::Error | Outcome::TimedOut | Outcome::Rejected | Outcome::Reset => {
                 Self::Failure { consecutive: 1, rate: 1.0 }
             }
-            Outcome::ConnectFailed => Self::Failure { consecutive: 2, rate: 1.0 },
+            Outcome::ConnectFailed | Outcome::Misdirected => Self::Failure { consecutive: 2, rate: 1.0 },
             Outcome::Cancelled | Outcome::NotSent => Self::None,
         }
     }
--- a/balancer/src/policy/retry_budget.rs
+++ b/balancer/src/policy/retry_budget.rs
@@ -1,7 +1,7 @@
 //! Retries, within their budget.
 
 use super::tuning::MAX_RETRY_TOKENS;
-use crate::api::{Action, RequestId};
+use crate::api::{Action, Outcome, RequestId};
 use crate::counters::RejectReason;
 use crate::state::{Balancer, Request};
 
@@ -41,10 +41,12 @@
             && self.backends.values().any(|backend| self.permits_send(request, backend))
     }
 
-    /// Retry tokens that one more attempt costs: none where the last one did not reach its backend.
+    /// Retry tokens that one more attempt costs: none where the last one did not reach any server. One that another instance
+    /// answered has arrived there, and the next one is a repeat.
     fn retry_token_cost(&self, request: &Request) -> f64 {
         let has_own_bound = self.settings.classes[request.class].max_attempts.is_some();
-        let last_unreached = request.attempts.last().is_some_and(|attempt| attempt.never_reached_backend());
+        let last_outcome = request.attempts.last().and_then(|attempt| attempt.outcome);
+        let last_unreached = last_outcome.is_some_and(Outcome::never_reached_server);
         if has_own_bound && last_unreached { 0.0 } else { 1.0 }
     }
 
--- a/balancer/tests/send_rules.rs
+++ b/balancer/tests/send_rules.rs
@@ -9,7 +9,8 @@
 
 const RAN: [Outcome; 5] =
     [Outcome::Error, Outcome::InvalidResponse, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled];
-const NOT_RAN: [Outcome; 3] = [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent];
+const NOT_RAN: [Outcome; 4] =
+    [Outcome::Rejected, Outcome::ConnectFailed, Outcome::Misdirected, Outcome::NotSent];
 
 fn keyed(group: IdempotencyScope) -> Idempotency {
     Idempotency::Keyed { scope: group, window: 200 * MS }
--- a/routing/src/placement/backoff.rs
+++ b/routing/src/placement/backoff.rs
@@ -29,6 +29,12 @@
         self.consecutive_failures += 1;
     }
 
+    /// Notes that the server is gone for good.
+    pub(super) fn record_replaced(&mut self) {
+        self.until = Nanos::MAX;
+        self.consecutive_failures += 1;
+    }
+
     pub(super) fn record_success(&mut self) {
         *self = Self::default();
     }
--- a/routing/src/placement/service_placement.rs
+++ b/routing/src/placement/service_placement.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use ivyhatch_balancer::{BackendId, RequestId};
-use ivyhatch_protocol::Nanos;
+use ivyhatch_protocol::{MILLISECOND, Nanos};
 
 use crate::load_report::LoadReport;
 use crate::prompt::Prompt;
@@ -21,6 +21,10 @@
 /// Weight of the time in which shared segments would be prefilled again, against time in a queue: it delays others as well.
 const REPEATED_PREFILL_WEIGHT: f64 = 4.0;
 
+/// What is added to the expected latency of a server that could not be connected to and has not answered since, in nanoseconds: the
+/// request would probably have to be sent to another one after all.
+const FAILED_SERVER_PENALTY_NS: f64 = 250.0 * MILLISECOND as f64;
+
 /// The settings of a service, from the configuration.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceSettings {
@@ -137,6 +141,13 @@
         }
     }
 
+    /// Notes that another instance has a server's address: the server is gone, though the list may have it for some time.
+    pub fn record_replaced(&mut self, id: BackendId) {
+        if let Some(server) = self.servers.get_mut(&id) {
+            server.backoff.record_replaced();
+        }
+    }
+
     /// Notes that a server has answered.
     pub fn record_response(&mut self, id: BackendId) {
         if let Some(server) = self.servers.get_mut(&id) {
@@ -211,7 +222,8 @@
         let repeated_tokens = uncached_tokens.saturating_sub(unshared_tokens);
         let repeated_cost = REPEATED_PREFILL_WEIGHT * self.model.prefill_time(repeated_tokens);
         let latency = server.queue.time_to_first_token(now, &self.model, server.region, uncached_tokens);
-        Some(latency + repeated_cost)
+        let retry_cost = if server.backoff.has_failed() { FAILED_SERVER_PENALTY_NS } else { 0.0 };
+        Some(latency + repeated_cost + retry_cost)
     }
 
     /// Whether a request may be served in the router's own region.
--- a/routing/tests/placement.rs
+++ b/routing/tests/placement.rs
@@ -263,6 +263,28 @@
     );
 }
 
+#[gtest]
+fn replaced_server_is_not_tried_again() {
+    let mut router = Router::with_servers(false, SlowStartLimit::default(), 2);
+    router.update(|placement| placement.record_replaced(SERVER));
+    let request = router.add_request();
+    expect_that!(router.allows(NOW + 1000 * SECOND, request, SERVER), eq(false));
+    expect_that!(router.allows(NOW, request, BackendId(2)), eq(true), "the other server is not affected");
+}
+
+#[gtest]
+fn server_that_failed_a_connect_is_used_after_those_that_did_not() {
+    let mut router = Router::with_servers(true, SlowStartLimit::default(), 2);
+    let request = router.add_request();
+    let delay =
+        |router: &Router| router.shared.expected_delay(NOW, request, SERVER).expect("it is a model server");
+    let before = delay(&router);
+    router.update(|placement| placement.record_connect_failure(NOW, SERVER));
+    expect_that!(delay(&router), gt(before + 100.0 * MILLISECOND as f64));
+    router.update(|placement| placement.record_response(SERVER));
+    expect_that!(delay(&router), eq(before));
+}
+
 #[gtest]
 fn plain_service_is_placed_without_regard_to_prompts() {
     let mut router = Router::with_servers(false, SlowStartLimit::default(), 1);
--- a/system/src/router/dispatch/responses.rs
+++ b/system/src/router/dispatch/responses.rs
@@ -133,6 +133,7 @@
         }
         match effect.outcome {
             Outcome::ConnectFailed => placement.record_connect_failure(now, attempt.server.backend),
+            Outcome::Misdirected => placement.record_replaced(attempt.server.backend),
             Outcome::Served | Outcome::Rejected | Outcome::Error => {
                 placement.record_response(attempt.server.backend);
             }
--- a/system/src/router/upstream/mod.rs
+++ b/system/src/router/upstream/mod.rs
@@ -226,7 +226,7 @@
             ResponseKind::UnprovenRejection => Exchange::failed(Outcome::Error),
             // The instance that was meant is gone.
             ResponseKind::Misdirected => {
-                let outcome = AttemptOutcome::with_load(Outcome::ConnectFailed, load);
+                let outcome = AttemptOutcome::with_load(Outcome::Misdirected, load);
                 Exchange { outcome, keep_alive: None }
             }
             ResponseKind::NotExecuted => {
