--- a/balancer/src/api/attempt.rs
+++ b/balancer/src/api/attempt.rs
@@ -40,6 +40,9 @@
 }
 
 impl Outcome {
+    /// The number of outcomes.
+    pub(crate) const COUNT: usize = Self::NotSent as usize + 1;
+
     /// Whether the attempt may have taken effect at the backend.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Self::Rejected | Self::ConnectFailed | Self::Misdirected | Self::NotSent)
--- a/balancer/src/counters.rs
+++ b/balancer/src/counters.rs
@@ -22,7 +22,7 @@
     /// By [`RejectReason`].
     pub(crate) unserved: [u32; 3],
     /// By [`Outcome`].
-    pub(crate) outcomes: [u32; 9],
+    pub(crate) outcomes: [u32; Outcome::COUNT],
     pub(crate) sent: u32,
     pub(crate) sent_outside_subset: u32,
 }
--- a/balancer/src/policy/retry_budget.rs
+++ b/balancer/src/policy/retry_budget.rs
@@ -41,8 +41,8 @@
             && self.backends.values().any(|backend| self.permits_send(request, backend))
     }
 
-    /// Retry tokens that one more attempt costs: none where the last one did not reach any server. One that another instance
-    /// answered has arrived there, and the next one is a repeat.
+    /// Retry tokens that one more attempt costs: none where the last one did not reach any server. One that
+    /// another instance answered has arrived there, and the next one is a repeat.
     fn retry_token_cost(&self, request: &Request) -> f64 {
         let has_own_bound = self.settings.classes[request.class].max_attempts.is_some();
         let last_outcome = request.attempts.last().and_then(|attempt| attempt.outcome);
--- a/balancer/src/reporting.rs
+++ b/balancer/src/reporting.rs
@@ -33,7 +33,8 @@
 
     fn counters_line(&self, counters: &Counters) -> String {
         let [past_target, queue_timeout, attempts_failed] = counters.unserved;
-        let [served, error, invalid, rejected, timed_out, connect_failed, reset, _, _] = counters.outcomes;
+        let [served, error, invalid, rejected, timed_out, connect_failed, misdirected, reset, _, _] =
+            counters.outcomes;
         let utilisation = |zone| match self.utilisation(ZoneId(zone)) {
             Some(utilisation) => format!("{utilisation:.2}"),
             None => "?".to_owned(),
@@ -45,7 +46,7 @@
             "in {} s: {} arrivals; unserved {past_target} past_target, {queue_timeout} queue_timeout, \
              {attempts_failed} attempts_failed; {} sent, {} outside_subset: {served} served, {error} error, \
              {invalid} invalid_response, {rejected} rejected, {timed_out} timed_out, \
-             {connect_failed} connect_failed, {reset} reset; {} of {} ejected; zone utilisation {}; \
+             {connect_failed} connect_failed, {misdirected} misdirected, {reset} reset; {} of {} ejected; zone utilisation {}; \
              overflow share {:.2}; windows {}",
             COUNTERS_LOG_INTERVAL / SECOND,
             counters.arrivals,
--- a/balancer/tests/event_sequences.rs
+++ b/balancer/tests/event_sequences.rs
@@ -18,13 +18,14 @@
     }
 }
 
-const OUTCOMES: [Outcome; 9] = [
+const OUTCOMES: [Outcome; 10] = [
     Outcome::Served,
     Outcome::Error,
     Outcome::InvalidResponse,
     Outcome::Rejected,
     Outcome::TimedOut,
     Outcome::ConnectFailed,
+    Outcome::Misdirected,
     Outcome::Reset,
     Outcome::Cancelled,
     Outcome::NotSent,
@@ -189,7 +190,7 @@
             return None;
         }
         let (request, number) = in_flight[self.draw.below(in_flight.len() as u64) as usize];
-        let outcome = OUTCOMES[self.draw.below(9) as usize];
+        let outcome = OUTCOMES[self.draw.below(OUTCOMES.len() as u64) as usize];
         let reported = [0.1, 0.7, 0.99, f64::NAN, -2.0, 1e300][self.draw.below(6) as usize];
         Some(self.checker.end_attempt(request, number, outcome, utilisation(reported)))
     }
