--- a/control/src/control_plane/mod.rs
+++ b/control/src/control_plane/mod.rs
@@ -244,6 +244,11 @@
         self.routers.addresses_for_region(region)
     }
 
+    /// The other control nodes that can be reached now.
+    pub fn reachable_peers(&self) -> Vec<NodeId> {
+        self.peers.reachable_nodes(self.now)
+    }
+
     /// Whether a zone is one of the deployment's.
     pub fn has_zone(&self, zone: &str) -> bool {
         self.config.zones.contains(zone)
--- /dev/null
+++ b/control/src/load_aggregator.rs
@@ -0,0 +1,128 @@
+//! Sums up the load that routers have put on model servers, for each of them without its own part.
+//!
+//! Routers report to one control node each; control nodes tell each other the sums over their own routers. Nothing here is agreed on
+//! or stored: what is lost is replaced within a tenth of a second.
+
+use std::collections::{BTreeMap, HashMap};
+
+use ivyhatch_protocol::ids::NodeId;
+use ivyhatch_protocol::load_exchange::ServerLoad;
+use ivyhatch_protocol::{MILLISECOND, Nanos};
+
+/// A report counts for this long: four intervals of a router.
+const REPORT_LIFETIME: Nanos = 400 * MILLISECOND;
+
+/// The load at one server, over several senders.
+#[derive(Clone, Copy, Debug, Default)]
+struct Total {
+    queued_tokens: u64,
+    in_flight: u32,
+}
+
+impl Total {
+    fn add(&mut self, load: &ServerLoad) {
+        self.queued_tokens += load.queued_tokens();
+        self.in_flight += u32::from(load.in_flight);
+    }
+
+    fn subtract(&mut self, load: &ServerLoad) {
+        self.queued_tokens = self.queued_tokens.saturating_sub(load.queued_tokens());
+        self.in_flight = self.in_flight.saturating_sub(u32::from(load.in_flight));
+    }
+
+    fn is_zero(&self) -> bool {
+        self.queued_tokens == 0 && self.in_flight == 0
+    }
+}
+
+/// What a sender has reported last.
+#[derive(Debug)]
+struct Report {
+    loads: Vec<ServerLoad>,
+    received_at: Nanos,
+}
+
+/// The reports of some senders, and their sum.
+#[derive(Debug, Default)]
+struct Reports {
+    by_sender: BTreeMap<NodeId, Report>,
+    totals: HashMap<u32, Total>,
+}
+
+impl Reports {
+    fn replace(&mut self, now: Nanos, sender: NodeId, loads: Vec<ServerLoad>) {
+        self.remove(sender);
+        for load in &loads {
+            self.totals.entry(load.server).or_default().add(load);
+        }
+        self.by_sender.insert(sender, Report { loads, received_at: now });
+    }
+
+    fn remove(&mut self, sender: NodeId) {
+        let Some(report) = self.by_sender.remove(&sender) else { return };
+        for load in &report.loads {
+            let Some(total) = self.totals.get_mut(&load.server) else { continue };
+            total.subtract(load);
+            if total.is_zero() {
+                self.totals.remove(&load.server);
+            }
+        }
+    }
+
+    fn expire(&mut self, now: Nanos) {
+        let is_expired = |report: &Report| now >= report.received_at + REPORT_LIFETIME;
+        let expired: Vec<NodeId> =
+            self.by_sender.iter().filter(|(_, report)| is_expired(report)).map(|(node, _)| *node).collect();
+        for sender in expired {
+            self.remove(sender);
+        }
+    }
+}
+
+/// The loads that are known at one control node.
+#[derive(Debug, Default)]
+pub struct LoadAggregator {
+    routers: Reports,
+    control_nodes: Reports,
+}
+
+impl LoadAggregator {
+    /// Takes a router's report, and returns what all other routers have at the servers.
+    pub fn record_report(&mut self, now: Nanos, router: NodeId, loads: Vec<ServerLoad>) -> Vec<ServerLoad> {
+        self.expire(now);
+        let mut others = self.routers.totals.clone();
+        if let Some(previous) = self.routers.by_sender.get(&router) {
+            for load in &previous.loads {
+                others.entry(load.server).or_default().subtract(load);
+            }
+        }
+        self.routers.replace(now, router, loads);
+        for (server, total) in &self.control_nodes.totals {
+            let sum = others.entry(*server).or_default();
+            sum.queued_tokens += total.queued_tokens;
+            sum.in_flight += total.in_flight;
+        }
+        server_loads(&others)
+    }
+
+    /// Takes the sum over another control node's routers.
+    pub fn record_exchange(&mut self, now: Nanos, control_node: NodeId, loads: Vec<ServerLoad>) {
+        self.control_nodes.replace(now, control_node, loads);
+    }
+
+    /// The sum over the routers that report to this node, for the other control nodes.
+    pub fn local_sum(&mut self, now: Nanos) -> Vec<ServerLoad> {
+        self.expire(now);
+        server_loads(&self.routers.totals)
+    }
+
+    fn expire(&mut self, now: Nanos) {
+        self.routers.expire(now);
+        self.control_nodes.expire(now);
+    }
+}
+
+fn server_loads(totals: &HashMap<u32, Total>) -> Vec<ServerLoad> {
+    let loaded = totals.iter().filter(|(_, total)| !total.is_zero());
+    loaded.map(|(server, total)| ServerLoad::new(*server, total.queued_tokens, total.in_flight)).collect()
+}
--- a/protocol/src/lib.rs
+++ b/protocol/src/lib.rs
@@ -5,6 +5,7 @@
 //! - [`peer`]: messages between control nodes
 //! - [`watch`]: messages between control nodes and routers
 //! - [`server_list`]: the versioned list of servers, and its updates
+//! - [`load_exchange`]: datagrams by which routers share the load that they have put on servers
 //! - [`configuration`]: the operator's configuration: parsing, validation, changes
 //! - [`settings`]: the settings file of a process
 //! - [`frame`]: messages in a stream of bytes
@@ -20,6 +21,7 @@
 pub mod frame;
 pub mod hash;
 pub mod ids;
+pub mod load_exchange;
 pub mod peer;
 pub mod server_list;
 pub mod settings;
--- a/routing/src/placement/server.rs
+++ b/routing/src/placement/server.rs
@@ -45,6 +45,11 @@
         self.slow_start.extend_until(listed.slow_start_until);
     }
 
+    /// The server in datagrams between routers; see [`ivyhatch_protocol::load_exchange::server_key`].
+    pub(super) fn load_key(&self) -> u32 {
+        (self.name_hash >> u32::BITS) as u32
+    }
+
     pub(super) fn candidate(&self, id: BackendId) -> Candidate {
         Candidate { id, region: self.region, name_hash: self.name_hash }
     }
--- a/routing/src/placement/service_placement.rs
+++ b/routing/src/placement/service_placement.rs
@@ -3,6 +3,7 @@
 use std::collections::HashMap;
 
 use ivyhatch_balancer::{BackendId, RequestId};
+use ivyhatch_protocol::load_exchange::ServerLoad;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
 use crate::load_report::LoadReport;
@@ -121,6 +122,22 @@
         }
     }
 
+    /// What this router has at the servers, for the other routers.
+    pub fn local_loads(&self) -> impl Iterator<Item = ServerLoad> {
+        let loaded = self.servers.values().filter(|server| server.queue.in_flight() > 0);
+        loaded.map(|server| {
+            ServerLoad::new(server.load_key(), server.queue.queued_tokens(), server.queue.in_flight())
+        })
+    }
+
+    /// Takes what all other routers have at the servers, by [`ServerLoad::server`].
+    pub fn record_others_loads(&mut self, now: Nanos, loads: &HashMap<u32, ServerLoad>) {
+        for server in self.servers.values_mut() {
+            let load = loads.get(&server.load_key()).copied().unwrap_or_default();
+            server.queue.record_others(now, load.queued_tokens(), u32::from(load.in_flight));
+        }
+    }
+
     /// Notes that a request's response has begun, `elapsed` after it was sent. Only the first time counts for each attempt.
     pub fn record_first_token(&mut self, now: Nanos, id: RequestId, elapsed: Nanos) {
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -248,13 +265,13 @@
         server.slow_start.recent_sends(now) < limit.for_router(self.router_share, server.name_hash)
     }
 
-    /// Whether a model server can be expected to answer in time. One without requests of this router is always tried, as nothing
-    /// else would show that it can.
+    /// Whether a model server can be expected to answer in time. One without requests is always tried, as nothing else would show
+    /// that it can.
     fn is_within_latency_target(&self, now: Nanos, id: RequestId, backend: BackendId) -> bool {
         let (Some(server), Some(request)) = (self.servers.get(&backend), self.requests.get(&id)) else {
             return true;
         };
-        if !self.settings.is_model || server.queue.in_flight() == 0 {
+        if !self.settings.is_model || server.queue.is_idle(now) {
             return true;
         }
         let uncached_tokens = self.uncached_tokens(now, id, backend);
--- a/routing/src/time_to_first_token.rs
+++ b/routing/src/time_to_first_token.rs
@@ -33,6 +33,8 @@
 const MEAN_WEIGHT: f64 = 0.1;
 /// A load report counts in full when it comes, less and less after that, and not at all after this time.
 const LOAD_REPORT_LIFETIME: Nanos = 600 * MILLISECOND;
+/// What other routers have at a server counts for so long after they told.
+const OTHERS_LOAD_LIFETIME: Nanos = 500 * MILLISECOND;
 /// Upper bound of the utilisation that a load report can show.
 const MAX_REPORTED_UTILISATION: f64 = 1.2;
 
@@ -102,6 +104,30 @@
     mean_wait_ns: f64,
     load: LoadReport,
     load_reported_at: Option<Nanos>,
+    others: OthersLoad,
+}
+
+/// What other routers have at a server, as they told some time ago.
+#[derive(Clone, Copy, Debug, Default)]
+struct OthersLoad {
+    queued_tokens: f64,
+    in_flight: u32,
+    reported_at: Nanos,
+}
+
+impl OthersLoad {
+    fn is_fresh(&self, now: Nanos) -> bool {
+        now.saturating_sub(self.reported_at) < OTHERS_LOAD_LIFETIME
+    }
+
+    /// The tokens that are still queued: the engine has prefilled meanwhile.
+    fn queued_tokens_at(&self, now: Nanos, model: &PrefillModel) -> f64 {
+        if !self.is_fresh(now) {
+            return 0.0;
+        }
+        let age = now.saturating_sub(self.reported_at);
+        (self.queued_tokens - age as f64 * model.tokens_per_ns).max(0.0)
+    }
 }
 
 impl ServerQueue {
@@ -114,8 +140,9 @@
         uncached_tokens: u32,
     ) -> f64 {
         let reported_tokens = self.load.waiting * model.mean_tokens * self.load_report_freshness(now);
-        // This router's requests are among those that the server reports: the greater figure counts, not the sum.
-        let queued_tokens = self.queued_tokens.max(reported_tokens);
+        let routers_tokens = self.queued_tokens + self.others.queued_tokens_at(now, model);
+        // The routers' requests are among those that the server reports: the greater figure counts, not the sum.
+        let queued_tokens = routers_tokens.max(reported_tokens);
         model.base_latency(region) + (queued_tokens + f64::from(uncached_tokens)) / model.tokens_per_ns
     }
 
@@ -124,6 +151,11 @@
         self.in_flight
     }
 
+    /// Whether no router is known to have a request there.
+    pub fn is_idle(&self, now: Nanos) -> bool {
+        self.in_flight == 0 && (self.others.in_flight == 0 || !self.others.is_fresh(now))
+    }
+
     /// Notes that a request is sent there.
     pub fn record_send(&mut self, uncached_tokens: u32) {
         self.queued_tokens += f64::from(uncached_tokens);
@@ -143,6 +175,16 @@
         }
     }
 
+    /// Takes what other routers have there.
+    pub fn record_others(&mut self, now: Nanos, queued_tokens: u64, in_flight: u32) {
+        self.others = OthersLoad { queued_tokens: queued_tokens as f64, in_flight, reported_at: now };
+    }
+
+    /// Prompt tokens of this router's requests there that have no response yet.
+    pub fn queued_tokens(&self) -> u64 {
+        self.queued_tokens as u64
+    }
+
     /// Takes the server's report of its load.
     pub fn record_load_report(&mut self, now: Nanos, load: LoadReport) {
         (self.load, self.load_reported_at) = (load, Some(now));
--- a/routing/src/watch_client/mod.rs
+++ b/routing/src/watch_client/mod.rs
@@ -133,6 +133,12 @@
         self.contact.current() == QuorumContact::Established
     }
 
+    /// The control node that is connected to with the shortest round trip.
+    pub fn nearest_control_node(&self) -> Option<NodeId> {
+        let open = self.connections.open();
+        open.min_by_key(|(node, connection)| (connection.round_trip, *node)).map(|(node, _)| node)
+    }
+
     /// The sequence number of the configuration's last change; 0 while there is no configuration.
     pub fn sequence(&self) -> u64 {
         self.state.sequence()
--- a/system/src/control/mod.rs
+++ b/system/src/control/mod.rs
@@ -17,7 +17,7 @@
 
 use ivyhatch_control::server_list::reader::ReadId;
 use ivyhatch_control::storage::durable_state::DurableState;
-use ivyhatch_control::{Input, WriteToken};
+use ivyhatch_control::{ControlPlane, Input, WriteToken};
 use ivyhatch_protocol::settings::Settings;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
@@ -27,6 +27,7 @@
 use crate::RoleError;
 use crate::clock::Clock;
 use crate::disk::{Disk, OpenedDisk};
+use crate::load_exchange::{self, LoadSocket};
 use crate::settings_reload::reload_seeds;
 use crate::transport::socket;
 use crate::{http_server, ticker};
@@ -64,6 +65,7 @@
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
     let listeners = Listeners::bind(&settings)?;
+    let load_socket = LoadSocket::bind_control(&settings).await?;
     let opened = settings.data_dir.as_deref().map(Disk::start).transpose()?;
     let (list_reads, requested_list_reads) = unbounded_channel();
     let (host, durable_tokens) = start_host(settings, clock, opened, list_reads);
@@ -72,6 +74,10 @@
     }
     spawn_local(instance_list_reader::run_reads(host.clone(), requested_list_reads));
     spawn_servers(&host, listeners);
+    let sharing = host.clone();
+    spawn_local(load_exchange::run_control(load_socket, clock, move || {
+        sharing.query(ControlPlane::reachable_peers)
+    }));
     let ticking = host.clone();
     spawn_local(ticker::run_ticks(move || {
         ticking.handle_input(Input::Tick);
--- a/system/src/lib.rs
+++ b/system/src/lib.rs
@@ -7,6 +7,7 @@
 //! - `control`: the control role: the replicated configuration, the server list, and the directory
 //! - `router`: the router role: clients' requests
 //! - `outgoing`, [`transport`]: connections between the processes
+//! - `load_exchange`: datagrams by which routers share the load that they have put on servers
 //! - `disk`: the control role's write-ahead log
 //! - [`instance_list`]: the client of the platform's API
 //! - `http_server`: the server of the roles' own HTTP interfaces
@@ -16,6 +17,7 @@
 mod disk;
 mod http_server;
 pub mod instance_list;
+mod load_exchange;
 mod logging;
 mod outgoing;
 mod router;
--- /dev/null
+++ b/system/src/load_exchange.rs
@@ -0,0 +1,128 @@
+//! The sockets by which routers share the load that they have put on model servers; see [`ivyhatch_protocol::load_exchange`].
+//!
+//! A router reports ten times a second to the nearest control node that it has a session with, and is answered at once. Each node reads
+//! datagrams only from its own port, and ignores those that it can't read.
+
+use std::cell::RefCell;
+use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
+use std::rc::Rc;
+
+use ivyhatch_control::load_aggregator::LoadAggregator;
+use ivyhatch_protocol::ids::NodeId;
+use ivyhatch_protocol::load_exchange::{LoadDatagram, ServerLoad};
+use ivyhatch_protocol::settings::Settings;
+use tokio::net::UdpSocket;
+
+use crate::RoleError;
+use crate::clock::Clock;
+use crate::ticker;
+
+/// Ports of the two roles, behind the first of the ports between nodes.
+const CONTROL_PORT_OFFSET: u16 = 2;
+const ROUTER_PORT_OFFSET: u16 = 3;
+/// The longest datagram that is read.
+const MAX_DATAGRAM_BYTES: usize = 2048;
+
+/// A bound socket, and the port at which control nodes have theirs.
+pub struct LoadSocket {
+    socket: UdpSocket,
+    control_port: u16,
+}
+
+impl LoadSocket {
+    /// The socket of a control node.
+    ///
+    /// # Errors
+    /// Where the address can't be bound.
+    pub async fn bind_control(settings: &Settings) -> Result<Self, RoleError> {
+        Self::bind(settings, CONTROL_PORT_OFFSET).await
+    }
+
+    /// The socket of a router.
+    ///
+    /// # Errors
+    /// Where the address can't be bound.
+    pub async fn bind_router(settings: &Settings) -> Result<Self, RoleError> {
+        Self::bind(settings, ROUTER_PORT_OFFSET).await
+    }
+
+    async fn bind(settings: &Settings, port_offset: u16) -> Result<Self, RoleError> {
+        let address = SocketAddrV4::new(settings.ip, settings.peer_ports.0 + port_offset);
+        let socket =
+            UdpSocket::bind(address).await.map_err(|source| RoleError::Listen { address, source })?;
+        Ok(Self { socket, control_port: settings.peer_ports.0 + CONTROL_PORT_OFFSET })
+    }
+
+    /// Sends a datagram if that is possible at once: the next one replaces it.
+    fn send(&self, datagram: LoadDatagram, to: SocketAddr) {
+        let _ = self.socket.try_send_to(&datagram.encode(), to);
+    }
+
+    fn control_address(&self, node: NodeId) -> SocketAddr {
+        SocketAddrV4::new(node.ip(), self.control_port).into()
+    }
+
+    /// The next datagram that can be read, with its sender.
+    async fn receive(&self) -> (LoadDatagram, SocketAddr, Ipv4Addr) {
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
+        loop {
+            // An error reports that an earlier datagram was not delivered.
+            let Ok((length, from)) = self.socket.recv_from(&mut buffer).await else { continue };
+            let SocketAddr::V4(address) = from else { continue };
+            if let Some(datagram) = LoadDatagram::decode(&buffer[..length]) {
+                return (datagram, from, *address.ip());
+            }
+        }
+    }
+}
+
+/// Runs a router's part; never returns. `nearest_control_node` is who is reported to, `local_loads` what; `on_summary` takes what the
+/// other routers have.
+pub async fn run_router(
+    socket: LoadSocket,
+    nearest_control_node: impl Fn() -> Option<NodeId>,
+    local_loads: impl Fn() -> Vec<ServerLoad>,
+    on_summary: impl Fn(Vec<ServerLoad>),
+) {
+    let report = ticker::run_ticks(|| {
+        if let Some(node) = nearest_control_node() {
+            socket.send(LoadDatagram::Report(local_loads()), socket.control_address(node));
+        }
+    });
+    let receive = async {
+        loop {
+            if let (LoadDatagram::Summary(loads), ..) = socket.receive().await {
+                on_summary(loads);
+            }
+        }
+    };
+    tokio::join!(report, receive);
+}
+
+/// Runs a control node's part; never returns. `peers` are the other control nodes that can be reached.
+pub async fn run_control(socket: LoadSocket, clock: Clock, peers: impl Fn() -> Vec<NodeId>) {
+    let aggregator = Rc::new(RefCell::new(LoadAggregator::default()));
+    let exchange = ticker::run_ticks(|| {
+        let sum = aggregator.borrow_mut().local_sum(clock.now());
+        for node in peers() {
+            socket.send(LoadDatagram::Exchange(sum.clone()), socket.control_address(node));
+        }
+    });
+    let receive = async {
+        loop {
+            let (datagram, from, ip) = socket.receive().await;
+            let (now, node) = (clock.now(), NodeId::from(ip));
+            match datagram {
+                LoadDatagram::Report(loads) => {
+                    let others = aggregator.borrow_mut().record_report(now, node, loads);
+                    socket.send(LoadDatagram::Summary(others), from);
+                }
+                LoadDatagram::Exchange(loads) => {
+                    aggregator.borrow_mut().record_exchange(now, node, loads);
+                }
+                LoadDatagram::Summary(_) => {}
+            }
+        }
+    };
+    tokio::join!(exchange, receive);
+}
--- a/system/src/router/dispatch/mod.rs
+++ b/system/src/router/dispatch/mod.rs
@@ -17,6 +17,7 @@
 mod state;
 
 use std::cell::RefCell;
+use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -24,6 +25,7 @@
 use ivyhatch_node::connection_limits::{ConnectionLimiter, ConnectionTimeouts};
 use ivyhatch_protocol::Nanos;
 use ivyhatch_protocol::configuration::{RequestLimits, Route};
+use ivyhatch_protocol::load_exchange::ServerLoad;
 use ivyhatch_protocol::settings::Settings;
 use ivyhatch_protocol::watch::Server;
 use ivyhatch_routing::load_report::LoadReport;
@@ -157,6 +159,21 @@
         self.state.borrow_mut().set_router_share(share);
     }
 
+    /// What this router has at model servers, for the other routers.
+    pub fn local_loads(&self) -> Vec<ServerLoad> {
+        let state = self.state.borrow();
+        state.services.values().flat_map(|service| local_loads(service)).collect()
+    }
+
+    /// Takes what all other routers have at model servers.
+    pub fn record_others_loads(&self, loads: Vec<ServerLoad>) {
+        let now = self.clock.now();
+        let loads: HashMap<u32, ServerLoad> = loads.into_iter().map(|load| (load.server, load)).collect();
+        for service in self.state.borrow().services.values() {
+            service.placement.borrow_mut().record_others_loads(now, &loads);
+        }
+    }
+
     /// Submits a request. None where a request with its id is in progress.
     pub fn submit(
         &self,
@@ -204,6 +221,10 @@
     }
 }
 
+fn local_loads(service: &service::Service) -> Vec<ServerLoad> {
+    service.placement.borrow().local_loads().collect()
+}
+
 impl AttemptObserver for Dispatcher {
     fn may_send(&self, attempt: AttemptId) -> bool {
         let state = self.state.borrow();
--- a/system/src/router/mod.rs
+++ b/system/src/router/mod.rs
@@ -34,6 +34,7 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
 use crate::clock::Clock;
+use crate::load_exchange::{self, LoadSocket};
 use crate::transport::socket;
 use crate::{RoleError, http_server};
 use client_handler::ClientHandler;
@@ -81,6 +82,7 @@
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
     let listeners = Listeners::bind(&settings)?;
+    let load_socket = LoadSocket::bind_router(&settings).await?;
     let descriptors = settings.limits.max_fds.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_DESCRIPTORS);
     let router = Router {
         node: settings.ip.into(),
@@ -97,6 +99,8 @@
     let timers = dispatcher.clone();
     spawn_local(async move { timers.run_timers().await });
     let watch_session = WatchSession::start(&settings, clock, router, dispatcher.clone());
+    let watch_session = Rc::new(watch_session);
+    spawn_local(share_loads(load_socket, watch_session.clone(), dispatcher.clone()));
     let (phase, phases) = watch::channel(DrainPhase::Serving);
     spawn_readiness(listeners.readiness, &dispatcher, &phases);
     let handler = ClientHandler::new(dispatcher.clone(), connections.clone());
@@ -114,6 +118,17 @@
     Ok(())
 }
 
+/// Shares with the other routers what each has at model servers; never returns.
+async fn share_loads(socket: LoadSocket, watch_session: Rc<WatchSession>, dispatcher: Dispatcher) {
+    load_exchange::run_router(
+        socket,
+        || watch_session.nearest_control_node(),
+        || dispatcher.local_loads(),
+        |loads| dispatcher.record_others_loads(loads),
+    )
+    .await;
+}
+
 fn spawn_readiness(listener: TcpListener, dispatcher: &Dispatcher, phase: &watch::Receiver<DrainPhase>) {
     let (dispatcher, phase) = (dispatcher.clone(), phase.clone());
     spawn_local(http_server::serve(listener, move |request| {
--- a/system/src/router/watch_session.rs
+++ b/system/src/router/watch_session.rs
@@ -73,6 +73,11 @@
         self.0.handle_input(Input::State(state));
     }
 
+    /// The nearest control node that there is a session with.
+    pub fn nearest_control_node(&self) -> Option<NodeId> {
+        self.0.watch_client.borrow().nearest_control_node()
+    }
+
     /// Takes the seeds of the settings file, after SIGHUP.
     pub fn reload_settings(&self) {
         if let Some(seeds) = reload_seeds() {
