--- a/control/src/control_plane/mod.rs
+++ b/control/src/control_plane/mod.rs
@@ -38,6 +38,7 @@
 use crate::storage::durable_state::DurableState;
 use crate::storage::record::Record;
 use crate::watch::change_feed::ChangeFeed;
+use crate::watch::home_regions::HomeRegions;
 use crate::watch::router_registry::RouterRegistry;
 use crate::watch::sessions::WatchSessions;
 
@@ -70,6 +71,7 @@
     feed: ChangeFeed,
     server_list: ServerListRole,
     routers: RouterRegistry,
+    home_regions: HomeRegions,
     sessions: WatchSessions,
     drain: Drain,
 }
@@ -106,6 +108,7 @@
             feed: ChangeFeed::default(),
             server_list: ServerListRole::new(config.server_list_interval),
             routers: RouterRegistry::default(),
+            home_regions: HomeRegions::default(),
             sessions: WatchSessions::default(),
             drain: Drain::new(config.drain_timeout),
             config,
@@ -239,9 +242,14 @@
         self.view().has_quorum()
     }
 
-    /// The addresses of the routers that clients of a region should use.
+    /// The addresses of the routers that clients of a region should use. Routers of a region that is partitioned from the others
+    /// can't serve what is bound to other regions: its clients are sent to routers of those as well.
     pub fn router_addresses(&self, region: &str) -> Vec<String> {
-        self.routers.addresses_for_region(region)
+        let elsewhere = self.home_regions.common_to_excluding_routes(region);
+        if self.has_quorum() || elsewhere.is_empty() {
+            return self.routers.addresses_for_region(region);
+        }
+        self.routers.addresses_while_partitioned(region, &elsewhere)
     }
 
     /// The other control nodes that can be reached now.
--- a/control/src/watch/change_feed.rs
+++ b/control/src/watch/change_feed.rs
@@ -68,6 +68,11 @@
         (self.sequence, self.document) = (sequence, document.into());
     }
 
+    /// The sequence number of the current configuration; 0 where there is none.
+    pub fn sequence(&self) -> u64 {
+        self.sequence
+    }
+
     /// The current configuration.
     pub fn document(&self) -> &Document {
         &self.document
--- a/control/src/watch/router_registry.rs
+++ b/control/src/watch/router_registry.rs
@@ -2,7 +2,7 @@
 //!
 //! Each control node sends all others the routers that have a session with it, so that each knows all routers.
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
 use ivyhatch_protocol::ids::NodeId;
 use ivyhatch_protocol::watch::{Router, RouterState};
@@ -20,6 +20,8 @@
 const DRAINING_RETENTION: Nanos = 3 * SECOND;
 /// Other control nodes are sent the local routers at least this often.
 const REPORT_INTERVAL: Nanos = 5 * SECOND;
+/// A router that other control nodes reported is remembered for this long, for clients of a region that is partitioned from it.
+const REMEMBERED: Nanos = 60 * SECOND;
 /// The largest number of addresses in an answer of the directory.
 pub const MAX_DIRECTORY_ADDRESSES: usize = 64;
 
@@ -60,6 +62,8 @@
     reported_by_peers: BTreeMap<NodeId, PeerReport>,
     last_seen: BTreeMap<NodeId, Nanos>,
     draining: BTreeMap<NodeId, DrainingRouter>,
+    /// Ready routers, with the time at which each was seen last.
+    remembered: BTreeMap<NodeId, (Router, Nanos)>,
     last_report_sent_at: Nanos,
 }
 
@@ -143,7 +147,10 @@
         for router in all {
             self.last_seen.insert(router.node, now);
             match router.state {
-                RouterState::Ready => drop(self.draining.remove(&router.node)),
+                RouterState::Ready => {
+                    self.draining.remove(&router.node);
+                    self.remembered.insert(router.node, (router, now));
+                }
                 RouterState::Draining => {
                     self.draining.insert(router.node, DrainingRouter { router, seen_at: now });
                 }
@@ -152,6 +159,7 @@
         }
         self.last_seen.retain(|_, seen_at| now < *seen_at + RECENTLY_SEEN);
         self.draining.retain(|_, draining| now < draining.seen_at + DRAINING_RETENTION);
+        self.remembered.retain(|_, (_, seen_at)| now < *seen_at + REMEMBERED);
     }
 
     /// The number of routers that are known or were lately, and a router's index among them.
@@ -159,6 +167,19 @@
         RouterRank { count: self.last_seen.len().max(1), index: self.last_seen.range(..node).count() }
     }
 
+    /// The addresses that the directory of a partitioned region gives to its clients: its own ready routers, which still reach the
+    /// region's servers, and as many of those that were last seen ready in `other_regions`, to which the partition may not extend
+    /// for clients.
+    pub fn addresses_while_partitioned(&self, region: &str, other_regions: &BTreeSet<String>) -> Vec<String> {
+        let mut addresses = self.addresses_for_region(region);
+        let remembered = self.remembered.values().map(|(router, _)| router);
+        let elsewhere = remembered.filter(|router| other_regions.contains(&router.region));
+        let elsewhere = elsewhere.map(|router| router.client_address.clone());
+        addresses.truncate(MAX_DIRECTORY_ADDRESSES / 2);
+        addresses.extend(elsewhere.take(MAX_DIRECTORY_ADDRESSES / 2));
+        addresses
+    }
+
     /// The addresses that the directory gives to clients of a region: its ready routers, or all ready routers where it has none. A
     /// region whose routers all drain keeps these for a moment: they still accept connections or are being restarted, and requests
     /// that are bound to the region must not leave it.
--- a/control/tests/router_registry.rs
+++ b/control/tests/router_registry.rs
@@ -125,3 +125,24 @@
     }
     expect_that!(registry.addresses_for_region("here"), len(eq(MAX_DIRECTORY_ADDRESSES)));
 }
+
+#[gtest]
+fn clients_of_a_partitioned_region_are_sent_to_remembered_routers_elsewhere_as_well() {
+    let mut registry = registry(RouterState::Ready, RouterState::Ready);
+    registry.apply_report(0, NodeId(100), vec![router(4, "elsewhere", RouterState::Ready)]);
+    registry.refresh(0);
+    registry.expire(30 * SECOND);
+    registry.record_local(30 * SECOND, router(1, "here", RouterState::Ready));
+    registry.refresh(30 * SECOND);
+    let elsewhere = ["elsewhere".to_owned()].into();
+    expect_that!(
+        registry.addresses_while_partitioned("here", &elsewhere),
+        elements_are![eq("10.0.0.1:8161"), eq("10.0.0.4:8161")]
+    );
+    registry.refresh(60 * SECOND);
+    expect_that!(
+        registry.addresses_while_partitioned("here", &elsewhere),
+        elements_are![eq("10.0.0.1:8161")],
+        "it is forgotten after a minute"
+    );
+}
