--- a/control/src/control_plane/watchers.rs
+++ b/control/src/control_plane/watchers.rs
@@ -33,8 +33,9 @@
 
     /// Closes sessions that have timed out, and sends the routers of this node to the others where that is due.
     pub(super) fn maintain_watch_sessions(&mut self) {
-        self.routers.refresh(self.now);
-        if !self.has_quorum() {
+        let has_quorum = self.has_quorum();
+        self.routers.refresh(self.now, has_quorum);
+        if !has_quorum {
             self.home_regions.update(self.feed.sequence(), self.feed.document());
         }
         let has_changed = self.routers.expire(self.now);
--- a/control/src/watch/router_registry.rs
+++ b/control/src/watch/router_registry.rs
@@ -141,9 +141,13 @@
         all
     }
 
-    /// Records which routers are there now, for [`RouterRegistry::rank`] and for the directory. Called on each tick.
-    pub fn refresh(&mut self, now: Nanos) {
+    /// Records which routers are there now, for [`RouterRegistry::rank`] and for the directory. Called on each tick. Routers that go
+    /// while this node is in contact with a quorum are not remembered: nothing separates it from them.
+    pub fn refresh(&mut self, now: Nanos, has_quorum: bool) {
         let all: Vec<Router> = self.all().into_values().cloned().collect();
+        if has_quorum {
+            self.remembered.clear();
+        }
         for router in all {
             self.last_seen.insert(router.node, now);
             match router.state {
--- a/control/tests/router_registry.rs
+++ b/control/tests/router_registry.rs
@@ -27,7 +27,7 @@
     registry.record_local(0, router(1, "here", first));
     registry.record_local(0, router(2, "here", second));
     registry.record_local(0, router(3, "there", RouterState::Ready));
-    registry.refresh(0);
+    registry.refresh(0, true);
     registry
 }
 
@@ -51,9 +51,9 @@
     let mut registry = registry(RouterState::Draining, RouterState::Draining);
     registry.remove_local(NodeId(1));
     registry.remove_local(NodeId(2));
-    registry.refresh(2_900 * MILLISECOND);
+    registry.refresh(2_900 * MILLISECOND, true);
     expect_that!(registry.addresses_for_region("here"), len(eq(2)));
-    registry.refresh(3 * SECOND);
+    registry.refresh(3 * SECOND, true);
     expect_that!(registry.addresses_for_region("here"), elements_are![eq("10.0.0.3:8161")]);
 }
 
@@ -62,7 +62,7 @@
     let mut registry = registry(RouterState::Ready, RouterState::Ready);
     registry.remove_local(NodeId(1));
     registry.remove_local(NodeId(2));
-    registry.refresh(100 * MILLISECOND);
+    registry.refresh(100 * MILLISECOND, true);
     expect_that!(registry.addresses_for_region("here"), elements_are![eq("10.0.0.3:8161")]);
 }
 
@@ -111,9 +111,9 @@
     let mut registry = registry(RouterState::Ready, RouterState::Ready);
     expect_that!(registry.rank(NodeId(2)), eq(RouterRank { count: 3, index: 1 }));
     registry.remove_local(NodeId(1));
-    registry.refresh(60 * SECOND - 1);
+    registry.refresh(60 * SECOND - 1, true);
     expect_that!(registry.rank(NodeId(2)), eq(RouterRank { count: 3, index: 1 }));
-    registry.refresh(60 * SECOND);
+    registry.refresh(60 * SECOND, true);
     expect_that!(registry.rank(NodeId(2)), eq(RouterRank { count: 2, index: 0 }));
 }
 
@@ -130,19 +130,32 @@
 fn clients_of_a_partitioned_region_are_sent_to_remembered_routers_elsewhere_as_well() {
     let mut registry = registry(RouterState::Ready, RouterState::Ready);
     registry.apply_report(0, NodeId(100), vec![router(4, "elsewhere", RouterState::Ready)]);
-    registry.refresh(0);
+    registry.refresh(0, true);
     registry.expire(30 * SECOND);
     registry.record_local(30 * SECOND, router(1, "here", RouterState::Ready));
-    registry.refresh(30 * SECOND);
+    registry.refresh(30 * SECOND, false);
     let elsewhere = ["elsewhere".to_owned()].into();
     expect_that!(
         registry.addresses_while_partitioned("here", &elsewhere),
         elements_are![eq("10.0.0.1:8161"), eq("10.0.0.4:8161")]
     );
-    registry.refresh(60 * SECOND);
+    registry.refresh(60 * SECOND, false);
     expect_that!(
         registry.addresses_while_partitioned("here", &elsewhere),
         elements_are![eq("10.0.0.1:8161")],
         "it is forgotten after a minute"
     );
 }
+
+#[gtest]
+fn router_that_goes_while_there_is_a_quorum_is_not_remembered() {
+    let mut registry = registry(RouterState::Ready, RouterState::Ready);
+    registry.remove_local(NodeId(3));
+    registry.refresh(SECOND, true);
+    registry.refresh(2 * SECOND, false);
+    let there = ["there".to_owned()].into();
+    expect_that!(
+        registry.addresses_while_partitioned("here", &there),
+        elements_are![eq("10.0.0.1:8161"), eq("10.0.0.2:8161")]
+    );
+}
