--- a/control/tests/watch_sessions.rs
+++ b/control/tests/watch_sessions.rs
@@ -50,7 +50,7 @@
         let (mut sessions, mut routers) = (WatchSessions::default(), RouterRegistry::default());
         let event = sessions.handle(START, SESSION, subscribe(primary), &mut routers);
         assert_eq!(event, WatchEvent::RoutersChanged);
-        routers.refresh(START);
+        routers.refresh(START, true);
         Self { sessions, routers }
     }
 
