--- a/system/src/router/dispatch/requests.rs
+++ b/system/src/router/dispatch/requests.rs
@@ -23,6 +23,8 @@
 const IDLE_TIMEOUT_FRACTION: f64 = 0.4;
 /// ... and after this at the least, in milliseconds.
 const MIN_IDLE_TIMEOUT_MS: f64 = 100.0;
+/// The most of what is left of a rejected request's latency target that its `Retry-After` takes.
+const MAX_RETRY_AFTER_FRACTION: f64 = 0.25;
 /// The least `Retry-After` of a rejected request.
 const MIN_RETRY_AFTER: Nanos = 60 * MILLISECOND;
 
@@ -58,7 +60,7 @@
         let class = self.request_class(service, &route).unwrap_or_default();
         let request = self.next_request_id();
         let home_regions = self.regions.home_regions(&route);
-        let latency_target = (route.latency_target_ms.max(1.0) * MILLISECOND as f64) as Nanos;
+        let latency_target = latency_target(&route);
         if let Some(service) = self.services.get(&service) {
             let mut placement = service.placement.borrow_mut();
             placement.add_request(request, home_regions, incoming.prompt, latency_target);
@@ -138,10 +140,21 @@
 
     /// Ends a request that was never executed, or only by servers that reported their failure.
     pub(super) fn reject(&mut self, request: RequestId, retry_after: Nanos) {
-        let retry_after = retry_after.max(MIN_RETRY_AFTER);
+        let retry_after = retry_after.min(self.latest_retry(request)).max(MIN_RETRY_AFTER);
         self.finish_with_failure_or(request, Rejection::Overloaded { retry_after });
     }
 
+    /// The time within which a client has to come back so that most of its request's latency target is left for another router.
+    /// Once the target has passed there is no hurry.
+    fn latest_retry(&self, request: RequestId) -> Nanos {
+        let Some(request) = self.requests.get(&request) else { return Nanos::MAX };
+        let target_at = request.received_at + latency_target(&request.route);
+        match target_at.saturating_sub(self.clock.now()) {
+            0 => Nanos::MAX,
+            left => (left as f64 * MAX_RETRY_AFTER_FRACTION) as Nanos,
+        }
+    }
+
     /// Ends a request that may have been executed.
     pub(super) fn fail(&mut self, request: RequestId) {
         self.finish_with_failure_or(request, Rejection::ResponseLost);
@@ -192,6 +205,10 @@
     }
 }
 
+fn latency_target(route: &Route) -> Nanos {
+    (route.latency_target_ms.max(1.0) * MILLISECOND as f64) as Nanos
+}
+
 /// When a request is ended that the balancer has not ended.
 fn timeout_at(not_after: Nanos) -> Nanos {
     not_after + REQUEST_TIMEOUT_MARGIN
