--- a/routing/src/placement/mod.rs
+++ b/routing/src/placement/mod.rs
@@ -5,6 +5,7 @@
 mod advisor;
 mod affinity;
 mod backoff;
+mod region_reachability;
 mod request;
 mod server;
 mod service_placement;
--- a/routing/src/placement/service_placement.rs
+++ b/routing/src/placement/service_placement.rs
@@ -12,6 +12,7 @@
 use crate::time_to_first_token::PrefillModel;
 
 use super::affinity::PreferredServers;
+use super::region_reachability::RegionReachability;
 use super::request::{Attempt, PlacedRequest, RegionSet};
 use super::server::{ListedServer, Server};
 use super::slow_start::SlowStartLimit;
@@ -45,6 +46,8 @@
     router_share: Option<RouterShare>,
     model: PrefillModel,
     servers: HashMap<BackendId, Server>,
+    /// By region; the last one is for all regions that the settings do not name.
+    reachability: Vec<RegionReachability>,
     requests: HashMap<RequestId, PlacedRequest>,
 }
 
@@ -58,6 +61,7 @@
             router_share: None,
             model: PrefillModel::new(regions),
             servers: HashMap::new(),
+            reachability: vec![RegionReachability::default(); regions as usize + 1],
             requests: HashMap::new(),
         }
     }
@@ -154,7 +158,13 @@
     /// Notes that a server could not be connected to.
     pub fn record_connect_failure(&mut self, now: Nanos, id: BackendId) {
         if let Some(server) = self.servers.get_mut(&id) {
+            let had_failed = server.backoff.has_failed();
             server.backoff.record_failure(now);
+            if let Some(reachability) =
+                self.reachability.get_mut(server.region as usize).filter(|_| !had_failed)
+            {
+                reachability.record_server_failure(now);
+            }
         }
     }
 
@@ -169,6 +179,10 @@
     pub fn record_response(&mut self, id: BackendId) {
         if let Some(server) = self.servers.get_mut(&id) {
             server.backoff.record_success();
+            let region = server.region;
+            if let Some(reachability) = self.reachability.get_mut(region as usize) {
+                reachability.record_response();
+            }
         }
     }
 
@@ -212,6 +226,9 @@
         let Some(server) = self.servers.get_mut(&backend) else { return };
         server.slow_start.record_send(now);
         server.backoff.record_send(now);
+        if let Some(reachability) = self.reachability.get_mut(server.region as usize) {
+            reachability.record_send(now);
+        }
         if let Some(request) = self.requests.get_mut(&id) {
             server.queue.record_send(uncached_tokens);
             request.attempt = Some(Attempt { backend, uncached_tokens, has_begun: false });
@@ -224,6 +241,7 @@
         let Some(request) = self.requests.get(&id) else { return true };
         request.allows_region(server.region)
             && !server.backoff.is_waiting(now)
+            && self.is_region_reachable(now, server.region)
             && !(server.is_last_resort && self.has_regular_server(request))
             && self.is_within_slow_start(now, server)
             && self.is_within_latency_target(now, id, backend)
@@ -248,6 +266,10 @@
         self.requests.get(&id).is_none_or(|request| request.allows_region(self.home_region))
     }
 
+    fn is_region_reachable(&self, now: Nanos, region: u32) -> bool {
+        self.reachability.get(region as usize).is_none_or(|reachability| reachability.allows(now))
+    }
+
     /// Whether any server but those of last resort can be reached in the request's regions.
     fn has_regular_server(&self, request: &PlacedRequest) -> bool {
         let is_usable = |server: &Server| {
--- a/routing/tests/placement.rs
+++ b/routing/tests/placement.rs
@@ -263,6 +263,24 @@
     );
 }
 
+#[gtest]
+fn region_whose_servers_all_fail_is_tried_by_one_request_at_a_time() {
+    let mut router = Router::with_servers(true, SlowStartLimit::default(), 6);
+    let other = BackendId(9);
+    router.upsert(other, OTHER_REGION, 0);
+    for server in 1..=4 {
+        expect_that!(router.try_send(NOW, BackendId(6)), eq(true), "{server}: it may be one server's fault");
+        router.update(|placement| placement.record_connect_failure(NOW, BackendId(server)));
+    }
+    expect_that!(router.try_send(NOW, BackendId(6)), eq(false));
+    expect_that!(router.try_send(NOW, other), eq(true), "the other region is not affected");
+    let later = NOW + 300 * MILLISECOND;
+    expect_that!(router.try_send(later, BackendId(6)), eq(true));
+    expect_that!(router.try_send(later, BackendId(6)), eq(false), "one is on its way");
+    router.update(|placement| placement.record_response(BackendId(6)));
+    expect_that!(router.try_send(later, BackendId(6)), eq(true));
+}
+
 #[gtest]
 fn replaced_server_is_not_tried_again() {
     let mut router = Router::with_servers(false, SlowStartLimit::default(), 2);
