--- a/routing/src/placement/server.rs
+++ b/routing/src/placement/server.rs
@@ -31,6 +31,7 @@
     pub(super) region: u32,
     pub(super) name_hash: u64,
     pub(super) is_last_resort: bool,
+    pub(super) has_idle_connection: bool,
     pub(super) slow_start: SlowStart,
     pub(super) backoff: ConnectBackoff,
     pub(super) queue: ServerQueue,
--- a/routing/src/placement/service_placement.rs
+++ b/routing/src/placement/service_placement.rs
@@ -27,6 +27,9 @@
 /// request would probably have to be sent to another one after all.
 const FAILED_SERVER_PENALTY_NS: f64 = 250.0 * MILLISECOND as f64;
 
+/// What a new connection weighs against latency, in nanoseconds: it costs a round trip, and servers accept only so many.
+const NEW_CONNECTION_COST_NS: f64 = 20.0 * MILLISECOND as f64;
+
 /// The settings of a service, from the configuration.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceSettings {
@@ -142,6 +145,13 @@
         }
     }
 
+    /// Takes which servers there is an idle connection to.
+    pub fn record_idle_connections(&mut self, has_idle_connection: impl Fn(BackendId) -> bool) {
+        for (id, server) in &mut self.servers {
+            server.has_idle_connection = has_idle_connection(*id);
+        }
+    }
+
     /// Notes that a request's response has begun, `elapsed` after it was sent. Only the first time counts for each attempt.
     pub fn record_first_token(&mut self, now: Nanos, id: RequestId, elapsed: Nanos) {
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -258,7 +268,8 @@
         let repeated_cost = REPEATED_PREFILL_WEIGHT * self.model.prefill_time(repeated_tokens);
         let latency = server.queue.time_to_first_token(now, &self.model, server.region, uncached_tokens);
         let retry_cost = if server.backoff.has_failed() { FAILED_SERVER_PENALTY_NS } else { 0.0 };
-        Some(latency + repeated_cost + retry_cost)
+        let connect_cost = if server.has_idle_connection { 0.0 } else { NEW_CONNECTION_COST_NS };
+        Some(latency + repeated_cost + retry_cost + connect_cost)
     }
 
     /// Whether a request may be served in the router's own region.
--- a/routing/tests/placement.rs
+++ b/routing/tests/placement.rs
@@ -303,6 +303,20 @@
     expect_that!(delay(&router), eq(before));
 }
 
+#[gtest]
+fn server_with_an_idle_connection_is_preferred_to_one_without() {
+    let mut router = Router::with_servers(true, SlowStartLimit::default(), 2);
+    let request = router.add_request();
+    let delay = |router: &Router, server| {
+        router.shared.expected_delay(NOW, request, BackendId(server)).expect("it is a model server")
+    };
+    expect_that!(delay(&router, 1), eq(delay(&router, 2)));
+    router.update(|placement| placement.record_idle_connections(|server| server == BackendId(2)));
+    expect_that!(delay(&router, 2), lt(delay(&router, 1)));
+    router.update(|placement| placement.record_idle_connections(|_| true));
+    expect_that!(delay(&router, 1), eq(delay(&router, 2)));
+}
+
 #[gtest]
 fn plain_service_is_placed_without_regard_to_prompts() {
     let mut router = Router::with_servers(false, SlowStartLimit::default(), 1);
--- a/system/src/router/dispatch/mod.rs
+++ b/system/src/router/dispatch/mod.rs
@@ -180,6 +180,7 @@
         incoming: IncomingRequest,
     ) -> Option<(RequestGuard, oneshot::Receiver<ClientResponse>)> {
         let (sender, response) = oneshot::channel();
+        self.state.borrow().record_idle_connections(&self.upstream.idle_servers());
         let request = self.update(|state, outputs| state.submit(incoming, sender, outputs))?;
         Some((RequestGuard { dispatcher: self.clone(), request }, response))
     }
--- a/system/src/router/dispatch/server_list.rs
+++ b/system/src/router/dispatch/server_list.rs
@@ -31,6 +31,14 @@
 }
 
 impl DispatcherState {
+    /// Takes the servers to which there is an idle connection.
+    pub(super) fn record_idle_connections(&self, idle: &HashSet<ServerKey>) {
+        for (id, service) in &self.services {
+            let has_idle = |backend| idle.contains(&ServerKey { service: *id, backend });
+            service.placement.borrow_mut().record_idle_connections(has_idle);
+        }
+    }
+
     pub(super) fn set_servers(
         &mut self,
         servers: Vec<Server>,
--- a/system/src/router/upstream/mod.rs
+++ b/system/src/router/upstream/mod.rs
@@ -8,6 +8,7 @@
 mod stream;
 
 use std::cell::Cell;
+use std::collections::HashSet;
 use std::pin::{Pin, pin};
 use std::rc::Rc;
 use std::time::Duration;
@@ -79,6 +80,11 @@
         self.pool.sweep().await;
     }
 
+    /// The servers to which there is an idle connection.
+    pub fn idle_servers(&self) -> HashSet<ServerKey> {
+        self.pool.idle_servers()
+    }
+
     /// Drops the idle connections to a server that takes no more requests.
     pub fn drop_idle_connections(&self, server: ServerKey) {
         self.pool.drop_idle(server);
--- a/system/src/router/upstream/pool.rs
+++ b/system/src/router/upstream/pool.rs
@@ -4,7 +4,7 @@
 //! closed, and ends when its sender is dropped.
 
 use std::cell::{Cell, RefCell};
-use std::collections::HashMap;
+use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -121,6 +121,14 @@
         }
     }
 
+    /// The servers to which there is an idle connection.
+    pub fn idle_servers(&self) -> HashSet<ServerKey> {
+        let now = self.clock.now();
+        let idle = self.idle.borrow();
+        let usable = idle.iter().filter(|(_, idle)| idle.iter().any(|idle| idle.is_usable(now)));
+        usable.map(|(server, _)| *server).collect()
+    }
+
     /// Drops the idle connections to a server that takes no more requests.
     pub fn drop_idle(&self, server: ServerKey) {
         self.idle.borrow_mut().remove(&server);
