--- a/system/src/control/mod.rs
+++ b/system/src/control/mod.rs
@@ -65,7 +65,7 @@
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
     let listeners = Listeners::bind(&settings)?;
-    let load_socket = LoadSocket::bind_control(&settings).await?;
+    let load_socket = LoadSocket::bind_control(&settings).await;
     let opened = settings.data_dir.as_deref().map(Disk::start).transpose()?;
     let (list_reads, requested_list_reads) = unbounded_channel();
     let (host, durable_tokens) = start_host(settings, clock, opened, list_reads);
@@ -74,10 +74,11 @@
     }
     spawn_local(instance_list_reader::run_reads(host.clone(), requested_list_reads));
     spawn_servers(&host, listeners);
-    let sharing = host.clone();
-    spawn_local(load_exchange::run_control(load_socket, clock, move || {
-        sharing.query(ControlPlane::reachable_peers)
-    }));
+    if let Some(socket) = load_socket {
+        let sharing = host.clone();
+        let peers = move || sharing.query(ControlPlane::reachable_peers);
+        spawn_local(load_exchange::run_control(socket, clock, peers));
+    }
     let ticking = host.clone();
     spawn_local(ticker::run_ticks(move || {
         ticking.handle_input(Input::Tick);
--- a/system/src/load_exchange.rs
+++ b/system/src/load_exchange.rs
@@ -13,7 +13,6 @@
 use ivyhatch_protocol::settings::Settings;
 use tokio::net::UdpSocket;
 
-use crate::RoleError;
 use crate::clock::Clock;
 use crate::ticker;
 
@@ -30,27 +29,34 @@
 }
 
 impl LoadSocket {
-    /// The socket of a control node.
-    ///
-    /// # Errors
-    /// Where the address can't be bound.
-    pub async fn bind_control(settings: &Settings) -> Result<Self, RoleError> {
+    /// The socket of a control node. None where the address can't be bound: the role goes on without.
+    pub async fn bind_control(settings: &Settings) -> Option<Self> {
         Self::bind(settings, CONTROL_PORT_OFFSET).await
     }
 
-    /// The socket of a router.
-    ///
-    /// # Errors
-    /// Where the address can't be bound.
-    pub async fn bind_router(settings: &Settings) -> Result<Self, RoleError> {
+    /// The socket of a router. None where the address can't be bound: the role goes on without.
+    pub async fn bind_router(settings: &Settings) -> Option<Self> {
         Self::bind(settings, ROUTER_PORT_OFFSET).await
     }
 
-    async fn bind(settings: &Settings, port_offset: u16) -> Result<Self, RoleError> {
-        let address = SocketAddrV4::new(settings.ip, settings.peer_ports.0 + port_offset);
-        let socket =
-            UdpSocket::bind(address).await.map_err(|source| RoleError::Listen { address, source })?;
-        Ok(Self { socket, control_port: settings.peer_ports.0 + CONTROL_PORT_OFFSET })
+    async fn bind(settings: &Settings, port_offset: u16) -> Option<Self> {
+        let (first_port, last_port) = settings.peer_ports;
+        let port = first_port.saturating_add(port_offset);
+        let address = SocketAddrV4::new(settings.ip, port);
+        if port > last_port {
+            log::warn!("event=load_exchange_off remedy=give_inner_ports_at_least_four_ports");
+            return None;
+        }
+        match UdpSocket::bind(address).await {
+            Ok(socket) => Some(Self { socket, control_port: first_port + CONTROL_PORT_OFFSET }),
+            Err(error) => {
+                log::warn!(
+                    "event=load_exchange_off address={address} error={:?} remedy=see_who_has_this_port",
+                    error.to_string()
+                );
+                None
+            }
+        }
     }
 
     /// Sends a datagram if that is possible at once: the next one replaces it.
@@ -126,3 +132,7 @@
     };
     tokio::join!(exchange, receive);
 }
+
+#[cfg(test)]
+#[path = "load_exchange_tests.rs"]
+mod tests;
--- /dev/null
+++ b/system/src/load_exchange_tests.rs
@@ -0,0 +1,62 @@
+//! The load exchange on loopback sockets: a control node answers each router with what the others have.
+
+use std::net::Ipv4Addr;
+use std::time::Duration;
+
+use googletest::prelude::*;
+use ivyhatch_protocol::load_exchange::{LoadDatagram, ServerLoad};
+use ivyhatch_protocol::settings::Settings;
+use tokio::net::UdpSocket;
+use tokio::task::{LocalSet, spawn_local};
+use tokio::time::timeout;
+
+use super::{LoadSocket, run_control};
+use crate::clock::Clock;
+
+const CONTROL: Ipv4Addr = Ipv4Addr::new(127, 44, 0, 1);
+const FIRST_PORT: u16 = 46_720;
+
+fn settings(last_port: u16) -> Settings {
+    let text = format!(
+        r#"{{"node_name":"n","ip":"{CONTROL}","zone":"z","region":"r","zones":{{"z":"r"}},"listen":{{}},
+            "inner_ports":[{FIRST_PORT},{last_port}],"cloud_api":{{"address":"127.0.0.1:1"}}}}"#
+    );
+    Settings::from_text(&text, "node.json").expect("settings")
+}
+
+/// A router's socket at its own address.
+async fn router(last: u8) -> UdpSocket {
+    UdpSocket::bind((Ipv4Addr::new(127, 44, 1, last), 0)).await.expect("a socket")
+}
+
+/// Reports this load, and returns the control node's answer.
+async fn report(router: &UdpSocket, loads: Vec<ServerLoad>) -> Option<LoadDatagram> {
+    let datagram = LoadDatagram::Report(loads).encode();
+    router.send_to(&datagram, (CONTROL, FIRST_PORT + 2)).await.expect("it is sent");
+    let mut buffer = [0; 2048];
+    let length = timeout(Duration::from_secs(10), router.recv(&mut buffer)).await.expect("an answer").ok()?;
+    LoadDatagram::decode(&buffer[..length])
+}
+
+#[gtest]
+#[tokio::test]
+async fn router_is_answered_with_what_the_others_have() {
+    let exchange = async {
+        let socket = LoadSocket::bind_control(&settings(FIRST_PORT + 3)).await.expect("a socket");
+        spawn_local(run_control(socket, Clock::start(), Vec::new));
+        let (one, other) = (router(1).await, router(2).await);
+        let load = ServerLoad::new(7, 6400, 2);
+        expect_that!(report(&one, vec![load]).await, some(eq(&LoadDatagram::Summary(vec![]))));
+        expect_that!(report(&other, vec![]).await, some(eq(&LoadDatagram::Summary(vec![load]))));
+        one.send_to(b"no datagram of this format", (CONTROL, FIRST_PORT + 2)).await.expect("it is sent");
+        expect_that!(report(&one, vec![]).await, some(eq(&LoadDatagram::Summary(vec![]))));
+    };
+    LocalSet::new().run_until(exchange).await;
+}
+
+#[gtest]
+#[tokio::test]
+async fn role_goes_on_without_the_exchange_where_there_is_no_port_for_it() {
+    expect_that!(LoadSocket::bind_control(&settings(FIRST_PORT + 1)).await.is_none(), eq(true));
+    expect_that!(LoadSocket::bind_router(&settings(FIRST_PORT + 2)).await.is_none(), eq(true));
+}
--- a/system/src/router/mod.rs
+++ b/system/src/router/mod.rs
@@ -82,7 +82,7 @@
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
     let listeners = Listeners::bind(&settings)?;
-    let load_socket = LoadSocket::bind_router(&settings).await?;
+    let load_socket = LoadSocket::bind_router(&settings).await;
     let descriptors = settings.limits.max_fds.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_DESCRIPTORS);
     let router = Router {
         node: settings.ip.into(),
@@ -100,7 +100,9 @@
     spawn_local(async move { timers.run_timers().await });
     let watch_session = WatchSession::start(&settings, clock, router, dispatcher.clone());
     let watch_session = Rc::new(watch_session);
-    spawn_local(share_loads(load_socket, watch_session.clone(), dispatcher.clone()));
+    if let Some(socket) = load_socket {
+        spawn_local(share_loads(socket, watch_session.clone(), dispatcher.clone()));
+    }
     let (phase, phases) = watch::channel(DrainPhase::Serving);
     spawn_readiness(listeners.readiness, &dispatcher, &phases);
     let handler = ClientHandler::new(dispatcher.clone(), connections.clone());
