--- a/control/src/load_aggregator.rs
+++ b/control/src/load_aggregator.rs
@@ -1,6 +1,6 @@
 //! Sums up the load that routers have put on model servers, for each of them without its own part.
 //!
-//! Routers report to one control node each; control nodes tell each other the sums over their own routers. Nothing here is agreed on
+//! Routers report to one control node each; control nodes send each other the sums over their own routers. Nothing here is agreed on
 //! or stored: what is lost is replaced within a tenth of a second.
 
 use std::collections::{BTreeMap, HashMap};
--- a/control/tests/load_aggregator.rs
+++ b/control/tests/load_aggregator.rs
@@ -1,4 +1,4 @@
-//! Sums of the load that routers report: each is told what the others have, and reports expire.
+//! Sums of the load that routers report: each is answered with what the others have, and reports expire.
 
 use googletest::prelude::*;
 use ivyhatch_control::load_aggregator::LoadAggregator;
@@ -16,7 +16,7 @@
 }
 
 #[gtest]
-fn router_is_told_what_the_others_have_and_not_its_own() {
+fn router_is_answered_with_what_the_others_have_and_not_its_own() {
     let mut aggregator = LoadAggregator::default();
     expect_that!(aggregator.record_report(SECOND, FIRST, vec![load(640, 2)]), is_empty());
     let others = aggregator.record_report(SECOND, SECOND_ROUTER, vec![load(6400, 3)]);
--- a/protocol/src/load_exchange.rs
+++ b/protocol/src/load_exchange.rs
@@ -1,7 +1,7 @@
 //! Datagrams by which routers share the load that they have put on model servers.
 //!
-//! A router tells one control node what it has at each server, and is answered with what all other routers have there. Control nodes
-//! tell each other the sums over their routers. A datagram replaces the one before from the same sender; a lost one costs nothing but
+//! A router reports to one control node what it has at each server, and is answered with what all other routers have there. Control nodes
+//! send each other the sums over their routers. A datagram replaces the one before from the same sender; a lost one costs nothing but
 //! the age of what the next one brings.
 
 use speedy::{Readable, Writable};
--- a/routing/src/time_to_first_token.rs
+++ b/routing/src/time_to_first_token.rs
@@ -33,7 +33,7 @@
 const MEAN_WEIGHT: f64 = 0.1;
 /// A load report counts in full when it comes, less and less after that, and not at all after this time.
 const LOAD_REPORT_LIFETIME: Nanos = 600 * MILLISECOND;
-/// What other routers have at a server counts for so long after they told.
+/// What other routers have at a server counts for so long after it was reported.
 const OTHERS_LOAD_LIFETIME: Nanos = 500 * MILLISECOND;
 /// Upper bound of the utilisation that a load report can show.
 const MAX_REPORTED_UTILISATION: f64 = 1.2;
@@ -107,7 +107,7 @@
     others: OthersLoad,
 }
 
-/// What other routers have at a server, as they told some time ago.
+/// What other routers have at a server, as they reported it some time ago.
 #[derive(Clone, Copy, Debug, Default)]
 struct OthersLoad {
     queued_tokens: f64,
--- a/routing/tests/time_to_first_token.rs
+++ b/routing/tests/time_to_first_token.rs
@@ -210,7 +210,11 @@
         all![lt(busy), gt(idle)],
         "it has been prefilled in part"
     );
-    expect_that!(latency(&queue, SECOND + 500 * MILLISECOND), eq(idle), "nobody has told for half a second");
+    expect_that!(
+        latency(&queue, SECOND + 500 * MILLISECOND),
+        eq(idle),
+        "nobody has reported for half a second"
+    );
     queue.record_others(SECOND, 0, 0);
     expect_that!(latency(&queue, SECOND), eq(idle));
 }
@@ -221,7 +225,7 @@
     expect_that!(queue.is_idle(SECOND), eq(true));
     queue.record_others(SECOND, 0, 1);
     expect_that!(queue.is_idle(SECOND), eq(false));
-    expect_that!(queue.is_idle(2 * SECOND), eq(true), "what others told is too old");
+    expect_that!(queue.is_idle(2 * SECOND), eq(true), "the report is too old");
     queue.record_send(10);
     expect_that!(queue.is_idle(2 * SECOND), eq(false));
 }
--- a/system/src/router/dispatch/mod.rs
+++ b/system/src/router/dispatch/mod.rs
@@ -162,7 +162,7 @@
     /// What this router has at model servers, for the other routers.
     pub fn local_loads(&self) -> Vec<ServerLoad> {
         let state = self.state.borrow();
-        state.services.values().flat_map(|service| local_loads(service)).collect()
+        state.services.values().flat_map(local_loads).collect()
     }
 
     /// Takes what all other routers have at model servers.
