--- a/system/src/router/dispatch/requests.rs
+++ b/system/src/router/dispatch/requests.rs
@@ -25,6 +25,8 @@
 const MIN_IDLE_TIMEOUT_MS: f64 = 100.0;
 /// The most of what is left of a rejected request's latency target that its `Retry-After` takes.
 const MAX_RETRY_AFTER_FRACTION: f64 = 0.25;
+/// With less than this part of its latency target left, a rejected request won't be served in time elsewhere.
+const MIN_LEFT_FOR_RETRY_FRACTION: f64 = 0.25;
 /// The least `Retry-After` of a rejected request.
 const MIN_RETRY_AFTER: Nanos = 60 * MILLISECOND;
 
@@ -145,14 +147,16 @@
     }
 
     /// The time within which a client has to come back so that most of its request's latency target is left for another router.
-    /// Once the target has passed there is no hurry.
+    /// Where too little is left for that there is no hurry.
     fn latest_retry(&self, request: RequestId) -> Nanos {
         let Some(request) = self.requests.get(&request) else { return Nanos::MAX };
-        let target_at = request.received_at + latency_target(&request.route);
-        match target_at.saturating_sub(self.clock.now()) {
-            0 => Nanos::MAX,
-            left => (left as f64 * MAX_RETRY_AFTER_FRACTION) as Nanos,
+        let target = latency_target(&request.route);
+        let target_at = request.not_after.min(request.received_at + target);
+        let left = target_at.saturating_sub(self.clock.now()) as f64;
+        if left < target as f64 * MIN_LEFT_FOR_RETRY_FRACTION {
+            return Nanos::MAX;
         }
+        (left * MAX_RETRY_AFTER_FRACTION) as Nanos
     }
 
     /// Ends a request that may have been executed.
