--- a/balancer/src/api/attempt.rs
+++ b/balancer/src/api/attempt.rs
@@ -45,12 +45,12 @@
 
     /// Whether the attempt may have taken effect at the backend.
     pub fn may_have_run(self) -> bool {
-        !matches!(self, Self::Rejected | Self::ConnectFailed | Self::Misdirected | Self::NotSent)
+        self != Self::Rejected && !self.never_reached_backend()
     }
 
     /// Whether nothing of the attempt reached the backend.
     pub(crate) fn never_reached_backend(self) -> bool {
-        matches!(self, Self::ConnectFailed | Self::Misdirected | Self::NotSent)
+        self == Self::Misdirected || self.never_reached_server()
     }
 
     /// Whether nothing of the attempt reached any server, so that one more attempt adds no arrival.
--- a/balancer/src/reporting.rs
+++ b/balancer/src/reporting.rs
@@ -46,8 +46,8 @@
             "in {} s: {} arrivals; unserved {past_target} past_target, {queue_timeout} queue_timeout, \
              {attempts_failed} attempts_failed; {} sent, {} outside_subset: {served} served, {error} error, \
              {invalid} invalid_response, {rejected} rejected, {timed_out} timed_out, \
-             {connect_failed} connect_failed, {misdirected} misdirected, {reset} reset; {} of {} ejected; zone utilisation {}; \
-             overflow share {:.2}; windows {}",
+             {connect_failed} connect_failed, {misdirected} misdirected, {reset} reset; {} of {} ejected; \
+             zone utilisation {}; overflow share {:.2}; windows {}",
             COUNTERS_LOG_INTERVAL / SECOND,
             counters.arrivals,
             counters.sent,
--- a/control/src/control_plane/mod.rs
+++ b/control/src/control_plane/mod.rs
@@ -245,8 +245,11 @@
     /// The addresses of the routers that clients of a region should use. Routers of a region that is partitioned from the others
     /// can't serve what is bound to other regions: its clients are sent to routers of those as well.
     pub fn router_addresses(&self, region: &str) -> Vec<String> {
+        if self.has_quorum() {
+            return self.routers.addresses_for_region(region);
+        }
         let elsewhere = self.home_regions.common_to_excluding_routes(region);
-        if self.has_quorum() || elsewhere.is_empty() {
+        if elsewhere.is_empty() {
             return self.routers.addresses_for_region(region);
         }
         self.routers.addresses_while_partitioned(region, &elsewhere)
--- a/control/src/load_aggregator.rs
+++ b/control/src/load_aggregator.rs
@@ -19,15 +19,21 @@
     in_flight: u32,
 }
 
+impl From<&ServerLoad> for Total {
+    fn from(load: &ServerLoad) -> Self {
+        Self { queued_tokens: load.queued_tokens(), in_flight: u32::from(load.in_flight) }
+    }
+}
+
 impl Total {
-    fn add(&mut self, load: &ServerLoad) {
-        self.queued_tokens += load.queued_tokens();
-        self.in_flight += u32::from(load.in_flight);
+    fn add(&mut self, other: Self) {
+        self.queued_tokens += other.queued_tokens;
+        self.in_flight += other.in_flight;
     }
 
-    fn subtract(&mut self, load: &ServerLoad) {
-        self.queued_tokens = self.queued_tokens.saturating_sub(load.queued_tokens());
-        self.in_flight = self.in_flight.saturating_sub(u32::from(load.in_flight));
+    fn subtract(&mut self, other: Self) {
+        self.queued_tokens = self.queued_tokens.saturating_sub(other.queued_tokens);
+        self.in_flight = self.in_flight.saturating_sub(other.in_flight);
     }
 
     fn is_zero(&self) -> bool {
@@ -50,31 +56,36 @@
 }
 
 impl Reports {
-    fn replace(&mut self, now: Nanos, sender: NodeId, loads: Vec<ServerLoad>) {
-        self.remove(sender);
+    /// Adds the report of a sender that has none.
+    fn insert(&mut self, now: Nanos, sender: NodeId, loads: Vec<ServerLoad>) {
         for load in &loads {
-            self.totals.entry(load.server).or_default().add(load);
+            self.totals.entry(load.server).or_default().add(load.into());
         }
         self.by_sender.insert(sender, Report { loads, received_at: now });
     }
 
     fn remove(&mut self, sender: NodeId) {
-        let Some(report) = self.by_sender.remove(&sender) else { return };
-        for load in &report.loads {
-            let Some(total) = self.totals.get_mut(&load.server) else { continue };
-            total.subtract(load);
-            if total.is_zero() {
-                self.totals.remove(&load.server);
-            }
+        if let Some(report) = self.by_sender.remove(&sender) {
+            self.subtract(&report);
         }
     }
 
     fn expire(&mut self, now: Nanos) {
         let is_expired = |report: &Report| now >= report.received_at + REPORT_LIFETIME;
-        let expired: Vec<NodeId> =
-            self.by_sender.iter().filter(|(_, report)| is_expired(report)).map(|(node, _)| *node).collect();
-        for sender in expired {
-            self.remove(sender);
+        let expired = self.by_sender.extract_if(.., |_, report| is_expired(report));
+        let expired: Vec<Report> = expired.map(|(_, report)| report).collect();
+        for report in expired {
+            self.subtract(&report);
+        }
+    }
+
+    fn subtract(&mut self, report: &Report) {
+        for load in &report.loads {
+            let Some(total) = self.totals.get_mut(&load.server) else { continue };
+            total.subtract(load.into());
+            if total.is_zero() {
+                self.totals.remove(&load.server);
+            }
         }
     }
 }
@@ -90,24 +101,19 @@
     /// Takes a router's report, and returns what all other routers have at the servers.
     pub fn record_report(&mut self, now: Nanos, router: NodeId, loads: Vec<ServerLoad>) -> Vec<ServerLoad> {
         self.expire(now);
+        self.routers.remove(router);
         let mut others = self.routers.totals.clone();
-        if let Some(previous) = self.routers.by_sender.get(&router) {
-            for load in &previous.loads {
-                others.entry(load.server).or_default().subtract(load);
-            }
-        }
-        self.routers.replace(now, router, loads);
         for (server, total) in &self.control_nodes.totals {
-            let sum = others.entry(*server).or_default();
-            sum.queued_tokens += total.queued_tokens;
-            sum.in_flight += total.in_flight;
+            others.entry(*server).or_default().add(*total);
         }
+        self.routers.insert(now, router, loads);
         server_loads(&others)
     }
 
     /// Takes the sum over another control node's routers.
     pub fn record_exchange(&mut self, now: Nanos, control_node: NodeId, loads: Vec<ServerLoad>) {
-        self.control_nodes.replace(now, control_node, loads);
+        self.control_nodes.remove(control_node);
+        self.control_nodes.insert(now, control_node, loads);
     }
 
     /// The sum over the routers that report to this node, for the other control nodes.
--- a/control/src/watch/router_registry.rs
+++ b/control/src/watch/router_registry.rs
@@ -13,15 +13,13 @@
 /// The report of another control node counts for this long after the last message of that node.
 const REPORT_TIMEOUT: Nanos = 3 * SECOND;
 /// A router that has gone counts for this long in the division of shared quotas: it may come back at any moment, or be partitioned
-/// from the control nodes and still serve.
+/// from the control nodes and still serve. For as long it is remembered for clients of a region that is partitioned from it.
 const RECENTLY_SEEN: Nanos = 60 * SECOND;
 /// A router that drains is usually restarted at the same address. For this long after it was seen draining it stands for its
 /// region in the directory, where that region has no other.
 const DRAINING_RETENTION: Nanos = 3 * SECOND;
 /// Other control nodes are sent the local routers at least this often.
 const REPORT_INTERVAL: Nanos = 5 * SECOND;
-/// A router that other control nodes reported is remembered for this long, for clients of a region that is partitioned from it.
-const REMEMBERED: Nanos = 60 * SECOND;
 /// The largest number of addresses in an answer of the directory.
 pub const MAX_DIRECTORY_ADDRESSES: usize = 64;
 
@@ -39,9 +37,9 @@
     received_at: Nanos,
 }
 
-/// A router that was draining when it was seen last.
+/// A router as it was when it was seen last.
 #[derive(Debug)]
-struct DrainingRouter {
+struct SeenRouter {
     router: Router,
     seen_at: Nanos,
 }
@@ -61,9 +59,9 @@
     local: BTreeMap<NodeId, LocalRouter>,
     reported_by_peers: BTreeMap<NodeId, PeerReport>,
     last_seen: BTreeMap<NodeId, Nanos>,
-    draining: BTreeMap<NodeId, DrainingRouter>,
-    /// Ready routers, with the time at which each was seen last.
-    remembered: BTreeMap<NodeId, (Router, Nanos)>,
+    draining: BTreeMap<NodeId, SeenRouter>,
+    /// Ready routers, for clients of a region that is partitioned from them.
+    remembered: BTreeMap<NodeId, SeenRouter>,
     last_report_sent_at: Nanos,
 }
 
@@ -153,17 +151,17 @@
             match router.state {
                 RouterState::Ready => {
                     self.draining.remove(&router.node);
-                    self.remembered.insert(router.node, (router, now));
+                    self.remembered.insert(router.node, SeenRouter { router, seen_at: now });
                 }
                 RouterState::Draining => {
-                    self.draining.insert(router.node, DrainingRouter { router, seen_at: now });
+                    self.draining.insert(router.node, SeenRouter { router, seen_at: now });
                 }
                 RouterState::Starting => {}
             }
         }
         self.last_seen.retain(|_, seen_at| now < *seen_at + RECENTLY_SEEN);
         self.draining.retain(|_, draining| now < draining.seen_at + DRAINING_RETENTION);
-        self.remembered.retain(|_, (_, seen_at)| now < *seen_at + REMEMBERED);
+        self.remembered.retain(|_, remembered| now < remembered.seen_at + RECENTLY_SEEN);
     }
 
     /// The number of routers that are known or were lately, and a router's index among them.
@@ -176,7 +174,7 @@
     /// for clients.
     pub fn addresses_while_partitioned(&self, region: &str, other_regions: &BTreeSet<String>) -> Vec<String> {
         let mut addresses = self.addresses_for_region(region);
-        let remembered = self.remembered.values().map(|(router, _)| router);
+        let remembered = self.remembered.values().map(|remembered| &remembered.router);
         let elsewhere = remembered.filter(|router| other_regions.contains(&router.region));
         let elsewhere = elsewhere.map(|router| router.client_address.clone());
         addresses.truncate(MAX_DIRECTORY_ADDRESSES / 2);
--- a/protocol/src/configuration/schema.rs
+++ b/protocol/src/configuration/schema.rs
@@ -5,6 +5,8 @@
 
 use serde::Deserialize;
 
+use crate::{MILLISECOND, Nanos};
+
 /// How the requests of a route may be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize, strum::Display)]
 #[serde(rename_all = "snake_case")]
@@ -75,6 +77,11 @@
 }
 
 impl Route {
+    /// The latency target, of a millisecond at least.
+    pub fn latency_target(&self) -> Nanos {
+        (self.latency_target_ms.max(1.0) * MILLISECOND as f64) as Nanos
+    }
+
     /// Whether a request may be executed more than once.
     pub fn is_idempotent(&self) -> bool {
         match self.route_kind {
--- a/protocol/src/load_exchange.rs
+++ b/protocol/src/load_exchange.rs
@@ -6,8 +6,6 @@
 
 use speedy::{Readable, Writable};
 
-use crate::hash::fnv1a_hash;
-
 /// The first byte of each datagram. Another format gets another one, and is ignored by those who do not know it.
 const FORMAT: u8 = 1;
 /// The tokens that one unit of [`ServerLoad::queued_units`] stands for.
@@ -39,10 +37,10 @@
     }
 }
 
-/// A server in a datagram: 32 bits of the hash of its id. Two servers that share them are taken for one, which is harmless: each
+/// A server in a datagram: 32 bits of the hash of its id, by [`crate::hash::fnv1a_hash`]. Two servers that share them are taken for one, which is harmless: each
 /// looks busier than it is.
-pub fn server_key(id: &str) -> u32 {
-    (fnv1a_hash(id.as_bytes()) >> u32::BITS) as u32
+pub fn server_key(id_hash: u64) -> u32 {
+    (id_hash >> u32::BITS) as u32
 }
 
 /// A datagram.
--- a/protocol/tests/load_exchange.rs
+++ b/protocol/tests/load_exchange.rs
@@ -26,7 +26,7 @@
     let expected = [1, 0, 0, 0, 0, 1, 0, 0, 0, 4, 3, 2, 1, 5, 0, 6, 0];
     expect_that!(datagram.encode(), eq(expected.as_slice()));
     expect_that!(
-        server_key("i-7f3a91c2"),
+        server_key(ivyhatch_protocol::hash::fnv1a_hash(b"i-7f3a91c2")),
         eq((ivyhatch_protocol::hash::fnv1a_hash(b"i-7f3a91c2") >> 32) as u32)
     );
 }
--- a/routing/src/placement/region_reachability.rs
+++ b/routing/src/placement/region_reachability.rs
@@ -18,7 +18,7 @@
 
 impl RegionReachability {
     /// Whether a request may be sent there: the region can be reached as far as is known, or it is time for a trial.
-    pub(super) fn allows(&self, now: Nanos) -> bool {
+    fn allows(&self, now: Nanos) -> bool {
         self.failed_servers < MAX_FAILED_SERVERS || now >= self.next_trial_at
     }
 
@@ -37,3 +37,31 @@
         self.next_trial_at = now + TRIAL_INTERVAL;
     }
 }
+
+/// What is known of the ways to all regions.
+#[derive(Debug)]
+pub(super) struct Reachability {
+    /// By region; the last one is for all regions that the settings do not name.
+    by_region: Vec<RegionReachability>,
+}
+
+impl Reachability {
+    /// All of so many regions can be reached, as far as is known.
+    pub(super) fn new(regions: u32) -> Self {
+        Self { by_region: vec![RegionReachability::default(); regions as usize + 1] }
+    }
+
+    pub(super) fn of(&mut self, region: u32) -> &mut RegionReachability {
+        let index = self.index(region);
+        &mut self.by_region[index]
+    }
+
+    /// Whether a request may be sent to this region.
+    pub(super) fn allows(&self, now: Nanos, region: u32) -> bool {
+        self.by_region[self.index(region)].allows(now)
+    }
+
+    fn index(&self, region: u32) -> usize {
+        (region as usize).min(self.by_region.len() - 1)
+    }
+}
--- a/routing/src/placement/server.rs
+++ b/routing/src/placement/server.rs
@@ -3,6 +3,7 @@
 use ivyhatch_balancer::BackendId;
 use ivyhatch_protocol::Nanos;
 use ivyhatch_protocol::hash::fnv1a_hash;
+use ivyhatch_protocol::load_exchange::server_key;
 
 use crate::prefix_cache::PrefixCache;
 use crate::time_to_first_token::ServerQueue;
@@ -46,9 +47,9 @@
         self.slow_start.extend_until(listed.slow_start_until);
     }
 
-    /// The server in datagrams between routers; see [`ivyhatch_protocol::load_exchange::server_key`].
+    /// The server in datagrams between routers.
     pub(super) fn load_key(&self) -> u32 {
-        (self.name_hash >> u32::BITS) as u32
+        server_key(self.name_hash)
     }
 
     pub(super) fn candidate(&self, id: BackendId) -> Candidate {
--- a/routing/src/placement/service_placement.rs
+++ b/routing/src/placement/service_placement.rs
@@ -12,7 +12,7 @@
 use crate::time_to_first_token::PrefillModel;
 
 use super::affinity::PreferredServers;
-use super::region_reachability::RegionReachability;
+use super::region_reachability::Reachability;
 use super::request::{Attempt, PlacedRequest, RegionSet};
 use super::server::{ListedServer, Server};
 use super::slow_start::SlowStartLimit;
@@ -49,8 +49,7 @@
     router_share: Option<RouterShare>,
     model: PrefillModel,
     servers: HashMap<BackendId, Server>,
-    /// By region; the last one is for all regions that the settings do not name.
-    reachability: Vec<RegionReachability>,
+    reachability: Reachability,
     requests: HashMap<RequestId, PlacedRequest>,
 }
 
@@ -64,7 +63,7 @@
             router_share: None,
             model: PrefillModel::new(regions),
             servers: HashMap::new(),
-            reachability: vec![RegionReachability::default(); regions as usize + 1],
+            reachability: Reachability::new(regions),
             requests: HashMap::new(),
         }
     }
@@ -130,11 +129,12 @@
     }
 
     /// What this router has at the servers, for the other routers.
-    pub fn local_loads(&self) -> impl Iterator<Item = ServerLoad> {
+    pub fn local_loads(&self) -> Vec<ServerLoad> {
         let loaded = self.servers.values().filter(|server| server.queue.in_flight() > 0);
-        loaded.map(|server| {
+        let load = |server: &Server| {
             ServerLoad::new(server.load_key(), server.queue.queued_tokens(), server.queue.in_flight())
-        })
+        };
+        loaded.map(load).collect()
     }
 
     /// Takes what all other routers have at the servers, by [`ServerLoad::server`].
@@ -170,10 +170,8 @@
         if let Some(server) = self.servers.get_mut(&id) {
             let had_failed = server.backoff.has_failed();
             server.backoff.record_failure(now);
-            if let Some(reachability) =
-                self.reachability.get_mut(server.region as usize).filter(|_| !had_failed)
-            {
-                reachability.record_server_failure(now);
+            if !had_failed {
+                self.reachability.of(server.region).record_server_failure(now);
             }
         }
     }
@@ -189,10 +187,7 @@
     pub fn record_response(&mut self, id: BackendId) {
         if let Some(server) = self.servers.get_mut(&id) {
             server.backoff.record_success();
-            let region = server.region;
-            if let Some(reachability) = self.reachability.get_mut(region as usize) {
-                reachability.record_response();
-            }
+            self.reachability.of(server.region).record_response();
         }
     }
 
@@ -236,9 +231,7 @@
         let Some(server) = self.servers.get_mut(&backend) else { return };
         server.slow_start.record_send(now);
         server.backoff.record_send(now);
-        if let Some(reachability) = self.reachability.get_mut(server.region as usize) {
-            reachability.record_send(now);
-        }
+        self.reachability.of(server.region).record_send(now);
         if let Some(request) = self.requests.get_mut(&id) {
             server.queue.record_send(uncached_tokens);
             request.attempt = Some(Attempt { backend, uncached_tokens, has_begun: false });
@@ -251,7 +244,7 @@
         let Some(request) = self.requests.get(&id) else { return true };
         request.allows_region(server.region)
             && !server.backoff.is_waiting(now)
-            && self.is_region_reachable(now, server.region)
+            && self.reachability.allows(now, server.region)
             && !(server.is_last_resort && self.has_regular_server(request))
             && self.is_within_slow_start(now, server)
             && self.is_within_latency_target(now, id, backend)
@@ -277,10 +270,6 @@
         self.requests.get(&id).is_none_or(|request| request.allows_region(self.home_region))
     }
 
-    fn is_region_reachable(&self, now: Nanos, region: u32) -> bool {
-        self.reachability.get(region as usize).is_none_or(|reachability| reachability.allows(now))
-    }
-
     /// Whether any server but those of last resort can be reached in the request's regions.
     fn has_regular_server(&self, request: &PlacedRequest) -> bool {
         let is_usable = |server: &Server| {
--- a/routing/src/time_to_first_token.rs
+++ b/routing/src/time_to_first_token.rs
@@ -116,16 +116,14 @@
 }
 
 impl OthersLoad {
-    fn is_fresh(&self, now: Nanos) -> bool {
-        now.saturating_sub(self.reported_at) < OTHERS_LOAD_LIFETIME
+    /// The time since the report; none where that is too long ago to count.
+    fn age(&self, now: Nanos) -> Option<Nanos> {
+        Some(now.saturating_sub(self.reported_at)).filter(|age| *age < OTHERS_LOAD_LIFETIME)
     }
 
     /// The tokens that are still queued: the engine has prefilled meanwhile.
     fn queued_tokens_at(&self, now: Nanos, model: &PrefillModel) -> f64 {
-        if !self.is_fresh(now) {
-            return 0.0;
-        }
-        let age = now.saturating_sub(self.reported_at);
+        let Some(age) = self.age(now) else { return 0.0 };
         (self.queued_tokens - age as f64 * model.tokens_per_ns).max(0.0)
     }
 }
@@ -153,7 +151,7 @@
 
     /// Whether no router is known to have a request there.
     pub fn is_idle(&self, now: Nanos) -> bool {
-        self.in_flight == 0 && (self.others.in_flight == 0 || !self.others.is_fresh(now))
+        self.in_flight == 0 && (self.others.in_flight == 0 || self.others.age(now).is_none())
     }
 
     /// Notes that a request is sent there.
--- a/system/src/load_exchange.rs
+++ b/system/src/load_exchange.rs
@@ -4,8 +4,7 @@
 //! datagrams only from its own port, and ignores those that it can't read.
 
 use std::cell::RefCell;
-use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
-use std::rc::Rc;
+use std::net::{SocketAddr, SocketAddrV4};
 
 use ivyhatch_control::load_aggregator::LoadAggregator;
 use ivyhatch_protocol::ids::NodeId;
@@ -60,23 +59,24 @@
     }
 
     /// Sends a datagram if that is possible at once: the next one replaces it.
-    fn send(&self, datagram: LoadDatagram, to: SocketAddr) {
-        let _ = self.socket.try_send_to(&datagram.encode(), to);
+    fn send(&self, datagram: &[u8], to: SocketAddrV4) {
+        let _ = self.socket.try_send_to(datagram, to.into());
     }
 
-    fn control_address(&self, node: NodeId) -> SocketAddr {
-        SocketAddrV4::new(node.ip(), self.control_port).into()
+    fn control_address(&self, node: NodeId) -> SocketAddrV4 {
+        SocketAddrV4::new(node.ip(), self.control_port)
     }
 
     /// The next datagram that can be read, with its sender.
-    async fn receive(&self) -> (LoadDatagram, SocketAddr, Ipv4Addr) {
+    async fn receive(&self) -> (LoadDatagram, SocketAddrV4) {
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         loop {
             // An error reports that an earlier datagram was not delivered.
-            let Ok((length, from)) = self.socket.recv_from(&mut buffer).await else { continue };
-            let SocketAddr::V4(address) = from else { continue };
+            let Ok((length, SocketAddr::V4(from))) = self.socket.recv_from(&mut buffer).await else {
+                continue;
+            };
             if let Some(datagram) = LoadDatagram::decode(&buffer[..length]) {
-                return (datagram, from, *address.ip());
+                return (datagram, from);
             }
         }
     }
@@ -92,12 +92,12 @@
 ) {
     let report = ticker::run_ticks(|| {
         if let Some(node) = nearest_control_node() {
-            socket.send(LoadDatagram::Report(local_loads()), socket.control_address(node));
+            socket.send(&LoadDatagram::Report(local_loads()).encode(), socket.control_address(node));
         }
     });
     let receive = async {
         loop {
-            if let (LoadDatagram::Summary(loads), ..) = socket.receive().await {
+            if let (LoadDatagram::Summary(loads), _) = socket.receive().await {
                 on_summary(loads);
             }
         }
@@ -107,21 +107,22 @@
 
 /// Runs a control node's part; never returns. `peers` are the other control nodes that can be reached.
 pub async fn run_control(socket: LoadSocket, clock: Clock, peers: impl Fn() -> Vec<NodeId>) {
-    let aggregator = Rc::new(RefCell::new(LoadAggregator::default()));
+    let aggregator = RefCell::new(LoadAggregator::default());
     let exchange = ticker::run_ticks(|| {
         let sum = aggregator.borrow_mut().local_sum(clock.now());
+        let datagram = LoadDatagram::Exchange(sum).encode();
         for node in peers() {
-            socket.send(LoadDatagram::Exchange(sum.clone()), socket.control_address(node));
+            socket.send(&datagram, socket.control_address(node));
         }
     });
     let receive = async {
         loop {
-            let (datagram, from, ip) = socket.receive().await;
-            let (now, node) = (clock.now(), NodeId::from(ip));
+            let (datagram, from) = socket.receive().await;
+            let (now, node) = (clock.now(), NodeId::from(*from.ip()));
             match datagram {
                 LoadDatagram::Report(loads) => {
                     let others = aggregator.borrow_mut().record_report(now, node, loads);
-                    socket.send(LoadDatagram::Summary(others), from);
+                    socket.send(&LoadDatagram::Summary(others).encode(), from);
                 }
                 LoadDatagram::Exchange(loads) => {
                     aggregator.borrow_mut().record_exchange(now, node, loads);
--- a/system/src/router/dispatch/mod.rs
+++ b/system/src/router/dispatch/mod.rs
@@ -162,7 +162,7 @@
     /// What this router has at model servers, for the other routers.
     pub fn local_loads(&self) -> Vec<ServerLoad> {
         let state = self.state.borrow();
-        state.services.values().flat_map(local_loads).collect()
+        state.services.values().flat_map(|service| service.placement.borrow().local_loads()).collect()
     }
 
     /// Takes what all other routers have at model servers.
@@ -180,7 +180,7 @@
         incoming: IncomingRequest,
     ) -> Option<(RequestGuard, oneshot::Receiver<ClientResponse>)> {
         let (sender, response) = oneshot::channel();
-        self.state.borrow().record_idle_connections(&self.upstream.idle_servers());
+        self.state.borrow().record_idle_connections(|server| self.upstream.has_idle_connection(server));
         let request = self.update(|state, outputs| state.submit(incoming, sender, outputs))?;
         Some((RequestGuard { dispatcher: self.clone(), request }, response))
     }
@@ -222,10 +222,6 @@
     }
 }
 
-fn local_loads(service: &service::Service) -> Vec<ServerLoad> {
-    service.placement.borrow().local_loads().collect()
-}
-
 impl AttemptObserver for Dispatcher {
     fn may_send(&self, attempt: AttemptId) -> bool {
         let state = self.state.borrow();
--- a/system/src/router/dispatch/requests.rs
+++ b/system/src/router/dispatch/requests.rs
@@ -62,7 +62,7 @@
         let class = self.request_class(service, &route).unwrap_or_default();
         let request = self.next_request_id();
         let home_regions = self.regions.home_regions(&route);
-        let latency_target = latency_target(&route);
+        let latency_target = route.latency_target();
         if let Some(service) = self.services.get(&service) {
             let mut placement = service.placement.borrow_mut();
             placement.add_request(request, home_regions, incoming.prompt, latency_target);
@@ -150,7 +150,7 @@
     /// Where too little is left for that there is no hurry.
     fn latest_retry(&self, request: RequestId) -> Nanos {
         let Some(request) = self.requests.get(&request) else { return Nanos::MAX };
-        let target = latency_target(&request.route);
+        let target = request.route.latency_target();
         let target_at = request.not_after.min(request.received_at + target);
         let left = target_at.saturating_sub(self.clock.now()) as f64;
         if left < target as f64 * MIN_LEFT_FOR_RETRY_FRACTION {
@@ -209,10 +209,6 @@
     }
 }
 
-fn latency_target(route: &Route) -> Nanos {
-    (route.latency_target_ms.max(1.0) * MILLISECOND as f64) as Nanos
-}
-
 /// When a request is ended that the balancer has not ended.
 fn timeout_at(not_after: Nanos) -> Nanos {
     not_after + REQUEST_TIMEOUT_MARGIN
--- a/system/src/router/dispatch/server_list.rs
+++ b/system/src/router/dispatch/server_list.rs
@@ -31,10 +31,10 @@
 }
 
 impl DispatcherState {
-    /// Takes the servers to which there is an idle connection.
-    pub(super) fn record_idle_connections(&self, idle: &HashSet<ServerKey>) {
+    /// Takes which servers there is an idle connection to.
+    pub(super) fn record_idle_connections(&self, has_idle_connection: impl Fn(ServerKey) -> bool) {
         for (id, service) in &self.services {
-            let has_idle = |backend| idle.contains(&ServerKey { service: *id, backend });
+            let has_idle = |backend| has_idle_connection(ServerKey { service: *id, backend });
             service.placement.borrow_mut().record_idle_connections(has_idle);
         }
     }
--- a/system/src/router/dispatch/service.rs
+++ b/system/src/router/dispatch/service.rs
@@ -85,7 +85,7 @@
 
     /// The balancer's class for a route's requests; a new one where there is none of its kind.
     pub fn request_class(&mut self, route: &Route) -> ClassId {
-        let latency_target = (route.latency_target_ms.max(1.0) * MILLISECOND as f64) as Nanos;
+        let latency_target = route.latency_target();
         let key = ClassKey {
             latency_target,
             priority: route.priority,
--- a/system/src/router/mod.rs
+++ b/system/src/router/mod.rs
@@ -99,7 +99,6 @@
     let timers = dispatcher.clone();
     spawn_local(async move { timers.run_timers().await });
     let watch_session = WatchSession::start(&settings, clock, router, dispatcher.clone());
-    let watch_session = Rc::new(watch_session);
     if let Some(socket) = load_socket {
         spawn_local(share_loads(socket, watch_session.clone(), dispatcher.clone()));
     }
@@ -121,7 +120,7 @@
 }
 
 /// Shares with the other routers what each has at model servers; never returns.
-async fn share_loads(socket: LoadSocket, watch_session: Rc<WatchSession>, dispatcher: Dispatcher) {
+async fn share_loads(socket: LoadSocket, watch_session: WatchSession, dispatcher: Dispatcher) {
     load_exchange::run_router(
         socket,
         || watch_session.nearest_control_node(),
--- a/system/src/router/upstream/mod.rs
+++ b/system/src/router/upstream/mod.rs
@@ -8,7 +8,6 @@
 mod stream;
 
 use std::cell::Cell;
-use std::collections::HashSet;
 use std::pin::{Pin, pin};
 use std::rc::Rc;
 use std::time::Duration;
@@ -80,9 +79,9 @@
         self.pool.sweep().await;
     }
 
-    /// The servers to which there is an idle connection.
-    pub fn idle_servers(&self) -> HashSet<ServerKey> {
-        self.pool.idle_servers()
+    /// Whether there is an idle connection to a server.
+    pub fn has_idle_connection(&self, server: ServerKey) -> bool {
+        self.pool.has_idle(server)
     }
 
     /// Drops the idle connections to a server that takes no more requests.
--- a/system/src/router/upstream/pool.rs
+++ b/system/src/router/upstream/pool.rs
@@ -4,7 +4,7 @@
 //! closed, and ends when its sender is dropped.
 
 use std::cell::{Cell, RefCell};
-use std::collections::{HashMap, HashSet};
+use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -121,12 +121,11 @@
         }
     }
 
-    /// The servers to which there is an idle connection.
-    pub fn idle_servers(&self) -> HashSet<ServerKey> {
+    /// Whether there is an idle connection to a server.
+    pub fn has_idle(&self, server: ServerKey) -> bool {
         let now = self.clock.now();
         let idle = self.idle.borrow();
-        let usable = idle.iter().filter(|(_, idle)| idle.iter().any(|idle| idle.is_usable(now)));
-        usable.map(|(server, _)| *server).collect()
+        idle.get(&server).is_some_and(|idle| idle.iter().any(|idle| idle.is_usable(now)))
     }
 
     /// Drops the idle connections to a server that takes no more requests.
--- a/system/src/router/watch_session.rs
+++ b/system/src/router/watch_session.rs
@@ -46,7 +46,8 @@
     periodic_reload: PeriodicReload,
 }
 
-/// A handle on the sessions.
+/// A handle on the sessions. Cheap to clone.
+#[derive(Clone)]
 pub struct WatchSession(Rc<Host>);
 
 impl WatchSession {
