--- a/routing/src/placement/service_placement.rs
+++ b/routing/src/placement/service_placement.rs
@@ -147,10 +147,10 @@
     }
 
     /// Takes what all other routers have at the servers, by [`ServerLoad::server`].
-    pub fn record_others_loads(&mut self, now: Nanos, loads: &HashMap<u32, ServerLoad>) {
+    pub fn record_peer_loads(&mut self, now: Nanos, loads: &HashMap<u32, ServerLoad>) {
         for server in self.servers.values_mut() {
             let load = loads.get(&server.load_key()).copied().unwrap_or_default();
-            server.queue.record_others(now, load.queued_tokens(), u32::from(load.in_flight));
+            server.queue.record_peer_load(now, load.queued_tokens(), u32::from(load.in_flight));
         }
     }
 
--- a/routing/src/time_to_first_token.rs
+++ b/routing/src/time_to_first_token.rs
@@ -174,7 +174,7 @@
     }
 
     /// Takes what other routers have there.
-    pub fn record_others(&mut self, now: Nanos, queued_tokens: u64, in_flight: u32) {
+    pub fn record_peer_load(&mut self, now: Nanos, queued_tokens: u64, in_flight: u32) {
         self.others = OthersLoad { queued_tokens: queued_tokens as f64, in_flight, reported_at: now };
     }
 
--- a/routing/tests/time_to_first_token.rs
+++ b/routing/tests/time_to_first_token.rs
@@ -202,7 +202,7 @@
     let mut queue = ServerQueue::default();
     let latency = |queue: &ServerQueue, now| queue.time_to_first_token(now, &model, 0, 100);
     let idle = latency(&queue, SECOND);
-    queue.record_others(SECOND, 40_000, 2);
+    queue.record_peer_load(SECOND, 40_000, 2);
     let busy = latency(&queue, SECOND);
     expect_that!(busy, gt(idle + 100.0 * MILLISECOND as f64));
     expect_that!(
@@ -215,7 +215,7 @@
         eq(idle),
         "nobody has reported for half a second"
     );
-    queue.record_others(SECOND, 0, 0);
+    queue.record_peer_load(SECOND, 0, 0);
     expect_that!(latency(&queue, SECOND), eq(idle));
 }
 
@@ -223,7 +223,7 @@
 fn server_is_idle_where_no_router_has_a_request_there() {
     let mut queue = ServerQueue::default();
     expect_that!(queue.is_idle(SECOND), eq(true));
-    queue.record_others(SECOND, 0, 1);
+    queue.record_peer_load(SECOND, 0, 1);
     expect_that!(queue.is_idle(SECOND), eq(false));
     expect_that!(queue.is_idle(2 * SECOND), eq(true), "the report is too old");
     queue.record_send(10);
--- a/system/src/router/dispatch/mod.rs
+++ b/system/src/router/dispatch/mod.rs
@@ -173,7 +173,7 @@
         let now = self.clock.now();
         let loads: HashMap<u32, ServerLoad> = loads.into_iter().map(|load| (load.server, load)).collect();
         for service in self.state.borrow().services.values() {
-            service.placement.borrow_mut().record_others_loads(now, &loads);
+            service.placement.borrow_mut().record_peer_loads(now, &loads);
         }
     }
 
