--- a/coordination/src/cell.rs
+++ b/coordination/src/cell.rs
@@ -30,11 +30,11 @@
 
 impl Cells {
     /// No cells; puts stay in the history for a span.
-    pub fn new(history_span: Nanos) -> Self {
+    pub fn new(history_retention: Nanos) -> Self {
         Self {
             cells: BTreeMap::new(),
             group_revisions: BTreeMap::new(),
-            history: History::new(history_span),
+            history: History::new(history_retention),
             bytes: 0,
         }
     }
@@ -102,7 +102,7 @@
         if expected_revision.is_some_and(|expected| expected != revision) {
             return Decision::refuse(Refusal::RevisionConflict { revision });
         }
-        if self.bytes >= MAX_CELL_BYTES || !self.history.has_room(now) {
+        if self.bytes >= MAX_CELL_BYTES || !self.history.has_capacity(now) {
             return Decision::not_started(NotStarted::Overloaded);
         }
         let group = group_of(name).to_owned();
--- a/coordination/src/history.rs
+++ b/coordination/src/history.rs
@@ -22,7 +22,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Recorded {
+struct RecordedPut {
     slot: u16,
     recorded_at: Nanos,
     name: String,
@@ -32,9 +32,9 @@
 /// The last puts of a partition's groups.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct History {
-    span: Nanos,
+    retention: Nanos,
     /// By the number of the change.
-    recorded: BTreeMap<u64, Recorded>,
+    recorded: BTreeMap<u64, RecordedPut>,
     /// The puts of each group, by revision.
     groups: BTreeMap<String, BTreeMap<u64, CellEvent>>,
     /// The revision of each put, by cell and value.
@@ -45,9 +45,9 @@
 
 impl History {
     /// An empty history that keeps puts for a span, and a margin.
-    pub fn new(span: Nanos) -> Self {
+    pub fn new(retention: Nanos) -> Self {
         Self {
-            span: span + HISTORY_MARGIN,
+            retention: retention + HISTORY_MARGIN,
             recorded: BTreeMap::new(),
             groups: BTreeMap::new(),
             revisions: HashMap::new(),
@@ -69,23 +69,23 @@
         self.bytes += event_bytes(&event);
         self.revisions.insert((name.clone(), value), revision);
         self.groups.entry(group_of(&name).to_owned()).or_default().insert(revision, event);
-        self.recorded.insert(sequence, Recorded { slot, recorded_at: now, name, revision });
+        self.recorded.insert(sequence, RecordedPut { slot, recorded_at: now, name, revision });
     }
 
     /// Whether there is room for a put, once those that have had their time are dropped.
-    pub(crate) fn has_room(&self, now: Nanos) -> bool {
+    pub(crate) fn has_capacity(&self, now: Nanos) -> bool {
         let is_within_bounds =
             usize::from(self.next_new_slot) < MAX_HISTORY_EVENTS && self.bytes < MAX_HISTORY_BYTES;
-        is_within_bounds || self.oldest_may_leave(now)
+        is_within_bounds || self.oldest_has_expired(now)
     }
 
-    fn oldest_may_leave(&self, now: Nanos) -> bool {
-        self.recorded.first_key_value().is_some_and(|(_, oldest)| now >= oldest.recorded_at + self.span)
+    fn oldest_has_expired(&self, now: Nanos) -> bool {
+        self.recorded.first_key_value().is_some_and(|(_, oldest)| now >= oldest.recorded_at + self.retention)
     }
 
     /// Records a put, in the slot of the oldest one where that has had its time. Returns the register to write.
     pub(crate) fn record(&mut self, now: Nanos, sequence: u64, event: CellEvent) -> RegisterChanges {
-        let slot = self.take_slot(now);
+        let slot = self.allocate_slot(now);
         let register = EventRegister { sequence, event: event.clone() };
         // Writing to memory can't fail.
         let value = register.write_to_vec().unwrap_or_default();
@@ -93,18 +93,18 @@
         vec![(RegisterKey::CellEvent(slot), Some(value.into()))]
     }
 
-    fn take_slot(&mut self, now: Nanos) -> u16 {
-        if self.oldest_may_leave(now)
+    fn allocate_slot(&mut self, now: Nanos) -> u16 {
+        if self.oldest_has_expired(now)
             && let Some((_, oldest)) = self.recorded.pop_first()
         {
-            self.forget(&oldest);
+            self.remove(&oldest);
             return oldest.slot;
         }
         self.next_new_slot += 1;
         self.next_new_slot - 1
     }
 
-    fn forget(&mut self, recorded: &Recorded) {
+    fn remove(&mut self, recorded: &RecordedPut) {
         let group = group_of(&recorded.name);
         let Some(events) = self.groups.get_mut(group) else { return };
         if let Some(event) = events.remove(&recorded.revision) {
--- a/coordination/src/lock.rs
+++ b/coordination/src/lock.rs
@@ -35,9 +35,9 @@
 impl HeldLock {
     /// Whether a call of this holder, with a fencing token that it was given, is about the present hold. A holder whose call was
     /// carried out twice knows only one of the two tokens.
-    fn was_given(&self, holder: &str, fence: u64) -> bool {
-        let LockRegister { holder: known, first_fence, fence: last_fence, .. } = &self.register;
-        known == holder && (*first_fence..=*last_fence).contains(&fence)
+    fn matches_hold(&self, holder: &str, fence: u64) -> bool {
+        let LockRegister { holder: current_holder, first_fence, fence: last_fence, .. } = &self.register;
+        current_holder == holder && (*first_fence..=*last_fence).contains(&fence)
     }
 }
 
@@ -80,10 +80,10 @@
         // The holder itself gets a higher token each time: a release that it sent before, and that is still on its way, then does not
         // free the lock which it has been given since.
         let first_fence = current.map_or(sequence, |lock| lock.register.first_fence);
-        let earlier_end = current.map_or(now, |lock| lock.expires_at);
+        let previous_expiry = current.map_or(now, |lock| lock.expires_at);
         let register =
             LockRegister { holder: holder.to_owned(), first_fence, fence: sequence, remaining_ms: 0 };
-        let changes = self.hold(now, name, register, hold_ms, earlier_end);
+        let changes = self.hold(now, name, register, hold_ms, previous_expiry);
         Decision::propose(changes, Reply::LockAcquired { fence: sequence })
     }
 
@@ -96,11 +96,11 @@
         fence: u64,
         hold_ms: u64,
     ) -> Decision {
-        let Some(lock) = self.current(now, name).filter(|lock| lock.was_given(holder, fence)) else {
+        let Some(lock) = self.current(now, name).filter(|lock| lock.matches_hold(holder, fence)) else {
             return Decision::refuse(Refusal::LockLost);
         };
-        let (register, earlier_end) = (lock.register.clone(), lock.expires_at);
-        Decision::propose(self.hold(now, name, register, hold_ms, earlier_end), Reply::LockRenewed)
+        let (register, previous_expiry) = (lock.register.clone(), lock.expires_at);
+        Decision::propose(self.hold(now, name, register, hold_ms, previous_expiry), Reply::LockRenewed)
     }
 
     /// Holds a lock for a time from now on, and at least until `earlier_end`: calls may overtake each other, and the holder counts by
@@ -111,9 +111,9 @@
         name: &str,
         register: LockRegister,
         hold_ms: u64,
-        earlier_end: Nanos,
+        previous_expiry: Nanos,
     ) -> RegisterChanges {
-        let expires_at = earlier_end.max(now + hold_ms * MILLISECOND);
+        let expires_at = previous_expiry.max(now + hold_ms * MILLISECOND);
         let remaining_ms = (expires_at - now).div_ceil(MILLISECOND);
         let register = LockRegister { remaining_ms, ..register };
         // Writing to memory can't fail.
@@ -137,11 +137,12 @@
     }
 
     /// Forgets locks whose time ran out this long ago, some at a time.
-    pub(crate) fn remove_expired(&mut self, now: Nanos, grace: Nanos, most: usize) -> RegisterChanges {
-        let is_old = |lock: &HeldLock| now >= lock.expires_at.saturating_add(grace);
-        let old = self.held.iter().filter(|(_, lock)| is_old(lock)).map(|(name, _)| name.clone());
-        let old: Vec<String> = old.take(most).collect();
-        old.into_iter()
+    pub(crate) fn remove_expired(&mut self, now: Nanos, grace: Nanos, max_count: usize) -> RegisterChanges {
+        let is_removable = |lock: &HeldLock| now >= lock.expires_at.saturating_add(grace);
+        let expired = self.held.iter().filter(|(_, lock)| is_removable(lock)).map(|(name, _)| name.clone());
+        let expired: Vec<String> = expired.take(max_count).collect();
+        expired
+            .into_iter()
             .map(|name| {
                 self.held.remove(&name);
                 (RegisterKey::Lock(name), None)
--- a/coordination/src/state.rs
+++ b/coordination/src/state.rs
@@ -62,8 +62,8 @@
 impl CoordinationState {
     /// Reads the state from a partition's registers; `None` where one was written in a format that this release does not know. Puts stay in
     /// the history for a span.
-    pub fn from_registers(now: Nanos, history_span: Nanos, registers: &RegisterMap) -> Option<Self> {
-        let mut state = Self { locks: Locks::default(), cells: Cells::new(history_span) };
+    pub fn from_registers(now: Nanos, history_retention: Nanos, registers: &RegisterMap) -> Option<Self> {
+        let mut state = Self { locks: Locks::default(), cells: Cells::new(history_retention) };
         for (key, value) in registers.values() {
             match key {
                 RegisterKey::Lock(name) => state.locks.load(now, name, value)?,
@@ -110,8 +110,8 @@
     }
 
     /// Forgets locks whose time ran out longer than `grace` ago, `most` at a time. Returns the changes to propose.
-    pub fn remove_expired_locks(&mut self, now: Nanos, grace: Nanos, most: usize) -> RegisterChanges {
-        self.locks.remove_expired(now, grace, most)
+    pub fn remove_expired_locks(&mut self, now: Nanos, grace: Nanos, max_count: usize) -> RegisterChanges {
+        self.locks.remove_expired(now, grace, max_count)
     }
 
     /// The locks.
--- a/routing/src/placement/service_placement.rs
+++ b/routing/src/placement/service_placement.rs
@@ -180,7 +180,7 @@
             let had_failed = server.backoff.has_failed();
             server.backoff.record_failure(now);
             if !had_failed {
-                self.reachability.of(server.region).record_server_failure(now);
+                self.reachability.region_mut(server.region).record_server_failure(now);
             }
         }
     }
@@ -196,7 +196,7 @@
     pub fn record_response(&mut self, id: BackendId) {
         if let Some(server) = self.servers.get_mut(&id) {
             server.backoff.record_success();
-            self.reachability.of(server.region).record_response();
+            self.reachability.region_mut(server.region).record_response();
         }
     }
 
@@ -240,7 +240,7 @@
         let Some(server) = self.servers.get_mut(&backend) else { return };
         server.slow_start.record_send(now);
         server.backoff.record_send(now);
-        self.reachability.of(server.region).record_send(now);
+        self.reachability.region_mut(server.region).record_send(now);
         if let Some(request) = self.requests.get_mut(&id) {
             server.queue.record_send(uncached_tokens);
             request.attempt = Some(Attempt { backend, uncached_tokens, has_begun: false });
@@ -318,12 +318,12 @@
         let (Some(request), Some(server)) = (self.requests.get(&id), self.servers.get(&backend)) else {
             return 0;
         };
-        let by_own_requests = server.cache.uncached_tokens(now, &request.prompt);
+        let uncached_by_own_requests = server.cache.uncached_tokens(now, &request.prompt);
         // Other routers prefer the same server for this prefix: what they have sent there is cached as well.
         if request.preferred.contains(server.region, backend) {
-            by_own_requests.min(request.prompt.unshared_tokens())
+            uncached_by_own_requests.min(request.prompt.unshared_tokens())
         } else {
-            by_own_requests
+            uncached_by_own_requests
         }
     }
 }
--- a/routing/src/placement/slow_start.rs
+++ b/routing/src/placement/slow_start.rs
@@ -9,7 +9,7 @@
 /// The window in which a server's requests are counted: a second, and a tenth for requests that are delayed on the way.
 pub(super) const WINDOW: Nanos = 1100 * MILLISECOND;
 /// The part of the limit that is used; the rest is for routers that are not known of yet.
-const USED_PART: f64 = 0.85;
+const USED_FRACTION: f64 = 0.85;
 
 /// The limit on a service's servers in slow start.
 #[derive(Clone, Copy, Debug, Default)]
@@ -31,7 +31,7 @@
     pub(super) fn for_router(&self, share: Option<RouterShare>, server_hash: u64) -> usize {
         let Some(share) = share else { return 0 };
         let (routers, index) = (u64::from(share.count.max(1)), u64::from(share.index));
-        let total = (self.requests_per_second * USED_PART) as u64;
+        let total = (self.requests_per_second * USED_FRACTION) as u64;
         let rank = (index + server_hash % routers) % routers;
         let remainder = u64::from(rank < total % routers);
         (total / routers + remainder) as usize
--- a/routing/src/route_table.rs
+++ b/routing/src/route_table.rs
@@ -16,11 +16,11 @@
 
 /// An item that can't be parsed. The control plane has validated it before, so it is of another release.
 #[derive(Debug, thiserror::Error)]
-#[error("{section}: {name:?} can't be read ({problem}): bring all machines to one release")]
+#[error("{section}: {name:?} can't be read ({error}): bring all machines to one release")]
 pub struct UnreadableItem {
     section: &'static str,
     name: String,
-    problem: serde_json::Error,
+    error: serde_json::Error,
 }
 
 /// The routes, services and limits in force.
@@ -85,8 +85,8 @@
     fn parse<T: DeserializeOwned>(&mut self, section: &'static str, name: &str, json: &str) -> Option<T> {
         match serde_json::from_str(json) {
             Ok(parsed) => Some(parsed),
-            Err(problem) => {
-                self.unreadable.push(UnreadableItem { section, name: name.to_owned(), problem });
+            Err(error) => {
+                self.unreadable.push(UnreadableItem { section, name: name.to_owned(), error });
                 None
             }
         }
--- a/routing/src/time_to_first_token.rs
+++ b/routing/src/time_to_first_token.rs
@@ -34,7 +34,7 @@
 /// A load report counts in full when it comes, less and less after that, and not at all after this time.
 const LOAD_REPORT_LIFETIME: Nanos = 600 * MILLISECOND;
 /// What other routers have at a server counts for so long after it was reported.
-const OTHERS_LOAD_LIFETIME: Nanos = 500 * MILLISECOND;
+const PEER_LOAD_LIFETIME: Nanos = 500 * MILLISECOND;
 /// Upper bound of the utilisation that a load report can show.
 const MAX_REPORTED_UTILISATION: f64 = 1.2;
 
@@ -76,8 +76,8 @@
         }
         self.mean_tokens += (tokens - self.mean_tokens) * MEAN_WEIGHT;
         let without_prefill = (elapsed_ns - tokens / self.tokens_per_ns).max(0.0);
-        let falls = without_prefill < base_latency;
-        let weight = if falls { BASE_LATENCY_FALL_WEIGHT } else { BASE_LATENCY_RISE_WEIGHT };
+        let is_lower = without_prefill < base_latency;
+        let weight = if is_lower { BASE_LATENCY_FALL_WEIGHT } else { BASE_LATENCY_RISE_WEIGHT };
         base_latency += (without_prefill - base_latency) * weight;
         if let Some(learned) = self.base_latency_ns.get_mut(region as usize) {
             *learned = base_latency;
@@ -104,21 +104,21 @@
     mean_wait_ns: f64,
     load: LoadReport,
     load_reported_at: Option<Nanos>,
-    others: OthersLoad,
+    peer_load: PeerLoad,
 }
 
 /// What other routers have at a server, as they reported it some time ago.
 #[derive(Clone, Copy, Debug, Default)]
-struct OthersLoad {
+struct PeerLoad {
     queued_tokens: f64,
     in_flight: u32,
     reported_at: Nanos,
 }
 
-impl OthersLoad {
+impl PeerLoad {
     /// The time since the report; none where that is too long ago to count.
     fn age(&self, now: Nanos) -> Option<Nanos> {
-        Some(now.saturating_sub(self.reported_at)).filter(|age| *age < OTHERS_LOAD_LIFETIME)
+        Some(now.saturating_sub(self.reported_at)).filter(|age| *age < PEER_LOAD_LIFETIME)
     }
 
     /// The tokens that are still queued: the engine has prefilled meanwhile.
@@ -138,7 +138,7 @@
         uncached_tokens: u32,
     ) -> f64 {
         let reported_tokens = self.load.waiting * model.mean_tokens * self.load_report_freshness(now);
-        let routers_tokens = self.queued_tokens + self.others.queued_tokens_at(now, model);
+        let routers_tokens = self.queued_tokens + self.peer_load.queued_tokens_at(now, model);
         // The routers' requests are among those that the server reports: the greater figure counts, not the sum.
         let queued_tokens = routers_tokens.max(reported_tokens);
         model.base_latency(region) + (queued_tokens + f64::from(uncached_tokens)) / model.tokens_per_ns
@@ -151,7 +151,7 @@
 
     /// Whether no router is known to have a request there.
     pub fn is_idle(&self, now: Nanos) -> bool {
-        self.in_flight == 0 && (self.others.in_flight == 0 || self.others.age(now).is_none())
+        self.in_flight == 0 && (self.peer_load.in_flight == 0 || self.peer_load.age(now).is_none())
     }
 
     /// Notes that a request is sent there.
@@ -175,7 +175,7 @@
 
     /// Takes what other routers have there.
     pub fn record_peer_load(&mut self, now: Nanos, queued_tokens: u64, in_flight: u32) {
-        self.others = OthersLoad { queued_tokens: queued_tokens as f64, in_flight, reported_at: now };
+        self.peer_load = PeerLoad { queued_tokens: queued_tokens as f64, in_flight, reported_at: now };
     }
 
     /// Prompt tokens of this router's requests there that have no response yet.
@@ -204,8 +204,8 @@
     /// service time S, which is W / (W + S), or that of its slots where it is higher.
     pub fn utilisation(&self, model: &PrefillModel) -> f64 {
         let service_time_ns = (model.mean_tokens / model.tokens_per_ns).max(1.0);
-        let by_wait = self.mean_wait_ns / (self.mean_wait_ns + service_time_ns);
-        by_wait.max(self.load.utilisation().min(MAX_REPORTED_UTILISATION))
+        let wait_utilisation = self.mean_wait_ns / (self.mean_wait_ns + service_time_ns);
+        wait_utilisation.max(self.load.utilisation().min(MAX_REPORTED_UTILISATION))
     }
 
     /// Weight of the last load report: 1 when it comes, falling to 0.
--- a/routing/src/watch_client/primary.rs
+++ b/routing/src/watch_client/primary.rs
@@ -31,14 +31,14 @@
     /// where all connections are lost.
     pub(super) fn reselect(&mut self, connections: &Connections, now: Nanos) -> Option<PrimaryChange> {
         let current = self.node.and_then(|node| connections.get(node));
-        let is_good = |connection: &Connection| is_responsive(connection, now) && connection.has_quorum;
+        let is_healthy = |connection: &Connection| is_responsive(connection, now) && connection.has_quorum;
         let candidates = connections.open().filter(|(_, connection)| is_responsive(connection, now));
         let (best, connection) = candidates.min_by_key(|(node, connection)| {
             (!connection.has_quorum, connections.distance(*node), connection.round_trip)
         })?;
-        if let Some(node) = self.node.filter(|_| current.is_some_and(is_good)) {
+        if let Some(node) = self.node.filter(|_| current.is_some_and(is_healthy)) {
             let is_nearer = connections.distance(best) < connections.distance(node);
-            if !is_nearer || !is_good(connection) {
+            if !is_nearer || !is_healthy(connection) {
                 return None;
             }
         }
--- a/routing/src/watch_client/quorum_contact.rs
+++ b/routing/src/watch_client/quorum_contact.rs
@@ -5,7 +5,7 @@
 use super::connections::{Connections, HEARTBEAT_INTERVAL};
 
 /// A control node counts as in contact for so long after its last message: two of its heartbeats.
-const FRESHNESS: Nanos = 2 * HEARTBEAT_INTERVAL;
+const MAX_MESSAGE_AGE: Nanos = 2 * HEARTBEAT_INTERVAL;
 /// A router without contact for so long can't know what has been ordered since.
 const CONTACT_TIMEOUT: Nanos = 400 * MILLISECOND;
 
@@ -37,7 +37,7 @@
     /// Returns the contact where it has changed.
     pub(super) fn update(&mut self, connections: &Connections, now: Nanos) -> Option<QuorumContact> {
         let mut open = connections.open();
-        if open.any(|(_, node)| node.has_quorum && now < node.last_received_at + FRESHNESS) {
+        if open.any(|(_, node)| node.has_quorum && now < node.last_received_at + MAX_MESSAGE_AGE) {
             self.last_contact_at = now;
         }
         let in_time = now < self.last_contact_at + CONTACT_TIMEOUT;
