--- a/control/src/calls/call_queue.rs
+++ b/control/src/calls/call_queue.rs
@@ -19,7 +19,7 @@
 pub const MAX_WATCHES: usize = 2048;
 /// The outcome of a forwarded call is kept for this long, for copies of the call that come late. Longer than the age up to which a
 /// forwarded call is carried out.
-const OUTCOME_KEPT: Nanos = 2 * SECOND;
+const OUTCOME_RETENTION: Nanos = 2 * SECOND;
 
 /// A call that waits for its decision.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -99,7 +99,7 @@
     phase: Phase,
     waiting: VecDeque<QueuedCall>,
     /// By the number of the proposed change.
-    open: BTreeMap<u64, OpenCall>,
+    open_calls: BTreeMap<u64, OpenCall>,
     /// By the number of the confirmation.
     unconfirmed: BTreeMap<u64, UnconfirmedOutcome>,
     watches: BTreeMap<Requester, HeldWatch>,
@@ -128,7 +128,7 @@
     fn contains(&self, requester: Requester) -> bool {
         self.watches.contains_key(&requester)
             || self.waiting.iter().any(|queued| queued.requester == requester)
-            || self.open.values().any(|open| open.requester == requester)
+            || self.open_calls.values().any(|open| open.requester == requester)
             || self.unconfirmed.values().any(|outcome| outcome.requester == requester)
     }
 
@@ -186,7 +186,7 @@
 
     /// The last revision of a group that is committed.
     fn committed_revision(&self, group: &str) -> Option<u64> {
-        let mut publications = self.open.values().filter_map(|open| open.publication.as_ref());
+        let mut publications = self.open_calls.values().filter_map(|open| open.publication.as_ref());
         let first_open = publications.find(|publication| publication.group == group);
         match (&self.phase, first_open) {
             (Phase::Deciding(_), Some(publication)) => Some(publication.revision - 1),
@@ -203,7 +203,7 @@
         reply: Reply,
         publication: Option<Publication>,
     ) {
-        self.open.insert(sequence, OpenCall { requester, reply, publication });
+        self.open_calls.insert(sequence, OpenCall { requester, reply, publication });
     }
 
     /// Holds a watch.
@@ -247,7 +247,7 @@
     /// All changes up to this number are committed. Returns the outcomes that may be sent by that.
     pub fn changes_committed(&mut self, sequence: u64) -> Vec<ReadyOutcome> {
         let committed: Vec<OpenCall> =
-            self.open.extract_if(..=sequence, |_, _| true).map(|(_, open)| open).collect();
+            self.open_calls.extract_if(..=sequence, |_, _| true).map(|(_, open)| open).collect();
         let mut ready = Vec::new();
         let mut groups = Vec::new();
         for OpenCall { requester, reply, publication } in committed {
@@ -285,11 +285,11 @@
     /// Removes the watches whose wait is over: they are decided once more, and answered with what there is.
     pub fn take_ended_watches(&mut self, now: Nanos) -> Vec<(Requester, CallOutcome, Nanos)> {
         let ended = self.watches.extract_if(.., |_, watch| now >= watch.wait_ends_at);
-        let nothing = |(requester, watch): (Requester, HeldWatch)| {
+        let empty_outcome = |(requester, watch): (Requester, HeldWatch)| {
             let reply = Reply::Events { events: Vec::new(), revision: watch.after };
             (requester, CallOutcome::Applied(reply), watch.expires_at)
         };
-        ended.map(nothing).collect()
+        ended.map(empty_outcome).collect()
     }
 
     /// Notes the outcome that another node is sent.
@@ -309,7 +309,7 @@
     /// Drops what has expired. Returns the numbers of confirmations that nothing waits for any longer.
     pub fn expire(&mut self, now: Nanos) -> Vec<u64> {
         self.waiting.retain(|queued| now < queued.expires_at);
-        while self.answered.front().is_some_and(|(at, _)| now >= at + OUTCOME_KEPT) {
+        while self.answered.front().is_some_and(|(at, _)| now >= at + OUTCOME_RETENTION) {
             self.answered.pop_front();
         }
         let expired = self.unconfirmed.extract_if(.., |_, outcome| now >= outcome.expires_at);
--- a/control/src/calls/pending_calls.rs
+++ b/control/src/calls/pending_calls.rs
@@ -24,7 +24,7 @@
     expires_at: Nanos,
     delivery: Delivery,
     /// Copies that may have been carried out, or may yet be: each one that was forwarded, and each one that this node has proposed.
-    open_copies: u32,
+    unresolved_copies: u32,
     /// A copy was answered as not begun, by a node that does not lead. That is believed once, and of the only copy: which copy a second such
     /// answer is about, and whether it is the first one doubled, is not known.
     was_rejected: bool,
@@ -32,8 +32,8 @@
 
 impl PendingCall {
     /// The outcome where the call is given up.
-    fn given_up(&self) -> CallOutcome {
-        if self.call.is_read() || self.open_copies == 0 {
+    fn undecided_outcome(&self) -> CallOutcome {
+        if self.call.is_read() || self.unresolved_copies == 0 {
             CallOutcome::NotStarted(NotStarted::NoQuorum)
         } else {
             CallOutcome::Unknown
@@ -42,7 +42,7 @@
 
     /// What may be said of the call when one copy of it has ended with this outcome.
     fn outcome_of_all_copies(&self, outcome: CallOutcome) -> CallOutcome {
-        if self.call.is_read() || self.open_copies == 0 {
+        if self.call.is_read() || self.unresolved_copies == 0 {
             return outcome;
         }
         match (&outcome, &self.call) {
@@ -100,7 +100,7 @@
             forward_id,
             expires_at,
             delivery: Delivery::default(),
-            open_copies: 0,
+            unresolved_copies: 0,
             was_rejected: false,
         };
         self.calls.insert(id, pending);
@@ -127,7 +127,7 @@
                 Some(CallRoute::Enqueue(QueuedCall { requester: Requester::Local(id), call, expires_at }))
             }
             DeliveryStep::Forward(to) => {
-                pending.open_copies += 1;
+                pending.unresolved_copies += 1;
                 Some(CallRoute::Forward { to, forward_id: pending.forward_id, call: pending.call.clone() })
             }
         }
@@ -136,7 +136,7 @@
     /// This node, as the leader, has proposed what a call asks for.
     pub fn proposed(&mut self, id: RequestId) {
         if let Some(pending) = self.calls.get_mut(&id) {
-            pending.open_copies += 1;
+            pending.unresolved_copies += 1;
         }
     }
 
@@ -151,10 +151,10 @@
     pub fn forwarded_copy_ended(&mut self, forward_id: u64, outcome: CallOutcome) -> Option<EndedCall> {
         let id = *self.by_forward_id.get(&forward_id)?;
         let pending = self.calls.get_mut(&id)?;
-        let is_only_copy = pending.open_copies == 1;
+        let is_only_copy = pending.unresolved_copies == 1;
         if outcome == CallOutcome::NotStarted(NotStarted::NotLeader) {
             if is_only_copy && !pending.was_rejected {
-                (pending.open_copies, pending.was_rejected) = (0, true);
+                (pending.unresolved_copies, pending.was_rejected) = (0, true);
             }
             // It is routed anew, to the same node after a while.
             return None;
@@ -179,8 +179,8 @@
     }
 
     /// Removes a call that can't be brought to a leader from here.
-    pub fn give_up(&mut self, id: RequestId) -> Option<EndedCall> {
-        let outcome = self.calls.get(&id)?.given_up();
+    pub fn end_undecided(&mut self, id: RequestId) -> Option<EndedCall> {
+        let outcome = self.calls.get(&id)?.undecided_outcome();
         self.remove(id);
         Some(EndedCall { id, outcome })
     }
@@ -189,6 +189,6 @@
     pub fn expire(&mut self, now: Nanos) -> Vec<EndedCall> {
         let expired = self.calls.iter().filter(|(_, pending)| now >= pending.expires_at);
         let expired: Vec<RequestId> = expired.map(|(id, _)| *id).collect();
-        expired.into_iter().filter_map(|id| self.give_up(id)).collect()
+        expired.into_iter().filter_map(|id| self.end_undecided(id)).collect()
     }
 }
--- a/control/src/control_plane/calls.rs
+++ b/control/src/control_plane/calls.rs
@@ -18,7 +18,7 @@
 /// Locks whose time ran out this long ago are removed.
 const EXPIRED_LOCK_GRACE: Nanos = 30 * SECOND;
 /// The most of them that one change removes.
-const MAX_LOCKS_REMOVED: usize = 64;
+const MAX_LOCKS_REMOVED_PER_CHANGE: usize = 64;
 
 impl ControlPlane {
     pub(super) fn on_call(&mut self, id: RequestId, call: Call) {
@@ -26,7 +26,7 @@
         self.pending_calls.insert(self.now, id, forward_id, call);
         if !self.config.has_coordination || !self.has_quorum() {
             // No leader can be reached from here: the caller learns so at once, and turns to another node.
-            let ended = self.pending_calls.give_up(id);
+            let ended = self.pending_calls.end_undecided(id);
             return self.end_calls(ended);
         }
         self.route_call(id);
@@ -282,7 +282,7 @@
         }
         let state = self.call_queues.get_mut(&partition).and_then(CallQueue::state_mut);
         let Some(state) = state else { return };
-        let changes = state.remove_expired_locks(self.now, EXPIRED_LOCK_GRACE, MAX_LOCKS_REMOVED);
+        let changes = state.remove_expired_locks(self.now, EXPIRED_LOCK_GRACE, MAX_LOCKS_REMOVED_PER_CHANGE);
         if !changes.is_empty() {
             self.propose_registers(partition, changes);
         }
--- a/control/src/control_plane/mod.rs
+++ b/control/src/control_plane/mod.rs
@@ -202,7 +202,7 @@
             }
             PeerMessage::StateTransfer { incarnation, generation, disk, partitions } => {
                 if incarnation == self.config.incarnation {
-                    let partitions = with_registers(&partitions);
+                    let partitions = convert_whole_states(&partitions);
                     self.on_state_transfer(ReplicaId { node: from, disk }, generation, partitions);
                 }
             }
@@ -346,7 +346,7 @@
 }
 
 /// The state of a node of a release before registers.
-fn with_registers(partitions: &[(PartitionId, AcceptorState)]) -> Vec<(PartitionId, TransferredState)> {
+fn convert_whole_states(partitions: &[(PartitionId, AcceptorState)]) -> Vec<(PartitionId, TransferredState)> {
     let state = |(partition, state): &(PartitionId, AcceptorState)| {
         (*partition, whole_values::transferred_state_of(*partition, state))
     };
--- a/control/src/control_plane/requests.rs
+++ b/control/src/control_plane/requests.rs
@@ -148,7 +148,7 @@
         let Some(replica) = self.partitions.replica_mut(partition) else { return };
         let mut effects = Vec::new();
         if let Some(sequence) = replica.propose(self.now, changes, &mut effects) {
-            self.requests.open_proposal(partition, sequence, queued, response);
+            self.requests.add_open_proposal(partition, sequence, queued, response);
             self.partitions.set_proposed_state(partition, next);
         }
         self.apply_effects(partition, effects);
--- a/control/src/control_plane/watchers.rs
+++ b/control/src/control_plane/watchers.rs
@@ -16,8 +16,14 @@
         match self.sessions.handle(self.now, id, request, &mut self.routers) {
             WatchEvent::None => {}
             WatchEvent::RoutersChanged => self.send_routers(),
-            WatchEvent::Fetch { position, extended } => {
-                let updates = updates_since(self.now, &self.feed, &mut self.server_list, &position, extended);
+            WatchEvent::Fetch { position, supports_extensions } => {
+                let updates = updates_since(
+                    self.now,
+                    &self.feed,
+                    &mut self.server_list,
+                    &position,
+                    supports_extensions,
+                );
                 for response in updates {
                     self.outbox.push(Output::Watch(id, response));
                 }
@@ -103,8 +109,8 @@
         };
         let (now, feed, server_list) = (self.now, &self.feed, &mut self.server_list);
         for id in due {
-            let updates = |position: &Position, extended: bool| {
-                updates_since(now, feed, server_list, position, extended)
+            let updates = |position: &Position, supports_extensions: bool| {
+                updates_since(now, feed, server_list, position, supports_extensions)
             };
             for response in self.sessions.responses(now, id, &progress, &self.routers, updates) {
                 self.outbox.push(Output::Watch(id, response));
@@ -119,10 +125,10 @@
     feed: &ChangeFeed,
     server_list: &mut ServerListRole,
     position: &Position,
-    extended: bool,
+    supports_extensions: bool,
 ) -> Vec<WatchResponse> {
     let mut updates = feed.updates_since(position);
-    if extended {
+    if supports_extensions {
         let change = server_list.changes_since(now, position.server_list);
         updates.extend(change.map(WatchResponse::ServerListChange));
     } else {
--- a/control/src/load_exchange.rs
+++ b/control/src/load_exchange.rs
@@ -44,7 +44,7 @@
     remote_summary_sent_at: BTreeMap<NodeId, Nanos>,
     remote_exchange_sent_at: Option<Nanos>,
     /// Control nodes of other regions whose last exchange held loads.
-    loaded: BTreeSet<NodeId>,
+    loaded_peers: BTreeSet<NodeId>,
 }
 
 impl<T: LoadTopology> LoadExchange<T> {
@@ -55,7 +55,7 @@
             aggregator: LoadAggregator::default(),
             remote_summary_sent_at: BTreeMap::new(),
             remote_exchange_sent_at: None,
-            loaded: BTreeSet::new(),
+            loaded_peers: BTreeSet::new(),
         }
     }
 
@@ -79,13 +79,13 @@
             let loads = self.in_region(&sum, region);
             let is_loaded = !loads.is_empty();
             // Once without loads after some: those are gone.
-            if is_loaded || self.loaded.contains(&node) {
+            if is_loaded || self.loaded_peers.contains(&node) {
                 datagrams.push((node, LoadDatagram::Exchange(loads)));
             }
             if is_loaded {
-                self.loaded.insert(node)
+                self.loaded_peers.insert(node)
             } else {
-                self.loaded.remove(&node)
+                self.loaded_peers.remove(&node)
             };
             if let Some(own_loads) = &own_loads {
                 datagrams.push((node, LoadDatagram::RemoteExchange(own_loads.clone())));
@@ -95,8 +95,8 @@
     }
 
     fn in_region(&self, loads: &[ServerLoad], region: RegionIndex) -> Vec<ServerLoad> {
-        let is_there = |load: &&ServerLoad| self.topology.server_region(load.server) == Some(region);
-        loads.iter().filter(is_there).copied().collect()
+        let is_in_region = |load: &&ServerLoad| self.topology.server_region(load.server) == Some(region);
+        loads.iter().filter(is_in_region).copied().collect()
     }
 
     /// Takes a datagram, and returns the answers to its sender.
@@ -114,14 +114,14 @@
     fn answer(&mut self, now: Nanos, router: NodeId, loads: Vec<ServerLoad>) -> Vec<LoadDatagram> {
         let others = self.aggregator.record_report(now, router, loads);
         let own_region = self.topology.own_region();
-        let (near, remote): (Vec<ServerLoad>, Vec<ServerLoad>) = others.into_iter().partition(|load| {
+        let (local, remote): (Vec<ServerLoad>, Vec<ServerLoad>) = others.into_iter().partition(|load| {
             self.topology.server_region(load.server).is_none_or(|region| region == own_region)
         });
         if !is_due(self.remote_summary_sent_at.get(&router).copied(), now) {
-            return vec![LoadDatagram::Summary(near)];
+            return vec![LoadDatagram::Summary(local)];
         }
         self.remote_summary_sent_at.insert(router, now);
-        vec![LoadDatagram::RemoteSummary(remote), LoadDatagram::Summary(near)]
+        vec![LoadDatagram::RemoteSummary(remote), LoadDatagram::Summary(local)]
     }
 }
 
--- a/control/src/outbox.rs
+++ b/control/src/outbox.rs
@@ -97,10 +97,10 @@
     pub fn store_then_send(
         &mut self,
         mut records: Vec<Record>,
-        then: impl IntoIterator<Item = Envelope>,
+        envelopes: impl IntoIterator<Item = Envelope>,
     ) -> WriteToken {
         self.last_token += 1;
-        self.sent_after_write.insert(self.last_token, then.into_iter().collect());
+        self.sent_after_write.insert(self.last_token, envelopes.into_iter().collect());
         if !self.deferred.is_empty() {
             let deferred = std::mem::take(&mut self.deferred);
             records.splice(..0, deferred);
--- a/control/src/requests/admin_requests.rs
+++ b/control/src/requests/admin_requests.rs
@@ -94,7 +94,7 @@
     }
 
     /// The change that a request asks for is proposed under this number; the response is sent once it is committed.
-    pub fn open_proposal(
+    pub fn add_open_proposal(
         &mut self,
         partition: PartitionId,
         sequence: u64,
@@ -102,7 +102,7 @@
         response: AdminResponse,
     ) {
         if let Some(queue) = self.queues.get_mut(&partition) {
-            queue.open_proposal(sequence, &queued.request, queued.requester, response);
+            queue.add_open_proposal(sequence, &queued.request, queued.requester, response);
         }
     }
 
--- a/control/src/requests/request_queue.rs
+++ b/control/src/requests/request_queue.rs
@@ -129,7 +129,7 @@
     }
 
     /// The change that a request asks for is proposed under this number; the response is sent once it is committed.
-    pub fn open_proposal(
+    pub fn add_open_proposal(
         &mut self,
         sequence: u64,
         request: &AdminRequest,
--- a/control/src/server_list/role.rs
+++ b/control/src/server_list/role.rs
@@ -16,7 +16,7 @@
 /// Wait before a list that was requested from another node and has not come is requested again.
 const REQUEST_INTERVAL: Nanos = 250 * MILLISECOND;
 /// For so long a change that was made for one receiver serves others: the remaining spans of servers in it age by it.
-const REUSE_TIME: Nanos = 100 * MILLISECOND;
+const PREPARED_CHANGE_LIFETIME: Nanos = 100 * MILLISECOND;
 
 /// The partition whose leader has the reader's role.
 pub fn reader_partition() -> PartitionId {
@@ -197,7 +197,7 @@
         let reusable = self.prepared.as_ref().filter(|prepared| {
             prepared.since == since
                 && prepared.change.position == self.list.position()
-                && now < prepared.made_at + REUSE_TIME
+                && now < prepared.made_at + PREPARED_CHANGE_LIFETIME
         });
         if let Some(prepared) = reusable {
             return Some(prepared.change.clone());
@@ -209,11 +209,11 @@
 
     /// Another node has a list at this position. Returns whether to request it from that node now.
     pub fn begin_request(&mut self, now: Nanos, position: ServerListPosition) -> bool {
-        let begins = position > self.list.position() && now >= self.requested_at + REQUEST_INTERVAL;
-        if begins {
+        let is_due = position > self.list.position() && now >= self.requested_at + REQUEST_INTERVAL;
+        if is_due {
             self.requested_at = now;
         }
-        begins
+        is_due
     }
 
     fn log_event(&self, source: ServerListSource) -> LogEvent {
--- a/control/src/watch/router_registry.rs
+++ b/control/src/watch/router_registry.rs
@@ -15,7 +15,7 @@
 const REPORT_TIMEOUT: Nanos = 3 * SECOND;
 /// A router that has gone counts for this long in the division of shared quotas: it may come back at any moment, or be partitioned
 /// from the control nodes and still serve. For as long it is remembered for clients of a region that is partitioned from it.
-const RECENTLY_SEEN: Nanos = 60 * SECOND;
+const LAST_SEEN_RETENTION: Nanos = 60 * SECOND;
 /// A router that drains is usually restarted at the same address. For this long after it was seen draining it stands for its
 /// region in the directory, where that region has no other.
 const DRAINING_RETENTION: Nanos = 3 * SECOND;
@@ -64,7 +64,7 @@
     last_seen: BTreeMap<NodeId, Nanos>,
     draining: BTreeMap<NodeId, SeenRouter>,
     /// Ready routers, for clients of a region that is partitioned from them.
-    remembered: BTreeMap<NodeId, SeenRouter>,
+    last_seen_ready: BTreeMap<NodeId, SeenRouter>,
     last_report_sent_at: Nanos,
 }
 
@@ -167,14 +167,14 @@
     pub fn refresh(&mut self, now: Nanos, has_quorum: bool) {
         let all: Vec<Router> = self.all().into_values().cloned().collect();
         if has_quorum {
-            self.remembered.clear();
+            self.last_seen_ready.clear();
         }
         for router in all {
             self.last_seen.insert(router.node, now);
             match router.state {
                 RouterState::Ready => {
                     self.draining.remove(&router.node);
-                    self.remembered.insert(router.node, SeenRouter { router, seen_at: now });
+                    self.last_seen_ready.insert(router.node, SeenRouter { router, seen_at: now });
                 }
                 RouterState::Draining => {
                     self.draining.insert(router.node, SeenRouter { router, seen_at: now });
@@ -182,9 +182,9 @@
                 RouterState::Starting => {}
             }
         }
-        self.last_seen.retain(|_, seen_at| now < *seen_at + RECENTLY_SEEN);
+        self.last_seen.retain(|_, seen_at| now < *seen_at + LAST_SEEN_RETENTION);
         self.draining.retain(|_, draining| now < draining.seen_at + DRAINING_RETENTION);
-        self.remembered.retain(|_, remembered| now < remembered.seen_at + RECENTLY_SEEN);
+        self.last_seen_ready.retain(|_, seen| now < seen.seen_at + LAST_SEEN_RETENTION);
     }
 
     /// The number of routers that are known or were lately, and a router's index among them.
@@ -197,8 +197,8 @@
     /// for clients.
     pub fn addresses_while_partitioned(&self, region: &str, other_regions: &BTreeSet<String>) -> Vec<String> {
         let mut addresses = self.addresses_for_region(region);
-        let remembered = self.remembered.values().map(|remembered| &remembered.router);
-        let elsewhere = remembered.filter(|router| other_regions.contains(&router.region));
+        let last_seen_ready = self.last_seen_ready.values().map(|seen| &seen.router);
+        let elsewhere = last_seen_ready.filter(|router| other_regions.contains(&router.region));
         let elsewhere = elsewhere.map(|router| router.client_address.clone());
         addresses.truncate(MAX_DIRECTORY_ADDRESSES / 2);
         addresses.extend(elsewhere.take(MAX_DIRECTORY_ADDRESSES / 2));
--- a/control/src/watch/sessions.rs
+++ b/control/src/watch/sessions.rs
@@ -27,9 +27,9 @@
     last_sent_at: Nanos,
     last_received_at: Nanos,
     /// Whether the watcher understands `WatchResponse::Alive` and the variants behind it.
-    extended: bool,
+    supports_extensions: bool,
     /// The progress and the control nodes that were sent last, to a watcher that is sent them only when they have changed.
-    last_sent: Option<WatchResponse>,
+    last_sent_progress: Option<WatchResponse>,
     last_sent_control_nodes: Vec<ControlNode>,
 }
 
@@ -42,8 +42,8 @@
             last_sent_position: Position::default(),
             last_sent_at: 0,
             last_received_at: now,
-            extended: false,
-            last_sent: None,
+            supports_extensions: false,
+            last_sent_progress: None,
             last_sent_control_nodes: Vec::new(),
         }
     }
@@ -56,10 +56,10 @@
             responses.push(WatchResponse::ControlNodes(progress.control_nodes.clone()));
         }
         let response = progress.response(rank, Vec::new());
-        if self.last_sent.as_ref() == Some(&response) {
+        if self.last_sent_progress.as_ref() == Some(&response) {
             responses.push(WatchResponse::Alive);
         } else {
-            self.last_sent = Some(response.clone());
+            self.last_sent_progress = Some(response.clone());
             responses.push(response);
         }
         responses
@@ -83,7 +83,7 @@
         /// The position.
         position: Position,
         /// Whether the watcher understands the later variants of messages.
-        extended: bool,
+        supports_extensions: bool,
     },
 }
 
@@ -132,12 +132,12 @@
         session.last_received_at = now;
         let router = match request {
             WatchRequest::Fetch { position } => {
-                return WatchEvent::Fetch { position, extended: session.extended };
+                return WatchEvent::Fetch { position, supports_extensions: session.supports_extensions };
             }
             WatchRequest::Subscribe { router, primary, mut position } => {
                 session.router = Some(router.node);
-                session.extended = position.take_extensions_mark();
-                session.last_sent = None;
+                session.supports_extensions = position.take_extensions_mark();
+                session.last_sent_progress = None;
                 session.is_primary = primary;
                 session.position = position;
                 session.last_sent_at = 0;
@@ -183,10 +183,10 @@
         let Some(session) = self.sessions.get_mut(&id) else { return Vec::new() };
         let mut responses = Vec::new();
         if session.is_primary && session.position != progress.position {
-            responses = updates_since(&session.position, session.extended);
+            responses = updates_since(&session.position, session.supports_extensions);
         }
         let rank = session.router.map_or_else(RouterRank::default, |node| routers.rank(node));
-        if session.extended {
+        if session.supports_extensions {
             responses.extend(session.changed_progress(progress, rank));
         } else {
             let control_nodes = progress.control_nodes.iter().map(|control| control.node).collect();
--- a/control/tests/call_queue.rs
+++ b/control/tests/call_queue.rs
@@ -129,19 +129,19 @@
 }
 
 #[gtest]
-fn a_watch_whose_wait_is_over_is_answered_with_nothing() {
+fn a_watch_whose_wait_is_over_is_answered_with_no_events() {
     let mut queue = deciding();
     propose(&mut queue, 1, remote(1), &put("one"));
     queue.changes_committed(1);
     queue.hold_watch(queued(remote(2), watch(1)), 500);
     expect_that!(queue.take_ended_watches(499), is_empty());
-    let nothing = CallOutcome::Applied(Reply::Events { events: Vec::new(), revision: 1 });
+    let no_events = CallOutcome::Applied(Reply::Events { events: Vec::new(), revision: 1 });
     let ended: Vec<(Requester, CallOutcome, Nanos)> = queue.take_ended_watches(500);
-    expect_that!(ended, eq(&vec![(remote(2), nothing, SECOND)]));
+    expect_that!(ended, eq(&vec![(remote(2), no_events, SECOND)]));
 }
 
 #[gtest]
-fn a_node_that_steps_down_hands_back_what_it_has_not_proposed() {
+fn stepping_down_returns_the_forwarded_calls_that_were_not_proposed() {
     let mut queue = deciding();
     propose(&mut queue, 1, remote(1), &number());
     queue.enqueue(queued(remote(2), number()));
--- a/control/tests/home_regions.rs
+++ b/control/tests/home_regions.rs
@@ -22,7 +22,7 @@
 }
 
 #[gtest]
-fn region_that_no_route_excludes_has_none() {
+fn region_that_no_route_excludes_has_no_common_homes() {
     expect_that!(common(&["[]", r#"["east","west"]"#], "east"), is_empty());
     expect_that!(common(&[], "east"), is_empty());
 }
--- a/control/tests/pending_calls.rs
+++ b/control/tests/pending_calls.rs
@@ -9,8 +9,8 @@
 
 const ID: u64 = 5;
 const FORWARD_ID: u64 = 77;
-const FIRST: RequestLeader = RequestLeader::Remote(NodeId(2));
-const SECOND: RequestLeader = RequestLeader::Remote(NodeId(3));
+const FIRST_LEADER: RequestLeader = RequestLeader::Remote(NodeId(2));
+const SECOND_LEADER: RequestLeader = RequestLeader::Remote(NodeId(3));
 const OVERLOADED: CallOutcome = CallOutcome::NotStarted(NotStarted::Overloaded);
 const NOT_LEADER: CallOutcome = CallOutcome::NotStarted(NotStarted::NotLeader);
 const NO_QUORUM: CallOutcome = CallOutcome::NotStarted(NotStarted::NoQuorum);
@@ -58,35 +58,35 @@
         [(number(), CallOutcome::Unknown), (put(None), CallOutcome::Unknown), (read(), NO_QUORUM)]
     {
         let mut calls = pending(call);
-        expect_true!(is_forwarded(&mut calls, 0, FIRST));
+        expect_true!(is_forwarded(&mut calls, 0, FIRST_LEADER));
         expect_that!(calls.expire(REQUEST_TIMEOUT), elements_are![eq(&ended(outcome).expect("one"))]);
     }
 }
 
 #[gtest]
-fn a_call_of_which_nothing_was_proposed_may_be_denied() {
+fn rejection_of_the_only_copy_ends_a_call_as_not_started() {
     let mut calls = pending(number());
-    expect_true!(is_forwarded(&mut calls, 0, FIRST));
+    expect_true!(is_forwarded(&mut calls, 0, FIRST_LEADER));
     expect_that!(calls.forwarded_copy_ended(FORWARD_ID, NOT_LEADER), none());
-    expect_true!(is_forwarded(&mut calls, MILLISECOND, SECOND));
+    expect_true!(is_forwarded(&mut calls, MILLISECOND, SECOND_LEADER));
     expect_that!(calls.forwarded_copy_ended(FORWARD_ID, OVERLOADED), eq(&ended(OVERLOADED)));
 }
 
 #[gtest]
-fn a_copy_that_was_not_answered_keeps_a_call_from_being_denied() {
+fn call_with_an_unanswered_copy_ends_as_unknown_when_another_copy_is_rejected() {
     let mut calls = pending(put(None));
-    expect_true!(is_forwarded(&mut calls, 0, FIRST));
-    expect_true!(is_forwarded(&mut calls, MILLISECOND, SECOND));
+    expect_true!(is_forwarded(&mut calls, 0, FIRST_LEADER));
+    expect_true!(is_forwarded(&mut calls, MILLISECOND, SECOND_LEADER));
     expect_that!(calls.forwarded_copy_ended(FORWARD_ID, OVERLOADED), eq(&ended(CallOutcome::Unknown)));
 }
 
 #[gtest]
-fn a_call_that_was_proposed_here_is_not_denied_by_a_later_leader() {
+fn call_proposed_by_this_node_ends_as_unknown_when_a_later_leader_rejects_it() {
     let mut calls = pending(put(Some(3)));
     expect_that!(calls.route(0, ID, RequestLeader::Local), some(matches_pattern!(CallRoute::Enqueue(_))));
     calls.proposed(ID);
     calls.requeue(put(None).partition());
-    expect_true!(is_forwarded(&mut calls, MILLISECOND, SECOND));
+    expect_true!(is_forwarded(&mut calls, MILLISECOND, SECOND_LEADER));
     expect_that!(calls.forwarded_copy_ended(FORWARD_ID, OVERLOADED), eq(&ended(CallOutcome::Unknown)));
 }
 
@@ -94,22 +94,22 @@
 fn a_conflict_with_a_later_revision_holds_for_all_copies() {
     for (expected, outcome) in [(3, conflict(5)), (5, CallOutcome::Unknown), (9, CallOutcome::Unknown)] {
         let mut calls = pending(put(Some(expected)));
-        expect_true!(is_forwarded(&mut calls, 0, FIRST));
-        expect_true!(is_forwarded(&mut calls, MILLISECOND, SECOND));
+        expect_true!(is_forwarded(&mut calls, 0, FIRST_LEADER));
+        expect_true!(is_forwarded(&mut calls, MILLISECOND, SECOND_LEADER));
         expect_that!(calls.forwarded_copy_ended(FORWARD_ID, conflict(5)), eq(&ended(outcome)));
     }
     let mut calls = pending(put(Some(9)));
-    expect_true!(is_forwarded(&mut calls, 0, FIRST));
+    expect_true!(is_forwarded(&mut calls, 0, FIRST_LEADER));
     expect_that!(calls.forwarded_copy_ended(FORWARD_ID, conflict(5)), eq(&ended(conflict(5))));
 }
 
 #[gtest]
 fn the_same_leader_is_sent_a_call_again_after_a_while_and_a_new_one_at_once() {
     let mut calls = pending(number());
-    expect_true!(is_forwarded(&mut calls, 0, FIRST));
-    expect_false!(is_forwarded(&mut calls, 299 * MILLISECOND, FIRST));
-    expect_true!(is_forwarded(&mut calls, 300 * MILLISECOND, FIRST));
-    expect_true!(is_forwarded(&mut calls, 301 * MILLISECOND, SECOND));
+    expect_true!(is_forwarded(&mut calls, 0, FIRST_LEADER));
+    expect_false!(is_forwarded(&mut calls, 299 * MILLISECOND, FIRST_LEADER));
+    expect_true!(is_forwarded(&mut calls, 300 * MILLISECOND, FIRST_LEADER));
+    expect_true!(is_forwarded(&mut calls, 301 * MILLISECOND, SECOND_LEADER));
     let outcome = CallOutcome::Applied(Reply::Number { value: 4 });
     expect_that!(calls.forwarded_copy_ended(FORWARD_ID, outcome.clone()), eq(&ended(outcome.clone())));
     expect_that!(calls.forwarded_copy_ended(FORWARD_ID, outcome), none());
@@ -129,10 +129,10 @@
 /// twice; that node's answers were doubled on the way. Cause: each of them ended one copy, that of the leader as well. Evidence: the world's trace has
 /// three answers `NotLeader` for two copies, and then the denial.
 #[gtest]
-fn doubled_answers_of_one_node_do_not_end_the_copy_at_another() {
+fn duplicated_answers_of_one_node_do_not_end_the_copy_at_another() {
     let mut calls = pending(put(Some(5)));
-    expect_true!(is_forwarded(&mut calls, 0, FIRST));
-    expect_true!(is_forwarded(&mut calls, MILLISECOND, SECOND));
+    expect_true!(is_forwarded(&mut calls, 0, FIRST_LEADER));
+    expect_true!(is_forwarded(&mut calls, MILLISECOND, SECOND_LEADER));
     for _ in 0..2 {
         expect_that!(calls.forwarded_copy_ended(FORWARD_ID, NOT_LEADER), none());
     }
--- a/control/tests/request_queue.rs
+++ b/control/tests/request_queue.rs
@@ -49,7 +49,7 @@
     let mut queue = RequestQueue::default();
     let (first, second) = (Requester::Local(1), Requester::Remote(NodeId(2), 7));
     let response = AdminResponse::Applied { revision: 2 };
-    queue.open_proposal(4, &put("a"), first, response.clone());
+    queue.add_open_proposal(4, &put("a"), first, response.clone());
     expect_that!(queue.enqueue(queued(second, put("a"))), eq(Enqueued::JoinedProposal));
     expect_that!(queue.enqueue(queued(second, put("a"))), eq(Enqueued::JoinedProposal));
     expect_that!(queue.enqueue(queued(Requester::Local(3), put("b"))), eq(Enqueued::Queued));
@@ -64,7 +64,12 @@
     let mut queue = RequestQueue::default();
     let response = |revision| AdminResponse::Applied { revision };
     for number in 1..=3 {
-        queue.open_proposal(number, &put(&number.to_string()), Requester::Local(number), response(number));
+        queue.add_open_proposal(
+            number,
+            &put(&number.to_string()),
+            Requester::Local(number),
+            response(number),
+        );
     }
     let ready = |number| ReadyResponse { requester: Requester::Local(number), response: response(number) };
     expect_that!(queue.changes_committed(2).ready, elements_are![eq(&ready(1)), eq(&ready(2))]);
@@ -89,7 +94,7 @@
 #[gtest]
 fn reads_never_share_a_proposal() {
     let mut queue = RequestQueue::default();
-    queue.open_proposal(1, &put("a"), Requester::Local(1), AdminResponse::Applied { revision: 2 });
+    queue.add_open_proposal(1, &put("a"), Requester::Local(1), AdminResponse::Applied { revision: 2 });
     let read = queued(Requester::Local(2), AdminRequest::Read);
     expect_that!(queue.enqueue(read), eq(Enqueued::Queued));
 }
--- a/control/tests/router_registry.rs
+++ b/control/tests/router_registry.rs
@@ -67,7 +67,7 @@
 }
 
 #[gtest]
-fn router_is_news_when_it_is_new_has_changed_or_had_timed_out() {
+fn router_counts_as_changed_when_it_is_new_has_changed_or_had_timed_out() {
     let mut registry = RouterRegistry::default();
     expect_true!(registry.record_local(0, router(1, "here", RouterState::Ready)));
     expect_false!(registry.record_local(1, router(1, "here", RouterState::Ready)));
@@ -97,7 +97,7 @@
 }
 
 #[gtest]
-fn local_router_wins_over_reports_and_the_furthest_state_among_reports() {
+fn local_router_overrides_reports_and_the_most_advanced_state_overrides_other_reports() {
     let mut registry = RouterRegistry::default();
     registry.apply_report(0, NodeId(7), vec![router(1, "here", RouterState::Draining)]);
     registry.apply_report(0, NodeId(8), vec![router(1, "here", RouterState::Ready)]);
@@ -180,7 +180,7 @@
 }
 
 #[gtest]
-fn missed_change_is_noticed_by_the_digest_of_the_next_one() {
+fn missed_change_is_detected_by_the_digest_of_the_next_one() {
     let mut sender = registry(RouterState::Starting, RouterState::Ready);
     let mut receiver = RouterRegistry::default();
     expect_true!(receiver.apply_changes(0, NodeId(7), sender.take_report(0)));
--- a/control/tests/server_list_age.rs
+++ b/control/tests/server_list_age.rs
@@ -58,7 +58,7 @@
     node: Option<ControlPlane>,
     incarnation: u64,
     is_suspended: bool,
-    delayed: Vec<Event>,
+    deferred_events: Vec<Event>,
     disk: Vec<Record>,
 }
 
@@ -72,7 +72,7 @@
     /// Nodes that can't reach the platform.
     without_platform: BTreeSet<usize>,
     /// Nodes whose next read is lost.
-    loses_read: BTreeSet<usize>,
+    loses_next_read: BTreeSet<usize>,
 }
 
 fn address(machine: usize) -> NodeId {
@@ -102,7 +102,7 @@
 
 /// All other nodes, in the election order.
 fn others(size: usize) -> Vec<usize> {
-    (1..size).map(|place| (first_reader(size) + place) % size).collect()
+    (1..size).map(|index| (first_reader(size) + index) % size).collect()
 }
 
 fn all(size: usize) -> Vec<usize> {
@@ -144,19 +144,19 @@
 
     /// Runs to the end. Returns the highest age of the list on any of these nodes after the fault.
     fn run_and_measure_age(&mut self, observers: &[usize]) -> Nanos {
-        let mut oldest = 0;
+        let mut highest_age = 0;
         while let Some(((at, _), event)) = self.queue.pop_first() {
             if at > END {
                 break;
             }
             if at > FAULT_AT {
                 let ages = observers.iter().map(|observer| at - self.list_version_time(*observer));
-                oldest = oldest.max(ages.max().unwrap_or(0));
+                highest_age = highest_age.max(ages.max().unwrap_or(0));
             }
             self.now = at;
             self.handle_event(event);
         }
-        oldest
+        highest_age
     }
 
     /// When the platform had the version of the list that a node has.
@@ -198,7 +198,7 @@
             }
             Event::Read(machine, incarnation, read) => {
                 if self.runs(machine, incarnation, Event::Read(machine, incarnation, read)) {
-                    self.handle_input(machine, Input::ServerList(read, vec![self.platform()]));
+                    self.handle_input(machine, Input::ServerList(read, vec![self.platform_server()]));
                 }
             }
             Event::ReadFailed(machine, incarnation, read) => {
@@ -211,7 +211,7 @@
 
     /// Starts a read of the platform's list.
     fn start_read(&mut self, machine: usize, incarnation: u64, read: ReadId) {
-        if self.now > FAULT_AT && self.loses_read.remove(&machine) {
+        if self.now > FAULT_AT && self.loses_next_read.remove(&machine) {
             return;
         }
         if self.without_platform.contains(&machine) {
@@ -221,7 +221,7 @@
         }
     }
 
-    fn platform(&self) -> Server {
+    fn platform_server(&self) -> Server {
         Server {
             id: (self.now / LIST_CHANGE_INTERVAL).to_string(),
             service: "s".to_owned(),
@@ -237,16 +237,16 @@
     /// Whether this incarnation of a node runs. A suspended one handles the event later.
     fn runs(&mut self, machine: usize, incarnation: u64, event: Event) -> bool {
         let this = &mut self.machines[machine];
-        let there = this.node.is_some() && this.incarnation == incarnation;
-        if there && this.is_suspended {
-            this.delayed.push(event);
+        let is_running = this.node.is_some() && this.incarnation == incarnation;
+        if is_running && this.is_suspended {
+            this.deferred_events.push(event);
         }
-        there && !this.is_suspended
+        is_running && !this.is_suspended
     }
 
     fn resume(&mut self, machine: usize) {
         self.machines[machine].is_suspended = false;
-        for event in std::mem::take(&mut self.machines[machine].delayed) {
+        for event in std::mem::take(&mut self.machines[machine].deferred_events) {
             self.after(0, event);
         }
     }
@@ -280,16 +280,16 @@
         let Some(node) = self.machines[machine].node.as_mut() else { return };
         node.handle(now, input, &mut outputs);
         for output in outputs {
-            self.carry_out(machine, output);
+            self.execute(machine, output);
         }
     }
 
-    fn carry_out(&mut self, from: usize, output: Output) {
+    fn execute(&mut self, from: usize, output: Output) {
         let incarnation = self.machines[from].incarnation;
         match output {
             Output::SendToAll(nodes, message) => {
                 for to in nodes {
-                    self.carry_out(from, Output::Send(to, message.clone()));
+                    self.execute(from, Output::Send(to, message.clone()));
                 }
             }
             Output::Send(to, message) if self.links.contains(&(from, machine(to))) => {
@@ -309,9 +309,9 @@
 #[gtest]
 fn list_is_about_as_old_as_its_interval_without_faults() {
     for size in CLUSTER_SIZES {
-        let oldest = Cluster::new(size).run_and_measure_age(&all(size));
+        let highest_age = Cluster::new(size).run_and_measure_age(&all(size));
         expect_that!(
-            oldest,
+            highest_age,
             lt(SERVER_LIST_INTERVAL + TICK + READ_TIME + LINK_DELAY + 2 * LIST_CHANGE_INTERVAL)
         );
     }
@@ -321,23 +321,23 @@
 fn list_age_is_bounded_when_the_reader_is_killed_and_its_links_return_one_by_one() {
     for size in CLUSTER_SIZES {
         let reader = first_reader(size);
-        let ends: Vec<(usize, usize)> =
+        let reader_links: Vec<(usize, usize)> =
             others(size).into_iter().flat_map(|other| [(reader, other), (other, reader)]).collect();
-        for for_ms in [60, 500, 900, 2500] {
+        for duration_ms in [60, 500, 900, 2500] {
             for combination in 0..81 {
                 let mut cluster = Cluster::new(size);
                 let at = FAULT_AT + (combination * 13 % 100) * MILLISECOND;
                 cluster.at(at, Event::Kill(reader));
-                cluster.at(at + for_ms * MILLISECOND, Event::Start(reader));
-                let delays = delays(combination, ends.len());
-                for ((from, to), delay) in ends.iter().zip(&delays) {
-                    cluster.take_link_down(at, *from, *to, (for_ms + delay) * MILLISECOND);
+                cluster.at(at + duration_ms * MILLISECOND, Event::Start(reader));
+                let delays = delays(combination, reader_links.len());
+                for ((from, to), delay) in reader_links.iter().zip(&delays) {
+                    cluster.take_link_down(at, *from, *to, (duration_ms + delay) * MILLISECOND);
                 }
-                let oldest = cluster.run_and_measure_age(&others(size));
+                let highest_age = cluster.run_and_measure_age(&others(size));
                 expect_that!(
-                    oldest,
+                    highest_age,
                     lt(AGE_LIMIT),
-                    "{size} nodes, killed for {for_ms} ms, links after {delays:?}"
+                    "{size} nodes, killed for {duration_ms} ms, links after {delays:?}"
                 );
             }
         }
@@ -346,23 +346,23 @@
 
 /// The delays in ms after which links return: for four links all combinations of three delays, for more some of them.
 fn delays(combination: u64, links: usize) -> Vec<u64> {
-    let digit = |place: usize| {
-        let shuffled = if place < 4 { combination } else { combination * 7 + place as u64 };
-        shuffled / 3_u64.pow(place as u32 % 4) % 3
+    let digit = |index: usize| {
+        let shuffled = if index < 4 { combination } else { combination * 7 + index as u64 };
+        shuffled / 3_u64.pow(index as u32 % 4) % 3
     };
-    (0..links).map(|place| [5, 300, 700][digit(place) as usize]).collect()
+    (0..links).map(|index| [5, 300, 700][digit(index) as usize]).collect()
 }
 
 #[gtest]
 fn list_age_is_bounded_when_the_reader_is_suspended() {
     for size in CLUSTER_SIZES {
-        for for_ms in (100..5000).step_by(130) {
+        for duration_ms in (100..5000).step_by(130) {
             let mut cluster = Cluster::new(size);
-            let at = FAULT_AT + (for_ms % 100) * MILLISECOND;
+            let at = FAULT_AT + (duration_ms % 100) * MILLISECOND;
             cluster.at(at, Event::Suspend(first_reader(size)));
-            cluster.at(at + for_ms * MILLISECOND, Event::Resume(first_reader(size)));
-            let oldest = cluster.run_and_measure_age(&others(size));
-            expect_that!(oldest, lt(AGE_LIMIT), "{size} nodes, suspended for {for_ms} ms");
+            cluster.at(at + duration_ms * MILLISECOND, Event::Resume(first_reader(size)));
+            let highest_age = cluster.run_and_measure_age(&others(size));
+            expect_that!(highest_age, lt(AGE_LIMIT), "{size} nodes, suspended for {duration_ms} ms");
         }
     }
 }
@@ -376,14 +376,14 @@
 }
 
 /// Partitions the reader from other nodes, in the directions given.
-fn partition_reader(cluster: &mut Cluster, others: &[usize], direction: Direction, for_ms: u64) {
+fn partition_reader(cluster: &mut Cluster, others: &[usize], direction: Direction, duration_ms: u64) {
     let reader = first_reader(cluster.machines.len());
     for other in others {
         if direction != Direction::Inbound {
-            cluster.take_link_down(FAULT_AT, reader, *other, for_ms * MILLISECOND);
+            cluster.take_link_down(FAULT_AT, reader, *other, duration_ms * MILLISECOND);
         }
         if direction != Direction::Outbound {
-            cluster.take_link_down(FAULT_AT, *other, reader, for_ms * MILLISECOND);
+            cluster.take_link_down(FAULT_AT, *other, reader, duration_ms * MILLISECOND);
         }
     }
 }
@@ -393,15 +393,15 @@
 #[gtest]
 fn list_age_is_bounded_when_the_reader_is_partitioned_one_way_or_both() {
     for size in CLUSTER_SIZES {
-        for for_ms in (100..5000).step_by(170) {
+        for duration_ms in (100..5000).step_by(170) {
             for direction in DIRECTIONS {
                 let mut cluster = Cluster::new(size);
-                partition_reader(&mut cluster, &others(size), direction, for_ms);
-                let oldest = cluster.run_and_measure_age(&others(size));
+                partition_reader(&mut cluster, &others(size), direction, duration_ms);
+                let highest_age = cluster.run_and_measure_age(&others(size));
                 expect_that!(
-                    oldest,
+                    highest_age,
                     lt(AGE_LIMIT),
-                    "{size} nodes, partitioned for {for_ms} ms, {direction:?}"
+                    "{size} nodes, partitioned for {duration_ms} ms, {direction:?}"
                 );
             }
         }
@@ -412,15 +412,15 @@
 fn list_age_is_bounded_when_the_reader_is_partitioned_from_one_node() {
     for size in CLUSTER_SIZES {
         for other in others(size) {
-            for for_ms in (100..6000).step_by(170) {
+            for duration_ms in (100..6000).step_by(170) {
                 for direction in DIRECTIONS {
                     let mut cluster = Cluster::new(size);
-                    partition_reader(&mut cluster, &[other], direction, for_ms);
-                    let oldest = cluster.run_and_measure_age(&all(size));
+                    partition_reader(&mut cluster, &[other], direction, duration_ms);
+                    let highest_age = cluster.run_and_measure_age(&all(size));
                     expect_that!(
-                        oldest,
+                        highest_age,
                         lt(AGE_LIMIT),
-                        "{size} nodes, partitioned from {other} for {for_ms} ms, {direction:?}"
+                        "{size} nodes, partitioned from {other} for {duration_ms} ms, {direction:?}"
                     );
                 }
             }
@@ -433,7 +433,7 @@
     for size in CLUSTER_SIZES {
         for other in others(size) {
             let mut cluster = Cluster::new(size);
-            cluster.loses_read.insert(other);
+            cluster.loses_next_read.insert(other);
             cluster.at(FAULT_AT, Event::Kill(first_reader(size)));
             expect_that!(
                 cluster.run_and_measure_age(&others(size)),
@@ -451,8 +451,8 @@
             let mut cluster = Cluster::new(size);
             let at = FAULT_AT + after_ms * MILLISECOND;
             cluster.at(at, Event::PlatformUnreachable(first_reader(size)));
-            let oldest = cluster.run_and_measure_age(&all(size));
-            expect_that!(oldest, lt(AGE_LIMIT_NO_PLATFORM), "{size} nodes, after {after_ms} ms");
+            let highest_age = cluster.run_and_measure_age(&all(size));
+            expect_that!(highest_age, lt(AGE_LIMIT_NO_PLATFORM), "{size} nodes, after {after_ms} ms");
         }
     }
 }
@@ -464,7 +464,7 @@
         for other in [first_reader(size), others(size)[0]] {
             cluster.at(FAULT_AT, Event::PlatformUnreachable(other));
         }
-        let oldest = cluster.run_and_measure_age(&all(size));
-        expect_that!(oldest, lt(AGE_LIMIT_NO_PLATFORM + AGE_LIMIT_NO_PLATFORM), "{size} nodes");
+        let highest_age = cluster.run_and_measure_age(&all(size));
+        expect_that!(highest_age, lt(AGE_LIMIT_NO_PLATFORM + AGE_LIMIT_NO_PLATFORM), "{size} nodes");
     }
 }
--- a/control/tests/server_list_role.rs
+++ b/control/tests/server_list_role.rs
@@ -25,7 +25,7 @@
 /// The nodes in the election order of the partition.
 fn election_order() -> [NodeId; 3] {
     let start = usize::from(role_partition().0) % NODES.len();
-    [0, 1, 2].map(|place| NODES[(start + place) % NODES.len()])
+    [0, 1, 2].map(|index| NODES[(start + index) % NODES.len()])
 }
 
 /// The first node in the election order, in virtual time, with the other two scripted.
@@ -140,19 +140,19 @@
 #[gtest]
 fn leader_superseded_without_notice_wins_a_new_ballot_after_a_newer_list() {
     let mut first = FirstNode::leading();
-    let own = first.node.leader_ballot(role_partition()).expect("it leads");
+    let own_ballot = first.node.leader_ballot(role_partition()).expect("it leads");
     // The second node could not reach this one, led with the third node's promise, read the list, and stepped down when it reached
     // this one again.
-    let other = Ballot { counter: own.counter + 1, node: election_order()[1], incarnation: 22 };
-    first.handle(Input::Peer(election_order()[2], published_list(other)));
+    let other_ballot = Ballot { counter: own_ballot.counter + 1, node: election_order()[1], incarnation: 22 };
+    first.handle(Input::Peer(election_order()[2], published_list(other_ballot)));
     first.out.clear();
     let mut new_ballot = None;
     for _ in 0..3 {
-        first.tick(&election_order()[1..], ServerListPosition { ballot: other, number: 1 });
+        first.tick(&election_order()[1..], ServerListPosition { ballot: other_ballot, number: 1 });
         new_ballot = new_ballot.max(first.prepares());
     }
     let new_ballot = new_ballot.expect("it prepares a new ballot");
-    expect_that!(new_ballot, gt(other));
+    expect_that!(new_ballot, gt(other_ballot));
     first.promise(election_order()[2], new_ballot);
     expect_that!(first.node.leader_ballot(role_partition()), some(eq(new_ballot)));
 }
@@ -160,10 +160,10 @@
 #[gtest]
 fn leader_superseded_without_notice_contends_again_after_heartbeats_with_a_newer_list() {
     let mut first = FirstNode::leading();
-    let own = first.node.leader_ballot(role_partition()).expect("it leads");
-    let other = Ballot { counter: own.counter + 1, node: election_order()[1], incarnation: 22 };
+    let own_ballot = first.node.leader_ballot(role_partition()).expect("it leads");
+    let other_ballot = Ballot { counter: own_ballot.counter + 1, node: election_order()[1], incarnation: 22 };
     first.out.clear();
-    first.tick(&election_order()[1..], ServerListPosition { ballot: other, number: 1 });
-    first.tick(&election_order()[1..], ServerListPosition { ballot: other, number: 1 });
-    expect_that!(first.prepares(), some(gt(other)));
+    first.tick(&election_order()[1..], ServerListPosition { ballot: other_ballot, number: 1 });
+    first.tick(&election_order()[1..], ServerListPosition { ballot: other_ballot, number: 1 });
+    expect_that!(first.prepares(), some(gt(other_ballot)));
 }
--- a/control/tests/watch_sessions.rs
+++ b/control/tests/watch_sessions.rs
@@ -88,7 +88,7 @@
 fn session_without_a_subscription_is_never_due() {
     let (mut sessions, mut routers) = (WatchSessions::default(), RouterRegistry::default());
     let fetch = WatchRequest::Fetch { position: position(3) };
-    let event = WatchEvent::Fetch { position: position(3), extended: false };
+    let event = WatchEvent::Fetch { position: position(3), supports_extensions: false };
     expect_that!(sessions.handle(START, SESSION, fetch, &mut routers), eq(&event));
     let heartbeat = WatchRequest::Heartbeat { state: RouterState::Ready };
     expect_that!(sessions.handle(START, SESSION, heartbeat, &mut routers), eq(&WatchEvent::None));
