--- a/balancer/src/advisor.rs
+++ b/balancer/src/advisor.rs
@@ -1,22 +1,22 @@
-//! What an embedder may know better than the balancer.
+//! Placement advice by the embedder, which may know more about requests and backends than the balancer.
 
 use crate::api::{BackendId, Nanos, RequestId};
 
-/// Asked about single requests and backends at each choice. Without an advisor the balancer goes by what it
-/// has learned.
+/// Answers questions about a single request and a single backend whenever the balancer chooses a backend.
+/// Without an advisor, the balancer uses its own estimates.
 pub trait PlacementAdvisor {
-    /// Whether this request may be sent to this backend now. A refusal overrides everything else.
+    /// Whether this request may be sent to this backend now. `false` overrides all other considerations.
     fn allows(&self, now: Nanos, request: RequestId, backend: BackendId) -> bool;
 
     /// The expected time to the first byte of this request's response from this backend, in nanoseconds;
-    /// `None` where the balancer's own model is to be used. Where it is known, [`PlacementAdvisor::allows`]
-    /// decides on the backend's capacity as well.
+    /// `None` to use the balancer's own model. If it is `Some`, [`PlacementAdvisor::allows`] also decides on
+    /// the backend's capacity.
     fn expected_delay(&self, now: Nanos, request: RequestId, backend: BackendId) -> Option<f64>;
 
-    /// This request is being sent to this backend. Later questions have to take it into account, also
+    /// Called when this request is sent to this backend. Later answers must take the send into account, even
     /// within the same event.
     fn on_sent(&self, now: Nanos, request: RequestId, backend: BackendId);
 
-    /// Whether the node's own zone can ever serve this request.
+    /// Whether the home zone of the node can ever serve this request.
     fn home_zone_allowed(&self, request: RequestId) -> bool;
 }
--- a/balancer/src/api/action.rs
+++ b/balancer/src/api/action.rs
@@ -3,7 +3,7 @@
 use super::ids::{BackendId, RequestId};
 use super::time::Nanos;
 
-/// An output, to be carried out by the embedder.
+/// An output, which the embedder carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
@@ -12,17 +12,18 @@
         request: RequestId,
         /// The backend.
         backend: BackendId,
-        /// The attempt's timeout in nanoseconds; `None` for as long as the client waits.
+        /// The timeout of the attempt in nanoseconds; `None` if the attempt may last as long as the client
+        /// waits.
         timeout: Option<Nanos>,
     },
-    /// Final answer: rejected. The client may safely retry.
+    /// Final answer: the request is rejected. The client may safely retry.
     Reject {
         /// The request.
         request: RequestId,
-        /// How long the client is asked to wait first, in nanoseconds; 0 for no such advice.
+        /// How long the client is to wait before a retry, in nanoseconds; 0 to give no such advice.
         retry_after: Nanos,
     },
-    /// Final answer: failed. The request may have taken effect.
+    /// Final answer: the request failed. It may have taken effect.
     Fail {
         /// The request.
         request: RequestId,
@@ -39,15 +40,15 @@
         /// The backend.
         backend: BackendId,
     },
-    /// Subscribe to all changes of the list from now on.
+    /// Subscribe to all changes of the list of backends from now on.
     Watch,
-    /// Fetch the full list once.
+    /// Fetch the full list of backends once.
     Fetch,
-    /// Deliver [`Event::Timer`](super::Event::Timer) after this time.
+    /// Deliver [`Event::Timer`](super::Event::Timer) after the given time.
     Timer {
         /// Time from now, in nanoseconds.
         after: Nanos,
-        /// Comes back in the event.
+        /// Returned in the event.
         token: u64,
     },
     /// A line for the operators' log.
--- a/balancer/src/api/attempt.rs
+++ b/balancer/src/api/attempt.rs
@@ -3,12 +3,12 @@
 use super::ids::RequestId;
 use super::time::Nanos;
 
-/// A backend's load as it reports it; a figure that is not reported is absent.
+/// The load of a backend as the backend reports it. Figures that are not reported are `None`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
-    /// Share of its cores in use, 1 for all.
+    /// Share of the backend's cores in use; 1 is all of them.
     pub utilisation: Option<f64>,
-    /// Requests served a second.
+    /// Requests served per second.
     pub requests_per_second: Option<f64>,
     /// Requests in flight.
     pub in_flight: Option<f64>,
@@ -21,21 +21,21 @@
     Served,
     /// The backend returned an error.
     Error,
-    /// The response cannot be used, and says nothing of the backend's health.
+    /// The response is unusable, which does not by itself indicate an unhealthy backend.
     InvalidResponse,
     /// Rejected by the backend without being processed.
     Rejected,
-    /// No response in time.
+    /// No response before the timeout.
     TimedOut,
     /// No connection was established.
     ConnectFailed,
-    /// Another instance has the backend's address, and did not process the request.
+    /// Another instance answered at the backend's address, and did not process the request.
     Misdirected,
     /// The connection was reset while the attempt was in flight.
     Reset,
-    /// Cancelled by this node.
+    /// This node cancelled the attempt.
     Cancelled,
-    /// Never written to a connection.
+    /// The attempt was never written to a connection.
     NotSent,
 }
 
@@ -48,30 +48,30 @@
         self != Self::Rejected && !self.never_reached_backend()
     }
 
-    /// Whether nothing of the attempt reached the backend.
+    /// Whether no part of the attempt reached the backend.
     pub(crate) fn never_reached_backend(self) -> bool {
         self == Self::Misdirected || self.never_reached_server()
     }
 
-    /// Whether nothing of the attempt reached any server, so that one more attempt adds no arrival.
+    /// Whether no part of the attempt reached any server, so that one more attempt adds no arrival.
     pub(crate) fn never_reached_server(self) -> bool {
         matches!(self, Self::ConnectFailed | Self::NotSent)
     }
 }
 
-/// The end of one attempt.
+/// The end of one attempt, reported by the embedder.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
     /// The request.
     pub request: RequestId,
     /// The attempt's number, from 0 in the order of the sends.
     pub attempt: u32,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
     /// Time since the send, in nanoseconds.
     pub elapsed: Nanos,
-    /// The request has had its final answer, by this attempt or earlier.
+    /// The request has received its final answer, by this attempt or earlier.
     pub request_ended: bool,
-    /// The backend's load report; empty where none came.
+    /// The backend's load report; empty if the response had none.
     pub report: LoadReport,
 }
--- a/balancer/src/api/event.rs
+++ b/balancer/src/api/event.rs
@@ -5,72 +5,74 @@
 use super::membership::{ListScope, Member};
 use super::time::Nanos;
 
-/// A request that has come in.
+/// A request that has arrived at the node.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// Its identifier.
+    /// The identifier of the request.
     pub request: RequestId,
-    /// Its class.
+    /// The class of the request.
     pub class: ClassId,
-    /// The work to expect, in nanoseconds on a standard core.
+    /// The expected work, in nanoseconds on a standard core; `None` if there is no estimate.
     pub expected_work: Option<Nanos>,
-    /// The client marks it as a retry.
+    /// The client has marked the request as a retry.
     pub is_retry: bool,
-    /// Its tenant: a position in [`Settings::tenant_quotas`](super::Settings::tenant_quotas).
+    /// The tenant: a position in [`Settings::tenant_quotas`](super::Settings::tenant_quotas). `None` if the
+    /// request has no tenant.
     pub tenant: Option<u32>,
-    /// When the client gives up on it.
+    /// When the client stops waiting.
     pub not_after: Nanos,
 }
 
 /// An input.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The node starts. Must come first, once.
+    /// The node starts. Must be the first event, and occur once.
     Start,
-    /// Discovery delivered members.
+    /// Discovery delivered a list of backends, or changes to it.
     Membership {
-        /// Which members it names.
+        /// Which members are listed.
         scope: ListScope,
-        /// The members.
+        /// The listed members.
         members: Vec<Member>,
     },
     /// A call to discovery failed, or its watch broke.
     DiscoveryFailed,
-    /// A request came in and is owed one final answer.
+    /// A request arrived; the balancer must give one final answer to it.
     Request(Arrival),
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// The first part of a streamed response has come.
+    /// The first part of a streamed response has been received.
     StreamStarted {
         /// The request.
         request: RequestId,
     },
-    /// A streamed response broke off and may be resumed at another backend. Its attempt's end follows.
+    /// A streamed response was interrupted and may be resumed at another backend. The end of its attempt
+    /// follows as [`Event::AttemptEnded`].
     StreamInterrupted {
         /// The request.
         request: RequestId,
-        /// The latency target of the resumption.
+        /// When the latency target of the resumed response is reached.
         target_at: Nanos,
     },
     /// A probe ended.
     ProbeEnded {
         /// The backend.
         backend: BackendId,
-        /// How it ended.
+        /// How the probe ended.
         outcome: Outcome,
         /// Time since the probe was sent, in nanoseconds.
         elapsed: Nanos,
-        /// The backend's load report; empty where none came.
+        /// The backend's load report; empty if the reply had none.
         report: LoadReport,
     },
-    /// The client disconnected; no answer is owed any more.
+    /// The client disconnected; the request needs no answer any more.
     ClientDisconnected {
         /// The request.
         request: RequestId,
     },
     /// A timer came due.
     Timer {
-        /// As given in [`Action::Timer`](super::Action::Timer).
+        /// The token given in [`Action::Timer`](super::Action::Timer).
         token: u64,
     },
 }
--- a/balancer/src/api/membership.rs
+++ b/balancer/src/api/membership.rs
@@ -1,4 +1,4 @@
-//! The list of backends as discovery reports it.
+//! The list of backends that discovery provides.
 
 use super::ids::{BackendId, ZoneId};
 use super::time::Nanos;
@@ -6,12 +6,13 @@
 /// Whether a listed backend may be sent requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BackendState {
-    /// Takes requests.
+    /// The backend takes requests.
     #[default]
     InService,
-    /// Shuts down gracefully: completes its work, and nothing new may be sent.
+    /// The backend is shutting down gracefully: it completes its requests in flight and must be sent no new
+    /// ones.
     Draining,
-    /// No longer a member.
+    /// The backend is no longer a member.
     Removed,
 }
 
@@ -20,29 +21,30 @@
 pub struct Member {
     /// The backend.
     pub backend: BackendId,
-    /// Its zone.
+    /// The zone of the backend.
     pub zone: ZoneId,
-    /// Its machine kind.
+    /// The machine kind of the backend. With [`Weights::Live`](super::Weights::Live), backends of one kind
+    /// are taken to have the same weight when idle.
     pub machine_kind: u32,
-    /// Its cell, which shares seen idempotency keys under
+    /// The cell of the backend. Backends of a cell share the idempotency keys that they have seen under
     /// [`IdempotencyScope::Cell`](super::IdempotencyScope::Cell).
     pub cell: u64,
-    /// Whether it may be sent requests.
+    /// Whether the backend may be sent requests.
     pub state: BackendState,
-    /// Its weight against the others', or as [`Weights`](super::Weights) says. A weight that is not above 0
-    /// counts as 1.
+    /// The weight of the backend relative to the others; [`Weights`](super::Weights) says whether it includes
+    /// the load. A weight that is not finite or not above 0 counts as 1.
     pub weight: f64,
-    /// When its process last started, if it started recently enough to be warming up still.
+    /// When the process of the backend last started; `None` if too long ago for the backend to be warming up.
     pub online_since: Option<Nanos>,
 }
 
-/// Which members an [`Event::Membership`](super::Event::Membership) names.
+/// Which members an [`Event::Membership`](super::Event::Membership) lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
     /// Changed members only.
     Changes,
-    /// All members: one that is missing has been removed.
+    /// All members: a backend that is not listed has been removed.
     Full,
-    /// All members as the node last stored them, perhaps stale.
+    /// All members as the node last stored them, possibly stale.
     Cached,
 }
--- a/balancer/src/api/settings.rs
+++ b/balancer/src/api/settings.rs
@@ -1,4 +1,4 @@
-//! What the operators configure.
+//! The settings that operators configure.
 
 use super::ids::ZoneId;
 use super::time::{MILLISECOND, Nanos, SECOND};
@@ -14,41 +14,41 @@
     Cell,
 }
 
-/// Whether a request may take effect twice (RFC 9110, section 9.2.2).
+/// Whether a request may take effect more than once (RFC 9110, section 9.2.2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// May be repeated anywhere.
+    /// The request may be repeated at any backend.
     Idempotent,
     /// Backends of one `scope` drop a repeat within `window` of the first send that may have run.
     Keyed {
         /// The backends that share the keys they have seen.
         scope: IdempotencyScope,
-        /// How long they remember a key, in nanoseconds.
+        /// How long these backends remember a key, in nanoseconds.
         window: Nanos,
     },
-    /// Must not run twice.
+    /// The request must not run twice.
     NonIdempotent,
 }
 
 /// The settings of one request class.
 #[derive(Clone, Copy, Debug)]
 pub struct ClassSettings {
-    /// Latency target in nanoseconds: a response within it earns the full value.
+    /// Latency target in nanoseconds: a response within it has the full value. Must be above 0.
     pub latency_target: Nanos,
-    /// How long a client waits in all, over its retries, in nanoseconds.
+    /// How long a client waits in total, including its retries, in nanoseconds. Must be above 0.
     pub deadline: Nanos,
     /// Value of one request served in time.
     pub value: f64,
-    /// Share of the value still earned by a response after the latency target.
+    /// Share of the value that a response after the latency target still has.
     pub late_value_share: f64,
-    /// Whether it may be repeated.
+    /// Whether a request may be repeated.
     pub idempotency: Idempotency,
-    /// Most backends that one request may be sent to; `None` for [`Limits::max_attempts`].
+    /// Most backends that one request may be sent to; `None` to use [`Limits::max_attempts`].
     pub max_attempts: Option<u32>,
-    /// A request that was never sent is queued for this long at most, in nanoseconds; `None` for half of
-    /// its client's time.
+    /// Longest time in the queue of a request that was never sent, in nanoseconds; `None` for half of the
+    /// time that its client waits.
     pub max_queue_time: Option<Nanos>,
-    /// A failed request is retried after its latency target as well.
+    /// Whether a failed request is also retried after its latency target.
     pub retry_past_target: bool,
 }
 
@@ -70,64 +70,66 @@
 /// How the list of backends reaches the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes are pushed.
+    /// Discovery pushes changes without being asked.
     Pushed,
-    /// Only after [`Action::Watch`](super::Action::Watch) or [`Action::Fetch`](super::Action::Fetch).
+    /// The list is delivered only after [`Action::Watch`](super::Action::Watch) or
+    /// [`Action::Fetch`](super::Action::Fetch).
     OnRequest,
 }
 
-/// What [`Member::weight`](super::Member::weight) stands for.
+/// The meaning of [`Member::weight`](super::Member::weight).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Weights {
     /// The registered size, which may be absent or inexact.
     Size,
-    /// The size divided by 1 + requests in flight for each core, as of some time ago.
+    /// The size divided by 1 + requests in flight per core, as of some time ago.
     Live,
 }
 
 /// How a backend's load reports reach the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReporting {
-    /// With responses and with the ends of probes.
+    /// With responses and with the replies to probes.
     Piggyback,
-    /// With the ends of probes only.
+    /// With the replies to probes only.
     Pull,
-    /// Not at all.
+    /// Load reports are not available.
     Disabled,
 }
 
-/// What the site allows.
+/// The limits that the site sets.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Most attempts for one request.
+    /// Most attempts for one request; at least 1.
     pub max_attempts: u32,
-    /// Two attempts of one request may be in flight together (hedged requests).
+    /// Whether two attempts of one request may be in flight at the same time (hedged requests).
     pub hedging: bool,
-    /// Probes may be sent.
+    /// Whether probes may be sent.
     pub probes: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Longest retry-after that a client honours, in nanoseconds; 0 where none is passed on.
+    /// Longest retry-after that clients honour, in nanoseconds; 0 if none is passed on to them.
     pub max_retry_after: Nanos,
 }
 
-/// The parameters of the four rules that a node has to keep.
+/// The parameters of the four rules that a node must comply with.
 #[derive(Clone, Copy, Debug)]
 pub struct RuleSettings {
-    /// A final answer is accepted this long after the client's deadline, in nanoseconds.
+    /// A final answer is still accepted this long after the client's deadline, in nanoseconds.
     pub answer_grace: Nanos,
-    /// A node that has not polled discovery for this long (nanoseconds) counts as notified of the list of
-    /// that time.
+    /// A node that has not polled discovery for this long, in nanoseconds, counts as notified of the list as
+    /// of that time.
     pub max_poll_interval: Nanos,
-    /// Attempts at a draining backend must have ended this long after the notice, in nanoseconds.
+    /// Attempts at a draining backend must have ended this long after the drain notice, in nanoseconds.
     pub drain_grace: Nanos,
-    /// Least share of its capacity that a backend starts with, 0 to 1.
+    /// Minimum share of its capacity that a backend has at its start, 0 to 1.
     pub initial_capacity: f64,
-    /// A backend is warm at the latest this long after its start, in nanoseconds.
+    /// A backend is warm no later than this long after its start, in nanoseconds.
     pub warm_up_time: Nanos,
-    /// A backend that is warming up fails when sent more than this multiple of its capacity ...
+    /// A backend that is warming up fails if it is sent more than this multiple of its capacity over any span
+    /// of `overload_window`.
     pub overload_multiple: f64,
-    /// ... over any span of this length, in nanoseconds.
+    /// The length of the span that `overload_multiple` applies to, in nanoseconds.
     pub overload_window: Nanos,
 }
 
@@ -140,29 +142,29 @@
     pub zones: u32,
     /// Number of nodes that share the backends, this one included.
     pub nodes: u32,
-    /// The classes, by [`ClassId`](super::ClassId).
+    /// The request classes, indexed by [`ClassId`](super::ClassId); at least one.
     pub classes: Vec<ClassSettings>,
-    /// Each tenant's quota in requests a second, over all nodes.
+    /// Quota of each tenant in requests per second, over all nodes.
     pub tenant_quotas: Vec<f64>,
     /// Value of a request over its tenant's quota as a multiple of the value of one within it.
     pub over_quota_value: f64,
-    /// How the list of backends arrives.
+    /// How the node receives the list of backends.
     pub discovery: Discovery,
-    /// What the list's weights stand for.
+    /// The meaning of the weights in the list.
     pub weights: Weights,
-    /// How load reports arrive.
+    /// How the node receives load reports.
     pub reports: LoadReporting,
-    /// The cost of one probe for each request as a share of the goal; 0 for none.
+    /// The cost of one probe per request as a share of the goal; 0 if probes cost nothing.
     pub probe_cost: f64,
-    /// What the site allows.
+    /// The limits that the site sets.
     pub limits: Limits,
     /// The parameters of the rules.
     pub rules: RuleSettings,
-    /// Share of the site's goal that the worst-served class decides, 0 to 1.
+    /// Share of the site's goal that is determined by the worst-served class, 0 to 1.
     pub worst_class_weight: f64,
-    /// Clients mark all of their retries.
+    /// Whether clients mark all of their retries.
     pub clients_mark_retries: bool,
-    /// Value counts for each unit of work instead of for each request.
+    /// Whether a class's value is per unit of work instead of per request.
     pub value_per_work: bool,
     /// Shortest time between two calls of [`Balancer::handle`](crate::Balancer::handle), in nanoseconds.
     pub quantum: Nanos,
--- a/balancer/src/api/settings_validation.rs
+++ b/balancer/src/api/settings_validation.rs
@@ -4,12 +4,12 @@
 
 use super::settings::{ClassSettings, Settings};
 
-/// Settings that cannot be used: which field, and why.
+/// A setting that is out of its range.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The field at fault, by its name in the settings.
+    /// The invalid field, by its name in the settings.
     pub field: &'static str,
-    /// What is wrong with it.
+    /// The condition that the value does not meet.
     pub problem: &'static str,
 }
 
@@ -34,23 +34,23 @@
 impl ClassSettings {
     fn validate(&self) -> Result<(), SettingsError> {
         let has_times = self.latency_target != 0 && self.deadline != 0;
-        require(has_times, "classes", "aim and deadline must be above 0")?;
+        require(has_times, "classes", "latency target and deadline must be above 0")?;
         let has_values = is_amount(self.value) && is_amount(self.late_value_share);
-        require(has_values, "classes", "worth and late share must be finite and not negative")
+        require(has_values, "classes", "value and late value share must be finite and not negative")
     }
 }
 
 impl Settings {
-    /// Checks that the settings can be used.
+    /// Checks that every field is in its range.
     ///
     /// # Errors
     ///
-    /// Names the first field whose value is out of its range.
+    /// Returns the first field whose value is out of its range.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        require(self.zones != 0, "zones", "there must be at least one")?;
-        require(self.home.0 < self.zones, "home", "is not one of the zones")?;
-        require(self.nodes != 0, "nodes", "there must be at least one")?;
-        require(!self.classes.is_empty(), "classes", "there must be at least one")?;
+        require(self.zones != 0, "zones", "must be at least 1")?;
+        require(self.home.0 < self.zones, "home", "must be one of the zones")?;
+        require(self.nodes != 0, "nodes", "must be at least 1")?;
+        require(!self.classes.is_empty(), "classes", "must have at least one entry")?;
         self.classes.iter().try_for_each(ClassSettings::validate)?;
         require(self.limits.max_attempts != 0, "limits.attempts", "must be at least 1")?;
         let multiple = self.rules.overload_multiple;
--- a/balancer/src/api/time.rs
+++ b/balancer/src/api/time.rs
@@ -1,6 +1,6 @@
 //! The unit of time.
 
-/// A moment or a span in nanoseconds; moments are on the embedder's monotonic clock.
+/// A point in time or a duration in nanoseconds; points in time are on the embedder's monotonic clock.
 pub type Nanos = u64;
 
 /// One millisecond.
--- a/balancer/src/counters.rs
+++ b/balancer/src/counters.rs
@@ -1,22 +1,22 @@
-//! Counters for the operators' log. No decision is made by them.
+//! Counters for the operators' log. No decision depends on them.
 
 use crate::api::{Nanos, Outcome};
 
 /// Why a request ended unserved.
 #[derive(Clone, Copy)]
 pub(crate) enum RejectReason {
-    /// Its latency target had passed when it came.
+    /// The latency target had passed when the request arrived.
     PastTarget,
-    /// Queued until no backend could serve it in time.
+    /// The request was queued until no backend could serve it in time.
     QueueTimeout,
-    /// Its attempts failed and it may not be retried.
+    /// The attempts failed and the request may not be retried.
     AttemptsFailed,
 }
 
 /// Counts since [`Counters::since`].
 #[derive(Default)]
 pub(crate) struct Counters {
-    /// When they were last logged and reset; 0 for never.
+    /// When the counters were last logged and reset; 0 if never.
     pub(crate) since: Nanos,
     pub(crate) arrivals: u32,
     /// By [`RejectReason`].
--- a/balancer/src/embedder_settings.rs
+++ b/balancer/src/embedder_settings.rs
@@ -1,4 +1,4 @@
-//! What an embedder may change while the node runs.
+//! Settings that an embedder may change while the node runs.
 
 use crate::advisor::PlacementAdvisor;
 use crate::api::{ClassId, ClassSettings};
@@ -6,18 +6,18 @@
 use crate::state::{Balancer, ClassView};
 
 impl Balancer {
-    /// Asks this advisor from now on.
+    /// Sets the advisor that is asked from now on.
     pub fn set_advisor(&mut self, advisor: Box<dyn PlacementAdvisor>) {
         self.advisor = Some(advisor);
     }
 
-    /// Sets the number of nodes that share the backends; 0 counts as 1.
+    /// Sets the number of nodes that share the backends, including this one; 0 counts as 1.
     pub fn set_nodes(&mut self, nodes: u32) {
         self.settings.nodes = nodes.max(1);
     }
 
-    /// Sets this node's part of a retry budget that all nodes share, in place of the budget of its own. What it
-    /// has earned and spent of the shared budget counts on.
+    /// Sets this node's part of a retry budget that all nodes share, which replaces the node's own budget. If
+    /// called again, amounts already earned and spent of the shared budget are kept.
     pub fn share_retry_budget(&mut self, settings: SharedRetryBudget) {
         match &mut self.retry_budget {
             RetryBudget::Shared(budget) => budget.set(settings),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Adds a class; returns its number, which is the next one.
+    /// Adds a class and returns its number, which is the next unused one.
     pub fn add_class(&mut self, class: ClassSettings) -> ClassId {
         let id = ClassId(self.classes.len() as u32);
         self.classes.push(ClassView::new(&class));
--- a/balancer/src/estimators.rs
+++ b/balancer/src/estimators.rs
@@ -2,11 +2,11 @@
 
 use crate::api::{Nanos, SECOND};
 
-/// Time constant of [`RateEstimator`]: long enough for the few requests that each of many nodes sees, short
-/// against a fault.
+/// Time constant of [`RateEstimator`]: long enough for the few requests that each of many nodes receives, and
+/// short compared to the duration of a fault.
 const RATE_TIME_CONSTANT: Nanos = 3 * SECOND;
 
-/// The weight that is left of an observation after `span`.
+/// The remaining weight of an observation after `span`.
 fn decay(span: Nanos, time_constant: Nanos) -> f64 {
     (-(span as f64) / time_constant as f64).exp()
 }
@@ -19,7 +19,8 @@
 }
 
 impl Ewma {
-    /// Adds a sample. Its weight grows with the time since the last one, and is `min_weight` at least.
+    /// Adds a sample. Its weight grows with the time since the last sample, and is at least `min_weight`; the
+    /// first sample has weight 1.
     pub(crate) fn update(&mut self, now: Nanos, sample: f64, time_constant: Nanos, min_weight: f64) {
         let weight = self
             .updated_at
@@ -33,7 +34,7 @@
         self.updated_at.map_or(0.0, |at| self.value * decay(now.saturating_sub(at), time_constant))
     }
 
-    /// The average, decayed towards `prior` since the last sample; `prior` where there was none.
+    /// The average, decayed towards `prior` since the last sample; `prior` if there was no sample.
     pub(crate) fn decayed_towards(&self, prior: f64, now: Nanos, time_constant: Nanos) -> f64 {
         let Some(at) = self.updated_at else { return prior };
         prior + (self.value - prior) * decay(now.saturating_sub(at), time_constant)
@@ -45,7 +46,7 @@
     }
 }
 
-/// An amount a second, over an exponential window.
+/// A rate per second, averaged over an exponential window.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct RateEstimator {
     rate: f64,
--- a/balancer/src/latency_model.rs
+++ b/balancer/src/latency_model.rs
@@ -1,4 +1,4 @@
-//! The model of response latency by class and load, and each backend's deviation from it.
+//! The model of response latency by class and load, and the deviation of each backend from it.
 
 use crate::api::{BackendId, Nanos, Outcome};
 use crate::policy::tuning::{
@@ -7,7 +7,7 @@
 };
 use crate::state::{Backend, Balancer, Health};
 
-/// The end of an attempt, as far as the model learns from it.
+/// The data of an ended attempt that the model learns from.
 pub(crate) struct LatencySample {
     pub(crate) backend: BackendId,
     pub(crate) class: usize,
@@ -19,8 +19,7 @@
 }
 
 impl Backend {
-    /// Records a latency as a multiple of the expected one; a single sample counts a few times the average
-    /// at most.
+    /// Records a latency as a multiple of the expected one.
     fn record_latency_ratio(&mut self, now: Nanos, ratio: f64) {
         self.latency_ratio.update(now, ratio, SLOWNESS_TIME_CONSTANT, MIN_LATENCY_RATIO_WEIGHT);
     }
@@ -31,8 +30,8 @@
 }
 
 impl Balancer {
-    /// The expected latency in nanoseconds at this load, from a backend of the usual speed: flat as long as
-    /// cores are free, then in proportion to the load.
+    /// The expected latency in nanoseconds at this load, for a backend of the usual speed: constant while
+    /// cores are free, then proportional to the load.
     pub(crate) fn expected_latency(&self, class: usize, load: f64) -> f64 {
         self.classes[class].idle_latency.hypot(self.latency_per_load * load)
     }
@@ -43,7 +42,8 @@
         (latency * latency - idle * idle).max(0.0).sqrt() / self.latency_per_load.max(1.0)
     }
 
-    /// Learns latency, served work and congestion from the end of an attempt, which is in flight no more.
+    /// Updates latency, served work and congestion after the end of an attempt, and counts the attempt as no
+    /// longer in flight.
     pub(crate) fn learn_from_attempt(&mut self, sample: &LatencySample) {
         let expected = self.expected_latency(sample.class, sample.load_at_send).max(1.0);
         let ratio = sample.elapsed as f64 / expected;
@@ -66,14 +66,14 @@
         let fraction = sample.elapsed as f64 / target as f64;
         match sample.outcome {
             Outcome::Served => self.congestion.record(self.now, fraction.min(1.0)),
-            // Not in the time that there was; or no place even at the end of the queue.
+            // Not served within the timeout, or rejected because even the backend's queue was full.
             Outcome::TimedOut | Outcome::Rejected => self.congestion.record(self.now, 1.0),
             _ => {}
         }
     }
 
     fn learn_from_response(&mut self, sample: &LatencySample, ratio: f64) {
-        // Against a latency that is not known yet every backend would look slow, for seconds.
+        // Compared to a latency that is not known yet, every backend would look slow for seconds.
         let is_model_known = self.update_latency_model(sample.class, sample.load_at_send, ratio);
         let Some(backend) = self.backends.get_mut(&sample.backend) else { return };
         if is_model_known {
@@ -88,10 +88,10 @@
         }
     }
 
-    /// Corrects the class's idle latency by a sample that found its backend idle, or else the latency for
-    /// each request by its part in what was expected: one load alone cannot distinguish them. `ratio` is
-    /// the sample's latency against the expected one. Returns whether what was corrected was well known
-    /// before.
+    /// Corrects the class's idle latency if the backend was idle at the send, and otherwise the latency per
+    /// request of load, weighted by its share of the expected latency: a single load cannot distinguish the
+    /// two. `ratio` is the latency of the sample relative to the expected one. Returns whether the corrected
+    /// estimate was already well known.
     fn update_latency_model(&mut self, class: usize, load: f64, ratio: f64) -> bool {
         let load_weight = self.load_sample_weight(class, load, ratio);
         let view = &mut self.classes[class];
@@ -102,7 +102,7 @@
         };
         let is_known = *samples >= MIN_LATENCY_SAMPLES;
         *samples = (*samples + sample_weight).min(MAX_LATENCY_SAMPLES);
-        // Rises slowly, so that congestion does not come to pass for the normal state.
+        // Rises slowly, so that the latency under congestion is not learned as the normal one.
         let rises_slowly = ratio > 1.0 && *samples > LATENCY_RISE_SAMPLES;
         let rise_weight = if rises_slowly { LATENCY_RISE_WEIGHT } else { 1.0 };
         let deviation = ratio.min(MAX_LATENCY_RATIO) - 1.0;
@@ -110,9 +110,9 @@
         is_known
     }
 
-    /// How much of a latency was due to the load, as the weight of a sample of it. Where load hardly shows,
-    /// a quick response is no sign that it should show less: such responses outnumber all others, and the
-    /// latency for each request would sink for as long as the day lasts.
+    /// Weight of a sample of the latency per request of load, by the share of the latency that is due to
+    /// load. If that share is small, a quick response is no evidence that the latency per request should be
+    /// lower: such responses outnumber all others, and the estimate would fall for as long as the node runs.
     fn load_sample_weight(&self, class: usize, load: f64, ratio: f64) -> f64 {
         let share = self.latency_per_load * load / self.expected_latency(class, load).max(1.0);
         match share * share {
@@ -122,8 +122,8 @@
         }
     }
 
-    /// An attempt without a response is at least as slow as the time waited; `ratio` is that against the
-    /// expected latency.
+    /// Records an attempt without a response, which is at least as slow as the time waited. `ratio` is that
+    /// time relative to the expected latency.
     pub(crate) fn record_late_attempt(&mut self, id: BackendId, ratio: f64) {
         let Some(backend) = self.backends.get_mut(&id) else { return };
         let clamped = backend.clamped_latency_ratio(ratio);
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -1,13 +1,13 @@
-//! The load-balancing core: one node's decisions as a deterministic state machine without I/O.
+//! The load-balancing core: the decisions of one node as a deterministic state machine without I/O.
 //!
-//! An embedder owns a [`Balancer`], hands it [`Event`]s with the time by [`Balancer::handle`], and carries
-//! out the [`Action`]s that it appends. The core has no clock, no sockets and no threads; the same
-//! settings, seed and events give the same actions. It decides which backend gets each request, when
-//! requests are queued, retried or rejected, which backends are ejected or warmed up slowly, and when the
-//! embedder is to probe or to ask discovery.
+//! An embedder owns a [`Balancer`], passes [`Event`]s with the current time to [`Balancer::handle`], and
+//! carries out the [`Action`]s that the call appends. The core has no clock, no sockets and no threads; the
+//! same settings, seed and events give the same actions. It decides which backend receives each request, when
+//! requests are queued, retried or rejected, which backends are ejected or in slow start, and when the
+//! embedder must send a probe or query discovery.
 //!
-//! `api/` is the interface, `policy/` every decision, `state/` what a node keeps; the modules beside them
-//! keep the state in step with the events.
+//! `api/` is the interface, `policy/` has all decisions, and `state/` is the state of a node; the other
+//! modules update the state by the events.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/balancer/src/load_reports.rs
+++ b/balancer/src/load_reports.rs
@@ -1,4 +1,4 @@
-//! Applies the backends' load reports.
+//! Applies the load reports of backends.
 
 use crate::api::{BackendId, LoadReport};
 use crate::estimators::Ewma;
@@ -6,14 +6,14 @@
 use crate::state::Balancer;
 
 impl LoadReport {
-    /// The reported utilisation, where it is possible.
+    /// The reported utilisation, if it is within the possible range.
     pub(crate) fn valid_utilisation(&self) -> Option<f64> {
         self.utilisation.filter(|utilisation| (0.0..=MAX_UTILISATION).contains(utilisation))
     }
 }
 
 impl Balancer {
-    /// Applies a load report; impossible figures are ignored.
+    /// Applies a load report. A report with an impossible utilisation is ignored.
     pub(crate) fn apply_load_report(&mut self, id: BackendId, report: LoadReport) {
         let Some(backend) = self.backends.get_mut(&id) else { return };
         let Some(utilisation) = report.valid_utilisation() else { return };
--- a/balancer/src/membership.rs
+++ b/balancer/src/membership.rs
@@ -1,5 +1,5 @@
-//! Applies lists of backends to the node's view: which backends there are, by zone, and which are its
-//! subset.
+//! Applies lists of backends to the node's state: which backends there are in each zone, and which of them
+//! are the node's subset.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,8 @@
 use crate::state::{Backend, Balancer, Health};
 
 impl Balancer {
-    /// Applies a list. Each zone's subset is the `subset_size` backends in service of the lowest ranks.
+    /// Applies a list. The subset of each zone is the `subset_size` backends in service with the lowest
+    /// ranks.
     pub(crate) fn apply_membership(&mut self, scope: ListScope, members: Vec<Member>, subset_size: usize) {
         if scope != ListScope::Changes {
             self.remove_unlisted(&members);
@@ -25,7 +26,7 @@
         self.backends.retain(|_, backend| is_kept(backend));
         self.index_backends();
         self.select_subsets(subset_size);
-        // The load that no backend minds, of each node's even part of the backends.
+        // `MIN_LOAD_LIMIT`, which overloads no backend, for this node's even share of the home backends.
         let home = self.settings.home.0 as usize;
         let even_part = MIN_LOAD_LIMIT * self.zones[home].in_service / self.nodes_per_zone();
         self.zones[home].window.raise_initial_size(even_part);
@@ -56,8 +57,8 @@
         }
         let backend = self.backends.entry(member.backend).or_insert_with(|| Backend::new(member));
         if backend.member.online_since != member.online_since {
-            // It has restarted: what was learned is of another process, but the attempts are still in
-            // flight.
+            // The backend has restarted: estimates of the previous process are discarded, but attempts at it
+            // are still in flight.
             let in_flight = backend.in_flight;
             *backend = Backend { in_flight, ..Backend::new(member) };
         }
@@ -67,7 +68,7 @@
             (is_live && listed_weight > 0.0).then(|| (member.weight / listed_weight - 1.0).max(0.0));
     }
 
-    /// Renews the index by zone and the counts over all backends.
+    /// Rebuilds the index by zone and the counts over all backends.
     fn index_backends(&mut self) {
         self.zone_backends.iter_mut().for_each(Vec::clear);
         for (&id, backend) in &self.backends {
--- a/balancer/src/pending_queue.rs
+++ b/balancer/src/pending_queue.rs
@@ -1,16 +1,16 @@
-//! The queue of requests that wait for a backend, in the orders in which they are looked for: by value, by
-//! latency target, and by expiry. Decides nothing.
+//! The queue of requests that wait for a backend, indexed by value, by latency target and by expiry. The
+//! queue makes no decisions.
 
 use std::collections::BTreeSet;
 use std::ops::Bound;
 
 use crate::api::{Nanos, RequestId};
 
-/// A point in time at which a queued request is due, the order of its insertion, and the request.
+/// The time at which a queued request is due, its insertion sequence number, and the request.
 type Due = (Nanos, u64, RequestId);
 
-/// Requests of one value for each unit of work: a class's requests within their tenants' quotas, or over
-/// them.
+/// Requests of equal value per unit of work: those of a class that are within their tenants' quotas, or those
+/// over them.
 #[derive(Clone, Copy)]
 pub(crate) struct Band {
     pub(crate) class: usize,
@@ -18,7 +18,7 @@
 }
 
 impl Band {
-    /// All bands of this many classes.
+    /// All bands of `classes` classes.
     pub(crate) fn all(classes: usize) -> impl Iterator<Item = Self> {
         (0..classes).flat_map(|class| [false, true].map(|over_quota| Self { class, over_quota }))
     }
@@ -28,8 +28,8 @@
     }
 }
 
-/// Requests that are given up equally long before their latency targets: a class's first attempts, or its
-/// retries.
+/// Requests that are rejected equally long before their latency targets: the first attempts of a class, or
+/// its retries.
 #[derive(Clone, Copy)]
 pub(crate) struct TargetGroup {
     pub(crate) class: usize,
@@ -42,27 +42,27 @@
     }
 }
 
-/// Where a queued request stands in the orders; needed to remove it.
+/// The keys of a queued request in the indexes; needed to remove the request.
 #[derive(Clone, Copy)]
 pub(crate) struct QueueEntry {
     pub(crate) band: Band,
     pub(crate) target_group: TargetGroup,
     /// The request's latency target.
     pub(crate) target_at: Nanos,
-    /// When the request leaves the queue in any case.
+    /// When the request leaves the queue at the latest.
     pub(crate) expires_at: Nanos,
     sequence: u64,
 }
 
 impl QueueEntry {
-    /// An entry that has not been inserted.
+    /// An entry that has not been inserted yet.
     pub(crate) fn new(band: Band, target_group: TargetGroup, target_at: Nanos, expires_at: Nanos) -> Self {
         Self { band, target_group, target_at, expires_at, sequence: 0 }
     }
 }
 
-/// Queued requests. Insertion, removal, and finding the first of an order cost the logarithm of their
-/// number; nothing walks them all.
+/// The queued requests. Insertion, removal and finding the first request of an index take time logarithmic in
+/// the number of requests; no operation iterates over all of them.
 pub(crate) struct PendingQueue {
     next_sequence: u64,
     by_band: Vec<BTreeSet<RequestId>>,
@@ -71,14 +71,14 @@
 }
 
 impl PendingQueue {
-    /// An empty queue for requests of this many classes.
+    /// An empty queue for requests of `classes` classes.
     pub(crate) fn new(classes: usize) -> Self {
         let by_band = vec![BTreeSet::new(); 2 * classes];
         let by_target = vec![BTreeSet::new(); 2 * classes];
         Self { next_sequence: 0, by_band, by_target, by_expiry: BTreeSet::new() }
     }
 
-    /// Makes room for one more class.
+    /// Adds the indexes of one more class.
     pub(crate) fn add_class(&mut self) {
         self.by_band.extend([BTreeSet::new(), BTreeSet::new()]);
         self.by_target.extend([BTreeSet::new(), BTreeSet::new()]);
@@ -88,7 +88,7 @@
         self.by_expiry.is_empty()
     }
 
-    /// Inserts a request; returns its entry, which [`PendingQueue::remove`] takes.
+    /// Inserts a request and returns its entry, which [`PendingQueue::remove`] requires.
     pub(crate) fn insert(&mut self, id: RequestId, entry: QueueEntry) -> QueueEntry {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
@@ -104,13 +104,14 @@
         self.by_expiry.remove(&(entry.expires_at, entry.sequence, id));
     }
 
-    /// The first request of a band, by identifier, or the first after `after`.
+    /// The request of a band with the lowest identifier, or the first one after `after`.
     pub(crate) fn next_in_band(&self, band: Band, after: Option<RequestId>) -> Option<RequestId> {
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
         self.by_band[band.index()].range((from, Bound::Unbounded)).next().copied()
     }
 
-    /// Adds the requests of a group whose latency target is at `by` or earlier, in the order of insertion.
+    /// Adds to `due` the requests of a group whose latency target is at `by` or earlier; `due` sorts them by
+    /// insertion.
     pub(crate) fn collect_targets_by(
         &self,
         group: TargetGroup,
@@ -120,7 +121,7 @@
         collect_by(&self.by_target[group.index()], by, due);
     }
 
-    /// Adds the requests that expire at `by` or earlier, in the order of insertion.
+    /// Adds to `due` the requests that expire at `by` or earlier; `due` sorts them by insertion.
     pub(crate) fn collect_expired_by(&self, by: Nanos, due: &mut BTreeSet<(u64, RequestId)>) {
         collect_by(&self.by_expiry, by, due);
     }
--- a/balancer/src/policy/admission.rs
+++ b/balancer/src/policy/admission.rs
@@ -1,4 +1,4 @@
-//! Admission control: whether a backend would serve a request in time, and has load to spare for it.
+//! Admission control: whether a backend can serve a request in time, and has spare capacity for it.
 
 use super::tuning::{
     ADMISSION_SHARE, HIGH_UTILISATION, HIGH_UTILISATION_PENALTY, LOW_UTILISATION, LOW_UTILISATION_BONUS,
@@ -8,8 +8,8 @@
 use crate::state::{Backend, Balancer, Request};
 
 impl Balancer {
-    /// Whether a send there would be answered in time. That it holds no own request is no proof: it must
-    /// not be known as slow either.
+    /// Whether the backend is expected to answer the request in time. Having none of this node's requests in
+    /// flight is not sufficient: the backend must not be known to be slow either.
     pub(super) fn admits(&self, request: &Request, backend: &Backend) -> bool {
         let is_late = self.now >= request.target_at;
         let end = if is_late { request.not_after } else { request.target_at };
@@ -28,21 +28,21 @@
             && self.is_within_load_limit(band, slowness, load, backend)
     }
 
-    /// What [`Balancer::admits`] asks that does not depend on the request's own time.
+    /// The part of the check in [`Balancer::admits`] that does not depend on the request's remaining time.
     pub(super) fn has_headroom(&self, band: Band, backend: &Backend) -> bool {
         let slowness = backend.slowness(self.now, &self.settings.rules);
         let load = backend.load(self.nodes_per_zone());
         self.is_idle(slowness, backend) || self.is_within_load_limit(band, slowness, load, backend)
     }
 
-    /// Share of the time left that a send's expected latency may take. A retry that waits for more capacity
-    /// than this will be late: nothing is saved by it.
+    /// Share of the remaining time that the expected latency of a send may take. It is larger for a retry:
+    /// holding the retry back until a backend has more capacity would only make its response late.
     pub(super) fn latency_budget_share(&self, request: &Request) -> f64 {
         if request.attempts.is_empty() { ADMISSION_SHARE } else { RETRY_ADMISSION_SHARE }
     }
 
-    /// Idle as far as this node sees, or with cores to spare by its own report: a client with little time
-    /// takes them from nobody.
+    /// Whether the backend has none of this node's requests in flight, or reports spare cores. Even a request
+    /// with little time left then takes no capacity from other requests.
     fn is_idle(&self, slowness: f64, backend: &Backend) -> bool {
         let is_unused = backend.in_flight == 0 && slowness < MAX_IDLE_SLOWNESS;
         let reports_spare = backend.utilisation.is_fresh(self.now, UTILISATION_MAX_AGE)
@@ -51,19 +51,21 @@
     }
 
     fn is_within_load_limit(&self, band: Band, slowness: f64, load: f64, backend: &Backend) -> bool {
-        // One request overloads no backend: with none there, no response would show that it has recovered.
+        // A single request overloads no backend, and without one in flight no response could show that the
+        // backend has recovered.
         if backend.in_flight == 0 {
             return true;
         }
-        // Slow start has a budget of its own: capacity that a backend does not have yet is no sign of load.
+        // Slow start has a budget of its own: reduced capacity during warm-up must not count as load.
         let effective_load = slowness * backend.capacity_share(self.now, &self.settings.rules) * load;
         let class_limit = self.classes[band.class].load_limit;
         let limit = if band.over_quota { class_limit * LOWER_PRIORITY_SHARE } else { class_limit };
         effective_load <= limit * self.load_limit_factor(backend)
     }
 
-    /// Factor on a backend's load limit by its own report. The reported utilisation is raised by the own
-    /// sends since: reports are a second old, and load gathers in less.
+    /// Factor on the load limit of a backend, by the utilisation that the backend reports. The utilisation is
+    /// scaled up by the growth of this node's requests in flight since the report: reports are about a second
+    /// old, and load can build up in less time.
     fn load_limit_factor(&self, backend: &Backend) -> f64 {
         if !backend.utilisation.is_fresh(self.now, UTILISATION_MAX_AGE) {
             return 1.0;
--- a/balancer/src/policy/advice.rs
+++ b/balancer/src/policy/advice.rs
@@ -1,4 +1,4 @@
-//! The advisor's part in decisions; without one, what the balancer has learned.
+//! Queries to the placement advisor, with the balancer's own estimates where no advisor is set.
 
 use crate::api::{BackendId, RequestId};
 use crate::state::{Backend, Balancer, Request};
@@ -19,12 +19,13 @@
         self.advisor.as_ref().is_none_or(|advisor| advisor.home_zone_allowed(id))
     }
 
-    /// Whether the advisor knows the delay of this request at this backend, and so the backend's capacity.
+    /// Whether the advisor gives an expected delay for this request at this backend. If so, the advisor also
+    /// decides on the backend's capacity.
     pub(super) fn has_advised_delay(&self, request: &Request, backend: &Backend) -> bool {
         self.advised_delay(request, backend).is_some()
     }
 
-    /// The time in nanoseconds that a response is expected to take from this backend.
+    /// Expected time of a response from this backend, in nanoseconds.
     pub(super) fn expected_delay(&self, request: &Request, backend: &Backend) -> f64 {
         self.advised_delay(request, backend).unwrap_or_else(|| {
             let slowness = backend.slowness(self.now, &self.settings.rules);
--- a/balancer/src/policy/arrival.rs
+++ b/balancer/src/policy/arrival.rs
@@ -1,4 +1,4 @@
-//! Arrivals: a request enters the request table, and is rejected at once or dispatched.
+//! Arrivals: a request is added to the request table, and is rejected, dispatched or queued.
 
 use super::tuning::{RETRIES_PER_UNSERVED, SHORT_TIMEOUT_DIVISOR, WORK_SMOOTHING};
 use crate::api::{Action, Arrival, Nanos, RequestId};
@@ -6,8 +6,9 @@
 use crate::state::{Balancer, Request, RequestPhase};
 
 impl Balancer {
-    /// Guards against congestion that feeds on its own retries: a request past its latency target, or more
-    /// than the servers can do in time, is rejected before it costs them anything.
+    /// Handles an arrival. A request past its latency target, or one that the backends cannot serve in time,
+    /// is rejected before it costs them any work; otherwise retries of late requests would sustain
+    /// congestion.
     pub(super) fn on_arrival(&mut self, arrival: Arrival, actions: &mut Vec<Action>) {
         let id = arrival.request;
         let class = (arrival.class.0 as usize).min(self.classes.len() - 1);
@@ -39,8 +40,8 @@
         let expected_work = arrival.expected_work.map_or(view.idle_latency, |work| work as f64).max(1.0);
         let smoothing = if view.mean_work > 0.0 { WORK_SMOOTHING } else { 1.0 };
         view.mean_work += (expected_work - view.mean_work) * smoothing;
-        // Picking the requests of little expected work for a small budget picks the expectations that are
-        // too low.
+        // Expected work is a rough estimate. A small budget admits mostly requests with a low estimate, and
+        // these tend to be underestimated.
         let slow_start_work = expected_work.max(view.mean_work);
         let timeout = arrival.not_after.saturating_sub(self.now);
         let first_sent_at = self.first_sent_at(arrival, class, timeout);
@@ -61,20 +62,21 @@
         }
     }
 
-    /// When the client sent the request for the first time, from which the latency target counts.
+    /// When the client first sent the request; the latency target counts from this time.
     ///
-    /// A timeout well shorter than others ends with the client's deadline: the request is a retry, and the
-    /// deadline says when it was sent first. Arrivals jitter, so a little shorter is no sign. Where clients
-    /// mark their retries the others are first attempts: retries may get more time, which made those look
-    /// late.
+    /// A timeout well below the longest one of the class indicates a retry that is bounded by the client's
+    /// deadline, from which the time of the first send follows. A slightly shorter timeout does not: arrival
+    /// times jitter. If clients mark their retries, unmarked requests are first attempts, whatever their
+    /// timeouts: a retry may get a longer timeout than a first attempt, which made first attempts look like
+    /// late retries.
     fn first_sent_at(&mut self, arrival: &Arrival, class: usize, timeout: Nanos) -> Nanos {
         let may_be_retry = arrival.is_retry || !self.settings.clients_mark_retries;
         let view = &mut self.classes[class];
         view.longest_timeout = view.longest_timeout.max(timeout);
         let is_short = timeout < view.longest_timeout - view.longest_timeout / SHORT_TIMEOUT_DIVISOR;
         let is_suspected = may_be_retry && self.is_worthless_late(class) && is_short;
-        // More of these than were left unserved are first attempts, of clients that have come to wait less
-        // long.
+        // Suspected retries in excess of what unserved requests explain are first attempts of clients whose
+        // timeouts have become shorter.
         let max_retries = 1.0 + RETRIES_PER_UNSERVED * self.unserved.per_second(self.now);
         let is_retry = is_suspected && self.suspected_retries.per_second(self.now) <= max_retries;
         self.suspected_retries.add(self.now, if is_suspected { 1.0 } else { 0.0 });
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Whether a response after the latency target earns nothing.
+    /// Whether a response after the latency target has no value.
     fn is_worthless_late(&self, class: usize) -> bool {
         self.settings.classes[class].late_value_share == 0.0
     }
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Draws whether the request counts as over its tenant's quota.
+    /// Decides at random, by the tenant's fraction over quota, whether the request counts as over quota.
     fn draw_over_quota(&mut self, id: RequestId, tenant: usize) {
         let fraction = self.over_quota_fraction(tenant);
         let is_over_quota = fraction > 0.0 && self.random.next_unit() < fraction;
--- a/balancer/src/policy/backend_choice.rs
+++ b/balancer/src/policy/backend_choice.rs
@@ -8,7 +8,7 @@
 use crate::random::{ID_MULTIPLIER, PickJitter, SPLITMIX_INCREMENT, hash_mix};
 use crate::state::{Backend, Balancer, Request};
 
-/// The candidate of the lowest cost so far.
+/// The candidate with the lowest cost so far.
 #[derive(Default)]
 struct Best(Option<(f64, BackendId)>);
 
@@ -21,17 +21,17 @@
 }
 
 impl Balancer {
-    /// Among the permitted backends that would serve the request in time: with few nodes the one of the
-    /// lowest expected latency; with many, of the node's subset, the one of the lowest own load times
-    /// slowness.
+    /// The best of the permitted backends that are expected to serve the request in time: with few nodes, the
+    /// one with the lowest expected latency; with many nodes, the one in the node's subset with the lowest
+    /// product of own load and slowness.
     pub(super) fn choose_in_zone(&self, id: RequestId, zone: ZoneId) -> Option<BackendId> {
         let all = self.zone_backends.get(zone.0 as usize)?;
         if !self.has_many_nodes() {
             return self.choose_among(id, all);
         }
-        // Many nodes on all backends would fill their connection tables: each keeps to a random subset. It
-        // leaves that only when none of it takes requests: in congestion all nodes would try all backends,
-        // and none could rest.
+        // If each of many nodes used all backends, their connection tables would fill up, so each node uses a
+        // random subset. The node leaves the subset only if none of it takes requests: otherwise, in
+        // congestion, all nodes would try all backends and none of these could recover.
         let subset = self.zone_subsets.get(zone.0 as usize)?;
         let takes_requests = |backend: &Backend| self.is_usable(backend) && backend.is_in_service();
         let subset_takes_requests = subset.iter().any(|id| self.backends.get(id).is_some_and(takes_requests));
@@ -43,7 +43,8 @@
         let seed = self.random.state() ^ id.0.wrapping_mul(ID_MULTIPLIER);
         let mut jitter = PickJitter::new(seed);
         let mut best = Best::default();
-        // Of very many a sample is looked at; where none of it has capacity, a second one.
+        // Of very many candidates only a sample is examined, and a second sample if none of the first has
+        // capacity.
         let scans_all = candidates.len() <= MAX_SCANNED_BACKENDS;
         let looks = if scans_all { candidates.len() } else { 2 * PICK_SAMPLE_SIZE };
         let mut position = seed;
@@ -64,9 +65,9 @@
         }
     }
 
-    /// What a send there would cost: own load where nodes are many, else latency in nanoseconds. Failures
-    /// weigh like latency, as failing fast must not look idle; they are forgotten, or no trial would be
-    /// made.
+    /// Cost of a send to this backend: own load with many nodes, else latency in nanoseconds. Failures
+    /// increase the cost, because a backend that fails fast must not look idle; their effect decays, so that
+    /// the backend is tried again.
     fn send_cost(&self, request: &Request, backend: &Backend, jitter: f64) -> f64 {
         let failure_rate = backend.failure_rate.decayed(self.now, SLOWNESS_DECAY_TIME_CONSTANT);
         let was_tried = request.attempts.iter().any(|attempt| attempt.backend == backend.member.backend);
@@ -82,7 +83,7 @@
     }
 }
 
-/// A random index below `count`.
+/// A pseudo-random index below `count`; advances `position`.
 fn next_sample(position: &mut u64, count: usize) -> usize {
     *position = position.wrapping_add(SPLITMIX_INCREMENT);
     (hash_mix(*position) % count as u64) as usize
--- a/balancer/src/policy/backend_load.rs
+++ b/balancer/src/policy/backend_load.rs
@@ -1,12 +1,13 @@
-//! Estimates of one backend: its load, and how slow it is.
+//! Estimates for one backend: its load and its slowness.
 
 use super::tuning::{IDLE_LOAD, MANY_NODES_PER_ZONE, SLOWNESS_DECAY_TIME_CONSTANT};
 use crate::api::{Nanos, RuleSettings};
 use crate::state::{Backend, Balancer};
 
 impl Backend {
-    /// Load in requests for each unit of weight: own ones, times the nodes that do alike; where these are
-    /// many, what the list says of all nodes.
+    /// Load in requests per unit of weight. With few nodes: this node's requests in flight, multiplied by the
+    /// number of nodes that share the zone and are assumed to send as much. With many nodes: the larger of
+    /// this node's own load and the load by the list of backends, which covers all nodes.
     pub(crate) fn load(&self, nodes_per_zone: f64) -> f64 {
         let own = f64::from(self.in_flight) / self.weight();
         match self.listed_load {
@@ -16,7 +17,7 @@
         }
     }
 
-    /// Latency as a multiple of the usual one, forgotten towards what slow start implies.
+    /// Latency as a multiple of the usual one. The estimate decays towards the value implied by slow start.
     pub(crate) fn slowness(&self, now: Nanos, rules: &RuleSettings) -> f64 {
         let prior = 1.0 / self.capacity_share(now, rules);
         self.latency_ratio.decayed_towards(prior, now, SLOWNESS_DECAY_TIME_CONSTANT)
@@ -24,7 +25,7 @@
 }
 
 impl Balancer {
-    /// Whether so many nodes share the backends that own attempts say little of their load.
+    /// Whether so many nodes share the backends that this node's own attempts say little about backend load.
     pub(super) fn has_many_nodes(&self) -> bool {
         self.nodes_per_zone() > MANY_NODES_PER_ZONE
     }
--- a/balancer/src/policy/completion.rs
+++ b/balancer/src/policy/completion.rs
@@ -1,4 +1,4 @@
-//! Completion: the ends of attempts, and the one place that rejects or fails requests.
+//! Completion: handles the end of attempts, and is the only place that rejects or fails requests.
 
 use super::tuning::{TIMEOUT_FAULT_RATIO, UTILISATION_TIME_CONSTANT};
 use crate::api::{Action, AttemptEnd, Idempotency, IdempotencyScope, Nanos, Outcome, RequestId, ZoneId};
@@ -11,14 +11,14 @@
     sample: LatencySample,
     zone: ZoneId,
     sent_at: Nanos,
-    /// It has been recorded as late already.
+    /// The attempt has already been recorded as late.
     recorded_late: bool,
     target_at: Nanos,
     request_was_open: bool,
 }
 
 impl Balancer {
-    /// Applies the end of an attempt: learns from it, and completes or retries its request.
+    /// Handles the end of an attempt: updates the estimates, then completes or retries its request.
     pub(super) fn on_attempt_end(&mut self, end: AttemptEnd, actions: &mut Vec<Action>) {
         let Some(ended) = self.record_end(&end) else { return };
         self.learn_from_end(&end, &ended, actions);
@@ -30,7 +30,7 @@
         self.dispatch_pending(actions);
     }
 
-    /// Records the outcome with the request. `None` for an attempt that is not in flight.
+    /// Records the outcome in the request table. `None` if the attempt is not in flight.
     fn record_end(&mut self, end: &AttemptEnd) -> Option<EndedAttempt> {
         let request = self.requests.get_mut(&end.request)?;
         let attempt = request.attempts.get_mut(end.attempt as usize)?;
@@ -65,7 +65,7 @@
             zone.add_in_flight(self.now, -1.0, UTILISATION_TIME_CONSTANT);
         }
         self.learn_from_attempt(&ended.sample);
-        // A client with little time ends an attempt early: that is no fault of the backend's.
+        // A client with little time left ends an attempt early, which is not a failure of the backend.
         let fault_latency = TIMEOUT_FAULT_RATIO * self.expected_latency(class, 1.0);
         let is_early = (end.elapsed as f64) < fault_latency;
         if end.outcome != Outcome::TimedOut || !is_early {
@@ -90,8 +90,8 @@
         self.end_request(end.request);
     }
 
-    /// Ends a request unserved: rejected where a retry does no harm, failed otherwise. `retry_after` is in
-    /// nanoseconds.
+    /// Ends a request that was not served: rejects it if a retry by the client is safe, and fails it
+    /// otherwise. `retry_after` is in nanoseconds.
     pub(super) fn end_unserved(
         &mut self,
         id: RequestId,
@@ -131,7 +131,7 @@
         actions.extend(in_flight.map(|(_, attempt)| Action::Cancel { request: id, attempt }));
     }
 
-    /// Marks a request as ended; it is dropped once its last attempt has ended.
+    /// Marks a request as ended; the request is removed once its last attempt has ended.
     pub(super) fn end_request(&mut self, id: RequestId) {
         self.set_phase(id, RequestPhase::Ended);
         if self.requests.get(&id).is_some_and(|request| !request.has_attempt_in_flight()) {
--- a/balancer/src/policy/concurrency_window.rs
+++ b/balancer/src/policy/concurrency_window.rs
@@ -1,6 +1,6 @@
-//! Concurrency windows: how many requests a node among many has in flight in a zone. None sees what the
-//! others send, so each goes by its own responses' latency, and all windows together come to what the zone
-//! can hold (additive increase, multiplicative decrease).
+//! Concurrency windows: limit the requests that one of many nodes has in flight in a zone. A node does not
+//! see the traffic of the others, so each adapts its window to the latency of its own responses; together the
+//! windows converge to the capacity of the zone (additive increase, multiplicative decrease).
 
 use super::tuning::{
     BACKEND_WINDOW_SKEW, CONGESTION_RISE, IDLE_LOAD, LOWER_PRIORITY_SHARE, MAX_CONGESTION_THRESHOLD,
@@ -22,8 +22,8 @@
 }
 
 impl ConcurrencyWindow {
-    /// Records a response's latency as a fraction of its target, 1 at most. Above `threshold` the mean is
-    /// congestion; `in_flight` attempts were out.
+    /// Records the latency of a response as a fraction of its target, capped at 1. A mean above `threshold`
+    /// is congestion. `in_flight` is the number of this node's attempts in flight in the zone.
     fn record_latency(&mut self, now: Nanos, fraction: f64, threshold: f64, in_flight: f64) {
         let min_weight = 0.5 / f64::from(MIN_WINDOW_SAMPLES);
         self.latency_fraction.update(now, fraction, WINDOW_LATENCY_TIME_CONSTANT, min_weight);
@@ -46,7 +46,7 @@
         self.slow_start_done = true;
     }
 
-    /// Each response of a round adds its part.
+    /// Each response increases the window by its part of the increase of one round.
     fn increase(&mut self) {
         let increase = if self.slow_start_done { WINDOW_INCREASE } else { WINDOW_SLOW_START_INCREASE };
         self.size += self.size.min(1.0) * increase;
@@ -54,8 +54,8 @@
 }
 
 impl Balancer {
-    /// Whether the zone's window has room for the request, and the backend an even part of it. `time_left`
-    /// and the latencies are in nanoseconds.
+    /// Whether the zone's window has room for the request, and the backend's even share of the window as
+    /// well. `time_left` and the latencies are in nanoseconds.
     pub(super) fn fits_window(
         &self,
         request: &Request,
@@ -64,12 +64,12 @@
         backend: &Backend,
     ) -> bool {
         let zone = &self.zones[backend.member.zone.0 as usize];
-        // Slow start has a budget of its own.
+        // Slow start has a budget of its own: reduced capacity during warm-up must not count as slowness.
         let slowness = slowness * backend.capacity_share(self.now, &self.settings.rules);
         let ConcurrencyWindow { size, last_sent_at, .. } = zone.window;
         let limit = size * self.window_share(request);
         let backend_limit = (BACKEND_WINDOW_SKEW * size / SUBSET_SIZE as f64).max(1.0);
-        // A window below one is one request every so many response times.
+        // A window below 1 allows one request per 1 / size response times.
         let spacing = (1.0 / size - 1.0).max(0.0) * self.expected_latency(request.class, IDLE_LOAD);
         zone.in_flight + 1.0 <= limit.max(1.0)
             && self.now >= last_sent_at + spacing as Nanos
@@ -79,14 +79,14 @@
                     <= self.latency_budget_share(request) * time_left)
     }
 
-    /// Share of a window that the request may use: less for each class that is more valuable than its own.
+    /// Share of a window that the request may use, reduced for each class that is more valuable than its own.
     fn window_share(&self, request: &Request) -> f64 {
         let value = self.classes[request.class].value_density;
         let more_valuable = self.classes.iter().filter(|class| class.value_density > value).count();
         LOWER_PRIORITY_SHARE.powi(more_valuable as i32 + i32::from(request.over_quota))
     }
 
-    /// Updates a zone's window by the end of an attempt there.
+    /// Updates the window of a zone after the end of an attempt in the zone.
     pub(super) fn update_window(&mut self, zone: ZoneId, class: usize, sent_at: Nanos, outcome: Outcome) {
         let target = self.settings.classes[class].latency_target;
         let fraction = match outcome {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Mean latency as a fraction of its target above which a zone is congested.
+    /// Mean latency, as a fraction of its target, above which a zone is congested.
     fn congestion_threshold(&self) -> f64 {
         let above = |baseline: f64| {
             (CONGESTION_RISE * baseline).clamp(MIN_CONGESTION_THRESHOLD, MAX_CONGESTION_THRESHOLD)
@@ -109,7 +109,8 @@
         self.congestion.baseline().map_or(MAX_CONGESTION_THRESHOLD, above)
     }
 
-    /// Records attempts as late once their latency target has passed: by their end the congestion is old.
+    /// Records attempts as late once their latency target has passed: by the time they end, the congestion
+    /// that they indicate is old.
     pub(super) fn record_overdue_attempts(&mut self) {
         for attempt in self.take_overdue_attempts() {
             self.update_window(attempt.zone, attempt.class, attempt.sent_at, Outcome::TimedOut);
--- a/balancer/src/policy/discovery.rs
+++ b/balancer/src/policy/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: lists of backends, what their weights say, and when discovery is asked again.
+//! Discovery: applies lists of backends and their weights, and schedules polls of discovery after failures.
 
 use super::tuning::{
     DISCOVERY_BACKOFF, LIST_INTERVAL_SMOOTHING, MAX_DISCOVERY_DOUBLINGS, MAX_LIST_INTERVAL_S,
@@ -7,7 +7,7 @@
 use crate::api::{ListScope, Member, Nanos, SECOND, Weights};
 use crate::state::Balancer;
 
-/// The loads that a list gives for a zone's backends.
+/// Sum of the listed loads of a zone's backends.
 #[derive(Clone, Copy, Default)]
 struct ListedLoads {
     backends: f64,
@@ -15,7 +15,7 @@
 }
 
 impl Balancer {
-    /// Applies a list of backends.
+    /// Applies a list of backends, or changes to it, from discovery or from the node's cache.
     pub(super) fn on_membership(&mut self, scope: ListScope, mut members: Vec<Member>) {
         if scope != ListScope::Cached {
             self.discovery_failures = 0;
@@ -28,7 +28,8 @@
         }
     }
 
-    /// Learns the load that a list's live weights stand for; they reach all nodes alike, and late.
+    /// Derives loads and utilisations from the live weights of a list. All nodes receive the same weights,
+    /// and receive them late.
     fn apply_live_weights(&mut self) {
         let interval_s =
             self.list_received_at.map_or(1.0, |at| self.now.saturating_sub(at) as f64 / SECOND as f64);
@@ -51,7 +52,7 @@
         self.update_overflow_share();
     }
 
-    /// After a failed call: asks again after an exponential backoff with jitter.
+    /// Schedules the next poll after a failed call, with exponential backoff and jitter.
     pub(super) fn schedule_poll(&mut self) {
         let doublings = self.discovery_failures.min(MAX_DISCOVERY_DOUBLINGS);
         let jitter = 0.75 + 0.5 * self.random.next_unit();
--- a/balancer/src/policy/dispatch.rs
+++ b/balancer/src/policy/dispatch.rs
@@ -1,11 +1,11 @@
-//! Dispatch: the one place that sends.
+//! Dispatch: the only place that sends requests.
 
 use super::tuning::UTILISATION_TIME_CONSTANT;
 use crate::api::{Action, BackendId, RequestId, ZoneId};
 use crate::state::{Attempt, Backend, Balancer, Health, RequestPhase, SlowStartSend};
 
 impl Balancer {
-    /// Sends the request to the backend chosen for it, or queues it.
+    /// Sends the request to the backend that is chosen for it, or queues the request if there is none.
     pub(super) fn dispatch_or_queue(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if let Some(to) = self.choose_backend(id)
             && self.send(id, to, actions)
@@ -17,7 +17,7 @@
         }
     }
 
-    /// Sends the request to this backend; returns false where the send rules forbid it.
+    /// Sends the request to this backend. Returns false if the send rules forbid it.
     pub(super) fn send(&mut self, id: RequestId, to: BackendId, actions: &mut Vec<Action>) -> bool {
         let candidates = self.requests.get(&id).zip(self.backends.get(&to));
         if !candidates.is_some_and(|(request, backend)| self.permits_send(request, backend)) {
@@ -35,7 +35,7 @@
         true
     }
 
-    /// Records an attempt with its request and its backend; returns the backend's zone.
+    /// Records an attempt in the state of its request and its backend. Returns the zone of the backend.
     fn record_attempt(&mut self, id: RequestId, to: BackendId) -> Option<ZoneId> {
         let nodes_per_zone = self.nodes_per_zone();
         let request = self.requests.get_mut(&id)?;
--- a/balancer/src/policy/load_probes.rs
+++ b/balancer/src/policy/load_probes.rs
@@ -1,5 +1,5 @@
-//! Probes for load reports: what they may cost, the priority of each backend, and what
-//! a probe's end says. Which backend is probed when is decided by `ivyhatch-load-probing`.
+//! Probes for load reports: their cost limit, the priority of each backend, and how the outcome of a probe is
+//! applied. `ivyhatch-load-probing` decides when each backend is probed.
 
 use ivyhatch_load_probing::{Candidate, Limits as ProbeLimits, Priority, ProbeOutcome, Scheduler};
 
@@ -11,7 +11,7 @@
 use crate::state::{Backend, Balancer, Health};
 
 impl Balancer {
-    /// The scheduler of a node that may probe and gains by it.
+    /// Creates the probe scheduler. `None` if the settings forbid probes or load reporting is disabled.
     pub(crate) fn new_probe_scheduler(settings: &Settings, seed: u64, now: Nanos) -> Option<Scheduler> {
         if !settings.limits.probes || settings.reports == LoadReporting::Disabled {
             return None;
@@ -26,7 +26,7 @@
         Scheduler::new(limits, seed, now).ok()
     }
 
-    /// Gives the scheduler the backends in service.
+    /// Updates the scheduler's candidates to the backends in service.
     pub(crate) fn update_probe_candidates(&mut self) {
         let (home, zones) = (self.settings.home.0, self.settings.zones);
         let candidate = |(&id, backend): (&BackendId, &Backend)| {
@@ -52,18 +52,18 @@
         }
     }
 
-    /// When the next probe is due, if time alone brings it about.
+    /// When the next probe is due. `None` if no probe can become due before another event.
     pub(super) fn next_probe_at(&self) -> Option<Nanos> {
         let at = self.probe_scheduler.as_ref()?.next_probe_at()?;
         Some(at.max(self.now + self.housekeeping_interval()))
     }
 
-    /// Updates the priority of each probed backend, and what an arrival earns.
+    /// Updates the priority of each probed backend, and the probe budget that an arrival adds.
     pub(super) fn update_probe_priorities(&mut self) {
         let Some(mut scheduler) = self.probe_scheduler.take() else { return };
         scheduler.resize_subset(self.now);
-        // The work of probes stays a small part of that of requests, however little a probe is said to
-        // cost.
+        // The work of probes stays a small part of the work of requests, even if the configured probe cost is
+        // low.
         let idle_latency = self.classes.iter().map(|class| class.idle_latency).fold(f64::INFINITY, f64::min);
         scheduler.set_probes_per_request(MAX_PROBE_WORK_SHARE * idle_latency / PROBE_WORK as f64);
         let best = self.overflow_zones.first().copied();
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Whether it has been failing lately. One that cannot be reached is not probed more often for it.
+    /// Whether the backend has been failing recently. An unreachable backend is not suspect: probing it more
+    /// often would not help.
     fn is_suspect(&self, backend: &Backend) -> bool {
         let failure_rate = backend.failure_rate.decayed(self.now, SLOWNESS_DECAY_TIME_CONSTANT);
         let is_failing = backend.health != Health::Healthy
@@ -100,8 +101,8 @@
         !backend.unreachable && is_failing
     }
 
-    /// Applies the end of a probe. That of an earlier incarnation of a backend, or of one that has left, is
-    /// ignored.
+    /// Handles the end of a probe. A probe of an earlier incarnation of a backend, or of a backend that is no
+    /// longer listed, is ignored.
     pub(super) fn on_probe_end(
         &mut self,
         id: BackendId,
@@ -127,8 +128,8 @@
             let zone = backend.member.zone;
             self.invalidate_zone_utilisation(zone);
         }
-        // A server that cannot be reached is out of order for requests too. One that answers a probe has
-        // not yet shown that it serves.
+        // An unreachable server cannot serve requests either. A server that answers a probe has not yet shown
+        // that it serves requests.
         if end == ProbeOutcome::Unreachable {
             self.update_health(id, outcome, actions);
         } else {
--- a/balancer/src/policy/mod.rs
+++ b/balancer/src/policy/mod.rs
@@ -1,9 +1,9 @@
-//! Every decision of the balancer, a file for each concern. The interface is in `api/`, what a node keeps
-//! in `state/`, what it learns in `latency_model.rs` and its neighbours.
+//! The decisions of the balancer, one file for each concern. The interface is in `api/`, the node's state in
+//! `state/`, and the estimates that the node learns in `latency_model.rs` and the modules beside it.
 //!
-//! Reading order: `handle` here shows what each event sets off; then `arrival`, `send_rules` with the
-//! contract that every send has to keep, `overflow`, which is the design, `zone_scoring`, `backend_choice`
-//! and `admission`. All constants stand in `tuning`.
+//! Reading order: `handle` in this file shows what each event triggers; then `arrival`, `send_rules` with the
+//! rules that every send must satisfy, `overflow` with the choice between zones, `zone_scoring`,
+//! `backend_choice` and `admission`. All constants are in `tuning`.
 
 mod admission;
 mod advice;
@@ -31,8 +31,9 @@
 use tuning::HOUSEKEEPING_INTERVAL;
 
 impl Balancer {
-    /// Handles one event and appends the actions to carry out, in order. A clock that steps back counts as
-    /// standing still. The next event may come at any time, also at the same `now`.
+    /// Handles one event and appends the actions for the caller to carry out, in order. If `now` is earlier
+    /// than at the previous call, the clock stays at its last value. Successive events may have the same
+    /// `now`.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
@@ -77,8 +78,9 @@
             .max(MILLISECOND)
     }
 
-    /// Asks for the next timer only while something waits for one: at full size a timer that always ran
-    /// cost more than all requests together (it cut full-size days off as too slow).
+    /// Requests a timer only while a queued request, a poll of discovery or a probe needs one: at full size,
+    /// a timer that always ran cost more than all requests together, and full-size runs were aborted as too
+    /// slow.
     fn arm_timer(&mut self, actions: &mut Vec<Action>) {
         let queue_at = (!self.pending.is_empty()).then(|| self.now + self.housekeeping_interval());
         let poll_at = self.poll_at.map(|at| at.max(self.now + MILLISECOND));
--- a/balancer/src/policy/outlier_ejection.rs
+++ b/balancer/src/policy/outlier_ejection.rs
@@ -1,4 +1,4 @@
-//! Outlier ejection: backends that fail are ejected, given single trials, and readmitted.
+//! Outlier ejection: failing backends are ejected, receive single trial requests, and are readmitted.
 
 use super::tuning::{
     BASE_EJECTION_TIME, BASE_REJECTION_BACKOFF, CONSECUTIVE_FAILURES_TO_EJECT, FAILURE_RATE_TIME_CONSTANT,
@@ -9,10 +9,10 @@
 use crate::api::{Action, BackendId, MILLISECOND, Nanos, Outcome};
 use crate::state::{Backend, Balancer, FailureRateSum, Health};
 
-/// What an outcome says of its backend's health.
+/// What the outcome of an attempt or a probe says about the health of its backend.
 enum HealthSignal {
     Success,
-    /// `consecutive` is added to the failures in a row, `rate` goes into the failure rate.
+    /// `consecutive` is added to the consecutive failures, `rate` is a sample of the failure rate.
     Failure {
         consecutive: u32,
         rate: f64,
@@ -25,7 +25,8 @@
         match outcome {
             Outcome::Served => Self::Success,
             Outcome::InvalidResponse => Self::Failure { consecutive: 1, rate: INVALID_RESPONSE_FAILURE },
-            // A connection may break on the way between two healthy ends; a refused one says more.
+            // A reset connection may be due to the network between two healthy ends; a refused connection is
+            // a stronger sign of a fault.
             Outcome::Error | Outcome::TimedOut | Outcome::Rejected | Outcome::Reset => {
                 Self::Failure { consecutive: 1, rate: 1.0 }
             }
@@ -36,7 +37,7 @@
 }
 
 impl Balancer {
-    /// Whether a backend takes requests, or a trial, as far as its health goes.
+    /// Whether the health of a backend allows a request or a trial request now.
     pub(crate) fn is_usable(&self, backend: &Backend) -> bool {
         if self.now < backend.backoff_until {
             return false;
@@ -48,7 +49,7 @@
         }
     }
 
-    /// When time alone makes a backend usable next.
+    /// The next time at which the end of a backoff or an ejection may make the backend usable.
     pub(crate) fn usable_changes_at(&self, backend: &Backend) -> Option<Nanos> {
         let ejected_until = match backend.health {
             Health::Ejected { until } => until,
@@ -57,12 +58,12 @@
         [backend.backoff_until, ejected_until].into_iter().filter(|&until| until > self.now).min()
     }
 
-    /// Updates a backend's health by the outcome of an attempt or a probe: ejects an outlier, readmits one
-    /// after two served trials.
+    /// Updates the health of a backend by the outcome of an attempt or a probe: ejects an outlier, and
+    /// readmits a backend after two served trials.
     pub(super) fn update_health(&mut self, id: BackendId, outcome: Outcome, actions: &mut Vec<Action>) {
         let signal = HealthSignal::of(outcome);
         let Some(backend) = self.backends.get(&id) else { return };
-        // With many nodes a refused connection may mean a full connection table just as well as a dead
+        // With many nodes, a refused connection may be due to a full connection table as well as to a dead
         // process.
         let is_rejection =
             outcome == Outcome::Rejected || (outcome == Outcome::ConnectFailed && self.has_many_nodes());
@@ -87,7 +88,8 @@
         }
     }
 
-    /// A backend that rejects at once, again and again, looks idle and would draw all traffic.
+    /// Stops sends to a backend that rejected an attempt, for a time that doubles with consecutive
+    /// rejections. Without this, a backend that rejects immediately would look idle and attract all traffic.
     fn back_off(&mut self, id: BackendId) {
         let Some(backend) = self.backends.get_mut(&id) else { return };
         let doublings = backend.consecutive_rejections.min(MAX_REJECTION_DOUBLINGS);
@@ -119,8 +121,8 @@
         backend.consecutive_failures += consecutive;
     }
 
-    /// Whether a backend that has just failed failed its trial, or is an outlier and not too many are
-    /// ejected.
+    /// Whether a backend that has just failed is to be ejected: it failed its trial request, or it is an
+    /// outlier and the maximum ejected share is not reached.
     fn is_to_be_ejected(&mut self, id: BackendId, rate: f64) -> bool {
         let listed = self.in_service_count as f64;
         let mean_failure_rate = self.total_failure_rate() / listed.max(1.0);
@@ -133,7 +135,8 @@
         failed_trial || (is_outlier && may_eject && backend.health == Health::Healthy)
     }
 
-    /// The sum over very many backends is renewed no more often than the overflow zones are.
+    /// The sum of the failure rates of all backends. With very many backends it is computed no more often
+    /// than the overflow zones are scored.
     fn total_failure_rate(&mut self) -> f64 {
         let is_stale = self.now >= self.total_failure_rate.computed_at + REFRESH_INTERVAL;
         if self.backends.len() <= MAX_SCANNED_BACKENDS || is_stale {
--- a/balancer/src/policy/overflow.rs
+++ b/balancer/src/policy/overflow.rs
@@ -1,5 +1,5 @@
-//! Overflow between zones, which is the design: home under its threshold, else the one best-scored other
-//! zone, home when none qualifies.
+//! Overflow between zones, the core of the design: requests stay in the home zone while it is under its
+//! threshold, go to the best-scored other zone otherwise, and stay at home if no other zone qualifies.
 
 use super::tuning::{
     MAX_LOAD_UTILISATION, MIN_EXPECTED_ARRIVALS, OVERFLOW_GAIN, OVERFLOW_THRESHOLD,
@@ -9,12 +9,12 @@
 use crate::state::Balancer;
 
 impl Balancer {
-    /// The utilisation from which on a zone overflows.
+    /// The utilisation at which a zone starts to overflow.
     pub(super) fn overflow_threshold(&self) -> f64 {
         if self.has_many_nodes() { SHARED_OVERFLOW_THRESHOLD } else { OVERFLOW_THRESHOLD }
     }
 
-    /// The backend for a request, or `None` if it is better queued.
+    /// Chooses a backend for a request. `None` if the request is better queued.
     pub(super) fn choose_backend(&mut self, id: RequestId) -> Option<BackendId> {
         let home = self.settings.home;
         let stays_home = self.stays_home();
@@ -31,16 +31,17 @@
         if !stays_home && let Some(to) = self.choose_in_zone(id, home) {
             return Some(to);
         }
-        // Exception: home can serve nothing in time (full, ejected, warming up or empty): any zone that
-        // can.
+        // Exception: home can serve nothing in time (full, ejected, warming up or empty); any reachable zone
+        // with a suitable backend is used.
         let reachable = self.overflow_zones.iter().filter(|&&zone| !self.is_unreachable(zone));
         reachable.into_iter().find_map(|&zone| self.choose_in_zone(id, zone))
     }
 
-    /// Whether home is under its threshold.
+    /// Whether the request is to stay in the home zone: with few nodes, while home is under its threshold.
     ///
-    /// Exception: many nodes that all left an overloaded zone at once would pile onto the next; so each
-    /// request leaves by chance, and the share follows the excess.
+    /// Exception: if many nodes left an overloaded zone at the same time, they would overload the next zone.
+    /// With many nodes each request therefore overflows at random, with a probability that follows the excess
+    /// load.
     fn stays_home(&mut self) -> bool {
         let home = self.settings.home;
         if self.has_many_nodes() {
@@ -49,8 +50,8 @@
         self.utilisation(home).is_none_or(|utilisation| utilisation < self.overflow_threshold())
     }
 
-    /// Whether a request waits for capacity at home that is about to come free instead of crossing: home is
-    /// far from its threshold by its reports, and the wait short against the latency target.
+    /// Whether a request waits for capacity at home that is about to become free, instead of crossing zones:
+    /// home is far below its threshold by its reports, and the wait is short compared to the latency target.
     fn waits_for_home(&self, id: RequestId) -> bool {
         if self.has_many_nodes() {
             return false;
@@ -67,7 +68,7 @@
         })
     }
 
-    /// Where lists bring no loads, the overflow share follows the reported utilisation once a second.
+    /// If lists carry no loads, updates the overflow share from the reported utilisation, once a second.
     pub(super) fn update_overflow_share_by_reports(&mut self) {
         let lists_bring_loads = self.settings.weights == Weights::Live;
         if lists_bring_loads || !self.has_many_nodes() || self.now < self.overflow_share_at {
@@ -81,8 +82,8 @@
         self.update_overflow_share();
     }
 
-    /// Moves the share that overflows where nodes are many by what evens out the loads over the arrivals
-    /// until the next ones.
+    /// Adjusts the overflow share, which is used with many nodes, by the step that evens out the loads over
+    /// the arrivals expected until the next loads are received.
     pub(super) fn update_overflow_share(&mut self) {
         let home = self.settings.home.0 as usize;
         let backends = self.zones[home].in_service.max(1.0);
@@ -91,7 +92,7 @@
             .max(MIN_EXPECTED_ARRIVALS);
         let wanted = SHARED_OVERFLOW_THRESHOLD / (1.0 - SHARED_OVERFLOW_THRESHOLD);
         let best = self.overflow_zones.first().filter(|_| self.qualified_zones > 0);
-        // A crossing has its price: the other zone must hold less by one request a core at least.
+        // Crossing zones has a cost: the other zone must be lower by at least one request per core.
         let limit =
             best.map_or(f64::INFINITY, |zone| (self.zones[zone.0 as usize].load_per_core + 1.0).max(wanted));
         let view = &mut self.zones[home];
--- a/balancer/src/policy/pending_requests.rs
+++ b/balancer/src/policy/pending_requests.rs
@@ -1,5 +1,5 @@
-//! Pending requests: sent as backends get capacity, rejected while a rejection is still early (load
-//! shedding).
+//! Pending requests: sent as backends get capacity, and rejected while the client still has time to retry
+//! (load shedding).
 
 use std::collections::BTreeSet;
 
@@ -13,17 +13,17 @@
 
 /// The next request of a band in the pending queue.
 struct NextInBand {
-    /// What a unit of its work adds to the goal.
+    /// Value of a unit of the band's work.
     value_density: f64,
     request: RequestId,
     band: Band,
-    /// No backend has headroom for any of the band.
+    /// No backend has headroom for any request of the band.
     is_blocked: bool,
 }
 
 impl Balancer {
-    /// Sends pending requests, the most valuable first. Looks at no more than
-    /// `MAX_DISPATCH_MISSES` + 1 requests beside those that it sends.
+    /// Sends pending requests in descending order of value. Examines at most `MAX_DISPATCH_MISSES` + 1
+    /// requests in addition to those that it sends.
     pub(super) fn dispatch_pending(&mut self, actions: &mut Vec<Action>) {
         if self.pending.is_empty() {
             return;
@@ -39,7 +39,7 @@
                 self.end_unserved(request, RejectReason::AttemptsFailed, 0, actions);
             } else if !self.dispatch_queued(request, is_blocked, actions) {
                 misses += 1;
-                // Sends only take capacity away: a band without headroom has none for the rest of this.
+                // Sends only reduce capacity: a band without headroom has none for the rest of this call.
                 bands[index].is_blocked = is_blocked || !self.any_backend_has_headroom(band);
             }
             match self.pending.next_in_band(band, Some(request)) {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Sends a queued request, unless its band is blocked; returns whether it was sent.
+    /// Sends a queued request, unless its band is blocked. Returns whether the request was sent.
     fn dispatch_queued(&mut self, id: RequestId, is_blocked: bool, actions: &mut Vec<Action>) -> bool {
         let to = if is_blocked { None } else { self.choose_backend(id) };
         to.is_some_and(|to| self.send(id, to, actions))
@@ -69,7 +69,8 @@
         self.classes[band.class].value_density * factor
     }
 
-    /// Whether some backend might be sent a request of this band, whatever time it has left.
+    /// Whether any backend has headroom for a request of this band, regardless of the request's remaining
+    /// time.
     fn any_backend_has_headroom(&self, band: Band) -> bool {
         let takes = |backend: &Backend| self.is_usable(backend) && self.has_headroom(band, backend);
         self.has_many_nodes()
@@ -77,8 +78,8 @@
             || self.backends.values().any(takes)
     }
 
-    /// Rejects the pending requests that no backend could serve in time any more, and those that were never
-    /// sent while a rejection is still early.
+    /// Rejects pending requests that no backend can serve in time any more, and requests whose queue entry
+    /// expires. A request that never reached a backend expires while its client has time for another attempt.
     pub(super) fn expire_pending(&mut self, actions: &mut Vec<Action>) {
         if self.pending.is_empty() {
             return;
@@ -100,7 +101,8 @@
     }
 }
 
-/// The band to dispatch from next; of two of the same value the one whose request is older.
+/// The band to dispatch from next: the one of the highest value; among equal values, the one with the oldest
+/// request.
 fn most_valuable(bands: &[NextInBand]) -> Option<usize> {
     (0..bands.len()).min_by(|&a, &b| {
         let (a, b) = (&bands[a], &bands[b]);
--- a/balancer/src/policy/priorities.rs
+++ b/balancer/src/policy/priorities.rs
@@ -1,4 +1,4 @@
-//! Priorities: what each class's work is worth, how much load it may put on a backend, and tenants' quotas.
+//! Priorities: the value of each class's work, the load limit of each class, and tenants' quotas.
 
 use super::tuning::{
     ADMISSION_SHARE, LOWER_PRIORITY_SHARE, MAX_QUEUEING_RATIO, MIN_CLASS_RATE, MIN_LOAD_LIMIT,
@@ -6,10 +6,10 @@
 };
 use crate::state::Balancer;
 
-/// Divisors are this at least: no class is worth an infinite amount.
+/// Lower bound of divisors, so that no class gets an infinite value.
 const EPSILON: f64 = 1e-9;
 
-/// A class's requests a second.
+/// Requests per second of a class.
 #[derive(Clone, Copy)]
 struct ClassRates {
     arrivals: f64,
@@ -23,7 +23,7 @@
 }
 
 impl Balancer {
-    /// Updates what a unit of each class's work adds to the goal, and each class's load limit.
+    /// Updates the value of a unit of each class's work, and the load limit of each class.
     pub(super) fn update_class_values(&mut self) {
         let now = self.now;
         let rates = self.classes.iter().map(|class| ClassRates {
@@ -35,7 +35,7 @@
         self.update_load_limits(&rates);
     }
 
-    /// A class is worth its value; the worst-served one more, by the settings.
+    /// The value of a class is the configured one, with an addition for the worst-served class as configured.
     fn update_value_densities(&mut self, rates: &[ClassRates]) {
         let worst_class_weight = self.settings.worst_class_weight.min(1.0);
         let offered: f64 =
@@ -51,8 +51,9 @@
         }
     }
 
-    /// A valuable class with a tight latency target would find all load limits reached by lesser ones with
-    /// a wide target, so each class may use a part of the next more valuable one's limit.
+    /// Updates the load limit of each class to at most a part of the next more valuable one's limit.
+    /// Otherwise less valuable classes with a wide latency target would fill the backends beyond the limit of
+    /// a valuable class with a tight target.
     fn update_load_limits(&mut self, rates: &[ClassRates]) {
         let mut limit = f64::INFINITY;
         let by_value = self.classes_by_value();
@@ -66,7 +67,8 @@
         }
     }
 
-    /// Share of a tenant's requests that is over this node's part of its quota; 0 for no known tenant.
+    /// Share of a tenant's requests that exceeds this node's part of the tenant's quota; 0 if the tenant is
+    /// not known.
     pub(super) fn over_quota_fraction(&self, tenant: usize) -> f64 {
         let arrivals = self.tenant_arrivals.get(tenant);
         let Some((arrivals, quota)) = arrivals.zip(self.settings.tenant_quotas.get(tenant)) else {
--- a/balancer/src/policy/request_phase.rs
+++ b/balancer/src/policy/request_phase.rs
@@ -1,11 +1,12 @@
-//! Transitions between a request's phases, with its place in the pending queue.
+//! Transitions between the phases of a request, with its insertion into and removal from the pending queue.
 
 use crate::api::{Nanos, RequestId};
 use crate::pending_queue::{Band, QueueEntry, TargetGroup};
 use crate::state::{Attempt, Balancer, Request, RequestPhase};
 
 impl Request {
-    /// Its place in the pending queue. While nothing of it has reached a backend it may be rejected early.
+    /// The entry of the request in the pending queue. A request none of whose attempts reached a backend
+    /// expires at `queue_until`, while its client has time for another attempt; any other at `not_after`.
     fn new_queue_entry(&self) -> QueueEntry {
         let was_never_sent = self.attempts.iter().all(Attempt::never_reached_backend);
         let expires_at = if was_never_sent { self.queue_until } else { self.not_after };
@@ -16,7 +17,7 @@
 }
 
 impl Balancer {
-    /// Moves a request to a phase, and into or out of the pending queue. One that has ended stays ended.
+    /// Moves a request to a phase, and into or out of the pending queue. `Ended` is final.
     pub(super) fn set_phase(&mut self, id: RequestId, phase: RequestPhase) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if request.phase == RequestPhase::Ended {
@@ -35,7 +36,7 @@
         }
     }
 
-    /// A streamed response was interrupted: the request is open again, with a new latency target.
+    /// Reopens a request whose streamed response was interrupted, with a new latency target.
     pub(super) fn reopen_stream(&mut self, id: RequestId, target_at: Nanos) {
         self.set_phase(id, RequestPhase::Open);
         if let Some(request) = self.requests.get_mut(&id) {
--- a/balancer/src/policy/retry_budget.rs
+++ b/balancer/src/policy/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Retries, within their budget.
+//! Retries by the node, within the retry budget.
 
 use super::tuning::{MAX_RETRY_TOKENS, RETRY_TOKENS_PER_ARRIVAL};
 use crate::api::{Action, Outcome, RequestId};
@@ -7,7 +7,8 @@
 use crate::state::{Balancer, Request};
 
 impl Balancer {
-    /// Most retry tokens that a node may save up: many nodes together must not save a storm.
+    /// Most retry tokens that a node may save. The limit is divided among the nodes of a zone, so that
+    /// together they cannot save up enough tokens for a retry storm.
     fn retry_token_limit(&self) -> f64 {
         (MAX_RETRY_TOKENS / self.nodes_per_zone()).max(1.0)
     }
@@ -27,9 +28,9 @@
         }
     }
 
-    /// After an attempt that did not serve: retries where the send rules and the budget allow it. Where no
-    /// backend has capacity this moment the retry is queued: most have some before the latency target has
-    /// passed.
+    /// After an attempt that did not serve its request: retries if the send rules and the budget allow it,
+    /// and ends the request otherwise. If no backend has capacity now, the retry is queued: usually a backend
+    /// has capacity before the latency target has passed.
     pub(super) fn retry_or_end(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.has_attempt_in_flight()) else {
             return;
@@ -47,7 +48,7 @@
         self.dispatch_or_queue(id, actions);
     }
 
-    /// Whether the budget has what the next attempt of this request costs.
+    /// Whether the budget can pay for the next attempt of this request.
     pub(super) fn can_pay_for_retry(&self, request: &Request) -> bool {
         match &self.retry_budget {
             RetryBudget::Own(bucket) => {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Whether a queued request is a repeat that the budget can't pay for any more.
+    /// Whether a queued request is a repeat that the shared budget can no longer pay for.
     pub(super) fn is_unaffordable(&self, id: RequestId) -> bool {
         let is_shared = matches!(self.retry_budget, RetryBudget::Shared(_));
         is_shared && self.requests.get(&id).is_some_and(|request| !self.can_pay_for_retry(request))
@@ -72,7 +73,7 @@
         bucket.pay(token_cost);
     }
 
-    /// Counts an attempt that is sent, and pays for it where that is due now.
+    /// Counts an attempt that is sent, and pays for it if the budget is shared.
     pub(super) fn pay_for_send(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id).filter(|request| request.next_is_repeat()) else { return };
         let was_misdirected = request.last_outcome() == Some(Outcome::Misdirected);
@@ -84,8 +85,8 @@
         }
     }
 
-    /// An attempt that was rejected at once has cost little: with many nodes its first retry is free, but for
-    /// nodes that share a budget.
+    /// Whether the next attempt is free with many nodes: the only attempt so far was never run and has cost
+    /// little. Nodes that share a budget have no free retries.
     fn is_free_retry(&self, request: &Request) -> bool {
         let was_never_run = request.attempts.len() == 1 && !request.attempts[0].may_have_run();
         was_never_run && self.has_many_nodes()
@@ -96,8 +97,8 @@
             && self.backends.values().any(|backend| self.permits_send(request, backend))
     }
 
-    /// Retry tokens that one more attempt costs: none where the last one did not reach any server. One that
-    /// another instance answered has arrived there, and the next one is a repeat.
+    /// Retry tokens that one more attempt costs: none if the last attempt did not reach any server. An
+    /// attempt that another instance at the address answered did reach a server, so the next one is a repeat.
     fn retry_token_cost(&self, request: &Request) -> f64 {
         let has_own_bound = self.settings.classes[request.class].max_attempts.is_some();
         if has_own_bound && !request.next_is_repeat() { 0.0 } else { 1.0 }
--- a/balancer/src/policy/send_rules.rs
+++ b/balancer/src/policy/send_rules.rs
@@ -1,5 +1,5 @@
-//! The rules that every send has to keep: the request's deadline, its bound on attempts, idempotency,
-//! drained backends, slow-start budgets, and the advisor's word.
+//! The rules that every send must satisfy: the request's deadline, its limit of attempts, idempotency,
+//! draining backends, slow-start budgets, and the advisor's veto.
 
 use super::tuning::MAX_UNREACHED_BACKENDS;
 use crate::api::{Idempotency, IdempotencyScope};
@@ -7,7 +7,7 @@
 
 impl Balancer {
     /// Whether this request may be sent to this backend now. The drain grace is kept with a margin: nothing
-    /// is sent once the notice has come.
+    /// is sent once the drain notice has been received.
     pub(super) fn permits_send(&self, request: &Request, backend: &Backend) -> bool {
         backend.is_in_service()
             && self.permits_attempt(request)
@@ -16,7 +16,7 @@
             && self.advisor_allows(request, backend)
     }
 
-    /// Whether one more attempt is allowed, as far as the request itself goes.
+    /// Whether the state of the request allows one more attempt.
     pub(super) fn permits_attempt(&self, request: &Request) -> bool {
         let is_waiting = matches!(request.phase, RequestPhase::Open | RequestPhase::Queued);
         let may_hedge = self.settings.limits.hedging || !request.has_attempt_in_flight();
@@ -29,7 +29,8 @@
             && may_run_again
     }
 
-    /// Whether the backend drops a repeat of a keyed request that may have run.
+    /// Whether the backend recognises and drops a repeat of a keyed request that may have run. True for a
+    /// request that is not keyed or has not run.
     fn permits_backend(&self, request: &Request, backend: &Backend) -> bool {
         let Idempotency::Keyed { scope, window } = self.settings.classes[request.class].idempotency else {
             return true;
@@ -43,9 +44,8 @@
         shares_keys && self.now + self.settings.quantum < first.sent_at.saturating_add(window)
     }
 
-    /// Whether the request may be sent to one more backend. Where its class has a bound of its own, an
-    /// attempt that did not reach its backend does not count against it, but against
-    /// [`MAX_UNREACHED_BACKENDS`].
+    /// Whether the request may be sent to one more backend. If its class has its own limit, an attempt that
+    /// did not reach its backend does not count against that limit but against [`MAX_UNREACHED_BACKENDS`].
     fn has_attempts_left(&self, request: &Request) -> bool {
         let Some(max_attempts) = self.settings.classes[request.class].max_attempts else {
             return (request.attempts.len() as u32) < self.settings.limits.max_attempts;
--- a/balancer/src/policy/slow_start.rs
+++ b/balancer/src/policy/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: how much a backend that is warming up may be sent.
+//! Slow start: limits the work sent to a backend that is warming up.
 
 use super::tuning::{MIN_CAPACITY_SHARE, SLOW_START_BUDGET_SHARE, SUBSET_SIZE};
 use crate::api::{Nanos, RuleSettings, SECOND};
@@ -6,7 +6,7 @@
 use crate::state::{Backend, Balancer, Request, ZoneView};
 
 impl Backend {
-    /// Share of its capacity that it surely has by now; 1 when warm.
+    /// Share of its capacity that the backend is certain to have at `now`; 1 when warm.
     pub(crate) fn capacity_share(&self, now: Nanos, rules: &RuleSettings) -> f64 {
         let Some(online_since) = self.member.online_since else { return 1.0 };
         let progress = now.saturating_sub(online_since) as f64 / rules.warm_up_time.max(1) as f64;
@@ -22,7 +22,7 @@
             return true;
         }
         let zone = self.zones.get(backend.member.zone.0 as usize).copied().unwrap_or_default();
-        // Only nodes that have it in their subset send there, and they divide the budget.
+        // Only nodes with the backend in their subset send to it, and they divide the budget.
         if self.has_many_nodes() && backend.subset_rank > zone.subset_cutoff {
             return false;
         }
@@ -32,7 +32,7 @@
             || (spent == 0.0 && self.is_drawn_for_slow_start(backend, budget / request.slow_start_work))
     }
 
-    /// Work sent to it within the rules' window, in nanoseconds on a standard core.
+    /// Work sent to the backend within the overload window, in nanoseconds on a standard core.
     fn spent_slow_start_work(&self, backend: &Backend) -> f64 {
         let window_start =
             self.now.saturating_sub(self.settings.rules.overload_window + self.settings.quantum);
@@ -53,8 +53,9 @@
             * users
     }
 
-    /// A budget under one request is spent by chance, or many nodes' first sends would exceed it together;
-    /// one of a zone's nodes or so always tries, as no report may come from elsewhere.
+    /// Decides pseudo-randomly whether a budget of less than one request is spent: if it always were, the
+    /// first sends of many nodes would exceed it together. On average at least one node of a zone tries, as
+    /// no other node may report on the backend.
     fn is_drawn_for_slow_start(&self, backend: &Backend, requests_in_budget: f64) -> bool {
         let window_number = self.now / self.settings.rules.overload_window.max(1);
         let seed = backend.subset_rank ^ window_number.wrapping_mul(SPLITMIX_INCREMENT);
--- a/balancer/src/policy/tuning.rs
+++ b/balancer/src/policy/tuning.rs
@@ -1,237 +1,255 @@
-//! The tuning of the policy: every threshold, weight, interval and bound, with the reason beside it.
+//! The constants of the policy: every threshold, weight, interval and limit, with its reason.
 
 use crate::api::{MILLISECOND, Nanos, SECOND};
 
-/// Fine enough against latency targets of tens of milliseconds, coarse enough to cost no CPU.
+/// Short compared to latency targets of tens of milliseconds, and long enough to cost little CPU time.
 pub(crate) const HOUSEKEEPING_INTERVAL: Nanos = 10 * MILLISECOND;
-/// How often the overflow zones are scored: about the time that a send needs to show in a report.
+/// Interval between two scorings of the overflow zones: about the time until a send shows in a report.
 pub(crate) const REFRESH_INTERVAL: Nanos = 100 * MILLISECOND;
-/// Random part of the refresh interval that is added to it, so that nodes do not refresh together.
+/// Maximum random extension of the refresh interval, as a fraction of it, so that nodes do not refresh in
+/// step.
 pub(crate) const REFRESH_JITTER: f64 = 0.1;
 
 // Overflow between zones.
 
-/// A zone overflows at this utilisation. Lower, loaded zones swap requests and pay for each crossing;
-/// higher, queues grow faster than reports arrive.
+/// Utilisation at which a zone overflows. With a lower value, loaded zones would swap requests and pay for
+/// each crossing; with a higher one, queues would grow faster than reports arrive.
 pub(crate) const OVERFLOW_THRESHOLD: f64 = 0.85;
-/// The same where many nodes share the zones, and reports are late to show what all of them have done.
+/// The same with many nodes sharing the zones: reports then lag behind the effect of all nodes' sends.
 pub(crate) const SHARED_OVERFLOW_THRESHOLD: f64 = 0.75;
-/// A zone must report this much less utilisation than home to take home's overflow, where nodes are few.
+/// With few nodes, a zone takes home's overflow only if its utilisation is lower than home's by this much.
 pub(crate) const MIN_OVERFLOW_GAIN: f64 = 0.1;
-/// Weights of headroom and of latency in a zone's score; headroom decides unless zones are alike.
+/// Weights of headroom and of latency in the score of a zone; headroom decides unless zones are alike.
 pub(crate) const HEADROOM_WEIGHT: f64 = 0.7;
 pub(crate) const LATENCY_WEIGHT: f64 = 0.3;
-/// Factor on a zone's lowest latency at each refresh: it is forgotten slowly, so that a link that has
-/// become slow shows.
+/// Growth of a zone's lowest latency at each refresh: old samples decay slowly, so that a link that has
+/// become slow is noticed.
 pub(crate) const MIN_LATENCY_GROWTH: f64 = 1.002;
-/// A home zone under this utilisation has capacity that is about to come free. A request waits for it, for
-/// this share of its latency target, before it crosses: twice as long as capacity takes to come free there.
+/// A home zone below this utilisation has capacity that is about to become free. Before crossing zones, a
+/// request waits for it up to this share of its latency target, which is twice the time that capacity takes
+/// to become free there.
 pub(crate) const WAIT_FOR_HOME_UTILISATION: f64 = 0.6;
 pub(crate) const WAIT_FOR_HOME_SHARE: f64 = 0.15;
-/// This many reports stand for all usable backends of a zone, or those of half of them.
+/// Reports that suffice for the utilisation of a zone; in a small zone, reports of half of its usable
+/// backends suffice.
 pub(crate) const MIN_REPORTING_BACKENDS: usize = 3;
-/// A zone counts as cut off when the last probes did not reach this share of its backends.
+/// A zone counts as cut off if the last probes failed to reach this share of its backends.
 pub(crate) const UNREACHABLE_SHARE: f64 = 0.5;
-/// Part of the difference to the wanted load that the overflow share corrects with each list of loads.
+/// Part of the difference to the intended load that the overflow share corrects with each list of loads.
 pub(crate) const OVERFLOW_GAIN: f64 = 0.5;
-/// Fewest arrivals expected for each backend until the next loads: a node that has just started has counted
-/// none.
+/// Minimum expected arrivals per backend until the next loads: a node that has just started has counted no
+/// arrivals.
 pub(crate) const MIN_EXPECTED_ARRIVALS: f64 = 10.0;
-/// The load that stands for a utilisation is bounded by taking no more than this for it.
+/// Cap on the utilisation that is converted into a load, which bounds that load.
 pub(crate) const MAX_LOAD_UTILISATION: f64 = 0.95;
 
 // Load reports.
 
-/// Time constant of a backend's utilisation: some report intervals.
+/// Time constant of a backend's smoothed utilisation: a few report intervals.
 pub(crate) const UTILISATION_TIME_CONSTANT: Nanos = 400 * MILLISECOND;
-/// Least weight of one report in it.
+/// Minimum weight of one report in the smoothed utilisation.
 pub(crate) const MIN_REPORT_WEIGHT: f64 = 0.05;
-/// An older utilisation says nothing; a zone with no younger one counts as unseen.
+/// A utilisation of this age or older is ignored; a zone without any younger one counts as having no reports.
 pub(crate) const UTILISATION_MAX_AGE: Nanos = 4 * SECOND;
-/// No backend uses more than all of its cores; what noise may add, and no more, is believed.
+/// Highest reported utilisation that is accepted: 1 is all cores in use, and noise may raise the figure above
+/// it.
 pub(crate) const MAX_UTILISATION: f64 = 1.5;
 
 // Latency model.
 
-/// Time constant of a backend's slowness: tens of responses, yet within a noisy neighbour's seconds on and
-/// off.
+/// Time constant of a backend's slowness: long enough for tens of responses, yet short enough to follow a
+/// noisy neighbour whose load alternates within seconds.
 pub(crate) const SLOWNESS_TIME_CONSTANT: Nanos = SECOND;
-/// Least weight of one response in it.
+/// Minimum weight of one response in the slowness.
 pub(crate) const MIN_LATENCY_RATIO_WEIGHT: f64 = 0.1;
-/// An unused backend's slowness is forgotten with this time constant, so that it is tried again.
+/// The slowness of an unused backend decays with this time constant, so that the backend is tried again.
 pub(crate) const SLOWNESS_DECAY_TIME_CONSTANT: Nanos = 3 * SECOND;
-/// Samples over which a latency is learned; slow against a day's faults.
+/// Samples over which a latency is averaged; slow compared to the faults of a day.
 pub(crate) const MAX_LATENCY_SAMPLES: f64 = 400.0;
-/// Samples from which on a latency is good enough to compare backends by.
+/// Samples after which a latency estimate is good enough to compare backends with it.
 pub(crate) const MIN_LATENCY_SAMPLES: f64 = 30.0;
-/// Samples that the initial latency counts for.
+/// Number of samples that the initial latency estimate counts as.
 pub(crate) const LATENCY_PRIOR_SAMPLES: f64 = 4.0;
-/// Weight of a sample above the learned latency against one below it, once there are so many samples.
+/// Weight of a sample above the estimated latency relative to one below it, once this many samples have been
+/// recorded.
 pub(crate) const LATENCY_RISE_WEIGHT: f64 = 0.4;
 pub(crate) const LATENCY_RISE_SAMPLES: f64 = 50.0;
-/// Load of an idle backend in the expected latency, in own requests; small, as others' load grows with own.
+/// Load of an idle backend in the expected latency, in requests of this node; small, as the load of the other
+/// nodes grows with this node's own.
 pub(crate) const IDLE_LOAD: f64 = 0.7;
-/// Least weight of a slow sample in the latency for each request, which may have become too short to be
-/// seen.
+/// Minimum weight of a slow sample in the latency per request of load: an estimate that has become too low to
+/// be noticed can recover.
 pub(crate) const MIN_LOAD_SAMPLE_WEIGHT: f64 = 0.1;
-/// One sample counts at most this many times the expectation: single expensive requests are chance.
+/// A sample counts as at most this multiple of the expected latency: a single expensive request is chance.
 pub(crate) const MAX_LATENCY_RATIO: f64 = 6.0;
-/// Weight of a request in its class's mean work.
+/// Weight of one request in the mean work of its class.
 pub(crate) const WORK_SMOOTHING: f64 = 0.01;
 
 // Choice of a backend.
 
-/// Spread of the choice's jitter, so that nodes with the same view do not herd.
+/// Relative jitter of a backend's cost, so that nodes with the same view do not all choose the same backend.
 pub(crate) const PICK_JITTER: f64 = 0.1;
-/// The same where many nodes share the backends.
+/// The same with many nodes sharing the backends.
 pub(crate) const SHARED_PICK_JITTER: f64 = 0.5;
-/// Failing fast must not look idle: a backend that always fails counts as this many times slower, plus one.
+/// Cost factor of failures: a backend that always fails counts as 1 plus this many times as slow, so that
+/// failing fast does not look idle.
 pub(crate) const FAILURE_PENALTY: f64 = 8.0;
-/// What is added to that of a backend where the request has been before.
+/// Added to the cost factor of a backend that the request has already been sent to.
 pub(crate) const REPEATED_BACKEND_PENALTY: f64 = 4.0;
-/// Where many nodes share the backends, no backend counts as quicker than this against the mean.
+/// With many nodes sharing the backends, no backend counts as faster than this fraction of the mean latency.
 pub(crate) const MIN_SHARED_SLOWNESS: f64 = 0.5;
-/// Up to this many backends are looked at one by one for a request; of more in a zone only a sample is, and
-/// what is known of all together is renewed with the overflow zones. The best of 32 drawn by chance is
-/// among the best tenth of all in 97 of 100 draws.
+/// Up to this many backends are examined individually for a request. Of a larger zone only a sample is
+/// examined, and totals over all backends are recomputed with the overflow zones. The best of 32 backends
+/// drawn at random is among the best tenth of all in 97 of 100 draws.
 pub(crate) const MAX_SCANNED_BACKENDS: usize = 128;
 pub(crate) const PICK_SAMPLE_SIZE: usize = 32;
-/// With more nodes a zone than this, own requests in flight say nothing of a backend's load: the choice
-/// then goes by what the list or the reports say to all nodes, and by chance.
+/// With more nodes per zone than this, this node's own requests in flight say nothing about a backend's load:
+/// the choice then relies on the loads in the list or in reports, which all nodes receive, and on chance.
 pub(crate) const MANY_NODES_PER_ZONE: f64 = 8.0;
-/// Backends of a zone that one of many nodes uses as long as one of them can take the request.
+/// Size of the subset of a zone's backends that each of many nodes uses, as long as a backend of the subset
+/// can take the request.
 pub(crate) const SUBSET_SIZE: usize = 4;
 
 // Admission and load shedding.
 
-/// No backend is filled beyond the load at which a response takes this many times an idle backend's: with
-/// more work queued than that for a second or two, a backend turns several times slower and stays so.
+/// Maximum latency of a loaded backend as a multiple of an idle backend's: a backend with more work queued
+/// than that for a second or two becomes several times slower, and stays slow.
 pub(crate) const MAX_QUEUEING_RATIO: f64 = 1.25;
-/// So small a load overloads no backend, whatever its latency says.
+/// A load this small overloads no backend, whatever its latency suggests.
 pub(crate) const MIN_LOAD_LIMIT: f64 = 4.0;
-/// A send is admitted if its expected latency fits into this share of the time left to its target.
+/// A send is admitted if its expected latency fits into this share of the time left until its target.
 pub(crate) const ADMISSION_SHARE: f64 = 0.6;
-/// The same for a retry by the node: its time is nearly up, and its work is half done.
+/// The same for a retry by the node: its time is nearly over, and half of its work is done.
 pub(crate) const RETRY_ADMISSION_SHARE: f64 = 1.0;
-/// An idle backend no slower than this takes a request at any expected latency, should that exceed the
-/// target.
+/// An idle backend no slower than this takes a request even if the expected latency exceeds the target.
 pub(crate) const MAX_IDLE_SLOWNESS: f64 = 1.1;
-/// A backend that reports less utilisation than this has capacity for what may be late.
+/// A backend that reports less utilisation than this has capacity to spare for a request that may be late.
 pub(crate) const SPARE_UTILISATION: f64 = 0.7;
-/// A backend that reports less utilisation than this may hold more load, up to twice as much where it
-/// reports none: its requests wait for other systems then, not for its cores.
+/// A backend that reports less utilisation than this may hold more load, up to twice as much at a reported
+/// utilisation of 0: its requests then wait for other systems, not for its cores.
 pub(crate) const LOW_UTILISATION: f64 = 0.7;
 pub(crate) const LOW_UTILISATION_BONUS: f64 = 1.0;
-/// One that reports more than this may hold less, down to half where all its cores are busy: more waits
-/// there than it works on, put there by all nodes, and a second or two of that chokes it.
+/// A backend that reports more than this may hold less load, down to half with all cores busy: more requests
+/// of all nodes then wait at the backend than it works on, and a second or two of that overloads it.
 pub(crate) const HIGH_UTILISATION: f64 = 0.8;
 pub(crate) const HIGH_UTILISATION_PENALTY: f64 = 0.5;
-/// A class of less value may use this share of the load limit of the next more valuable one; so may
-/// requests over their tenant's quota, of the limit of those within.
+/// A class may use this share of the load limit of the next more valuable class; likewise, requests over
+/// their tenant's quota may use this share of the limit of those within.
 pub(crate) const LOWER_PRIORITY_SHARE: f64 = 0.8;
-/// Requests a second from which on a class counts in the load limits.
+/// Requests per second from which on a class counts in the load limits.
 pub(crate) const MIN_CLASS_RATE: f64 = 0.1;
-/// A node sees few requests of a tenant: half as many again as its quota may be chance.
+/// Factor on a tenant's quota: a node sees few requests of a tenant, so half as many again may be chance.
 pub(crate) const QUOTA_TOLERANCE: f64 = 1.5;
-/// Requests that find no backend before the queue is left for later.
+/// Requests that find no backend before a pass over the queue ends.
 pub(crate) const MAX_DISPATCH_MISSES: u32 = 8;
 
 // Retries.
 
-/// Client retries for each request left unserved: clients retry once or twice, and the front spreads them.
+/// Client retries expected for each unserved request: clients retry once or twice, and the load balancer in
+/// front of the nodes distributes the retries over them.
 pub(crate) const RETRIES_PER_UNSERVED: f64 = 2.0;
-/// An arrival with less time than the longest by this part of it may be a retry: arrivals jitter.
+/// An arrival whose timeout is below the longest one by more than the longest divided by this may be a retry;
+/// smaller differences are jitter of the arrivals.
 pub(crate) const SHORT_TIMEOUT_DIVISOR: Nanos = 8;
-/// Retry tokens that each arrival earns, and the most that can be saved up.
+/// Retry tokens that each arrival adds, and the most that can be saved.
 pub(crate) const RETRY_TOKENS_PER_ARRIVAL: f64 = 0.2;
 pub(crate) const MAX_RETRY_TOKENS: f64 = 10.0;
-/// A request may fail to reach this many backends: it must not go through all of them.
+/// Most backends that a request may fail to reach: it must not try all of them.
 pub(crate) const MAX_UNREACHED_BACKENDS: usize = 4;
 
 // Outlier ejection.
 
-/// Failures in a row (a refused connection counts double) that make an outlier.
+/// Consecutive failures (a refused connection counts twice) that make a backend an outlier.
 pub(crate) const CONSECUTIVE_FAILURES_TO_EJECT: u32 = 6;
-/// An outlier fails this many times as often as the mean backend, of which no more than the second counts.
+/// An outlier has more than this multiple of the mean failure rate; the mean counts as at most
+/// `MAX_MEAN_FAILURE_RATE`.
 pub(crate) const OUTLIER_FAILURE_RATIO: f64 = 2.0;
 pub(crate) const MAX_MEAN_FAILURE_RATE: f64 = 0.4;
-/// Time constant of a backend's failure rate, and the least weight of one attempt in it.
+/// Time constant of a backend's failure rate, and the minimum weight of one attempt in the rate.
 pub(crate) const FAILURE_RATE_TIME_CONSTANT: Nanos = SECOND;
 pub(crate) const MIN_FAILURE_WEIGHT: f64 = 0.1;
-/// An invalid response comes from all backends alike, or is the fault of the request: it counts as half a
-/// failure.
+/// An invalid response counts as half a failure: it may be the fault of the request, or come from all
+/// backends alike.
 pub(crate) const INVALID_RESPONSE_FAILURE: f64 = 0.5;
-/// A timeout counts against its backend from this many expected latencies on.
+/// A timeout counts as a failure of its backend only after this multiple of the expected latency.
 pub(crate) const TIMEOUT_FAULT_RATIO: f64 = 3.0;
-/// First ejection; doubled each time up to 2^5.
+/// Duration of the first ejection, doubled with each further one up to 2^5 times the first.
 pub(crate) const BASE_EJECTION_TIME: Nanos = SECOND;
 pub(crate) const MAX_EJECTION_DOUBLINGS: u32 = 5;
-/// Backoff after a backend rejected an attempt; doubled up to 2^4 while it goes on.
+/// Backoff after a backend rejected an attempt, doubled with each consecutive rejection up to 2^4 times the
+/// first.
 pub(crate) const BASE_REJECTION_BACKOFF: Nanos = 100 * MILLISECOND;
 pub(crate) const MAX_REJECTION_DOUBLINGS: u32 = 4;
-/// At most this share of the listed backends is ejected (panic threshold).
+/// Maximum share of the listed backends that are ejected (panic threshold).
 pub(crate) const MAX_EJECTED_SHARE: f64 = 0.5;
 
 // Concurrency windows.
 
-/// A mean latency above this fraction of its target is congestion for a node among many: the usual latency
-/// times `CONGESTION_RISE`, within these bounds; the upper one where nothing is known.
+/// For one of many nodes, a mean latency above this fraction of its target is congestion: the usual latency
+/// times `CONGESTION_RISE`, within these bounds; the upper bound if the usual latency is not known.
 pub(crate) const MIN_CONGESTION_THRESHOLD: f64 = 0.42;
 pub(crate) const MAX_CONGESTION_THRESHOLD: f64 = 0.71;
 pub(crate) const CONGESTION_RISE: f64 = 1.25;
-/// What congestion leaves of a window. More is too slow: congestion is there in seconds, and a response
-/// that shows it takes one (a calm day's G was 0.51 where 0.7 was left, 0.58 with half).
+/// Factor on a window at congestion. A higher one reacts too slowly: congestion builds up within seconds, and
+/// a response that indicates it takes one second (G on a calm day was 0.51 with a factor of 0.7, and 0.58
+/// with 0.5).
 pub(crate) const WINDOW_DECREASE_FACTOR: f64 = 0.5;
-/// Parts by which a window that is too small grows in a round of responses, until the first congestion and
-/// after it. Not by one: ten nodes to a server that each add one a round double what it holds in a round.
+/// Relative growth of a window that is too small, per round of responses, before and after the first
+/// congestion. Additive growth by 1 would be too fast: ten nodes that share a server and each add one request
+/// per round double the server's load in a round.
 pub(crate) const WINDOW_SLOW_START_INCREASE: f64 = 0.25;
 pub(crate) const WINDOW_INCREASE: f64 = 0.1;
-/// Part of what is not used that each response takes off a window, as a burst would meet all of it at once.
+/// Part of a window's unused size by which each response reduces the window, as a burst would use all of the
+/// unused size at once.
 pub(crate) const WINDOW_IDLE_DECAY: f64 = 0.02;
-/// Of many nodes, one request at a time of each would keep congestion up.
+/// Minimum window. With many nodes, one request in flight from each could sustain congestion, so a window may
+/// be smaller than 1.
 pub(crate) const MIN_WINDOW: f64 = 0.05;
-/// Another zone's window at first: one request in four response times.
+/// Initial window of a zone other than home: one request in four response times.
 pub(crate) const INITIAL_REMOTE_WINDOW: f64 = 0.25;
-/// Responses that make up a window's mean latency, at least, and its time constant.
+/// Minimum number of responses in a window's mean latency, and the time constant of that mean.
 pub(crate) const MIN_WINDOW_SAMPLES: u32 = 5;
 pub(crate) const WINDOW_LATENCY_TIME_CONSTANT: Nanos = 4 * SECOND;
-/// Part of a zone's window that one backend of the subset may hold, against an even part.
+/// Share of a zone's window that one backend of the subset may hold, relative to an even share.
 pub(crate) const BACKEND_WINDOW_SKEW: f64 = 1.5;
 
 // Slow start.
 
-/// Least share of its capacity that a backend is taken to have, whatever the rules say.
+/// Lower bound of the capacity share that a backend is assumed to have, whatever the rules say.
 pub(crate) const MIN_CAPACITY_SHARE: f64 = 0.01;
-/// Part of the slow-start budget that nodes together use; the rest is for chance and for late reports.
+/// Part of the slow-start budget that all nodes together use; the rest allows for chance and late reports.
 pub(crate) const SLOW_START_BUDGET_SHARE: f64 = 0.4;
-/// Parts by which the measured capacity rises and falls in a refresh: in about 2 s, and in a minute.
+/// Part of the difference by which the measured capacity rises and falls at each refresh: a rise takes about
+/// 2 s, a fall about a minute.
 pub(crate) const CAPACITY_RISE_RATE: f64 = 0.05;
 pub(crate) const CAPACITY_FALL_RATE: f64 = 0.002;
-/// A backend counts as using this much at least where its capacity is measured: reports are noisy near 0.
+/// Minimum utilisation of a backend whose capacity is measured: reports are noisy near 0.
 pub(crate) const MIN_MEASURED_UTILISATION: f64 = 0.05;
 
 // Discovery.
 
-/// First backoff after a failed call to discovery; doubled up to 2^4, and jittered by a quarter either way.
+/// First backoff after a failed call to discovery, doubled up to 2^4 times the first, with jitter of a
+/// quarter either way.
 pub(crate) const DISCOVERY_BACKOFF: Nanos = 300 * MILLISECOND;
 pub(crate) const MAX_DISCOVERY_DOUBLINGS: u32 = 4;
-/// Weight of a list in the mean interval between lists, and the longest interval that counts, in seconds.
+/// Weight of a list in the mean interval between lists, and the longest interval that is counted, in seconds.
 pub(crate) const LIST_INTERVAL_SMOOTHING: f64 = 0.2;
 pub(crate) const MAX_LIST_INTERVAL_S: f64 = 3.0;
 
 // Probes for load reports.
 
-/// Part of the goal that probes may cost at their price.
+/// Maximum share of the goal that the cost of probes may reach.
 pub(crate) const MAX_PROBE_COST_SHARE: f64 = 0.002;
-/// Part of the work of requests that the work of probes may come to, and the work of one, at its dearest.
+/// Maximum work of probes as a share of the work of requests, and the upper estimate of the work of one
+/// probe.
 pub(crate) const MAX_PROBE_WORK_SHARE: f64 = 0.02;
 pub(crate) const PROBE_WORK: Nanos = 5 * MILLISECOND + MILLISECOND / 2;
-/// Intervals between two probes of a backend, from the least to the most interesting. Servers renew their
-/// reports every 0.4 to 1.1 s, so that more would show the same again; with intervals over the age that a
-/// report may have there would be gaps.
+/// Intervals between two probes of a backend, from the lowest to the highest priority. Servers renew their
+/// reports every 0.4 to 1.1 s, so shorter intervals would return the same report again. Intervals longer than
+/// the maximum age of a report would leave gaps.
 pub(crate) const PROBE_INTERVALS: [Nanos; 4] =
     [2500 * MILLISECOND, 1200 * MILLISECOND, 700 * MILLISECOND, 500 * MILLISECOND];
-/// So near the overflow threshold a zone's report is about to decide something.
+/// Within this distance of the overflow threshold, a zone's report is likely to affect a decision.
 pub(crate) const PROBE_THRESHOLD_MARGIN: f64 = 0.25;
-/// A backend is suspect from this failure rate on.
+/// Failure rate above which a backend is suspect.
 pub(crate) const PROBE_FAILURE_RATE: f64 = 0.3;
--- a/balancer/src/policy/zone_scoring.rs
+++ b/balancer/src/policy/zone_scoring.rs
@@ -1,4 +1,4 @@
-//! Zone scoring: each zone's utilisation, and the order in which the other zones take home's overflow.
+//! Zone scoring: the utilisation of each zone, and the order in which the other zones take home's overflow.
 
 use super::tuning::{
     HEADROOM_WEIGHT, LATENCY_WEIGHT, MIN_LATENCY_GROWTH, MIN_OVERFLOW_GAIN, MIN_REPORTING_BACKENDS,
@@ -13,12 +13,13 @@
     zone: ZoneId,
 }
 
-/// Score of a zone without reports: it qualifies lowest, so that one send learns its load.
+/// Score of a zone without reports: it qualifies with the lowest score, so that a send can reveal its load.
 const UNSEEN_SCORE: f64 = -1.0;
 
 impl Balancer {
-    /// A zone's utilisation: smoothed reports, raised by the own sends since they were made. Never lowered:
-    /// a zone reported full would look free in a moment's lull. `None` where too few backends report.
+    /// Utilisation of a zone: smoothed reports, scaled up by this node's growth in requests in flight since
+    /// the reports. Never scaled down: during a short lull, a zone that was reported full would look free.
+    /// `None` if too few backends report.
     pub(crate) fn utilisation(&self, zone: ZoneId) -> Option<f64> {
         let view = self.zones.get(zone.0 as usize)?;
         let reported = self.zone_utilisation(zone);
@@ -34,15 +35,15 @@
         })
     }
 
-    /// Whether the last probes reached so few of a zone's backends that it counts as cut off: its old
-    /// reports, or none, would make it look free.
+    /// Whether the last probes reached so few of a zone's backends that the zone counts as cut off: by its
+    /// old reports, or without any, it would look free.
     pub(super) fn is_unreachable(&self, zone: ZoneId) -> bool {
         let unreachable = self.zone_utilisation(zone).unreachable_backends as f64;
         unreachable > 0.0 && unreachable >= UNREACHABLE_SHARE * self.zones[zone.0 as usize].in_service
     }
 
-    /// Renews, at its interval, what is derived from all backends and classes: values, capacities, and the
-    /// order of the overflow zones.
+    /// Recomputes, at the refresh interval, the values derived from all backends and classes: class values,
+    /// capacities, and the order of the overflow zones.
     pub(super) fn refresh_overflow_zones(&mut self, actions: &mut Vec<Action>) {
         if self.now < self.refresh_at {
             return;
@@ -64,7 +65,7 @@
         self.log_overflow_changes(actions);
     }
 
-    /// Zones with capacity to spare come first, by score.
+    /// Sorts the other zones: qualified zones first, then by descending score.
     fn rank_overflow_zones(&mut self) {
         let home = self.settings.home;
         let others = (0..self.settings.zones).map(ZoneId).filter(|&zone| zone != home);
@@ -80,8 +81,8 @@
         self.overflow_zones = scores.into_iter().map(|score| score.zone).collect();
     }
 
-    /// A zone under this utilisation takes overflow. One little better than home would send as much back,
-    /// and both would pay for the crossing.
+    /// Utilisation below which a zone takes overflow. A zone that is only a little better than home would
+    /// send as much back, and both would pay for the crossing.
     fn max_overflow_utilisation(&self) -> f64 {
         let threshold = self.overflow_threshold();
         match self.utilisation(self.settings.home) {
--- a/balancer/src/random.rs
+++ b/balancer/src/random.rs
@@ -36,8 +36,8 @@
     }
 }
 
-/// A linear congruential generator (Knuth's MMIX constants): cheap jitter for each backend that a pick
-/// looks at.
+/// A linear congruential generator (Knuth's MMIX constants): cheap jitter for each backend that is examined
+/// during a choice.
 pub(crate) struct PickJitter {
     state: u64,
 }
--- a/balancer/src/reporting.rs
+++ b/balancer/src/reporting.rs
@@ -1,15 +1,15 @@
-//! What operators see: log lines and snapshots. No decision is made by them.
+//! Log lines and snapshots for operators. No decision depends on them.
 
 use crate::api::{Action, BackendId, BackendSnapshot, MILLISECOND, Nanos, SECOND, ZoneId};
 use crate::counters::Counters;
 use crate::retry_usage::RetryUsage;
 use crate::state::{Backend, Balancer, Health, ZoneView};
 
-/// How often the counters are logged.
+/// Interval at which the counters are logged.
 const COUNTERS_LOG_INTERVAL: Nanos = 5 * SECOND;
 
 impl Balancer {
-    /// Logs a line, unless one was logged within a second.
+    /// Logs a line, unless another such line was logged within the last second.
     pub(crate) fn log_rate_limited(&mut self, actions: &mut Vec<Action>, text: impl FnOnce() -> String) {
         if self.now >= self.next_log_at {
             self.next_log_at = self.now + SECOND;
@@ -17,8 +17,8 @@
         }
     }
 
-    /// Logs what was counted since the last such line, and how old the load reports are.
-    /// `scripts/fleet-count.py` reads these lines.
+    /// Logs the counters since the last such line, and the age of the load reports. `scripts/fleet-count.py`
+    /// parses these lines.
     pub(crate) fn log_counters(&mut self, actions: &mut Vec<Action>) {
         if self.now < self.counters.since + COUNTERS_LOG_INTERVAL {
             return;
@@ -75,17 +75,17 @@
         ))
     }
 
-    /// How much of its retry budget the node has used since its start.
+    /// The node's use of its retry budget since its start.
     pub fn retry_usage(&self) -> RetryUsage {
         self.retry_usage
     }
 
-    /// Whether a backend is in service, by the lists and the removal notices that hold against them.
+    /// Whether a backend is in service by the lists and by the removal notices that override them.
     pub fn is_in_service(&self, backend: BackendId) -> bool {
         self.backends.get(&backend).is_some_and(Backend::is_in_service)
     }
 
-    /// The listed backends as this node sees them at `now`, by id.
+    /// The listed backends as this node sees them at `now`, in ascending order of id.
     pub fn backend_snapshots(&self, now: Nanos) -> Vec<BackendSnapshot> {
         let snapshot = |(id, backend): (&BackendId, &Backend)| BackendSnapshot {
             backend: *id,
--- a/balancer/src/retry_budget/mod.rs
+++ b/balancer/src/retry_budget/mod.rs
@@ -1,4 +1,5 @@
-//! What pays for a node's retries: a token bucket of its own, or its part of a budget that many nodes share.
+//! The budget for a node's retries: the node's own token bucket, or its part of a budget that many nodes
+//! share.
 
 mod shared;
 mod token_bucket;
@@ -9,9 +10,9 @@
 
 /// A node's retry budget.
 pub(crate) enum RetryBudget {
-    /// The node's own. A retry is paid for when it is decided on.
+    /// The node's own budget. A retry is paid for when the node decides on it.
     Own(TokenBucket),
-    /// Its part of a budget that many nodes share. A retry is paid for when it is sent, as the bound is on
-    /// arrivals: one that was queued may be sent a window later.
+    /// The node's part of a budget that many nodes share. A retry is paid for when it is sent, as the budget
+    /// limits arrivals: a queued retry may be sent a window later.
     Shared(SharedBudget),
 }
--- a/balancer/src/retry_budget/shared.rs
+++ b/balancer/src/retry_budget/shared.rs
@@ -1,56 +1,59 @@
 //! A node's part of a retry budget that many nodes share.
 //!
-//! The budget bounds the retries of all nodes together: in each window they may be no more than a ratio of the
-//! requests of that window, or of the one before where that had more, and a slack. No node knows what the others
-//! send, so each keeps to a part of it, such that the parts add up to no more than the whole, whatever they do:
+//! The budget limits the retries of all nodes together: in each window there may be no more retries than a
+//! ratio of the requests of that window, or of the window before if that had more, plus a slack. No node
+//! knows what the others send, so each keeps to a part of the budget. The parts add up to no more than the
+//! whole, whatever the nodes do:
 //!
 //! - A request earns half of the ratio, which may be spent for one window. What all nodes spend in a window was
-//!   earned in it or in the one before: half of the ratio of both, and so no more than the ratio of the larger.
-//! - Each node has its share of the slack. What it has spent of that is free again a window later.
-//! - A process that has just started has a smaller share for a window: the one in whose place it has come may
-//!   have spent its own. The embedder gives shares that add up to the slack with as many starts as it expects.
+//!   earned in that window or in the one before: half of the ratio of both, and so no more than the ratio of the
+//!   larger.
+//! - Each node has its share of the slack. Slack that has been spent is available again one window later.
+//! - A process that has just started has a smaller share for one window, because its predecessor may have spent
+//!   its own share. The embedder sets shares that add up to the slack with as many starts as it expects.
 
 use std::collections::VecDeque;
 
 use crate::api::Nanos;
 
-/// The part of the ratio that a request earns: retries of one window are paid for by the requests of two.
+/// The part of the ratio that a request earns. Earnings last for one window, so the retries of a window are
+/// paid for by the requests of two windows.
 const EARNED_PART: f64 = 0.5;
-/// Requests within this part of a window are kept together, and expire together.
+/// Number of bins that a window is divided into. The earnings of requests in one bin expire together.
 const BINS_PER_WINDOW: Nanos = 20;
-/// The cost of a retry.
+/// The cost of one retry.
 const RETRY_COST: f64 = 1.0;
-/// What rounding may take from sums of earned parts.
+/// Tolerance for rounding errors in sums of earned parts.
 const ROUNDING: f64 = 1e-9;
 
 /// A node's part of a retry budget that many nodes share.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SharedRetryBudget {
-    /// Retries of all nodes for each of their requests within a window.
+    /// Allowed retries per request within a window, over all nodes.
     pub ratio: f64,
     /// The length of a window, in nanoseconds.
     pub window: Nanos,
-    /// This node's share of the retries beyond the ratio that all nodes may make within a window; may be less
-    /// than one.
+    /// This node's share of the slack, the retries beyond the ratio that all nodes may make within a window;
+    /// may be below 1.
     pub slack_share: f64,
-    /// The same in the first window of the node's process.
+    /// This node's share of the slack in the first window after the start of its process.
     pub starting_slack_share: f64,
-    /// When the node's process started, on the clock of its events.
+    /// When the process of the node started, on the clock of the events.
     pub started_at: Nanos,
 }
 
-/// An amount that was earned or spent, and when.
+/// An amount that was earned or spent, and the time of it.
 struct Entry {
     at: Nanos,
     amount: f64,
 }
 
-/// The account of a node's part.
+/// The earnings and spending of a node's part.
 pub(crate) struct SharedBudget {
     settings: SharedRetryBudget,
-    /// Earned and not spent, the oldest first; each entry stands for a bin, and has the time of its beginning.
+    /// Earned and not spent, the oldest first. Each entry is a bin, with the time of the bin's start.
     earned: VecDeque<Entry>,
-    /// Spent of the slack.
+    /// Spent of the slack, the oldest first.
     slack_spent: VecDeque<Entry>,
 }
 
@@ -59,12 +62,12 @@
         Self { settings, earned: VecDeque::new(), slack_spent: VecDeque::new() }
     }
 
-    /// Changes the bounds; what was earned and spent before counts on.
+    /// Changes the limits; amounts already earned and spent are kept.
     pub(crate) fn set(&mut self, settings: SharedRetryBudget) {
         self.settings = settings;
     }
 
-    /// A request has arrived.
+    /// Adds the earnings of a request that has arrived.
     pub(crate) fn earn(&mut self, now: Nanos) {
         self.expire(now);
         let amount = self.settings.ratio.max(0.0) * EARNED_PART;
@@ -80,7 +83,8 @@
         self.counted(&self.earned, now) + self.slack_at(now) >= RETRY_COST - ROUNDING
     }
 
-    /// Pays for a retry, with what was earned first and the oldest of that first. Returns whether it is paid for.
+    /// Pays for a retry, from the earnings first, the oldest of them before the others, and then from the
+    /// slack. Returns whether the retry is paid for.
     pub(crate) fn pay(&mut self, now: Nanos) -> bool {
         if !self.can_pay(now) {
             return false;
@@ -109,7 +113,7 @@
         (share - self.counted(&self.slack_spent, now)).max(0.0)
     }
 
-    /// The sum of the entries of the last window.
+    /// The sum of the entries within the last window.
     fn counted(&self, entries: &VecDeque<Entry>, now: Nanos) -> f64 {
         let window = self.settings.window;
         entries.iter().filter(|entry| now < entry.at + window).map(|entry| entry.amount).sum()
--- a/balancer/src/retry_budget/token_bucket.rs
+++ b/balancer/src/retry_budget/token_bucket.rs
@@ -6,22 +6,22 @@
 }
 
 impl TokenBucket {
-    /// A bucket with so many tokens.
+    /// A bucket that holds `tokens` tokens.
     pub(crate) fn with_tokens(tokens: f64) -> Self {
         Self { tokens }
     }
 
-    /// Adds tokens up to a limit.
+    /// Adds tokens; the bucket then holds at most `limit`.
     pub(crate) fn earn(&mut self, tokens: f64, limit: f64) {
         self.tokens = (self.tokens + tokens).min(limit);
     }
 
-    /// Whether there are so many tokens.
+    /// Whether the bucket holds at least `cost` tokens.
     pub(crate) fn can_pay(&self, cost: f64) -> bool {
         self.tokens >= cost
     }
 
-    /// Takes so many tokens, or all that there are.
+    /// Removes `cost` tokens, or all if there are fewer.
     pub(crate) fn pay(&mut self, cost: f64) {
         self.tokens = (self.tokens - cost).max(0.0);
     }
--- a/balancer/src/retry_usage.rs
+++ b/balancer/src/retry_usage.rs
@@ -1,17 +1,18 @@
-//! How much of its retry budget a node has used, for operators. No decision is made by it.
+//! A node's use of its retry budget, for operators. No decision depends on it.
 
-/// Totals since the start of a node. Summed over the nodes of a service and compared between two moments, they
-/// show how near the service came to its retry budget.
+/// Totals since the start of a node. Summed over the nodes of a service, the difference between two points in
+/// time shows how close the service came to its retry budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RetryUsage {
     /// Requests that arrived.
     pub requests: u64,
-    /// Retries after an attempt that had reached a server: each is one more arrival of its request.
+    /// Retries after an attempt that had reached a server; each is one more arrival of its request.
     pub repeats: u64,
-    /// Of the repeats, those after an attempt that another instance at the address rejected.
+    /// Repeats after an attempt that another instance at the backend's address rejected; included in
+    /// `repeats`.
     pub repeats_after_misdirected: u64,
-    /// Of the repeats, those that no budget has paid for.
+    /// Repeats that no budget has paid for; included in `repeats`.
     pub unpaid_repeats: u64,
-    /// Repeats that the budget did not allow.
+    /// Repeats that were not sent because the budget did not allow them.
     pub denied_repeats: u64,
 }
--- a/balancer/src/served_capacity.rs
+++ b/balancer/src/served_capacity.rs
@@ -1,14 +1,14 @@
-//! Measures how much work this node serves for each unit of used capacity.
+//! Measures how much of this node's work is served per unit of used capacity.
 
 use crate::policy::tuning::{
     CAPACITY_FALL_RATE, CAPACITY_RISE_RATE, MIN_MEASURED_UTILISATION, UTILISATION_MAX_AGE,
 };
 use crate::state::{Backend, Balancer};
 
-/// Backends for each of which a measurement is skipped once more: the walk through very many is rare.
+/// One more measurement is skipped per this many backends, as iterating over very many backends is expensive.
 const BACKENDS_PER_SKIP: usize = 1024;
 
-/// Work served by a set of backends, and the capacity in use there.
+/// Work served by a set of backends, and their used capacity.
 #[derive(Clone, Copy, Default)]
 struct ServedCapacity {
     served_work: f64,
@@ -27,8 +27,9 @@
 }
 
 impl Balancer {
-    /// Measures each zone, so that the parts of all nodes add up to one capacity. The measure falls slowly:
-    /// little is served in congestion, and backends that are warming up are the way out of it.
+    /// Measures each zone; the parts measured by all nodes add up to one capacity. The measured value falls
+    /// slowly: little is served in congestion, and backends that are warming up are needed to end the
+    /// congestion.
     pub(crate) fn measure_served_capacity(&mut self) {
         let interval = 1 + self.backends.len() / BACKENDS_PER_SKIP;
         self.refresh_count += 1;
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Over the warm backends with a recent report.
+    /// Sums up the warm backends with a recent report.
     fn served_capacity_by_zone(&self) -> Vec<ServedCapacity> {
         let mut by_zone = vec![ServedCapacity::default(); self.zones.len()];
         let (now, rules) = (self.now, &self.settings.rules);
--- a/balancer/src/state/backend.rs
+++ b/balancer/src/state/backend.rs
@@ -5,7 +5,7 @@
 use crate::api::{BackendState, Member, Nanos};
 use crate::estimators::{Ewma, RateEstimator};
 
-/// Outlier detection's state of a backend.
+/// The state of a backend in outlier detection.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) enum Health {
     #[default]
@@ -13,7 +13,7 @@
     Ejected {
         until: Nanos,
     },
-    /// Gets one trial request at a time.
+    /// The backend receives one trial request at a time.
     HalfOpen {
         served_trials: u32,
     },
@@ -30,31 +30,32 @@
 #[derive(Default)]
 pub(crate) struct Backend {
     pub(crate) member: Member,
-    /// This node's attempts in flight there.
+    /// This node's attempts in flight at the backend.
     pub(crate) in_flight: u32,
     /// Reported utilisation, 1 for all cores in use.
     pub(crate) utilisation: Ewma,
-    /// This node's attempts in flight there when `utilisation` was reported, smoothed alike.
+    /// This node's attempts in flight at the backend when `utilisation` was reported, smoothed in the same
+    /// way.
     pub(crate) in_flight_at_report: f64,
-    /// Latency as a multiple of the expected one.
+    /// Latency as a multiple of the expected latency.
     pub(crate) latency_ratio: Ewma,
-    /// Work served for this node, in nanoseconds a second.
+    /// Work served for this node, in nanoseconds per second.
     pub(crate) served_work: RateEstimator,
-    /// Share of its attempts that fail.
+    /// Share of this node's attempts at the backend that fail.
     pub(crate) failure_rate: Ewma,
     pub(crate) consecutive_failures: u32,
     pub(crate) consecutive_rejections: u32,
-    /// After a rejection it gets nothing before this.
+    /// After a rejection, the backend is sent nothing before this time.
     pub(crate) backoff_until: Nanos,
     pub(crate) health: Health,
-    /// Ejections so far, less those that were followed by a recovery.
+    /// Number of ejections so far, minus those followed by a recovery.
     pub(crate) ejections: u32,
     pub(crate) slow_start_sends: VecDeque<SlowStartSend>,
-    /// Requests in flight for each core, by the list's live weight.
+    /// Requests in flight per core, derived from the live weight in the list; `None` without a live weight.
     pub(crate) listed_load: Option<f64>,
-    /// The last probe did not reach it, and it has served nothing since.
+    /// The last probe did not reach the backend, and the backend has served nothing since.
     pub(crate) unreachable: bool,
-    /// This node's random rank of it: the lowest ranks of a zone are the node's subset.
+    /// This node's pseudo-random rank of the backend: the lowest ranks of a zone are the node's subset.
     pub(crate) subset_rank: u64,
 }
 
@@ -67,7 +68,7 @@
         self.member.state == BackendState::InService
     }
 
-    /// Its weight, 1 where the listed one is not usable.
+    /// The weight of the backend; 1 if the listed weight is not finite and positive.
     pub(crate) fn weight(&self) -> f64 {
         if self.member.weight.is_finite() && self.member.weight > 0.0 { self.member.weight } else { 1.0 }
     }
--- a/balancer/src/state/balancer.rs
+++ b/balancer/src/state/balancer.rs
@@ -22,41 +22,41 @@
 use crate::retry_budget::{RetryBudget, TokenBucket};
 use crate::retry_usage::RetryUsage;
 
-/// Retry tokens of a node before its start.
+/// Retry tokens of a node before [`Event::Start`](crate::api::Event::Start).
 const INITIAL_RETRY_TOKENS: f64 = 1.0;
 
-/// The sum of all backends' failure rates, which is renewed rarely where backends are many.
+/// The sum of the failure rates of all backends. With many backends it is recomputed rarely.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct FailureRateSum {
     pub(crate) value: f64,
     pub(crate) computed_at: Nanos,
 }
 
-/// One node's load balancer, a state machine without I/O. Deterministic: the same settings, seed and events
-/// give the same actions.
+/// The load balancer of one node: a deterministic state machine without I/O. The same settings, seed and
+/// events give the same actions.
 pub struct Balancer {
     pub(crate) settings: Settings,
     pub(crate) seed: u64,
     pub(crate) random: SplitMix64,
-    /// The time of the present event.
+    /// The time of the event being handled; never decreases.
     pub(crate) now: Nanos,
     pub(crate) requests: BTreeMap<RequestId, Request>,
     /// The requests in [`RequestPhase::Queued`](super::RequestPhase::Queued).
     pub(crate) pending: PendingQueue,
     pub(crate) backends: BTreeMap<BackendId, Backend>,
     pub(crate) zones: Vec<ZoneView>,
-    /// The backends of each zone, by id.
+    /// The backends of each zone, in ascending order of id.
     pub(crate) zone_backends: Vec<Vec<BackendId>>,
-    /// The node's subset of each zone: the backends of the lowest ranks.
+    /// The node's subset of each zone: the backends with the lowest ranks.
     pub(crate) zone_subsets: Vec<Vec<BackendId>>,
     /// Number of backends in service.
     pub(crate) in_service_count: usize,
     /// Number of backends that are not healthy.
     pub(crate) ejected_count: usize,
     pub(crate) total_failure_rate: FailureRateSum,
-    /// Refreshes of the overflow zones so far.
+    /// Number of refreshes of the overflow zones so far.
     pub(crate) refresh_count: usize,
-    /// Each zone's utilisation, as long as it is valid.
+    /// Utilisation of each zone; `None` if it must be recomputed.
     pub(crate) cached_zone_utilisation: Vec<Cell<Option<ZoneUtilisation>>>,
     pub(crate) classes: Vec<ClassView>,
     /// Latency in nanoseconds that each request of a backend's load adds where its cores are the
@@ -64,47 +64,48 @@
     pub(crate) latency_per_load: f64,
     /// Weight of the samples in `latency_per_load`.
     pub(crate) load_samples: f64,
-    /// Requests a second of each tenant.
+    /// Requests per second of each tenant.
     pub(crate) tenant_arrivals: Vec<RateEstimator>,
     pub(crate) congestion: CongestionSignal,
-    /// Arrivals a second with so little time left that they may be retries.
+    /// Arrivals per second with so little time left that they may be retries.
     pub(crate) suspected_retries: RateEstimator,
-    /// Requests a second that ended unserved in time for a retry.
+    /// Requests per second that ended unserved early enough for a retry.
     pub(crate) unserved: RateEstimator,
-    /// The other zones, the best first.
+    /// The zones other than home, the best one first.
     pub(crate) overflow_zones: Vec<ZoneId>,
-    /// How many of them, from the first on, have spare capacity.
+    /// Number of zones at the start of `overflow_zones` that have spare capacity.
     pub(crate) qualified_zones: usize,
-    /// When the overflow zones are scored again.
+    /// When the overflow zones are scored next.
     pub(crate) refresh_at: Nanos,
     pub(crate) retry_budget: RetryBudget,
     pub(crate) retry_usage: RetryUsage,
     pub(crate) removal_notices: RemovalNotices,
-    /// When discovery is asked again after a failure.
+    /// When discovery is polled again after a failure; `None` if no poll is scheduled.
     pub(crate) poll_at: Option<Nanos>,
     pub(crate) discovery_failures: u32,
     pub(crate) next_log_at: Nanos,
     /// When the last requested timer comes due.
     pub(crate) timer_at: Option<Nanos>,
-    /// The largest live weight of each machine kind so far: that of an idle backend.
+    /// The largest live weight of each machine kind so far, which is that of an idle backend.
     pub(crate) idle_weights: BTreeMap<u32, f64>,
     pub(crate) list_received_at: Option<Nanos>,
     /// Mean time between two lists, in seconds.
     pub(crate) list_interval_s: f64,
     /// When the overflow share is updated next.
     pub(crate) overflow_share_at: Nanos,
-    /// `None` where the settings allow no probes or nothing is gained by them.
+    /// `None` if the settings forbid probes or load reporting is disabled.
     pub(crate) probe_scheduler: Option<Scheduler>,
     pub(crate) counters: Counters,
     pub(crate) advisor: Option<Box<dyn PlacementAdvisor>>,
 }
 
 impl Balancer {
-    /// A node that knows nothing but its settings. `seed` drives its jitter.
+    /// Creates a node that has only its settings and no backends. `seed` determines its random decisions and
+    /// should differ between nodes; `now` is the current time of the embedder's clock.
     ///
     /// # Errors
     ///
-    /// Settings that [`Settings::validate`] refuses.
+    /// Settings that [`Settings::validate`] rejects.
     pub fn new(settings: Settings, seed: u64, now: Nanos) -> Result<Self, SettingsError> {
         settings.validate()?;
         let class_count = settings.classes.len();
@@ -154,24 +155,24 @@
         })
     }
 
-    /// Number of requests that the node keeps: open ones, and ended ones with an attempt in flight.
+    /// Number of requests that the node holds: open ones, and ended ones with an attempt still in flight.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Requests a second that come to this node.
+    /// Requests per second that arrive at this node.
     pub(crate) fn arrival_rate(&self) -> f64 {
         self.classes.iter().map(|class| class.arrivals.per_second(self.now)).sum()
     }
 
-    /// The classes, the one of the highest value for each unit of work first.
+    /// The classes in descending order of value per unit of work.
     pub(crate) fn classes_by_value(&self) -> Vec<usize> {
         let mut order: Vec<usize> = (0..self.classes.len()).collect();
         order.sort_by(|&a, &b| self.classes[b].value_density.total_cmp(&self.classes[a].value_density));
         order
     }
 
-    /// Number of nodes that share a zone's backends, whose load moves with this node's.
+    /// Number of nodes that share the backends of a zone and whose load is assumed to move with this node's.
     pub(crate) fn nodes_per_zone(&self) -> f64 {
         (f64::from(self.settings.nodes) / f64::from(self.settings.zones)).max(1.0)
     }
--- a/balancer/src/state/congestion.rs
+++ b/balancer/src/state/congestion.rs
@@ -3,11 +3,12 @@
 use crate::api::{Nanos, SECOND};
 use crate::estimators::Ewma;
 
-/// One or two latency targets: congestion builds up within seconds and feeds on what is sent meanwhile.
+/// About one or two latency targets: congestion builds up within seconds and grows with what is sent
+/// meanwhile.
 const CONGESTION_TIME_CONSTANT: Nanos = SECOND;
 
-/// Latency of all backends as a fraction of its target: with little traffic a single backend's responses
-/// say little, those of all say enough.
+/// Latency of all backends as a fraction of its target. With little traffic, the responses of a single
+/// backend are too few for a signal; those of all backends suffice.
 #[derive(Clone, Copy)]
 pub(crate) struct CongestionSignal {
     latency_fraction: Ewma,
@@ -22,10 +23,11 @@
 }
 
 impl CongestionSignal {
-    /// Samples from which on the average is meaningful, and over which it is made where they come quickly.
+    /// Number of samples after which the average is meaningful; also the number of samples that the average
+    /// covers at high rates.
     const MIN_SAMPLES: u32 = 30;
 
-    /// Adds a response's latency as a fraction of its target, 1 at most.
+    /// Records the latency of a response as a fraction of its target, capped at 1.
     pub(crate) fn record(&mut self, now: Nanos, fraction: f64) {
         let min_weight = 1.0 / f64::from(Self::MIN_SAMPLES);
         self.latency_fraction.update(now, fraction, CONGESTION_TIME_CONSTANT, min_weight);
@@ -35,7 +37,7 @@
         }
     }
 
-    /// The lowest average so far; `None` before enough samples.
+    /// The lowest average so far; `None` before [`Self::MIN_SAMPLES`] samples.
     pub(crate) fn baseline(&self) -> Option<f64> {
         (self.samples >= Self::MIN_SAMPLES).then_some(self.baseline)
     }
--- a/balancer/src/state/mod.rs
+++ b/balancer/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! What a node keeps: its requests, and its views of backends, zones and classes. Plain data and
-//! arithmetic; every decision on it is under `policy/`.
+//! The state of a node: its requests, and its views of backends, zones and classes. Plain data and
+//! arithmetic; all decisions are under `policy/`.
 
 mod backend;
 mod balancer;
--- a/balancer/src/state/request.rs
+++ b/balancer/src/state/request.rs
@@ -9,11 +9,11 @@
     pub(crate) zone: ZoneId,
     pub(crate) cell: u64,
     pub(crate) sent_at: Nanos,
-    /// The backend's estimated load when it was sent.
+    /// The estimated load of the backend when the attempt was sent.
     pub(crate) load_at_send: f64,
     /// `None` while in flight.
     pub(crate) outcome: Option<Outcome>,
-    /// Its latency target has passed, and it has been recorded as late.
+    /// The latency target has passed, and the attempt has been recorded as late.
     pub(crate) recorded_late: bool,
 }
 
@@ -26,7 +26,7 @@
         self.outcome.is_none_or(Outcome::may_have_run)
     }
 
-    /// Whether it ended without reaching the backend.
+    /// Whether the attempt ended without reaching the backend.
     pub(crate) fn never_reached_backend(&self) -> bool {
         self.outcome.is_some_and(Outcome::never_reached_backend)
     }
@@ -39,31 +39,31 @@
     Open,
     /// In the pending queue.
     Queued,
-    /// Its response is being streamed.
+    /// The response is being streamed.
     Streaming,
-    /// Answered, or its client has gone.
+    /// Answered, or the client has disconnected.
     Ended,
 }
 
 /// A request that is open, or that has ended with an attempt still in flight.
 pub(crate) struct Request {
     pub(crate) id: RequestId,
-    /// Position of its class.
+    /// Index of the request's class.
     pub(crate) class: usize,
-    /// In nanoseconds on a standard core, 1 at least.
+    /// In nanoseconds on a standard core; at least 1.
     pub(crate) expected_work: f64,
-    /// The work that it counts as in a slow-start budget.
+    /// The work that the request counts as in a slow-start budget, in nanoseconds on a standard core.
     pub(crate) slow_start_work: f64,
     pub(crate) target_at: Nanos,
-    /// While it was never sent it leaves the queue by then: a later rejection has kept its client waiting
-    /// for nothing.
+    /// When a request that was never sent leaves the queue: a later rejection would make its client wait in
+    /// vain.
     pub(crate) queue_until: Nanos,
     pub(crate) not_after: Nanos,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) phase: RequestPhase,
-    /// Set while it is in the pending queue.
+    /// Set while the request is in the pending queue.
     pub(crate) queue_entry: Option<QueueEntry>,
-    /// Over its tenant's quota, and worth less.
+    /// Over the tenant's quota, and of less value.
     pub(crate) over_quota: bool,
 }
 
@@ -76,13 +76,13 @@
         self.attempts.iter().any(Attempt::may_have_run)
     }
 
-    /// Whether one more attempt would be one more arrival at a server.
+    /// Whether the next attempt would be a repeated arrival at a server: the last attempt reached one.
     pub(crate) fn next_is_repeat(&self) -> bool {
         let reached = |attempt: &Attempt| !attempt.outcome.is_some_and(Outcome::never_reached_server);
         self.attempts.last().is_some_and(reached)
     }
 
-    /// How its last attempt ended.
+    /// The outcome of the last attempt; `None` if there is none or it is in flight.
     pub(crate) fn last_outcome(&self) -> Option<Outcome> {
         self.attempts.last().and_then(|attempt| attempt.outcome)
     }
--- a/balancer/src/state/window.rs
+++ b/balancer/src/state/window.rs
@@ -3,20 +3,20 @@
 use crate::api::Nanos;
 use crate::estimators::Ewma;
 
-/// How many of this node's requests may be in flight in a zone whose backends it shares with many nodes
-/// that it cannot see.
+/// The limit of this node's requests in flight in a zone whose backends the node shares with many other
+/// nodes, whose traffic it does not see.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct ConcurrencyWindow {
-    /// In requests; below 1 it stands for one request every so many response times.
+    /// In requests; a size below 1 means one request per 1 / size response times.
     pub(crate) size: f64,
-    /// What the size decays to while it is not used.
+    /// The size that an unused window decays to.
     pub(crate) idle_size: f64,
     /// Mean latency as a fraction of its target since the last decrease, over `samples` responses.
     pub(crate) latency_fraction: Ewma,
     pub(crate) samples: u32,
-    /// Requests sent before the last decrease say nothing of the time after it.
+    /// Time of the last decrease. Responses to requests sent earlier do not indicate the state after it.
     pub(crate) decreased_at: Nanos,
-    /// The first congestion has been met.
+    /// The first congestion has occurred.
     pub(crate) slow_start_done: bool,
     pub(crate) last_sent_at: Nanos,
 }
@@ -32,7 +32,7 @@
         Self { slow_start_done: true, ..Self::in_slow_start(size) }
     }
 
-    /// Raises the size to `size` as long as nothing has been measured.
+    /// Raises the size to `size` before anything has been measured.
     pub(crate) fn raise_initial_size(&mut self, size: f64) {
         if self.samples == 0 && !self.slow_start_done {
             self.size = self.size.max(size);
--- a/balancer/src/zone_utilisation.rs
+++ b/balancer/src/zone_utilisation.rs
@@ -1,11 +1,11 @@
-//! Each zone's reported utilisation, kept up with the events so that no decision has to walk all backends.
+//! Cached reported utilisation of each zone, so that no decision has to iterate over all backends.
 
 use crate::api::{BackendId, Nanos, ZoneId};
 use crate::policy::tuning::{MAX_SCANNED_BACKENDS, REFRESH_INTERVAL, UTILISATION_MAX_AGE};
 use crate::state::{Backend, Balancer, ZoneUtilisation};
 
 impl Balancer {
-    /// The utilisation of a zone, computed where it is not valid any more.
+    /// The utilisation of a zone, recomputed if the cached value is no longer valid.
     pub(crate) fn zone_utilisation(&self, zone: ZoneId) -> ZoneUtilisation {
         let cached = self.cached_zone_utilisation[zone.0 as usize].get();
         cached
@@ -13,8 +13,8 @@
             .unwrap_or_else(|| self.compute_zone_utilisation(zone))
     }
 
-    /// Drops what is cached of a zone after an event that changes it. That of a large zone stays until its
-    /// time is over: it would be computed for every response otherwise.
+    /// Discards the cached utilisation of a zone after an event that changes it. The utilisation of a large
+    /// zone stays cached until it expires: it would otherwise be recomputed for every response.
     pub(crate) fn invalidate_zone_utilisation(&self, zone: ZoneId) {
         let zone = zone.0 as usize;
         if self.zone_backends.get(zone).is_some_and(|members| members.len() <= MAX_SCANNED_BACKENDS) {
@@ -33,7 +33,7 @@
             valid_until: Nanos::MAX,
         };
         if members.len() > MAX_SCANNED_BACKENDS {
-            // One walk through all backends is quicker than as many look-ups.
+            // One iteration over all backends is faster than this many look-ups.
             let in_zone = self.backends.values().filter(|backend| backend.member.zone == zone);
             in_zone.for_each(|backend| self.add_backend(&mut sum, backend));
             sum.valid_until = sum.valid_until.min(self.now + REFRESH_INTERVAL);
