--- a/load-probing/benches/scheduling.rs
+++ b/load-probing/benches/scheduling.rs
@@ -1,5 +1,5 @@
-//! The cost of scheduling: `cargo bench -p ivyhatch-load-probing`. One iteration is ten requests, the probes
-//! that they pay for, and the outcomes of these.
+//! The cost of scheduling: `cargo bench -p ivyhatch-load-probing`. One iteration consists of ten requests,
+//! the probes that their tokens pay for, and the outcomes of these probes.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use ivyhatch_load_probing::{Candidate, Limits, ProbeOutcome, Scheduler};
@@ -9,9 +9,9 @@
 fn scheduling(c: &mut Criterion) {
     let mut group = c.benchmark_group("ten arrivals");
     for servers in [12u32, 100, 1_000, 10_000] {
-        // The budget affords the greatest subset.
+        // With this budget, the subset has its maximum size.
         let limits = Limits { probes_per_request: 1.0, max_saved_probes: 100.0, ..Limits::default() };
-        let mut scheduler = Scheduler::new(limits, 7, 0).expect("usable limits");
+        let mut scheduler = Scheduler::new(limits, 7, 0).expect("valid limits");
         let server = |id: u32| {
             let rank = u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15);
             Candidate { id, group: id % 3, rank, incarnation: 0 }
--- a/load-probing/src/budget.rs
+++ b/load-probing/src/budget.rs
@@ -9,12 +9,12 @@
 }
 
 impl ProbeBudget {
-    /// A full budget. Both numbers are finite and not negative.
+    /// Creates a full budget. Both arguments must be finite and not negative.
     pub fn new(probes_per_request: f64, max_saved_probes: f64) -> Self {
         Self { probes_per_request, saved_probes: max_saved_probes, max_saved_probes }
     }
 
-    /// Changes what a request adds from now on. A value that is negative or not finite changes nothing.
+    /// Changes the tokens that a request adds from now on. A value that is negative or not finite is ignored.
     pub fn set_probes_per_request(&mut self, probes_per_request: f64) {
         if probes_per_request.is_finite() && probes_per_request >= 0.0 {
             self.probes_per_request = probes_per_request;
@@ -31,7 +31,7 @@
         self.saved_probes >= 1.0
     }
 
-    /// Takes the token of one probe. False, and nothing taken, if there is none.
+    /// Takes the token of one probe. Returns false, and takes nothing, if there is none.
     pub fn take_probe(&mut self) -> bool {
         let has_probe = self.has_probe();
         if has_probe {
--- a/load-probing/src/limits.rs
+++ b/load-probing/src/limits.rs
@@ -5,31 +5,31 @@
 /// The limits of a scheduler.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Probes that each request adds to the budget; 0 to 10.
+    /// Probes that each request adds to the budget; from 0 to 10.
     pub probes_per_request: f64,
-    /// The most probes that are saved up, which is also the initial budget; 1 to 1,000.
+    /// The most probes that are saved up, which is also the initial budget; from 1 to 1,000.
     pub max_saved_probes: f64,
     /// The most probes in flight; at least 1.
     pub max_in_flight: usize,
     /// The most probes in flight in one group; at least 1.
     pub max_in_flight_per_group: usize,
-    /// The interval between two probes of a server, by [`crate::Priority`] in ascending order; each at least
-    /// 1 ms, and none longer than the one before.
+    /// The interval between two probes of a server, by [`crate::Priority`] in ascending order of priority;
+    /// each at least 1 ms, and none longer than the one before.
     pub intervals: [Nanos; 4],
     /// The age at which a report is stale; above 0.
     pub report_ttl: Nanos,
     /// The size of the subset of servers that are probed.
     pub subset_size: SubsetSize,
-    /// The time after which a probe without an outcome counts as unreachable; above 0, and more than the
-    /// prober's own timeout.
+    /// The time after which a probe without an outcome counts as unreachable; above 0, and longer than the
+    /// probe timeout of the embedder.
     pub lost_after: Nanos,
 }
 
-/// The least and the greatest number of servers that are probed; the least is at least 1 and at most the
-/// greatest.
+/// The minimum and the maximum number of servers that are probed; the minimum is at least 1 and at most the
+/// maximum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SubsetSize {
-    /// The size that the subset has even if the budget can't keep so many reports fresh.
+    /// The size of the subset even if the budget can't keep this many reports fresh.
     pub min: usize,
     /// The size that the subset never exceeds.
     pub max: usize,
@@ -50,13 +50,13 @@
     }
 }
 
-/// Why limits are rejected.
+/// A limit that is out of its range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("probing: {field}: {problem}")]
+#[error("load-probing limits: {field}: {problem}")]
 pub struct LimitsError {
     /// The field that is out of range.
     pub field: &'static str,
-    /// The valid range.
+    /// The condition that the value does not meet.
     pub problem: &'static str,
 }
 
@@ -75,7 +75,7 @@
         }
         let is_ascending = !self.intervals.is_sorted_by(|a, b| a >= b);
         if is_ascending || self.intervals.iter().any(|&interval| interval < MILLISECOND) {
-            return fail("intervals", "must be at least 1 ms, the longest first");
+            return fail("intervals", "must each be at least 1 ms, and none longer than the one before");
         }
         if self.subset_size.min == 0 || self.subset_size.min > self.subset_size.max {
             return fail("subset_size", "min must be at least 1 and at most max");
--- a/load-probing/src/scheduler.rs
+++ b/load-probing/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler.
+//! The scheduler of probes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,12 +13,13 @@
 
 /// The time constant of the average rate at which requests pay for probes.
 const RATE_TIME_CONSTANT: Nanos = 5 * SECOND;
-/// The part of an interval by which it is varied at random, so that nodes which start together do not probe
-/// together.
+/// The maximum random variation of an interval, as a fraction of it, so that nodes that start together do not
+/// probe together.
 const JITTER: f64 = 0.25;
-/// The least time between two probes of one server, so that one that refuses at once is not probed in a loop.
+/// The minimum time between two probes of a server, so that a server that refuses connections immediately is
+/// not probed in a loop.
 const MIN_INTERVAL: Nanos = MILLISECOND;
-/// How often a report has to be renewed within its time to live to count as kept fresh.
+/// How often a report must be renewed within its time to live to count as fresh throughout.
 const RENEWALS_PER_TTL: f64 = 2.0;
 
 /// The state of a scheduler's reports.
@@ -30,15 +31,15 @@
     pub subset: usize,
     /// The number of servers with a fresh report.
     pub fresh_reports: usize,
-    /// The age of the oldest fresh report.
+    /// The age of the oldest fresh report, in nanoseconds; 0 if there is none.
     pub oldest_report_age: Nanos,
     /// The number of servers in the subset that the last probe did not reach.
     pub unreachable: usize,
-    /// The number of probes since the start.
+    /// The number of probes sent since the scheduler was created.
     pub probes_sent: u64,
 }
 
-/// A probe without an outcome.
+/// A probe whose outcome is not known yet.
 #[derive(Clone, Copy, Debug)]
 struct InFlightProbe {
     sent_at: Nanos,
@@ -47,14 +48,14 @@
 
 /// A server whose probe is due.
 struct DueProbe {
-    /// The time since the probe was due, as a multiple of the priority's interval.
+    /// The time since the probe became due, as a multiple of the priority's interval.
     relative_delay: f64,
     priority: Priority,
     due_at: Nanos,
     id: ServerId,
 }
 
-/// Decides which server to probe and when. It is deterministic: the same calls give the same probes.
+/// Decides which server to probe and when. Deterministic: the same calls give the same probes.
 pub struct Scheduler {
     limits: Limits,
     budget: ProbeBudget,
@@ -62,7 +63,8 @@
     candidates: Vec<Candidate>,
     /// The subset of the candidates that is probed.
     targets: BTreeMap<ServerId, Target>,
-    /// The targets without a probe in flight, by priority in ascending order.
+    /// The targets without a probe in flight, by priority in ascending order; each queue is ordered by due
+    /// time.
     queues: [BTreeSet<(Nanos, ServerId)>; 4],
     in_flight: BTreeMap<ServerId, InFlightProbe>,
     /// Probes per second that requests pay for: an exponentially weighted average as of `rate_at`.
@@ -73,10 +75,9 @@
 }
 
 impl Scheduler {
-    /// A scheduler without candidates. `seed` is for its jitter and should differ between nodes.
+    /// Creates a scheduler without candidates. `seed` determines the jitter and should differ between nodes.
     ///
-    /// # Errors
-    /// If a limit is out of the range that its documentation states.
+    /// # Errors If a limit is out of the range that its documentation states.
     pub fn new(limits: Limits, seed: u64, now: Nanos) -> Result<Self, LimitsError> {
         limits.validate()?;
         Ok(Self {
@@ -94,13 +95,14 @@
         })
     }
 
-    /// Changes what a request adds to the budget, up to [`Limits::probes_per_request`].
+    /// Changes the probes that a request adds to the budget, up to [`Limits::probes_per_request`]. The value
+    /// must be finite and not negative.
     pub fn set_probes_per_request(&mut self, probes_per_request: f64) {
         self.probes_per_request = probes_per_request.min(self.limits.probes_per_request);
         self.budget.set_probes_per_request(self.probes_per_request);
     }
 
-    /// Adds the share of one request to the budget.
+    /// Adds the share of one request to the budget; must be called for each request.
     pub fn on_request(&mut self, now: Nanos) {
         self.budget.on_request();
         let added_rate = self.probes_per_request * SECOND as f64 / RATE_TIME_CONSTANT as f64;
@@ -120,15 +122,15 @@
         affordable.clamp(self.limits.subset_size.min, self.limits.subset_size.max)
     }
 
-    /// Replaces the candidates. A server that is missing is not probed again, and one with another
-    /// incarnation is a new server. Takes O(n log n) time.
+    /// Replaces the candidates. A server that is missing from the list is not probed again; one with a
+    /// different incarnation counts as a new server. Takes O(n log n) time.
     pub fn set_candidates(&mut self, candidates: Vec<Candidate>, now: Nanos) {
         self.candidates = candidates;
         self.select_targets(now);
     }
 
-    /// Selects the subset anew if the budget affords a size that is clearly different: all candidates, more
-    /// than 1.5 times the present size, or less than half of it.
+    /// Selects a new subset if the budget affords a size that is clearly different: all candidates, more than
+    /// 1.5 times the present size, or less than half of it.
     pub fn resize_subset(&mut self, now: Nanos) {
         let size = self.targets.len();
         let affordable = self.affordable_subset_size(now).min(self.candidates.len());
@@ -147,7 +149,7 @@
             if is_known || !subset.contains(&id) {
                 continue;
             }
-            // The first probe is soon, but not at all nodes at once.
+            // The first probe is sent soon, but not by all nodes at the same moment.
             let delay = self.random_part(self.limits.intervals[Priority::Urgent as usize]);
             let target = Target {
                 incarnation,
@@ -171,19 +173,19 @@
         }
     }
 
-    /// A random part of a span.
+    /// A random duration from 0 to `span`.
     fn random_part(&mut self, span: Nanos) -> Nanos {
         let part = f64::from(self.random.next_u32()) / f64::from(u32::MAX);
         (span as f64 * part) as Nanos
     }
 
-    /// The servers that are probed.
+    /// The servers of the subset, in ascending order of id.
     pub fn subset(&self) -> impl Iterator<Item = ServerId> + '_ {
         self.targets.keys().copied()
     }
 
-    /// Changes the priority of a server. A higher one may bring its probe forward. Ignored for a server that
-    /// is not in the subset.
+    /// Changes the priority of a server. A higher priority may bring the next probe forward. Ignored for a
+    /// server that is not in the subset.
     pub fn set_priority(&mut self, id: ServerId, priority: Priority) {
         let Some(target) = self.targets.get_mut(&id).filter(|target| target.priority != priority) else {
             return;
@@ -201,14 +203,14 @@
         }
     }
 
-    /// The next server to probe now; the probe counts as sent. The caller repeats this until it returns none,
-    /// and reports the outcome of each probe with [`Scheduler::on_probe_ended`].
+    /// The next server to probe now, or `None`; the probe counts as sent. The caller repeats the call until
+    /// it returns `None`, and reports the outcome of each probe with [`Scheduler::on_probe_ended`].
     pub fn next_probe(&mut self, now: Nanos) -> Option<ServerId> {
         self.expire_lost_probes(now);
         if !self.budget.has_probe() || self.in_flight.len() >= self.limits.max_in_flight {
             return None;
         }
-        // If the budget is short, all intervals stretch by the same factor, and no server starves.
+        // If the budget is too small, all intervals are stretched by the same factor, and no server starves.
         let due = Priority::ALL.into_iter().filter_map(|priority| self.first_due(priority, now));
         let DueProbe { priority, due_at, id, .. } = due.max_by(|one, other| {
             one.relative_delay.total_cmp(&other.relative_delay).then(one.priority.cmp(&other.priority))
@@ -224,7 +226,7 @@
         Some(id)
     }
 
-    /// The first due probe of a priority whose group has less than its limit in flight.
+    /// The earliest due probe of a priority whose group has fewer probes in flight than its limit.
     fn first_due(&self, priority: Priority, now: Nanos) -> Option<DueProbe> {
         let has_capacity = |id: &ServerId| {
             let target = self.targets.get(id);
@@ -252,14 +254,14 @@
         }
     }
 
-    /// Records the outcome of a probe. Returns false if the outcome does not count, and neither does a
-    /// report: the probe was not in flight, was cancelled, or was sent to an earlier incarnation or to a
-    /// server that is not in the subset any more.
+    /// Records the outcome of a probe. Returns false if the outcome is ignored, in which case the caller must
+    /// also ignore the report: the probe was not in flight, was cancelled, or was sent to an earlier
+    /// incarnation or to a server that is no longer in the subset.
     pub fn on_probe_ended(&mut self, id: ServerId, outcome: ProbeOutcome, now: Nanos) -> bool {
         let Some(InFlightProbe { sent_at, .. }) = self.in_flight.remove(&id) else { return false };
         let draw = self.random.next_u32();
         let Some(target) = self.targets.get_mut(&id) else { return false };
-        // A probe that was sent at the very moment at which an incarnation was listed went to the one before.
+        // A probe sent at the same time as an incarnation was listed went to the previous incarnation.
         let counts = sent_at > target.since && outcome != ProbeOutcome::Cancelled;
         if counts {
             match outcome {
@@ -273,15 +275,15 @@
         }
         let interval = target.interval(self.limits.intervals[target.priority as usize]) as f64;
         let jitter = 1.0 - JITTER + 2.0 * JITTER * f64::from(draw) / f64::from(u32::MAX);
-        // The interval is counted from the sending, so that a slow response does not lengthen it.
+        // The interval starts when the probe is sent, so that a slow response does not lengthen it.
         let next_probe_at = target.last_probe_at + (interval * jitter) as Nanos;
         target.next_probe_at = next_probe_at.max(now + MIN_INTERVAL);
         self.queues[target.priority as usize].insert((target.next_probe_at, id));
         counts
     }
 
-    /// Records a report that came with the response to an ordinary request. It postpones the next probe by a
-    /// whole interval.
+    /// Records a report that came with the response to an ordinary request, which postpones the next probe of
+    /// the server by a whole interval.
     pub fn on_passive_report(&mut self, id: ServerId, now: Nanos) {
         let Some(target) = self.targets.get_mut(&id) else { return };
         target.last_report_at = Some(now);
@@ -295,8 +297,8 @@
         }
     }
 
-    /// When [`Scheduler::next_probe`] is to be called next; `None` if there can be no probe before a request
-    /// or the outcome of a probe.
+    /// When [`Scheduler::next_probe`] is to be called next; `None` if no probe can become due before a
+    /// request arrives or a probe ends.
     pub fn next_probe_at(&self) -> Option<Nanos> {
         if !self.budget.has_probe() || self.in_flight.len() >= self.limits.max_in_flight {
             return None;
@@ -304,7 +306,7 @@
         self.queues.iter().filter_map(|queue| queue.first().map(|(due_at, _)| *due_at)).min()
     }
 
-    /// The state of the reports. Takes time linear in the size of the subset.
+    /// The state of the reports at `now`. Takes time linear in the size of the subset.
     pub fn stats(&self, now: Nanos) -> SchedulerStats {
         let mut stats = SchedulerStats {
             candidates: self.candidates.len(),
--- a/load-probing/src/subset.rs
+++ b/load-probing/src/subset.rs
@@ -1,30 +1,31 @@
-//! The choice of a stable subset of servers, if there are too many for the budget.
+//! The choice of a stable subset of servers if there are too many for the budget.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{Nanos, ServerId};
 
-/// The group that gets half of the subset: that of the node's own zone.
+/// The group that receives half of the subset: that of the node's own zone.
 const LOCAL_GROUP: u32 = 0;
 
-/// A server that may be probed.
+/// A server that may be probed. The embedder supplies all fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
     /// The server.
     pub id: ServerId,
-    /// The group of the server, such as its zone. Group 0 is the node's own and gets half of the subset.
+    /// The group of the server, such as its zone. Group 0 is that of the node's own zone and receives half of
+    /// the subset.
     pub group: u32,
-    /// A hash of the server and this node (rendezvous hashing): the lowest ranks are chosen, so that nodes
-    /// choose different subsets, and a change of the list moves few servers.
+    /// A hash of the server and this node (rendezvous hashing). The lowest ranks are chosen, so that nodes
+    /// choose different subsets, and a change of the list replaces few servers.
     pub rank: u64,
-    /// The incarnation of the server, such as the moment of its start. Reports of another incarnation do not
-    /// count.
+    /// The incarnation of the server, such as the time of its start. Reports of another incarnation are
+    /// ignored.
     pub incarnation: Nanos,
 }
 
-/// Chooses at most `max_size` candidates: half of them from the local group, as far as it has so many, and
-/// the rest from the other groups in turn. Takes O(n log n) time.
+/// Chooses at most `max_size` candidates: half of them from the local group, if that has so many, and the
+/// rest from the other groups in turn. Takes O(n log n) time.
 pub(crate) fn select_subset(candidates: &[Candidate], max_size: usize) -> BTreeSet<ServerId> {
     if candidates.len() <= max_size {
         return candidates.iter().map(|candidate| candidate.id).collect();
@@ -34,7 +35,7 @@
         groups.entry(candidate.group).or_default().push(candidate);
     }
     for members in groups.values_mut() {
-        // In descending order, so that the lowest rank is popped first.
+        // Sorted in descending order, so that `pop` returns the lowest rank.
         members.sort_unstable_by_key(|candidate| Reverse((candidate.rank, candidate.id)));
     }
     let mut subset = BTreeSet::new();
--- a/load-probing/src/target.rs
+++ b/load-probing/src/target.rs
@@ -2,17 +2,17 @@
 
 use crate::{Nanos, SECOND};
 
-/// How much a fresh report of a server would change, in ascending order.
+/// How much a fresh report of a server may affect decisions, in ascending order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
-    /// Next to nothing.
+    /// Hardly any effect: the server is in none of the situations below.
     #[default]
     Idle,
-    /// The server's zone gets requests, and its load is far from any threshold.
+    /// The server's zone receives requests, and its load is far from any threshold.
     Watched,
     /// The load of the server's zone is close to a threshold.
     NearThreshold,
-    /// The server is warming up, suspected or back from an ejection, or there is no report of it.
+    /// The server is warming up, suspected of failing, or recently ejected, or there is no report of it.
     Urgent,
 }
 
@@ -21,7 +21,7 @@
     pub const ALL: [Self; 4] = [Self::Idle, Self::Watched, Self::NearThreshold, Self::Urgent];
 }
 
-/// How a probe ended.
+/// The outcome of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeOutcome {
     /// A response with a valid report.
@@ -30,36 +30,36 @@
     NoReport,
     /// No response: the connection was refused or broken, or the probe timed out.
     Unreachable,
-    /// The embedder has cancelled the probe; it says nothing about the server.
+    /// The embedder cancelled the probe, which says nothing about the server.
     Cancelled,
 }
 
-/// The longest interval of an unreachable server, unless its ordinary one is longer: a zone that was
-/// partitioned for some seconds is seen again soon after.
+/// The longest interval of an unreachable server, unless its ordinary interval is longer: a zone that was
+/// partitioned for some seconds is noticed soon after it recovers.
 const MAX_BACKOFF: Nanos = 4 * SECOND;
-/// Doublings after which the backoff is above [`MAX_BACKOFF`] in any case.
+/// Number of doublings after which the backoff certainly exceeds [`MAX_BACKOFF`].
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 
 /// A server of the subset.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
-    /// The incarnation that the reports are of.
+    /// The incarnation that the reports belong to.
     pub incarnation: Nanos,
     pub group: u32,
-    /// When this incarnation was first listed. The outcome of a probe that was sent before does not count.
+    /// When this incarnation was first listed. Outcomes of probes sent before are ignored.
     pub since: Nanos,
     pub priority: Priority,
     pub last_report_at: Option<Nanos>,
-    /// When the last probe was sent; before the first one, when the server was listed.
+    /// When the last probe was sent, or a report came with a response; initially, when the server was listed.
     pub last_probe_at: Nanos,
-    /// Consecutive probes that ended as [`ProbeOutcome::Unreachable`].
+    /// Number of consecutive probes that ended as [`ProbeOutcome::Unreachable`].
     pub consecutive_failures: u32,
     pub next_probe_at: Nanos,
 }
 
 impl Target {
     /// The interval until the next probe: the ordinary one, with exponential backoff while the server is
-    /// unreachable, so that a partitioned zone takes little of the budget.
+    /// unreachable, so that a partitioned zone uses little of the budget.
     pub fn interval(&self, ordinary: Nanos) -> Nanos {
         let doublings = self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
         ordinary.saturating_mul(1 << doublings).min(MAX_BACKOFF.max(ordinary))
--- a/load-probing/tests/scheduler.rs
+++ b/load-probing/tests/scheduler.rs
@@ -1,5 +1,5 @@
-//! Invariants under any sequence of calls: the budget, one probe in flight for each server, no probe of a
-//! removed one. Then how a short budget is spent.
+//! Invariants under any sequence of calls: the budget, at most one probe in flight per server, and no probe
+//! of a removed server. Further tests check how a small budget is spent.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -61,16 +61,17 @@
     fn limits_hold_for_any_sequence_of_calls(calls in calls()) {
         let limits = Limits { max_in_flight: 5, max_in_flight_per_group: 3, probes_per_request: 0.3,
             max_saved_probes: 6.0, subset_size: SubsetSize { min: 4, max: 12 }, ..Limits::default() };
-        let mut scheduler = Scheduler::new(limits, 9, 0).expect("usable limits");
+        let mut scheduler = Scheduler::new(limits, 9, 0).expect("valid limits");
         let (mut now, mut requests, mut sent) = (0, 0u32, 0u32);
         let mut listed: BTreeMap<ServerId, (u32, Nanos)> = BTreeMap::new();
-        // When each probe in flight was sent, and to which incarnation.
+        // Probes in flight by server: time sent, incarnation (`None` if its report no longer counts), and
+        // group.
         let mut out: BTreeMap<ServerId, (Nanos, Option<Nanos>, u32)> = BTreeMap::new();
         for call in calls {
             match call {
                 Call::PassTime(ms) => {
                     now += ms * MS;
-                    // A probe without an outcome is given up after this.
+                    // The scheduler gives a probe without an outcome up after this time.
                     out.retain(|_, (sent, ..)| now - *sent < limits.lost_after);
                 }
                 Call::OnRequests(count) => {
@@ -96,16 +97,16 @@
                 }
                 Call::OnProbeEnded(which, end) => {
                     let Some(&id) = out.keys().nth(usize::from(which) % out.len().max(1)) else { continue };
-                    let (_, probed, _) = out.remove(&id).expect("it is out");
+                    let (_, probed, _) = out.remove(&id).expect("a probe in flight");
                     let counts = scheduler.on_probe_ended(id, end, now);
-                    prop_assert!(!counts || (probed.is_some() && end != ProbeOutcome::Cancelled), "{id} counted");
+                    prop_assert!(!counts || (probed.is_some() && end != ProbeOutcome::Cancelled), "the outcome of a probe of server {id} counted");
                 }
                 Call::SetPriority(id, priority) => scheduler.set_priority(id.into(), priority),
                 Call::OnPassiveReport(id) => scheduler.on_passive_report(id.into(), now),
                 Call::NextProbes => while let Some(id) = scheduler.next_probe(now) {
-                    let Some(&(group, probed)) = listed.get(&id) else { panic!("{id} is not listed") };
+                    let Some(&(group, probed)) = listed.get(&id) else { panic!("server {id} was probed but is not listed") };
                     sent += 1;
-                    prop_assert!(out.insert(id, (now, Some(probed), group)).is_none(), "two out to {id}");
+                    prop_assert!(out.insert(id, (now, Some(probed), group)).is_none(), "two probes in flight to server {id}");
                     prop_assert!(out.len() <= limits.max_in_flight);
                     prop_assert!(out.values().filter(|(_, _, of)| *of == group).count() <= limits.max_in_flight_per_group);
                     prop_assert!(f64::from(sent) <= f64::from(requests) * limits.probes_per_request + limits.max_saved_probes + 1e-6);
@@ -116,8 +117,8 @@
     }
 }
 
-/// Simulates `seconds` of requests at a steady rate; each probe outcome after 5 ms with the outcome that
-/// `outcome` gives. Returns the probes in order.
+/// Simulates `seconds` of requests at a constant rate; each probe ends 5 ms after it was sent, with the
+/// outcome that `outcome` returns for its server. Returns the probes in order.
 fn simulate(
     scheduler: &mut Scheduler,
     rate: u64,
@@ -155,9 +156,9 @@
     (10..20).for_each(|id| scheduler.set_priority(id, Priority::Idle));
     let sent = simulate(&mut scheduler, 100, 120, |_| ProbeOutcome::Report);
     let (urgent, idle) = (count(&sent, |id| id < 10), count(&sent, |id| id >= 10));
-    // Intervals of 0.5 s and 2.5 s: five times as many, give or take the jitter.
+    // Intervals of 0.5 s and 2.5 s give five times as many probes, apart from the jitter.
     assert!(idle >= 60 && (3 * idle..8 * idle).contains(&urgent), "{urgent} urgent, {idle} idle");
-    assert!((0..20).all(|id| count(&sent, |of| of == id) > 3), "one was starved");
+    assert!((0..20).all(|id| count(&sent, |of| of == id) > 3), "a server was probed three times or less");
 }
 
 #[test]
@@ -176,7 +177,7 @@
     );
     let gaps = sent.iter().filter(|(_, id)| *id == 1).map(|(at, _)| *at).collect::<Vec<_>>();
     let longest = gaps.windows(2).map(|two| two[1] - two[0]).max().unwrap();
-    assert!(longest <= 5 * SECOND + 50 * MS, "not probed for {} ms", longest / MS);
+    assert!(longest <= 5 * SECOND + 50 * MS, "an unreachable server was not probed for {} ms", longest / MS);
     assert_eq!(scheduler.stats(60 * SECOND).unreachable, 3);
 }
 
@@ -202,12 +203,16 @@
     let subset: BTreeSet<ServerId> = scheduler.subset().collect();
     let own = subset.iter().filter(|id| *id % 3 == 0).count();
     // 40 probes per second keep 80 reports fresh, each renewed twice within 4 s.
-    assert!((50..130).contains(&subset.len()), "{} in the subset", subset.len());
-    assert!(own.abs_diff(subset.len() / 2) <= 1, "{own} of {} in the own zone", subset.len());
+    assert!((50..130).contains(&subset.len()), "{} servers in the subset", subset.len());
+    assert!(
+        own.abs_diff(subset.len() / 2) <= 1,
+        "{own} of {} servers of the subset are in the node's own zone",
+        subset.len()
+    );
     let stats = scheduler.stats(60 * SECOND);
     assert!(stats.fresh_reports * 10 > stats.subset * 9 && stats.candidates == 10_000, "{stats:?}");
     assert!(sent.len() as f64 <= 12_000.0 * 0.2 + 16.0);
-    // The removal of one server from the subset moves no other.
+    // The removal of one server from the subset replaces no other server.
     let removed = *subset.first().unwrap();
     scheduler.set_candidates(
         fleet(10_000, 3).into_iter().filter(|server| server.id != removed).collect(),
