--- a/load-probing/src/limits.rs
+++ b/load-probing/src/limits.rs
@@ -73,8 +73,8 @@
         if self.max_in_flight == 0 || self.max_in_flight_per_group == 0 {
             return fail("max_in_flight", "must be at least 1");
         }
-        let is_ascending = !self.intervals.is_sorted_by(|a, b| a >= b);
-        if is_ascending || self.intervals.iter().any(|&interval| interval < MILLISECOND) {
+        let is_misordered = !self.intervals.is_sorted_by(|a, b| a >= b);
+        if is_misordered || self.intervals.iter().any(|&interval| interval < MILLISECOND) {
             return fail("intervals", "must each be at least 1 ms, and none longer than the one before");
         }
         if self.subset_size.min == 0 || self.subset_size.min > self.subset_size.max {
--- a/load-probing/src/scheduler.rs
+++ b/load-probing/src/scheduler.rs
@@ -67,9 +67,9 @@
     /// time.
     queues: [BTreeSet<(Nanos, ServerId)>; 4],
     in_flight: BTreeMap<ServerId, InFlightProbe>,
-    /// Probes per second that requests pay for: an exponentially weighted average as of `rate_at`.
+    /// Probes per second that requests pay for: an exponentially weighted average as of `rate_updated_at`.
     rate: f64,
-    rate_at: Nanos,
+    rate_updated_at: Nanos,
     probes_per_request: f64,
     probes_sent: u64,
 }
@@ -89,7 +89,7 @@
             queues: Default::default(),
             in_flight: BTreeMap::new(),
             rate: 0.0,
-            rate_at: now,
+            rate_updated_at: now,
             probes_per_request: limits.probes_per_request,
             probes_sent: 0,
         })
@@ -107,11 +107,11 @@
         self.budget.on_request();
         let added_rate = self.probes_per_request * SECOND as f64 / RATE_TIME_CONSTANT as f64;
         self.rate = self.rate_at(now) + added_rate;
-        self.rate_at = now;
+        self.rate_updated_at = now;
     }
 
     fn rate_at(&self, now: Nanos) -> f64 {
-        let elapsed = now.saturating_sub(self.rate_at) as f64;
+        let elapsed = now.saturating_sub(self.rate_updated_at) as f64;
         self.rate * (-elapsed / RATE_TIME_CONSTANT as f64).exp()
     }
 
--- a/load-probing/tests/scheduler.rs
+++ b/load-probing/tests/scheduler.rs
@@ -33,7 +33,7 @@
 }
 
 fn calls() -> impl Strategy<Value = Vec<Call>> {
-    let end = prop::sample::select(vec![
+    let outcome = prop::sample::select(vec![
         ProbeOutcome::Report,
         ProbeOutcome::NoReport,
         ProbeOutcome::Unreachable,
@@ -43,8 +43,9 @@
     let call = prop_oneof![
         (0..900u64).prop_map(Call::PassTime),
         (0..20u8).prop_map(Call::OnRequests),
-        (any::<u16>(), any::<bool>()).prop_map(|(named, anew)| Call::SetCandidates(named, anew)),
-        (any::<u8>(), end).prop_map(|(which, end)| Call::OnProbeEnded(which, end)),
+        (any::<u16>(), any::<bool>())
+            .prop_map(|(listed_ids, restarts)| Call::SetCandidates(listed_ids, restarts)),
+        (any::<u8>(), outcome).prop_map(|(index, outcome)| Call::OnProbeEnded(index, outcome)),
         (0..16u8, priority).prop_map(|(id, priority)| Call::SetPriority(id, priority)),
         (0..16u8).prop_map(Call::OnPassiveReport),
         Just(Call::NextProbes),
@@ -66,49 +67,62 @@
         let mut listed: BTreeMap<ServerId, (u32, Nanos)> = BTreeMap::new();
         // Probes in flight by server: time sent, incarnation (`None` if its report no longer counts), and
         // group.
-        let mut out: BTreeMap<ServerId, (Nanos, Option<Nanos>, u32)> = BTreeMap::new();
+        let mut in_flight: BTreeMap<ServerId, (Nanos, Option<Nanos>, u32)> = BTreeMap::new();
         for call in calls {
             match call {
                 Call::PassTime(ms) => {
                     now += ms * MS;
                     // The scheduler gives a probe without an outcome up after this time.
-                    out.retain(|_, (sent, ..)| now - *sent < limits.lost_after);
+                    in_flight.retain(|_, (sent, ..)| now - *sent < limits.lost_after);
                 }
                 Call::OnRequests(count) => {
                     requests += u32::from(count);
                     (0..count).for_each(|_| scheduler.on_request(now));
                 }
-                Call::SetCandidates(named, anew) => {
+                Call::SetCandidates(listed_ids, restarts) => {
                     let before = std::mem::take(&mut listed);
                     let mut servers = Vec::new();
-                    for id in (0..16).filter(|id| named & (1 << id) != 0) {
+                    for id in (0..16).filter(|id| listed_ids & (1 << id) != 0) {
                         let old = before.get(&id).map_or(0, |known| known.1);
-                        let incarnation = if anew && id % 3 == 0 { now + 1 } else { old };
+                        let incarnation = if restarts && id % 3 == 0 { now + 1 } else { old };
                         listed.insert(id, (id % 3, incarnation));
                         servers.push(Candidate { incarnation, ..server(id, id % 3) });
                     }
                     // A report of an earlier incarnation, or of a removed server, does not count.
-                    for (id, (_, probed, _)) in &mut out {
-                        if listed.get(id).map(|known| known.1) != *probed {
-                            *probed = None;
+                    for (id, (_, incarnation, _)) in &mut in_flight {
+                        if listed.get(id).map(|known| known.1) != *incarnation {
+                            *incarnation = None;
                         }
                     }
                     scheduler.set_candidates(servers, now);
                 }
-                Call::OnProbeEnded(which, end) => {
-                    let Some(&id) = out.keys().nth(usize::from(which) % out.len().max(1)) else { continue };
-                    let (_, probed, _) = out.remove(&id).expect("a probe in flight");
-                    let counts = scheduler.on_probe_ended(id, end, now);
-                    prop_assert!(!counts || (probed.is_some() && end != ProbeOutcome::Cancelled), "the outcome of a probe of server {id} counted");
+                Call::OnProbeEnded(index, outcome) => {
+                    let Some(&id) = in_flight.keys().nth(usize::from(index) % in_flight.len().max(1)) else {
+                        continue
+                    };
+                    let (_, incarnation, _) = in_flight.remove(&id).expect("a probe in flight");
+                    let counts = scheduler.on_probe_ended(id, outcome, now);
+                    prop_assert!(
+                        !counts || (incarnation.is_some() && outcome != ProbeOutcome::Cancelled),
+                        "the outcome of a probe of server {id} counted"
+                    );
                 }
                 Call::SetPriority(id, priority) => scheduler.set_priority(id.into(), priority),
                 Call::OnPassiveReport(id) => scheduler.on_passive_report(id.into(), now),
                 Call::NextProbes => while let Some(id) = scheduler.next_probe(now) {
-                    let Some(&(group, probed)) = listed.get(&id) else { panic!("server {id} was probed but is not listed") };
+                    let Some(&(group, incarnation)) = listed.get(&id) else {
+                        panic!("server {id} was probed but is not listed")
+                    };
                     sent += 1;
-                    prop_assert!(out.insert(id, (now, Some(probed), group)).is_none(), "two probes in flight to server {id}");
-                    prop_assert!(out.len() <= limits.max_in_flight);
-                    prop_assert!(out.values().filter(|(_, _, of)| *of == group).count() <= limits.max_in_flight_per_group);
+                    prop_assert!(
+                        in_flight.insert(id, (now, Some(incarnation), group)).is_none(),
+                        "two probes in flight to server {id}"
+                    );
+                    prop_assert!(in_flight.len() <= limits.max_in_flight);
+                    prop_assert!(
+                        in_flight.values().filter(|(_, _, of)| *of == group).count()
+                            <= limits.max_in_flight_per_group
+                    );
                     prop_assert!(f64::from(sent) <= f64::from(requests) * limits.probes_per_request + limits.max_saved_probes + 1e-6);
                 },
             }
@@ -125,18 +139,18 @@
     seconds: u64,
     outcome: impl Fn(ServerId) -> ProbeOutcome,
 ) -> Vec<(Nanos, ServerId)> {
-    let (mut out, mut sent) = (Vec::new(), Vec::new());
+    let (mut in_flight, mut sent) = (Vec::new(), Vec::new());
     let tick = 5 * MS;
-    for turn in 0..seconds * SECOND / tick {
-        let now = turn * tick;
-        (0..(turn + 1) * rate * tick / SECOND - turn * rate * tick / SECOND)
+    for step in 0..seconds * SECOND / tick {
+        let now = step * tick;
+        (0..(step + 1) * rate * tick / SECOND - step * rate * tick / SECOND)
             .for_each(|_| scheduler.on_request(now));
         scheduler.resize_subset(now);
-        for (_, id) in std::mem::take(&mut out) {
+        for (_, id) in std::mem::take(&mut in_flight) {
             scheduler.on_probe_ended(id, outcome(id), now);
         }
         while let Some(id) = scheduler.next_probe(now) {
-            out.push((now, id));
+            in_flight.push((now, id));
             sent.push((now, id));
         }
     }
@@ -201,12 +215,12 @@
     scheduler.set_candidates(fleet(10_000, 3), 0);
     let sent = simulate(&mut scheduler, 200, 60, |_| ProbeOutcome::Report);
     let subset: BTreeSet<ServerId> = scheduler.subset().collect();
-    let own = subset.iter().filter(|id| *id % 3 == 0).count();
+    let local = subset.iter().filter(|id| *id % 3 == 0).count();
     // 40 probes per second keep 80 reports fresh, each renewed twice within 4 s.
     assert!((50..130).contains(&subset.len()), "{} servers in the subset", subset.len());
     assert!(
-        own.abs_diff(subset.len() / 2) <= 1,
-        "{own} of {} servers of the subset are in the node's own zone",
+        local.abs_diff(subset.len() / 2) <= 1,
+        "{local} of {} servers of the subset are in the node's own zone",
         subset.len()
     );
     let stats = scheduler.stats(60 * SECOND);
@@ -224,7 +238,7 @@
 
 #[test]
 fn limits_out_of_range_are_rejected_by_field() {
-    let wrong: [(Limits, &str); 6] = [
+    let invalid: [(Limits, &str); 6] = [
         (Limits { probes_per_request: f64::NAN, ..Limits::default() }, "probes_per_request"),
         (Limits { probes_per_request: -0.1, ..Limits::default() }, "probes_per_request"),
         (Limits { max_saved_probes: 0.5, ..Limits::default() }, "max_saved_probes"),
@@ -232,7 +246,7 @@
         (Limits { intervals: [MS, 2 * MS, MS, MS], ..Limits::default() }, "intervals"),
         (Limits { subset_size: SubsetSize { min: 5, max: 4 }, ..Limits::default() }, "subset_size"),
     ];
-    for (limits, field) in wrong {
+    for (limits, field) in invalid {
         let error: LimitsError = Scheduler::new(limits, 0, 0).err().expect(field);
         assert_eq!(error.field, field);
     }
