--- a/routing/src/event_stream.rs
+++ b/routing/src/event_stream.rs
@@ -1,38 +1,38 @@
 //! Framing of a streamed response into server-sent events (WHATWG HTML, section 9.2.5 "Parsing an event stream").
 //!
-//! Only complete events are passed on, so that a stream that breaks off within one can be resumed at another server after the last
-//! complete one. Lines end with LF or CRLF; the standard's CR alone is not used by the servers. An `id` is a number, and the ids of
-//! a stream rise: that is what makes a stream resumable, and is asked for beyond the standard.
+//! Only complete events are forwarded, so that a stream that breaks off within an event can be resumed at another server after the
+//! last complete event. Lines end with LF or CRLF; a CR alone, which the standard also allows, is not supported because the servers
+//! do not send it. Beyond the standard, each `id` must be a number and the ids of a stream must increase: a stream is resumed by id.
 
-/// The longest event, in bytes.
+/// The maximum length of an event, in bytes.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Complete events, as they came.
+/// Consecutive complete events, byte for byte as the server sent them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompleteEvents {
-    /// Their bytes.
+    /// The bytes of the events, each with its terminating empty line.
     pub bytes: Vec<u8>,
-    /// The id of the last event among them that has one.
+    /// The id of the last of these events that has an id; `None` if no event has one.
     pub last_id: Option<u64>,
 }
 
-/// Why a stream can't be passed on any further.
+/// The reason why a stream cannot be forwarded any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StreamError {
-    /// An event's id is not above that of an earlier one: to resume by it would repeat or lose events.
-    #[error("an event has id {id} after {previous}: the server is not to be trusted with this stream")]
+    /// The id of an event is not greater than that of an earlier event: resuming by id would repeat or lose events.
+    #[error("event id {id} is not greater than the previous id {previous}: the stream cannot be resumed")]
     IdNotIncreasing {
         /// The id of the event.
         id: u64,
-        /// The highest id before it.
+        /// The highest id of the earlier events.
         previous: u64,
     },
-    /// An event does not end within the limit.
-    #[error("an event of over {MAX_EVENT_BYTES} bytes")]
+    /// An event does not end within the maximum length.
+    #[error("event does not end within the limit of {MAX_EVENT_BYTES} bytes")]
     EventTooLarge,
 }
 
-/// Collects the bytes of a stream into events.
+/// Incremental parser that splits the bytes of a stream into events.
 #[derive(Debug, Default)]
 pub struct EventStreamParser {
     incomplete: Vec<u8>,
@@ -40,21 +40,22 @@
 }
 
 impl EventStreamParser {
-    /// A parser of a stream that is resumed after the event with this id.
+    /// Creates a parser for a stream that is resumed after the event with the id `last_id`, or that starts from the beginning if it is
+    /// `None`.
     pub fn resume_after(last_id: Option<u64>) -> Self {
         Self { incomplete: Vec::new(), last_id }
     }
 
-    /// Whether no bytes have come since the last complete event. A stream that ends elsewhere has broken off, even where the HTTP
-    /// message is complete (RFC 9112, section 8).
+    /// Whether no bytes have been received since the last complete event. A stream that ends within an event is truncated, even if
+    /// the HTTP message is complete (RFC 9112, section 8).
     pub fn is_at_event_boundary(&self) -> bool {
         self.incomplete.is_empty()
     }
 
-    /// Takes bytes in. Returns the events that they complete, if any.
+    /// Parses further bytes of the stream. Returns the events that these bytes complete, if any.
     ///
     /// # Errors
-    /// [`StreamError`] where the stream has to be abandoned; the parser is of no further use then.
+    /// [`StreamError`] if the stream has to be aborted; the parser must not be used after that.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<CompleteEvents>, StreamError> {
         self.incomplete.extend_from_slice(bytes);
         let (mut complete_bytes, mut last_id) = (0, None);
@@ -85,7 +86,7 @@
     }
 }
 
-/// The length of the first event with the empty line that ends it; none where it has not ended.
+/// The length of the first event, including the empty line that ends it; `None` if that line is not in `bytes`.
 fn event_length(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (index, byte) in bytes.iter().enumerate() {
@@ -101,7 +102,7 @@
     None
 }
 
-/// The number in the event's first `id` field.
+/// The value of the event's first `id` field; `None` if there is no such field or its value is not a number.
 fn event_id(event: &[u8]) -> Option<u64> {
     let value = event.split(|byte| *byte == b'\n').find_map(|line| line.strip_prefix(b"id:"))?;
     std::str::from_utf8(value).ok()?.trim().parse().ok()
--- a/routing/src/lib.rs
+++ b/routing/src/lib.rs
@@ -1,16 +1,16 @@
-//! What a router knows and decides beside its load balancer. The crate decides and does no I/O: time and events go in, outputs and
-//! answers come out.
+//! The state and the decisions of a router, except for load balancing. The crate does no I/O: its state machines take times and
+//! events as input and return outputs and decisions.
 //!
-//! The load balancer itself, which prefers the home zone below a threshold and the best-scored zone beyond it, is
-//! `ivyhatch-balancer`; a region is one of its zones, and a service's servers are its backends. This crate gives it the advice that
-//! it can't work out by itself.
+//! Load balancing is the task of `ivyhatch-balancer`, which prefers the home zone below a load threshold and the best-scored zone
+//! above it. A region of the deployment is a zone of the balancer, and the servers of a service are its backends. This crate gives
+//! the balancer the placement advice that depends on regions, prompts and other routers, which are unknown to the balancer.
 //!
 //! - [`watch_client`]: the router's watch on the control plane
-//! - [`router_share`]: its index among all routers, by which common limits are divided
+//! - [`router_share`]: the router's index among all routers, by which common limits are divided
 //! - [`route_table`]: routes by host and path prefix
-//! - [`placement`]: which servers a request may be sent to (home regions, slow start, back-off), and its latency there
-//! - [`time_to_first_token`], [`load_report`]: the latency of a model server
-//! - [`prompt`], [`prefix_cache`]: a prompt's shared segments, and the servers that have them cached
+//! - [`placement`]: the servers that a request may be sent to (home regions, slow start, back-off), and its expected latency there
+//! - [`time_to_first_token`], [`load_report`]: the latency and the reported load of a model server
+//! - [`prompt`], [`prefix_cache`]: a prompt's shared segments, and the segments that each server has cached
 //! - [`event_stream`]: framing of a streamed response into events
 
 pub mod event_stream;
--- a/routing/src/load_report.rs
+++ b/routing/src/load_report.rs
@@ -1,26 +1,26 @@
 //! The load that a model server reports in a header of its responses.
 
-/// What a server reports of itself. All figures are finite and at least 0.
+/// The load of a server as reported by the server itself. All values are finite and at least 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests that run.
+    /// Requests that are being executed.
     pub running: f64,
-    /// Requests that wait in the server's queue.
+    /// Requests that are waiting in the server's queue.
     pub waiting: f64,
-    /// Requests that can run at once.
+    /// The maximum number of requests that are executed concurrently.
     pub slots: f64,
 }
 
 impl LoadReport {
-    /// Parses the header's value: running, waiting and slots, separated by commas. None where any of them is missing, negative or
-    /// infinite, or there are no slots.
+    /// Parses the header value: running, waiting and slots, separated by commas. Returns `None` if any of these is missing, negative
+    /// or not finite, or if the number of slots is 0.
     pub fn from_header(text: &str) -> Option<Self> {
         let mut numbers = text.split(',').map(parse_count);
         let (running, waiting, slots) = (numbers.next()??, numbers.next()??, numbers.next()??);
         (slots > 0.0).then_some(Self { running, waiting, slots })
     }
 
-    /// Requests that run or wait, for each slot: over 1 where there is a queue.
+    /// Running and waiting requests per slot: above 1 if requests have to queue.
     pub fn utilisation(&self) -> f64 {
         (self.running + self.waiting) / self.slots.max(1.0)
     }
--- a/routing/src/placement/advisor.rs
+++ b/routing/src/placement/advisor.rs
@@ -1,4 +1,4 @@
-//! The placement as the load balancer asks for it.
+//! The implementation of the load balancer's `PlacementAdvisor` by a placement.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -8,7 +8,7 @@
 
 use super::service_placement::Placement;
 
-/// A placement that the load balancer and its host share.
+/// A placement shared between the load balancer, which queries it as its advisor, and the host, which updates it.
 #[derive(Clone)]
 pub struct SharedPlacement(pub Rc<RefCell<Placement>>);
 
--- a/routing/src/placement/affinity.rs
+++ b/routing/src/placement/affinity.rs
@@ -1,16 +1,16 @@
-//! Prefix affinity: requests that share a prompt's prefix prefer one server in each region, so that its cache has the prefix. All
-//! routers find the same server by rendezvous hashing (highest random weight), without communication.
+//! Prefix affinity: requests that share a prompt prefix prefer the same server in each region, so that its cache holds the prefix. All
+//! routers select the same server by rendezvous hashing (highest random weight), without communication.
 
 use ivyhatch_balancer::BackendId;
 use ivyhatch_protocol::hash::hash_mix;
 
-/// The preferred server in each region, if any.
+/// The preferred server of a request in each region, if any.
 #[derive(Debug)]
 pub(super) struct PreferredServers {
     by_region: Vec<Option<BackendId>>,
 }
 
-/// A server that may be preferred.
+/// A server that may be selected as the preferred server of its region.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
     pub(super) id: BackendId,
@@ -19,12 +19,12 @@
 }
 
 impl PreferredServers {
-    /// No server is preferred in any of so many regions.
+    /// No preferred server in any region; `regions` is the number of regions.
     pub(super) fn none(regions: u32) -> Self {
         Self { by_region: vec![None; regions as usize] }
     }
 
-    /// In each of so many regions the candidate with the highest weight for this key.
+    /// Selects the candidate with the highest rendezvous weight for `affinity_key` in each region; `regions` is the number of regions.
     pub(super) fn select(
         regions: u32,
         affinity_key: u64,
--- a/routing/src/placement/backoff.rs
+++ b/routing/src/placement/backoff.rs
@@ -1,13 +1,13 @@
-//! Exponential back-off from a server that could not be connected to.
+//! Exponential back-off for connects to a server.
 
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
-/// The back-off after the first failure; it doubles with each further one.
+/// The back-off after the first failure; it doubles with each consecutive failure.
 const INITIAL_BACKOFF: Nanos = 250 * MILLISECOND;
-/// How often it doubles at most.
+/// The maximum number of times that the back-off doubles.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// The back-off from one server.
+/// The back-off state of one server.
 #[derive(Debug, Default)]
 pub(super) struct ConnectBackoff {
     consecutive_failures: u32,
@@ -19,7 +19,7 @@
         now < self.until
     }
 
-    /// Whether the last attempt to connect has failed.
+    /// Whether a connect has failed since the last response from the server, or the server was replaced.
     pub(super) fn has_failed(&self) -> bool {
         self.consecutive_failures > 0
     }
@@ -29,7 +29,7 @@
         self.consecutive_failures += 1;
     }
 
-    /// Notes that the server is gone for good.
+    /// Records that the server was replaced by another instance: requests are never sent to it again.
     pub(super) fn record_replaced(&mut self) {
         self.until = Nanos::MAX;
         self.consecutive_failures += 1;
@@ -39,7 +39,7 @@
         *self = Self::default();
     }
 
-    /// Notes that a request is sent. After a failure one request at a time tries the server.
+    /// Records that a request is sent. After a failure, only one request at a time is sent to the server until it has responded.
     pub(super) fn record_send(&mut self, now: Nanos) {
         if self.has_failed() {
             self.until = self.until.max(now + INITIAL_BACKOFF);
--- a/routing/src/placement/mod.rs
+++ b/routing/src/placement/mod.rs
@@ -1,6 +1,6 @@
-//! Which servers of a service a request may be sent to, and the latency that it would meet there: home regions, slow start, back-off
-//! from unreachable servers, and the queues and prefix caches of model servers. The load balancer takes this as advice and chooses
-//! the region and the server.
+//! The servers of a service that a request may be sent to, and its expected latency at each: home regions, slow start, back-off from
+//! unreachable servers, and the queues and prefix caches of model servers. The load balancer uses this as advice and selects the
+//! region and the server.
 
 mod advisor;
 mod affinity;
--- a/routing/src/placement/region_reachability.rs
+++ b/routing/src/placement/region_reachability.rs
@@ -1,28 +1,28 @@
-//! Whether a region can be reached at all. A router that is partitioned from a region would otherwise find out about each of its
-//! servers by a connect of its own, and a request would spend its time on several of them.
+//! Whether a region is reachable at all. Without this, a router that is partitioned from a region would have to detect the failure of
+//! each of the region's servers by a connect of its own, and a request would use up its deadline on several of these connects.
 
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
-/// So many servers of a region that fail one after the other, with no response from any, mean that the region can't be reached.
+/// The number of servers of a region that fail without a response from any in between, from which on the region counts as unreachable.
 const MAX_FAILED_SERVERS: u32 = 4;
-/// Time between two trials of a region that can't be reached.
+/// Minimum time between two probes of an unreachable region. A probe is an ordinary request that is sent there.
 const PROBE_INTERVAL: Nanos = 250 * MILLISECOND;
 
-/// What is known of the way to one region.
+/// The reachability of one region.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RegionReachability {
-    /// Servers that have failed since the last response.
+    /// The number of servers that have failed since the last response from the region.
     failed_servers: u32,
     next_probe_at: Nanos,
 }
 
 impl RegionReachability {
-    /// Whether a request may be sent there: the region can be reached as far as is known, or it is time for a trial.
+    /// Whether a request may be sent to the region: it is not known to be unreachable, or a probe is due.
     fn allows(&self, now: Nanos) -> bool {
         self.failed_servers < MAX_FAILED_SERVERS || now >= self.next_probe_at
     }
 
-    /// Notes that a server could not be connected to that had not failed before.
+    /// Records the first failed connect to a server since its last response.
     pub(super) fn record_server_failure(&mut self, now: Nanos) {
         self.failed_servers += 1;
         self.next_probe_at = now + PROBE_INTERVAL;
@@ -32,21 +32,22 @@
         self.failed_servers = 0;
     }
 
-    /// Notes that a request is sent there. Where the region could not be reached it is the one trial.
+    /// Records that a request is sent to the region. If the region is unreachable, this request is the probe, and no other request is
+    /// sent until the next probe is due.
     pub(super) fn record_send(&mut self, now: Nanos) {
         self.next_probe_at = now + PROBE_INTERVAL;
     }
 }
 
-/// What is known of the ways to all regions.
+/// The reachability of all regions.
 #[derive(Debug)]
 pub(super) struct Reachability {
-    /// By region; the last one is for all regions that the settings do not name.
+    /// By region index; the last element is for all regions that are not in the settings.
     by_region: Vec<RegionReachability>,
 }
 
 impl Reachability {
-    /// All of so many regions can be reached, as far as is known.
+    /// Creates the state for this number of regions, none of which is known to be unreachable.
     pub(super) fn new(regions: u32) -> Self {
         Self { by_region: vec![RegionReachability::default(); regions as usize + 1] }
     }
--- a/routing/src/placement/request.rs
+++ b/routing/src/placement/request.rs
@@ -1,4 +1,4 @@
-//! A request that is placed, and its attempt at a server.
+//! A request of a service, and its current attempt at a server.
 
 use ivyhatch_balancer::BackendId;
 use ivyhatch_protocol::Nanos;
@@ -7,14 +7,15 @@
 
 use super::affinity::PreferredServers;
 
-/// A set of regions, a bit for each of the deployment's regions by its index. Regions from [`RegionSet::BITS`] on are in every set.
+/// A set of regions as a bit mask: bit `i` is the region with index `i`. Regions with an index of at least [`RegionSet::BITS`] are in
+/// every set.
 pub type RegionSet = u64;
 
 /// A request's attempt at a server.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Attempt {
     pub(super) backend: BackendId,
-    /// Tokens that the server had to prefill for it, as known when it was sent.
+    /// The estimated number of tokens that the server has to prefill, as of when the request was sent.
     pub(super) uncached_tokens: u32,
     /// Whether the response has begun.
     pub(super) has_begun: bool,
@@ -25,7 +26,7 @@
 pub(super) struct PlacedRequest {
     pub(super) home_regions: RegionSet,
     pub(super) prompt: Prompt,
-    /// The time in which its first token is to come.
+    /// The target for the time to the first token.
     pub(super) latency_target: Nanos,
     pub(super) preferred: PreferredServers,
     pub(super) attempt: Option<Attempt>,
--- a/routing/src/placement/server.rs
+++ b/routing/src/placement/server.rs
@@ -1,4 +1,4 @@
-//! One server of a service, with all that a router knows of it.
+//! The state that a router keeps for one server of a service.
 
 use ivyhatch_balancer::BackendId;
 use ivyhatch_protocol::Nanos;
@@ -12,21 +12,21 @@
 use super::backoff::ConnectBackoff;
 use super::slow_start::SlowStart;
 
-/// A server as the server list has it.
+/// The data of a server from the server list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListedServer<'a> {
-    /// Its id in the server list.
+    /// The id of the server in the server list.
     pub name: &'a str,
-    /// Index of its region.
+    /// The index of the server's region.
     pub region: u32,
-    /// End of its slow start; 0 where it is in none.
+    /// The end of the server's slow start; 0 if it is not in slow start.
     pub slow_start_until: Nanos,
-    /// Its zone was evacuated when the router last had contact with a quorum: it is used, within the limits of slow start, only
-    /// where no other server can be reached.
+    /// Whether the server's zone was evacuated when the router last had contact with a quorum. Such a server is used, within the
+    /// limits of slow start, only if no other server is reachable.
     pub is_last_resort: bool,
 }
 
-/// A server.
+/// A server of a service with its back-off, queue and cache state.
 #[derive(Debug, Default)]
 pub(super) struct Server {
     pub(super) region: u32,
@@ -47,7 +47,7 @@
         self.slow_start.extend_until(listed.slow_start_until);
     }
 
-    /// The server in datagrams between routers.
+    /// The key that identifies the server in the load reports exchanged between routers.
     pub(super) fn load_key(&self) -> u32 {
         server_key(self.name_hash)
     }
--- a/routing/src/placement/service_placement.rs
+++ b/routing/src/placement/service_placement.rs
@@ -1,4 +1,4 @@
-//! The placement of one service: its servers and requests, and the rules by which they are matched.
+//! The placement of one service: its servers, its requests, and the rules that decide which server may get which request.
 
 use std::collections::HashMap;
 
@@ -17,25 +17,27 @@
 use super::server::{ListedServer, Server};
 use super::slow_start::{self, SlowStartLimit};
 
-/// A prompt may take so many times its latency target at a server that has requests of this router; it goes elsewhere or is
-/// rejected beyond that.
+/// The maximum ratio of the expected latency to the latency target at a server that has requests. A request above it is sent to
+/// another server or rejected.
 const MAX_LATENCY_TARGET_RATIO: f64 = 1.25;
-/// Weight of the time in which shared segments would be prefilled again, against time in a queue: it delays others as well.
+/// Weight of the time to prefill shared segments that another server has cached, relative to queueing time: this prefill delays the
+/// other requests at the server as well.
 const REPEATED_PREFILL_WEIGHT: f64 = 4.0;
 
-/// What is added to the expected latency of a server that could not be connected to and has not answered since, in nanoseconds: the
-/// request would probably have to be sent to another one after all.
+/// Penalty in nanoseconds on the expected latency at a server that has not responded since a failed connect: the request would
+/// probably have to be retried at another server.
 const FAILED_SERVER_PENALTY_NS: f64 = 250.0 * MILLISECOND as f64;
 
-/// What a new connection weighs against latency, in nanoseconds: it costs a round trip, and servers accept only so many.
+/// Penalty in nanoseconds on the expected latency at a server without an idle connection: a new connection costs a round trip, and
+/// the servers limit the number of connections.
 const NEW_CONNECTION_COST_NS: f64 = 20.0 * MILLISECOND as f64;
 
 /// The settings of a service, from the configuration.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceSettings {
-    /// Whether its servers run a language model, so that requests are placed by their time to the first token.
+    /// Whether the service's servers run a language model. If so, requests are placed by their expected time to the first token.
     pub is_model: bool,
-    /// The limit on servers in slow start.
+    /// The limit on the requests to servers in slow start.
     pub slow_start: SlowStartLimit,
 }
 
@@ -45,7 +47,7 @@
     home_region: u32,
     regions: u32,
     settings: ServiceSettings,
-    /// None as long as the number of routers is not known.
+    /// `None` until the number of routers is known.
     router_share: Option<RouterShare>,
     /// When the router's process started.
     started_at: Nanos,
@@ -56,7 +58,7 @@
 }
 
 impl Placement {
-    /// A placement without servers, for a router in the region with index `home_region` of `regions`.
+    /// Creates a placement without servers for a router in the region with the index `home_region`; `regions` is the number of regions.
     pub fn new(home_region: u32, regions: u32) -> Self {
         Self {
             home_region,
@@ -71,28 +73,28 @@
         }
     }
 
-    /// Takes the service's settings.
+    /// Sets the service's settings.
     pub fn configure(&mut self, settings: ServiceSettings) {
         self.settings = settings;
     }
 
-    /// Takes when the router's process started. It sends nothing to servers in slow start for the time in which the requests of the
-    /// process before it may count: it has the same share as that one had.
+    /// Sets the time when the router's process started. For one rate window after it, the router sends nothing to servers in slow
+    /// start: the requests of its previous process may still count in that window, and both processes have the same share.
     pub fn set_started_at(&mut self, started_at: Nanos) {
         self.started_at = started_at;
     }
 
-    /// Takes this router's share of what servers in slow start may be sent.
+    /// Sets this router's share of the limit on requests to servers in slow start.
     pub fn set_router_share(&mut self, share: RouterShare) {
         self.router_share = Some(share);
     }
 
-    /// Adds a server of the server list, or updates it. A slow start that is known of is not shortened.
+    /// Adds a server of the server list, or updates it. A slow start in progress is not shortened.
     pub fn upsert_server(&mut self, id: BackendId, listed: ListedServer<'_>) {
         self.servers.entry(id).or_default().update(listed);
     }
 
-    /// Begins a server's slow start anew: its caches may have turned cold just now.
+    /// Restarts a server's slow start, because its caches may be cold.
     pub fn restart_slow_start(&mut self, now: Nanos, id: BackendId) {
         let until = now + self.settings.slow_start.duration;
         if let Some(server) = self.servers.get_mut(&id) {
@@ -100,12 +102,12 @@
         }
     }
 
-    /// Removes a server that is not in the server list any more.
+    /// Removes a server that is no longer in the server list.
     pub fn remove_server(&mut self, id: BackendId) {
         self.servers.remove(&id);
     }
 
-    /// Adds a request that has come in. Its first token is to come within `latency_target`.
+    /// Adds a new request. `latency_target` is the target for its time to the first token.
     pub fn add_request(
         &mut self,
         id: RequestId,
@@ -124,20 +126,20 @@
         self.requests.insert(id, request);
     }
 
-    /// Removes a request that has ended, with its attempt.
+    /// Removes a request that has ended, and ends its attempt.
     pub fn remove_request(&mut self, id: RequestId) {
         self.end_attempt(id);
         self.requests.remove(&id);
     }
 
-    /// Takes a server's report of its load.
+    /// Records a server's report of its load. A report from an unknown server is ignored.
     pub fn record_load_report(&mut self, now: Nanos, from: BackendId, load: LoadReport) {
         if let Some(server) = self.servers.get_mut(&from) {
             server.queue.record_load_report(now, load);
         }
     }
 
-    /// What this router has at the servers, for the other routers.
+    /// The load that this router has at the servers, to be reported to the other routers. Servers without requests are left out.
     pub fn local_loads(&self) -> Vec<ServerLoad> {
         let loaded = self.servers.values().filter(|server| server.queue.in_flight() > 0);
         let load = |server: &Server| {
@@ -146,7 +148,8 @@
         loaded.map(load).collect()
     }
 
-    /// Takes what all other routers have at the servers, by [`ServerLoad::server`].
+    /// Records the total load that the other routers have at the servers. `loads` is keyed by [`ServerLoad::server`]; a server that is
+    /// missing in it has no load of other routers.
     pub fn record_peer_loads(&mut self, now: Nanos, loads: &HashMap<u32, ServerLoad>) {
         for server in self.servers.values_mut() {
             let load = loads.get(&server.load_key()).copied().unwrap_or_default();
@@ -154,14 +157,14 @@
         }
     }
 
-    /// Takes which servers there is an idle connection to.
+    /// Records for each server whether the router has an idle connection to it.
     pub fn record_idle_connections(&mut self, has_idle_connection: impl Fn(BackendId) -> bool) {
         for (id, server) in &mut self.servers {
             server.has_idle_connection = has_idle_connection(*id);
         }
     }
 
-    /// Notes that a request's response has begun, `elapsed` after it was sent. Only the first time counts for each attempt.
+    /// Records that a request's response has begun, `elapsed` after the request was sent. Further calls for the same attempt are ignored.
     pub fn record_first_token(&mut self, now: Nanos, id: RequestId, elapsed: Nanos) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = request.attempt.as_mut().filter(|attempt| !attempt.has_begun) else { return };
@@ -174,7 +177,7 @@
         }
     }
 
-    /// Notes that a server could not be connected to.
+    /// Records a failed connect to a server.
     pub fn record_connect_failure(&mut self, now: Nanos, id: BackendId) {
         if let Some(server) = self.servers.get_mut(&id) {
             let had_failed = server.backoff.has_failed();
@@ -185,14 +188,15 @@
         }
     }
 
-    /// Notes that another instance has a server's address: the server is gone, though the list may have it for some time.
+    /// Records that another instance now has a server's address. The server no longer exists, though the server list may still contain
+    /// it for some time.
     pub fn record_replaced(&mut self, id: BackendId) {
         if let Some(server) = self.servers.get_mut(&id) {
             server.backoff.record_replaced();
         }
     }
 
-    /// Notes that a server has answered.
+    /// Records that a server has responded.
     pub fn record_response(&mut self, id: BackendId) {
         if let Some(server) = self.servers.get_mut(&id) {
             server.backoff.record_success();
@@ -200,7 +204,7 @@
         }
     }
 
-    /// Notes that a request's attempt has ended; one that has ended before is left alone.
+    /// Records that a request's attempt has ended. Idempotent: without a current attempt nothing changes.
     pub fn end_attempt(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = request.attempt.take() else { return };
@@ -212,7 +216,7 @@
         }
     }
 
-    /// What was known of a request's server when it was sent there, as `key=value` pairs for the log.
+    /// Describes a request's current attempt and the server's state as `key=value` pairs for the log; `None` if there is no attempt.
     pub fn describe_attempt(&self, id: RequestId) -> Option<String> {
         let request = self.requests.get(&id)?;
         let attempt = request.attempt?;
@@ -228,13 +232,13 @@
         ))
     }
 
-    /// A server's utilisation, where it runs a model: 1 where all its capacity is in use.
+    /// The utilisation of a model server: 1 if all its capacity is in use. `None` if the server is unknown or the service runs no model.
     pub fn utilisation(&self, id: BackendId) -> Option<f64> {
         let server = self.servers.get(&id).filter(|_| self.settings.is_model)?;
         Some(server.queue.utilisation(&self.model))
     }
 
-    /// Notes that a request is sent to a server.
+    /// Records that a request is sent to a server.
     pub(super) fn record_send(&mut self, now: Nanos, id: RequestId, backend: BackendId) {
         let uncached_tokens = self.uncached_tokens(now, id, backend);
         let Some(server) = self.servers.get_mut(&backend) else { return };
@@ -247,7 +251,7 @@
         }
     }
 
-    /// Whether a request may be sent to a server now. A request that is not known here may be sent to any server that is.
+    /// Whether a request may be sent to a server now. A request that was not added may be sent to any known server.
     pub(super) fn allows(&self, now: Nanos, id: RequestId, backend: BackendId) -> bool {
         let Some(server) = self.servers.get(&backend) else { return false };
         let Some(request) = self.requests.get(&id) else { return true };
@@ -259,8 +263,8 @@
             && self.is_within_latency_target(now, id, backend)
     }
 
-    /// The expected time to the first token of a request at a model server, in nanoseconds, with the weight of prefill that is
-    /// done there though another server has its result cached.
+    /// The cost of sending a request to a model server, in nanoseconds: the expected time to the first token, plus the weighted cost
+    /// of prefilling again what another server has cached, plus the penalties for a failed server and for a new connection.
     pub(super) fn expected_delay(&self, now: Nanos, id: RequestId, backend: BackendId) -> Option<f64> {
         let server = self.servers.get(&backend).filter(|_| self.settings.is_model)?;
         let uncached_tokens = self.uncached_tokens(now, id, backend);
@@ -279,7 +283,7 @@
         self.requests.get(&id).is_none_or(|request| request.allows_region(self.home_region))
     }
 
-    /// Whether any server but those of last resort can be reached in the request's regions.
+    /// Whether any server in the request's regions, except those of last resort, has not failed.
     fn has_regular_server(&self, request: &PlacedRequest) -> bool {
         let is_usable = |server: &Server| {
             !server.is_last_resort && !server.backoff.has_failed() && request.allows_region(server.region)
@@ -299,8 +303,8 @@
         server.slow_start.recent_sends(now) < limit.for_router(self.router_share, server.name_hash)
     }
 
-    /// Whether a model server can be expected to answer in time. One without requests is always tried, as nothing else would show
-    /// that it can.
+    /// Whether a model server is expected to meet the latency target of a request. An idle server is always allowed, because only a
+    /// request can show that the server meets the target.
     fn is_within_latency_target(&self, now: Nanos, id: RequestId, backend: BackendId) -> bool {
         let (Some(server), Some(request)) = (self.servers.get(&backend), self.requests.get(&id)) else {
             return true;
@@ -313,13 +317,13 @@
         latency <= MAX_LATENCY_TARGET_RATIO * request.latency_target as f64
     }
 
-    /// Tokens of a request's prompt that a server would have to prefill; 0 where one of them is not known.
+    /// The number of tokens of a request's prompt that a server would have to prefill; 0 if the request or the server is unknown.
     fn uncached_tokens(&self, now: Nanos, id: RequestId, backend: BackendId) -> u32 {
         let (Some(request), Some(server)) = (self.requests.get(&id), self.servers.get(&backend)) else {
             return 0;
         };
         let uncached_by_own_requests = server.cache.uncached_tokens(now, &request.prompt);
-        // Other routers prefer the same server for this prefix: what they have sent there is cached as well.
+        // Other routers prefer the same server for this prefix, so it is cached there also if this router has not sent it.
         if request.preferred.contains(server.region, backend) {
             uncached_by_own_requests.min(request.prompt.unshared_tokens())
         } else {
--- a/routing/src/placement/slow_start.rs
+++ b/routing/src/placement/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: a server whose caches are cold is sent only so many requests a second, by all routers together.
+//! Slow start: the total rate of requests that all routers send to a server with cold caches is limited.
 
 use std::collections::VecDeque;
 
@@ -6,17 +6,17 @@
 
 use crate::router_share::RouterShare;
 
-/// The window in which a server's requests are counted: a second, and a tenth for requests that are delayed on the way.
+/// The window in which the requests to a server are counted: one second, plus 100 ms for requests that are delayed in the network.
 pub(super) const WINDOW: Nanos = 1100 * MILLISECOND;
-/// The part of the limit that is used; the rest is for routers that are not known of yet.
+/// The fraction of the limit that is divided among the known routers; the rest is reserved for routers that are not yet known.
 const USED_FRACTION: f64 = 0.85;
 
-/// The limit on a service's servers in slow start.
+/// The limit on requests to each server of a service that is in slow start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlowStartLimit {
-    /// Requests a second to one server, over all routers; 0 where there is no limit.
+    /// Requests per second to one server, in total over all routers; 0 means no limit.
     pub requests_per_second: f64,
-    /// How long a server may be in slow start after an evacuation of its zone has been withdrawn.
+    /// The duration of a server's slow start after the evacuation of its zone has been withdrawn.
     pub duration: Nanos,
 }
 
@@ -25,9 +25,9 @@
         self.requests_per_second > 0.0
     }
 
-    /// Requests a second that one router may send to the server with this hash. The shares of all routers add up to the limit and
-    /// no more: the remainder of the division goes to some of the routers, to others for each server. A router that does not know
-    /// its share has none.
+    /// Requests per second that one router may send to the server with this hash. The shares of all routers add up to the usable
+    /// part of the limit and not more: the remainder of the division is given to some of the routers, to different ones for
+    /// different servers. A router that does not know its share may send none.
     pub(super) fn for_router(&self, share: Option<RouterShare>, server_hash: u64) -> usize {
         let Some(share) = share else { return 0 };
         let (routers, index) = (u64::from(share.count.max(1)), u64::from(share.index));
@@ -38,7 +38,7 @@
     }
 }
 
-/// The slow start of one server.
+/// The slow start state of one server.
 #[derive(Debug, Default)]
 pub(super) struct SlowStart {
     until: Nanos,
@@ -46,7 +46,7 @@
 }
 
 impl SlowStart {
-    /// Prolongs the slow start; one that lasts longer already is not shortened.
+    /// Extends the slow start to `until`; a later end is kept.
     pub(super) fn extend_until(&mut self, until: Nanos) {
         self.until = self.until.max(until);
     }
@@ -55,7 +55,8 @@
         now < self.until
     }
 
-    /// Notes that a request is sent. Requests are counted at all times, as a server may turn cold after they were sent.
+    /// Records that a request is sent. Requests are counted outside slow start as well, because a slow start may begin after they were
+    /// sent.
     pub(super) fn record_send(&mut self, now: Nanos) {
         self.sent_at.push_back(now);
         while self.sent_at.front().is_some_and(|sent_at| now >= sent_at + WINDOW) {
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Requests that were sent within the window.
+    /// The number of requests that were sent within the window before `now`.
     pub(super) fn recent_sends(&self, now: Nanos) -> usize {
         self.sent_at.iter().filter(|sent_at| now < *sent_at + WINDOW).count()
     }
--- a/routing/src/prefix_cache.rs
+++ b/routing/src/prefix_cache.rs
@@ -1,5 +1,5 @@
-//! A router's estimate of a model server's prefix (KV) cache: a segment of a prompt is not prefilled again where it is cached,
-//! provided that every segment before it is cached as well.
+//! A router's estimate of the contents of a model server's prefix (KV) cache. The server does not prefill a cached segment of a prompt
+//! again if every segment before it is cached as well.
 
 use std::collections::HashMap;
 
@@ -7,25 +7,25 @@
 
 use crate::prompt::{Prompt, PromptSegment, total_tokens};
 
-/// Segments that are remembered of a server.
+/// The number of segments per server above which the least recently used half is evicted.
 const MAX_SEGMENTS: usize = 4096;
-/// A segment that was not used for so long is taken for evicted.
+/// A segment that has not been used for this time is assumed to be evicted by the server.
 const SEGMENT_LIFETIME: Nanos = 90 * SECOND;
 
-/// The segments that a server has cached, as far as this router's own requests show it.
+/// The segments that a server has presumably cached, derived from this router's own requests to it.
 #[derive(Debug, Default)]
 pub struct PrefixCache {
     last_used_at: HashMap<u64, Nanos>,
 }
 
 impl PrefixCache {
-    /// Tokens of a prompt that the server has to prefill.
+    /// The number of tokens of a prompt that the server has to prefill.
     pub fn uncached_tokens(&self, now: Nanos, prompt: &Prompt) -> u32 {
         let cached_prefix = prompt.segments.iter().take_while(|segment| self.is_cached(now, segment));
         prompt.tokens.saturating_sub(total_tokens(cached_prefix))
     }
 
-    /// Notes that the server has prefilled a prompt.
+    /// Records that the server has prefilled a prompt.
     pub fn insert(&mut self, now: Nanos, prompt: &Prompt) {
         for segment in &prompt.segments {
             self.last_used_at.insert(segment.id, now);
@@ -46,7 +46,7 @@
         let (_, median, _) = used_at.select_nth_unstable(middle);
         let median = *median;
         self.last_used_at.retain(|_, used_at| *used_at > median || *used_at == now);
-        // One prompt may have more segments than are remembered: all of them are as new.
+        // The segments of one prompt are equally recent, and may alone exceed the limit: then the whole estimate is dropped.
         if self.last_used_at.len() > 2 * MAX_SEGMENTS {
             self.last_used_at.clear();
         }
--- a/routing/src/prompt.rs
+++ b/routing/src/prompt.rs
@@ -1,30 +1,31 @@
-//! A request's prompt as its headers describe it: segments that requests may share, and counts of tokens.
+//! The prompt of a request as described by the request's headers: segments that several requests may share, and token counts.
 
 use ivyhatch_protocol::hash::{fnv1a_hash, hash_mix};
 
-/// A part of a prompt. Two requests share a prefix where their first segments have the same ids.
+/// A part of a prompt. Two requests share a prefix if their first segments have the same ids.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptSegment {
-    /// Hash of the segment's id and the model: models do not share caches.
+    /// Hash of the model and of the segment's id in the header: models do not share caches.
     pub id: u64,
-    /// Its length in tokens.
+    /// The length of the segment in tokens.
     pub tokens: u32,
 }
 
-/// A prompt; the default is that of a request without headers of this kind.
+/// A prompt; the default value is used for a request without prompt headers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Its segments, in order. The last one is the request's own.
+    /// The segments in order. The last segment is used by this request only.
     pub segments: Vec<PromptSegment>,
-    /// Its length in tokens.
+    /// The length of the prompt in tokens.
     pub tokens: u32,
-    /// The most tokens to be decoded.
+    /// The maximum number of output tokens.
     pub max_output_tokens: u32,
 }
 
 impl Prompt {
-    /// Parses the headers: `prefix` as `ID:TOKENS`, separated by commas, with the id in hexadecimal; `counts` as prompt tokens and
-    /// output tokens. The headers are advice: what can't be parsed is left out, and a missing length is that of all segments.
+    /// Parses the prompt headers. `prefix` is a comma-separated list of `ID:TOKENS` with a hexadecimal id; `counts` is the number of
+    /// prompt tokens and the maximum number of output tokens. The headers are hints: parts that cannot be parsed are ignored, and a
+    /// missing number of prompt tokens defaults to the total of the segments.
     pub fn from_headers(model: &str, prefix: Option<&str>, counts: Option<&str>) -> Self {
         let model_hash = fnv1a_hash(model.as_bytes());
         let segments: Vec<PromptSegment> = prefix
@@ -38,20 +39,20 @@
         Self { segments, tokens, max_output_tokens }
     }
 
-    /// Tokens of the last segment, which no other request shares.
+    /// The number of tokens of the last segment, which is not shared with other requests; without segments, of the whole prompt.
     pub fn unshared_tokens(&self) -> u32 {
         self.segments.last().map_or(self.tokens, |segment| segment.tokens)
     }
 
-    /// The segment by which requests are kept together for the prefix cache: the last one that others share. None where there is no
-    /// segment but the request's own.
+    /// The id of the last shared segment: requests with the same key prefer the same server, so that its prefix cache is used. `None`
+    /// if the request has no shared segment.
     pub fn affinity_key(&self) -> Option<u64> {
         let index = self.segments.len().checked_sub(2)?;
         self.segments.get(index).map(|segment| segment.id)
     }
 }
 
-/// The sum of the segments' tokens; it does not overflow, whatever the headers say.
+/// The total number of tokens of the segments. Saturates, since the counts come from request headers.
 pub(crate) fn total_tokens<'a>(segments: impl IntoIterator<Item = &'a PromptSegment>) -> u32 {
     segments.into_iter().fold(0, |sum: u32, segment| sum.saturating_add(segment.tokens))
 }
--- a/routing/src/route_table.rs
+++ b/routing/src/route_table.rs
@@ -1,8 +1,8 @@
 //! The routes, services and limits in force, and the route of a request by host and longest path prefix.
 //!
-//! A change is applied item by item, so that a small change of a large configuration costs little. To parse the items of a large
-//! change is most of its cost: a [`PreparedChange`] does it a few items at a time beforehand. The change itself is then made at once,
-//! so that no request sees half of it.
+//! A change is applied item by item, so that a small change to a large configuration is cheap. Most of the cost of a large change is
+//! parsing: a [`PreparedChange`] parses its items in advance, a few at a time, so that the router is not blocked. The parsed change is
+//! then committed in one step, so that no request sees a partly applied change.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -14,9 +14,9 @@
 const SERVICES: &str = "services";
 const LIMITS: &str = "limits";
 
-/// An item that can't be parsed. The control plane has validated it before, so it is of another release.
+/// A configuration item that cannot be parsed. The control plane has validated the item, so it was written by another release.
 #[derive(Debug, thiserror::Error)]
-#[error("{section}: {name:?} can't be read ({error}): bring all machines to one release")]
+#[error("{section}: item {name:?} cannot be parsed: {error}; run the same release on all machines")]
 pub struct UnreadableItem {
     section: &'static str,
     name: String,
@@ -27,13 +27,13 @@
 #[derive(Debug, Default)]
 pub struct RouteTable {
     routes: HashMap<String, Rc<Route>>,
-    /// Routes by host in lower case, then by path prefix.
+    /// Routes by lower-case host, then by path prefix.
     by_host: HashMap<String, HashMap<String, Rc<Route>>>,
     services: HashMap<String, Service>,
     limits: RequestLimits,
 }
 
-/// A change whose items are being parsed, some at a time.
+/// A configuration change whose items are parsed in steps before the change is committed.
 #[derive(Debug)]
 pub struct PreparedChange {
     removed_routes: Vec<String>,
@@ -47,7 +47,7 @@
 }
 
 impl PreparedChange {
-    /// A change of which no route and no service has been parsed yet.
+    /// Creates a prepared change with no route or service parsed yet; the limits are parsed at once.
     pub fn new(mut change: Change) -> Self {
         let mut prepared = Self {
             removed_routes: change.remove.remove(ROUTES).unwrap_or_default(),
@@ -65,7 +65,7 @@
         prepared
     }
 
-    /// Parses at most `max_items` of the items that are left. Returns whether all have been parsed.
+    /// Parses at most `max_items` of the remaining items. Returns whether all items have been parsed.
     pub fn parse_items(&mut self, max_items: usize) -> bool {
         for _ in 0..max_items {
             if let Some(item) = self.unparsed_routes.next() {
@@ -81,7 +81,7 @@
         self.unparsed_routes.len() + self.unparsed_services.len() == 0
     }
 
-    /// Parses one item; one that can't be parsed is kept aside for the caller of [`RouteTable::commit`].
+    /// Parses one item. An item that cannot be parsed is recorded, to be returned by [`RouteTable::commit`].
     fn parse<T: DeserializeOwned>(&mut self, section: &'static str, name: &str, json: &str) -> Option<T> {
         match serde_json::from_str(json) {
             Ok(parsed) => Some(parsed),
@@ -94,12 +94,13 @@
 }
 
 impl RouteTable {
-    /// Parses a change and applies it. Returns the items that can't be parsed; these stay as they were.
+    /// Parses a change and applies it. Returns the items that cannot be parsed; their previous versions stay in force.
     pub fn apply(&mut self, change: &Change) -> Vec<UnreadableItem> {
         self.commit(PreparedChange::new(change.clone()))
     }
 
-    /// Applies a change, after parsing what is left of it. Returns the items that can't be parsed; these stay as they were.
+    /// Applies a change, after parsing its remaining items. Returns the items that cannot be parsed; their previous versions stay in
+    /// force.
     pub fn commit(&mut self, mut change: PreparedChange) -> Vec<UnreadableItem> {
         change.parse_items(usize::MAX);
         for name in &change.removed_routes {
@@ -108,7 +109,7 @@
         for name in &change.removed_services {
             self.services.remove(name);
         }
-        // Two routes may swap their prefixes: all are removed before any is added.
+        // Routes may swap their prefixes in one change: all changed routes are removed before any is added.
         for route in &change.routes {
             self.remove_route(&route.name);
         }
@@ -141,35 +142,35 @@
         }
     }
 
-    /// The route of a request: among those of its host, the one with the longest prefix of its path. `host` is the value of the
-    /// `Host` field, with or without a port, in any case (RFC 9110, sections 7.2 and 4.2.3).
+    /// The route of a request: among the routes of the host, the one with the longest prefix of the path. `host` is the value of the
+    /// `Host` field, with or without a port, in upper or lower case (RFC 9110, sections 7.2 and 4.2.3).
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         let name = without_port(host);
         let prefixes = match self.by_host.get(name) {
             Some(prefixes) => prefixes,
             None => self.by_host.get(&name.to_ascii_lowercase())?,
         };
-        // A prefix ends with a slash: one can end at each slash of the path, and the longest is wanted.
+        // Every prefix ends with a slash, so the slashes of the path are tried from the last to the first: longest prefix first.
         let slashes = path.bytes().enumerate().rev().filter(|(_, byte)| *byte == b'/');
         slashes.into_iter().find_map(|(index, _)| prefixes.get(&path[..=index]))
     }
 
-    /// The service with this name.
+    /// The service with this name; `None` if it is not configured.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// All services, in no order.
+    /// All services, in arbitrary order.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.services.values()
     }
 
-    /// All routes, in no order.
+    /// All routes, in arbitrary order.
     pub fn routes(&self) -> impl Iterator<Item = &Rc<Route>> {
         self.routes.values()
     }
 
-    /// The limits on requests; the defaults where the configuration names none.
+    /// The limits on requests; the defaults if the configuration sets none.
     pub fn limits(&self) -> RequestLimits {
         self.limits
     }
@@ -182,8 +183,8 @@
     }
 }
 
-/// The service to which a request of this route goes. A split is by weight, and `draw`, a random number from 0 to 1, decides; a
-/// service of weight 0 is never chosen.
+/// The service to which a request of this route is sent. If the route is split, the service is selected by `draw`, a random number
+/// from 0 to 1, in proportion to the weights; a service of weight 0 is never selected.
 pub fn select_service(route: &Route, draw: f64) -> Option<&str> {
     if route.split.is_empty() {
         return route.service.as_deref();
@@ -196,6 +197,6 @@
             return Some(&part.service);
         }
     }
-    // A draw of 1, or the sum's rounding.
+    // Reached if `draw` is 1, or by a rounding error of the sum.
     route.split.iter().rfind(|part| part.weight > 0.0).map(|part| part.service.as_str())
 }
--- a/routing/src/time_to_first_token.rs
+++ b/routing/src/time_to_first_token.rs
@@ -1,55 +1,56 @@
-//! The expected time to the first token (TTFT) at a model server, from what a router sees: its own requests there that have not
-//! begun, the load that the server reports, and how long earlier first tokens took.
+//! The expected time to the first token (TTFT) at a model server, estimated from what a router can observe: its own requests at the
+//! server whose responses have not begun, the load that the server and the other routers report, and the times to earlier first tokens.
 //!
-//! An engine prefills prompts one after another and decodes for all running requests meanwhile. The model is linear:
+//! An engine prefills prompts one after another, and decodes for all running requests at the same time. The model is linear:
 //!
 //! TTFT = base latency + (queued tokens + own uncached tokens) / prefill rate
 //!
-//! The base latency is that of the shortest prompt, by region, as it contains the network's round trip. Both it and the rate are
-//! learned from samples by exponential moving averages.
+//! The base latency is that of the shortest prompt. It is kept per region, since it includes the network round trip. The base latency
+//! and the prefill rate are learned from samples by exponential moving averages.
 
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
 use crate::load_report::LoadReport;
 
-/// Prefill rate of an average engine, in tokens a millisecond, before anything is known.
+/// Prefill rate in tokens per millisecond that is assumed before the first sample.
 const INITIAL_TOKENS_PER_MS: f64 = 100.0;
-/// Bounds of the learned prefill rate, in tokens a millisecond.
+/// Bounds of the learned prefill rate, in tokens per millisecond.
 const MIN_TOKENS_PER_MS: f64 = 5.0;
 const MAX_TOKENS_PER_MS: f64 = 5000.0;
-/// Uncached tokens of a prompt from which the rate is learned; the time of a shorter one is mostly base latency.
+/// The minimum number of uncached tokens of a prompt to learn the rate from; for a shorter prompt base latency dominates the time.
 const MIN_TOKENS_FOR_RATE: u32 = 1500;
-/// Weights of a sample above and below the learned rate. Queueing makes a sample slow, nothing makes one fast.
+/// Weights of a sample above and below the learned rate. A slow sample may be due to queueing; a fast sample has no such cause, so
+/// it weighs more.
 const RATE_RISE_WEIGHT: f64 = 0.2;
 const RATE_FALL_WEIGHT: f64 = 0.01;
-/// Base latency in nanoseconds before anything is known.
+/// Base latency in nanoseconds that is assumed before the first sample.
 const INITIAL_BASE_LATENCY_NS: f64 = 30.0 * MILLISECOND as f64;
-/// Weights of a sample above and below the learned base latency, for the same reason.
+/// Weights of a sample above and below the learned base latency. As with the rate, a slow sample may be due to queueing.
 const BASE_LATENCY_RISE_WEIGHT: f64 = 0.01;
 const BASE_LATENCY_FALL_WEIGHT: f64 = 0.3;
-/// Mean uncached tokens of a prompt before anything is known.
+/// Mean number of uncached tokens of a prompt that is assumed before the first sample.
 const INITIAL_MEAN_TOKENS: f64 = 2000.0;
-/// Weight of a sample in the mean wait and in the mean prompt.
+/// Weight of a sample in the mean queueing time and in the mean number of uncached tokens.
 const MEAN_WEIGHT: f64 = 0.1;
-/// A load report counts in full when it comes, less and less after that, and not at all after this time.
+/// The weight of a load report falls linearly from 1 on receipt to 0 after this time.
 const LOAD_REPORT_LIFETIME: Nanos = 600 * MILLISECOND;
-/// What other routers have at a server counts for so long after it was reported.
+/// The load that other routers have at a server is taken into account for this time after it was reported.
 const PEER_LOAD_LIFETIME: Nanos = 500 * MILLISECOND;
-/// Upper bound of the utilisation that a load report can show.
+/// Upper bound of the utilisation that is derived from a load report.
 const MAX_REPORTED_UTILISATION: f64 = 1.2;
 
-/// The latency model of one service, whose engines are alike but for the network's round trip to them.
+/// The latency model of one service. Its engines are assumed to be identical except for the network round trip.
 #[derive(Clone, Debug)]
 pub struct PrefillModel {
     tokens_per_ns: f64,
-    /// Mean uncached tokens of a prompt.
+    /// Mean number of uncached tokens of a prompt.
     mean_tokens: f64,
-    /// Base latency in nanoseconds, by region; the last one is for all regions that the settings do not name.
+    /// Base latency in nanoseconds by region index; the last element is for all regions that are not in the settings.
     base_latency_ns: Vec<f64>,
 }
 
 impl PrefillModel {
-    /// A model of engines in so many regions of which nothing is known yet.
+    /// Creates a model with the initial assumptions, for engines in this number of regions.
     pub fn new(regions: u32) -> Self {
         Self {
             tokens_per_ns: INITIAL_TOKENS_PER_MS / MILLISECOND as f64,
@@ -58,7 +59,7 @@
         }
     }
 
-    /// The time to prefill so many tokens, in nanoseconds.
+    /// The time to prefill this number of tokens, in nanoseconds.
     pub fn prefill_time(&self, tokens: u32) -> f64 {
         f64::from(tokens) / self.tokens_per_ns
     }
@@ -67,7 +68,8 @@
         self.base_latency_ns.get(region as usize).copied().unwrap_or(INITIAL_BASE_LATENCY_NS)
     }
 
-    /// Learns from a first token. Returns how much of its time the model does not explain, in nanoseconds: its wait in a queue.
+    /// Updates the model with the time to a first token. Returns the part of that time that is neither prefill nor base latency, in
+    /// nanoseconds: the queueing time.
     fn learn(&mut self, region: u32, uncached_tokens: u32, elapsed_ns: f64) -> f64 {
         let tokens = f64::from(uncached_tokens);
         let mut base_latency = self.base_latency(region);
@@ -93,21 +95,21 @@
     }
 }
 
-/// The queue of one model server, as a router sees it.
+/// A router's estimate of the queue of one model server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServerQueue {
-    /// Uncached tokens of this router's requests there whose responses have not begun.
+    /// Uncached tokens of this router's requests at the server whose responses have not begun.
     queued_tokens: f64,
-    /// This router's requests there that have not ended.
+    /// This router's requests at the server that have not ended.
     in_flight: u32,
-    /// Mean time that a prompt waited for others, in nanoseconds.
+    /// Mean queueing time of a prompt, in nanoseconds.
     mean_wait_ns: f64,
     load: LoadReport,
     load_reported_at: Option<Nanos>,
     peer_load: PeerLoad,
 }
 
-/// What other routers have at a server, as they reported it some time ago.
+/// The load that the other routers have at a server, as last reported.
 #[derive(Clone, Copy, Debug, Default)]
 struct PeerLoad {
     queued_tokens: f64,
@@ -116,12 +118,12 @@
 }
 
 impl PeerLoad {
-    /// The time since the report; none where that is too long ago to count.
+    /// The time since the report; `None` if the report has expired.
     fn age(&self, now: Nanos) -> Option<Nanos> {
         Some(now.saturating_sub(self.reported_at)).filter(|age| *age < PEER_LOAD_LIFETIME)
     }
 
-    /// The tokens that are still queued: the engine has prefilled meanwhile.
+    /// The estimated number of reported tokens that are still queued: the engine has prefilled since the report.
     fn queued_tokens_at(&self, now: Nanos, model: &PrefillModel) -> f64 {
         let Some(age) = self.age(now) else { return 0.0 };
         (self.queued_tokens - age as f64 * model.tokens_per_ns).max(0.0)
@@ -129,7 +131,7 @@
 }
 
 impl ServerQueue {
-    /// Expected time to the first token of a prompt with so many uncached tokens there, in nanoseconds.
+    /// Expected time to the first token of a prompt with this number of uncached tokens at the server, in nanoseconds.
     pub fn time_to_first_token(
         &self,
         now: Nanos,
@@ -139,33 +141,34 @@
     ) -> f64 {
         let reported_tokens = self.load.waiting * model.mean_tokens * self.load_report_freshness(now);
         let routers_tokens = self.queued_tokens + self.peer_load.queued_tokens_at(now, model);
-        // The routers' requests are among those that the server reports: the greater figure counts, not the sum.
+        // The server's report includes the routers' requests, so the maximum is used and not the sum.
         let queued_tokens = routers_tokens.max(reported_tokens);
         model.base_latency(region) + (queued_tokens + f64::from(uncached_tokens)) / model.tokens_per_ns
     }
 
-    /// This router's requests there that have not ended.
+    /// The number of this router's requests at the server that have not ended.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Whether no router is known to have a request there.
+    /// Whether no router is known to have a request at the server.
     pub fn is_idle(&self, now: Nanos) -> bool {
         self.in_flight == 0 && (self.peer_load.in_flight == 0 || self.peer_load.age(now).is_none())
     }
 
-    /// Notes that a request is sent there.
+    /// Records that a request is sent to the server.
     pub fn record_send(&mut self, uncached_tokens: u32) {
         self.queued_tokens += f64::from(uncached_tokens);
         self.in_flight += 1;
     }
 
-    /// Notes that a request that was sent there has begun to be answered, or has ended before: its prompt delays no other any more.
+    /// Records that the response to a request of this router has begun, or that the request has ended without a response: its prompt
+    /// no longer delays other requests.
     pub fn record_prefill_end(&mut self, uncached_tokens: u32) {
         self.queued_tokens = (self.queued_tokens - f64::from(uncached_tokens)).max(0.0);
     }
 
-    /// Notes that a request that was sent there has ended.
+    /// Records that a request of this router at the server has ended.
     pub fn record_request_end(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if self.in_flight == 0 {
@@ -173,22 +176,22 @@
         }
     }
 
-    /// Takes what other routers have there.
+    /// Records the total load that the other routers have at the server.
     pub fn record_peer_load(&mut self, now: Nanos, queued_tokens: u64, in_flight: u32) {
         self.peer_load = PeerLoad { queued_tokens: queued_tokens as f64, in_flight, reported_at: now };
     }
 
-    /// Prompt tokens of this router's requests there that have no response yet.
+    /// Uncached prompt tokens of this router's requests at the server whose responses have not begun.
     pub fn queued_tokens(&self) -> u64 {
         self.queued_tokens as u64
     }
 
-    /// Takes the server's report of its load.
+    /// Records the server's report of its load.
     pub fn record_load_report(&mut self, now: Nanos, load: LoadReport) {
         (self.load, self.load_reported_at) = (load, Some(now));
     }
 
-    /// Learns from a first token that took `elapsed` from a server in this region.
+    /// Records that the first token of a prompt arrived `elapsed` after the request was sent to this server, which is in `region`.
     pub fn record_first_token(
         &mut self,
         model: &mut PrefillModel,
@@ -200,15 +203,15 @@
         self.mean_wait_ns += (wait_ns - self.mean_wait_ns) * MEAN_WEIGHT;
     }
 
-    /// The server's utilisation, from 0 to 1.2: that of an M/M/1 queue with the mean wait W and the mean
-    /// service time S, which is W / (W + S), or that of its slots where it is higher.
+    /// The server's utilisation, from 0 to 1.2: the greater of the utilisation of an M/M/1 queue with the mean queueing time W and the
+    /// mean service time S, which is W / (W + S), and the reported utilisation of the slots, capped at 1.2.
     pub fn utilisation(&self, model: &PrefillModel) -> f64 {
         let service_time_ns = (model.mean_tokens / model.tokens_per_ns).max(1.0);
         let wait_utilisation = self.mean_wait_ns / (self.mean_wait_ns + service_time_ns);
         wait_utilisation.max(self.load.utilisation().min(MAX_REPORTED_UTILISATION))
     }
 
-    /// Weight of the last load report: 1 when it comes, falling to 0.
+    /// Weight of the last load report: 1 on receipt, falling linearly to 0; 0 if there is no report.
     fn load_report_freshness(&self, now: Nanos) -> f64 {
         let Some(reported_at) = self.load_reported_at else { return 0.0 };
         let age = now.saturating_sub(reported_at) as f64;
--- a/routing/src/watch_client/connections.rs
+++ b/routing/src/watch_client/connections.rs
@@ -1,5 +1,5 @@
-//! The connections to control nodes, and the selection of the nodes to connect to: one in the router's own zone, one in another zone of its
-//! region, and the others elsewhere, each by rendezvous hashing, with a back-off for nodes that can't be reached.
+//! The connections to control nodes, and the selection of the nodes to connect to: one in the router's own zone, one in another zone of
+//! its region, and the others in other regions. Nodes are ranked by rendezvous hashing, with a back-off for unreachable nodes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,49 +10,49 @@
 
 use crate::router_share::RouterShare;
 
-/// Time between two heartbeats to a control node, and between two of its own.
+/// Time between two heartbeats from the router to a control node, and between two heartbeats in the other direction.
 pub(super) const HEARTBEAT_INTERVAL: Nanos = 500 * MILLISECOND;
-/// Control nodes that a router is connected to at once.
+/// Maximum number of control nodes that a router is connected to.
 const MAX_CONNECTIONS: usize = 3;
-/// A control node to which there was no connection for so long makes room for another, if there is one.
+/// A control node that has been disconnected for this time is replaced by another node, if there is one.
 const CONNECT_TIMEOUT: Nanos = 2 * SECOND;
-/// For so long other control nodes are preferred to one that could not be reached.
+/// Time for which the other control nodes are preferred to an unreachable node.
 const UNREACHABLE_BACKOFF: Nanos = 10 * SECOND;
 
-/// Where a router is.
+/// The location of a router.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Location {
     pub(super) zone: String,
-    /// The zones of its region.
+    /// The zones of the router's region.
     pub(super) region_zones: BTreeSet<String>,
 }
 
-/// How far a control node is from the router; a nearer one is the lesser.
+/// The distance of a control node from the router; a nearer node compares as less.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Distance {
     SameZone,
     SameRegion,
-    /// In another region, or not known.
+    /// In another region, or in an unknown zone.
     Elsewhere,
 }
 
-/// A connection to a control node that is to be open, and what the node has reported on it.
+/// The connection to a selected control node, open or not, and what the node has reported on the connection.
 #[derive(Debug, Default)]
 pub(super) struct Connection {
     pub(super) is_open: bool,
-    /// Since when there has been no connection; none before the first attempt has failed.
+    /// The time when the connection was lost or first failed to open; `None` before the first attempt has failed.
     disconnected_at: Option<Nanos>,
     pub(super) round_trip: Nanos,
     pub(super) last_received_at: Nanos,
     pub(super) has_quorum: bool,
     pub(super) position: Position,
-    /// The router's share of common limits, as the node has reported it last.
+    /// The router's share of common limits, as last reported by the node.
     pub(super) router_share: RouterShare,
-    /// When updates that the router lacks were last fetched from this node.
+    /// The time of the last fetch of missing updates from this node.
     pub(super) requested_at: Nanos,
-    /// Since when the node's position has been ahead of the router's.
+    /// The time since which the node's position has been ahead of the router's; `None` if it is not ahead.
     pub(super) ahead_since: Option<Nanos>,
-    /// When a part of a large message came last.
+    /// The time when the last fragment of a large message was received.
     pub(super) last_fragment_at: Nanos,
 }
 
@@ -66,21 +66,21 @@
     }
 }
 
-/// The connections to the selected control nodes, among all that are known.
+/// The known control nodes, and the connections to the selected ones.
 #[derive(Debug)]
 pub(super) struct Connections {
     router_hash: u64,
     location: Location,
     known_control_nodes: BTreeSet<NodeId>,
-    /// The zones of control nodes, as far as they are known.
+    /// The known zones of control nodes.
     zones: BTreeMap<NodeId, String>,
     by_node: BTreeMap<NodeId, Connection>,
-    /// Control nodes that could not be reached, and until when others are preferred to them.
+    /// The unreachable control nodes, with the time until which other nodes are preferred to them.
     unreachable_until: BTreeMap<NodeId, Nanos>,
 }
 
 impl Connections {
-    /// No connections yet, for the router with this address.
+    /// Creates the state without connections, for the router with this address.
     pub(super) fn new(router_address: &str, location: Location, seeds: &[NodeId]) -> Self {
         Self {
             router_hash: fnv1a_hash(router_address.as_bytes()),
@@ -96,7 +96,7 @@
         self.known_control_nodes.extend(nodes);
     }
 
-    /// Adds control nodes with their zones.
+    /// Adds control nodes and records their zones; an empty zone is unknown.
     pub(super) fn set_locations(&mut self, nodes: Vec<ControlNode>) {
         for ControlNode { node, zone } in nodes {
             self.known_control_nodes.insert(node);
@@ -130,7 +130,7 @@
         self.by_node.iter_mut().map(|(node, connection)| (*node, connection))
     }
 
-    /// The connections that are open, by node.
+    /// The open connections with their nodes.
     pub(super) fn open(&self) -> impl Iterator<Item = (NodeId, &Connection)> {
         let open = self.by_node.iter().filter(|(_, connection)| connection.is_open);
         open.map(|(node, connection)| (*node, connection))
@@ -140,14 +140,14 @@
         self.get(node).is_some_and(|connection| connection.is_open)
     }
 
-    /// Notes that a connection is open. Returns whether it is one of the selected ones.
+    /// Records that a connection is open. Returns whether its node is selected.
     pub(super) fn record_connected(&mut self, node: NodeId, round_trip: Nanos, now: Nanos) -> bool {
         let Some(connection) = self.by_node.get_mut(&node) else { return false };
         *connection = Connection::opened(round_trip, now);
         true
     }
 
-    /// Notes that a connection has ended or could not be opened. Further failed attempts do not move the time of the first.
+    /// Records that a connection has ended or could not be opened. Further failed attempts do not change the time of the first failure.
     pub(super) fn record_disconnected(&mut self, node: NodeId, now: Nanos) {
         let Some(connection) = self.by_node.get_mut(&node) else { return };
         let was_open = std::mem::replace(&mut connection.is_open, false);
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Selects the control nodes to be connected to anew. Returns them where they have changed.
+    /// Repeats the selection of the control nodes to connect to. Returns the selected nodes if the selection has changed.
     pub(super) fn reselect(&mut self, now: Nanos) -> Option<Vec<NodeId>> {
         self.update_backoff(now);
         let selected = self.selection();
@@ -182,8 +182,8 @@
         self.unreachable_until.retain(|_, until| now < *until);
     }
 
-    /// The control nodes to be connected to: the most preferred ones of the router's zone and of the other zones of its region, and
-    /// beyond these the most preferred ones elsewhere, which a partition of the region does not reach.
+    /// The control nodes to connect to: the most preferred node of the router's zone, the most preferred node of the other zones of its
+    /// region, and otherwise the most preferred nodes of other regions, which a partition of the region does not affect.
     fn selection(&self) -> BTreeSet<NodeId> {
         let preferred = self.preferred();
         let is_available = |node: &&NodeId| !self.unreachable_until.contains_key(*node);
@@ -203,9 +203,9 @@
         selected
     }
 
-    /// All known control nodes, the most preferred first. Each router has an order of its own, so that routers are spread over the
-    /// control nodes. Where all are in back-off the one whose attempt is longest ago comes first: a network partition may have
-    /// healed.
+    /// All known control nodes, the most preferred first. The order differs between routers, so that the routers are spread over the
+    /// control nodes. If all nodes are in back-off, the node whose back-off ends first comes first, because a network partition may
+    /// have healed since it was last tried.
     fn preferred(&self) -> Vec<NodeId> {
         let mut nodes: Vec<NodeId> = self.known_control_nodes.iter().copied().collect();
         nodes.sort_unstable_by_key(|node| {
--- a/routing/src/watch_client/fetch.rs
+++ b/routing/src/watch_client/fetch.rs
@@ -1,4 +1,4 @@
-//! Updates that the primary control node does not bring in time are fetched from others that have them.
+//! Fetches updates that the primary control node does not deliver in time from other control nodes.
 
 use ivyhatch_protocol::ids::NodeId;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
@@ -6,13 +6,13 @@
 use super::connections::Connections;
 use super::replicated_state::ReplicatedState;
 
-/// How long the primary node may take to bring what another one has.
+/// Time that the primary node has to deliver an update which another node already has.
 const FETCH_DELAY: Nanos = 250 * MILLISECOND;
-/// Time between two fetches from one node.
+/// Minimum time between two fetches from the same node.
 const FETCH_INTERVAL: Nanos = 2 * FETCH_DELAY;
 
-/// The control nodes to fetch missing updates from now. None while a large message is on its way: a second copy beside it would
-/// delay both.
+/// The control nodes to fetch missing updates from now. Empty while fragments of a large message are arriving: a second copy of the
+/// message would delay both.
 pub(super) fn due_fetches(connections: &mut Connections, state: &ReplicatedState, now: Nanos) -> Vec<NodeId> {
     if connections.open().any(|(_, connection)| now < connection.last_fragment_at + FETCH_DELAY) {
         return Vec::new();
--- a/routing/src/watch_client/log_event.rs
+++ b/routing/src/watch_client/log_event.rs
@@ -1,4 +1,4 @@
-//! What a watch client writes to the log, as a line of an event's name and `key=value` pairs.
+//! The log events of a watch client. An event is logged as its name followed by `key=value` pairs.
 
 use std::fmt;
 
@@ -6,22 +6,22 @@
 
 use super::quorum_contact::QuorumContact;
 
-/// An event for the log; its `Display` form is the name and the pairs.
+/// A log event; its `Display` form is the event name and the `key=value` pairs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// A configuration is in force here from now on.
+    /// A configuration has come into force at this router.
     ConfigurationApplied {
-        /// The operators' revision of it.
+        /// The revision of the configuration, as shown to operators.
         revision: u64,
-        /// The sequence number of its last change.
+        /// The sequence number of the configuration's last change.
         sequence: u64,
     },
-    /// Another control node is the primary one.
+    /// Another control node has become the primary.
     PrimaryChanged {
-        /// The new one.
+        /// The new primary.
         primary: NodeId,
     },
-    /// Contact with a quorum was lost or established again.
+    /// Contact with a quorum was lost or re-established.
     QuorumContactChanged(QuorumContact),
 }
 
--- a/routing/src/watch_client/mod.rs
+++ b/routing/src/watch_client/mod.rs
@@ -1,10 +1,10 @@
-//! A router's watch on the control plane: which control nodes it is connected to, and what it has replicated from them.
+//! A router's watch on the control plane: the connections to control nodes, and the state replicated from them.
 //!
-//! A router is subscribed to up to three control nodes. The primary one sends every change, the others only their positions, so that
-//! a change is carried once and yet the loss of a control node, or a network partition around it, costs a fraction of a second.
-//! Nothing older than the state that the router has is applied: within one incarnation of the process no version goes back.
+//! A router subscribes to up to three control nodes. The primary sends every change, the other nodes only their positions. So each
+//! change is transferred once, and yet the loss of a control node, or a network partition around it, delays changes only by a fraction
+//! of a second. Updates older than the replicated state are ignored: within one incarnation of the process no version decreases.
 //!
-//! The state machine does no I/O: [`WatchClient::handle`] takes the time and an [`Input`] and adds [`Output`]s for its host.
+//! The state machine does no I/O: [`WatchClient::handle`] takes the time and an [`Input`] and appends [`Output`]s for its host.
 
 mod connections;
 mod fetch;
@@ -33,60 +33,61 @@
 pub use quorum_contact::QuorumContact;
 pub use replicated_state::EvacuationState;
 
-/// The host ticks every 100 ms. A gap of this length between two inputs means that the router itself did not run.
+/// The host sends a tick every 100 ms. A gap of at least this time between two inputs means that the router process was stalled.
 const STALL_THRESHOLD: Nanos = 300 * MILLISECOND;
-/// Time that a router has after its own stall to read what arrived meanwhile, before it judges any control node by its silence.
+/// Time after a stall of the router process during which no control node counts as silent: the messages that arrived during the
+/// stall have to be read first.
 const STALL_RECOVERY_TIME: Nanos = 100 * MILLISECOND;
 
-/// What happens to a watch client.
+/// An input of a watch client.
 #[derive(Debug)]
 pub enum Input {
-    /// Time has passed. Comes every 100 ms or so.
+    /// Time has passed. The host has to send it about every 100 ms.
     Tick,
-    /// A connection to a control node is open.
+    /// A connection to a control node has been opened.
     Connected {
         /// The control node.
         node: NodeId,
-        /// How long connecting took.
+        /// The time that the connect took.
         round_trip: Nanos,
     },
     /// A connection to a control node has ended, or could not be opened.
     Disconnected(NodeId),
     /// A control node has sent a message.
     Message(NodeId, WatchResponse),
-    /// A part of a large message has come from a control node; the rest is on its way.
+    /// A part of a large message has been received from a control node; the message is not yet complete.
     Fragment(NodeId),
-    /// The settings name these control nodes.
+    /// The control nodes in the settings.
     Seeds(Vec<NodeId>),
-    /// The router has entered this state of its own lifecycle.
+    /// The router has entered this state of its lifecycle.
     State(RouterState),
 }
 
-/// What the host of a watch client has to do.
+/// An action that the host of a watch client has to take.
 #[derive(Debug, PartialEq)]
 pub enum Output {
-    /// Keep connections to these control nodes, and to no others.
+    /// Keep connections to these control nodes and close all others.
     SetConnections(Vec<NodeId>),
     /// Send a message to a control node.
     Send(NodeId, WatchRequest),
-    /// Apply this change: the configuration has changed by it.
+    /// Apply this change of the configuration.
     ConfigurationChanged(Change),
-    /// Read the server list and the evacuations anew: one of them has changed.
+    /// Read the server list and the evacuations again: one of them has changed.
     ServersChanged,
-    /// Divide shared limits by this from now on.
+    /// Divide common limits by this share from now on.
     RouterShare(RouterShare),
-    /// Go by this: contact with a quorum of the control plane has been lost, or established again.
+    /// Contact with a quorum of the control plane has been lost or re-established.
     QuorumContact(QuorumContact),
-    /// Write an event to the log.
+    /// Log this event.
     Log(LogEvent),
 }
 
-/// The watch of one router.
+/// The watch of one router on the control plane.
 #[derive(Debug)]
 pub struct WatchClient {
     router: Router,
     now: Nanos,
-    /// No control node is judged by its silence before this, after a stall of the router itself.
+    /// The end of the recovery time after the last stall of the router process; no control node counts as silent before it.
     stall_recovery_until: Nanos,
     heartbeat_sent_at: Nanos,
     connections: Connections,
@@ -97,8 +98,8 @@
 }
 
 impl WatchClient {
-    /// A watch that knows no control nodes but `seeds`, and has replicated nothing yet.
-    /// `region_zones` are the zones of the router's region.
+    /// Creates a watch client that has replicated nothing yet. `seeds` are the initially known control nodes, `region_zones` the zones
+    /// of the router's region.
     pub fn new(router: Router, region_zones: BTreeSet<String>, seeds: &[NodeId], now: Nanos) -> Self {
         let location = Location { zone: router.zone.clone(), region_zones };
         Self {
@@ -114,7 +115,8 @@
         }
     }
 
-    /// Takes one input and adds what the host has to do to `outputs`. A time before that of an earlier input counts as that one's.
+    /// Processes one input and appends the actions for the host to `outputs`. A `now` before that of an earlier input is replaced by the
+    /// earlier time.
     pub fn handle(&mut self, now: Nanos, input: Input, outputs: &mut Vec<Output>) {
         if now >= self.now + STALL_THRESHOLD && !self.connections.is_empty() {
             self.stall_recovery_until = now + STALL_RECOVERY_TIME;
@@ -132,12 +134,12 @@
         }
     }
 
-    /// Whether any control node that is in contact with a quorum can be reached.
+    /// Whether any control node that is in contact with a quorum is reachable.
     pub fn control_plane_reachable(&self) -> bool {
         self.contact.current() == QuorumContact::Established
     }
 
-    /// The nearest control node that is connected to.
+    /// The nearest control node with an open connection: same zone before same region before other regions, then by round trip.
     pub fn nearest_control_node(&self) -> Option<NodeId> {
         let open = self.connections.open();
         let nearest = open.min_by_key(|(node, connection)| {
@@ -151,22 +153,22 @@
         self.state.sequence()
     }
 
-    /// The configuration.
+    /// The replicated configuration; the default before the first snapshot.
     pub fn document(&self) -> &Document {
         self.state.document()
     }
 
-    /// The list of servers.
+    /// The replicated server list; empty before the first update.
     pub fn server_list(&self) -> &ServerList {
         self.state.server_list()
     }
 
-    /// The evacuation of a zone; one that never was evacuated has the default.
+    /// The evacuation state of a zone; the default if the zone was never evacuated.
     pub fn evacuation(&self, zone: &str) -> EvacuationState {
         self.state.evacuation(zone)
     }
 
-    /// Whether a configuration and a server list are known.
+    /// Whether a configuration and a server list have been received.
     pub fn is_ready(&self) -> bool {
         self.state.is_complete()
     }
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Takes a message of a control node; one that the router is not connected to has nothing to say.
+    /// Processes a message from a control node. A message from a node that is not selected is ignored.
     fn handle_message(&mut self, from: NodeId, message: WatchResponse, outputs: &mut Vec<Output>) {
         let Some(connection) = self.connections.get_mut(from) else { return };
         connection.last_received_at = self.now;
--- a/routing/src/watch_client/primary.rs
+++ b/routing/src/watch_client/primary.rs
@@ -1,20 +1,20 @@
-//! The choice of the primary control node, the one that sends all changes.
+//! The selection of the primary control node, which sends all changes to the router.
 
 use ivyhatch_protocol::ids::NodeId;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
 use super::connections::{Connection, Connections};
 
-/// A control node from which nothing came for so long is not relied on.
+/// A control node from which nothing was received for this time is not eligible as primary.
 const SILENCE_TIMEOUT: Nanos = 1300 * MILLISECOND;
 
-/// The primary control node, where there is one.
+/// The primary control node, if there is one.
 #[derive(Debug, Default)]
 pub(super) struct Primary {
     node: Option<NodeId>,
 }
 
-/// Another control node is the primary one from now on.
+/// A change of the primary control node.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PrimaryChange {
     pub(super) previous: Option<NodeId>,
@@ -26,9 +26,9 @@
         self.node == Some(node)
     }
 
-    /// Replaces a primary node that has fallen silent or has lost its quorum by the nearest one that has not. A primary node that
-    /// is good enough is kept though one with a shorter round trip appears, unless that one is in a nearer place; the last one is kept
-    /// where all connections are lost.
+    /// Replaces a primary that is silent or has lost its quorum by the nearest responsive node, preferring nodes with a quorum. A healthy
+    /// primary is not replaced by a node with only a shorter round trip, but by a healthy node in a nearer zone or region. If no node
+    /// is responsive, the current primary is kept. Returns the change, if any.
     pub(super) fn reselect(&mut self, connections: &Connections, now: Nanos) -> Option<PrimaryChange> {
         let current = self.node.and_then(|node| connections.get(node));
         let is_healthy = |connection: &Connection| is_responsive(connection, now) && connection.has_quorum;
--- a/routing/src/watch_client/quorum_contact.rs
+++ b/routing/src/watch_client/quorum_contact.rs
@@ -1,24 +1,24 @@
-//! Whether the router is in contact with a quorum of the control plane, through any control node.
+//! Detects whether the router is in contact with a quorum of the control plane through any control node.
 
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
 use super::connections::{Connections, HEARTBEAT_INTERVAL};
 
-/// A control node counts as in contact for so long after its last message: two of its heartbeats.
+/// A control node counts as reachable for this time after its last message: two heartbeat intervals.
 const MAX_MESSAGE_AGE: Nanos = 2 * HEARTBEAT_INTERVAL;
-/// A router without contact for so long can't know what has been ordered since.
+/// Contact counts as lost after this time: changes may have been committed since then without the router's knowledge.
 const CONTACT_TIMEOUT: Nanos = 400 * MILLISECOND;
 
-/// Whether a control node that is in contact with a quorum can be reached.
+/// Whether a control node that is in contact with a quorum is reachable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuorumContact {
-    /// One can be.
+    /// Such a control node is reachable.
     Established,
-    /// None can be: evacuations may have changed without the router's knowledge.
+    /// No such control node is reachable: evacuations may have changed without the router's knowledge.
     Lost,
 }
 
-/// Follows the contact with a quorum. A router begins as if in contact, to have time to connect.
+/// Tracks the contact with a quorum. The initial state is `Established`, so that a new router has time to connect.
 #[derive(Debug)]
 pub(super) struct QuorumContactMonitor {
     last_contact_at: Nanos,
@@ -34,7 +34,7 @@
         self.current
     }
 
-    /// Returns the contact where it has changed.
+    /// Updates the state from the connections. Returns the new state if it has changed.
     pub(super) fn update(&mut self, connections: &Connections, now: Nanos) -> Option<QuorumContact> {
         let mut open = connections.open();
         if open.any(|(_, node)| node.has_quorum && now < node.last_received_at + MAX_MESSAGE_AGE) {
--- a/routing/src/watch_client/replicated_state.rs
+++ b/routing/src/watch_client/replicated_state.rs
@@ -1,5 +1,5 @@
-//! What the router has replicated from the control plane: the configuration, the evacuations and the server list. Each has a
-//! version that only rises; updates of an older one are ignored, whichever control node sends them.
+//! The state that the router has replicated from the control plane: the configuration, the evacuations and the server list. Each part
+//! has a version that only increases; older updates are ignored, whichever control node sends them.
 
 use std::collections::BTreeMap;
 
@@ -9,21 +9,21 @@
 use ivyhatch_protocol::server_list::{ListUpdateOutcome, ServerList};
 use ivyhatch_protocol::watch::{EvacuationUpdate, Position, ServerListChange, Shared};
 
-/// Whether an update has changed the state.
+/// The outcome of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Applied {
-    /// It has.
+    /// The update has changed the state.
     Changed,
-    /// It was older than the state, or did not follow on it.
+    /// The update was not newer than the state, or was based on a version that the router does not have.
     Ignored,
 }
 
-/// A zone's evacuation.
+/// The evacuation state of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EvacuationState {
     /// Whether the zone is evacuated.
     pub active: bool,
-    /// How often that has changed.
+    /// The number of times that `active` has changed.
     pub change_count: u64,
 }
 
@@ -59,7 +59,7 @@
             .unwrap_or_default()
     }
 
-    /// Whether a configuration and a server list are known; an empty server list is one.
+    /// Whether a configuration and a server list, possibly an empty one, have been received.
     pub(super) fn is_complete(&self) -> bool {
         self.sequence > 0 && self.server_list.position() != ServerList::default().position()
     }
@@ -70,7 +70,7 @@
         Position { configuration: self.sequence, evacuations, server_list: self.server_list.position() }
     }
 
-    /// Whether a control node at this position has anything newer.
+    /// Whether a control node at this position has a newer version of any part.
     pub(super) fn is_behind(&self, position: &Position) -> bool {
         position.configuration > self.sequence
             || position.server_list > self.server_list.position()
@@ -80,7 +80,8 @@
                 .any(|newest| self.evacuations_are_older(newest.partition, newest.sequence))
     }
 
-    /// Replaces the configuration by a newer one. Returns the change that leads to it.
+    /// Replaces the configuration by a newer one. Returns the difference to the previous configuration; `None` if the snapshot is not
+    /// newer.
     pub(super) fn apply_snapshot(&mut self, sequence: u64, document: Shared<Document>) -> Option<Change> {
         if sequence <= self.sequence {
             return None;
@@ -90,7 +91,8 @@
         Some(change)
     }
 
-    /// Applies a change that leads from version `base` to a later one, if `base` is the version that is known here.
+    /// Applies a change from version `base` to version `to`. Returns the change; `None` if `base` is not the current version or `to` is
+    /// not newer.
     pub(super) fn apply_change(&mut self, base: u64, to: u64, change: Shared<Change>) -> Option<Change> {
         if base != self.sequence || to <= base {
             return None;
@@ -108,8 +110,8 @@
         Applied::Changed
     }
 
-    /// Applies a change of the server list. One that does not follow on the list that is known is ignored: its position shows
-    /// that this one is behind, so that the complete list is fetched.
+    /// Applies a change of the server list. A change whose base is not the current list is ignored: the position of the control node
+    /// shows that the router is behind, so the complete list is fetched.
     pub(super) fn apply_server_list(&mut self, now: Nanos, change: ServerListChange) -> Applied {
         match self.server_list.apply_change(now, change) {
             ListUpdateOutcome::Applied => Applied::Changed,
