--- a/coordination/src/cell.rs
+++ b/coordination/src/cell.rs
@@ -1,4 +1,5 @@
-//! Cells: small values that are read and written under revisions. The cells of a group share one rising count of revisions.
+//! Cells: small values with a revision, which can be written on condition of the current revision. The cells of a group share one
+//! increasing revision counter.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +12,7 @@
 use crate::limits::MAX_CELL_BYTES;
 use crate::state::{Decision, Publication};
 
-/// The content of the register of a cell.
+/// The stored value of a cell's register.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 struct CellRegister {
     value: String,
@@ -29,7 +30,7 @@
 }
 
 impl Cells {
-    /// No cells; puts stay in the history for a span.
+    /// Creates the state without cells. `history_retention` is the time for which puts stay in the history.
     pub fn new(history_retention: Nanos) -> Self {
         Self {
             cells: BTreeMap::new(),
@@ -39,13 +40,13 @@
         }
     }
 
-    /// Adds a cell from its register.
+    /// Adds a cell from the value of its register; `None` if the value cannot be decoded.
     pub(crate) fn load(&mut self, name: &str, value: &[u8]) -> Option<()> {
         self.insert(name, CellRegister::read_from_buffer(value).ok()?);
         Some(())
     }
 
-    /// Adds a put of the history from its register.
+    /// Adds a put to the history from the value of its register; `None` if the value cannot be decoded.
     pub(crate) fn load_event(&mut self, now: Nanos, slot: u16, value: &[u8]) -> Option<()> {
         self.history.load(now, slot, value)
     }
@@ -64,7 +65,7 @@
         self.group_revisions.get(group).copied().unwrap_or_default()
     }
 
-    /// The puts of the last seconds.
+    /// The history of recent puts.
     pub fn history(&self) -> &History {
         &self.history
     }
@@ -79,13 +80,13 @@
         self.cells.is_empty()
     }
 
-    /// The revision of the put that gave a cell this value, as far as that is known still.
+    /// The revision of the put that wrote this value to a cell; `None` if it is neither the current value nor in the history.
     fn revision_of(&self, name: &str, value: &str) -> Option<u64> {
         let current = self.cells.get(name).filter(|cell| cell.value == value);
         current.map(|cell| cell.revision).or_else(|| self.history.revision_of(name, value))
     }
 
-    /// Decides on a put, under the number of its change.
+    /// Decides on a put. `sequence` is the sequence number of the change that the put would be committed as.
     pub(crate) fn put(
         &mut self,
         now: Nanos,
@@ -94,7 +95,7 @@
         value: &str,
         expected_revision: Option<u64>,
     ) -> Decision {
-        // A put that comes again, also after others have replaced its value, has taken effect: it must not conflict with itself.
+        // A retried put has taken effect already, even if its value has been overwritten since: it must not conflict with itself.
         if let Some(revision) = self.revision_of(name, value) {
             return Decision::reply(Reply::CellPut { revision });
         }
@@ -110,7 +111,7 @@
         let cell = CellRegister { value: value.to_owned(), revision };
         let event = CellEvent { name: name.to_owned(), value: value.to_owned(), revision };
         let mut changes = self.history.record(now, sequence, event);
-        // Writing to memory can't fail.
+        // Encoding into memory cannot fail.
         let register = cell.write_to_vec().unwrap_or_default();
         changes.push((RegisterKey::Cell(name.to_owned()), Some(register.into())));
         self.insert(name, cell);
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Decides on a read.
+    /// Decides on a read of a cell.
     pub(crate) fn read(&self, name: &str) -> Decision {
         match self.cells.get(name) {
             Some(CellRegister { value, revision }) => {
@@ -131,8 +132,9 @@
         }
     }
 
-    /// What a watcher of a group is answered that knows all puts up to `after`, where those up to `committed` may be shown; `None`
-    /// where it has to wait.
+    /// The response to a watch of a group by a caller that knows all puts up to revision `after`. Only puts up to the revision
+    /// `committed` may be returned. With an `after` of 0 the response has no puts, only the revision to watch from. `None` if the watch
+    /// has to wait for a further put.
     pub(crate) fn watch(&self, group: &str, after: u64, committed: u64) -> Option<Decision> {
         if after == 0 {
             return Some(Decision::reply(Reply::Events { events: Vec::new(), revision: committed }));
--- a/coordination/src/history.rs
+++ b/coordination/src/history.rs
@@ -1,8 +1,9 @@
-//! The puts of the last seconds: watches are answered from them, and a put that comes again is recognised by them.
+//! The recent puts of a partition. They are used to answer watches and to recognise retried puts.
 //!
-//! The history is kept by time: a put leaves it once it is older than its span, by the clock of the leader. A new leader counts the whole
-//! span anew. Each put has a slot in a ring of registers, and the slots of puts that have left are used again, so that the history needs
-//! no register to be removed and is bounded in count and in bytes; a put that finds no slot is rejected before it is begun.
+//! Puts expire by time: a put may be removed once it is older than the retention time by the clock of the leader. A new leader counts
+//! the whole retention time again from when it loads the history. Each put occupies a slot in a ring of registers, and the slots of
+//! expired puts are reused, so that no register has to be removed and the history is bounded in count and in bytes. A put for which
+//! there is no slot is rejected before anything is proposed.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -13,10 +14,10 @@
 
 use crate::limits::{HISTORY_MARGIN, MAX_HISTORY_BYTES, MAX_HISTORY_EVENTS};
 
-/// The content of the register of a slot.
+/// The stored value of a slot's register.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 struct EventRegister {
-    /// The number of the change that made the put: puts leave the history in this order.
+    /// The sequence number of the change that committed the put: puts expire in this order.
     sequence: u64,
     event: CellEvent,
 }
@@ -29,22 +30,22 @@
     revision: u64,
 }
 
-/// The last puts of a partition's groups.
+/// The recent puts of a partition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct History {
     retention: Nanos,
-    /// By the number of the change.
+    /// The puts by the sequence number of their change.
     recorded: BTreeMap<u64, RecordedPut>,
     /// The puts of each group, by revision.
     groups: BTreeMap<String, BTreeMap<u64, CellEvent>>,
-    /// The revision of each put, by cell and value.
+    /// The revision of each put, by cell name and value.
     revisions: HashMap<(String, String), u64>,
     next_new_slot: u16,
     bytes: usize,
 }
 
 impl History {
-    /// An empty history that keeps puts for a span, and a margin.
+    /// Creates an empty history that keeps puts for `retention` plus [`HISTORY_MARGIN`].
     pub fn new(retention: Nanos) -> Self {
         Self {
             retention: retention + HISTORY_MARGIN,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Adds a put from its register, as if it had been made now.
+    /// Adds a put from the value of its register, as if it had been made now; `None` if the value cannot be decoded.
     pub(crate) fn load(&mut self, now: Nanos, slot: u16, value: &[u8]) -> Option<()> {
         let EventRegister { sequence, event } = EventRegister::read_from_buffer(value).ok()?;
         self.next_new_slot = self.next_new_slot.max(slot + 1);
@@ -72,7 +73,7 @@
         self.recorded.insert(sequence, RecordedPut { slot, recorded_at: now, name, revision });
     }
 
-    /// Whether there is room for a put, once those that have had their time are dropped.
+    /// Whether a further put can be recorded, possibly in the slot of an expired one.
     pub(crate) fn has_capacity(&self, now: Nanos) -> bool {
         let is_within_bounds =
             usize::from(self.next_new_slot) < MAX_HISTORY_EVENTS && self.bytes < MAX_HISTORY_BYTES;
@@ -83,11 +84,12 @@
         self.recorded.first_key_value().is_some_and(|(_, oldest)| now >= oldest.recorded_at + self.retention)
     }
 
-    /// Records a put, in the slot of the oldest one where that has had its time. Returns the register to write.
+    /// Records a put, in the slot of the oldest put if that has expired, else in a new slot. Returns the register to write. The caller
+    /// has to check [`History::has_capacity`] before.
     pub(crate) fn record(&mut self, now: Nanos, sequence: u64, event: CellEvent) -> RegisterChanges {
         let slot = self.allocate_slot(now);
         let register = EventRegister { sequence, event: event.clone() };
-        // Writing to memory can't fail.
+        // Encoding into memory cannot fail.
         let value = register.write_to_vec().unwrap_or_default();
         self.insert(now, slot, sequence, event);
         vec![(RegisterKey::CellEvent(slot), Some(value.into()))]
@@ -116,19 +118,19 @@
         }
     }
 
-    /// The revision of the put that gave a cell this value, while it is in the history.
+    /// The revision of the put that wrote this value to a cell; `None` if no such put is in the history.
     pub(crate) fn revision_of(&self, name: &str, value: &str) -> Option<u64> {
         self.revisions.get(&(name.to_owned(), value.to_owned())).copied()
     }
 
-    /// All puts of a group above `after` and up to `until`, in order; `None` where some of them have left the history.
+    /// All puts of a group with revisions above `after` and up to `until`, in order; `None` if some of them are no longer in the history.
     pub(crate) fn events(&self, group: &str, after: u64, until: u64) -> Option<Vec<CellEvent>> {
         if after >= until {
             return Some(Vec::new());
         }
         let events = self.groups.get(group)?;
         let found: Vec<CellEvent> = events.range(after + 1..=until).map(|(_, event)| event.clone()).collect();
-        // Revisions of a group have no gaps, so a missing one has left.
+        // The revisions of a group have no gaps, so a missing revision has been removed.
         (found.len() as u64 == until - after).then_some(found)
     }
 
--- a/coordination/src/limits.rs
+++ b/coordination/src/limits.rs
@@ -1,22 +1,22 @@
-//! Bounds of what a partition stores and of the names and values that callers may choose.
+//! Bounds of the data stored by a partition, and of the names and values chosen by callers.
 
 use ivyhatch_protocol::{Nanos, SECOND};
 
-/// The longest name of a lock, a number, a cell or a holder, in bytes.
+/// Maximum length of the name of a lock, number, cell or holder, in bytes.
 pub const MAX_NAME_BYTES: usize = 200;
-/// The longest value of a cell, in bytes.
+/// Maximum length of the value of a cell, in bytes.
 pub const MAX_VALUE_BYTES: usize = 4096;
-/// The longest time for which a lock may be held with one call: an hour.
+/// Maximum time for which one call may acquire or renew a lock, in milliseconds: one hour.
 pub const MAX_HOLD_MS: u64 = 3_600_000;
-/// The longest wait of a watch: a minute.
+/// Maximum time that a watch may wait, in milliseconds: one minute.
 pub const MAX_WAIT_MS: u64 = 60_000;
-/// The most puts that the history of a partition holds. Puts beyond that are rejected until older ones have left it.
+/// Maximum number of puts in the history of a partition. Further puts are rejected until older puts have expired.
 pub const MAX_HISTORY_EVENTS: usize = 4096;
-/// The most bytes of names and values in the history of a partition, as above.
+/// Size in bytes of the names and values in the history of a partition from which on puts are rejected until older puts have expired.
 pub const MAX_HISTORY_BYTES: usize = 2 << 20;
-/// The most bytes of names and values of the cells of a partition.
+/// Size in bytes of the names and values of the cells of a partition from which on puts are rejected.
 pub const MAX_CELL_BYTES: usize = 4 << 20;
-/// The most locks of a partition that are held.
+/// Maximum number of stored locks of a partition, including expired ones that are not yet removed.
 pub const MAX_LOCKS: usize = 4096;
-/// The history is kept for this much longer than deployments ask for: a revision may be on its way to a caller.
+/// Time by which puts are kept longer than configured, because a revision may still be in flight to a caller.
 pub const HISTORY_MARGIN: Nanos = 5 * SECOND;
--- a/coordination/src/lock.rs
+++ b/coordination/src/lock.rs
@@ -1,8 +1,8 @@
-//! Locks: who holds each of them, under which fencing token, and until when.
+//! Locks: the holder, the fencing token and the expiry of each lock.
 //!
-//! A holder counts its time from when it sent the call, and the leader from when it decided on it, which is later: a lock is never
-//! free before its holder knows it to be. A register says for how long a lock is held and not until when, as no clock is shared; a new
-//! leader counts the whole time anew.
+//! A holder counts the hold time from when it sent the call. The leader counts from when it decided on the call, which is later, so a
+//! lock never becomes free before its holder considers it expired. The register of a lock stores the remaining hold time and not the
+//! time of expiry, because nodes do not share a clock; a new leader counts the whole remaining time again.
 
 use std::collections::BTreeMap;
 
@@ -14,15 +14,15 @@
 use crate::limits::MAX_LOCKS;
 use crate::state::Decision;
 
-/// The content of the register of a lock that is held.
+/// The stored value of a held lock's register.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 struct LockRegister {
     holder: String,
-    /// The fencing token of the first of the calls by which the holder has had the lock without a gap.
+    /// The fencing token of the call with which the uninterrupted hold of the current holder began.
     first_fence: u64,
-    /// The last fencing token that the holder was given.
+    /// The last fencing token that was issued to the holder.
     fence: u64,
-    /// The time that is left to the holder, as of the change that wrote the register.
+    /// The remaining hold time in milliseconds, as of the change that wrote the register.
     remaining_ms: u64,
 }
 
@@ -33,22 +33,23 @@
 }
 
 impl HeldLock {
-    /// Whether a call of this holder, with a fencing token that it was given, is about the present hold. A holder whose call was
-    /// carried out twice knows only one of the two tokens.
+    /// Whether a call of this holder with this fencing token refers to the current hold. Any token issued during the hold is valid: a
+    /// holder whose call was executed twice knows only one of the two tokens.
     fn matches_hold(&self, holder: &str, fence: u64) -> bool {
         let LockRegister { holder: current_holder, first_fence, fence: last_fence, .. } = &self.register;
         current_holder == holder && (*first_fence..=*last_fence).contains(&fence)
     }
 }
 
-/// The locks of a partition that are held, or were until their time ran out.
+/// The locks of a partition that are held, or have expired and are not yet removed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Locks {
     held: BTreeMap<String, HeldLock>,
 }
 
 impl Locks {
-    /// Adds a lock from its register. Its whole time is counted from `now`: how much of it has passed, this node can't know.
+    /// Adds a lock from the value of its register; `None` if the value cannot be decoded. The whole remaining time is counted from `now`,
+    /// because this node cannot know how much of it has elapsed.
     pub(crate) fn load(&mut self, now: Nanos, name: &str, value: &[u8]) -> Option<()> {
         let register = LockRegister::read_from_buffer(value).ok()?;
         let expires_at = now + register.remaining_ms * MILLISECOND;
@@ -56,12 +57,12 @@
         Some(())
     }
 
-    /// The lock, while its time has not run out.
+    /// The lock, if it is held and has not expired.
     fn current(&self, now: Nanos, name: &str) -> Option<&HeldLock> {
         self.held.get(name).filter(|lock| now < lock.expires_at)
     }
 
-    /// Decides on a call for a lock. `sequence`, the number of the change, is its fencing token.
+    /// Decides on a call to acquire a lock. `sequence`, the sequence number of the change, becomes the fencing token.
     pub(crate) fn acquire(
         &mut self,
         now: Nanos,
@@ -77,8 +78,8 @@
         if current.is_none() && self.held.len() >= MAX_LOCKS && !self.held.contains_key(name) {
             return Decision::not_started(NotStarted::Overloaded);
         }
-        // The holder itself gets a higher token each time: a release that it sent before, and that is still on its way, then does not
-        // free the lock which it has been given since.
+        // The current holder also gets a higher token with each acquisition. So an earlier release by the same holder that is still in
+        // flight does not free the lock acquired since.
         let first_fence = current.map_or(sequence, |lock| lock.register.first_fence);
         let previous_expiry = current.map_or(now, |lock| lock.expires_at);
         let register =
@@ -87,7 +88,7 @@
         Decision::propose(changes, Reply::LockAcquired { fence: sequence })
     }
 
-    /// Decides on a call to hold a lock for longer.
+    /// Decides on a call to renew a lock.
     pub(crate) fn renew(
         &mut self,
         now: Nanos,
@@ -103,8 +104,8 @@
         Decision::propose(self.hold(now, name, register, hold_ms, previous_expiry), Reply::LockRenewed)
     }
 
-    /// Holds a lock for a time from now on, and at least until `earlier_end`: calls may overtake each other, and the holder counts by
-    /// whichever gives it more.
+    /// Holds a lock for `hold_ms` from now on, and at least until `previous_expiry`: calls may be reordered, and the holder counts by the
+    /// call with the later expiry. Returns the register to write.
     fn hold(
         &mut self,
         now: Nanos,
@@ -116,14 +117,14 @@
         let expires_at = previous_expiry.max(now + hold_ms * MILLISECOND);
         let remaining_ms = (expires_at - now).div_ceil(MILLISECOND);
         let register = LockRegister { remaining_ms, ..register };
-        // Writing to memory can't fail.
+        // Encoding into memory cannot fail.
         let value = register.write_to_vec().unwrap_or_default();
         self.held.insert(name.to_owned(), HeldLock { register, expires_at });
         vec![(RegisterKey::Lock(name.to_owned()), Some(value.into()))]
     }
 
-    /// Decides on a call to free a lock. Only the last token frees it: a call with an earlier one was sent before the holder took the lock
-    /// again.
+    /// Decides on a call to release a lock. Only the last fencing token releases the lock: a call with an earlier token was sent before
+    /// the holder acquired the lock again. The reply is the same whether the lock was held or not.
     pub(crate) fn release(&mut self, name: &str, holder: &str, fence: u64) -> Decision {
         let is_held = self
             .held
@@ -136,7 +137,7 @@
         Decision::propose(vec![(RegisterKey::Lock(name.to_owned()), None)], Reply::LockReleased)
     }
 
-    /// Forgets locks whose time ran out this long ago, some at a time.
+    /// Removes at most `max_count` locks that expired at least `grace` ago. Returns the registers to clear.
     pub(crate) fn remove_expired(&mut self, now: Nanos, grace: Nanos, max_count: usize) -> RegisterChanges {
         let is_removable = |lock: &HeldLock| now >= lock.expires_at.saturating_add(grace);
         let expired = self.held.iter().filter(|(_, lock)| is_removable(lock)).map(|(name, _)| name.clone());
@@ -150,12 +151,12 @@
             .collect()
     }
 
-    /// The number of locks that are stored.
+    /// The number of stored locks, including expired ones that are not yet removed.
     pub fn len(&self) -> usize {
         self.held.len()
     }
 
-    /// Whether no lock is stored.
+    /// Whether no lock is stored, not even an expired one.
     pub fn is_empty(&self) -> bool {
         self.held.is_empty()
     }
--- a/coordination/src/state.rs
+++ b/coordination/src/state.rs
@@ -1,4 +1,4 @@
-//! The state of one partition as its leader has it, and what each call does to it.
+//! The state of one partition at its leader, and the dispatch of calls to it.
 
 use ivyhatch_protocol::Nanos;
 use ivyhatch_protocol::coordination::{Call, CallOutcome, NotStarted, Refusal, Reply};
@@ -7,30 +7,31 @@
 use crate::cell::Cells;
 use crate::lock::Locks;
 
-/// Watches of a group are to be answered once a change is committed.
+/// Notification that the watches of a group have to be answered once a change is committed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Publication {
-    /// The group.
+    /// The name of the group.
     pub group: String,
-    /// Its revision after the change.
+    /// The revision of the group after the change.
     pub revision: u64,
 }
 
-/// What the leader does with a call.
+/// The decision of the leader on a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Nothing changes: give out the outcome, once what it was decided on is committed and a quorum has confirmed the leader's ballot.
+    /// Nothing changes. Return the outcome once all changes that it is based on are committed and a quorum has confirmed the leader's
+    /// ballot.
     Respond(CallOutcome),
-    /// Propose these changes, and give out the reply once they are committed.
+    /// Propose these changes, and return the reply once they are committed.
     Propose {
-        /// The changes. A number needs none: its value is the change's own number.
+        /// The registers to write. Empty for a number, whose value is the sequence number of the change itself.
         changes: RegisterChanges,
-        /// The reply after the commit.
+        /// The reply to the caller after the commit.
         reply: Reply,
-        /// Whose watchers to answer after the commit.
+        /// The group whose watches have to be answered after the commit; `None` unless the call is a put.
         publication: Option<Publication>,
     },
-    /// Hold the call, a watch, until its group has a later revision or its time is up.
+    /// The call is a watch: keep it pending until its group has a later revision or its wait has timed out.
     Wait,
 }
 
@@ -52,7 +53,7 @@
     }
 }
 
-/// The locks and cells of a partition, with all changes that its leader has proposed.
+/// The locks and cells of a partition, including all changes that the leader has proposed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CoordinationState {
     locks: Locks,
@@ -60,8 +61,8 @@
 }
 
 impl CoordinationState {
-    /// Reads the state from a partition's registers; `None` where one was written in a format that this release does not know. Puts stay in
-    /// the history for a span.
+    /// Loads the state from a partition's registers; `None` if a register has a format that is unknown to this release.
+    /// `history_retention` is the time for which puts stay in the history.
     pub fn from_registers(now: Nanos, history_retention: Nanos, registers: &RegisterMap) -> Option<Self> {
         let mut state = Self { locks: Locks::default(), cells: Cells::new(history_retention) };
         for (key, value) in registers.values() {
@@ -75,9 +76,10 @@
         Some(state)
     }
 
-    /// Decides on a call, and applies what it is going to change. `sequence` is the number of the partition's next change.
+    /// Decides on a call, and applies the proposed change to the state. `sequence` is the sequence number of the partition's next change.
     ///
-    /// Watches are answered with what is committed: see [`CoordinationState::watch`].
+    /// A watch passed to this method is answered from all proposed puts. To answer only from committed puts, use
+    /// [`CoordinationState::watch`].
     pub fn decide(&mut self, now: Nanos, sequence: u64, call: &Call) -> Decision {
         match call {
             Call::AcquireLock { name, holder, hold_ms } => {
@@ -99,27 +101,27 @@
         }
     }
 
-    /// Decides on a watch, by the puts of its group up to a committed revision.
+    /// Decides on a watch by a caller that knows the group up to revision `after`, from the puts up to the revision `committed`.
     pub fn watch(&self, group: &str, after: u64, committed: u64) -> Decision {
         self.cells.watch(group, after, committed).unwrap_or(Decision::Wait)
     }
 
-    /// The last revision of a group, with all puts that were proposed; 0 before the first.
+    /// The last revision of a group, including all proposed puts; 0 before the first put.
     pub fn group_revision(&self, group: &str) -> u64 {
         self.cells.group_revision(group)
     }
 
-    /// Forgets locks whose time ran out longer than `grace` ago, `most` at a time. Returns the changes to propose.
+    /// Removes at most `max_count` locks that expired at least `grace` ago. Returns the changes to propose.
     pub fn remove_expired_locks(&mut self, now: Nanos, grace: Nanos, max_count: usize) -> RegisterChanges {
         self.locks.remove_expired(now, grace, max_count)
     }
 
-    /// The locks.
+    /// The locks of the partition.
     pub fn locks(&self) -> &Locks {
         &self.locks
     }
 
-    /// The cells.
+    /// The cells of the partition.
     pub fn cells(&self) -> &Cells {
         &self.cells
     }
