--- a/coordination/tests/decisions/cells.rs
+++ b/coordination/tests/decisions/cells.rs
@@ -6,10 +6,10 @@
 use ivyhatch_protocol::{MILLISECOND, SECOND};
 use proptest::prelude::{ProptestConfig, Strategy, prop_oneof, proptest};
 
-use crate::leader::{HISTORY_S, Leader, number, put, read, watch};
+use crate::leader::{HISTORY_S, Leader, next_number, put, read, watch};
 
 /// After this a put may leave the history.
-const KEPT_MS: u64 = HISTORY_S * 1000 + HISTORY_MARGIN / MILLISECOND;
+const RETENTION_MS: u64 = HISTORY_S * 1000 + HISTORY_MARGIN / MILLISECOND;
 
 fn revision(outcome: &CallOutcome) -> Option<u64> {
     match outcome {
@@ -23,7 +23,7 @@
 }
 
 /// The revisions that a watch is shown, and the one that it goes on from.
-fn shown(outcome: CallOutcome) -> (Vec<u64>, u64) {
+fn watch_result(outcome: CallOutcome) -> (Vec<u64>, u64) {
     match outcome {
         CallOutcome::Applied(Reply::Events { events, revision }) => {
             (events.iter().map(|event| event.revision).collect(), revision)
@@ -33,11 +33,11 @@
 }
 
 #[gtest]
-fn numbers_rise_under_each_name_and_by_new_leaders() {
+fn numbers_increase_across_leader_changes() {
     let mut leader = Leader::new();
     let mut last = 0;
     for _ in 0..5 {
-        let outcome = leader.call(0, &number("n"));
+        let outcome = leader.call(0, &next_number("n"));
         let CallOutcome::Applied(Reply::Number { value }) = outcome else { panic!("{outcome:?}") };
         expect_that!(value, gt(last));
         last = value;
@@ -65,11 +65,11 @@
     expect_that!(leader.call(0, &put("g.a", "1", Some(7))), eq(&conflict(0)));
     leader.call(0, &put("g.a", "2", Some(0)));
     expect_that!(leader.call(0, &put("g.a", "3", Some(0))), eq(&conflict(1)));
-    expect_that!(shown(leader.call(0, &watch("g.", 0))).1, eq(1));
+    expect_that!(watch_result(leader.call(0, &watch("g.", 0))).1, eq(1));
 }
 
 #[gtest]
-fn a_put_that_comes_again_gets_its_first_revision_also_when_it_was_replaced() {
+fn a_retried_put_gets_its_first_revision_even_after_it_was_overwritten() {
     let mut leader = Leader::new();
     leader.call(0, &put("g.a", "1", Some(0)));
     leader.call(10, &put("g.a", "2", Some(1)));
@@ -86,33 +86,33 @@
         leader.call(0, &put(&format!("g.{}", value % 2), &value.to_string(), None));
     }
     leader.call(0, &put("h.a", "other", None));
-    expect_that!(shown(leader.call(1, &watch("g.", 2))), eq(&(vec![3, 4, 5], 5)));
-    expect_that!(shown(leader.call(1, &watch("g.", 0))), eq(&(vec![], 5)));
+    expect_that!(watch_result(leader.call(1, &watch("g.", 2))), eq(&(vec![3, 4, 5], 5)));
+    expect_that!(watch_result(leader.call(1, &watch("g.", 0))), eq(&(vec![], 5)));
     expect_that!(leader.try_call(1, &watch("g.", 5)), none());
     let ahead = CallOutcome::Refused(Refusal::RevisionAhead { revision: 5 });
     expect_that!(leader.call(1, &watch("g.", 6)), eq(&ahead));
-    expect_that!(shown(leader.successor().call(1, &watch("g.", 2))), eq(&(vec![3, 4, 5], 5)));
+    expect_that!(watch_result(leader.successor().call(1, &watch("g.", 2))), eq(&(vec![3, 4, 5], 5)));
 }
 
 #[gtest]
-fn the_history_lasts_for_its_span_and_its_slots_are_used_again() {
+fn the_history_is_kept_for_its_retention_time_and_slots_are_reused() {
     let mut leader = Leader::new();
     for value in 0..100_u64 {
         leader.call(value, &put("g.a", &value.to_string(), None));
     }
-    expect_that!(shown(leader.call(KEPT_MS - 1, &watch("g.", 1))).0, len(eq(99)));
+    expect_that!(watch_result(leader.call(RETENTION_MS - 1, &watch("g.", 1))).0, len(eq(99)));
     let registers = leader.register_count();
     for value in 100..150_u64 {
-        leader.call(KEPT_MS + value, &put("g.a", &value.to_string(), None));
+        leader.call(RETENTION_MS + value, &put("g.a", &value.to_string(), None));
     }
     expect_that!(leader.register_count(), eq(registers));
     let expired = CallOutcome::Refused(Refusal::HistoryExpired { revision: 150 });
-    expect_that!(leader.call(KEPT_MS + 200, &watch("g.", 49)), eq(&expired));
-    expect_that!(shown(leader.call(KEPT_MS + 200, &watch("g.", 50))).0, len(eq(100)));
+    expect_that!(leader.call(RETENTION_MS + 200, &watch("g.", 49)), eq(&expired));
+    expect_that!(watch_result(leader.call(RETENTION_MS + 200, &watch("g.", 50))).0, len(eq(100)));
     // A new leader, which can't know their age, keeps them for the whole span.
     let mut successor = leader.successor();
-    successor.call(KEPT_MS + 300, &put("g.a", "next", None));
-    expect_that!(shown(successor.call(KEPT_MS + 300, &watch("g.", 50))).0, len(eq(101)));
+    successor.call(RETENTION_MS + 300, &put("g.a", "next", None));
+    expect_that!(watch_result(successor.call(RETENTION_MS + 300, &watch("g.", 50))).0, len(eq(101)));
 }
 
 #[gtest]
@@ -124,7 +124,7 @@
     let overloaded = CallOutcome::NotStarted(NotStarted::Overloaded);
     expect_that!(leader.call(1, &put("g.a", "more", None)), eq(&overloaded));
     expect_that!(revision(&leader.call(2, &read("g.a"))), some(eq(MAX_HISTORY_EVENTS as u64)));
-    let outcome = leader.call(KEPT_MS, &put("g.a", "more", None));
+    let outcome = leader.call(RETENTION_MS, &put("g.a", "more", None));
     expect_that!(revision(&outcome), some(eq(MAX_HISTORY_EVENTS as u64 + 1)));
 }
 
@@ -182,10 +182,11 @@
                         Some(CallOutcome::Refused(Refusal::RevisionAhead { revision })) => {
                             assert!(after > last && revision == last);
                         }
-                        Some(CallOutcome::Refused(Refusal::HistoryExpired { .. })) => assert!(now_ms > KEPT_MS),
+                        Some(CallOutcome::Refused(Refusal::HistoryExpired { .. })) =>
+                            assert!(now_ms > RETENTION_MS),
                         Some(outcome) => {
                             let expected: Vec<u64> = (after + 1..=last).collect();
-                            assert_eq!(shown(outcome), (expected, last));
+                            assert_eq!(watch_result(outcome), (expected, last));
                         }
                     }
                 }
--- a/coordination/tests/decisions/exhaustive.rs
+++ b/coordination/tests/decisions/exhaustive.rs
@@ -13,22 +13,22 @@
 
 /// A call on its way, and when it was sent.
 #[derive(Clone)]
-struct Sent {
+struct SentCall {
     call: Call,
     at_ms: u64,
 }
 
 #[derive(Clone, Default)]
 struct Caller {
-    in_flight: Option<Sent>,
+    in_flight: Option<SentCall>,
     /// The last call that was delivered, of which the network may deliver a copy.
-    delivered: Option<Sent>,
+    delivered: Option<SentCall>,
     fence: u64,
     holds_until_ms: u64,
 }
 
 #[derive(Clone)]
-struct World {
+struct Model {
     leader: Leader,
     now_ms: u64,
     callers: [Caller; 2],
@@ -43,52 +43,52 @@
     /// The call in flight is delivered, and its answer comes.
     Deliver(usize),
     /// The call in flight is delivered, and its answer is lost.
-    DeliverWithoutAnswer(usize),
+    DeliverAndLoseResponse(usize),
     DeliverCopy(usize),
     Wait,
     ChangeLeader,
 }
 
-const NAMES: [&str; 2] = ["a", "b"];
+const HOLDERS: [&str; 2] = ["a", "b"];
 
-impl World {
+impl Model {
     fn steps(&self) -> Vec<Step> {
         let mut steps = vec![Step::Wait, Step::ChangeLeader];
-        for (number, caller) in self.callers.iter().enumerate() {
+        for (index, caller) in self.callers.iter().enumerate() {
             if caller.in_flight.is_some() {
-                steps.extend([Step::Deliver(number), Step::DeliverWithoutAnswer(number)]);
+                steps.extend([Step::Deliver(index), Step::DeliverAndLoseResponse(index)]);
             } else if caller.holds_until_ms > self.now_ms {
-                steps.extend([Step::Renew(number), Step::Release(number)]);
+                steps.extend([Step::Renew(index), Step::Release(index)]);
             } else {
-                steps.push(Step::Acquire(number));
+                steps.push(Step::Acquire(index));
             }
             if caller.delivered.is_some() {
-                steps.push(Step::DeliverCopy(number));
+                steps.push(Step::DeliverCopy(index));
             }
         }
         steps
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         let now_ms = self.now_ms;
         match step {
-            Step::Acquire(number) => self.send(number, acquire("l", NAMES[number], HOLD_MS)),
-            Step::Renew(number) => {
-                self.send(number, renew("l", NAMES[number], self.callers[number].fence, HOLD_MS));
+            Step::Acquire(index) => self.send(index, acquire("l", HOLDERS[index], HOLD_MS)),
+            Step::Renew(index) => {
+                self.send(index, renew("l", HOLDERS[index], self.callers[index].fence, HOLD_MS));
             }
-            Step::Release(number) => {
+            Step::Release(index) => {
                 // It counts as holder until it sends this.
-                self.callers[number].holds_until_ms = now_ms;
-                self.send(number, release("l", NAMES[number], self.callers[number].fence));
+                self.callers[index].holds_until_ms = now_ms;
+                self.send(index, release("l", HOLDERS[index], self.callers[index].fence));
             }
-            Step::Deliver(number) => {
-                if let Some((sent, outcome)) = self.deliver(number) {
-                    self.answer(number, &sent, &outcome);
+            Step::Deliver(index) => {
+                if let Some((sent, outcome)) = self.deliver(index) {
+                    self.handle_response(index, &sent, &outcome);
                 }
             }
-            Step::DeliverWithoutAnswer(number) => drop(self.deliver(number)),
-            Step::DeliverCopy(number) => {
-                if let Some(sent) = self.callers[number].delivered.take() {
+            Step::DeliverAndLoseResponse(index) => drop(self.deliver(index)),
+            Step::DeliverCopy(index) => {
+                if let Some(sent) = self.callers[index].delivered.take() {
                     self.leader.call(now_ms, &sent.call);
                 }
             }
@@ -97,19 +97,19 @@
         }
     }
 
-    fn send(&mut self, number: usize, call: Call) {
-        self.callers[number].in_flight = Some(Sent { call, at_ms: self.now_ms });
+    fn send(&mut self, index: usize, call: Call) {
+        self.callers[index].in_flight = Some(SentCall { call, at_ms: self.now_ms });
     }
 
-    fn deliver(&mut self, number: usize) -> Option<(Sent, CallOutcome)> {
-        let sent = self.callers[number].in_flight.take()?;
+    fn deliver(&mut self, index: usize) -> Option<(SentCall, CallOutcome)> {
+        let sent = self.callers[index].in_flight.take()?;
         let outcome = self.leader.call(self.now_ms, &sent.call);
-        self.callers[number].delivered = Some(sent.clone());
+        self.callers[index].delivered = Some(sent.clone());
         Some((sent, outcome))
     }
 
-    fn answer(&mut self, number: usize, sent: &Sent, outcome: &CallOutcome) {
-        let (now_ms, caller) = (self.now_ms, &mut self.callers[number]);
+    fn handle_response(&mut self, index: usize, sent: &SentCall, outcome: &CallOutcome) {
+        let (now_ms, caller) = (self.now_ms, &mut self.callers[index]);
         match outcome {
             CallOutcome::Applied(Reply::LockAcquired { fence }) => {
                 assert!(*fence > self.highest_fence, "{fence} after {}", self.highest_fence);
@@ -130,26 +130,26 @@
 }
 
 /// Takes all steps from a world, to a depth. Returns how many worlds there were.
-fn explore(world: &World, depth: usize, path: &mut Vec<Step>) -> u64 {
-    assert!(world.holders() <= 1, "both hold the lock after {path:?}");
+fn explore(model: &Model, depth: usize, path: &mut Vec<Step>) -> u64 {
+    assert!(model.holders() <= 1, "both hold the lock after {path:?}");
     if depth == 0 {
         return 1;
     }
-    let mut worlds = 1;
-    for step in world.steps() {
-        let mut next = world.clone();
+    let mut states = 1;
+    for step in model.steps() {
+        let mut next = model.clone();
         path.push(step);
-        next.take(step);
-        worlds += explore(&next, depth - 1, path);
+        next.apply(step);
+        states += explore(&next, depth - 1, path);
         path.pop();
     }
-    worlds
+    states
 }
 
 #[gtest]
 fn two_callers_never_hold_one_lock_whatever_the_order() {
-    let world = World { leader: Leader::new(), now_ms: 0, callers: Default::default(), highest_fence: 0 };
-    let worlds = explore(&world, DEPTH, &mut Vec::new());
-    println!("{worlds} worlds");
-    expect_that!(worlds, gt(100_000));
+    let model = Model { leader: Leader::new(), now_ms: 0, callers: Default::default(), highest_fence: 0 };
+    let states = explore(&model, DEPTH, &mut Vec::new());
+    println!("{states} states");
+    expect_that!(states, gt(100_000));
 }
--- a/coordination/tests/decisions/leader.rs
+++ b/coordination/tests/decisions/leader.rs
@@ -48,8 +48,8 @@
         }
     }
 
-    pub fn remove_expired(&mut self, at_ms: u64, grace_ms: u64, most: usize) {
-        let changes = self.state.remove_expired_locks(at_ms * MILLISECOND, grace_ms * MILLISECOND, most);
+    pub fn remove_expired(&mut self, at_ms: u64, grace_ms: u64, max_count: usize) {
+        let changes = self.state.remove_expired_locks(at_ms * MILLISECOND, grace_ms * MILLISECOND, max_count);
         self.commit(changes);
     }
 
@@ -90,7 +90,7 @@
     Call::ReleaseLock { name: name.to_owned(), holder: holder.to_owned(), fence }
 }
 
-pub fn number(name: &str) -> Call {
+pub fn next_number(name: &str) -> Call {
     Call::NextNumber { name: name.to_owned() }
 }
 
--- a/coordination/tests/decisions/locks.rs
+++ b/coordination/tests/decisions/locks.rs
@@ -99,7 +99,7 @@
 }
 
 #[gtest]
-fn locks_that_ran_out_long_ago_are_forgotten() {
+fn locks_past_the_grace_period_are_removed() {
     let mut leader = Leader::new();
     for number in 0..10 {
         leader.call(0, &acquire(&format!("l{number}"), "a", 100));
--- a/routing/tests/event_stream.rs
+++ b/routing/tests/event_stream.rs
@@ -68,11 +68,11 @@
 #[gtest]
 fn id_that_does_not_rise_is_an_error() {
     for (first, second) in [(5, 5), (5, 4), (5, 0), (u64::MAX, 1)] {
-        let both = event(first, "a", "\n") + &event(second, "b", "\n");
-        let order = StreamError::IdNotIncreasing { id: second, previous: first };
-        expect_that!(EventStreamParser::default().feed(both.as_bytes()), err(eq(&order)));
+        let events = event(first, "a", "\n") + &event(second, "b", "\n");
+        let expected = StreamError::IdNotIncreasing { id: second, previous: first };
+        expect_that!(EventStreamParser::default().feed(events.as_bytes()), err(eq(&expected)));
         let mut parser = EventStreamParser::default();
-        expect_that!(feed_chunks(&mut parser, both.as_bytes(), 1), err(eq(&order)), "in single bytes");
+        expect_that!(feed_chunks(&mut parser, events.as_bytes(), 1), err(eq(&expected)), "in single bytes");
     }
 }
 
@@ -83,8 +83,8 @@
         ok(some(anything()))
     );
     for id in [1, 6, 7] {
-        let began = EventStreamParser::resume_after(Some(7)).feed(event(id, "a", "\n").as_bytes());
-        expect_that!(began, err(eq(&StreamError::IdNotIncreasing { id, previous: 7 })));
+        let result = EventStreamParser::resume_after(Some(7)).feed(event(id, "a", "\n").as_bytes());
+        expect_that!(result, err(eq(&StreamError::IdNotIncreasing { id, previous: 7 })));
     }
     expect_that!(
         EventStreamParser::resume_after(None).feed(event(0, "a", "\n").as_bytes()),
@@ -121,6 +121,6 @@
 fn event_without_end_is_rejected_as_too_large() {
     let chunk = vec![b'x'; 64 * 1024];
     let mut parser = EventStreamParser::default();
-    let ended = (0..64).find_map(|_| parser.feed(&chunk).err());
-    expect_that!(ended, some(eq(StreamError::EventTooLarge)));
+    let error = (0..64).find_map(|_| parser.feed(&chunk).err());
+    expect_that!(error, some(eq(StreamError::EventTooLarge)));
 }
--- a/routing/tests/placement.rs
+++ b/routing/tests/placement.rs
@@ -23,14 +23,14 @@
 /// A router of region 0 of three, and one service's servers.
 struct Router {
     shared: SharedPlacement,
-    next: u64,
+    next_id: u64,
 }
 
 impl Router {
     fn new(is_model: bool, slow_start: SlowStartLimit) -> Self {
         let mut placement = Placement::new(HOME_REGION, 3);
         placement.configure(ServiceSettings { is_model, slow_start });
-        Self { shared: SharedPlacement(Rc::new(RefCell::new(placement))), next: 0 }
+        Self { shared: SharedPlacement(Rc::new(RefCell::new(placement))), next_id: 0 }
     }
 
     /// A router with some servers in its home region that are in no slow start.
@@ -52,10 +52,10 @@
         call(&mut self.shared.0.borrow_mut())
     }
 
-    fn add_request_for(&mut self, homes: RegionSet, prompt: Prompt) -> RequestId {
-        let request = RequestId(self.next);
-        self.next += 1;
-        self.update(|placement| placement.add_request(request, homes, prompt, LATENCY_TARGET));
+    fn add_request_for(&mut self, home_regions: RegionSet, prompt: Prompt) -> RequestId {
+        let request = RequestId(self.next_id);
+        self.next_id += 1;
+        self.update(|placement| placement.add_request(request, home_regions, prompt, LATENCY_TARGET));
         request
     }
 
@@ -96,18 +96,18 @@
     let mut router = Router::new(false, SlowStartLimit::default());
     let servers = [BackendId(1), BackendId(2), BackendId(3)];
     servers.iter().zip(0..).for_each(|(id, region)| router.upsert(*id, region, 0));
-    for (homes, stays, allowed) in [
+    for (home_regions, is_home_allowed, allowed) in [
         (EVERYWHERE, true, vec![1, 2, 3]),
         (0b001, true, vec![1]),
         (0b110, false, vec![2, 3]),
         (0b100, false, vec![3]),
         (0, false, vec![]),
     ] {
-        let request = router.add_request_for(homes, Prompt::default());
+        let request = router.add_request_for(home_regions, Prompt::default());
         let allowed_ids: Vec<u32> =
             servers.iter().filter(|id| router.allows(NOW, request, **id)).map(|id| id.0).collect();
-        expect_that!(allowed_ids, eq(&allowed), "{homes:b}");
-        expect_that!(router.shared.home_zone_allowed(request), eq(stays), "{homes:b}");
+        expect_that!(allowed_ids, eq(&allowed), "{home_regions:b}");
+        expect_that!(router.shared.home_zone_allowed(request), eq(is_home_allowed), "{home_regions:b}");
     }
 }
 
@@ -137,7 +137,7 @@
 
 /// Of each router there are two processes within the second; the second one knows nothing of what the first one sent.
 #[gtest]
-fn slow_start_limit_holds_over_routers_that_start_again() {
+fn slow_start_limit_holds_across_router_restarts() {
     for (per_s, routers) in [(30.0, 9), (48.5, 10), (48.5, 88)] {
         let mut total = 0;
         for index in 0..routers {
@@ -171,7 +171,7 @@
 }
 
 #[gtest]
-fn any_second_holds_at_most_the_router_s_share_in_slow_start() {
+fn slow_start_share_holds_in_any_second() {
     let mut router = Router::new(false, limit(20.0));
     router.upsert(SERVER, HOME_REGION, NOW + 60 * SECOND);
     router.update(|placement| placement.set_router_share(RouterShare { count: 2, index: 0 }));
@@ -180,9 +180,9 @@
         .filter(|at| router.try_send(*at, SERVER))
         .collect();
     expect_that!(sends.len(), ge(20), "requests go on");
-    let most =
+    let max_in_a_second =
         sends.iter().map(|from| sends.iter().filter(|at| (*from..*from + SECOND).contains(at)).count()).max();
-    expect_that!(most, some(le(10)));
+    expect_that!(max_in_a_second, some(le(10)));
 }
 
 #[gtest]
@@ -377,7 +377,7 @@
 }
 
 #[gtest]
-fn attempt_that_ends_before_it_began_frees_its_queued_tokens() {
+fn attempt_that_ends_before_its_response_frees_its_queued_tokens() {
     let mut router = Router::with_servers(true, SlowStartLimit::default(), 1);
     let probe = router.add_request_for(EVERYWHERE, prompt("1:10", "10,1"));
     let idle = router.shared.expected_delay(NOW, probe, SERVER).expect("known");
@@ -409,11 +409,11 @@
         placement.remove_request(first);
     });
     // A request with the same shared prefix, and one that shares nothing.
-    let like = router.add_request_for(EVERYWHERE, prompt("a:5000,c:300", "5300,9"));
-    let unlike = router.add_request_for(EVERYWHERE, prompt("d:5000,e:300", "5300,9"));
+    let same_prefix = router.add_request_for(EVERYWHERE, prompt("a:5000,c:300", "5300,9"));
+    let other_prefix = router.add_request_for(EVERYWHERE, prompt("d:5000,e:300", "5300,9"));
     let latency = |request, to| router.shared.expected_delay(NOW + SECOND, request, to).expect("known");
-    expect_that!(latency(like, one), lt(latency(unlike, one).max(latency(unlike, two))));
-    expect_that!(latency(like, one), le(latency(like, two)));
+    expect_that!(latency(same_prefix, one), lt(latency(other_prefix, one).max(latency(other_prefix, two))));
+    expect_that!(latency(same_prefix, one), le(latency(same_prefix, two)));
 }
 
 #[gtest]
--- a/routing/tests/route_table.rs
+++ b/routing/tests/route_table.rs
@@ -161,14 +161,14 @@
     let route = split(&[("none", 0.0), ("most", 90.0), ("nil", 0.0), ("few", 10.0), ("last", 0.0)]);
     let mut counts: BTreeMap<&str, u32> = BTreeMap::new();
     for draw in 0..DRAWS {
-        let to = select_service(&route, f64::from(draw) / f64::from(DRAWS)).expect("a service");
-        *counts.entry(to).or_default() += 1;
+        let service = select_service(&route, f64::from(draw) / f64::from(DRAWS)).expect("a service");
+        *counts.entry(service).or_default() += 1;
     }
     expect_that!(counts.keys().copied().collect::<Vec<_>>(), elements_are![eq(&"few"), eq(&"most")]);
     expect_that!(counts["most"], all![ge(DRAWS * 899 / 1000), le(DRAWS * 901 / 1000)]);
     // The ends of the draws, also one past them.
-    for (draw, to) in [(0.0, "most"), (0.899_999, "most"), (0.9, "few"), (1.0, "few"), (1.1, "few")] {
-        expect_that!(select_service(&route, draw), some(eq(to)), "{draw}");
+    for (draw, service) in [(0.0, "most"), (0.899_999, "most"), (0.9, "few"), (1.0, "few"), (1.1, "few")] {
+        expect_that!(select_service(&route, draw), some(eq(service)), "{draw}");
     }
     expect_that!(select_service(&split(&[("a", 0.0)]), 0.5), none());
 }
@@ -186,8 +186,8 @@
     let mut table = table(&[route("old", "h", "/old/"), route("r1", "h", "/elsewhere/")]);
     let many: Vec<Value> = (0..1000).map(|at| route(&format!("r{at}"), "h", &format!("/p{at}/"))).collect();
     let mut change = PreparedChange::new(self::change("routes", &many, &["old"]));
-    let turns = (1..).find(|_| change.parse_items(30)).expect("it ends");
-    expect_that!(turns, eq(34));
+    let calls = (1..).find(|_| change.parse_items(30)).expect("it ends");
+    expect_that!(calls, eq(34));
     expect_that!(change.parse_items(1), eq(true), "nothing is left");
     expect_that!(found(&table, "h", "/old/x"), eq(&named("old")), "nothing has changed yet");
     expect_that!(table.commit(change), is_empty());
@@ -201,11 +201,11 @@
 #[gtest]
 fn change_committed_before_it_is_parsed_is_applied_completely() {
     let many: Vec<Value> = (0..10).map(|at| route(&format!("r{at}"), "h", &format!("/p{at}/"))).collect();
-    for parsed in [0, 1, 9, 10] {
+    for parsed_items in [0, 1, 9, 10] {
         let mut change = PreparedChange::new(self::change("routes", &many, &[]));
-        change.parse_items(parsed);
+        change.parse_items(parsed_items);
         let mut table = RouteTable::default();
         expect_that!(table.commit(change), is_empty());
-        expect_that!(table.routes().count(), eq(10), "{parsed} parsed before");
+        expect_that!(table.routes().count(), eq(10), "{parsed_items} parsed before");
     }
 }
--- a/routing/tests/time_to_first_token.rs
+++ b/routing/tests/time_to_first_token.rs
@@ -160,9 +160,9 @@
     expect_that!(last, le(0.3), "no request waits");
     for _ in 0..20 {
         server.learn(2000, server.latency(2000) + 300.0 * MS);
-        let now = server.utilisation();
-        expect_that!(now, gt(last));
-        last = now;
+        let utilisation = server.utilisation();
+        expect_that!(utilisation, gt(last));
+        last = utilisation;
     }
     expect_that!(last, all![gt(0.6), lt(1.0)]);
 }
--- a/routing/tests/watch_client.rs
+++ b/routing/tests/watch_client.rs
@@ -110,8 +110,8 @@
     /// A client connected to three nodes, the first of which is the nearest; each has a quorum and reports so at every tick.
     fn connected() -> Self {
         let mut harness = Self::new(3);
-        for (node, took) in nodes(3).into_iter().zip(1..) {
-            harness.handle(Input::Connected { node, round_trip: took * MILLISECOND });
+        for (node, round_trip_ms) in nodes(3).into_iter().zip(1..) {
+            harness.handle(Input::Connected { node, round_trip: round_trip_ms * MILLISECOND });
             harness.reporting_nodes.push((node, Position::default(), true));
         }
         harness.advance(2 * TICK);
@@ -289,8 +289,8 @@
         harness.handle(Input::Connected { node: NodeId(1), round_trip: MILLISECOND });
         harness.set_report(1, Some((Position::default(), true)));
         harness.advance(TICK);
-        for (node, (took, has_quorum)) in [(2, two), (3, three)] {
-            harness.handle(Input::Connected { node: NodeId(node), round_trip: took * MILLISECOND });
+        for (node, (round_trip_ms, has_quorum)) in [(2, two), (3, three)] {
+            harness.handle(Input::Connected { node: NodeId(node), round_trip: round_trip_ms * MILLISECOND });
             harness.set_report(node, Some((Position::default(), has_quorum)));
         }
         harness.advance(SECOND);
@@ -379,7 +379,7 @@
 
 #[gtest]
 fn each_part_of_the_state_that_is_behind_is_fetched() {
-    let behind = [
+    let newer_positions = [
         Position { configuration: 1, ..Position::default() },
         Position {
             evacuations: vec![EvacuationPosition { partition: PartitionId(3), sequence: 1 }],
@@ -387,7 +387,7 @@
         },
         Position { server_list: ServerListPosition { ballot: ballot(1), number: 1 }, ..Position::default() },
     ];
-    for position in behind {
+    for position in newer_positions {
         let mut harness = Harness::connected();
         harness.set_report(3, Some((position.clone(), true)));
         expect_that!(fetches(&harness.advance(SECOND)), not(is_empty()), "{position:?}");
@@ -421,14 +421,14 @@
 fn configuration_change_applies_only_to_its_base_version() {
     let (old, new) = (document(50, &["a", "b"]), document(60, &["b", "c"]));
     let change = old.diff(&new);
-    for (from, to, taken) in
+    for (from, to, is_applied) in
         [(5, 6, true), (5, 9, true), (4, 6, false), (6, 7, false), (0, 6, false), (5, 5, false)]
     {
         let mut harness = Harness::connected();
         harness.receive(1, WatchResponse::Snapshot { sequence: 5, document: old.clone().into() });
         let outputs = harness.receive(2, WatchResponse::Change { from, to, change: change.clone().into() });
-        expect_that!(configurations(&outputs), eq(usize::from(taken)), "{from} to {to}");
-        let expected = if taken { (to, 60) } else { (5, 50) };
+        expect_that!(configurations(&outputs), eq(usize::from(is_applied)), "{from} to {to}");
+        let expected = if is_applied { (to, 60) } else { (5, 50) };
         expect_that!(harness.configuration_versions(), eq(expected));
         let again = harness.receive(1, WatchResponse::Change { from, to, change: change.clone().into() });
         expect_that!(configurations(&again), eq(0), "a second time the base version differs");
@@ -476,10 +476,10 @@
 
 #[gtest]
 fn evacuation_sequence_never_goes_back() {
-    let part = PartitionId::for_key("a");
+    let zone_partition = PartitionId::for_key("a");
     let update = |sequence, active, changes| {
         WatchResponse::Evacuations(EvacuationUpdate {
-            partition: part,
+            partition: zone_partition,
             sequence,
             zones: vec![ZoneEvacuation { zone: "a".to_owned(), active, change_count: changes }],
         })
@@ -667,7 +667,7 @@
 }
 
 #[gtest]
-fn primary_moves_to_a_nearer_place_and_the_load_goes_there() {
+fn primary_and_load_reports_move_to_a_nearer_control_node() {
     let mut harness = Harness::connected();
     let outputs = harness.receive(1, control_nodes(&[(1, "d"), (2, "e"), (3, "a")]));
     expect_that!(subscriptions(&outputs), contains(eq(&(NodeId(3), true))));
@@ -696,7 +696,7 @@
 }
 
 #[gtest]
-fn subscriptions_are_marked_for_the_later_variants() {
+fn subscriptions_carry_the_extensions_mark() {
     let mut harness = Harness::new(1);
     let outputs = harness.handle(Input::Connected { node: NodeId(1), round_trip: MILLISECOND });
     let is_marked = |output: &Output| match output {
@@ -709,7 +709,7 @@
 }
 
 #[gtest]
-fn list_of_the_next_reader_follows_on_the_one_before() {
+fn server_list_change_of_a_new_list_owner_applies_to_the_previous_list() {
     let mut harness = Harness::connected();
     harness.receive(1, server_list_update(2, None, 7, &["i-1", "i-2"]));
     let change = ServerListChange {
