--- a/coordination/tests/decisions/cells.rs
+++ b/coordination/tests/decisions/cells.rs
@@ -1,4 +1,4 @@
-//! Cells, numbers and watches: revisions, puts that come again, and the history, also by a new leader.
+//! Cells, numbers and watches: revisions, retried puts and the history, also across leader changes.
 
 use googletest::prelude::*;
 use ivyhatch_coordination::limits::{HISTORY_MARGIN, MAX_HISTORY_EVENTS};
@@ -8,7 +8,7 @@
 
 use crate::leader::{HISTORY_S, Leader, next_number, put, read, watch};
 
-/// After this a put may leave the history.
+/// Age at which a put expires from the history, in milliseconds.
 const RETENTION_MS: u64 = HISTORY_S * 1000 + HISTORY_MARGIN / MILLISECOND;
 
 fn revision(outcome: &CallOutcome) -> Option<u64> {
@@ -22,7 +22,7 @@
     CallOutcome::Refused(Refusal::RevisionConflict { revision })
 }
 
-/// The revisions that a watch is shown, and the one that it goes on from.
+/// The revisions of the puts in the response to a watch, and the revision to watch from next.
 fn watch_result(outcome: CallOutcome) -> (Vec<u64>, u64) {
     match outcome {
         CallOutcome::Applied(Reply::Events { events, revision }) => {
@@ -43,7 +43,7 @@
         last = value;
         leader = leader.successor();
     }
-    expect_that!(leader.register_count(), eq(0), "a number keeps no register");
+    expect_that!(leader.register_count(), eq(0), "a number needs no register");
 }
 
 #[gtest]
@@ -109,7 +109,7 @@
     let expired = CallOutcome::Refused(Refusal::HistoryExpired { revision: 150 });
     expect_that!(leader.call(RETENTION_MS + 200, &watch("g.", 49)), eq(&expired));
     expect_that!(watch_result(leader.call(RETENTION_MS + 200, &watch("g.", 50))).0, len(eq(100)));
-    // A new leader, which can't know their age, keeps them for the whole span.
+    // A new leader cannot know the age of the puts, so it keeps them for the whole retention time.
     let mut successor = leader.successor();
     successor.call(RETENTION_MS + 300, &put("g.a", "next", None));
     expect_that!(watch_result(successor.call(RETENTION_MS + 300, &watch("g.", 50))).0, len(eq(101)));
@@ -136,7 +136,7 @@
     expect_that!(group_of("g1."), eq("g1."));
 }
 
-/// A step of a random run.
+/// A step of a random sequence of calls.
 #[derive(Clone, Debug)]
 enum Step {
     Put(u8, Option<u64>),
@@ -157,7 +157,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    /// Beside a plain list of all puts: each watch shows what the list has, or a history that has expired.
+    /// Compares the leader with a reference model, a list of all puts: each watch returns the puts in the list, or reports that the
+    /// history has expired.
     #[test]
     fn watches_agree_with_the_list_of_all_puts(steps in proptest::collection::vec(step(), 1..120)) {
         let (mut leader, mut now_ms) = (Leader::new(), 0);
@@ -197,7 +198,7 @@
     }
 }
 
-/// The registers that a short run leaves, as their keys and the bytes of their values.
+/// The registers after a fixed sequence of calls, as their keys and the bytes of their values.
 fn stored_registers() -> Vec<String> {
     let mut leader = Leader::new();
     leader.call(0, &crate::leader::acquire("lobby", "server.3", 3000));
@@ -208,7 +209,7 @@
 
 #[gtest]
 fn registers_have_the_golden_bytes() {
-    // Stored on disks: another form needs a release that reads both.
+    // These bytes are stored on disks: a change of the format needs a release that reads both formats.
     let expected = [
         "Lock(\"lobby\") 080000007365727665722e3301000000000000000100000000000000b80b000000000000",
         "Cell(\"grid.7\") 01000000760100000000000000",
--- a/coordination/tests/decisions/exhaustive.rs
+++ b/coordination/tests/decisions/exhaustive.rs
@@ -1,5 +1,6 @@
-//! One lock, two callers, changing leaders: all orders of sending, delivering, delivering once more, waiting and changing the leader, up to a
-//! depth. At no moment both callers count themselves holder, and tokens rise from holder to holder.
+//! Exhaustive test with one lock, two callers and leader changes: all orders of sending, delivering, delivering a copy, waiting and
+//! changing the leader, up to a given depth. The two callers must never consider themselves holders at the same time, and the fencing
+//! tokens must increase from each acquisition to the next.
 
 use googletest::prelude::*;
 use ivyhatch_protocol::coordination::{Call, CallOutcome, Reply};
@@ -8,10 +9,10 @@
 
 const DEPTH: usize = 9;
 const HOLD_MS: u64 = 100;
-/// Less than a hold, and more than half of it.
+/// Time that one wait step takes: less than the hold time, and more than half of it.
 const WAIT_MS: u64 = 60;
 
-/// A call on its way, and when it was sent.
+/// A call that was sent, and the time when it was sent.
 #[derive(Clone)]
 struct SentCall {
     call: Call,
@@ -21,7 +22,7 @@
 #[derive(Clone, Default)]
 struct Caller {
     in_flight: Option<SentCall>,
-    /// The last call that was delivered, of which the network may deliver a copy.
+    /// The last delivered call; the network may deliver a copy of it.
     delivered: Option<SentCall>,
     fence: u64,
     holds_until_ms: u64,
@@ -40,9 +41,9 @@
     Acquire(usize),
     Renew(usize),
     Release(usize),
-    /// The call in flight is delivered, and its answer comes.
+    /// The call in flight is delivered, and its response is received.
     Deliver(usize),
-    /// The call in flight is delivered, and its answer is lost.
+    /// The call in flight is delivered, and its response is lost.
     DeliverAndLoseResponse(usize),
     DeliverCopy(usize),
     Wait,
@@ -77,7 +78,7 @@
                 self.send(index, renew("l", HOLDERS[index], self.callers[index].fence, HOLD_MS));
             }
             Step::Release(index) => {
-                // It counts as holder until it sends this.
+                // The caller considers itself the holder until it sends the release.
                 self.callers[index].holds_until_ms = now_ms;
                 self.send(index, release("l", HOLDERS[index], self.callers[index].fence));
             }
@@ -112,11 +113,15 @@
         let (now_ms, caller) = (self.now_ms, &mut self.callers[index]);
         match outcome {
             CallOutcome::Applied(Reply::LockAcquired { fence }) => {
-                assert!(*fence > self.highest_fence, "{fence} after {}", self.highest_fence);
+                assert!(
+                    *fence > self.highest_fence,
+                    "fencing token {fence} issued after {}",
+                    self.highest_fence
+                );
                 (caller.fence, self.highest_fence) = (*fence, *fence);
                 caller.holds_until_ms = sent.at_ms + HOLD_MS;
             }
-            // A renewal that comes too late counts for nothing.
+            // A renewal whose response is received after the hold has expired has no effect.
             CallOutcome::Applied(Reply::LockRenewed) if now_ms < caller.holds_until_ms => {
                 caller.holds_until_ms = caller.holds_until_ms.max(sent.at_ms + HOLD_MS);
             }
@@ -129,9 +134,9 @@
     }
 }
 
-/// Takes all steps from a world, to a depth. Returns how many worlds there were.
+/// Explores all sequences of `depth` steps from the state `model`. Returns the number of visited states.
 fn explore(model: &Model, depth: usize, path: &mut Vec<Step>) -> u64 {
-    assert!(model.holders() <= 1, "both hold the lock after {path:?}");
+    assert!(model.holders() <= 1, "both callers hold the lock after the steps {path:?}");
     if depth == 0 {
         return 1;
     }
--- a/coordination/tests/decisions/leader.rs
+++ b/coordination/tests/decisions/leader.rs
@@ -1,11 +1,11 @@
-//! A leader of one partition whose proposals are all committed at once, and the calls that tests make.
+//! Test helper: a leader of one partition whose proposals are committed immediately, and constructors of calls.
 
 use ivyhatch_coordination::{CoordinationState, Decision};
 use ivyhatch_protocol::coordination::{Call, CallOutcome};
 use ivyhatch_protocol::registers::{RegisterChanges, RegisterMap, RegisterWrite};
 use ivyhatch_protocol::{MILLISECOND, SECOND};
 
-/// For how long the history is kept, beside its margin.
+/// The retention time of the history in seconds, without the margin.
 pub const HISTORY_S: u64 = 10;
 
 #[derive(Clone)]
@@ -19,12 +19,12 @@
 impl Leader {
     pub fn new() -> Self {
         let registers = RegisterMap::default();
-        let state =
-            CoordinationState::from_registers(0, HISTORY_S * SECOND, &registers).expect("it is empty");
+        let state = CoordinationState::from_registers(0, HISTORY_S * SECOND, &registers)
+            .expect("an empty register map can be decoded");
         Self { state, registers, sequence: 0, now_ms: 0 }
     }
 
-    /// Decides on a call and commits what it proposes; `None` for a watch that waits.
+    /// Decides on a call and commits the proposed change; `None` for a watch that has to wait.
     pub fn try_call(&mut self, at_ms: u64, call: &Call) -> Option<CallOutcome> {
         self.now_ms = at_ms;
         match self.state.decide(at_ms * MILLISECOND, self.sequence + 1, call) {
@@ -38,7 +38,7 @@
     }
 
     pub fn call(&mut self, at_ms: u64, call: &Call) -> CallOutcome {
-        self.try_call(at_ms, call).expect("it does not wait")
+        self.try_call(at_ms, call).expect("the call does not have to wait")
     }
 
     fn commit(&mut self, changes: RegisterChanges) {
@@ -58,22 +58,22 @@
         self.registers.values().count()
     }
 
-    /// All registers, as text.
+    /// All registers as text: the key and the value in hexadecimal.
     pub fn registers(&self) -> Vec<String> {
         let hex = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
         self.registers.values().map(|(key, value)| format!("{key:?} {}", hex(value))).collect()
     }
 
-    /// A new leader, on a node whose clock shows the same.
+    /// A new leader on a node whose clock shows the same time.
     pub fn successor(&self) -> Self {
         self.successor_at(self.now_ms)
     }
 
-    /// A new leader, on a node whose clock shows this.
+    /// A new leader on a node whose clock shows `now_ms`.
     pub fn successor_at(&self, now_ms: u64) -> Self {
         let registers = self.registers.clone();
         let state = CoordinationState::from_registers(now_ms * MILLISECOND, HISTORY_S * SECOND, &registers)
-            .expect("this release wrote them");
+            .expect("the registers were written by this release");
         Self { state, registers, sequence: self.sequence, now_ms }
     }
 }
--- a/coordination/tests/decisions/main.rs
+++ b/coordination/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! What the leader of a partition decides on calls: locks, numbers, cells and watches.
+//! Tests of the decisions of a partition's leader on calls: locks, numbers, cells and watches.
 
 mod cells;
 mod exhaustive;
--- a/routing/tests/event_stream.rs
+++ b/routing/tests/event_stream.rs
@@ -1,4 +1,4 @@
-//! Framing of server-sent events: chunks of any size, ids that must rise, and incomplete events.
+//! Framing of server-sent events: chunks of any size, ids that must increase, and incomplete events.
 
 use googletest::prelude::*;
 use ivyhatch_routing::event_stream::{CompleteEvents, EventStreamParser, StreamError};
@@ -7,7 +7,7 @@
     format!("id: {id}{end}data: {data}{end}{end}")
 }
 
-/// Feeds chunks of this size; returns all complete events and the last id.
+/// Feeds `bytes` in chunks of `size` bytes. Returns all complete events and the last id.
 fn feed_chunks(
     parser: &mut EventStreamParser,
     bytes: &[u8],
@@ -30,7 +30,7 @@
         for size in 1..=text.len() {
             let mut parser = EventStreamParser::default();
             let all = feed_chunks(&mut parser, text.as_bytes(), size).expect("well formed");
-            expect_that!(String::from_utf8(all.bytes).expect("text"), eq(&text), "{size}");
+            expect_that!(String::from_utf8(all.bytes).expect("text"), eq(&text), "chunks of {size} bytes");
             expect_that!(all.last_id, some(eq(21)));
             expect_that!(parser.is_at_event_boundary(), eq(true));
         }
@@ -60,7 +60,7 @@
     expect_that!(complete, eq(&CompleteEvents { bytes: b"id: 1\ndata: a\n\n".to_vec(), last_id: Some(1) }));
     expect_that!(parser.is_at_event_boundary(), eq(false));
     expect_that!(parser.feed(b""), ok(none()));
-    let complete = parser.feed(b"\nid: 3").expect("well formed").expect("the other");
+    let complete = parser.feed(b"\nid: 3").expect("well formed").expect("the second event");
     expect_that!(complete, eq(&CompleteEvents { bytes: b"id: 2\ndata: b\n\n".to_vec(), last_id: Some(2) }));
     expect_that!(parser.is_at_event_boundary(), eq(false));
 }
@@ -72,7 +72,11 @@
         let expected = StreamError::IdNotIncreasing { id: second, previous: first };
         expect_that!(EventStreamParser::default().feed(events.as_bytes()), err(eq(&expected)));
         let mut parser = EventStreamParser::default();
-        expect_that!(feed_chunks(&mut parser, events.as_bytes(), 1), err(eq(&expected)), "in single bytes");
+        expect_that!(
+            feed_chunks(&mut parser, events.as_bytes(), 1),
+            err(eq(&expected)),
+            "in chunks of one byte"
+        );
     }
 }
 
@@ -99,7 +103,7 @@
         ["id: 4\n", "data: a\n\n", "versions: 3\ndata: b\n\n", ": a comment\n\n", "id: x\n\n", "\n"].concat();
     let complete = parser.feed(text.as_bytes()).expect("well formed").expect("complete events");
     expect_that!(complete, eq(&CompleteEvents { bytes: text.into_bytes(), last_id: Some(4) }));
-    expect_that!(parser.feed(b"data: c\n\n").expect("well formed").expect("one").last_id, none());
+    expect_that!(parser.feed(b"data: c\n\n").expect("well formed").expect("one event").last_id, none());
     expect_that!(parser.feed(b"id: 4\n\n"), err(eq(&StreamError::IdNotIncreasing { id: 4, previous: 4 })));
 }
 
--- a/routing/tests/load_report.rs
+++ b/routing/tests/load_report.rs
@@ -1,4 +1,4 @@
-//! The load header of a model server, well formed and not.
+//! Parsing of the load header of a model server, well formed and malformed.
 
 use googletest::prelude::*;
 use ivyhatch_routing::load_report::LoadReport;
--- a/routing/tests/placement.rs
+++ b/routing/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which servers a request may be sent to: home regions, slow start, back-off, and the latency target.
+//! The servers that a request may be sent to: home regions, slow start, back-off and the latency target.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 const OTHER_REGION: u32 = 1;
 const SERVER: BackendId = BackendId(1);
 
-/// A router of region 0 of three, and one service's servers.
+/// A router in region 0 of three regions, and the servers of one service.
 struct Router {
     shared: SharedPlacement,
     next_id: u64,
@@ -33,7 +33,7 @@
         Self { shared: SharedPlacement(Rc::new(RefCell::new(placement))), next_id: 0 }
     }
 
-    /// A router with some servers in its home region that are in no slow start.
+    /// A router with this number of servers in its home region; no server is in slow start.
     fn with_servers(is_model: bool, slow_start: SlowStartLimit, servers: u32) -> Self {
         let router = Self::new(is_model, slow_start);
         (1..=servers).for_each(|server| router.upsert(BackendId(server), HOME_REGION, 0));
@@ -67,7 +67,7 @@
         self.shared.allows(now, request, to)
     }
 
-    /// Sends one more request if it is allowed; returns whether it is.
+    /// Adds a request and sends it to the server if that is allowed. Returns whether it was sent.
     fn try_send(&mut self, now: Nanos, to: BackendId) -> bool {
         let request = self.add_request();
         let allowed = self.allows(now, request, to);
@@ -77,7 +77,7 @@
         allowed
     }
 
-    /// Requests that a server is allowed in the second from `from` on, one tried every five milliseconds.
+    /// The number of requests that may be sent to a server in the second from `from` on, with one attempt every 5 ms.
     fn requests_in_a_second(&mut self, from: Nanos, to: BackendId) -> usize {
         (0..200).filter(|turn| self.try_send(from + turn * 5 * MILLISECOND, to)).count()
     }
@@ -135,7 +135,7 @@
     }
 }
 
-/// Of each router there are two processes within the second; the second one knows nothing of what the first one sent.
+/// Each router is restarted within the second, and the new process does not know what the previous process has sent.
 #[gtest]
 fn slow_start_limit_holds_across_router_restarts() {
     for (per_s, routers) in [(30.0, 9), (48.5, 10), (48.5, 88)] {
@@ -166,7 +166,7 @@
     let shares: Vec<usize> =
         servers.map(|server| router.requests_in_a_second(NOW, BackendId(server))).collect();
     expect_that!(shares.iter().max(), some(eq(&1)));
-    // The router has a share of some four ninths of the servers.
+    // Four ninths of the servers give the router a share: the limit of five, of which 85 % is used, allows four of nine routers.
     expect_that!(shares.iter().sum::<usize>(), all![ge(12), le(42)]);
 }
 
@@ -179,7 +179,7 @@
         .map(|turn| NOW + turn * 7 * MILLISECOND)
         .filter(|at| router.try_send(*at, SERVER))
         .collect();
-    expect_that!(sends.len(), ge(20), "requests go on");
+    expect_that!(sends.len(), ge(20), "requests are still sent");
     let max_in_a_second =
         sends.iter().map(|from| sends.iter().filter(|at| (*from..*from + SECOND).contains(at)).count()).max();
     expect_that!(max_in_a_second, some(le(10)));
@@ -196,9 +196,9 @@
     expect_that!(
         router.requests_in_a_second(NOW + 6 * SECOND, SERVER),
         le(100),
-        "there is at least this router"
+        "a count of 0 is treated as one router"
     );
-    // Control nodes may differ on the routers: an index beyond the count does no harm.
+    // Control nodes may disagree on the set of routers: an index beyond the count is handled.
     router.update(|placement| placement.set_router_share(RouterShare { count: 2, index: 7 }));
     expect_that!(router.requests_in_a_second(NOW + 9 * SECOND, SERVER), all![gt(10), le(50)]);
 }
@@ -209,7 +209,7 @@
     router.upsert(SERVER, HOME_REGION, NOW + 3 * SECOND);
     router.update(|placement| placement.set_router_share(RouterShare { count: 1, index: 0 }));
     expect_that!(router.requests_in_a_second(NOW, SERVER), le(5));
-    // An older end does not shorten it.
+    // An earlier end does not shorten the slow start.
     router.upsert(SERVER, HOME_REGION, 0);
     expect_that!(router.requests_in_a_second(NOW + 3 * SECOND / 2, SERVER), le(5));
     expect_that!(router.requests_in_a_second(NOW + 3 * SECOND, SERVER), eq(200));
@@ -230,7 +230,7 @@
     expect_that!(
         router.requests_in_a_second(NOW, BackendId(2)),
         eq(200),
-        "the other server is in no slow start"
+        "the other server is not in slow start"
     );
     expect_that!(router.requests_in_a_second(NOW + 3 * SECOND, SERVER), le(10));
     expect_that!(router.requests_in_a_second(NOW + 5 * SECOND, SERVER), eq(200));
@@ -259,13 +259,13 @@
         let backoff = (1..10_000)
             .map(|ms| ms * MILLISECOND)
             .find(|backoff| router.allows(at + backoff, request, SERVER));
-        let backoff = backoff.expect("it is retried");
+        let backoff = backoff.expect("the server is retried");
         backoffs.push(backoff);
         at += backoff;
     }
     expect_that!(backoffs[0], all![ge(100 * MILLISECOND), le(SECOND)]);
     expect_that!(backoffs.is_sorted(), eq(true), "{backoffs:?}");
-    expect_that!(backoffs[7], all![eq(backoffs[6]), le(5 * SECOND)], "there is a longest back-off");
+    expect_that!(backoffs[7], all![eq(backoffs[6]), le(5 * SECOND)], "the back-off is capped");
 }
 
 #[gtest]
@@ -274,14 +274,14 @@
     router.update(|placement| placement.record_connect_failure(NOW, SERVER));
     let later = NOW + SECOND;
     expect_that!(router.try_send(later, SERVER), eq(true));
-    expect_that!(router.try_send(later, SERVER), eq(false), "one is on its way to it");
+    expect_that!(router.try_send(later, SERVER), eq(false), "a request to the server is in flight");
     router.update(|placement| placement.record_response(SERVER));
     expect_that!((0..50).all(|_| router.try_send(later, SERVER)), eq(true));
     router.update(|placement| placement.record_connect_failure(later, SERVER));
     expect_that!(
         router.try_send(later + 300 * MILLISECOND, SERVER),
         eq(true),
-        "the back-off starts again from its shortest"
+        "the back-off starts again from its initial value"
     );
 }
 
@@ -291,14 +291,18 @@
     let other = BackendId(9);
     router.upsert(other, OTHER_REGION, 0);
     for server in 1..=4 {
-        expect_that!(router.try_send(NOW, BackendId(6)), eq(true), "{server}: it may be one server's fault");
+        expect_that!(
+            router.try_send(NOW, BackendId(6)),
+            eq(true),
+            "the region counts as reachable before server {server} fails"
+        );
         router.update(|placement| placement.record_connect_failure(NOW, BackendId(server)));
     }
     expect_that!(router.try_send(NOW, BackendId(6)), eq(false));
     expect_that!(router.try_send(NOW, other), eq(true), "the other region is not affected");
     let later = NOW + 300 * MILLISECOND;
     expect_that!(router.try_send(later, BackendId(6)), eq(true));
-    expect_that!(router.try_send(later, BackendId(6)), eq(false), "one is on its way");
+    expect_that!(router.try_send(later, BackendId(6)), eq(false), "a request to the region is in flight");
     router.update(|placement| placement.record_response(BackendId(6)));
     expect_that!(router.try_send(later, BackendId(6)), eq(true));
 }
@@ -352,7 +356,7 @@
 fn prompt_is_allowed_where_it_meets_its_latency_target() {
     let mut router = Router::with_servers(true, SlowStartLimit::default(), 1);
     let large = || prompt("1:30000", "30000,9");
-    // Whatever its size, a request goes to a server that has none of this router's.
+    // An idle server is allowed for a request of any size.
     let first = router.add_request_for(EVERYWHERE, prompt("2:9000000", "9000000,9"));
     expect_that!(router.allows(NOW, first, SERVER), eq(true));
     let mut sent = Vec::new();
@@ -364,7 +368,7 @@
         router.shared.on_sent(NOW, request, SERVER);
         sent.push(request);
     }
-    // About a hundred tokens in a millisecond: each takes 300 ms of the target of a second.
+    // At the initial rate of 100 tokens per millisecond, each prompt takes 300 ms; the latency target is one second.
     expect_that!(sent.len(), all![ge(2), le(8)]);
     let small = router.add_request_for(EVERYWHERE, prompt("3:10", "10,1"));
     let before = router.shared.expected_delay(NOW, small, SERVER).expect("known");
@@ -372,7 +376,7 @@
         router.update(|placement| placement.record_first_token(NOW, *request, 300 * MILLISECOND));
     }
     let next = router.add_request_for(EVERYWHERE, large());
-    expect_that!(router.allows(NOW, next, SERVER), eq(true), "they have begun");
+    expect_that!(router.allows(NOW, next, SERVER), eq(true), "the responses to all requests have begun");
     expect_that!(router.shared.expected_delay(NOW, small, SERVER), some(lt(before)));
 }
 
@@ -387,7 +391,7 @@
     expect_that!(router.shared.expected_delay(NOW, probe, SERVER), some(gt(idle)));
     router.update(|placement| placement.end_attempt(one));
     expect_that!(router.shared.expected_delay(NOW, probe, SERVER), some(near(idle, 1000.0)));
-    // To end an attempt twice, or a request without one, changes nothing.
+    // Ending an attempt twice, or removing a request without an attempt or an unknown request, changes nothing.
     router.update(|placement| {
         placement.end_attempt(one);
         placement.remove_request(one);
@@ -408,7 +412,7 @@
         placement.record_first_token(NOW, first, 60 * MILLISECOND);
         placement.remove_request(first);
     });
-    // A request with the same shared prefix, and one that shares nothing.
+    // A request with the same shared prefix, and a request with another prefix.
     let same_prefix = router.add_request_for(EVERYWHERE, prompt("a:5000,c:300", "5300,9"));
     let other_prefix = router.add_request_for(EVERYWHERE, prompt("d:5000,e:300", "5300,9"));
     let latency = |request, to| router.shared.expected_delay(NOW + SECOND, request, to).expect("known");
@@ -445,12 +449,12 @@
     expect_that!(
         router.allows(NOW, elsewhere, last),
         eq(true),
-        "the other server is not in its home regions"
+        "the other server is not in the request's home regions"
     );
     router.update(|placement| placement.record_connect_failure(NOW, SERVER));
     expect_that!(router.allows(NOW, request, last), eq(true));
     router.update(|placement| placement.record_response(SERVER));
     expect_that!(router.allows(NOW, request, last), eq(false));
     router.upsert(last, OTHER_REGION, 0);
-    expect_that!(router.allows(NOW, request, last), eq(true), "its zone is not evacuated any more");
+    expect_that!(router.allows(NOW, request, last), eq(true), "the zone is no longer evacuated");
 }
--- a/routing/tests/prefix_cache.rs
+++ b/routing/tests/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! What a server has to prefill of a prompt, by what its prefix cache is known to hold.
+//! The number of tokens that a server has to prefill, given the estimated contents of its prefix cache.
 
 use googletest::prelude::*;
 use ivyhatch_protocol::SECOND;
@@ -14,7 +14,7 @@
     let most = u32::MAX;
     let huge = prompt(&format!("a:{most},b:{most},c:{most}"), "");
     expect_that!(huge.segments, len(eq(3)));
-    expect_that!(huge.tokens, ge(most / 2), "it saturates");
+    expect_that!(huge.tokens, ge(most / 2), "the total saturates");
     let mut cache = PrefixCache::default();
     cache.insert(SECOND, &huge);
     expect_that!(cache.uncached_tokens(SECOND, &huge), eq(0));
@@ -26,18 +26,18 @@
     let prefilled = prompt("a:800,b:400,c:200", "1500,9");
     expect_that!(cache.uncached_tokens(SECOND, &prefilled), eq(1500));
     cache.insert(SECOND, &prefilled);
-    expect_that!(cache.uncached_tokens(SECOND, &prefilled), eq(100), "the rest is in no segment");
+    expect_that!(cache.uncached_tokens(SECOND, &prefilled), eq(100), "100 tokens are in no segment");
     expect_that!(cache.uncached_tokens(SECOND, &prompt("a:800,b:400,d:300", "1500,9")), eq(300));
     expect_that!(
         cache.uncached_tokens(SECOND, &prompt("a:800,d:300,b:400", "1500,9")),
         eq(700),
-        "a segment before it is not cached"
+        "segment b is cached, but segment d before it is not"
     );
     expect_that!(cache.uncached_tokens(SECOND, &prompt("d:300,a:800,b:400", "1500,9")), eq(1500));
     expect_that!(
         cache.uncached_tokens(SECOND, &prompt("b:400,c:200", "600,9")),
         eq(0),
-        "a cached segment counts wherever it stands first"
+        "a cached segment counts also if it was not the first one of the earlier prompt"
     );
     expect_that!(cache.uncached_tokens(SECOND, &prompt("a:800", "300,9")), eq(0), "never below 0");
 }
@@ -49,7 +49,7 @@
     expect_that!(cache.uncached_tokens(60 * SECOND, &prefilled), eq(0));
     expect_that!(cache.uncached_tokens(600 * SECOND, &prefilled), eq(1200));
     cache.insert(80 * SECOND, &prompt("a:800", "800,9"));
-    expect_that!(cache.uncached_tokens(120 * SECOND, &prefilled), eq(400), "use renews it");
+    expect_that!(cache.uncached_tokens(120 * SECOND, &prefilled), eq(400), "use renews segment a");
 }
 
 #[gtest]
--- a/routing/tests/prompt.rs
+++ b/routing/tests/prompt.rs
@@ -1,4 +1,4 @@
-//! A prompt's headers, well formed and not.
+//! Parsing of prompt headers, well formed and malformed.
 
 use googletest::prelude::*;
 use ivyhatch_routing::prompt::Prompt;
@@ -35,7 +35,7 @@
     expect_that!((listed.tokens, listed.max_output_tokens), eq((42, 0)));
     let counted = Prompt::from_headers("m", None, Some("99"));
     expect_that!((counted.segments.len(), counted.tokens, counted.max_output_tokens), eq((0, 99, 0)));
-    expect_that!(prompt("a:30", "1,2").affinity_key(), none(), "the only segment is its own");
+    expect_that!(prompt("a:30", "1,2").affinity_key(), none(), "the only segment is the request's own");
     expect_that!(prompt("a:30,b:12", "x,7").tokens, eq(42));
     expect_that!(prompt("a:30,b:12", "x,7").max_output_tokens, eq(7));
 }
--- a/routing/tests/route_table.rs
+++ b/routing/tests/route_table.rs
@@ -1,4 +1,4 @@
-//! Routes by host and longest prefix, changes of them, and the shares of a split.
+//! Route lookup by host and longest prefix, configuration changes, and splits by weight.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
     Item { name: value["name"].as_str().expect("a name").to_owned(), json: value.to_string() }
 }
 
-/// A change of one section.
+/// A change of a single section.
 fn change(section: &str, upsert: &[Value], remove: &[&str]) -> Change {
     let remove = remove.iter().map(|name| (*name).to_owned()).collect();
     Change {
@@ -27,7 +27,7 @@
 
 fn table(routes: &[Value]) -> RouteTable {
     let mut table = RouteTable::default();
-    assert!(table.apply(&change("routes", routes, &[])).is_empty(), "all can be parsed");
+    assert!(table.apply(&change("routes", routes, &[])).is_empty(), "all routes can be parsed");
     table
 }
 
@@ -44,7 +44,7 @@
     let table = table(&[route("a", "h", "/a/"), route("ab", "h", "/a/b/"), route("c", "h", "/c/d/")]);
     expect_that!(found(&table, "h", "/a/"), eq(&named("a")));
     expect_that!(found(&table, "h", "/a/x"), eq(&named("a")));
-    expect_that!(found(&table, "h", "/a/b"), eq(&named("a")), "the longer one ends with a slash");
+    expect_that!(found(&table, "h", "/a/b"), eq(&named("a")), "the longer prefix ends with a slash");
     expect_that!(found(&table, "h", "/a/bc/d"), eq(&named("a")), "a prefix ends at a slash");
     expect_that!(found(&table, "h", "/a/b/"), eq(&named("ab")));
     expect_that!(found(&table, "h", "/a/b/c/d"), eq(&named("ab")));
@@ -79,7 +79,7 @@
     expect_that!(found(&table, "h", "/a/x"), eq(&named("b")));
     expect_that!(found(&table, "h", "/b/x"), eq(&named("a")));
     expect_that!(found(&table, "h", "/c/x"), eq(&named("c")));
-    // In a ring, and across hosts.
+    // A cyclic swap, and a move to another host.
     let ring = [route("a", "h", "/c/"), route("b", "g", "/a/"), route("c", "h", "/a/")];
     expect_that!(table.apply(&change("routes", &ring, &[])), is_empty());
     expect_that!(found(&table, "h", "/a/x"), eq(&named("c")));
@@ -93,7 +93,11 @@
 fn removed_route_is_not_found_and_its_prefix_can_be_reused() {
     let mut table = table(&[route("a", "h", "/a/"), route("ab", "h", "/a/b/")]);
     table.apply(&change("routes", &[], &["ab", "not-there"]));
-    expect_that!(found(&table, "h", "/a/b/x"), eq(&named("a")), "the shorter one takes over");
+    expect_that!(
+        found(&table, "h", "/a/b/x"),
+        eq(&named("a")),
+        "the route with the shorter prefix takes over"
+    );
     table.apply(&change("routes", &[route("new", "h", "/a/")], &["a"]));
     expect_that!(found(&table, "h", "/a/b/x"), eq(&named("new")));
     table.apply(&change("routes", &[], &["new"]));
@@ -119,7 +123,7 @@
     expect_that!(messages, elements_are![all![contains_substring("routes"), contains_substring("\"a\"")]]);
     expect_that!(found(&table, "h", "/a/x"), eq(&named("a")));
     expect_that!(found(&table, "h", "/x/x"), none());
-    expect_that!(found(&table, "h", "/y/x"), eq(&named("b")), "the others of the change are taken");
+    expect_that!(found(&table, "h", "/y/x"), eq(&named("b")), "the other items of the change are applied");
 
     table.apply(&change("services", &[json!({"name": "s", "max_conns": 5})], &[]));
     let unreadable = table.apply(&change("services", &[json!({"name": "s", "max_conns": "many"})], &[]));
@@ -141,7 +145,7 @@
     expect_that!(table.limits().max_body_bytes, eq(9.0));
     expect_that!(table.limits().max_header_bytes, eq(defaults.max_header_bytes));
     expect_that!(table.apply(&limits(Some("[]x"))), len(eq(1)));
-    expect_that!(table.limits().max_body_bytes, eq(9.0), "left as they were");
+    expect_that!(table.limits().max_body_bytes, eq(9.0), "the previous limits stay in force");
     table.apply(&limits(None));
     expect_that!(table.limits(), eq(defaults));
 }
@@ -166,7 +170,7 @@
     }
     expect_that!(counts.keys().copied().collect::<Vec<_>>(), elements_are![eq(&"few"), eq(&"most")]);
     expect_that!(counts["most"], all![ge(DRAWS * 899 / 1000), le(DRAWS * 901 / 1000)]);
-    // The ends of the draws, also one past them.
+    // Draws at the bounds of the weights, and one above 1.
     for (draw, service) in [(0.0, "most"), (0.899_999, "most"), (0.9, "few"), (1.0, "few"), (1.1, "few")] {
         expect_that!(select_service(&route, draw), some(eq(service)), "{draw}");
     }
@@ -186,10 +190,10 @@
     let mut table = table(&[route("old", "h", "/old/"), route("r1", "h", "/elsewhere/")]);
     let many: Vec<Value> = (0..1000).map(|at| route(&format!("r{at}"), "h", &format!("/p{at}/"))).collect();
     let mut change = PreparedChange::new(self::change("routes", &many, &["old"]));
-    let calls = (1..).find(|_| change.parse_items(30)).expect("it ends");
+    let calls = (1..).find(|_| change.parse_items(30)).expect("all items are parsed at some call");
     expect_that!(calls, eq(34));
-    expect_that!(change.parse_items(1), eq(true), "nothing is left");
-    expect_that!(found(&table, "h", "/old/x"), eq(&named("old")), "nothing has changed yet");
+    expect_that!(change.parse_items(1), eq(true), "no item is left");
+    expect_that!(found(&table, "h", "/old/x"), eq(&named("old")), "the change is not yet committed");
     expect_that!(table.commit(change), is_empty());
     expect_that!(table.routes().count(), eq(1000));
     expect_that!(found(&table, "h", "/old/x"), none());
@@ -206,6 +210,6 @@
         change.parse_items(parsed_items);
         let mut table = RouteTable::default();
         expect_that!(table.commit(change), is_empty());
-        expect_that!(table.routes().count(), eq(10), "{parsed_items} parsed before");
+        expect_that!(table.routes().count(), eq(10), "{parsed_items} items parsed before");
     }
 }
--- a/routing/tests/time_to_first_token.rs
+++ b/routing/tests/time_to_first_token.rs
@@ -1,4 +1,4 @@
-//! The time to the first token at a model server: what is learned from samples, and how requests in flight and queues move it.
+//! The expected time to the first token at a model server: learning from samples, and the effect of requests in flight and queues.
 
 use googletest::prelude::*;
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
@@ -9,7 +9,7 @@
 const NEAR: u32 = 0;
 const FAR: u32 = 1;
 
-/// A server near the router, and the model of its service.
+/// A server in region `NEAR`, and the latency model of its service.
 #[derive(Clone)]
 struct ModelServer {
     queue: ServerQueue,
@@ -21,7 +21,8 @@
         Self { queue: ServerQueue::default(), model: PrefillModel::new(2) }
     }
 
-    /// A server after first tokens of an engine with this prefill rate and base latency.
+    /// A server that has learned from `times` rounds of first tokens of these prompts, at an engine with this prefill rate and base
+    /// latency.
     fn trained(tokens_per_ms: f64, base_latency_ms: f64, prompts: &[u32], times: usize) -> Self {
         let mut server = Self::new();
         for tokens in prompts.iter().cycle().take(times * prompts.len()) {
@@ -79,7 +80,7 @@
     expect_that!(
         server.queue.time_to_first_token(SECOND, &server.model, FAR, 0),
         near(before, 1.0),
-        "there were no samples of it"
+        "there were no samples of this region"
     );
     for _ in 0..1000 {
         server.queue.record_first_token(&mut server.model, FAR, 100, (80.0 * MS) as Nanos);
@@ -87,7 +88,7 @@
     let other = ServerQueue::default();
     expect_that!(other.time_to_first_token(SECOND, &server.model, NEAR, 0) / MS, le(10.0));
     expect_that!(other.time_to_first_token(SECOND, &server.model, FAR, 0) / MS, near(80.0, 20.0));
-    // A region that the settings do not name does no harm.
+    // An index beyond the configured regions is handled.
     server.queue.record_first_token(&mut server.model, 99, 100, SECOND);
     expect_that!(
         server.queue.time_to_first_token(SECOND, &server.model, 99, 0),
@@ -122,7 +123,7 @@
     expect_that!(server.latency(1000), near(behind_one, 1.0));
     server.queue.record_prefill_end(5000);
     expect_that!(server.latency(1000), near(idle, 1.0));
-    expect_that!(server.queue.in_flight(), eq(2), "they are still running");
+    expect_that!(server.queue.in_flight(), eq(2), "both requests are still running");
     (0..3).for_each(|_| server.queue.record_request_end());
     expect_that!(server.queue.in_flight(), eq(0));
 }
@@ -135,7 +136,7 @@
     server.queue.record_request_end();
     expect_that!(server.latency(0), near(idle, 1.0));
     server.queue.record_prefill_end(4000);
-    expect_that!(server.latency(0), near(idle, 1.0), "never below");
+    expect_that!(server.latency(0), near(idle, 1.0), "the latency never falls below that of an idle server");
 }
 
 #[gtest]
@@ -148,7 +149,7 @@
     expect_that!(reported, gt(aged));
     expect_that!(aged, gt(idle));
     expect_that!(server.latency_at(2 * SECOND, 0), near(idle, 1.0));
-    // The router's requests are among those reported: the greater one counts, not the sum.
+    // The reported load includes the router's requests: the maximum counts, not the sum.
     server.queue.record_send(1);
     expect_that!(server.latency(0), near(reported, 1.0));
 }
@@ -186,7 +187,7 @@
             }
             expect_that!(server.latency(1000), all![ge(0.0), lt(f64::INFINITY)], "{tokens} in {elapsed_ns}");
             expect_that!(server.utilisation(), all![ge(0.0), le(1.2)], "{tokens} in {elapsed_ns}");
-            // Between 5 and 5000 tokens in a millisecond.
+            // The bounds of the prefill rate: between 5 and 5000 tokens per millisecond.
             expect_that!(
                 server.model.prefill_time(1000) / MS,
                 all![ge(0.199), le(200.1)],
@@ -208,13 +209,9 @@
     expect_that!(
         latency(&queue, SECOND + 100 * MILLISECOND),
         all![lt(busy), gt(idle)],
-        "it has been prefilled in part"
-    );
-    expect_that!(
-        latency(&queue, SECOND + 500 * MILLISECOND),
-        eq(idle),
-        "nobody has reported for half a second"
+        "a part of the queue has been prefilled"
     );
+    expect_that!(latency(&queue, SECOND + 500 * MILLISECOND), eq(idle), "the report expires after 500 ms");
     queue.record_peer_load(SECOND, 0, 0);
     expect_that!(latency(&queue, SECOND), eq(idle));
 }
@@ -225,7 +222,7 @@
     expect_that!(queue.is_idle(SECOND), eq(true));
     queue.record_peer_load(SECOND, 0, 1);
     expect_that!(queue.is_idle(SECOND), eq(false));
-    expect_that!(queue.is_idle(2 * SECOND), eq(true), "the report is too old");
+    expect_that!(queue.is_idle(2 * SECOND), eq(true), "the report has expired");
     queue.record_send(10);
     expect_that!(queue.is_idle(2 * SECOND), eq(false));
 }
--- a/routing/tests/watch_client.rs
+++ b/routing/tests/watch_client.rs
@@ -1,4 +1,4 @@
-//! Which control nodes a router connects to and what it replicates from them, one message at a time.
+//! The control nodes that a router connects to, and the state that it replicates from them.
 
 use std::collections::BTreeSet;
 
@@ -18,9 +18,10 @@
 struct Harness {
     client: WatchClient,
     now: Nanos,
-    /// The control nodes that the client wants connections to.
+    /// The control nodes of the client's last `SetConnections` output.
     connections: Vec<NodeId>,
-    /// What each of these nodes reports at every tick, so that none is silent.
+    /// The nodes that send a progress message at every tick, so that they are not silent, with their positions and whether they have a
+    /// quorum.
     reporting_nodes: Vec<(NodeId, Position, bool)>,
 }
 
@@ -35,7 +36,7 @@
     }
 }
 
-/// The zones of the router's region; its own one is `a`.
+/// The zones of the router's region; the router is in zone `a`.
 fn region_zones() -> BTreeSet<String> {
     BTreeSet::from(["a".to_owned(), "b".to_owned()])
 }
@@ -99,7 +100,7 @@
 }
 
 impl Harness {
-    /// A client that knows this many control nodes, after one tick.
+    /// A client that knows `count` control nodes, after one tick.
     fn new(count: u32) -> Self {
         let client = WatchClient::new(router(), region_zones(), &nodes(count), START);
         let mut harness = Self { client, now: START, connections: Vec::new(), reporting_nodes: Vec::new() };
@@ -107,7 +108,7 @@
         harness
     }
 
-    /// A client connected to three nodes, the first of which is the nearest; each has a quorum and reports so at every tick.
+    /// A client connected to three nodes. Node 1 has the shortest round trip; each node reports at every tick that it has a quorum.
     fn connected() -> Self {
         let mut harness = Self::new(3);
         for (node, round_trip_ms) in nodes(3).into_iter().zip(1..) {
@@ -118,7 +119,7 @@
         harness
     }
 
-    /// Feeds one input; returns the outputs.
+    /// Handles one input. Returns the outputs.
     fn handle(&mut self, input: Input) -> Vec<Output> {
         let mut outputs = Vec::new();
         self.client.handle(self.now, input, &mut outputs);
@@ -134,7 +135,7 @@
         self.handle(Input::Message(NodeId(from), message))
     }
 
-    /// Lets time pass, with a tick and a report of each reporting node in every tenth of a second.
+    /// Advances the time by `span`, with a tick and a progress message of each reporting node every 100 ms.
     fn advance(&mut self, span: Nanos) -> Vec<Output> {
         let end = self.now + span;
         let mut outputs = Vec::new();
@@ -148,7 +149,7 @@
         outputs
     }
 
-    /// From now on this node reports so; it is silent without a report.
+    /// Sets the progress that a node reports from now on; with `None` the node is silent.
     fn set_report(&mut self, node: u32, report: Option<(Position, bool)>) {
         self.reporting_nodes.retain(|(of, ..)| *of != NodeId(node));
         self.reporting_nodes
@@ -160,7 +161,7 @@
     }
 }
 
-/// The nodes that were subscribed to, and whether as the primary one.
+/// The nodes that a subscription was sent to, and whether the node is subscribed to as the primary.
 fn subscriptions(outputs: &[Output]) -> Vec<(NodeId, bool)> {
     let matching = |output: &Output| match output {
         Output::Send(to, WatchRequest::Subscribe { primary, .. }) => Some((*to, *primary)),
@@ -234,7 +235,7 @@
 
 #[gtest]
 fn every_known_node_is_retried_soon_while_none_is_reachable() {
-    // More nodes are down than there are connections; the one that is up again may be any of them.
+    // More nodes are unreachable than there are connections, and any of them may become reachable again.
     for restored in nodes(6) {
         let mut harness = Harness::new(6);
         for _ in 0..300 {
@@ -261,14 +262,14 @@
     let first = harness.connections.clone();
     harness.handle(Input::Disconnected(first[0]));
     harness.advance(SECOND);
-    expect_that!(harness.connections, eq(&first), "it may come back");
+    expect_that!(harness.connections, eq(&first), "the node may become reachable again");
     for _ in 0..20 {
         harness.handle(Input::Disconnected(first[0]));
         harness.advance(TICK);
     }
     expect_that!(harness.connections, not(contains(eq(&first[0]))));
     expect_that!(harness.connections, len(eq(3)));
-    // It is kept where there is no other.
+    // The node is kept if there is no other node.
     let mut only = Harness::new(3);
     only.handle(Input::Disconnected(NodeId(1)));
     only.advance(5 * SECOND);
@@ -277,7 +278,7 @@
 
 #[gtest]
 fn nearest_node_with_quorum_becomes_primary() {
-    // Of the two remaining nodes: the round trip in ms, whether it has a quorum, and which one becomes primary.
+    // For each of the two remaining nodes the round trip in ms and whether it has a quorum, and the node that becomes primary.
     for (two, three, next) in [
         ((3, true), (6, true), 2),
         ((6, true), (3, true), 3),
@@ -320,7 +321,7 @@
     expect_that!(
         subscriptions(&outputs),
         contains(eq(&(NodeId(1), false))),
-        "its connection stands: it is notified"
+        "the previous primary is notified, since its connection is open"
     );
 }
 
@@ -336,7 +337,7 @@
     let mut harness = Harness::connected();
     let outputs = harness.receive(1, progress(Position::default(), false, 0));
     expect_that!(subscriptions(&outputs), contains(eq(&(NodeId(2), true))));
-    // None has a quorum: one of them is better than none.
+    // If no node has a quorum, updates of any node are still applied.
     let mut harness = Harness::connected();
     (1..=3).for_each(|node| harness.set_report(node, Some((Position::default(), false))));
     harness.advance(SECOND);
@@ -359,7 +360,7 @@
     expect_that!(heartbeats(&outputs, RouterState::Starting).len(), all![ge(3), le(9)]);
     let outputs = harness.handle(Input::State(RouterState::Ready));
     expect_that!(heartbeats(&outputs, RouterState::Ready), eq(&nodes(3)));
-    expect_that!(harness.handle(Input::State(RouterState::Ready)), is_empty(), "it is nothing new");
+    expect_that!(harness.handle(Input::State(RouterState::Ready)), is_empty(), "the state has not changed");
 }
 
 #[gtest]
@@ -368,7 +369,7 @@
     let ahead = Position { configuration: 4, ..Position::default() };
     harness.set_report(2, Some((ahead, true)));
     let outputs = harness.advance(2 * TICK);
-    expect_that!(fetches(&outputs), is_empty(), "the primary node may bring it yet");
+    expect_that!(fetches(&outputs), is_empty(), "the primary still has time to deliver the update");
     let outputs = harness.advance(SECOND);
     expect_that!(fetches(&outputs), contains(eq(&(NodeId(2), Position::default()))));
     expect_that!(fetches(&outputs).iter().all(|(to, _)| *to == NodeId(2)), eq(true));
@@ -408,13 +409,17 @@
         expect_that!(configurations(&outputs), eq(0), "{sequence} from {from}");
         expect_that!(harness.configuration_versions(), eq((5, 50)));
     }
-    // A new connection does not change that.
+    // An older snapshot is ignored on a new connection as well.
     harness.handle(Input::Disconnected(NodeId(1)));
     harness.handle(Input::Connected { node: NodeId(1), round_trip: MILLISECOND });
     harness.receive(1, WatchResponse::Snapshot { sequence: 4, document: document(40, &["b"]).into() });
     expect_that!(harness.configuration_versions(), eq((5, 50)));
     harness.receive(3, WatchResponse::Snapshot { sequence: 6, document: document(60, &["b"]).into() });
-    expect_that!(harness.configuration_versions(), eq((6, 60)), "whichever node sends it");
+    expect_that!(
+        harness.configuration_versions(),
+        eq((6, 60)),
+        "a newer snapshot is applied whichever node sends it"
+    );
 }
 
 #[gtest]
@@ -431,7 +436,7 @@
         let expected = if is_applied { (to, 60) } else { (5, 50) };
         expect_that!(harness.configuration_versions(), eq(expected));
         let again = harness.receive(1, WatchResponse::Change { from, to, change: change.clone().into() });
-        expect_that!(configurations(&again), eq(0), "a second time the base version differs");
+        expect_that!(configurations(&again), eq(0), "the second time the base version does not match");
     }
 }
 
@@ -470,7 +475,11 @@
     harness.receive(2, server_list_update(5, Some(3), 4, &["y"]));
     expect_that!(ids(&harness), elements_are![eq("x"), eq("y")]);
     let outputs = harness.receive(3, server_list_update(6, None, 1, &["z"]));
-    expect_that!(outputs.contains(&Output::ServersChanged), eq(true), "a new list owner starts from 1");
+    expect_that!(
+        outputs.contains(&Output::ServersChanged),
+        eq(true),
+        "a list with a higher ballot starts from number 1"
+    );
     expect_that!(ids(&harness), elements_are![eq("z")]);
 }
 
@@ -507,7 +516,7 @@
     harness.receive(1, server_list_update(1, None, 1, &[]));
     expect_that!(harness.client.is_ready(), eq(false));
     harness.receive(1, WatchResponse::Snapshot { sequence: 1, document: document(1, &[]).into() });
-    expect_that!(harness.client.is_ready(), eq(true), "an empty list is a list");
+    expect_that!(harness.client.is_ready(), eq(true), "an empty server list counts as known");
     let mut other = Harness::connected();
     other.receive(1, WatchResponse::Snapshot { sequence: 1, document: document(1, &[]).into() });
     expect_that!(other.client.is_ready(), eq(false));
@@ -525,9 +534,9 @@
         expect_that!(count(&mut harness, 1, of), is_empty(), "{of}");
     }
     harness.advance(5 * SECOND);
-    expect_that!(count(&mut harness, 1, 3), is_empty(), "others may still see the nine");
+    expect_that!(count(&mut harness, 1, 3), is_empty(), "other control nodes may still see nine routers");
     harness.advance(60 * SECOND);
-    expect_that!(count(&mut harness, 1, 0), is_empty(), "0 is no count");
+    expect_that!(count(&mut harness, 1, 0), is_empty(), "a count of 0 is ignored");
     expect_that!(count(&mut harness, 1, 3), elements_are![eq(&3)]);
 }
 
@@ -541,9 +550,9 @@
         })
     };
     expect_that!(changed_share(&mut harness, 6, 2), some(eq((6, 2))));
-    expect_that!(changed_share(&mut harness, 6, 2), none(), "nothing has changed");
+    expect_that!(changed_share(&mut harness, 6, 2), none(), "the share has not changed");
     expect_that!(changed_share(&mut harness, 6, 3), some(eq((6, 3))));
-    expect_that!(changed_share(&mut harness, 4, 0), none(), "fewer are not believed at once");
+    expect_that!(changed_share(&mut harness, 4, 0), none(), "a lower count is not adopted at once");
     expect_that!(changed_share(&mut harness, 0, 1), none());
 }
 
@@ -557,7 +566,11 @@
     for _ in 0..12 {
         harness.advance(10 * SECOND);
         expect_that!(count(&mut harness, 1, 9), is_empty());
-        expect_that!(count(&mut harness, 2, 4), is_empty(), "the other node is cut off from some routers");
+        expect_that!(
+            count(&mut harness, 2, 4),
+            is_empty(),
+            "the other node is partitioned from some routers"
+        );
     }
 }
 
@@ -585,7 +598,11 @@
     let mut harness = Harness::connected();
     expect_that!(contact_changes(&harness.advance(5 * SECOND)), is_empty());
     (1..=2).for_each(|node| harness.set_report(node, Some((Position::default(), false))));
-    expect_that!(contact_changes(&harness.advance(5 * SECOND)), is_empty(), "one is enough");
+    expect_that!(
+        contact_changes(&harness.advance(5 * SECOND)),
+        is_empty(),
+        "one node with a quorum is enough"
+    );
     harness.set_report(3, None);
     expect_that!(contact_changes(&harness.advance(5 * SECOND)), elements_are![eq(&false)]);
     harness.set_report(2, Some((Position::default(), true)));
@@ -599,9 +616,9 @@
     (1..=3).for_each(|node| harness.set_report(node, Some((ahead.clone(), true))));
     for _ in 0..20 {
         harness.handle(Input::Fragment(NodeId(1)));
-        expect_that!(fetches(&harness.advance(TICK)), is_empty(), "it is arriving");
+        expect_that!(fetches(&harness.advance(TICK)), is_empty(), "a large message is arriving");
     }
-    expect_that!(fetches(&harness.advance(SECOND)), not(is_empty()), "it has stopped coming");
+    expect_that!(fetches(&harness.advance(SECOND)), not(is_empty()), "no fragments have arrived since");
 }
 
 #[gtest]
@@ -624,9 +641,9 @@
         outputs.extend(harness.receive(3, progress(Position::default(), true, 0)));
         outputs.extend(harness.receive(1, progress(Position::default(), true, 0)));
         outputs.extend(harness.advance(SECOND));
-        expect_that!(subscriptions(&outputs), is_empty(), "the primary node stays");
+        expect_that!(subscriptions(&outputs), is_empty(), "the primary is kept");
         expect_that!(outputs.iter().any(|output| matches!(output, Output::QuorumContact(_))), eq(false));
-        // A node that sends nothing after that is silent all the same.
+        // Nodes that send nothing after the recovery time count as silent.
         harness.reporting_nodes.clear();
         harness.now += stall;
         harness.handle(Input::Tick);
@@ -643,7 +660,7 @@
     expect_that!(
         outputs.contains(&Output::SetConnections(nodes(3))),
         eq(true),
-        "nothing can have been queued"
+        "no message can have been queued before the first connection"
     );
 }
 
@@ -656,7 +673,7 @@
     expect_that!(harness.connections, contains(eq(&NodeId(5))));
     expect_that!(harness.connections, contains(eq(&NodeId(4))));
     expect_that!(harness.connections, len(eq(3)));
-    // Where none of the zone can be reached, another one takes its place.
+    // If no node of the zone is reachable, another node is selected instead.
     for _ in 0..30 {
         harness.handle(Input::Disconnected(NodeId(5)));
         harness.advance(TICK);
@@ -672,7 +689,7 @@
     let outputs = harness.receive(1, control_nodes(&[(1, "d"), (2, "e"), (3, "a")]));
     expect_that!(subscriptions(&outputs), contains(eq(&(NodeId(3), true))));
     expect_that!(harness.client.nearest_control_node(), some(eq(NodeId(3))));
-    // A node without a quorum is no better for being near.
+    // A nearer node without a quorum does not become primary.
     let mut harness = Harness::connected();
     harness.set_report(3, Some((Position::default(), false)));
     harness.advance(TICK);
