--- a/routing/tests/placement.rs
+++ b/routing/tests/placement.rs
@@ -320,8 +320,7 @@
 fn server_that_failed_a_connect_is_used_after_those_that_did_not() {
     let mut router = Router::with_servers(true, SlowStartLimit::default(), 2);
     let request = router.add_request();
-    let delay =
-        |router: &Router| router.shared.expected_delay(NOW, request, SERVER).expect("it is a model server");
+    let delay = |router: &Router| router.shared.expected_delay(NOW, request, SERVER).expect("a model server");
     let before = delay(&router);
     router.update(|placement| placement.record_connect_failure(NOW, SERVER));
     expect_that!(delay(&router), gt(before + 100.0 * MILLISECOND as f64));
@@ -334,7 +333,7 @@
     let mut router = Router::with_servers(true, SlowStartLimit::default(), 2);
     let request = router.add_request();
     let delay = |router: &Router, server| {
-        router.shared.expected_delay(NOW, request, BackendId(server)).expect("it is a model server")
+        router.shared.expected_delay(NOW, request, BackendId(server)).expect("a model server")
     };
     expect_that!(delay(&router, 1), eq(delay(&router, 2)));
     router.update(|placement| placement.record_idle_connections(|server| server == BackendId(2)));
--- a/routing/tests/prefix_cache.rs
+++ b/routing/tests/prefix_cache.rs
@@ -11,10 +11,10 @@
 
 #[gtest]
 fn oversized_token_counts_do_not_overflow() {
-    let most = u32::MAX;
-    let huge = prompt(&format!("a:{most},b:{most},c:{most}"), "");
+    let max = u32::MAX;
+    let huge = prompt(&format!("a:{max},b:{max},c:{max}"), "");
     expect_that!(huge.segments, len(eq(3)));
-    expect_that!(huge.tokens, ge(most / 2), "the total saturates");
+    expect_that!(huge.tokens, ge(max / 2), "the total saturates");
     let mut cache = PrefixCache::default();
     cache.insert(SECOND, &huge);
     expect_that!(cache.uncached_tokens(SECOND, &huge), eq(0));
--- a/routing/tests/route_table.rs
+++ b/routing/tests/route_table.rs
@@ -116,9 +116,9 @@
 #[gtest]
 fn unreadable_item_is_reported_and_stays_as_it_was() {
     let mut table = table(&[route("a", "h", "/a/"), route("b", "h", "/b/")]);
-    let mut odd = route("a", "h", "/x/");
-    odd["route_kind"] = json!("odd");
-    let unreadable = table.apply(&change("routes", &[odd, route("b", "h", "/y/")], &[]));
+    let mut invalid = route("a", "h", "/x/");
+    invalid["route_kind"] = json!("odd");
+    let unreadable = table.apply(&change("routes", &[invalid, route("b", "h", "/y/")], &[]));
     let messages: Vec<String> = unreadable.iter().map(ToString::to_string).collect();
     expect_that!(messages, elements_are![all![contains_substring("routes"), contains_substring("\"a\"")]]);
     expect_that!(found(&table, "h", "/a/x"), eq(&named("a")));
