--- a/coordination/tests/decisions/cells.rs
+++ b/coordination/tests/decisions/cells.rs
@@ -1,4 +1,4 @@
-//! Cells, numbers and watches: revisions, puts that come again, and the history, also by a new leader.
+//! Cells, numbers and watches: revisions, retried puts and the history, also across leader changes.
 
 use googletest::prelude::*;
 use ivyhatch_coordination::limits::{HISTORY_MARGIN, MAX_HISTORY_EVENTS};
@@ -6,10 +6,10 @@
 use ivyhatch_protocol::{MILLISECOND, SECOND};
 use proptest::prelude::{ProptestConfig, Strategy, prop_oneof, proptest};
 
-use crate::leader::{HISTORY_S, Leader, number, put, read, watch};
+use crate::leader::{HISTORY_S, Leader, next_number, put, read, watch};
 
-/// After this a put may leave the history.
-const KEPT_MS: u64 = HISTORY_S * 1000 + HISTORY_MARGIN / MILLISECOND;
+/// Age at which a put expires from the history, in milliseconds.
+const RETENTION_MS: u64 = HISTORY_S * 1000 + HISTORY_MARGIN / MILLISECOND;
 
 fn revision(outcome: &CallOutcome) -> Option<u64> {
     match outcome {
@@ -22,8 +22,8 @@
     CallOutcome::Refused(Refusal::RevisionConflict { revision })
 }
 
-/// The revisions that a watch is shown, and the one that it goes on from.
-fn shown(outcome: CallOutcome) -> (Vec<u64>, u64) {
+/// The revisions of the puts in the response to a watch, and the revision to watch from next.
+fn watch_result(outcome: CallOutcome) -> (Vec<u64>, u64) {
     match outcome {
         CallOutcome::Applied(Reply::Events { events, revision }) => {
             (events.iter().map(|event| event.revision).collect(), revision)
@@ -33,17 +33,17 @@
 }
 
 #[gtest]
-fn numbers_rise_under_each_name_and_by_new_leaders() {
+fn numbers_increase_across_leader_changes() {
     let mut leader = Leader::new();
     let mut last = 0;
     for _ in 0..5 {
-        let outcome = leader.call(0, &number("n"));
+        let outcome = leader.call(0, &next_number("n"));
         let CallOutcome::Applied(Reply::Number { value }) = outcome else { panic!("{outcome:?}") };
         expect_that!(value, gt(last));
         last = value;
         leader = leader.successor();
     }
-    expect_that!(leader.register_count(), eq(0), "a number keeps no register");
+    expect_that!(leader.register_count(), eq(0), "a number needs no register");
 }
 
 #[gtest]
@@ -65,11 +65,11 @@
     expect_that!(leader.call(0, &put("g.a", "1", Some(7))), eq(&conflict(0)));
     leader.call(0, &put("g.a", "2", Some(0)));
     expect_that!(leader.call(0, &put("g.a", "3", Some(0))), eq(&conflict(1)));
-    expect_that!(shown(leader.call(0, &watch("g.", 0))).1, eq(1));
+    expect_that!(watch_result(leader.call(0, &watch("g.", 0))).1, eq(1));
 }
 
 #[gtest]
-fn a_put_that_comes_again_gets_its_first_revision_also_when_it_was_replaced() {
+fn a_retried_put_gets_its_first_revision_even_after_it_was_overwritten() {
     let mut leader = Leader::new();
     leader.call(0, &put("g.a", "1", Some(0)));
     leader.call(10, &put("g.a", "2", Some(1)));
@@ -86,33 +86,33 @@
         leader.call(0, &put(&format!("g.{}", value % 2), &value.to_string(), None));
     }
     leader.call(0, &put("h.a", "other", None));
-    expect_that!(shown(leader.call(1, &watch("g.", 2))), eq(&(vec![3, 4, 5], 5)));
-    expect_that!(shown(leader.call(1, &watch("g.", 0))), eq(&(vec![], 5)));
+    expect_that!(watch_result(leader.call(1, &watch("g.", 2))), eq(&(vec![3, 4, 5], 5)));
+    expect_that!(watch_result(leader.call(1, &watch("g.", 0))), eq(&(vec![], 5)));
     expect_that!(leader.try_call(1, &watch("g.", 5)), none());
     let ahead = CallOutcome::Refused(Refusal::RevisionAhead { revision: 5 });
     expect_that!(leader.call(1, &watch("g.", 6)), eq(&ahead));
-    expect_that!(shown(leader.successor().call(1, &watch("g.", 2))), eq(&(vec![3, 4, 5], 5)));
+    expect_that!(watch_result(leader.successor().call(1, &watch("g.", 2))), eq(&(vec![3, 4, 5], 5)));
 }
 
 #[gtest]
-fn the_history_lasts_for_its_span_and_its_slots_are_used_again() {
+fn the_history_is_kept_for_its_retention_time_and_slots_are_reused() {
     let mut leader = Leader::new();
     for value in 0..100_u64 {
         leader.call(value, &put("g.a", &value.to_string(), None));
     }
-    expect_that!(shown(leader.call(KEPT_MS - 1, &watch("g.", 1))).0, len(eq(99)));
+    expect_that!(watch_result(leader.call(RETENTION_MS - 1, &watch("g.", 1))).0, len(eq(99)));
     let registers = leader.register_count();
     for value in 100..150_u64 {
-        leader.call(KEPT_MS + value, &put("g.a", &value.to_string(), None));
+        leader.call(RETENTION_MS + value, &put("g.a", &value.to_string(), None));
     }
     expect_that!(leader.register_count(), eq(registers));
     let expired = CallOutcome::Refused(Refusal::HistoryExpired { revision: 150 });
-    expect_that!(leader.call(KEPT_MS + 200, &watch("g.", 49)), eq(&expired));
-    expect_that!(shown(leader.call(KEPT_MS + 200, &watch("g.", 50))).0, len(eq(100)));
-    // A new leader, which can't know their age, keeps them for the whole span.
+    expect_that!(leader.call(RETENTION_MS + 200, &watch("g.", 49)), eq(&expired));
+    expect_that!(watch_result(leader.call(RETENTION_MS + 200, &watch("g.", 50))).0, len(eq(100)));
+    // A new leader cannot know the age of the puts, so it keeps them for the whole retention time.
     let mut successor = leader.successor();
-    successor.call(KEPT_MS + 300, &put("g.a", "next", None));
-    expect_that!(shown(successor.call(KEPT_MS + 300, &watch("g.", 50))).0, len(eq(101)));
+    successor.call(RETENTION_MS + 300, &put("g.a", "next", None));
+    expect_that!(watch_result(successor.call(RETENTION_MS + 300, &watch("g.", 50))).0, len(eq(101)));
 }
 
 #[gtest]
@@ -124,7 +124,7 @@
     let overloaded = CallOutcome::NotStarted(NotStarted::Overloaded);
     expect_that!(leader.call(1, &put("g.a", "more", None)), eq(&overloaded));
     expect_that!(revision(&leader.call(2, &read("g.a"))), some(eq(MAX_HISTORY_EVENTS as u64)));
-    let outcome = leader.call(KEPT_MS, &put("g.a", "more", None));
+    let outcome = leader.call(RETENTION_MS, &put("g.a", "more", None));
     expect_that!(revision(&outcome), some(eq(MAX_HISTORY_EVENTS as u64 + 1)));
 }
 
@@ -136,7 +136,7 @@
     expect_that!(group_of("g1."), eq("g1."));
 }
 
-/// A step of a random run.
+/// A step of a random sequence of calls.
 #[derive(Clone, Debug)]
 enum Step {
     Put(u8, Option<u64>),
@@ -157,7 +157,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    /// Beside a plain list of all puts: each watch shows what the list has, or a history that has expired.
+    /// Compares the leader with a reference model, a list of all puts: each watch returns the puts in the list, or reports that the
+    /// history has expired.
     #[test]
     fn watches_agree_with_the_list_of_all_puts(steps in proptest::collection::vec(step(), 1..120)) {
         let (mut leader, mut now_ms) = (Leader::new(), 0);
@@ -182,10 +183,11 @@
                         Some(CallOutcome::Refused(Refusal::RevisionAhead { revision })) => {
                             assert!(after > last && revision == last);
                         }
-                        Some(CallOutcome::Refused(Refusal::HistoryExpired { .. })) => assert!(now_ms > KEPT_MS),
+                        Some(CallOutcome::Refused(Refusal::HistoryExpired { .. })) =>
+                            assert!(now_ms > RETENTION_MS),
                         Some(outcome) => {
                             let expected: Vec<u64> = (after + 1..=last).collect();
-                            assert_eq!(shown(outcome), (expected, last));
+                            assert_eq!(watch_result(outcome), (expected, last));
                         }
                     }
                 }
@@ -196,7 +198,7 @@
     }
 }
 
-/// The registers that a short run leaves, as their keys and the bytes of their values.
+/// The registers after a fixed sequence of calls, as their keys and the bytes of their values.
 fn stored_registers() -> Vec<String> {
     let mut leader = Leader::new();
     leader.call(0, &crate::leader::acquire("lobby", "server.3", 3000));
@@ -207,7 +209,7 @@
 
 #[gtest]
 fn registers_have_the_golden_bytes() {
-    // Stored on disks: another form needs a release that reads both.
+    // These bytes are stored on disks: a change of the format needs a release that reads both formats.
     let expected = [
         "Lock(\"lobby\") 080000007365727665722e3301000000000000000100000000000000b80b000000000000",
         "Cell(\"grid.7\") 01000000760100000000000000",
