--- a/control/src/consensus/acceptor.rs
+++ b/control/src/consensus/acceptor.rs
@@ -264,7 +264,7 @@
         let writes = known.and_then(|known| Some((known, self.registers.written_since(known)?)));
         let (base, writes) = match writes {
             Some((known, writes)) => (UpdateBase::Since(known), writes),
-            None => (UpdateBase::Empty, self.registers.whole()),
+            None => (UpdateBase::Empty, self.registers.snapshot()),
         };
         StateUpdate { version: self.committed, base, writes, digest: self.registers.digest() }
     }
@@ -327,7 +327,7 @@
     writes: impl Iterator<Item = RegisterWrite>,
 ) {
     if replaces_all {
-        *registers = RegisterMap::from_whole(sequence, writes);
+        *registers = RegisterMap::from_snapshot(sequence, writes);
     } else {
         writes.for_each(|write| registers.apply(write));
     }
--- a/control/src/consensus/partition/mod.rs
+++ b/control/src/consensus/partition/mod.rs
@@ -190,11 +190,11 @@
             ConsensusMessage::Prepare { .. }
             | ConsensusMessage::Accept(_)
             | ConsensusMessage::Confirm { .. }
-            | ConsensusMessage::WholePrepare { .. }
-            | ConsensusMessage::WholePromise { .. }
-            | ConsensusMessage::WholeAccept(_)
-            | ConsensusMessage::WholeFetch { .. }
-            | ConsensusMessage::WholeCommitted(_) => {}
+            | ConsensusMessage::LegacyPrepare { .. }
+            | ConsensusMessage::LegacyPromise { .. }
+            | ConsensusMessage::LegacyAccept(_)
+            | ConsensusMessage::LegacyFetch { .. }
+            | ConsensusMessage::LegacyCommitted(_) => {}
             ConsensusMessage::Promise { ballot, accepted, committed } => {
                 self.on_promise(now, from, ballot, Promised { accepted, committed }, out);
             }
--- a/control/src/consensus/whole_values.rs
+++ b/control/src/consensus/whole_values.rs
@@ -6,7 +6,7 @@
 
 use ivyhatch_protocol::configuration::Document;
 use ivyhatch_protocol::ids::PartitionId;
-use ivyhatch_protocol::peer::{AcceptedValue, AcceptorState, ConsensusMessage, TransferredState};
+use ivyhatch_protocol::peer::{AcceptedValue, ConsensusMessage, LegacyAcceptorState, TransferredState};
 use ivyhatch_protocol::registers::{
     RegisterChanges, RegisterKey, RegisterMap, RegisterWrite, StateUpdate, UpdateBase, Version, writes_digest,
 };
@@ -57,7 +57,7 @@
 /// The whole value that an update with all registers stands for; `None` where the registers can't be read.
 pub fn value_of(partition: PartitionId, update: StateUpdate) -> Option<AcceptedValue> {
     let Version { ballot, sequence } = update.version;
-    let registers = RegisterMap::from_whole(sequence, update.writes);
+    let registers = RegisterMap::from_snapshot(sequence, update.writes);
     let value = match registers.value(&RegisterKey::Undecodable) {
         Some(value) => value.to_vec(),
         None => encode_registers(partition, &registers)?,
@@ -80,14 +80,14 @@
 }
 
 /// What a node of such a release has promised and accepted.
-pub fn transferred_state_of(partition: PartitionId, whole: &AcceptorState) -> TransferredState {
+pub fn transferred_state_of(partition: PartitionId, whole: &LegacyAcceptorState) -> TransferredState {
     let accepted = whole.accepted.as_ref().map(|value| update_of(partition, value));
     TransferredState { promised: whole.promised, accepted }
 }
 
 /// What this replica has promised and accepted, for a node of such a release.
-pub fn whole_state_of(partition: PartitionId, acceptor: &Acceptor) -> AcceptorState {
-    AcceptorState { promised: acceptor.promised(), accepted: accepted_value(partition, acceptor) }
+pub fn whole_state_of(partition: PartitionId, acceptor: &Acceptor) -> LegacyAcceptorState {
+    LegacyAcceptorState { promised: acceptor.promised(), accepted: accepted_value(partition, acceptor) }
 }
 
 fn accepted_value(partition: PartitionId, acceptor: &Acceptor) -> Option<AcceptedValue> {
@@ -98,11 +98,11 @@
 /// Whether the sender of a message understands registers, where the message shows it.
 pub fn shown_support(message: &ConsensusMessage) -> Option<bool> {
     match message {
-        ConsensusMessage::WholePrepare { .. }
-        | ConsensusMessage::WholePromise { .. }
-        | ConsensusMessage::WholeAccept(_)
-        | ConsensusMessage::WholeFetch { .. }
-        | ConsensusMessage::WholeCommitted(_) => Some(false),
+        ConsensusMessage::LegacyPrepare { .. }
+        | ConsensusMessage::LegacyPromise { .. }
+        | ConsensusMessage::LegacyAccept(_)
+        | ConsensusMessage::LegacyFetch { .. }
+        | ConsensusMessage::LegacyCommitted(_) => Some(false),
         ConsensusMessage::Prepare { .. }
         | ConsensusMessage::Promise { .. }
         | ConsensusMessage::Accept(_)
@@ -116,16 +116,16 @@
 /// A message from a node of any release, with registers.
 pub fn from_any_release(partition: PartitionId, message: ConsensusMessage) -> ConsensusMessage {
     match message {
-        ConsensusMessage::WholePrepare { ballot } => {
+        ConsensusMessage::LegacyPrepare { ballot } => {
             ConsensusMessage::Prepare { ballot, committed: None, accepted: Version::default() }
         }
-        ConsensusMessage::WholePromise { ballot, accepted } => {
+        ConsensusMessage::LegacyPromise { ballot, accepted } => {
             let accepted = accepted.map(|value| update_of(partition, &value));
             ConsensusMessage::Promise { ballot, accepted, committed: 0 }
         }
-        ConsensusMessage::WholeAccept(value) => ConsensusMessage::Accept(update_of(partition, &value)),
-        ConsensusMessage::WholeFetch { after } => ConsensusMessage::Fetch { committed: Some(after) },
-        ConsensusMessage::WholeCommitted(value) => ConsensusMessage::Committed(update_of(partition, &value)),
+        ConsensusMessage::LegacyAccept(value) => ConsensusMessage::Accept(update_of(partition, &value)),
+        ConsensusMessage::LegacyFetch { after } => ConsensusMessage::Fetch { committed: Some(after) },
+        ConsensusMessage::LegacyCommitted(value) => ConsensusMessage::Committed(update_of(partition, &value)),
         message => message,
     }
 }
@@ -138,18 +138,20 @@
     acceptor: &Acceptor,
 ) -> Option<ConsensusMessage> {
     match message {
-        ConsensusMessage::Prepare { ballot, .. } => Some(ConsensusMessage::WholePrepare { ballot: *ballot }),
+        ConsensusMessage::Prepare { ballot, .. } => Some(ConsensusMessage::LegacyPrepare { ballot: *ballot }),
         ConsensusMessage::Promise { ballot, .. } => {
             let accepted = accepted_value(partition, acceptor);
-            Some(ConsensusMessage::WholePromise { ballot: *ballot, accepted })
+            Some(ConsensusMessage::LegacyPromise { ballot: *ballot, accepted })
+        }
+        ConsensusMessage::Accept(_) => {
+            accepted_value(partition, acceptor).map(ConsensusMessage::LegacyAccept)
         }
-        ConsensusMessage::Accept(_) => accepted_value(partition, acceptor).map(ConsensusMessage::WholeAccept),
         ConsensusMessage::Behind { .. } => None,
         ConsensusMessage::Fetch { committed } => {
-            Some(ConsensusMessage::WholeFetch { after: committed.unwrap_or_default() })
+            Some(ConsensusMessage::LegacyFetch { after: committed.unwrap_or_default() })
         }
         ConsensusMessage::Committed(_) => {
-            value_of(partition, acceptor.committed_update(None)).map(ConsensusMessage::WholeCommitted)
+            value_of(partition, acceptor.committed_update(None)).map(ConsensusMessage::LegacyCommitted)
         }
         message => Some(message.clone()),
     }
--- a/control/src/control_plane/consensus.rs
+++ b/control/src/control_plane/consensus.rs
@@ -19,8 +19,8 @@
         ConsensusMessage::Commit { .. }
             | ConsensusMessage::Fetch { .. }
             | ConsensusMessage::Committed(_)
-            | ConsensusMessage::WholeFetch { .. }
-            | ConsensusMessage::WholeCommitted(_)
+            | ConsensusMessage::LegacyFetch { .. }
+            | ConsensusMessage::LegacyCommitted(_)
     )
 }
 
--- a/control/src/control_plane/mod.rs
+++ b/control/src/control_plane/mod.rs
@@ -15,7 +15,9 @@
 use ivyhatch_protocol::Nanos;
 use ivyhatch_protocol::hash::hash_mix;
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId};
-use ivyhatch_protocol::peer::{AcceptorState, Membership, PeerMessage, ReplicaStatus, TransferredState};
+use ivyhatch_protocol::peer::{
+    LegacyAcceptorState, Membership, PeerMessage, ReplicaStatus, TransferredState,
+};
 use ivyhatch_protocol::server_list::ServerList;
 
 use crate::calls::call_queue::CallQueue;
@@ -346,8 +348,8 @@
 }
 
 /// The state of a node of a release before registers.
-fn with_registers(partitions: &[(PartitionId, AcceptorState)]) -> Vec<(PartitionId, TransferredState)> {
-    let state = |(partition, state): &(PartitionId, AcceptorState)| {
+fn with_registers(partitions: &[(PartitionId, LegacyAcceptorState)]) -> Vec<(PartitionId, TransferredState)> {
+    let state = |(partition, state): &(PartitionId, LegacyAcceptorState)| {
         (*partition, whole_values::transferred_state_of(*partition, state))
     };
     partitions.iter().map(state).collect()
--- a/control/src/server_list/role.rs
+++ b/control/src/server_list/role.rs
@@ -176,7 +176,7 @@
     /// The complete list, if there is one that counts, for a node of a release before [`ServerListChange`].
     pub fn whole_update(&self, now: Nanos) -> Option<ServerListUpdate> {
         let has_list = self.list.position() != ServerList::default().position();
-        has_list.then(|| self.list.whole_update(now))
+        has_list.then(|| self.list.full_update(now))
     }
 
     /// What a watcher of a release before [`ServerListChange`] lacks of the list at this position.
--- a/control/tests/common/mod.rs
+++ b/control/tests/common/mod.rs
@@ -120,7 +120,7 @@
             _,
             PeerMessage::Consensus {
                 partition: contended,
-                message: ConsensusMessage::Prepare { .. } | ConsensusMessage::WholePrepare { .. },
+                message: ConsensusMessage::Prepare { .. } | ConsensusMessage::LegacyPrepare { .. },
                 ..
             },
         ) => *contended == partition,
--- a/control/tests/golden_records.rs
+++ b/control/tests/golden_records.rs
@@ -335,7 +335,7 @@
     let folder = folder_with("appended.records");
     let stored = read_state(folder.path());
     let registers = |partition: PartitionId| {
-        RegisterMap::from_whole(0, stored.partitions[&partition].accepted_update(None).writes)
+        RegisterMap::from_snapshot(0, stored.partitions[&partition].accepted_update(None).writes)
     };
     let read = |partition: PartitionId| PartitionState::from_registers(partition, &registers(partition));
     let configuration = PartitionState::Configuration(ConfigurationState::from(configured()));
--- a/control/tests/partition_state.rs
+++ b/control/tests/partition_state.rs
@@ -108,9 +108,9 @@
 #[gtest]
 fn registers_of_an_unknown_format_are_not_read() {
     let write = |key, value: &[u8]| RegisterWrite { key, sequence: 1, value: Some(value.to_vec().into()) };
-    let malformed = RegisterMap::from_whole(1, [write(RegisterKey::Revision, &[1, 2, 3])]);
+    let malformed = RegisterMap::from_snapshot(1, [write(RegisterKey::Revision, &[1, 2, 3])]);
     expect_that!(PartitionState::from_registers(PartitionId::CONFIGURATION, &malformed), none());
-    let foreign = RegisterMap::from_whole(1, [write(RegisterKey::Undecodable, &[1, 2, 3])]);
+    let foreign = RegisterMap::from_snapshot(1, [write(RegisterKey::Undecodable, &[1, 2, 3])]);
     expect_that!(PartitionState::from_registers(PartitionId::CONFIGURATION, &foreign), none());
     expect_that!(PartitionState::from_registers(EVACUATIONS, &foreign), none());
 }
--- a/control/tests/reconfiguration.rs
+++ b/control/tests/reconfiguration.rs
@@ -150,7 +150,7 @@
 fn promises(out: &[Output], to: u32) -> bool {
     sent_to(out, to).into_iter().any(|message| {
         let is_promise = |message: &ConsensusMessage| {
-            matches!(message, ConsensusMessage::Promise { .. } | ConsensusMessage::WholePromise { .. })
+            matches!(message, ConsensusMessage::Promise { .. } | ConsensusMessage::LegacyPromise { .. })
         };
         matches!(message, PeerMessage::Consensus { message, .. } if is_promise(message))
     })
--- a/protocol/src/compression.rs
+++ b/protocol/src/compression.rs
@@ -33,13 +33,13 @@
 pub enum CompressionError {
     /// The bytes end within a sequence.
     #[error("the compressed bytes are cut short")]
-    CutShort,
+    Truncated,
     /// The distance of a match is 0, or reaches beyond the first decompressed byte.
     #[error("a compressed reference leads to before the first byte")]
-    BadReference,
+    InvalidDistance,
     /// The decompressed length is not the expected one.
     #[error("the decompressed length is not the one that was announced")]
-    WrongLength,
+    LengthMismatch,
 }
 
 /// Compresses bytes. Incompressible bytes grow by half a percent.
@@ -80,17 +80,17 @@
         let literals = read_length(token >> 4, &mut bytes)?;
         let literals = take(&mut bytes, literals)?;
         if out.len() + literals.len() > length {
-            return Err(CompressionError::WrongLength);
+            return Err(CompressionError::LengthMismatch);
         }
         out.extend_from_slice(literals);
         if bytes.is_empty() {
-            return if out.len() == length { Ok(out) } else { Err(CompressionError::WrongLength) };
+            return if out.len() == length { Ok(out) } else { Err(CompressionError::LengthMismatch) };
         }
         let distance = take(&mut bytes, 2)?;
         let distance = usize::from(u16::from_le_bytes([distance[0], distance[1]]));
         let match_length = read_length(token & 0xf, &mut bytes)?.saturating_add(MIN_MATCH_BYTES);
         if out.len().saturating_add(match_length) > length {
-            return Err(CompressionError::WrongLength);
+            return Err(CompressionError::LengthMismatch);
         }
         copy_back(&mut out, distance, match_length)?;
     }
@@ -147,7 +147,7 @@
 }
 
 fn take<'a>(bytes: &mut &'a [u8], length: usize) -> Result<&'a [u8], CompressionError> {
-    let (taken, rest) = bytes.split_at_checked(length).ok_or(CompressionError::CutShort)?;
+    let (taken, rest) = bytes.split_at_checked(length).ok_or(CompressionError::Truncated)?;
     *bytes = rest;
     Ok(taken)
 }
@@ -155,7 +155,7 @@
 /// Appends a match. One that is longer than its distance overlaps its own result, and repeats it.
 fn copy_back(out: &mut Vec<u8>, distance: usize, mut length: usize) -> Result<(), CompressionError> {
     let from = out.len().checked_sub(distance).filter(|_| distance > 0);
-    let from = from.ok_or(CompressionError::BadReference)?;
+    let from = from.ok_or(CompressionError::InvalidDistance)?;
     while length > 0 {
         let chunk = length.min(out.len() - from);
         out.extend_from_within(from..from + chunk);
--- a/protocol/src/configuration/error.rs
+++ b/protocol/src/configuration/error.rs
@@ -69,13 +69,13 @@
     },
     /// Two routes match the same host and path prefix.
     #[error(
-        "routes: {one:?} and {other:?} share host {host:?} and path_prefix {prefix:?}: give each a place of its own"
+        "routes: {first:?} and {second:?} share host {host:?} and path_prefix {prefix:?}: give each a place of its own"
     )]
     DuplicateMatch {
         /// The first of the routes.
-        one: String,
+        first: String,
         /// The second of the routes.
-        other: String,
+        second: String,
         /// The host of the second route.
         host: String,
         /// The path prefix of both routes.
--- a/protocol/src/configuration/validate.rs
+++ b/protocol/src/configuration/validate.rs
@@ -43,10 +43,10 @@
                 return Err(ConfigurationError::ZeroTimeout { route: route.name.clone() });
             }
             let host_and_prefix = (route.host.to_ascii_lowercase(), route.path_prefix.as_str());
-            if let Some(one) = matches.insert(host_and_prefix, &route.name) {
+            if let Some(first) = matches.insert(host_and_prefix, &route.name) {
                 return Err(ConfigurationError::DuplicateMatch {
-                    one: one.clone(),
-                    other: route.name.clone(),
+                    first: first.clone(),
+                    second: route.name.clone(),
                     host: route.host.clone(),
                     prefix: route.path_prefix.clone(),
                 });
--- a/protocol/src/frame/decoder.rs
+++ b/protocol/src/frame/decoder.rs
@@ -133,7 +133,7 @@
 /// Decompresses a body that begins with its decompressed length.
 fn decompress_body(body: &[u8]) -> Result<Vec<u8>, FrameError> {
     let undecodable = |error: CompressionError| FrameError::Undecodable(error.into());
-    let (length, compressed) = body.split_first_chunk().ok_or(undecodable(CompressionError::CutShort))?;
+    let (length, compressed) = body.split_first_chunk().ok_or(undecodable(CompressionError::Truncated))?;
     let length = u32::from_le_bytes(*length) as usize;
     if length > MAX_MESSAGE_BYTES {
         return Err(FrameError::MessageTooLong { length });
--- a/protocol/src/frame/error.rs
+++ b/protocol/src/frame/error.rs
@@ -12,11 +12,11 @@
     UnknownMagic,
     /// The frame has another protocol version.
     #[error(
-        "a message of version {theirs}, where this program speaks version {PROTOCOL_VERSION}: bring all machines to one release"
+        "a message of version {received}, where this program speaks version {PROTOCOL_VERSION}: bring all machines to one release"
     )]
     UnsupportedVersion {
         /// The version of the frame.
-        theirs: u16,
+        received: u16,
     },
     /// The message is longer than [`MAX_MESSAGE_BYTES`].
     #[error(
--- a/protocol/src/frame/header.rs
+++ b/protocol/src/frame/header.rs
@@ -51,7 +51,7 @@
             return Ok(None);
         };
         if version != PROTOCOL_VERSION {
-            return Err(FrameError::UnsupportedVersion { theirs: version });
+            return Err(FrameError::UnsupportedVersion { received: version });
         }
         let header = Self { flags: length & !LENGTH_MASK, length: (length & LENGTH_MASK) as usize, checksum };
         if header.length > MAX_MESSAGE_BYTES {
--- a/protocol/src/peer/consensus.rs
+++ b/protocol/src/peer/consensus.rs
@@ -4,7 +4,7 @@
 //! phase of Paxos (Lamport, "Paxos Made Simple", section 2.2) once for its ballot and the second phase once for each change. There is
 //! no log: a message carries the registers that its receiver lacks, by the numbers of the changes that wrote them.
 //!
-//! The variants whose names begin with `Whole` are those of releases before registers, in which the contents were one encoded value.
+//! The variants whose names begin with `Legacy` are those of releases before registers, in which the contents were one encoded value.
 //! They are exchanged with nodes of such releases only, see [`super::Heartbeat::supports_registers`].
 
 use speedy::{Readable, Writable};
@@ -26,7 +26,7 @@
 
 /// The durable state of an acceptor of one partition, as releases before registers encode it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Readable, Writable)]
-pub struct AcceptorState {
+pub struct LegacyAcceptorState {
     /// The highest ballot that was promised. Prepare and accept requests with a lower ballot are rejected.
     pub promised: Ballot,
     /// The last value that was accepted.
@@ -48,19 +48,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Readable, Writable)]
 pub enum ConsensusMessage {
     /// [`ConsensusMessage::Prepare`] of a release before registers.
-    WholePrepare {
+    LegacyPrepare {
         /// The candidate's ballot.
         ballot: Ballot,
     },
     /// [`ConsensusMessage::Promise`] of a release before registers.
-    WholePromise {
+    LegacyPromise {
         /// The ballot that was promised.
         ballot: Ballot,
         /// The last value that the voter has accepted, under a lower ballot.
         accepted: Option<AcceptedValue>,
     },
     /// [`ConsensusMessage::Accept`] of a release before registers.
-    WholeAccept(AcceptedValue),
+    LegacyAccept(AcceptedValue),
     /// Phase 2b, from a voter to the leader, sent after what it accepted is durable: it has accepted all changes
     /// of the ballot up to this one. A change that a quorum has accepted is committed, and all before it are.
     Accepted {
@@ -84,12 +84,12 @@
         sequence: u64,
     },
     /// [`ConsensusMessage::Fetch`] of a release before registers.
-    WholeFetch {
+    LegacyFetch {
         /// The sequence of the newest committed value that the sender has; 0 for none.
         after: u64,
     },
     /// [`ConsensusMessage::Committed`] of a release before registers.
-    WholeCommitted(AcceptedValue),
+    LegacyCommitted(AcceptedValue),
     /// From the leader to all voters, before it answers a read from its committed contents: the read is
     /// linearizable once a quorum has confirmed, after the read began, that no higher ballot was promised (as
     /// ReadIndex in Raft).
--- a/protocol/src/peer/mod.rs
+++ b/protocol/src/peer/mod.rs
@@ -20,7 +20,7 @@
 use speedy::{Readable, Writable};
 
 pub use self::admin::{AdminRequest, AdminResponse};
-pub use self::consensus::{AcceptedValue, AcceptorState, ConsensusMessage, TransferredState};
+pub use self::consensus::{AcceptedValue, ConsensusMessage, LegacyAcceptorState, TransferredState};
 pub use self::heartbeat::Heartbeat;
 pub use self::membership::{Membership, ReplicaStatus, Voter, majority};
 pub use self::routers::{RouterChanges, routers_digest};
@@ -56,7 +56,7 @@
         /// The id of the sender's disk: the answer counts for the replica, not for the node.
         disk: u64,
         /// The sender's acceptor state of each partition.
-        partitions: Vec<(PartitionId, AcceptorState)>,
+        partitions: Vec<(PartitionId, LegacyAcceptorState)>,
     },
     /// A message of the consensus instance of one partition.
     Consensus {
--- a/protocol/src/registers/map.rs
+++ b/protocol/src/registers/map.rs
@@ -32,7 +32,7 @@
 
 impl RegisterMap {
     /// The map that consists of these writes, as of this change. What was removed before it is not known.
-    pub fn from_whole(sequence: u64, writes: impl IntoIterator<Item = RegisterWrite>) -> Self {
+    pub fn from_snapshot(sequence: u64, writes: impl IntoIterator<Item = RegisterWrite>) -> Self {
         let mut map = Self { complete_since: sequence, ..Self::default() };
         writes.into_iter().filter(|write| write.value.is_some()).for_each(|write| map.apply(write));
         map
@@ -101,7 +101,7 @@
     }
 
     /// All registers that have a value.
-    pub fn whole(&self) -> Vec<RegisterWrite> {
+    pub fn snapshot(&self) -> Vec<RegisterWrite> {
         self.values().filter_map(|(key, _)| self.write(key)).collect()
     }
 
--- a/protocol/src/server_list.rs
+++ b/protocol/src/server_list.rs
@@ -138,7 +138,7 @@
         // Lists of the lowest ballot were read by nodes for themselves, and differ from node to node.
         if before.number == 0 || before.ballot == Ballot::default() {
             self.reset(ServerListPosition { ballot, number: 1 }, entries);
-            return Some(self.whole(now));
+            return Some(self.full_list(now));
         }
         let change = self.changes_to(&entries, now);
         let is_new_reader = ballot != before.ballot;
@@ -208,7 +208,7 @@
     }
 
     /// The whole list.
-    pub fn whole(&self, now: Nanos) -> ServerListChange {
+    pub fn full_list(&self, now: Nanos) -> ServerListChange {
         let upsert = self.servers(now).collect();
         ServerListChange { base: None, position: self.position, upsert, removed: Vec::new() }
     }
@@ -216,7 +216,7 @@
     /// The changes since a version, or the whole list if they are not kept.
     pub fn changes_since(&self, now: Nanos, since: ServerListPosition) -> ServerListChange {
         let Some(first) = self.history.iter().position(|change| change.from == since) else {
-            return self.whole(now);
+            return self.full_list(now);
         };
         let (mut upsert, mut removed) = (BTreeMap::new(), Vec::new());
         for change in self.history.range(first..) {
@@ -234,11 +234,11 @@
     /// The changes since a version under the same ballot, or the whole list, for a receiver of a release before
     /// [`ServerListChange`].
     pub fn update_since(&self, now: Nanos, since: ServerListPosition) -> ServerListUpdate {
-        self.changes_since(now, since).to_update().unwrap_or_else(|| self.whole_update(now))
+        self.changes_since(now, since).to_update().unwrap_or_else(|| self.full_update(now))
     }
 
     /// The whole list, for a receiver of a release before [`ServerListChange`].
-    pub fn whole_update(&self, now: Nanos) -> ServerListUpdate {
+    pub fn full_update(&self, now: Nanos) -> ServerListUpdate {
         let ServerListPosition { ballot, number: to } = self.position;
         let upsert = self.servers(now).collect();
         ServerListUpdate { ballot, from: None, to, upsert, removed: Vec::new() }
--- a/protocol/tests/compression.rs
+++ b/protocol/tests/compression.rs
@@ -58,10 +58,10 @@
         expect_that!(decompress(&compressed[..cut], bytes.len()), err(anything()), "cut at {cut}");
     }
     for length in [0, 1, bytes.len() - 1, bytes.len() + 1, usize::MAX] {
-        expect_that!(decompress(&compressed, length), err(eq(&CompressionError::WrongLength)), "{length}");
+        expect_that!(decompress(&compressed, length), err(eq(&CompressionError::LengthMismatch)), "{length}");
     }
-    expect_that!(decompress(&[0x10, b'x', 0, 0, 0], 9), err(eq(&CompressionError::BadReference)));
-    expect_that!(decompress(&[0x10, b'x', 2, 0, 0], 9), err(eq(&CompressionError::BadReference)));
+    expect_that!(decompress(&[0x10, b'x', 0, 0, 0], 9), err(eq(&CompressionError::InvalidDistance)));
+    expect_that!(decompress(&[0x10, b'x', 2, 0, 0], 9), err(eq(&CompressionError::InvalidDistance)));
 }
 
 #[gtest]
--- a/protocol/tests/frame.rs
+++ b/protocol/tests/frame.rs
@@ -50,7 +50,7 @@
     expect_that!(decoded(b"GE"), err(eq(&FrameError::UnknownMagic)));
     expect_that!(
         with(2, PROTOCOL_VERSION as u8 + 1),
-        err(eq(&FrameError::UnsupportedVersion { theirs: PROTOCOL_VERSION + 1 }))
+        err(eq(&FrameError::UnsupportedVersion { received: PROTOCOL_VERSION + 1 }))
     );
     expect_that!(
         with(7, 0xff),
--- a/protocol/tests/golden.rs
+++ b/protocol/tests/golden.rs
@@ -18,7 +18,7 @@
 use ivyhatch_protocol::hash::hash_mix;
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId};
 use ivyhatch_protocol::peer::{
-    AcceptedValue, AcceptorState, AdminRequest, AdminResponse, ConsensusMessage, Heartbeat, Membership,
+    AcceptedValue, AdminRequest, AdminResponse, ConsensusMessage, Heartbeat, LegacyAcceptorState, Membership,
     PeerMessage, ReplicaStatus, RouterChanges, TransferredState, Voter,
 };
 use ivyhatch_protocol::registers::{RegisterKey, RegisterWrite, StateUpdate, UpdateBase, Version};
@@ -176,8 +176,8 @@
 }
 
 fn state_transfer() -> PeerMessage {
-    let accepted = AcceptorState { promised: ballot(8), accepted: Some(accepted_value()) };
-    let only_promised = AcceptorState { promised: ballot(9), accepted: None };
+    let accepted = LegacyAcceptorState { promised: ballot(8), accepted: Some(accepted_value()) };
+    let only_promised = LegacyAcceptorState { promised: ballot(9), accepted: None };
     PeerMessage::StateTransfer {
         incarnation: 0x2122_2324_2526_2728,
         generation: 4,
@@ -188,18 +188,18 @@
 
 fn consensus_messages() -> Vec<(&'static str, ConsensusMessage)> {
     vec![
-        ("prepare", ConsensusMessage::WholePrepare { ballot: ballot(5) }),
-        ("promise_without_value", ConsensusMessage::WholePromise { ballot: ballot(5), accepted: None }),
+        ("prepare", ConsensusMessage::LegacyPrepare { ballot: ballot(5) }),
+        ("promise_without_value", ConsensusMessage::LegacyPromise { ballot: ballot(5), accepted: None }),
         (
             "promise_with_value",
-            ConsensusMessage::WholePromise { ballot: ballot(6), accepted: Some(accepted_value()) },
+            ConsensusMessage::LegacyPromise { ballot: ballot(6), accepted: Some(accepted_value()) },
         ),
-        ("accept", ConsensusMessage::WholeAccept(accepted_value())),
+        ("accept", ConsensusMessage::LegacyAccept(accepted_value())),
         ("accepted", ConsensusMessage::Accepted { ballot: ballot(5), sequence: 300 }),
         ("reject", ConsensusMessage::Reject { promised: ballot(9) }),
         ("commit", ConsensusMessage::Commit { ballot: ballot(5), sequence: 300 }),
-        ("fetch", ConsensusMessage::WholeFetch { after: 299 }),
-        ("committed", ConsensusMessage::WholeCommitted(accepted_value())),
+        ("fetch", ConsensusMessage::LegacyFetch { after: 299 }),
+        ("committed", ConsensusMessage::LegacyCommitted(accepted_value())),
         ("confirm", ConsensusMessage::Confirm { ballot: ballot(5), request_id: 18 }),
         ("confirmed", ConsensusMessage::Confirmed { ballot: ballot(5), request_id: 18 }),
     ]
