--- a/protocol/src/compression.rs
+++ b/protocol/src/compression.rs
@@ -1,51 +1,52 @@
 //! Compression of large messages: LZ77 with byte-aligned sequences, like the block format of LZ4.
 //!
-//! The items of a configuration resemble each other, so it shrinks to a sixth or less. The compressor prefers
-//! speed to density: one pass, and one candidate for each position. The decompressor only copies.
+//! The items of a configuration resemble each other, so that a configuration shrinks to a sixth or less. The
+//! compressor favours speed over ratio: it makes one pass and tries one candidate match for each position. The
+//! decompressor only copies bytes.
 //!
-//! A sequence is, in this order:
+//! Compressed data is a list of sequences. A sequence is, in this order:
 //!
 //! - a token byte: the number of literals in its upper half, the length of the match minus 4 in its lower
 //!   half;
-//! - if the number of literals is 15 or more: further bytes that are added to it, up to and including the
-//!   first below 255;
+//! - if the number of literals is 15 or more: further bytes that are added to the number, up to and including
+//!   the first byte below 255;
 //! - the literals;
-//! - the distance of the match in two bytes, little-endian: 1 is the byte before;
+//! - the distance of the match in two bytes, little-endian: 1 refers to the previous byte;
 //! - if the length of the match minus 4 is 15 or more: further bytes, as for the literals.
 //!
 //! The last sequence ends after its literals.
 
-/// The shortest match that is shorter as a reference, in bytes.
+/// The minimum length of a match, in bytes. A reference would be no shorter than the literals of a shorter match.
 const MIN_MATCH_BYTES: usize = 4;
-/// The greatest distance of a match, in bytes.
+/// The maximum distance of a match, in bytes; it is encoded in 16 bits.
 const MAX_DISTANCE: usize = u16::MAX as usize;
-/// The table of candidates has two to this power entries.
+/// Binary logarithm of the number of entries in the table of candidate matches.
 const TABLE_BITS: u32 = 14;
-/// The greatest value of half a token; such a length continues in further bytes.
+/// The maximum value of half a token. A length of this value or more continues in further bytes.
 const TOKEN_MAX: usize = 15;
-/// A byte of this value continues a length.
+/// A continuation byte of this value is followed by another one.
 const CONTINUATION: u8 = 255;
-/// Decompressed bytes for each compressed byte, for which memory is allocated in advance.
+/// Decompressed bytes per compressed byte for which memory is allocated in advance.
 const EXPECTED_RATIO: usize = 8;
 
-/// Why bytes can't be decompressed.
+/// Why compressed data can't be decompressed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum CompressionError {
-    /// The bytes end within a sequence.
-    #[error("the compressed bytes are cut short")]
+    /// The input ends within a sequence.
+    #[error("the compressed data ends within a sequence")]
     Truncated,
-    /// The distance of a match is 0, or reaches beyond the first decompressed byte.
-    #[error("a compressed reference leads to before the first byte")]
+    /// The distance of a match is 0, or leads to before the first decompressed byte.
+    #[error("the distance of a match in the compressed data is 0 or leads to before the first byte")]
     InvalidDistance,
-    /// The decompressed length is not the expected one.
-    #[error("the decompressed length is not the one that was announced")]
+    /// The decompressed length differs from the expected length.
+    #[error("the length of the decompressed data differs from the announced length")]
     LengthMismatch,
 }
 
-/// Compresses bytes. Incompressible bytes grow by half a percent.
+/// Compresses bytes. Incompressible input grows by half a percent.
 pub fn compress(bytes: &[u8]) -> Vec<u8> {
     let mut out = Vec::with_capacity(bytes.len() / 4 + 16);
-    // The last position with a hash, plus one; 0 for none.
+    // For each hash, the last position whose bytes have this hash, plus one; 0 for none.
     let mut candidates = vec![0_u32; 1 << TABLE_BITS];
     let (mut position, mut literals_start) = (0, 0);
     while position + MIN_MATCH_BYTES <= bytes.len() {
@@ -71,9 +72,10 @@
 /// Decompresses to exactly `length` bytes.
 ///
 /// # Errors
-/// If the bytes are not the compression of so many bytes.
+/// If `bytes` is not compressed data of exactly `length` decompressed bytes.
 pub fn decompress(mut bytes: &[u8], length: usize) -> Result<Vec<u8>, CompressionError> {
-    // The length is not to be trusted: allocate by the length of the input, and grow with the output.
+    // `length` may come from a corrupted or forged message: the memory that is allocated in advance is limited by the
+    // length of the input, and the buffer grows with the output.
     let mut out = Vec::with_capacity(length.min(bytes.len().saturating_mul(EXPECTED_RATIO)));
     loop {
         let token = take(&mut bytes, 1)?[0];
@@ -105,12 +107,13 @@
     one.iter().zip(other).take_while(|(one, other)| one == other).count()
 }
 
-/// A reference to bytes that were seen before.
+/// A reference to an earlier occurrence of the same bytes.
 #[derive(Clone, Copy)]
 struct Match {
-    /// Bytes from the beginning of the match back to that of its first occurrence; at most [`MAX_DISTANCE`].
+    /// Bytes from the beginning of the match back to the beginning of the earlier occurrence; at most
+    /// [`MAX_DISTANCE`].
     distance: usize,
-    /// At least [`MIN_MATCH_BYTES`].
+    /// In bytes; at least [`MIN_MATCH_BYTES`].
     length: usize,
 }
 
@@ -125,7 +128,7 @@
     }
 }
 
-/// Writes the part of a length that exceeds the token.
+/// Writes the part of a length that does not fit in its half of the token.
 fn write_continuation(out: &mut Vec<u8>, length: usize) {
     let Some(rest) = length.checked_sub(TOKEN_MAX) else { return };
     out.extend(std::iter::repeat_n(CONTINUATION, rest / usize::from(CONTINUATION)));
@@ -152,7 +155,7 @@
     Ok(taken)
 }
 
-/// Appends a match. One that is longer than its distance overlaps its own result, and repeats it.
+/// Appends a match. A match that is longer than its distance overlaps its own output, so that the output repeats.
 fn copy_back(out: &mut Vec<u8>, distance: usize, mut length: usize) -> Result<(), CompressionError> {
     let from = out.len().checked_sub(distance).filter(|_| distance > 0);
     let from = from.ok_or(CompressionError::InvalidDistance)?;
--- a/protocol/src/coordination.rs
+++ b/protocol/src/coordination.rs
@@ -1,7 +1,8 @@
-//! The calls by which applications coordinate: locks, numbers, cells and watches, and what becomes of a call.
+//! The calls by which applications coordinate (locks, numbers, cells and watches), and their outcomes.
 //!
-//! Each outcome is typed by what it promises. A caller may repeat a call whose outcome is [`CallOutcome::NotStarted`] anywhere; after
-//! [`CallOutcome::Unknown`] it has to reckon with both.
+//! The type of an outcome says whether the call may take effect. A caller may retry a call with the outcome
+//! [`CallOutcome::NotStarted`] at any control node. After [`CallOutcome::Unknown`] the caller has to expect both that the
+//! call takes effect and that it does not.
 
 use std::fmt;
 
@@ -15,61 +16,61 @@
 /// An application's call.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Readable, Writable)]
 pub enum Call {
-    /// Takes a lock, or takes it again where the holder has it.
+    /// Acquires a lock, also if `holder` already holds the lock.
     AcquireLock {
-        /// The lock.
+        /// The name of the lock.
         name: String,
-        /// Who is to hold it.
+        /// The identity under which the caller acquires the lock.
         holder: String,
-        /// For how long, from when the holder sent the call.
+        /// The duration of the lease in milliseconds, from the moment at which the holder sent the call.
         hold_ms: u64,
     },
-    /// Holds a lock for longer.
+    /// Renews the lease of a lock, if `holder` still holds the lock under this fencing token.
     RenewLock {
-        /// The lock.
+        /// The name of the lock.
         name: String,
-        /// Its holder.
+        /// The holder of the lock.
         holder: String,
-        /// The fencing token that the holder was given.
+        /// The fencing token that the holder received when it acquired the lock.
         fence: u64,
-        /// For how long, from when the holder sent the call.
+        /// The duration of the lease in milliseconds, from the moment at which the holder sent the call.
         hold_ms: u64,
     },
-    /// Frees a lock, if this holder has it with this fencing token.
+    /// Releases a lock, if `holder` holds the lock under this fencing token.
     ReleaseLock {
-        /// The lock.
+        /// The name of the lock.
         name: String,
-        /// Its holder.
+        /// The holder of the lock.
         holder: String,
-        /// The fencing token that the holder was given.
+        /// The fencing token that the holder received when it acquired the lock.
         fence: u64,
     },
-    /// Gives out a number above all that were given out under the name before.
+    /// Allocates a number greater than all numbers that were allocated under the name before.
     NextNumber {
-        /// The name.
+        /// The name of the sequence of numbers.
         name: String,
     },
     /// Writes a cell.
     PutCell {
-        /// The cell.
+        /// The name of the cell.
         name: String,
-        /// Its new value. No other put of the cell has the same one, so that a put that comes again is recognised by it.
+        /// The new value. No two puts of a cell have the same value, so that a retried put is recognised by its value.
         value: String,
         /// The revision that the cell must have, 0 for a cell that must not exist; `None` for any.
         expected_revision: Option<u64>,
     },
     /// Reads a cell; the read is linearizable.
     ReadCell {
-        /// The cell.
+        /// The name of the cell.
         name: String,
     },
     /// Waits for puts in a group of cells.
     WatchGroup {
-        /// The group, with the dot that ends it.
+        /// The group, including the dot at its end; see [`group_of`].
         group: String,
-        /// The last revision that the watcher knows; 0 asks for the present one.
+        /// The last revision that the watcher knows; 0 requests the current revision.
         after: u64,
-        /// For how long to wait where there is no later one.
+        /// How long to wait if there is no later revision, in milliseconds.
         wait_ms: u64,
     },
 }
@@ -92,12 +93,12 @@
         })
     }
 
-    /// Whether the call changes nothing, whatever becomes of it.
+    /// Whether the call is read-only.
     pub fn is_read(&self) -> bool {
         matches!(self, Self::ReadCell { .. } | Self::WatchGroup { .. })
     }
 
-    /// For how long the call may have to wait before it is answered, in milliseconds.
+    /// How long the call may wait for an event before it is answered, in milliseconds; 0 if the call does not wait.
     pub fn wait_ms(&self) -> u64 {
         match self {
             Self::WatchGroup { wait_ms, .. } => *wait_ms,
@@ -109,86 +110,87 @@
 /// A put in a group of cells.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Readable, Writable)]
 pub struct CellEvent {
-    /// The cell.
+    /// The name of the cell.
     pub name: String,
-    /// Its new value.
+    /// The new value of the cell.
     pub value: String,
-    /// The revision of the group that the put made.
+    /// The revision of the group that the put created.
     pub revision: u64,
 }
 
-/// What a call that was carried out gives back.
+/// The result of a call that was applied.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Readable, Writable)]
 pub enum Reply {
-    /// The lock is held.
+    /// The caller holds the lock.
     LockAcquired {
-        /// The fencing token: above that of each earlier holder.
+        /// The fencing token, which is greater than the token of each earlier holder.
         fence: u64,
     },
-    /// The lock is held for longer.
+    /// The lease of the lock was renewed.
     LockRenewed,
-    /// The caller does not hold the lock any longer.
+    /// The caller no longer holds the lock.
     LockReleased,
-    /// A number.
+    /// A number was allocated.
     Number {
-        /// The number.
+        /// The allocated number.
         value: u64,
     },
-    /// The cell has the value, or had it.
+    /// The cell has the value, or had it: the call or an earlier attempt of the same put was applied.
     CellPut {
-        /// The revision that the first of these puts made.
+        /// The revision that the first of these attempts created.
         revision: u64,
     },
-    /// The cell.
+    /// The contents of the cell.
     Cell {
-        /// Its value.
+        /// The value of the cell.
         value: String,
-        /// The revision of the put that wrote it.
+        /// The revision of the put that wrote the value.
         revision: u64,
     },
-    /// Puts of a group.
+    /// The puts in a group since the watcher's revision.
     Events {
-        /// Each put above the watcher's revision and up to `revision`, in order.
+        /// Each put after the watcher's revision and up to `revision`, in order.
         events: Vec<CellEvent>,
-        /// The revision that the watcher goes on from.
+        /// The revision from which the watcher has to continue.
         revision: u64,
     },
 }
 
-/// Why a call was decided against. It has not taken effect and never will.
+/// Why a call was refused. A refused call has not taken effect and never will.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Readable, Writable)]
 pub enum Refusal {
-    /// Another holder has the lock.
+    /// The lock is held by another holder.
     LockHeld,
-    /// The caller no longer has the lock.
+    /// The caller no longer holds the lock.
     LockLost,
-    /// The cell has another revision than the put expects.
+    /// The revision of the cell differs from the revision that the put expects.
     RevisionConflict {
-        /// The cell's revision; 0 where it does not exist.
+        /// The cell's revision; 0 if the cell does not exist.
         revision: u64,
     },
-    /// There is no such cell.
+    /// The cell does not exist.
     NoSuchCell,
-    /// The history does not reach back to the watcher's revision.
+    /// The history of puts does not reach back to the watcher's revision.
     HistoryExpired {
-        /// The group's revision.
+        /// The group's current revision.
         revision: u64,
     },
-    /// The group has not reached the watcher's revision.
+    /// The watcher's revision is higher than that of the group.
     RevisionAhead {
-        /// The group's revision.
+        /// The group's current revision.
         revision: u64,
     },
 }
 
-/// Why a call was not begun. It has not taken effect and never will.
+/// Why a call was not started. Such a call has not taken effect and never will.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Readable, Writable)]
 pub enum NotStarted {
-    /// Too many calls wait, or too much is stored.
+    /// Too many calls are waiting, or too much is stored.
     Overloaded,
-    /// No leader of the partition could be reached.
+    /// The leader of the partition could not be reached.
     NoQuorum,
-    /// The node that it was forwarded to does not lead the partition. Between control nodes only: the call is forwarded anew.
+    /// The node to which the call was forwarded does not lead the partition. Sent between control nodes only; the
+    /// sender of the call forwards it again.
     NotLeader,
 }
 
@@ -196,25 +198,25 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Overloaded => {
-                "too many calls for this name wait, or too much is stored: send it again later"
+                "too many calls for this name are waiting, or too much is stored: retry the call later"
             }
             Self::NoQuorum => {
-                "most control nodes can't be reached from here now: send it again, to any of them"
+                "no quorum of the control nodes can be reached now: retry the call at any control node"
             }
-            Self::NotLeader => "the leader of this name is changing: send it again",
+            Self::NotLeader => "the leader of this name's partition is changing: retry the call",
         })
     }
 }
 
-/// What became of a call.
+/// The outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Readable, Writable)]
 pub enum CallOutcome {
-    /// It was carried out.
+    /// The call was applied.
     Applied(Reply),
-    /// It was decided against.
+    /// The call was refused.
     Refused(Refusal),
-    /// It was not begun.
+    /// The call was not started.
     NotStarted(NotStarted),
-    /// It may have taken effect, or may yet do so.
+    /// The call may have taken effect, or may still take effect.
     Unknown,
 }
--- a/protocol/src/frame/decoder.rs
+++ b/protocol/src/frame/decoder.rs
@@ -1,4 +1,4 @@
-//! Frames to messages.
+//! Decodes frames to messages.
 
 use speedy::{LittleEndian, Readable};
 
@@ -8,17 +8,18 @@
 use crate::compression::{CompressionError, decompress};
 use crate::hash::checksum;
 
-/// Consumed bytes are kept until there are more than these, so that they are removed in few large moves.
+/// The number of consumed bytes above which they are removed from the buffer. Removal moves the remaining bytes, so
+/// it is done seldom.
 const MAX_CONSUMED_BYTES: usize = 64 * 1024;
 
 /// Decodes the messages of one connection from chunks of bytes of any size.
 ///
-/// Memory is bounded by [`MAX_MESSAGE_BYTES`] for the fragments of a message, and by the same for a frame
-/// that is incomplete.
+/// Memory is bounded by [`MAX_MESSAGE_BYTES`] for the fragments of a message, plus the same for an incomplete
+/// frame.
 #[derive(Default)]
 pub struct Decoder {
     bytes: Vec<u8>,
-    /// The bytes before this offset are consumed.
+    /// The bytes of `bytes` before this offset are consumed.
     offset: usize,
     /// The bodies of the fragments of an incomplete message.
     fragments: Vec<u8>,
@@ -28,12 +29,12 @@
 
 struct DecodedMessage<M> {
     message: M,
-    /// The length of the message's encoding, decompressed.
+    /// The length of the message's encoding after decompression, in bytes.
     length: usize,
 }
 
 impl Decoder {
-    /// Takes bytes that were received.
+    /// Appends received bytes to the buffer.
     pub fn feed(&mut self, bytes: &[u8]) {
         if self.offset > 0 && self.offset == self.bytes.len() {
             self.bytes.clear();
@@ -42,20 +43,21 @@
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The number of fragments that were received. A long message is being received while it rises.
+    /// The number of fragments received so far. While the number rises, a long message is being received.
     pub fn fragments_received(&self) -> u64 {
         self.fragments_received
     }
 
-    /// The length of the last message, decompressed, in bytes.
+    /// The length of the last decoded message after decompression, in bytes; 0 before the first message.
     pub fn last_message_bytes(&self) -> usize {
         self.last_message_bytes
     }
 
-    /// The next message; `None` while it is incomplete.
+    /// Decodes the next message; `None` while the message is incomplete.
     ///
     /// # Errors
-    /// If the bytes are no messages. The decoder is of no further use, and the connection has to be closed.
+    /// If the buffered bytes are not a valid frame of a message `M`. The caller has to close the connection and drop
+    /// the decoder.
     pub fn next_message<M: for<'a> Readable<'a, LittleEndian>>(&mut self) -> Result<Option<M>, FrameError> {
         while let Some(header) = self.complete_frame()? {
             let decoded = self.decode_frame(&header)?;
@@ -79,7 +81,7 @@
         Ok(Some(header))
     }
 
-    /// The message in the frame; none for a fragment that is not the last one of its message.
+    /// The message in the frame; `None` for a fragment that is not the last one of its message.
     fn decode_frame<M: for<'a> Readable<'a, LittleEndian>>(
         &mut self,
         header: &Header,
--- a/protocol/src/frame/encoder.rs
+++ b/protocol/src/frame/encoder.rs
@@ -1,4 +1,4 @@
-//! Messages to frames.
+//! Encodes messages to frames.
 
 use speedy::{LittleEndian, Writable};
 
@@ -7,14 +7,15 @@
 use crate::compression::compress;
 use crate::hash::checksum;
 
-/// A message as one frame.
+/// Encodes a message as one frame.
 pub fn encode<M: Writable<LittleEndian>>(message: &M) -> Vec<u8> {
     let EncodedBody { bytes, flags } = encode_body(message);
     encode_frame(&bytes, flags)
 }
 
-/// A message as the frames of its fragments, or as one frame if it is not longer than [`FRAGMENT_BYTES`].
-/// Frames of other messages may be sent between those of a message, as long as these are not fragments.
+/// Encodes a message as one frame for each fragment, or as a single frame if its body is not longer than
+/// [`FRAGMENT_BYTES`]. Other messages may be sent between the fragments of a message if each of them is a single
+/// frame.
 pub fn encode_fragments<M: Writable<LittleEndian>>(message: &M) -> Vec<Vec<u8>> {
     let EncodedBody { bytes, flags } = encode_body(message);
     if bytes.len() <= FRAGMENT_BYTES {
@@ -28,13 +29,13 @@
 
 struct EncodedBody {
     bytes: Vec<u8>,
-    /// [`COMPRESSED`], or nothing.
+    /// [`COMPRESSED`] or 0.
     flags: u32,
 }
 
 /// Encodes a message, and compresses it if that makes it shorter.
 fn encode_body<M: Writable<LittleEndian>>(message: &M) -> EncodedBody {
-    // Writing to memory fails for no type of message.
+    // Encoding to memory can't fail for any message type.
     let plain = message.write_to_vec().unwrap_or_default();
     if plain.len() < MIN_COMPRESSED_BYTES {
         return EncodedBody { bytes: plain, flags: 0 };
--- a/protocol/src/frame/error.rs
+++ b/protocol/src/frame/error.rs
@@ -1,18 +1,22 @@
-//! Errors of a stream of frames.
+//! Errors of decoding a stream of frames.
 
 use super::limits::{MAX_MESSAGE_BYTES, PROTOCOL_VERSION};
 use crate::compression::CompressionError;
 
-/// Why bytes of a connection are no messages. The connection has to be closed: where the next frame begins is
-/// unknown.
+/// Why the bytes of a connection can't be decoded to messages. The connection has to be closed, because the start
+/// of the next frame is unknown.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     /// The bytes don't begin with the magic number of a frame.
-    #[error("what came on the inner port is no message of the system: see who else connects there")]
+    #[error(
+        "bytes received on an inner port don't begin with the magic number of a frame: find out which other \
+         program connects to this port"
+    )]
     UnknownMagic,
     /// The frame has another protocol version.
     #[error(
-        "a message of version {received}, where this program speaks version {PROTOCOL_VERSION}: bring all machines to one release"
+        "a message has protocol version {received}, this release supports version {PROTOCOL_VERSION}: \
+         install the same release on all machines"
     )]
     UnsupportedVersion {
         /// The version of the frame.
@@ -20,29 +24,33 @@
     },
     /// The message is longer than [`MAX_MESSAGE_BYTES`].
     #[error(
-        "a message of {length} bytes, over the {MAX_MESSAGE_BYTES} that are taken: make the configuration smaller"
+        "a message has {length} bytes, which exceeds the limit of {MAX_MESSAGE_BYTES}: make the \
+         configuration smaller"
     )]
     MessageTooLong {
-        /// Its length, in bytes.
+        /// The length of the message, in bytes.
         length: usize,
     },
     /// The checksum does not match the body.
-    #[error("a damaged message: the connection is opened anew; where it comes again, see to the network")]
+    #[error(
+        "the checksum of a message does not match its body: the connection is reopened; if this error \
+         repeats, check the network"
+    )]
     ChecksumMismatch,
-    /// The frame is undamaged and its body can't be decoded as a message.
-    #[error("a message that can't be read ({0}): bring all machines to one release")]
+    /// The checksum matches, but the body can't be decoded as a message.
+    #[error("a message can't be decoded ({0}): install the same release on all machines")]
     Undecodable(BodyError),
 }
 
-/// Why the body of an undamaged frame can't be decoded.
+/// Why the body of a frame with a matching checksum can't be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// The bytes are no encoding of the message type; the text is that of `speedy`, whose errors can't be
-    /// compared.
+    /// The body is not a valid encoding of the message type. Holds the error text of `speedy`, whose error type
+    /// can't be compared.
     #[error("{0}")]
     Encoding(String),
-    /// So many bytes follow the message.
-    #[error("{0} bytes too long")]
+    /// The number of bytes in the body that follow the message.
+    #[error("{0} bytes follow the message")]
     TrailingBytes(usize),
     /// The body can't be decompressed.
     #[error(transparent)]
--- a/protocol/src/frame/header.rs
+++ b/protocol/src/frame/header.rs
@@ -5,20 +5,20 @@
 
 /// The first two bytes of a frame, as a little-endian number.
 const FRAME_MAGIC: u16 = 0x6976;
-/// Magic number, protocol version, length with flags, checksum.
+/// Length of the header in bytes: magic number, protocol version, body length with flags, checksum.
 pub(super) const HEADER_BYTES: usize = 2 + 2 + 4 + 4;
 /// Flag of a frame that carries a fragment of a message.
 pub(super) const FRAGMENT: u32 = 1 << 31;
-/// Flag of the last fragment of a message, beside [`FRAGMENT`].
+/// Flag of the last fragment of a message, set in addition to [`FRAGMENT`].
 pub(super) const LAST_FRAGMENT: u32 = 1 << 30;
-/// Flag of a compressed message; on all of its fragments.
+/// Flag of a compressed message, set on all of its fragments.
 pub(super) const COMPRESSED: u32 = 1 << 29;
 /// The bits of the length field that hold the length.
 const LENGTH_MASK: u32 = COMPRESSED - 1;
 
-/// The header of a frame of the present version.
+/// The header of a frame of version [`PROTOCOL_VERSION`].
 pub(super) struct Header {
-    /// [`FRAGMENT`], [`LAST_FRAGMENT`], [`COMPRESSED`].
+    /// Any of [`FRAGMENT`], [`LAST_FRAGMENT`] and [`COMPRESSED`].
     pub flags: u32,
     /// The length of the body, in bytes.
     pub length: usize,
@@ -27,7 +27,7 @@
 }
 
 impl Header {
-    /// Appends the header.
+    /// Appends the encoded header.
     pub fn write_to(&self, bytes: &mut Vec<u8>) {
         bytes.extend_from_slice(&FRAME_MAGIC.to_le_bytes());
         bytes.extend_from_slice(&PROTOCOL_VERSION.to_le_bytes());
@@ -35,11 +35,12 @@
         bytes.extend_from_slice(&self.checksum.to_le_bytes());
     }
 
-    /// The header at the beginning of these bytes; `None` if it is incomplete.
+    /// Decodes the header at the beginning of `bytes`; `None` if the header is incomplete.
     ///
     /// # Errors
-    /// If no frame of this version begins there. Another magic number is an error from the second byte on, so
-    /// that a foreign client that sends a few bytes and waits is not kept waiting.
+    /// If `bytes` is not the beginning of a frame of this protocol version. A wrong magic number is an error as soon
+    /// as two bytes have been received, so that a foreign client that sends a few bytes and waits for an answer is
+    /// not kept waiting.
     pub fn read_from(bytes: &[u8]) -> Result<Option<Self>, FrameError> {
         let Some(magic) = read_u16(bytes, 0) else { return Ok(None) };
         if magic != FRAME_MAGIC {
--- a/protocol/src/frame/mod.rs
+++ b/protocol/src/frame/mod.rs
@@ -1,4 +1,4 @@
-//! The framing of messages in a stream of bytes.
+//! The framing of messages in a byte stream.
 //!
 //! A frame is a header and a body. All numbers are little-endian:
 //!
@@ -13,12 +13,13 @@
 //! The body is a message, encoded with `speedy`. A compressed body is the length of the message in four
 //! bytes, and the message as [`crate::compression`] encodes it.
 //!
-//! A body of more than [`FRAGMENT_BYTES`] can be sent as several frames, each with a fragment of it. The
-//! fragments of one message follow each other; whole messages may be sent between them, so that heartbeats
-//! are not delayed by a large message, and each fragment shows the receiver that the sender is alive.
+//! A body of more than [`FRAGMENT_BYTES`] can be sent as several frames, each with a fragment of the body. The
+//! fragments of one message are sent in order, and not interleaved with fragments of another message. Messages of a
+//! single frame may be sent between them, so that a large message does not delay heartbeats. Each fragment shows
+//! the receiver that the sender is alive.
 //!
-//! Any error ends the connection. No state is lost by that, as every message is sent again or fetched over
-//! the next one.
+//! Any error ends the connection. No state is lost, because every message is sent again over the next connection,
+//! or its contents are fetched.
 
 mod decoder;
 mod encoder;
--- a/protocol/src/hash.rs
+++ b/protocol/src/hash.rs
@@ -1,7 +1,7 @@
 //! Hash functions whose results are the same in every process and in every release.
 //!
-//! Keys are assigned to partitions, and routers to servers, by these values: a change of a function changes
-//! both. They resist chance, not an adversary.
+//! Keys are assigned to partitions, and routers to servers, by these hashes: changing a function changes both
+//! assignments. The functions are not cryptographic: an adversary can construct collisions.
 
 /// The offset basis of 64-bit FNV-1a.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
@@ -27,7 +27,7 @@
 }
 
 /// The checksum of frames and of write-ahead log blocks: FNV-1a over 64-bit words with rotation, mixed and
-/// folded to 32 bits. Detects damage by chance; a sender can forge it.
+/// folded to 32 bits. Detects accidental corruption; a sender can forge a matching checksum.
 pub fn checksum(bytes: &[u8]) -> u32 {
     let mut hash = FNV_OFFSET_BASIS ^ bytes.len() as u64;
     let (words, remainder) = bytes.as_chunks::<8>();
--- a/protocol/src/ids.rs
+++ b/protocol/src/ids.rs
@@ -8,7 +8,7 @@
 use crate::hash::fnv1a_hash;
 
 /// A control node or a router, identified by the IPv4 address of its machine. The id survives a restart of
-/// the process; see [`Ballot::incarnation`] and [`crate::peer::Heartbeat::incarnation`] for what does not.
+/// the process; [`Ballot::incarnation`] and [`crate::peer::Heartbeat::incarnation`] distinguish its processes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct NodeId(pub u32);
 
@@ -33,11 +33,11 @@
 
 /// A replica of the control state: one formatted disk on one machine.
 ///
-/// Quorums count replicas, not nodes. A machine that comes back with an empty disk has lost its promises, so
-/// it is another replica and must not vote as the one before.
+/// Quorums count replicas, not nodes. A machine that restarts with an empty disk has lost the promises of its
+/// replica, so it is a new replica and must not vote in place of the old one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct ReplicaId {
-    /// The machine.
+    /// The machine that has the disk.
     pub node: NodeId,
     /// Random number drawn when the disk was formatted.
     pub disk: u64,
@@ -52,13 +52,13 @@
 /// A proposal number (Lamport, "Paxos Made Simple", section 2.2), ordered by counter, node, incarnation.
 ///
 /// A ballot identifies one term of leadership of a partition. An acceptor that has promised a ballot rejects
-/// all lower ones, so a ballot also serves as a fencing token. No two terms share one: the incarnation is
-/// drawn at random at each start of a process.
+/// all lower ballots, so a ballot also serves as a fencing token. No two terms share a ballot, because the
+/// incarnation is drawn at random at each start of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct Ballot {
     /// Greater than the counter of every ballot that the candidate knew of.
     pub counter: u64,
-    /// The candidate.
+    /// The candidate's node.
     pub node: NodeId,
     /// The incarnation of the candidate's process.
     pub incarnation: u64,
@@ -70,14 +70,15 @@
     }
 }
 
-/// The number of partitions that keys are hashed to. The configuration has a partition of its own beside
-/// these.
+/// The number of partitions over which the keys of the control state are hashed. The configuration is in a
+/// separate partition.
 pub const HASHED_PARTITIONS: u8 = 8;
 
-/// The number of partitions that applications' names are hashed to. They are apart from the others, so that the load of applications
-/// delays no change of the control state, and releases before them never see their registers.
+/// The number of partitions over which applications' names are hashed. These partitions are separate from those of
+/// the control state, so that load from applications does not delay changes of the control state, and nodes of
+/// releases without these partitions never receive registers of applications.
 pub const COORDINATION_PARTITIONS: u8 = 8;
-/// The first of them. The one before is [`PartitionId::MEMBERSHIP`].
+/// The index of the first coordination partition; the index before it is that of [`PartitionId::MEMBERSHIP`].
 const FIRST_COORDINATION_PARTITION: u8 = HASHED_PARTITIONS + 2;
 
 /// A partition of the control state. Each one is replicated by its own consensus instance and has its own
@@ -86,18 +87,20 @@
 pub struct PartitionId(pub u8);
 
 impl PartitionId {
-    /// Holds the operator's configuration.
+    /// The partition of the operator's configuration.
     pub const CONFIGURATION: Self = Self(0);
-    /// Decides the next membership. Its state is replaced with each membership, so it is none of
-    /// [`PartitionId::all`].
+    /// The partition in which the next membership is chosen. Its state is replaced with each membership, so
+    /// [`PartitionId::all`] does not include this partition.
     pub const MEMBERSHIP: Self = Self(HASHED_PARTITIONS + 1);
 
-    /// The partitions with durable state, in ascending order: those of the control state, and those of applications.
+    /// The partitions with durable state in ascending order: [`PartitionId::control`], then
+    /// [`PartitionId::coordination`].
     pub fn all() -> impl Iterator<Item = Self> {
         Self::control().chain(Self::coordination())
     }
 
-    /// The partitions of the control state: the configuration and the hashed ones, in ascending order.
+    /// The partitions of the control state in ascending order: that of the configuration, then the hashed
+    /// partitions.
     pub fn control() -> impl Iterator<Item = Self> {
         (0..=HASHED_PARTITIONS).map(Self)
     }
@@ -107,12 +110,12 @@
         (FIRST_COORDINATION_PARTITION..FIRST_COORDINATION_PARTITION + COORDINATION_PARTITIONS).map(Self)
     }
 
-    /// Whether this is one of [`PartitionId::coordination`].
+    /// Whether [`PartitionId::coordination`] includes this partition.
     pub fn is_coordination(self) -> bool {
         self.0 >= FIRST_COORDINATION_PARTITION
     }
 
-    /// The partition that holds what applications keep under a name: a lock, a number, or a group of cells.
+    /// The partition of the lock, the number or the group of cells that an application has under this name.
     pub fn for_coordination(name: &str) -> Self {
         let index = fnv1a_hash(name.as_bytes()) % u64::from(COORDINATION_PARTITIONS);
         Self(FIRST_COORDINATION_PARTITION + index as u8)
--- a/protocol/src/lib.rs
+++ b/protocol/src/lib.rs
@@ -1,18 +1,18 @@
 //! The wire formats of the system: messages between its processes, their framing, the settings file and the
-//! operator's configuration. Encodes, decodes and validates; has no sockets and no clock.
+//! operator's configuration. The crate encodes, decodes and validates; it opens no sockets and reads no clock.
 //!
 //! - [`ids`]: nodes, replicas, ballots and partitions
 //! - [`peer`]: messages between control nodes
 //! - [`watch`]: messages between control nodes and routers
 //! - [`coordination`]: applications' calls for locks, numbers, cells and watches
-//! - [`registers`]: the contents of a partition of the control state, and updates of them
+//! - [`registers`]: the registers of a partition of the control state, and updates of these registers
 //! - [`server_list`]: the versioned list of servers, and its updates
-//! - [`load_exchange`]: datagrams by which routers share the load that they have put on servers
+//! - [`load_exchange`]: datagrams by which routers share the load that each of them has put on servers
 //! - [`configuration`]: the operator's configuration: parsing, validation, changes
 //! - [`settings`]: the settings file of a process
-//! - [`frame`]: messages in a stream of bytes
+//! - [`frame`]: the framing of messages in a byte stream
 //! - [`compression`]: LZ77 compression of large messages
-//! - [`hash`]: hash functions that are the same everywhere
+//! - [`hash`]: hash functions that are the same in every process and release
 //!
 //! Messages and stored values are encoded with `speedy` in little-endian order, which encodes the fields of a
 //! struct and the variants of an enum by position: a field or variant may be renamed, but moving or removing one
@@ -33,9 +33,10 @@
 mod shared;
 pub mod watch;
 
-/// A moment or a span of a monotonic clock, in nanoseconds. Moments of two processes can't be compared.
+/// A point in time or a duration on a monotonic clock, in nanoseconds. Each process has its own clock, so points in
+/// time of two processes can't be compared.
 pub type Nanos = u64;
-/// One millisecond.
+/// Nanoseconds in a millisecond.
 pub const MILLISECOND: Nanos = 1_000_000;
-/// One second.
+/// Nanoseconds in a second.
 pub const SECOND: Nanos = 1_000_000_000;
--- a/protocol/src/peer/admin.rs
+++ b/protocol/src/peer/admin.rs
@@ -1,4 +1,4 @@
-//! Requests of an operator, as control nodes forward them to the leader of a partition.
+//! Requests of an operator, which control nodes forward to the leader of a partition.
 
 use speedy::{Readable, Writable};
 
@@ -14,7 +14,7 @@
         /// The body of the HTTP request: the whole configuration, as JSON.
         body: Vec<u8>,
     },
-    /// Replaces and removes named items of the configuration.
+    /// Adds, replaces and removes named items of the configuration.
     Patch {
         /// The revision that the change is based on; see [`AdminResponse::Conflict`].
         base: u64,
@@ -23,22 +23,22 @@
     },
     /// Reads the configuration; the read is linearizable.
     Read,
-    /// Starts or ends the evacuation of a zone: routers send nothing more to the servers of an evacuated
+    /// Starts or ends the evacuation of a zone: routers send no new requests to the servers of an evacuated
     /// zone.
     Evacuate {
         /// The zone.
         zone: String,
         /// Whether the zone is to be evacuated from now on.
         active: bool,
-        /// The zone's change count as the node that received the request from the operator knew it. A request
-        /// with an older count than the zone's is not carried out: its sender has timed out, and the zone has
+        /// The change count of the zone that was known to the node which received the request from the operator. A
+        /// request with a lower count than that of the zone is not applied: its sender has timed out, and the zone has
         /// changed since.
         change_count: u64,
     },
 }
 
 impl AdminRequest {
-    /// The partition whose leader carries out the request.
+    /// The partition whose leader applies the request.
     pub fn partition(&self) -> PartitionId {
         match self {
             Self::Put { .. } | Self::Patch { .. } | Self::Read => PartitionId::CONFIGURATION,
@@ -50,7 +50,7 @@
 /// The response to an [`AdminRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum AdminResponse {
-    /// The change is committed: it is durable at a quorum.
+    /// The change is committed: a quorum has stored it durably.
     Applied {
         /// The current revision, this change included.
         revision: u64,
@@ -59,14 +59,14 @@
     Document(String),
     /// There is no configuration yet.
     NotConfigured,
-    /// The request is based on another revision than the current one. Nothing was changed.
+    /// The base revision of the request differs from the current one. Nothing was changed.
     Conflict {
         /// The current revision.
         revision: u64,
     },
     /// The request is invalid; the text says why. Nothing was changed.
     Invalid(String),
-    /// The outcome is unknown: the change may have been committed or not. The text says what the operator can
+    /// The outcome is unknown: the change may or may not have been committed. The text says what the operator can
     /// do.
     Unavailable(String),
 }
--- a/protocol/src/peer/membership.rs
+++ b/protocol/src/peer/membership.rs
@@ -1,4 +1,4 @@
-//! The voting replicas, and how one generation of them follows another.
+//! The voting replicas, and the transition from one generation of voters to the next.
 
 use speedy::{Readable, Writable};
 
@@ -17,13 +17,13 @@
     pub joined_generation: u64,
 }
 
-/// The replicas that vote, under a generation number.
+/// The set of replicas that vote, with its generation number.
 ///
 /// Each generation is chosen by a quorum of the previous one in [`crate::ids::PartitionId::MEMBERSHIP`] and
 /// replaces one voter. Votes count only within one generation: see [`crate::peer::PeerMessage::Consensus`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Readable, Writable)]
 pub struct Membership {
-    /// The number of this membership; 1 for the first, 0 for none.
+    /// The generation number; 1 for the first membership, 0 for none.
     pub generation: u64,
     /// The voters, ordered by replica.
     pub voters: Vec<Voter>,
@@ -77,13 +77,13 @@
     count / 2 + 1
 }
 
-/// A replica's part in the membership, as it reports it in heartbeats.
+/// A replica's role in the membership, as reported in the replica's heartbeats.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub enum ReplicaStatus {
     /// The replica knows of no membership.
     #[default]
     Uninitialized,
-    /// The replica receives committed values and does not vote: it is no voter, or a voter whose state
+    /// The replica receives committed values and does not vote: it is not a voter, or it is a voter whose state
     /// transfer is not complete.
     Learner,
     /// The replica votes.
--- a/protocol/src/registers/map.rs
+++ b/protocol/src/registers/map.rs
@@ -1,18 +1,19 @@
-//! A map of registers that knows which of them were written since a change.
+//! A map of registers that records which change wrote each register.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::key::{RegisterKey, RegisterValue};
 use super::update::RegisterWrite;
 
-/// Removed registers that are remembered, for receivers that may still have them. The oldest is forgotten first.
+/// The maximum number of removed registers that are kept, for receivers that may still have these registers. The ones
+/// that were removed first are evicted first.
 const MAX_REMOVED: usize = 1024;
 
 /// A register of the map.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Register {
     sequence: u64,
-    /// `None` where the register was removed.
+    /// `None` if the register was removed.
     value: Option<RegisterValue>,
     digest: u64,
 }
@@ -23,15 +24,16 @@
     registers: BTreeMap<RegisterKey, Register>,
     /// All registers in the order of the changes that wrote them.
     by_sequence: BTreeSet<(u64, RegisterKey)>,
-    /// The removed registers among them.
+    /// The removed registers, in the order of the changes that removed them.
     removed: BTreeSet<(u64, RegisterKey)>,
-    /// Registers that were removed by this change or an earlier one may be forgotten.
+    /// Registers that were removed by this change or an earlier one may have been evicted.
     complete_since: u64,
     digest: u64,
 }
 
 impl RegisterMap {
-    /// The map that consists of these writes, as of this change. What was removed before it is not known.
+    /// The map with these writes, as of the change `sequence`. It does not know which registers were removed up to this
+    /// change.
     pub fn from_snapshot(sequence: u64, writes: impl IntoIterator<Item = RegisterWrite>) -> Self {
         let mut map = Self { complete_since: sequence, ..Self::default() };
         writes.into_iter().filter(|write| write.value.is_some()).for_each(|write| map.apply(write));
@@ -53,7 +55,7 @@
         self.limit_removed();
     }
 
-    /// Drops a register without a trace.
+    /// Removes a register from the map, so that [`RegisterMap::written_since`] no longer returns it.
     fn forget(&mut self, key: &RegisterKey) {
         let Some(known) = self.registers.remove(key) else { return };
         let position = (known.sequence, key.clone());
@@ -70,7 +72,7 @@
         }
     }
 
-    /// The value of a register.
+    /// The value of a register; `None` if the register was removed or does not exist.
     pub fn value(&self, key: &RegisterKey) -> Option<&RegisterValue> {
         self.registers.get(key)?.value.as_ref()
     }
@@ -80,18 +82,18 @@
         self.registers.iter().filter_map(|(key, register)| Some((key, register.value.as_ref()?)))
     }
 
-    /// The digest of the contents, see [`super::StateUpdate::digest`].
+    /// The digest of the contents; see [`super::StateUpdate::digest`].
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// The part of a register in the digest.
+    /// The part of [`RegisterMap::digest`] that is due to a register; 0 if the register has no value.
     pub fn digest_of(&self, key: &RegisterKey) -> u64 {
         self.registers.get(key).map_or(0, |register| register.digest)
     }
 
-    /// All registers that were written by later changes than this one, the removed ones among them; `None` where some of those may be
-    /// forgotten.
+    /// All registers that were written by changes after this one, including removed registers; `None` if some of the
+    /// removed registers may have been evicted.
     pub fn written_since(&self, sequence: u64) -> Option<Vec<RegisterWrite>> {
         if sequence < self.complete_since {
             return None;
--- a/protocol/src/registers/mod.rs
+++ b/protocol/src/registers/mod.rs
@@ -1,7 +1,7 @@
 //! The contents of a partition of the control state: a map of registers.
 //!
-//! Each register has a key and a value, and knows the number of the change that wrote it last. What one replica lacks of another's
-//! contents is therefore known by number, and is all that travels: see [`StateUpdate`].
+//! Each register has a key, a value, and the number of the change that wrote it last. By these numbers a replica sends
+//! only those registers that the receiver lacks: see [`StateUpdate`].
 
 mod key;
 mod map;
--- a/protocol/src/server_list.rs
+++ b/protocol/src/server_list.rs
@@ -1,8 +1,8 @@
-//! The versioned list of servers, as its reader builds it and as all other nodes replicate it.
+//! The versioned list of servers, as built by its reader and replicated by all other nodes.
 //!
 //! One control node at a time, the holder of a singleton role, reads the list from the platform and numbers
-//! its versions under its ballot. The ballot fences the list: an update with a lower one comes from a
-//! replaced reader and is discarded.
+//! its versions under its ballot. The ballot fences the list: an update with a lower ballot than that of the
+//! replica comes from a replaced reader and is discarded.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,13 +10,14 @@
 use crate::watch::{Server, ServerListChange, ServerListPosition, ServerListUpdate};
 use crate::{MILLISECOND, Nanos};
 
-/// The number of past changes that are kept, for replicas that are behind by no more than these.
+/// The maximum number of past changes that are kept. A replica that is behind by more changes receives the whole
+/// list.
 const MAX_HISTORY_LENGTH: usize = 64;
-/// A moment that moved by no more than this is unchanged: the platform gives remaining spans, and reading
-/// them takes a varying time.
+/// A time that differs from its earlier value by no more than this counts as unchanged: the platform reports
+/// remaining durations, and the time that it takes to read them varies.
 const TIME_TOLERANCE: Nanos = 400 * MILLISECOND;
 
-/// A server, with its moments on this node's clock.
+/// A server, with its times on this node's clock.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Entry {
     server: Server,
@@ -34,7 +35,7 @@
         }
     }
 
-    /// The server, with its remaining spans as of now.
+    /// The server, with its remaining durations as of `now`.
     fn server_at(&self, now: Nanos) -> Server {
         let remaining_ms = |at: Nanos| (at.saturating_sub(now) / MILLISECOND) as u32;
         Server {
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Whether replicas need no update to replace this entry by the other one.
+    /// Whether the entries differ so little that replicas need no update from `self` to `other`.
     fn is_equivalent(&self, other: &Self, now: Nanos) -> bool {
         let is_close = |one: Nanos, two: Nanos| one.max(now).abs_diff(two.max(now)) <= TIME_TOLERANCE;
         let without_times = |entry: &Self| Server {
@@ -64,7 +65,7 @@
     servers.into_iter().map(|server| (server.id.clone(), Entry::new(server, now))).collect()
 }
 
-/// One change of the list, by the ids of the servers that it concerns.
+/// One change of the list, as the ids of the affected servers.
 #[derive(Clone, Debug)]
 struct HistoryEntry {
     /// The version before the change.
@@ -73,20 +74,20 @@
     removed: Vec<String>,
 }
 
-/// What [`ServerList::apply_update`] has done.
+/// The result of [`ServerList::apply_update`] and [`ServerList::apply_change`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub enum ListUpdateOutcome {
-    /// The replica is at the version that the update leads to.
+    /// The update was applied: the replica has the version that the update leads to.
     Applied,
     /// The update is not newer than the replica, and was discarded.
     Stale,
     /// The update is a change of a version that the replica does not have, and was discarded. The caller has to
-    /// request the whole list.
+    /// request the whole list from the sender.
     Gap,
 }
 
-/// A replica of the server list, and its latest changes.
+/// A replica of the server list, with the latest changes of the list.
 #[derive(Debug, Default)]
 pub struct ServerList {
     position: ServerListPosition,
@@ -101,7 +102,7 @@
         self.position
     }
 
-    /// The servers in order of their ids, with their remaining spans as of now.
+    /// The servers in order of their ids, with their remaining durations as of `now`.
     pub fn servers(&self, now: Nanos) -> impl Iterator<Item = Server> + '_ {
         self.entries.values().map(move |entry| entry.server_at(now))
     }
@@ -135,7 +136,7 @@
             return None;
         }
         let mut entries = entries(servers, now);
-        // Lists of the lowest ballot were read by nodes for themselves, and differ from node to node.
+        // Lists under the default ballot were read by each node for its own use, and differ from node to node.
         if before.number == 0 || before.ballot == Ballot::default() {
             self.reset(ServerListPosition { ballot, number: 1 }, entries);
             return Some(self.full_list(now));
@@ -156,7 +157,7 @@
         Some(self.changes_since(now, before))
     }
 
-    /// The change from this list to the new entries, if they differ.
+    /// The change from this list to the new entries; `None` if they are equivalent.
     fn changes_to(&self, new: &Entries, now: Nanos) -> Option<HistoryEntry> {
         let differs = |(id, entry): &(&String, &Entry)| {
             self.entries.get(*id).is_none_or(|known| !known.is_equivalent(entry, now))
@@ -180,12 +181,12 @@
         }
     }
 
-    /// Applies an update of another node.
+    /// Applies an update received from another node.
     pub fn apply_update(&mut self, now: Nanos, update: ServerListUpdate) -> ListUpdateOutcome {
         self.apply_change(now, update.into())
     }
 
-    /// Applies a change of another node.
+    /// Applies a change received from another node.
     pub fn apply_change(&mut self, now: Nanos, change: ServerListChange) -> ListUpdateOutcome {
         let ServerListChange { base, position, upsert, removed } = change;
         if position <= self.position {
@@ -213,7 +214,7 @@
         ServerListChange { base: None, position: self.position, upsert, removed: Vec::new() }
     }
 
-    /// The changes since a version, or the whole list if they are not kept.
+    /// The changes since a version, or the whole list if these changes are no longer kept.
     pub fn changes_since(&self, now: Nanos, since: ServerListPosition) -> ServerListChange {
         let Some(first) = self.history.iter().position(|change| change.from == since) else {
             return self.full_list(now);
@@ -231,13 +232,13 @@
         ServerListChange { base: Some(since), position: self.position, upsert, removed }
     }
 
-    /// The changes since a version under the same ballot, or the whole list, for a receiver of a release before
+    /// The changes since a version of the same ballot, or the whole list, for a receiver that does not support
     /// [`ServerListChange`].
     pub fn update_since(&self, now: Nanos, since: ServerListPosition) -> ServerListUpdate {
         self.changes_since(now, since).to_update().unwrap_or_else(|| self.full_update(now))
     }
 
-    /// The whole list, for a receiver of a release before [`ServerListChange`].
+    /// The whole list, for a receiver that does not support [`ServerListChange`].
     pub fn full_update(&self, now: Nanos) -> ServerListUpdate {
         let ServerListPosition { ballot, number: to } = self.position;
         let upsert = self.servers(now).collect();
--- a/protocol/src/settings/mod.rs
+++ b/protocol/src/settings/mod.rs
@@ -1,6 +1,7 @@
 //! The settings file with which the platform starts a process. Unknown fields are ignored.
 //!
-//! A field that the code calls by the standard term keeps its name in the file as a `serde` attribute.
+//! If the name of a field in the file is not the usual term, the Rust field has the usual term as its name, and a
+//! `serde` attribute has the name in the file.
 
 mod bounds;
 mod error;
@@ -17,17 +18,17 @@
 pub use self::error::{SETTINGS_PATH_VARIABLE, SettingsError};
 use crate::ids::NodeId;
 
-/// The addresses of the listeners that a role may have.
+/// The addresses of the listeners that a role may have; `None` for a listener that the role does not have.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Listen {
-    /// Requests of clients.
+    /// For requests of clients.
     #[serde(rename = "front")]
     pub client: Option<SocketAddrV4>,
-    /// Readiness checks of the platform.
+    /// For readiness checks of the platform.
     pub readiness: Option<SocketAddrV4>,
-    /// Requests of the operator.
+    /// For requests of the operator.
     pub control: Option<SocketAddrV4>,
-    /// Queries of clients for the addresses of routers.
+    /// For clients' queries for the addresses of routers.
     pub directory: Option<SocketAddrV4>,
 }
 
@@ -39,7 +40,7 @@
     /// Calls per second that the API accepts from all nodes together.
     #[serde(default = "default_rate_per_s")]
     pub rate_per_s: f64,
-    /// The longest time by which an answer of the API is out of date, in milliseconds.
+    /// The maximum staleness of an answer of the API, in milliseconds.
     #[serde(rename = "lag_ms", default)]
     pub staleness_ms: f64,
 }
@@ -48,7 +49,7 @@
     1.0
 }
 
-/// The contract by which applications coordinate, as [`Settings::contracts`] names it.
+/// The name in [`Settings::contracts`] of the contract for applications' locks, numbers and cells.
 const COORDINATION_CONTRACT: &str = "coord";
 
 /// The settings of a process.
@@ -82,7 +83,7 @@
     /// The resources of the process.
     #[serde(default)]
     pub limits: ResourceLimits,
-    /// The directory on the machine's disk; `None` if the machine has no disk.
+    /// The data directory on the machine's disk; `None` if the machine has no disk.
     #[serde(default)]
     pub data_dir: Option<PathBuf>,
     /// The faults that the deployment has to tolerate.
@@ -91,7 +92,7 @@
     /// The bounds that the deployment has to keep.
     #[serde(default)]
     pub bounds: Bounds,
-    /// The parts of the platform's contract that are in force in the deployment; `None` in files that do not say.
+    /// The parts of the platform's contract that are in force in the deployment; `None` if the file lacks the field.
     #[serde(default)]
     pub contracts: Option<Vec<String>>,
     /// The platform's API for the list of servers.
@@ -99,7 +100,7 @@
 }
 
 impl Settings {
-    /// Reads the file that [`SETTINGS_PATH_VARIABLE`] names.
+    /// Reads the settings file whose path is in the environment variable [`SETTINGS_PATH_VARIABLE`].
     ///
     /// # Errors
     /// [`SettingsError::Unset`] if the variable is not set; otherwise as [`Settings::from_file`].
@@ -108,7 +109,7 @@
         Self::from_file(Path::new(&path))
     }
 
-    /// Reads a file.
+    /// Reads a settings file.
     ///
     /// # Errors
     /// [`SettingsError::Unreadable`], or as [`Settings::from_text`].
@@ -119,17 +120,17 @@
         Self::from_text(&text, &displayed_path)
     }
 
-    /// Parses the text of a file. `path` is for the error only.
+    /// Parses the text of a settings file. `path` is used in the error only.
     ///
     /// # Errors
-    /// [`SettingsError::Malformed`] if the text is no JSON, or a field is missing or of the wrong type.
+    /// [`SettingsError::Malformed`] if the text is not valid JSON, or a field is missing or of the wrong type.
     pub fn from_text(text: &str, path: &str) -> Result<Self, SettingsError> {
-        // Figment names the field at fault, which serde_json does not.
+        // An error of figment names the invalid field, an error of serde_json does not.
         let parsed = Figment::from(Json::string(text)).extract();
         parsed.map_err(|error| SettingsError::Malformed { path: path.to_owned(), source: Box::new(error) })
     }
 
-    /// The control nodes among the seeds.
+    /// The control nodes at the addresses of the seeds.
     pub fn seed_nodes(&self) -> Vec<NodeId> {
         self.seeds.iter().map(|seed| NodeId::from(*seed.ip())).collect()
     }
@@ -146,7 +147,7 @@
         select(&self.listen).ok_or_else(|| SettingsError::MissingAddress { field, role: self.role.clone() })
     }
 
-    /// Whether applications of the deployment may take locks, numbers and cells.
+    /// Whether applications of the deployment may use locks, numbers and cells; true if the file has no `contracts`.
     pub fn has_coordination(&self) -> bool {
         self.contracts
             .as_ref()
--- a/protocol/src/shared.rs
+++ b/protocol/src/shared.rs
@@ -5,20 +5,20 @@
 
 use speedy::{Context, Readable, Reader, Writable, Writer};
 
-/// A large part of a message. Clones share one value, so that a message to many watchers is held in memory
-/// once, and a sender can encode it once.
+/// A reference-counted part of a message, for large parts. Clones share one allocation, so that a message to many
+/// watchers is held in memory once, and a sender can encode the message once.
 #[derive(Debug, PartialEq, Eq, Hash)]
 pub struct Shared<T>(Arc<T>);
 
 impl<T> Shared<T> {
-    /// Whether both are clones of one value. Cheaper than comparing the values.
+    /// Whether `self` and `other` are clones that share one allocation. Cheaper than comparing the values.
     pub fn ptr_eq(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.0, &other.0)
     }
 }
 
 impl<T: Clone> Shared<T> {
-    /// The value; copied only if there are other clones.
+    /// Returns the value. The value is copied only if other clones exist.
     pub fn into_inner(self) -> T {
         Arc::unwrap_or_clone(self.0)
     }
--- a/protocol/src/watch/endpoints.rs
+++ b/protocol/src/watch/endpoints.rs
@@ -1,4 +1,4 @@
-//! Routers, and the servers that they send requests to.
+//! Routers, control nodes, and the servers to which routers send requests.
 
 use speedy::{Readable, Writable};
 
@@ -12,12 +12,12 @@
     Starting,
     /// The router accepts requests.
     Ready,
-    /// The router is shutting down gracefully: it completes its requests, and clients should not send it new
-    /// ones.
+    /// The router is shutting down gracefully: it completes the requests in flight, and clients should send new
+    /// requests to other routers.
     Draining,
 }
 
-/// A router, as it registers with control nodes and as the directory lists it.
+/// A router, as registered with control nodes and listed by the directory.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Readable, Writable)]
 pub struct Router {
     /// The router's machine.
@@ -32,19 +32,19 @@
     pub state: RouterState,
 }
 
-/// A control node, as routers choose among them.
+/// A control node, with the zone by which routers choose control nodes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Readable, Writable)]
 pub struct ControlNode {
     /// The node.
     pub node: NodeId,
-    /// The zone of its machine; empty where it is not known yet.
+    /// The zone of the node's machine; empty if the zone is not known yet.
     pub zone: String,
 }
 
 /// A server of the platform's list.
 ///
-/// Times are remaining spans, as control nodes and routers share no clock. They are as of the encoding of the
-/// message; see [`crate::server_list::ServerList`].
+/// Times are remaining durations, because control nodes and routers share no clock. They are relative to the
+/// moment of encoding the message; see [`crate::server_list::ServerList`].
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Server {
     /// Identifies one incarnation of the server; a restarted server has another id.
@@ -57,11 +57,11 @@
     pub zone: String,
     /// The number of requests that the server processes concurrently.
     pub slots: u32,
-    /// Whether the server is draining. It must not get new requests.
+    /// Whether the server is draining. A draining server must not receive new requests.
     pub draining: bool,
-    /// Milliseconds until the server is warm; 0 once it is. Its request rate is limited meanwhile (slow
-    /// start).
+    /// Milliseconds until the server's warm-up ends; 0 after the warm-up. The server's request rate is limited
+    /// during the warm-up (slow start).
     pub warm_up_remaining_ms: u32,
-    /// Milliseconds until the platform stops the server; `None` if no stop is announced.
+    /// Milliseconds until the platform stops the server; `None` if the platform has announced no stop.
     pub lifetime_remaining_ms: Option<u32>,
 }
--- a/protocol/src/watch/updates.rs
+++ b/protocol/src/watch/updates.rs
@@ -9,9 +9,10 @@
 /// The whole server list, or the change from one version of it to a later one under the same ballot.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ServerListUpdate {
-    /// The ballot of the reader. An update with a lower ballot than the receiver's list is stale.
+    /// The ballot under which the reader holds its role. An update with a lower ballot than that of the receiver's
+    /// list is stale.
     pub ballot: Ballot,
-    /// The number of the version that the change applies to; none for the whole list.
+    /// The number of the version that the change applies to; `None` for the whole list.
     pub from: Option<u64>,
     /// The number of the resulting version.
     pub to: u64,
@@ -21,12 +22,13 @@
     pub removed: Vec<String>,
 }
 
-/// The whole server list, or the change from one version of it to a later one, also to one of the next reader.
+/// The whole server list, or the change from one version of it to a later one, which may be a version of the next
+/// reader.
 ///
-/// Sent to receivers that are known to understand it; releases before it get [`ServerListUpdate`].
+/// Sent only to receivers that are known to support this message; earlier releases receive [`ServerListUpdate`].
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ServerListChange {
-    /// The version that the change applies to; none for the whole list.
+    /// The version that the change applies to; `None` for the whole list.
     pub base: Option<ServerListPosition>,
     /// The resulting version.
     pub position: ServerListPosition,
@@ -37,7 +39,8 @@
 }
 
 impl ServerListChange {
-    /// The same as an update; `None` where it leads from one reader to the next.
+    /// Converts the change for a receiver of an earlier release; `None` if the change leads from a version of one
+    /// reader to a version of the next.
     pub fn to_update(&self) -> Option<ServerListUpdate> {
         let ServerListPosition { ballot, number: to } = self.position;
         let from = match self.base {
@@ -57,7 +60,7 @@
     }
 }
 
-/// Whether a zone is evacuated.
+/// The evacuation state of a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ZoneEvacuation {
     /// The zone.
@@ -68,7 +71,7 @@
     pub change_count: u64,
 }
 
-/// All evacuations of one partition. Replaces an earlier version of the same partition.
+/// All evacuations of one partition. Replaces all evacuations of an earlier update of the same partition.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct EvacuationUpdate {
     /// The partition.
@@ -76,7 +79,7 @@
     /// The sequence of the partition's last committed change. An update whose sequence is not higher than the
     /// receiver's is stale.
     pub sequence: u64,
-    /// Every zone of the partition that was ever evacuated.
+    /// Every zone of the partition that has been evacuated at some time.
     pub zones: Vec<ZoneEvacuation>,
 }
 
--- a/protocol/tests/golden_settings.rs
+++ b/protocol/tests/golden_settings.rs
@@ -125,11 +125,12 @@
 #[gtest]
 fn missing_settings_are_rejected_with_the_same_texts() {
     let unread = Settings::from_file(Path::new("/nonexistent/node.json")).expect_err("no such file");
-    let text = "settings file /nonexistent/node.json: No such file or directory (os error 2): check the path and who may read it";
+    let text = "settings file /nonexistent/node.json can't be read: No such file or directory (os error 2): \
+                check the path and the permissions of the file";
     expect_that!(unread.to_string().as_str(), eq(text));
     expect_that!(SETTINGS_PATH_VARIABLE, eq("IVYHATCH_SETTINGS"));
     let no_address = read(REQUIRED_FIELDS).listen_address("front", |listen| listen.client);
-    let text = "settings file: listen.front is missing: give the role \"\" an address for what it serves";
+    let text = "settings file: listen.front is missing: add the address at which the role \"\" listens";
     expect_that!(no_address.expect_err("no address").to_string().as_str(), eq(text));
     let front = read(EVERY_FIELD).listen_address("front", |listen| listen.client);
     expect_that!(front.expect("an address"), eq(address([10, 40, 1, 21], 9101)));
