--- a/protocol/src/configuration/change.rs
+++ b/protocol/src/configuration/change.rs
@@ -1,4 +1,4 @@
-//! Changes of a configuration: how they are applied and computed.
+//! Changes of a configuration: application, and computation from two documents.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -16,7 +16,7 @@
     pub upsert: BTreeMap<String, Vec<Item>>,
     /// By section: the names of the items to remove. Unknown names are ignored.
     pub remove: BTreeMap<String, Vec<String>>,
-    /// By name: the new JSON value of a field that is no section; none for a field to remove.
+    /// By name: the new JSON value of a field that is not a section; `None` for a field to remove.
     pub other_fields: BTreeMap<String, Option<String>>,
 }
 
@@ -49,8 +49,8 @@
         }
     }
 
-    /// The change from this configuration to another one. Items that only differ in their order keep the
-    /// order of this one; routing does not depend on it.
+    /// The change from this configuration to another one. If items differ only in their order, applying the change
+    /// keeps the order of this configuration; routing does not depend on the order.
     pub fn diff(&self, other: &Self) -> Change {
         let mut change = Change { revision: other.revision, ..Change::default() };
         let sections: BTreeSet<&String> = self.sections.keys().chain(other.sections.keys()).collect();
@@ -79,7 +79,7 @@
             .filter(|name| !new_names.contains(*name))
             .map(|name| (*name).to_owned())
             .collect();
-        // A new section without items is created too.
+        // A new section is created even if it has no items.
         if !upsert.is_empty() || !self.sections.contains_key(section) {
             change.upsert.insert(section.to_owned(), upsert);
         }
@@ -93,7 +93,7 @@
     }
 }
 
-/// Replaces items by name and appends the new ones. Of two upserted items with one name the last one counts.
+/// Replaces items by name and appends new items. Of several upserted items with the same name the last one is used.
 fn upsert_items(items: &mut Vec<Item>, upsert: &[Item]) {
     let mut latest: HashMap<&str, &Item> = upsert.iter().map(|item| (item.name.as_str(), item)).collect();
     for item in items.iter_mut() {
--- a/protocol/src/configuration/document.rs
+++ b/protocol/src/configuration/document.rs
@@ -16,11 +16,11 @@
 
 /// A whole configuration.
 ///
-/// A section is a field whose value is a list of objects with names, also one that this version does not
-/// know. The order of items is kept, that of fields is not.
+/// A section is a field whose value is a list of objects that have a `name`, including fields that this release does
+/// not know. The order of items is kept, the order of fields is not.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct Document {
-    /// The revision: chosen by the operator, higher with each configuration; 0 for none.
+    /// The revision, which the operator chooses and increases with each configuration; 0 for none.
     pub revision: u64,
     /// The sections by name.
     pub sections: BTreeMap<String, Vec<Item>>,
--- a/protocol/src/configuration/error.rs
+++ b/protocol/src/configuration/error.rs
@@ -6,13 +6,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigurationError {
     /// The body can't be parsed as JSON objects.
-    #[error("the configuration can't be read: {0}: send it whole, as one JSON object")]
+    #[error("the configuration can't be parsed: {0}: send one complete JSON object")]
     Unreadable(JsonError),
-    /// There is no `revision`.
+    /// The body has no field `revision`.
     #[error("revision is missing: correct that field")]
     MissingRevision,
-    /// `revision` is no unsigned 64-bit integer.
-    #[error("revision: {0} is not a whole number: correct that field")]
+    /// `revision` is not an unsigned 64-bit integer.
+    #[error("revision: {0} is not an unsigned 64-bit integer: correct that field")]
     RevisionNotInteger(String),
     /// A field is missing or of the wrong type.
     #[error("{path}: {reason}: correct that field")]
@@ -20,32 +20,32 @@
         /// The names and indices that lead to the field, separated by dots; empty for a field of the
         /// configuration itself.
         path: String,
-        /// What is wrong.
+        /// The error of the parser.
         reason: String,
     },
-    /// A value can't be read, and the parser does not name its field.
+    /// A value can't be parsed, and the parser does not name the field. Holds the error of the parser.
     #[error("{0}: correct that field")]
     InvalidValue(String),
-    /// A section of `upsert` is no list of objects that have a name.
-    #[error("upsert.{section}: not a list of named items: correct that field")]
+    /// A section of `upsert` is not a list of objects that have a name.
+    #[error("upsert.{section}: expected a list of objects that have a name: correct that field")]
     UpsertNotItems {
         /// The section.
         section: String,
     },
-    /// `remove` is no object of lists of names.
-    #[error("remove: not lists of names: {0}: correct that field")]
+    /// `remove` is not an object of lists of names. Holds the error of the parser.
+    #[error("remove: expected an object of lists of names: {0}: correct that field")]
     RemoveNotNames(String),
     /// Two items of a section have the same name.
-    #[error("{section}: two items are named {name:?}: give each its own name")]
+    #[error("{section}: two items are named {name:?}: give each item its own name")]
     DuplicateName {
-        /// The section.
+        /// The name of the section.
         section: String,
-        /// The name.
+        /// The name of the two items.
         name: String,
     },
     /// The revision is not higher than the current one.
     #[error(
-        "revision: {sent} is not above the current {current}: read the configuration anew and count on from there"
+        "revision: {sent} is not above the current {current}: read the configuration again and send a higher revision"
     )]
     StaleRevision {
         /// The revision of the new configuration.
@@ -56,55 +56,56 @@
     /// A route has neither `service` nor `split`.
     #[error("routes: {route:?}: service is missing: correct that field")]
     MissingService {
-        /// The route.
+        /// The name of the route.
         route: String,
     },
     /// A route names a service that is not configured.
     #[error("routes: {route:?}: service {service:?} is not known: add it under services, or name another")]
     UnknownService {
-        /// The route.
+        /// The name of the route.
         route: String,
-        /// The service.
+        /// The name of the service.
         service: String,
     },
     /// Two routes match the same host and path prefix.
     #[error(
-        "routes: {first:?} and {second:?} share host {host:?} and path_prefix {prefix:?}: give each a place of its own"
+        "routes: {first:?} and {second:?} share host {host:?} and path_prefix {prefix:?}: change one of the two"
     )]
     DuplicateMatch {
-        /// The first of the routes.
+        /// The name of the first route.
         first: String,
-        /// The second of the routes.
+        /// The name of the second route.
         second: String,
-        /// The host of the second route.
+        /// The host of the second route; that of the first route may differ in case.
         host: String,
         /// The path prefix of both routes.
         prefix: String,
     },
-    /// The weights of a route are negative, not finite, or all 0.
+    /// A weight of a route is negative or not finite, or all weights of the route are 0.
     #[error(
-        "routes: {route:?}: the weights of its split sum to 0: give one of its services a weight, or a service by itself"
+        "routes: {route:?}: a weight of split is negative or not finite, or all are 0: correct the weights"
     )]
     ZeroWeight {
-        /// The route.
+        /// The name of the route.
         route: String,
     },
-    /// The time-out of a route is not above 0.
-    #[error("routes: {route:?}: timeout_ms is 0: give its requests some time")]
+    /// The timeout of a route is not above 0.
+    #[error("routes: {route:?}: timeout_ms is not above 0: correct that field")]
     ZeroTimeout {
-        /// The route.
+        /// The name of the route.
         route: String,
     },
 }
 
-/// Why a body is not parsed as JSON.
+/// Why a body can't be parsed as JSON.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum JsonError {
-    /// The body is no JSON or no object; the text is that of `serde_json`, whose errors can't be compared.
+    /// The body is not valid JSON or not an object. Holds the error text of `serde_json`, whose error type can't be
+    /// compared.
     #[error("{0}")]
     Syntax(String),
     /// Arrays and objects are nested too deep.
-    #[error("it is nested more than {MAX_NESTING} deep")]
+    #[error("arrays and objects are nested more than {MAX_NESTING} levels deep")]
     TooDeep,
 }
 
--- a/protocol/src/configuration/mod.rs
+++ b/protocol/src/configuration/mod.rs
@@ -1,16 +1,16 @@
 //! The operator's configuration.
 //!
-//! A [`Document`] keeps the operator's JSON item by item, fields of later versions included, so that it is
-//! returned as it was sent. A [`Configuration`] is its typed view, by which requests are routed. A [`Change`]
-//! leads from one document to another.
+//! A [`Document`] keeps the operator's JSON item by item, including fields that this release does not know, so that
+//! a read returns the items as they were sent. A [`Configuration`] is the typed view of a document, by which requests
+//! are routed. A [`Change`] leads from one document to another.
 //!
 //! - `document`: a configuration as the operator wrote it
-//! - `parse`: JSON to documents and changes
-//! - `validate`: whether a document can be committed
-//! - `change`: how a change is applied and computed
+//! - `parse`: parsing of documents and changes from JSON
+//! - `validate`: validation of a document before it is committed
+//! - `change`: application and computation of changes
 //! - `schema`: the typed view
-//! - `nesting`: how deep JSON is nested
-//! - `error`: why a document is rejected
+//! - `nesting`: the nesting depth of JSON
+//! - `error`: why a document or change is rejected
 
 mod change;
 mod document;
--- a/protocol/src/configuration/nesting.rs
+++ b/protocol/src/configuration/nesting.rs
@@ -1,10 +1,10 @@
-//! How deep JSON is nested.
+//! The nesting depth of JSON.
 
-/// The deepest nesting of arrays and objects. The JSON parsers of other programs that read the configuration
+/// The maximum nesting depth of arrays and objects. The JSON parsers of other programs that read the configuration
 /// have similar limits.
 pub(super) const MAX_NESTING: usize = 127;
 
-/// How deep arrays and objects are nested in a JSON text.
+/// The depth to which arrays and objects are nested in a JSON text.
 pub(super) fn nesting_depth(json: &str) -> usize {
     let (mut depth, mut max_depth) = (0_usize, 0);
     let (mut in_string, mut is_escaped) = (false, false);
--- a/protocol/src/configuration/parse.rs
+++ b/protocol/src/configuration/parse.rs
@@ -15,8 +15,8 @@
     /// Parses the body of a PUT request.
     ///
     /// # Errors
-    /// If it is no JSON object with a revision and with distinct names in each section.
-    /// [`Document::validate`] checks the rest.
+    /// If the body is not a JSON object with a revision, or the names in a section are not distinct.
+    /// [`Document::validate`] checks the values of all other fields.
     pub fn parse(body: &[u8]) -> Result<Self, ConfigurationError> {
         let mut fields: Fields = serde_json::from_slice(body)?;
         let mut document = Self { revision: take_revision(&mut fields)?, ..Self::default() };
@@ -39,8 +39,8 @@
     /// Parses the body of a PATCH request.
     ///
     /// # Errors
-    /// If it is no JSON object with a revision, with lists of items under `upsert` and lists of names under
-    /// `remove`.
+    /// If the body is not a JSON object with a revision, `upsert` has a section that is not a list of named items, or
+    /// `remove` is not an object of lists of names.
     pub fn parse(body: &[u8]) -> Result<Self, ConfigurationError> {
         let mut fields: Fields = serde_json::from_slice(body)?;
         let mut change = Self { revision: take_revision(&mut fields)?, ..Self::default() };
@@ -75,7 +75,7 @@
     Ok(upsert)
 }
 
-/// The items of a list of objects that all have names; none for any other value.
+/// The items of a list of objects that all have names; `None` for any other value.
 fn parse_items(raw: &RawValue) -> Option<Vec<Item>> {
     let list: Vec<Box<RawValue>> = serde_json::from_str(raw.get()).ok()?;
     list.iter().map(|raw| parse_item(raw)).collect()
--- a/protocol/src/configuration/validate.rs
+++ b/protocol/src/configuration/validate.rs
@@ -11,13 +11,13 @@
 use super::schema::{Configuration, Route};
 
 impl Document {
-    /// The typed view of this configuration, by which requests are routed.
+    /// Parses the typed view of this configuration, by which requests are routed.
     ///
     /// # Errors
     /// If a field is missing or of the wrong type, or the nesting is too deep.
     pub fn routing_view(&self) -> Result<Configuration, ConfigurationError> {
         let json = self.to_json();
-        // The parser does not limit the nesting of fields that it ignores.
+        // The parser does not limit the nesting of unknown fields, which it skips.
         if nesting_depth(&json) > MAX_NESTING {
             return Err(ConfigurationError::Unreadable(JsonError::TooDeep));
         }
@@ -28,7 +28,7 @@
     /// view.
     ///
     /// # Errors
-    /// If it can't; the error names the field.
+    /// If the configuration is invalid or its revision is not above `current_revision`; the error names the field.
     pub fn validate(&self, current_revision: u64) -> Result<Configuration, ConfigurationError> {
         if self.revision <= current_revision {
             return Err(ConfigurationError::StaleRevision { sent: self.revision, current: current_revision });
@@ -56,7 +56,8 @@
     }
 }
 
-/// Parses again with figment, which names the field at fault and takes ten times as long.
+/// Parses again with figment, whose error names the invalid field. Figment takes ten times as long as `serde_json`, so
+/// it is used only after an error.
 fn locate_error(json: &str, error: &serde_json::Error) -> ConfigurationError {
     match Figment::from(Json::string(json)).extract::<Configuration>() {
         Ok(_) => ConfigurationError::InvalidValue(error.to_string()),
