--- a/control/src/consensus/whole_values.rs
+++ b/control/src/consensus/whole_values.rs
@@ -45,7 +45,7 @@
 }
 
 /// A whole value as an update.
-pub fn update_of(partition: PartitionId, whole: &AcceptedValue) -> StateUpdate {
+pub fn to_update(partition: PartitionId, whole: &AcceptedValue) -> StateUpdate {
     let AcceptedValue { ballot, sequence, value } = whole;
     let (version, sequence) = (Version { ballot: *ballot, sequence: *sequence }, *sequence);
     let write = |(key, value)| RegisterWrite { key, sequence, value };
@@ -55,7 +55,7 @@
 }
 
 /// The whole value that an update with all registers stands for; `None` where the registers can't be read.
-pub fn value_of(partition: PartitionId, update: StateUpdate) -> Option<AcceptedValue> {
+pub fn to_whole_value(partition: PartitionId, update: StateUpdate) -> Option<AcceptedValue> {
     let Version { ballot, sequence } = update.version;
     let registers = RegisterMap::from_whole(sequence, update.writes);
     let value = match registers.value(&RegisterKey::Undecodable) {
@@ -80,23 +80,23 @@
 }
 
 /// What a node of such a release has promised and accepted.
-pub fn transferred_state_of(partition: PartitionId, whole: &AcceptorState) -> TransferredState {
-    let accepted = whole.accepted.as_ref().map(|value| update_of(partition, value));
+pub fn to_transferred_state(partition: PartitionId, whole: &AcceptorState) -> TransferredState {
+    let accepted = whole.accepted.as_ref().map(|value| to_update(partition, value));
     TransferredState { promised: whole.promised, accepted }
 }
 
 /// What this replica has promised and accepted, for a node of such a release.
-pub fn whole_state_of(partition: PartitionId, acceptor: &Acceptor) -> AcceptorState {
+pub fn to_whole_state(partition: PartitionId, acceptor: &Acceptor) -> AcceptorState {
     AcceptorState { promised: acceptor.promised(), accepted: accepted_value(partition, acceptor) }
 }
 
 fn accepted_value(partition: PartitionId, acceptor: &Acceptor) -> Option<AcceptedValue> {
     let has_accepted = acceptor.accepted().sequence > 0;
-    has_accepted.then(|| value_of(partition, acceptor.accepted_update(None))).flatten()
+    has_accepted.then(|| to_whole_value(partition, acceptor.accepted_update(None))).flatten()
 }
 
 /// Whether the sender of a message understands registers, where the message shows it.
-pub fn shown_support(message: &ConsensusMessage) -> Option<bool> {
+pub fn sender_supports_registers(message: &ConsensusMessage) -> Option<bool> {
     match message {
         ConsensusMessage::WholePrepare { .. }
         | ConsensusMessage::WholePromise { .. }
@@ -114,25 +114,25 @@
 }
 
 /// A message from a node of any release, with registers.
-pub fn from_any_release(partition: PartitionId, message: ConsensusMessage) -> ConsensusMessage {
+pub fn to_register_message(partition: PartitionId, message: ConsensusMessage) -> ConsensusMessage {
     match message {
         ConsensusMessage::WholePrepare { ballot } => {
             ConsensusMessage::Prepare { ballot, committed: None, accepted: Version::default() }
         }
         ConsensusMessage::WholePromise { ballot, accepted } => {
-            let accepted = accepted.map(|value| update_of(partition, &value));
+            let accepted = accepted.map(|value| to_update(partition, &value));
             ConsensusMessage::Promise { ballot, accepted, committed: 0 }
         }
-        ConsensusMessage::WholeAccept(value) => ConsensusMessage::Accept(update_of(partition, &value)),
+        ConsensusMessage::WholeAccept(value) => ConsensusMessage::Accept(to_update(partition, &value)),
         ConsensusMessage::WholeFetch { after } => ConsensusMessage::Fetch { committed: Some(after) },
-        ConsensusMessage::WholeCommitted(value) => ConsensusMessage::Committed(update_of(partition, &value)),
+        ConsensusMessage::WholeCommitted(value) => ConsensusMessage::Committed(to_update(partition, &value)),
         message => message,
     }
 }
 
 /// A message of this replica, for a node of such a release; `None` where there is nothing to say to it. Contents are sent whole, as
 /// the acceptor has them now.
-pub fn for_whole_values(
+pub fn to_whole_value_message(
     partition: PartitionId,
     message: &ConsensusMessage,
     acceptor: &Acceptor,
@@ -149,7 +149,7 @@
             Some(ConsensusMessage::WholeFetch { after: committed.unwrap_or_default() })
         }
         ConsensusMessage::Committed(_) => {
-            value_of(partition, acceptor.committed_update(None)).map(ConsensusMessage::WholeCommitted)
+            to_whole_value(partition, acceptor.committed_update(None)).map(ConsensusMessage::WholeCommitted)
         }
         message => Some(message.clone()),
     }
--- a/control/src/control_plane/consensus.rs
+++ b/control/src/control_plane/consensus.rs
@@ -39,14 +39,14 @@
             }
             return;
         }
-        if let Some(supports_registers) = whole_values::shown_support(&message)
+        if let Some(supports_registers) = whole_values::sender_supports_registers(&message)
             && from != self.config.node
         {
             self.peers.record_support(from, supports_registers);
         }
         let (now, is_voter) = (self.now, self.replica.is_voter());
         let Some(replica) = self.partitions.replica_mut(partition) else { return };
-        let message = whole_values::from_any_release(partition, message);
+        let message = whole_values::to_register_message(partition, message);
         let mut effects = Vec::new();
         replica.handle(now, from, message, is_voter, &mut effects);
         self.apply_effects(partition, effects);
@@ -120,7 +120,7 @@
             true => message,
             false => {
                 let acceptor = self.partitions.replica(partition)?.acceptor();
-                whole_values::for_whole_values(partition, &message, acceptor)?
+                whole_values::to_whole_value_message(partition, &message, acceptor)?
             }
         };
         let generation = self.replica.generation();
--- a/control/src/control_plane/mod.rs
+++ b/control/src/control_plane/mod.rs
@@ -348,7 +348,7 @@
 /// The state of a node of a release before registers.
 fn with_registers(partitions: &[(PartitionId, AcceptorState)]) -> Vec<(PartitionId, TransferredState)> {
     let state = |(partition, state): &(PartitionId, AcceptorState)| {
-        (*partition, whole_values::transferred_state_of(*partition, state))
+        (*partition, whole_values::to_transferred_state(*partition, state))
     };
     partitions.iter().map(state).collect()
 }
--- a/control/src/control_plane/reconfiguration.rs
+++ b/control/src/control_plane/reconfiguration.rs
@@ -167,7 +167,7 @@
         }
         let Some(disk) = self.transferable_disk(generation) else { return };
         let whole_state =
-            |(partition, acceptor)| (partition, whole_values::whole_state_of(partition, acceptor));
+            |(partition, acceptor)| (partition, whole_values::to_whole_state(partition, acceptor));
         let control = |(partition, _): &(PartitionId, _)| !partition.is_coordination();
         let partitions = self.partitions.acceptors().filter(control).map(whole_state).collect();
         let message = PeerMessage::StateTransfer { incarnation, generation, disk, partitions };
--- a/control/src/storage/durable_state.rs
+++ b/control/src/storage/durable_state.rs
@@ -48,7 +48,7 @@
             Record::Joined(generation) => self.joined = Some(generation),
             Record::Promised(partition, ballot) => self.acceptor(partition).promise(ballot),
             Record::AcceptedValue(partition, value) => {
-                let update = whole_values::update_of(partition, &value);
+                let update = whole_values::to_update(partition, &value);
                 let _ = self.acceptor(partition).accept(&update);
             }
             Record::Committed(partition, ballot, sequence) => {
--- a/control/tests/golden_records.rs
+++ b/control/tests/golden_records.rs
@@ -15,7 +15,7 @@
 use ivyhatch_control::consensus::partition_state::{
     ConfigurationState, EvacuationState, EvacuationStatus, PartitionState,
 };
-use ivyhatch_control::consensus::whole_values::{WholeConfiguration, update_of};
+use ivyhatch_control::consensus::whole_values::{WholeConfiguration, to_update};
 use ivyhatch_control::storage::durable_state::{DurableState, FormattedReplica};
 use ivyhatch_protocol::configuration::Document;
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId, ReplicaId};
@@ -116,7 +116,7 @@
 fn acceptor(values: &[(PartitionId, AcceptedValue)], promised: u64) -> Acceptor {
     let mut acceptor = Acceptor::default();
     for (partition, value) in values {
-        assert_eq!(acceptor.accept(&update_of(*partition, value)), AcceptOutcome::Accepted);
+        assert_eq!(acceptor.accept(&to_update(*partition, value)), AcceptOutcome::Accepted);
     }
     acceptor.promise(ballot(promised));
     acceptor
@@ -134,7 +134,7 @@
     let second = accepted(5, 2, &configured());
     let mut configuration = committed(acceptor(&[first], 3), 3, 1);
     assert_eq!(
-        configuration.accept(&update_of(PartitionId::CONFIGURATION, &second)),
+        configuration.accept(&to_update(PartitionId::CONFIGURATION, &second)),
         AcceptOutcome::Accepted
     );
     state_with_configuration(configuration)
--- a/control/tests/whole_values.rs
+++ b/control/tests/whole_values.rs
@@ -4,7 +4,8 @@
 use ivyhatch_control::consensus::acceptor::{AcceptOutcome, Acceptor, CommitOutcome};
 use ivyhatch_control::consensus::partition_state::{Decision, PartitionState};
 use ivyhatch_control::consensus::whole_values::{
-    for_whole_values, from_any_release, transferred_state_of, update_of, value_of, whole_state_of,
+    to_register_message, to_transferred_state, to_update, to_whole_state, to_whole_value,
+    to_whole_value_message,
 };
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId};
 use ivyhatch_protocol::peer::{AdminRequest, ConsensusMessage, Heartbeat};
@@ -37,20 +38,20 @@
 #[gtest]
 fn whole_value_says_what_the_registers_say() {
     let acceptor = configured();
-    let value = value_of(CONFIGURATION, acceptor.accepted_update(None)).expect("a value");
+    let value = to_whole_value(CONFIGURATION, acceptor.accepted_update(None)).expect("a value");
     expect_that!((value.ballot, value.sequence), eq((ballot(1), 2)));
-    expect_that!(update_of(CONFIGURATION, &value).digest, eq(acceptor.accepted_update(None).digest));
+    expect_that!(to_update(CONFIGURATION, &value).digest, eq(acceptor.accepted_update(None).digest));
 }
 
 #[gtest]
 fn value_that_can_not_be_decoded_keeps_its_number_and_its_bytes() {
     let mut acceptor = Acceptor::default();
-    let value = value_of(CONFIGURATION, configured().accepted_update(None)).expect("a value");
+    let value = to_whole_value(CONFIGURATION, configured().accepted_update(None)).expect("a value");
     let unknown = ivyhatch_protocol::peer::AcceptedValue { value: vec![1, 2, 3], ..value };
-    let accepted = acceptor.accept(&update_of(CONFIGURATION, &unknown));
+    let accepted = acceptor.accept(&to_update(CONFIGURATION, &unknown));
     expect_that!(accepted, eq(AcceptOutcome::Accepted));
     expect_that!(acceptor.accepted().sequence, eq(2));
-    expect_that!(value_of(CONFIGURATION, acceptor.accepted_update(None)), some(eq(&unknown)));
+    expect_that!(to_whole_value(CONFIGURATION, acceptor.accepted_update(None)), some(eq(&unknown)));
 }
 
 #[gtest]
@@ -66,8 +67,8 @@
         ConsensusMessage::Commit { ballot: ballot(1), sequence: 1 },
     ];
     for message in messages {
-        let sent = for_whole_values(CONFIGURATION, &message, &acceptor).expect("a message");
-        let received = from_any_release(CONFIGURATION, sent);
+        let sent = to_whole_value_message(CONFIGURATION, &message, &acceptor).expect("a message");
+        let received = to_register_message(CONFIGURATION, sent);
         match (&message, &received) {
             (ConsensusMessage::Prepare { ballot, .. }, ConsensusMessage::Prepare { ballot: other, .. }) => {
                 expect_that!(other, eq(ballot));
@@ -84,13 +85,13 @@
         }
     }
     let behind = ConsensusMessage::Behind { ballot: ballot(1), sequence: 2, committed: None };
-    expect_that!(for_whole_values(CONFIGURATION, &behind, &acceptor), none());
+    expect_that!(to_whole_value_message(CONFIGURATION, &behind, &acceptor), none());
 }
 
 #[gtest]
 fn transferred_state_survives_the_way_through_a_whole_value() {
     let acceptor = configured();
-    let state = transferred_state_of(CONFIGURATION, &whole_state_of(CONFIGURATION, &acceptor));
+    let state = to_transferred_state(CONFIGURATION, &to_whole_state(CONFIGURATION, &acceptor));
     let mut successor = Acceptor::default();
     successor.merge(&state);
     expect_that!(successor.promised(), eq(ballot(1)));
--- a/system/tests/stored_codecs.rs
+++ b/system/tests/stored_codecs.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 use ivyhatch_control::Record;
 use ivyhatch_control::consensus::partition_state::{EvacuationState, EvacuationStatus};
-use ivyhatch_control::consensus::whole_values::{WholeConfiguration, update_of, value_of};
+use ivyhatch_control::consensus::whole_values::{WholeConfiguration, to_update, to_whole_value};
 use ivyhatch_protocol::configuration::Document;
 use ivyhatch_protocol::ids::{Ballot, PartitionId};
 use ivyhatch_protocol::peer::AcceptedValue;
@@ -39,13 +39,13 @@
 /// Registers of a whole value, decodable or not, are those of the value that is made of them again.
 fn check_whole_value(partition: PartitionId, bytes: &[u8]) -> std::result::Result<(), TestCaseError> {
     let value = AcceptedValue { ballot: Ballot::default(), sequence: 3, value: bytes.to_vec() };
-    let update = update_of(partition, &value);
-    let Some(again) = value_of(partition, update.clone()) else {
+    let update = to_update(partition, &value);
+    let Some(again) = to_whole_value(partition, update.clone()) else {
         // Of two items with one name the registers hold one.
         prop_assert_ne!(partition, PartitionId::MEMBERSHIP);
         return Ok(());
     };
-    prop_assert_eq!(update_of(partition, &again).digest, update.digest);
+    prop_assert_eq!(to_update(partition, &again).digest, update.digest);
     Ok(())
 }
 
