--- a/control/src/consensus/acceptor.rs
+++ b/control/src/consensus/acceptor.rs
@@ -232,11 +232,11 @@
         (self.accept(update) == AcceptOutcome::Accepted).then(|| update.clone())
     }
 
-    /// The accepted contents, for a replica whose own agree with them up to a change; whole where `known` is none, or removed
+    /// The accepted contents, for a replica whose own agree with them up to a change; whole where `receiver_sequence` is `None`, or removed
     /// registers may be forgotten.
-    pub fn accepted_update(&self, known: Option<u64>) -> StateUpdate {
+    pub fn accepted_update(&self, receiver_sequence: Option<u64>) -> StateUpdate {
         let is_replaced = self.pending.iter().any(|change| change.replaces_all);
-        let committed = self.committed_update(known.filter(|_| !is_replaced));
+        let committed = self.committed_update(receiver_sequence.filter(|_| !is_replaced));
         let base = committed.base;
         let since = match base {
             UpdateBase::Since(known) => known,
@@ -258,10 +258,10 @@
         StateUpdate { version: self.accepted, base, writes, digest: self.accepted_digest() }
     }
 
-    /// The committed contents, for a replica whose own agree with them up to a change; whole where `known` is none, or removed
+    /// The committed contents, for a replica whose own agree with them up to a change; whole where `receiver_sequence` is `None`, or removed
     /// registers may be forgotten.
-    pub fn committed_update(&self, known: Option<u64>) -> StateUpdate {
-        let writes = known.and_then(|known| Some((known, self.registers.written_since(known)?)));
+    pub fn committed_update(&self, receiver_sequence: Option<u64>) -> StateUpdate {
+        let writes = receiver_sequence.and_then(|known| Some((known, self.registers.written_since(known)?)));
         let (base, writes) = match writes {
             Some((known, writes)) => (UpdateBase::Since(known), writes),
             None => (UpdateBase::Empty, self.registers.whole()),
--- a/control/src/consensus/configuration_registers.rs
+++ b/control/src/consensus/configuration_registers.rs
@@ -34,20 +34,20 @@
     /// The positions in a document that replaces another one. Items keep theirs where the order allows it, and new items at the end
     /// get the next ones; otherwise all items of the section are numbered anew.
     #[must_use]
-    pub fn after(&self, old: &Document, new: &Document) -> Self {
+    pub fn updated(&self, old: &Document, new: &Document) -> Self {
         let section = |(name, items): (&String, &Vec<Item>)| {
             let old_items = old.sections.get(name).map_or(&[][..], Vec::as_slice);
-            (name.clone(), positions_after(old_items, self.of(name), items))
+            (name.clone(), updated_positions(old_items, self.for_section(name), items))
         };
         Self(new.sections.iter().map(section).collect())
     }
 
-    fn of(&self, section: &str) -> &[u64] {
+    fn for_section(&self, section: &str) -> &[u64] {
         self.0.get(section).map_or(&[], Vec::as_slice)
     }
 }
 
-fn positions_after(old_items: &[Item], old_positions: &[u64], items: &[Item]) -> Vec<u64> {
+fn updated_positions(old_items: &[Item], old_positions: &[u64], items: &[Item]) -> Vec<u64> {
     let names = old_items.iter().map(|item| item.name.as_str());
     let known: BTreeMap<&str, u64> = names.zip(old_positions.iter().copied()).collect();
     let mut next = old_positions.iter().max().map_or(1, |last| last + 1);
@@ -100,10 +100,10 @@
     new: &ConfigurationState,
     changes: &mut RegisterChanges,
 ) {
-    let (was_there, is_there) =
+    let (had_section, has_section) =
         (old.document.sections.contains_key(section), new.document.sections.contains_key(section));
-    if was_there != is_there {
-        let value = is_there.then(|| Vec::new().into());
+    if had_section != has_section {
+        let value = has_section.then(|| Vec::new().into());
         changes.push((RegisterKey::Section(section.to_owned()), value));
     }
     let (old_items, new_items) = (items_by_name(old, section), items_by_name(new, section));
@@ -121,7 +121,7 @@
 /// The position and the text of each item of a section.
 fn items_by_name<'a>(state: &'a ConfigurationState, section: &str) -> BTreeMap<&'a str, (u64, &'a str)> {
     let items = state.document.sections.get(section).into_iter().flatten();
-    let positions = state.item_positions.of(section);
+    let positions = state.item_positions.for_section(section);
     let by_name = |(item, position): (&'a Item, &u64)| (item.name.as_str(), (*position, item.json.as_str()));
     items.zip(positions).map(by_name).collect()
 }
--- a/control/src/consensus/partition/leadership.rs
+++ b/control/src/consensus/partition/leadership.rs
@@ -13,7 +13,7 @@
 /// The wait is the smoothed time of an acknowledgement and this many times its mean deviation (RFC 6298, section 2).
 const DEVIATION_FACTOR: u64 = 4;
 /// The weight of a new measurement in the smoothed time is one in so many, and twice that in its deviation (RFC 6298, section 2).
-const SMOOTHING: u64 = 8;
+const SMOOTHING_DIVISOR: u64 = 8;
 
 /// How long a voter takes to acknowledge, and for how long it is waited for (RFC 6298).
 #[derive(Clone, Copy, Debug, Default)]
@@ -32,8 +32,9 @@
             return;
         };
         let difference = smoothed.abs_diff(measured);
-        self.deviation = (self.deviation * (SMOOTHING / 2 - 1) + difference) / (SMOOTHING / 2);
-        self.smoothed = Some((smoothed * (SMOOTHING - 1) + measured) / SMOOTHING);
+        self.deviation =
+            (self.deviation * (SMOOTHING_DIVISOR / 2 - 1) + difference) / (SMOOTHING_DIVISOR / 2);
+        self.smoothed = Some((smoothed * (SMOOTHING_DIVISOR - 1) + measured) / SMOOTHING_DIVISOR);
     }
 
     fn wait(&self) -> Nanos {
@@ -112,7 +113,7 @@
 
     /// The voter lacks changes before those that it was sent up to `sequence`. Returns whether it is to be sent what it lacks now: not
     /// where more was sent since, as it will say so of that as well, nor right after it was sent again what it lacks.
-    pub(super) fn is_behind(&mut self, now: Nanos, sequence: u64, committed: Option<u64>) -> bool {
+    pub(super) fn on_behind(&mut self, now: Nanos, sequence: u64, committed: Option<u64>) -> bool {
         if self.sent != Some(sequence) {
             return false;
         }
--- a/control/src/consensus/partition/mod.rs
+++ b/control/src/consensus/partition/mod.rs
@@ -96,9 +96,9 @@
     }
 
     /// What this replica has promised and accepted, for one whose contents agree with the committed ones up to a change.
-    pub fn transferred_state(&self, known: Option<u64>) -> TransferredState {
+    pub fn transferred_state(&self, receiver_sequence: Option<u64>) -> TransferredState {
         let has_accepted = self.acceptor.accepted().sequence > 0;
-        let accepted = has_accepted.then(|| self.acceptor.accepted_update(known));
+        let accepted = has_accepted.then(|| self.acceptor.accepted_update(receiver_sequence));
         TransferredState { promised: self.acceptor.promised(), accepted }
     }
 
--- a/control/src/consensus/partition/proposer.rs
+++ b/control/src/consensus/partition/proposer.rs
@@ -161,18 +161,18 @@
         &mut self,
         now: Nanos,
         from: NodeId,
-        of: Ballot,
+        accepted_ballot: Ballot,
         sequence: u64,
         out: &mut Vec<Effect>,
     ) {
         let Role::Leader(leadership) = &mut self.role else { return };
-        if leadership.ballot != of {
+        if leadership.ballot != accepted_ballot {
             return;
         }
         let Some(progress) = leadership.progress_mut(from) else { return };
         progress.acknowledge(now, sequence);
         let Some(sequence) = leadership.quorum_sequence() else { return };
-        let version = Version { ballot: of, sequence };
+        let version = Version { ballot: accepted_ballot, sequence };
         if self.acceptor.commit(version) == CommitOutcome::Committed {
             out.push(Effect::Committed(CommitRecord::Accepted(version)));
         }
@@ -183,25 +183,25 @@
         &mut self,
         now: Nanos,
         from: NodeId,
-        of: Version,
+        version: Version,
         committed: Option<u64>,
         out: &mut Vec<Effect>,
     ) {
         let Role::Leader(leadership) = &mut self.role else { return };
-        if leadership.ballot != of.ballot {
+        if leadership.ballot != version.ballot {
             return;
         }
         let Some(progress) = leadership.progress_mut(from) else { return };
-        if progress.is_behind(now, of.sequence, committed) {
+        if progress.on_behind(now, version.sequence, committed) {
             let update = self.acceptor.accepted_update(committed);
             out.push(Effect::Send(from, ConsensusMessage::Accept(update)));
         }
     }
 
-    pub(super) fn on_confirmed(&mut self, from: NodeId, of: Ballot, number: u64, out: &mut Vec<Effect>) {
+    pub(super) fn on_confirmed(&mut self, from: NodeId, ballot: Ballot, number: u64, out: &mut Vec<Effect>) {
         let quorum_size = self.quorum_size();
         let Role::Leader(leadership) = &mut self.role else { return };
-        let is_current = leadership.ballot == of;
+        let is_current = leadership.ballot == ballot;
         let Some(confirmed_by) = leadership.confirmations.get_mut(&number).filter(|_| is_current) else {
             return;
         };
--- a/control/src/consensus/partition/voter.rs
+++ b/control/src/consensus/partition/voter.rs
@@ -13,14 +13,14 @@
         from: NodeId,
         ballot: Ballot,
         committed: Option<u64>,
-        candidates_version: Version,
+        candidate_version: Version,
         out: &mut Vec<Effect>,
     ) {
         if ballot < self.acceptor.promised() {
             return self.reject(from, out);
         }
         self.promise(ballot, out);
-        let is_newer = self.acceptor.accepted() > candidates_version || committed.is_none();
+        let is_newer = self.acceptor.accepted() > candidate_version || committed.is_none();
         let has_accepted = self.acceptor.accepted().sequence > 0;
         let accepted = (is_newer && has_accepted).then(|| self.acceptor.accepted_update(committed));
         let committed = self.committed_sequence();
--- a/control/src/consensus/partition_state.rs
+++ b/control/src/consensus/partition_state.rs
@@ -150,18 +150,18 @@
             return Decision::Respond(AdminResponse::Invalid(error.to_string()));
         }
         let response = AdminResponse::Applied { revision: document.revision };
-        let next = self.followed_by(document, digest);
+        let next = self.with_applied_request(document, digest);
         let changes = configuration_changes(self, &next);
         Decision::Propose { changes, next: PartitionState::Configuration(next), response }
     }
 
     /// The state after a request with this digest has led to a configuration.
-    fn followed_by(&self, document: Document, digest: u64) -> Self {
+    fn with_applied_request(&self, document: Document, digest: u64) -> Self {
         let mut applied_digests = self.applied_digests.clone();
         applied_digests.push(digest);
         let surplus = applied_digests.len().saturating_sub(MAX_APPLIED_DIGESTS);
         applied_digests.drain(..surplus);
-        let item_positions = self.item_positions.after(&self.document, &document);
+        let item_positions = self.item_positions.updated(&self.document, &document);
         let first_applied = self.first_applied + surplus as u64;
         Self { document, applied_digests, first_applied, item_positions }
     }
--- a/control/src/consensus/whole_values.rs
+++ b/control/src/consensus/whole_values.rs
@@ -28,7 +28,7 @@
 impl From<WholeConfiguration> for ConfigurationState {
     fn from(whole: WholeConfiguration) -> Self {
         let WholeConfiguration { document, applied_digests } = whole;
-        let item_positions = ItemPositions::default().after(&Document::default(), &document);
+        let item_positions = ItemPositions::default().updated(&Document::default(), &document);
         Self { document, applied_digests, first_applied: 0, item_positions }
     }
 }
--- a/control/src/membership/reconfiguration.rs
+++ b/control/src/membership/reconfiguration.rs
@@ -18,8 +18,8 @@
 /// The first membership, on the very first start of the whole system: the lowest of the seeds creates it, once it can reach all seeds.
 /// All nodes with a disk that it can reach are voters.
 pub fn first_membership(view: &ClusterView<'_>, zone: &str, seeds: &[NodeId]) -> Option<Membership> {
-    let is_founder = view.local.may_bootstrap() && seeds.iter().min() == Some(&view.node);
-    if view.local.membership().is_some() || !is_founder {
+    let is_bootstrap_node = view.local.may_bootstrap() && seeds.iter().min() == Some(&view.node);
+    if view.local.membership().is_some() || !is_bootstrap_node {
         return None;
     }
     let is_present = |seed: &NodeId| *seed == view.node || view.current_heartbeat(*seed).is_some();
@@ -89,11 +89,11 @@
     match view.local.status() {
         ReplicaStatus::Voter => {
             let own = membership.voter(replica);
-            let could_succeed = |candidate: &Candidate| own.is_some_and(|own| own.zone == candidate.zone);
+            let could_replace = |candidate: &Candidate| own.is_some_and(|own| own.zone == candidate.zone);
             let is_only_voter = membership.voters.len() == 1;
             is_only_voter
                 || active_others < membership.quorum_size()
-                || candidates(view).iter().any(could_succeed)
+                || candidates(view).iter().any(could_replace)
         }
         ReplicaStatus::Removed => active_others < membership.voters.len(),
         ReplicaStatus::Uninitialized | ReplicaStatus::Learner => false,
--- a/control/src/report.rs
+++ b/control/src/report.rs
@@ -117,7 +117,8 @@
 
 /// Adds what a replica reports itself.
 fn with_heartbeat(report: ReplicaReport, partitions: &Partitions, heartbeat: &Heartbeat) -> ReplicaReport {
-    let behind = |(partition, theirs)| partitions.committed_sequence(partition).saturating_sub(theirs);
+    let behind =
+        |(partition, their_sequence)| partitions.committed_sequence(partition).saturating_sub(their_sequence);
     ReplicaReport {
         status: Some(heartbeat.status),
         is_draining: heartbeat.draining,
--- a/control/tests/acceptor.rs
+++ b/control/tests/acceptor.rs
@@ -104,11 +104,11 @@
     let mut accepted = leader.accepted_update(Some(2));
     accepted.version.ballot = ballot(2);
     expect_that!(follower.accept(&accepted), eq(AcceptOutcome::Behind));
-    let mut hidden = leader.committed_update(Some(1));
-    hidden.writes.pop();
-    expect_that!(follower.learn(&hidden), eq(LearnOutcome::Diverged));
-    hidden.version.ballot = ballot(2);
-    expect_that!(follower.accept(&hidden), eq(AcceptOutcome::Diverged));
+    let mut incomplete = leader.committed_update(Some(1));
+    incomplete.writes.pop();
+    expect_that!(follower.learn(&incomplete), eq(LearnOutcome::Diverged));
+    incomplete.version.ballot = ballot(2);
+    expect_that!(follower.accept(&incomplete), eq(AcceptOutcome::Diverged));
     expect_that!(follower, eq(&before));
 }
 
@@ -159,7 +159,7 @@
 }
 
 /// The same contents as the leader's in other registers, as of the leader's committed version under a later ballot.
-fn cut_otherwise(leader: &Acceptor) -> StateUpdate {
+fn in_other_registers(leader: &Acceptor) -> StateUpdate {
     let sequence = leader.committed().sequence;
     let writes: Vec<RegisterWrite> = [("a", 1), ("x", 2)]
         .map(|(name, byte)| RegisterWrite { key: key(name), sequence, value: value(byte) })
@@ -172,7 +172,7 @@
 #[gtest]
 fn committed_contents_that_are_proposed_again_in_other_registers_are_taken_over() {
     let mut follower = leader(&[("a", Some(1)), ("b", Some(2))], 2);
-    let update = cut_otherwise(&follower);
+    let update = in_other_registers(&follower);
     expect_that!(follower.accept(&update), eq(AcceptOutcome::Accepted));
     expect_that!(names(&follower), elements_are![eq("a"), eq("x")]);
     // The replica can propose them again itself, and go on from them.
--- a/control/tests/bootstrap.rs
+++ b/control/tests/bootstrap.rs
@@ -22,7 +22,7 @@
     )
 }
 
-fn founder() -> ControlPlane {
+fn bootstrap_node() -> ControlPlane {
     ControlPlane::new(node_config(1, true), DurableState::default(), 0)
 }
 
@@ -37,37 +37,37 @@
 
 #[gtest]
 fn lowest_seed_creates_the_membership_once_all_seeds_are_reachable() {
-    let mut founder = founder();
-    step(&mut founder, 100, &[uninitialized(2, 1)]);
-    step(&mut founder, 1_600, &[uninitialized(2, 2)]);
-    expect_that!(founder.membership(), none());
-    step(&mut founder, 1_700, &[uninitialized(2, 3), uninitialized(3, 1)]);
-    let created = founder.membership().expect("it is created");
+    let mut bootstrap_node = bootstrap_node();
+    step(&mut bootstrap_node, 100, &[uninitialized(2, 1)]);
+    step(&mut bootstrap_node, 1_600, &[uninitialized(2, 2)]);
+    expect_that!(bootstrap_node.membership(), none());
+    step(&mut bootstrap_node, 1_700, &[uninitialized(2, 3), uninitialized(3, 1)]);
+    let created = bootstrap_node.membership().expect("it is created");
     let voters: Vec<NodeId> = created.nodes().collect();
     expect_that!(voters, eq(&NODES.to_vec()));
     expect_that!(created.voter(replica(2)), some(anything()));
-    expect_that!(founder.status(), eq(ReplicaStatus::Voter));
+    expect_that!(bootstrap_node.status(), eq(ReplicaStatus::Voter));
 }
 
 #[gtest]
 fn first_membership_is_not_sent_before_it_is_durable() {
-    let mut founder = founder();
-    step(&mut founder, 100, &[uninitialized(2, 1), uninitialized(3, 1)]);
-    let out = step(&mut founder, 1_600, &[uninitialized(2, 2), uninitialized(3, 2)]);
-    expect_that!(founder.membership(), some(anything()));
+    let mut bootstrap_node = bootstrap_node();
+    step(&mut bootstrap_node, 100, &[uninitialized(2, 1), uninitialized(3, 1)]);
+    let out = step(&mut bootstrap_node, 1_600, &[uninitialized(2, 2), uninitialized(3, 2)]);
+    expect_that!(bootstrap_node.membership(), some(anything()));
     expect_that!(memberships_sent(&out), is_empty());
-    let out = step(&mut founder, 1_800, &[uninitialized(2, 3), uninitialized(3, 3)]);
+    let out = step(&mut bootstrap_node, 1_800, &[uninitialized(2, 3), uninitialized(3, 3)]);
     expect_that!(memberships_sent(&out), is_empty());
 }
 
 #[gtest]
-fn nodes_that_start_with_the_founder_become_voters() {
-    let mut founder = founder();
-    step(&mut founder, 100, &[uninitialized(2, 1), uninitialized(3, 1)]);
-    step_and_store(&mut founder, 1_600, &[uninitialized(2, 2), uninitialized(3, 2)]);
-    let out = step(&mut founder, 1_900, &[uninitialized(2, 3), uninitialized(3, 3)]);
+fn nodes_that_start_with_the_bootstrap_node_become_voters() {
+    let mut bootstrap_node = bootstrap_node();
+    step(&mut bootstrap_node, 100, &[uninitialized(2, 1), uninitialized(3, 1)]);
+    step_and_store(&mut bootstrap_node, 1_600, &[uninitialized(2, 2), uninitialized(3, 2)]);
+    let out = step(&mut bootstrap_node, 1_900, &[uninitialized(2, 3), uninitialized(3, 3)]);
     expect_that!(memberships_sent(&out), unordered_elements_are![eq(&NodeId(2)), eq(&NodeId(3))]);
-    let created = founder.membership().cloned().expect("it is created");
+    let created = bootstrap_node.membership().cloned().expect("it is created");
     let own_disk = Record::Formatted { replica: replica(2), first_start: true };
     let mut other = ControlPlane::new(node_config(2, true), [own_disk].into_iter().collect(), 0);
     step(&mut other, 2_000, &[(1, PeerMessage::Membership(created))]);
@@ -91,11 +91,11 @@
 
 #[gtest]
 fn no_membership_is_created_while_a_seed_knows_one() {
-    let mut founder = founder();
+    let mut bootstrap_node = bootstrap_node();
     let seed_with_membership = (3, PeerMessage::Heartbeat(heartbeat(3, 1)));
-    step(&mut founder, 100, &[uninitialized(2, 1), seed_with_membership.clone()]);
-    step(&mut founder, 1_600, &[uninitialized(2, 2), seed_with_membership]);
-    expect_that!(founder.membership(), none());
+    step(&mut bootstrap_node, 100, &[uninitialized(2, 1), seed_with_membership.clone()]);
+    step(&mut bootstrap_node, 1_600, &[uninitialized(2, 2), seed_with_membership]);
+    expect_that!(bootstrap_node.membership(), none());
 }
 
 #[gtest]
--- a/control/tests/configuration_registers.rs
+++ b/control/tests/configuration_registers.rs
@@ -122,7 +122,7 @@
 }
 
 #[gtest]
-fn applied_requests_stand_in_a_ring_of_registers() {
+fn applied_requests_are_kept_in_a_ring_of_registers() {
     let mut replica = Replica::new();
     replica.apply(&put(0, &["a"]));
     for base in 1..1200 {
--- a/control/tests/golden_records.rs
+++ b/control/tests/golden_records.rs
@@ -198,7 +198,7 @@
 }
 
 /// Records that make the file long enough to be compacted, and leave the state as it was before.
-fn records_that_are_compacted() -> Vec<Record> {
+fn records_that_trigger_compaction() -> Vec<Record> {
     let long = vec![zone_write("north-a", 1, Some(&vec![0; MIN_COMPACTION_BYTES as usize]))];
     vec![Record::Learned(EVACUATIONS, update(3, 1, UpdateBase::Since(0), long))]
 }
@@ -305,7 +305,7 @@
 #[gtest]
 fn compacted_file_of_registers_is_the_golden_one_and_is_read_as_the_same_state() {
     let mut all = register_writes();
-    all.push(records_that_are_compacted());
+    all.push(records_that_trigger_compaction());
     check_bytes("registers_compacted.records", &write_file(&all));
     let folder = folder_with("registers_compacted.records");
     let expected: DurableState = register_writes().concat().into_iter().collect();
@@ -314,14 +314,14 @@
 }
 
 #[gtest]
-fn whole_values_are_compacted_as_registers_that_say_the_same() {
+fn whole_values_are_compacted_into_registers_with_the_same_contents() {
     let stored = expected_state();
     let again: DurableState = stored.records().into_iter().collect();
     expect_that!(again, eq(&stored));
 }
 
 #[gtest]
-fn file_of_the_format_before_is_read_as_the_same_state_and_replaced_by_the_golden_one() {
+fn file_of_the_previous_format_is_read_as_the_same_state_and_replaced_by_the_golden_one() {
     let folder = folder_with("format_1.records");
     expect_that!(read_records(folder.path()), eq(&writes().concat()));
     let replaced = read_file(folder.path());
--- a/control/tests/partition.rs
+++ b/control/tests/partition.rs
@@ -136,7 +136,7 @@
 }
 
 #[gtest]
-fn no_more_than_so_many_proposals_are_in_flight() {
+fn number_of_proposals_in_flight_is_limited() {
     let (mut partition, ballot) = leader();
     for _ in 0..MAX_IN_FLIGHT {
         expect_true!(partition.can_propose());
@@ -189,7 +189,7 @@
 }
 
 #[gtest]
-fn wait_for_an_acknowledgement_follows_the_link() {
+fn acknowledgement_timeout_adapts_to_measured_latency() {
     let (mut partition, ballot) = leader();
     for sequence in 1..=8 {
         let now = sequence * 1000 * MILLISECOND;
@@ -229,7 +229,7 @@
 }
 
 #[gtest]
-fn promise_that_does_not_apply_is_asked_for_whole() {
+fn promise_that_does_not_apply_is_requested_whole() {
     let mut partition = acceptor();
     partition.start_election(0, &mut Vec::new());
     let ballot = Ballot { counter: 3, node: NodeId(1), incarnation: 11 };
@@ -238,10 +238,10 @@
     let message = ConsensusMessage::Promise { ballot, accepted: Some(diverged), committed: 0 };
     let out = receive(&mut partition, 0, 3, message);
     expect_that!(out.first(), some(eq(&Effect::Diverged)));
-    let asks_whole = |effect: &Effect| {
+    let requests_whole = |effect: &Effect| {
         matches!(effect, Effect::Send(_, ConsensusMessage::Prepare { committed: None, .. }))
     };
-    expect_true!(out.iter().any(asks_whole));
+    expect_true!(out.iter().any(requests_whole));
     expect_that!(partition.leader_ballot(), none());
 }
 
--- a/control/tests/virtual_cluster/calls.rs
+++ b/control/tests/virtual_cluster/calls.rs
@@ -40,7 +40,7 @@
     }
 }
 
-fn shown(outcome: &CallOutcome) -> Option<(usize, u64)> {
+fn event_count_and_revision(outcome: &CallOutcome) -> Option<(usize, u64)> {
     match outcome {
         CallOutcome::Applied(Reply::Events { events, revision }) => Some((events.len(), *revision)),
         _ => None,
@@ -48,7 +48,7 @@
 }
 
 #[gtest]
-fn any_node_takes_a_call_and_numbers_rise_across_nodes() {
+fn any_node_accepts_a_call_and_numbers_increase_across_nodes() {
     let mut cluster = Cluster::with_coordination();
     let mut last = 0;
     for node in [1, 2, 3, 2, 1, 3] {
@@ -59,10 +59,10 @@
 }
 
 #[gtest]
-fn what_was_acknowledged_outlasts_the_loss_of_all_processes() {
+fn acknowledged_calls_survive_a_restart_of_all_nodes() {
     let mut cluster = Cluster::with_coordination();
     let value = next_number(&mut cluster, 1);
-    let given = fence(&cluster.call(2, acquire("a", 1_000))).expect("it is free");
+    let first_fence = fence(&cluster.call(2, acquire("a", 1_000))).expect("it is free");
     cluster.call(3, put("one"));
     let disks: Vec<DurableState> = (1..=3).map(|node| cluster.stop(node)).collect();
     for (node, disk) in (1..=3).zip(disks) {
@@ -71,18 +71,18 @@
     cluster.run_until("the group is back", |cluster| (1..=3).all(|node| cluster.plane(node).has_quorum()));
     // Since when the lock is held nobody knows: it is held for its whole time from now on.
     expect_that!(cluster.call(1, acquire("b", 1_000)), eq(&CallOutcome::Refused(Refusal::LockHeld)));
-    let back_at = cluster.now();
-    cluster.run_until("its time is over", |cluster| cluster.now() > back_at + 1_100 * MILLISECOND);
-    expect_that!(fence(&cluster.call(1, acquire("b", 1_000))), some(gt(given)));
+    let restarted_at = cluster.now();
+    cluster.run_until("its time is over", |cluster| cluster.now() > restarted_at + 1_100 * MILLISECOND);
+    expect_that!(fence(&cluster.call(1, acquire("b", 1_000))), some(gt(first_fence)));
     expect_that!(next_number(&mut cluster, 2), gt(value));
     let read = Call::ReadCell { name: "g.a".to_owned() };
     let one = CallOutcome::Applied(Reply::Cell { value: "one".to_owned(), revision: 1 });
     expect_that!(cluster.call(3, read), eq(&one));
-    expect_that!(shown(&cluster.call(2, watch(0, 0))), some(eq((0, 1))));
+    expect_that!(event_count_and_revision(&cluster.call(2, watch(0, 0))), some(eq((0, 1))));
 }
 
 #[gtest]
-fn a_wiped_disk_and_a_new_member_take_nothing_back() {
+fn acknowledged_calls_survive_the_loss_of_each_disk() {
     let mut cluster = Cluster::with_coordination();
     let mut last = 0;
     for node in 1..=3 {
@@ -97,12 +97,16 @@
         });
         expect_that!(next_number(&mut cluster, node), gt(last));
         let history = cluster.call(node, watch(1, 0));
-        expect_that!(shown(&history), some(eq((node as usize - 1, u64::from(node)))), "{history:?}");
+        expect_that!(
+            event_count_and_revision(&history),
+            some(eq((node as usize - 1, u64::from(node)))),
+            "{history:?}"
+        );
     }
 }
 
 #[gtest]
-fn a_watch_at_any_node_wakes_for_a_put_at_any_other() {
+fn watch_at_any_node_returns_after_a_put_at_another_node() {
     let mut cluster = Cluster::with_coordination();
     cluster.call(1, put("one"));
     for node in 1..=3 {
@@ -113,13 +117,16 @@
         expect_that!(cluster.outcome(id), none());
         cluster.call(node % 3 + 1, put(&format!("after {node}")));
         cluster.run_until("it wakes", |cluster| cluster.outcome(id).is_some());
-        expect_that!(shown(cluster.outcome(id).expect("it is there")), some(eq((1, after + 1))));
+        expect_that!(
+            event_count_and_revision(cluster.outcome(id).expect("it is there")),
+            some(eq((1, after + 1)))
+        );
         expect_that!(cluster.now(), lt(held_until + SECOND));
     }
 }
 
 #[gtest]
-fn a_held_watch_goes_on_at_the_next_leader() {
+fn pending_watch_continues_at_the_next_leader() {
     let mut cluster = Cluster::with_coordination();
     cluster.call(1, put("one"));
     let partition = put("").partition();
@@ -131,33 +138,33 @@
     cluster.run_until("it is held", |cluster| cluster.now() >= held_until);
     cluster.stop(leader);
     cluster.run_until("another leads", |cluster| others.iter().any(|node| leads(cluster, *node)));
-    cluster.call_until_clear(others[1], put("two"));
+    cluster.call_until_known(others[1], put("two"));
     cluster.run_until("it wakes", |cluster| cluster.outcome(id).is_some());
-    expect_that!(shown(cluster.outcome(id).expect("it is there")), some(eq((1, 2))));
+    expect_that!(event_count_and_revision(cluster.outcome(id).expect("it is there")), some(eq((1, 2))));
 }
 
 #[gtest]
-fn a_node_without_a_quorum_says_at_once_that_nothing_was_done() {
+fn node_without_a_quorum_responds_not_started_at_once() {
     let mut cluster = Cluster::with_coordination();
     next_number(&mut cluster, 1);
     cluster.stop(2);
     cluster.stop(3);
     cluster.run_until("it sees that", |cluster| !cluster.plane(1).has_quorum());
-    let asked_at = cluster.now();
+    let started_at = cluster.now();
     expect_that!(cluster.call(1, number()), eq(&CallOutcome::NotStarted(NotStarted::NoQuorum)));
-    expect_that!(cluster.now(), eq(asked_at));
+    expect_that!(cluster.now(), eq(started_at));
 }
 
 #[gtest]
-fn a_call_in_flight_at_a_leader_that_is_gone_is_not_denied() {
+fn call_in_flight_at_a_stopped_leader_has_an_unknown_outcome() {
     let mut cluster = Cluster::with_coordination();
     next_number(&mut cluster, 1);
     let partition = number().partition();
     let leader = (1..=3).find(|node| cluster.plane(*node).leader_ballot(partition).is_some());
     let leader = leader.expect("one leads");
-    let asked = leader % 3 + 1;
-    let id = cluster.begin_call(asked, number());
-    for node in (1..=3).filter(|node| *node != asked) {
+    let contacted = leader % 3 + 1;
+    let id = cluster.begin_call(contacted, number());
+    for node in (1..=3).filter(|node| *node != contacted) {
         cluster.stop(node);
     }
     cluster.run_until("it ends", |cluster| cluster.outcome(id).is_some());
@@ -166,15 +173,15 @@
 
 /// Has a configuration committed, and returns how long that takes.
 fn configure(cluster: &mut Cluster, revision: u64) -> Nanos {
-    let asked_at = cluster.now();
+    let started_at = cluster.now();
     let body = format!(r#"{{"revision":{revision},"services":[],"routes":[]}}"#).into_bytes();
     let response = cluster.request(2, AdminRequest::Put { base: revision - 1, body });
     expect_that!(response, eq(&AdminResponse::Applied { revision }));
-    cluster.now() - asked_at
+    cluster.now() - started_at
 }
 
 #[gtest]
-fn calls_do_not_hold_up_the_configuration() {
+fn calls_do_not_delay_a_configuration_change() {
     let mut cluster = Cluster::with_coordination();
     // Leaders and connections are warm by the third.
     configure(&mut cluster, 1);
@@ -196,7 +203,7 @@
 }
 
 #[gtest]
-fn a_node_without_these_partitions_leads_none_of_them() {
+fn node_without_coordination_leads_no_coordination_partition() {
     let mut cluster = Cluster::bootstrapped();
     let id = cluster.begin_call(1, number());
     cluster.run_until("it ends", |cluster| cluster.outcome(id).is_some());
--- a/control/tests/virtual_cluster/catch_up_time.rs
+++ b/control/tests/virtual_cluster/catch_up_time.rs
@@ -10,7 +10,7 @@
 
 use crate::cluster::Cluster;
 
-const HISTORIES: [u64; 3] = [10, 300, 3_000];
+const CHANGE_COUNTS: [u64; 3] = [10, 300, 3_000];
 /// Routes of a configuration.
 const ROUTES: u64 = 200;
 /// The successor of the third node.
@@ -21,7 +21,7 @@
 const WIPE_LIMIT: Nanos = SECOND;
 const REPLACEMENT_LIMIT: Nanos = 3 * SECOND;
 /// The most that a node is sent while it catches up, as a multiple of the state that it has in the end.
-const MAX_COPIES: u64 = 12;
+const MAX_TRANSFER_RATIO: u64 = 12;
 
 fn body(revision: u64) -> Vec<u8> {
     let route = |number: u64| {
@@ -63,10 +63,10 @@
 }
 
 /// Checks, for each number of past changes, that a node catches up within bounds that do not depend on that number.
-fn catches_up_after_each_history(name: &str, limit: Nanos, node: u32, back: impl Fn(&mut Cluster)) {
-    for changes in HISTORIES {
+fn check_catch_up(name: &str, limit: Nanos, node: u32, bring_back: impl Fn(&mut Cluster)) {
+    for changes in CHANGE_COUNTS {
         let mut cluster = after_changes(changes);
-        back(&mut cluster);
+        bring_back(&mut cluster);
         let (time, bytes) = catch_up(&mut cluster, node, changes);
         let state = stored_bytes(cluster.disk(1));
         println!(
@@ -74,7 +74,7 @@
             time / 1_000_000
         );
         expect_that!(time, le(limit), "{changes}");
-        expect_that!(bytes, le(MAX_COPIES * state), "{changes}");
+        expect_that!(bytes, le(MAX_TRANSFER_RATIO * state), "{changes}");
         let next = AdminRequest::Put { base: changes, body: body(changes + 1) };
         expect_that!(cluster.request(node, next), eq(&AdminResponse::Applied { revision: changes + 1 }));
     }
@@ -82,7 +82,7 @@
 
 #[gtest]
 fn restarted_node_is_up_to_date_in_bounded_time() {
-    catches_up_after_each_history("restart", RESTART_LIMIT, 3, |cluster| {
+    check_catch_up("restart", RESTART_LIMIT, 3, |cluster| {
         let disk = cluster.stop(3);
         cluster.start(3, 3, disk, false);
     });
@@ -106,7 +106,7 @@
 
 #[gtest]
 fn node_that_has_lost_its_disk_votes_again_in_bounded_time() {
-    catches_up_after_each_history("wipe", WIPE_LIMIT, 3, |cluster| {
+    check_catch_up("wipe", WIPE_LIMIT, 3, |cluster| {
         cluster.stop(3);
         cluster.start(3, 3, DurableState::default(), false);
     });
@@ -114,17 +114,17 @@
 
 #[gtest]
 fn successor_votes_in_bounded_time() {
-    catches_up_after_each_history("replacement", REPLACEMENT_LIMIT, SUCCESSOR, |cluster| {
+    check_catch_up("replacement", REPLACEMENT_LIMIT, SUCCESSOR, |cluster| {
         cluster.stop(3);
         cluster.start(SUCCESSOR, 3, DurableState::default(), false);
     });
 }
 
 #[gtest]
-fn request_applied_hundreds_of_changes_ago_is_acknowledged_again_and_a_rival_conflicts() {
+fn request_applied_hundreds_of_changes_ago_is_acknowledged_again_and_another_one_conflicts() {
     let mut cluster = after_changes(300);
     let again = AdminRequest::Put { base: 4, body: body(5) };
     expect_that!(cluster.request(2, again), eq(&AdminResponse::Applied { revision: 300 }));
-    let rival = AdminRequest::Put { base: 4, body: body(6) };
-    expect_that!(cluster.request(2, rival), eq(&AdminResponse::Conflict { revision: 300 }));
+    let conflicting = AdminRequest::Put { base: 4, body: body(6) };
+    expect_that!(cluster.request(2, conflicting), eq(&AdminResponse::Conflict { revision: 300 }));
 }
--- a/control/tests/virtual_cluster/cluster.rs
+++ b/control/tests/virtual_cluster/cluster.rs
@@ -11,12 +11,12 @@
 use speedy::Writable;
 
 const TICK: Nanos = 100 * MILLISECOND;
-const DELAY: Nanos = 5 * MILLISECOND;
-const SYNC: Nanos = 2 * MILLISECOND;
+const NETWORK_DELAY: Nanos = 5 * MILLISECOND;
+const SYNC_TIME: Nanos = 2 * MILLISECOND;
 
 enum Event {
     Tick(u64),
-    Arrives(NodeId, PeerMessage),
+    Message(NodeId, PeerMessage),
     Stored(u64, WriteToken, Vec<Record>),
 }
 
@@ -33,12 +33,12 @@
 pub struct Cluster {
     now: Nanos,
     queue: BTreeMap<(Nanos, u64), (NodeId, Event)>,
-    queued: u64,
+    scheduled_count: u64,
     members: BTreeMap<NodeId, Member>,
-    starts: u64,
+    start_count: u64,
     responses: BTreeMap<RequestId, AdminResponse>,
     outcomes: BTreeMap<RequestId, CallOutcome>,
-    requests: RequestId,
+    last_request_id: RequestId,
     has_coordination: bool,
 }
 
@@ -69,11 +69,11 @@
 
     /// Starts a node in a zone, with what its disk holds.
     pub fn start(&mut self, node: u32, zone: u32, disk: DurableState, first_start: bool) {
-        self.starts += 1;
+        self.start_count += 1;
         let config = NodeConfig {
             node: NodeId(node),
             zone: format!("zone-{zone}"),
-            incarnation: self.starts << 32,
+            incarnation: self.start_count << 32,
             has_disk: true,
             first_start,
             seeds: (1..=3).map(NodeId).collect(),
@@ -86,7 +86,7 @@
         let incarnation = config.incarnation;
         let plane = ControlPlane::new(config, disk.clone(), self.now);
         self.members.insert(NodeId(node), Member { plane, incarnation, disk, received: 0 });
-        self.after(0, NodeId(node), Event::Tick(incarnation));
+        self.schedule(0, NodeId(node), Event::Tick(incarnation));
     }
 
     /// Stops a node, and returns what its disk holds.
@@ -117,8 +117,8 @@
 
     /// Sends an operator's request to a node, and returns the response.
     pub fn request(&mut self, node: u32, request: AdminRequest) -> AdminResponse {
-        self.requests += 1;
-        let id = self.requests;
+        self.last_request_id += 1;
+        let id = self.last_request_id;
         self.input(NodeId(node), Input::Admin(id, request));
         self.run_until("the request is answered", |cluster| cluster.responses.contains_key(&id));
         self.responses.remove(&id).expect("it is answered")
@@ -126,8 +126,8 @@
 
     /// Sends an application's call to a node.
     pub fn begin_call(&mut self, node: u32, call: Call) -> RequestId {
-        self.requests += 1;
-        let id = self.requests;
+        self.last_request_id += 1;
+        let id = self.last_request_id;
         self.input(NodeId(node), Input::Call(id, call));
         id
     }
@@ -145,7 +145,7 @@
     }
 
     /// The same, again and again until the outcome is clear.
-    pub fn call_until_clear(&mut self, node: u32, call: Call) -> CallOutcome {
+    pub fn call_until_known(&mut self, node: u32, call: Call) -> CallOutcome {
         loop {
             match self.call(node, call.clone()) {
                 CallOutcome::Unknown | CallOutcome::NotStarted(_) => {
@@ -158,35 +158,35 @@
     }
 
     /// Advances time until the condition holds.
-    pub fn run_until(&mut self, what: &str, mut done: impl FnMut(&Self) -> bool) {
+    pub fn run_until(&mut self, description: &str, mut is_done: impl FnMut(&Self) -> bool) {
         let end = self.now + 20 * SECOND;
-        while !done(self) {
-            assert!(self.now < end, "timed out: {what}");
+        while !is_done(self) {
+            assert!(self.now < end, "timed out: {description}");
             let ((at, _), (node, event)) = self.queue.pop_first().expect("nodes tick");
             self.now = at;
             self.handle_event(node, event);
         }
     }
 
-    fn after(&mut self, after: Nanos, node: NodeId, event: Event) {
-        self.queued += 1;
-        self.queue.insert((self.now + after, self.queued), (node, event));
+    fn schedule(&mut self, delay: Nanos, node: NodeId, event: Event) {
+        self.scheduled_count += 1;
+        self.queue.insert((self.now + delay, self.scheduled_count), (node, event));
     }
 
     fn handle_event(&mut self, node: NodeId, event: Event) {
-        let runs =
+        let is_running =
             |incarnation| self.members.get(&node).is_some_and(|member| member.incarnation == incarnation);
         match event {
-            Event::Tick(incarnation) if runs(incarnation) => {
+            Event::Tick(incarnation) if is_running(incarnation) => {
                 self.input(node, Input::Tick);
-                self.after(TICK, node, Event::Tick(incarnation));
+                self.schedule(TICK, node, Event::Tick(incarnation));
             }
-            Event::Stored(incarnation, token, records) if runs(incarnation) => {
+            Event::Stored(incarnation, token, records) if is_running(incarnation) => {
                 let member = self.members.get_mut(&node).expect("it runs");
                 records.into_iter().for_each(|record| member.disk.apply(record));
                 self.input(node, Input::Stored(token));
             }
-            Event::Arrives(from, message) => {
+            Event::Message(from, message) => {
                 let Some(member) = self.members.get_mut(&node) else { return };
                 member.received += message.write_to_vec().map_or(0, |bytes| bytes.len() as u64);
                 self.input(node, Input::Peer(from, message));
@@ -202,14 +202,14 @@
         member.plane.handle(now, input, &mut outputs);
         for output in outputs {
             match output {
-                Output::Send(to, message) => self.after(DELAY, to, Event::Arrives(node, message)),
+                Output::Send(to, message) => self.schedule(NETWORK_DELAY, to, Event::Message(node, message)),
                 Output::SendToAll(nodes, message) => {
                     for to in nodes {
-                        self.after(DELAY, to, Event::Arrives(node, message.clone()));
+                        self.schedule(NETWORK_DELAY, to, Event::Message(node, message.clone()));
                     }
                 }
                 Output::Store(token, records) => {
-                    self.after(SYNC, node, Event::Stored(incarnation, token, records));
+                    self.schedule(SYNC_TIME, node, Event::Stored(incarnation, token, records));
                 }
                 Output::Respond(id, response) => {
                     self.responses.insert(id, response);
--- a/control/tests/whole_values.rs
+++ b/control/tests/whole_values.rs
@@ -36,7 +36,7 @@
 }
 
 #[gtest]
-fn whole_value_says_what_the_registers_say() {
+fn whole_value_has_the_contents_of_the_registers() {
     let acceptor = configured();
     let value = to_whole_value(CONFIGURATION, acceptor.accepted_update(None)).expect("a value");
     expect_that!((value.ballot, value.sequence), eq((ballot(1), 2)));
@@ -89,7 +89,7 @@
 }
 
 #[gtest]
-fn transferred_state_survives_the_way_through_a_whole_value() {
+fn transferred_state_survives_conversion_to_a_whole_value() {
     let acceptor = configured();
     let state = to_transferred_state(CONFIGURATION, &to_whole_state(CONFIGURATION, &acceptor));
     let mut successor = Acceptor::default();
