--- a/control/src/control_plane/mod.rs
+++ b/control/src/control_plane/mod.rs
@@ -352,7 +352,7 @@
     partitions: &[(PartitionId, LegacyAcceptorState)],
 ) -> Vec<(PartitionId, TransferredState)> {
     let state = |(partition, state): &(PartitionId, LegacyAcceptorState)| {
-        (*partition, whole_values::transferred_state_of(*partition, state))
+        (*partition, whole_values::to_transferred_state(*partition, state))
     };
     partitions.iter().map(state).collect()
 }
