--- a/control/src/calls/call_queue.rs
+++ b/control/src/calls/call_queue.rs
@@ -1,8 +1,8 @@
-//! The calls before the leader of one partition: decided in their order, and answered once a quorum has stored the change or has
-//! confirmed the leader's ballot.
+//! The calls at the leader of one partition: decided in their order, and answered once a quorum has stored the change or has confirmed
+//! the leader's ballot.
 //!
-//! Before its first decision a leader has a change of its own committed, a barrier. A proposal of an earlier leader that this one has not
-//! seen can't be recovered by a later one after that: what this leader says of a call (412, 503) stays true.
+//! Before its first decision a leader commits a barrier, an empty change of its own. After the barrier, no later leader can recover a
+//! proposal of an earlier leader that this leader has not seen: a refusal by this leader (412, 503) stays valid.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,48 +13,48 @@
 use crate::interface::RequestId;
 use crate::requests::request_queue::Requester;
 
-/// The most calls of a partition that wait for their decision.
+/// The largest number of undecided calls of a partition; further calls are rejected.
 pub const MAX_WAITING: usize = 512;
-/// The most watches of a partition that are held.
+/// The largest number of held watches of a partition; further watches are rejected.
 pub const MAX_WATCHES: usize = 2048;
-/// The outcome of a forwarded call is kept for this long, for copies of the call that come late. Longer than the age up to which a
-/// forwarded call is carried out.
+/// How long the outcome of a forwarded call is kept to answer late copies of the call. Longer than the age up to which a forwarded call
+/// is accepted.
 const OUTCOME_RETENTION: Nanos = 2 * SECOND;
 
 /// A call that waits for its decision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QueuedCall {
-    /// Who is sent the outcome.
+    /// The receiver of the outcome.
     pub requester: Requester,
-    /// The call.
+    /// What the application asks for.
     pub call: Call,
-    /// It is dropped undecided at this time.
+    /// The time at which an undecided call is dropped from the queue.
     pub expires_at: Nanos,
 }
 
 /// An outcome that is ready to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReadyOutcome {
-    /// Who is sent it.
+    /// The receiver of the outcome.
     pub requester: Requester,
-    /// The outcome.
+    /// The outcome of the requester's call.
     pub outcome: CallOutcome,
 }
 
-/// What became of a call that was put into the queue.
+/// The result of adding a call to the queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EnqueuedCall {
-    /// It waits for its decision.
+    /// The call waits for its decision.
     Queued,
-    /// It is here already.
+    /// Another copy of the call is queued, held as a watch, in flight, or waits for the confirmation of its outcome.
     Duplicate,
-    /// It was decided before: its outcome is sent again.
+    /// Another copy of the call was answered with this outcome, which is sent again.
     Answered(CallOutcome),
-    /// Too many calls wait.
+    /// The queue has [`MAX_WAITING`] calls.
     Rejected,
 }
 
-/// A change in flight, and who is sent the reply once it is committed.
+/// A call whose change is in flight, and the reply that the requester gets once the change is committed.
 #[derive(Debug)]
 struct OpenCall {
     requester: Requester,
@@ -67,12 +67,13 @@
 struct UnconfirmedOutcome {
     requester: Requester,
     outcome: CallOutcome,
+    /// The sequence number of the last change in the state that the outcome was decided on.
     decided_on: u64,
     is_confirmed: bool,
     expires_at: Nanos,
 }
 
-/// A watch that is held until its group has a later revision.
+/// A watch that is held until its group has a revision above `after`, or until its wait ends.
 #[derive(Debug)]
 struct HeldWatch {
     group: String,
@@ -81,15 +82,15 @@
     expires_at: Nanos,
 }
 
-/// How far a leader is.
+/// The progress of a new leader towards deciding calls.
 #[derive(Debug, Default)]
 enum Phase {
-    /// It has proposed nothing under its ballot.
+    /// The leader has proposed nothing under its ballot.
     #[default]
     New,
-    /// Its barrier is in flight.
+    /// The leader's barrier is in flight.
     Barrier,
-    /// It decides, by this state.
+    /// The leader decides calls on this state, which includes all proposed changes.
     Deciding(Box<CoordinationState>),
 }
 
@@ -98,18 +99,18 @@
 pub struct CallQueue {
     phase: Phase,
     waiting: VecDeque<QueuedCall>,
-    /// By the number of the proposed change.
+    /// Calls in flight, by the sequence number of the proposed change.
     open_calls: BTreeMap<u64, OpenCall>,
-    /// By the number of the confirmation.
+    /// Outcomes by the number of the confirmation that they wait for.
     unconfirmed: BTreeMap<u64, UnconfirmedOutcome>,
     watches: BTreeMap<Requester, HeldWatch>,
-    /// Outcomes of forwarded calls, in the order in which they were sent.
+    /// Outcomes of forwarded calls with the times at which they were sent, oldest first.
     answered: VecDeque<(Nanos, ReadyOutcome)>,
     last_confirmation: u64,
 }
 
 impl CallQueue {
-    /// Puts a call into the queue.
+    /// Adds a call to the queue, unless a copy of the call is known or the queue is full.
     pub fn enqueue(&mut self, queued: QueuedCall) -> EnqueuedCall {
         let answered = self.answered.iter().find(|(_, ready)| ready.requester == queued.requester);
         if let Some((_, ready)) = answered {
@@ -132,7 +133,7 @@
             || self.unconfirmed.values().any(|outcome| outcome.requester == requester)
     }
 
-    /// Whether no call waits for its decision.
+    /// Whether no call waits for its decision. Calls in flight and held watches don't count.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
@@ -142,22 +143,22 @@
         matches!(self.phase, Phase::New)
     }
 
-    /// The barrier is in flight.
+    /// Records that the leader has proposed its barrier.
     pub fn barrier_proposed(&mut self) {
         self.phase = Phase::Barrier;
     }
 
-    /// Whether the leader decides.
+    /// Whether the leader decides calls: its barrier is committed, and the partition's state has been read.
     pub fn is_deciding(&self) -> bool {
         matches!(self.phase, Phase::Deciding(_))
     }
 
-    /// The barrier and all before it is committed: the leader decides by this state from now on.
+    /// Starts deciding on this state. The barrier and all changes before it have to be committed.
     pub fn begin_deciding(&mut self, state: CoordinationState) {
         self.phase = Phase::Deciding(Box::new(state));
     }
 
-    /// The state with all that was proposed, while the leader decides.
+    /// The state including all proposed changes; `None` until the leader decides calls.
     pub fn state_mut(&mut self) -> Option<&mut CoordinationState> {
         match &mut self.phase {
             Phase::Deciding(state) => Some(state),
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Removes the oldest call that has not expired.
+    /// Removes and returns the oldest call that has not expired. Drops expired calls before it.
     pub fn next(&mut self, now: Nanos) -> Option<QueuedCall> {
         while let Some(queued) = self.waiting.pop_front() {
             if now < queued.expires_at {
@@ -175,7 +176,8 @@
         None
     }
 
-    /// Decides on a call under the number of the next change. A watch is decided on by what is committed.
+    /// Decides on a call. `sequence` is the sequence number that the next change gets. A watch is decided on the committed state only.
+    /// Returns `None` until the leader decides calls.
     pub fn decide(&mut self, now: Nanos, sequence: u64, call: &Call) -> Option<Decision> {
         if let Call::WatchGroup { group, after, .. } = call {
             let committed = self.committed_revision(group)?;
@@ -184,7 +186,7 @@
         Some(self.state_mut()?.decide(now, sequence, call))
     }
 
-    /// The last revision of a group that is committed.
+    /// The last committed revision of a group; `None` until the leader decides calls.
     fn committed_revision(&self, group: &str) -> Option<u64> {
         let mut publications = self.open_calls.values().filter_map(|open| open.publication.as_ref());
         let first_open = publications.find(|publication| publication.group == group);
@@ -195,7 +197,7 @@
         }
     }
 
-    /// What a call asks for is proposed under this number; its reply is sent once that is committed.
+    /// Records that the change of a call was proposed with this sequence number. The reply is sent once that change is committed.
     pub fn proposed(
         &mut self,
         sequence: u64,
@@ -206,7 +208,8 @@
         self.open_calls.insert(sequence, OpenCall { requester, reply, publication });
     }
 
-    /// Holds a watch.
+    /// Holds a watch until its group has a later revision or `wait_ends_at`. Returns an `Overloaded` outcome where [`MAX_WATCHES`]
+    /// watches are held already.
     pub fn hold_watch(&mut self, queued: QueuedCall, wait_ends_at: Nanos) -> Option<ReadyOutcome> {
         let QueuedCall { requester, call, expires_at } = queued;
         let Call::WatchGroup { group, after, .. } = call else { return None };
@@ -218,8 +221,8 @@
         None
     }
 
-    /// An outcome waits for the confirmation of the leader's ballot, and for the commit of the change that it was decided on. Returns
-    /// the number of the confirmation.
+    /// Holds an outcome until the leader's ballot is confirmed and the change with sequence number `decided_on` is committed. Returns the
+    /// number of the confirmation that the caller has to request.
     pub fn await_confirmation(
         &mut self,
         requester: Requester,
@@ -234,7 +237,8 @@
         self.last_confirmation
     }
 
-    /// A quorum has confirmed the leader's ballot. `committed` is the number of the last committed change.
+    /// Records that a quorum has confirmed the leader's ballot for the confirmation of this number. `committed` is the sequence number of
+    /// the last committed change. Returns the outcome if it may be sent now.
     pub fn confirmed(&mut self, number: u64, committed: u64) -> Option<ReadyOutcome> {
         let unconfirmed = self.unconfirmed.get_mut(&number)?;
         unconfirmed.is_confirmed = true;
@@ -244,7 +248,7 @@
         self.unconfirmed.remove(&number).map(UnconfirmedOutcome::ready)
     }
 
-    /// All changes up to this number are committed. Returns the outcomes that may be sent by that.
+    /// Records that all changes up to this sequence number are committed. Returns the outcomes that may be sent now.
     pub fn changes_committed(&mut self, sequence: u64) -> Vec<ReadyOutcome> {
         let committed: Vec<OpenCall> =
             self.open_calls.extract_if(..=sequence, |_, _| true).map(|(_, open)| open).collect();
@@ -266,7 +270,8 @@
         ready
     }
 
-    /// Answers the watches of a group that has later revisions than they know. The puts are committed: no confirmation is needed.
+    /// Answers the held watches of a group that has later committed revisions. As those puts are committed, the answers need no
+    /// confirmation of the leader's ballot.
     fn answer_watches(&mut self, group: &str) -> Vec<ReadyOutcome> {
         let Some(committed) = self.committed_revision(group) else { return Vec::new() };
         let Phase::Deciding(state) = &self.phase else { return Vec::new() };
@@ -282,7 +287,8 @@
         ready
     }
 
-    /// Removes the watches whose wait is over: they are decided once more, and answered with what there is.
+    /// Removes the watches whose wait is over. Returns for each the requester, an outcome without events, and the time at which that
+    /// outcome expires.
     pub fn take_ended_watches(&mut self, now: Nanos) -> Vec<(Requester, CallOutcome, Nanos)> {
         let ended = self.watches.extract_if(.., |_, watch| now >= watch.wait_ends_at);
         let empty_outcome = |(requester, watch): (Requester, HeldWatch)| {
@@ -292,21 +298,21 @@
         ended.map(empty_outcome).collect()
     }
 
-    /// Notes the outcome that another node is sent.
+    /// Records the outcome of a forwarded call, so that late copies of the call get the same outcome.
     pub fn answered(&mut self, now: Nanos, ready: &ReadyOutcome) {
         if matches!(ready.requester, Requester::Remote(..)) {
             self.answered.push_back((now, ready.clone()));
         }
     }
 
-    /// Removes the call of a caller that no longer waits. Proposals in flight go on.
+    /// Removes the call or watch of a caller that no longer waits. A proposal in flight is not cancelled.
     pub fn cancel(&mut self, id: RequestId) {
         let requester = Requester::Local(id);
         self.waiting.retain(|queued| queued.requester != requester);
         self.watches.remove(&requester);
     }
 
-    /// Drops what has expired. Returns the numbers of confirmations that nothing waits for any longer.
+    /// Drops expired calls and outcomes. Returns the numbers of the confirmations that no outcome waits for any longer.
     pub fn expire(&mut self, now: Nanos) -> Vec<u64> {
         self.waiting.retain(|queued| now < queued.expires_at);
         while self.answered.front().is_some_and(|(at, _)| now >= at + OUTCOME_RETENTION) {
@@ -316,7 +322,7 @@
         expired.map(|(number, _)| number).collect()
     }
 
-    /// The node no longer leads: the queue is empty from now on. Returns the calls of other nodes that nothing was proposed for.
+    /// Clears the queue, as this node no longer leads the partition. Returns the requesters of forwarded calls without a proposal.
     pub fn stepped_down(&mut self) -> Vec<Requester> {
         let dropped = std::mem::take(self);
         self.last_confirmation = dropped.last_confirmation;
--- a/control/src/calls/pending_calls.rs
+++ b/control/src/calls/pending_calls.rs
@@ -1,9 +1,9 @@
-//! The calls at this node that have no outcome yet, and the way of each to the leader of its partition.
+//! The calls at this node that have no outcome yet, and the delivery of each to the leader of its partition.
 //!
-//! A call may come to several leaders: it is sent again where a leader does not answer, and to each new one. That is safe, as each kind of
-//! call may be carried out twice: a lock is given to its holder again, a put is recognised by its value, a number leaves a gap. What has
-//! to be kept apart is what may be said of a call that was given up: only where no copy of it can be carried out any longer does it end
-//! as not started.
+//! Several leaders may receive copies of a call: it is sent again to a leader that does not answer, and to each new leader. That is safe,
+//! as each kind of call may be executed twice: a lock is granted to its holder again, a repeated put is recognised by its value, and a
+//! repeated number leaves a gap. A call that times out ends as not started only where no copy of it can be executed any longer;
+//! otherwise its outcome is unknown.
 
 use std::collections::BTreeMap;
 
@@ -23,15 +23,15 @@
     forward_id: u64,
     expires_at: Nanos,
     delivery: Delivery,
-    /// Copies that may have been carried out, or may yet be: each one that was forwarded, and each one that this node has proposed.
+    /// The number of copies that may have been executed or may still be: the forwarded copies and those that this node has proposed.
     unresolved_copies: u32,
-    /// A copy was answered as not begun, by a node that does not lead. That is believed once, and of the only copy: which copy a second such
-    /// answer is about, and whether it is the first one doubled, is not known.
+    /// Whether a node that does not lead has answered `NotLeader` for the only copy. Such an answer counts once, and only while there is
+    /// one copy: a second answer may be a duplicate of the first one, and does not say which copy it concerns.
     was_rejected: bool,
 }
 
 impl PendingCall {
-    /// The outcome where the call is given up.
+    /// The outcome of a call that ends without an answer from a leader.
     fn undecided_outcome(&self) -> CallOutcome {
         if self.call.is_read() || self.unresolved_copies == 0 {
             CallOutcome::NotStarted(NotStarted::NoQuorum)
@@ -40,13 +40,13 @@
         }
     }
 
-    /// What may be said of the call when one copy of it has ended with this outcome.
+    /// The outcome of the call when one copy of it has ended with `outcome`: `Unknown` where another copy may have a different effect.
     fn outcome_of_all_copies(&self, outcome: CallOutcome) -> CallOutcome {
         if self.call.is_read() || self.unresolved_copies == 0 {
             return outcome;
         }
         match (&outcome, &self.call) {
-            // A revision only rises: a put that expects an earlier one fails in each copy.
+            // Revisions only increase: a put that expects an earlier revision fails in every copy.
             (
                 CallOutcome::Refused(Refusal::RevisionConflict { revision }),
                 Call::PutCell { expected_revision: Some(expected), .. },
@@ -59,18 +59,18 @@
     }
 }
 
-/// How a call is brought to the leader.
+/// The next step in the delivery of a call to the leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallRoute {
-    /// Into this node's own queue.
+    /// Add the call to this node's own queue.
     Enqueue(QueuedCall),
-    /// To another node.
+    /// Send the call to another node.
     Forward {
-        /// The leader.
+        /// The leader of the call's partition.
         to: NodeId,
-        /// Comes back with the outcome.
+        /// The id that the leader returns with the outcome.
         forward_id: u64,
-        /// The call.
+        /// A copy of the pending call.
         call: Call,
     },
 }
@@ -78,9 +78,9 @@
 /// A call that has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedCall {
-    /// The caller's request.
+    /// The id under which the call came to this node.
     pub id: RequestId,
-    /// What became of it.
+    /// The outcome to send to the caller.
     pub outcome: CallOutcome,
 }
 
@@ -92,7 +92,7 @@
 }
 
 impl PendingCalls {
-    /// Adds a call. No other call or request of any process has the same `forward_id`.
+    /// Adds a call. `forward_id` has to be unique among the calls and requests of all processes.
     pub fn insert(&mut self, now: Nanos, id: RequestId, forward_id: u64, call: Call) {
         let expires_at = now + REQUEST_TIMEOUT + call.wait_ms() * MILLISECOND;
         let pending = PendingCall {
@@ -107,18 +107,18 @@
         self.by_forward_id.insert(forward_id, id);
     }
 
-    /// The calls, in the order in which they came.
+    /// The ids of the pending calls, in the order in which the calls came.
     pub fn ids(&self) -> Vec<RequestId> {
         self.calls.keys().copied().collect()
     }
 
-    /// The partition that decides on a call.
+    /// The partition that decides on a call; `None` where the call is not pending.
     pub fn partition(&self, id: RequestId) -> Option<PartitionId> {
         self.calls.get(&id).map(|pending| pending.call.partition())
     }
 
-    /// Brings a call to the leader, unless it is there or on its way. A leader that does not answer is sent it again, as is every new
-    /// leader.
+    /// Returns the next step in the delivery of a call to the leader; `None` while the call is queued at this node or was forwarded to the
+    /// leader recently. The call is forwarded again to a leader that does not answer, and to every new leader.
     pub fn route(&mut self, now: Nanos, id: RequestId, leader: RequestLeader) -> Option<CallRoute> {
         let pending = self.calls.get_mut(&id)?;
         match pending.delivery.next_step(now, leader)? {
@@ -133,21 +133,21 @@
         }
     }
 
-    /// This node, as the leader, has proposed what a call asks for.
+    /// Records that this node, as the leader, has proposed the change of a call.
     pub fn proposed(&mut self, id: RequestId) {
         if let Some(pending) = self.calls.get_mut(&id) {
             pending.unresolved_copies += 1;
         }
     }
 
-    /// This node's own queue of a partition was dropped: its calls are routed anew.
+    /// Marks the calls of a partition for another delivery, as this node's own queue of the partition was dropped.
     pub fn requeue(&mut self, partition: PartitionId) {
         for pending in self.calls.values_mut().filter(|pending| pending.call.partition() == partition) {
             pending.delivery.queue_dropped();
         }
     }
 
-    /// Another node has answered a forwarded call. Returns the call where it has ended by that.
+    /// Handles another node's answer to a forwarded call. Returns the call if that answer ends it.
     pub fn forwarded_copy_ended(&mut self, forward_id: u64, outcome: CallOutcome) -> Option<EndedCall> {
         let id = *self.by_forward_id.get(&forward_id)?;
         let pending = self.calls.get_mut(&id)?;
@@ -156,7 +156,7 @@
             if is_only_copy && !pending.was_rejected {
                 (pending.unresolved_copies, pending.was_rejected) = (0, true);
             }
-            // It is routed anew, to the same node after a while.
+            // The call stays pending and is routed again; to the same node only after the forward interval.
             return None;
         }
         let outcome = if is_only_copy { outcome } else { pending.outcome_of_all_copies(outcome) };
@@ -164,28 +164,29 @@
         Some(EndedCall { id, outcome })
     }
 
-    /// This node's own queue has decided on a call. Returns the call where it was pending.
+    /// Handles the outcome that this node's own queue decided for a call. Returns the call if it was pending.
     pub fn local_copy_ended(&mut self, id: RequestId, outcome: CallOutcome) -> Option<EndedCall> {
         let outcome = self.calls.get(&id)?.outcome_of_all_copies(outcome);
         self.remove(id);
         Some(EndedCall { id, outcome })
     }
 
-    /// Removes a call whose caller no longer waits, or that has ended.
+    /// Removes a call that has ended or whose caller no longer waits.
     pub fn remove(&mut self, id: RequestId) {
         if let Some(pending) = self.calls.remove(&id) {
             self.by_forward_id.remove(&pending.forward_id);
         }
     }
 
-    /// Removes a call that can't be brought to a leader from here.
+    /// Removes a call that can't be delivered to a leader or has expired. Returns the call with its outcome; `None` if it was not
+    /// pending.
     pub fn end_undecided(&mut self, id: RequestId) -> Option<EndedCall> {
         let outcome = self.calls.get(&id)?.undecided_outcome();
         self.remove(id);
         Some(EndedCall { id, outcome })
     }
 
-    /// Removes the calls that have expired.
+    /// Removes the expired calls, and returns them with their outcomes.
     pub fn expire(&mut self, now: Nanos) -> Vec<EndedCall> {
         let expired = self.calls.iter().filter(|(_, pending)| now >= pending.expires_at);
         let expired: Vec<RequestId> = expired.map(|(id, _)| *id).collect();
--- a/control/src/control_plane/calls.rs
+++ b/control/src/control_plane/calls.rs
@@ -1,4 +1,4 @@
-//! Joins applications' calls with the partitions: the way to the leader, the decision, and the outcome.
+//! Connects applications' calls with the partitions: delivery to the leader, decision, and outcome.
 
 use ivyhatch_coordination::{CoordinationState, Decision};
 use ivyhatch_protocol::coordination::{Call, CallOutcome, NotStarted};
@@ -15,9 +15,9 @@
 use crate::requests::delivery::REQUEST_TIMEOUT;
 use crate::requests::request_queue::Requester;
 
-/// Locks whose time ran out this long ago are removed.
+/// An expired lock is removed this long after its expiry.
 const EXPIRED_LOCK_GRACE: Nanos = 30 * SECOND;
-/// The most of them that one change removes.
+/// The largest number of expired locks that one change removes.
 const MAX_LOCKS_REMOVED_PER_CHANGE: usize = 64;
 
 impl ControlPlane {
@@ -25,7 +25,7 @@
         let forward_id = self.requests.next_number();
         self.pending_calls.insert(self.now, id, forward_id, call);
         if !self.config.has_coordination || !self.has_quorum() {
-            // No leader can be reached from here: the caller learns so at once, and turns to another node.
+            // This node can't reach a leader: the call fails at once, so that the caller can retry at another node.
             let ended = self.pending_calls.end_undecided(id);
             return self.end_calls(ended);
         }
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Brings a call to the leader of its partition, as soon as there is one.
+    /// Enqueues a call, or forwards it to the leader of its partition. Does nothing while the leader is unknown; each tick tries again.
     fn route_call(&mut self, id: RequestId) {
         let Some(partition) = self.pending_calls.partition(id) else { return };
         let Some(leader) = self.request_leader(partition) else { return };
@@ -61,8 +61,8 @@
         }
     }
 
-    /// A call that another node has forwarded. As with operators' requests, one that may have been delayed for long is dropped: its
-    /// caller has turned elsewhere since.
+    /// Handles a call that another node has forwarded. As with operators' requests, a call that may have been delayed for longer than
+    /// [`FORWARD_MAX_AGE`](crate::requests::admin_requests::FORWARD_MAX_AGE) is dropped: its caller has retried at another node since.
     pub(super) fn on_forwarded_call(
         &mut self,
         from: NodeId,
@@ -87,7 +87,7 @@
         self.end_calls(ended);
     }
 
-    /// Puts a call before this node, the leader of its partition.
+    /// Adds a call to the queue of its partition, which this node leads.
     fn enqueue_call(&mut self, partition: PartitionId, queued: QueuedCall) {
         let Some(queue) = self.call_queues.get_mut(&partition) else { return };
         let requester = queued.requester;
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Decides the calls before this node, the leader of a partition, until as many as may be are being agreed on.
+    /// Decides queued calls of a partition that this node leads, until the queue is empty or the limit of proposals in flight is reached.
     pub(super) fn decide_calls(&mut self, partition: PartitionId) {
         while self.partitions.can_propose(partition) && self.prepare_to_decide(partition) {
             let now = self.now;
@@ -112,14 +112,15 @@
         }
     }
 
-    /// Whether the leader decides. A new one first has a barrier committed, and then reads the state.
+    /// Returns whether this node, as the leader, may decide calls now. A new leader first commits a barrier, and then reads the
+    /// partition's state.
     fn prepare_to_decide(&mut self, partition: PartitionId) -> bool {
         let Some(queue) = self.call_queues.get_mut(&partition) else { return false };
         if queue.is_deciding() {
             return true;
         }
         if queue.needs_barrier() {
-            // Where nothing was ever stored, the first call is soon enough.
+            // An empty partition needs no barrier before its first call.
             if queue.is_empty() && self.partitions.committed_sequence(partition) == 0 {
                 return false;
             }
@@ -185,8 +186,8 @@
         self.apply_effects(partition, effects);
     }
 
-    /// Sends an outcome that changes nothing once all that it was decided on is committed, and a quorum has confirmed the leader's
-    /// ballot: that nothing changes, too, may only be said by a leader that is certain to lead still.
+    /// Sends an outcome that proposes no change, once the state that it was decided on is committed and a quorum has confirmed the
+    /// leader's ballot: without that confirmation another leader may have changed the state since.
     fn respond_when_call_confirmed(
         &mut self,
         partition: PartitionId,
@@ -207,7 +208,7 @@
         self.send_outcomes(partition, ready);
     }
 
-    /// Changes of a partition that this node leads are committed up to this number.
+    /// Called when the changes of a partition that this node leads are committed up to this sequence number.
     pub(super) fn on_calls_committed(&mut self, partition: PartitionId, sequence: u64) {
         let queue = self.call_queues.get_mut(&partition);
         let ready = queue.map(|queue| queue.changes_committed(sequence)).unwrap_or_default();
@@ -243,7 +244,8 @@
         }
     }
 
-    /// This node no longer leads a partition. Its own calls go to the new leader, and other nodes are shown that theirs have to.
+    /// Called when this node no longer leads a partition. Calls that came to this node are routed to the new leader; forwarded calls are
+    /// answered with `NotLeader`, so that the nodes that forwarded them route them anew.
     pub(super) fn on_calls_stepped_down(&mut self, partition: PartitionId) {
         let Some(queue) = self.call_queues.get_mut(&partition) else { return };
         let dropped = queue.stepped_down();
--- a/control/src/control_plane/consensus.rs
+++ b/control/src/control_plane/consensus.rs
@@ -1,4 +1,4 @@
-//! Joins the partitions with elections, the disk and the network: messages of the consensus, and what its effects cause.
+//! Connects the partitions with elections, the disk and the network: handles consensus messages and carries out their effects.
 
 use ivyhatch_protocol::ids::{NodeId, PartitionId};
 use ivyhatch_protocol::peer::{ConsensusMessage, PeerMessage};
@@ -12,7 +12,7 @@
 use crate::outbox::Envelope;
 use crate::storage::record::Record;
 
-/// Whether a message speaks only of what is committed. Such a message counts under any membership.
+/// Whether a message concerns committed changes only. Such a message is valid under any membership.
 fn is_learner_message(message: &ConsensusMessage) -> bool {
     matches!(
         message,
@@ -56,7 +56,7 @@
         self.decide_next(partition);
     }
 
-    /// Decides what waits before this node, where it leads the partition and more may be proposed now.
+    /// Decides the queued calls or requests of a partition, if this node leads the partition and may propose more changes now.
     fn decide_next(&mut self, partition: PartitionId) {
         if partition.is_coordination() {
             self.decide_calls(partition);
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Carries out what a partition wants done, in order.
+    /// Carries out the effects of a partition's replica, in order.
     pub(super) fn apply_effects(&mut self, partition: PartitionId, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
@@ -94,12 +94,12 @@
         }
     }
 
-    /// Whether a node understands messages that carry registers; `None` before a message of it has shown that.
+    /// Whether a node understands messages that carry registers; `None` before a message from that node has shown it.
     pub(super) fn known_support(&self, node: NodeId) -> Option<bool> {
         if node == self.config.node { Some(true) } else { self.peers.supports_registers(node) }
     }
 
-    /// Whether a node is known to have a partition: releases before coordination can't decode what is in its partitions.
+    /// Whether a node is known to have a partition. Releases before coordination can't decode the contents of the coordination partitions.
     pub(super) fn has_partition(&self, node: NodeId, partition: PartitionId) -> bool {
         let is_own = node == self.config.node && self.config.has_coordination;
         !partition.is_coordination() || is_own || self.peers.supports_coordination(node)
@@ -110,8 +110,8 @@
         self.known_support(node) == Some(true)
     }
 
-    /// A consensus message in the form that its receiver understands; `None` where there is none. Before the receiver's first message
-    /// that form is not known: the message counts as lost, and is sent again by the one who waits for its answer.
+    /// The envelope of a consensus message, in the form that its receiver understands; `None` where there is no such form. The form is
+    /// not known before the receiver's first message: until then the message is dropped, and is retried as if it were lost.
     fn envelope(&self, to: NodeId, partition: PartitionId, message: ConsensusMessage) -> Option<Envelope> {
         if !self.has_partition(to, partition) {
             return None;
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Sends a message to several other nodes.
+    /// Sends a message to other voters, to each in the form that it understands.
     fn send_to_voters(
         &mut self,
         mut voters: Vec<NodeId>,
@@ -188,14 +188,14 @@
         self.election_backoff.stepped_down(self.now, partition, order_index);
     }
 
-    /// More of a partition is committed: it is published to watchers, recorded as committed, and, by the leader, announced to the other
-    /// nodes.
+    /// Called when further changes of a partition are committed: records the commit, publishes the state to watchers and, as the leader,
+    /// announces the commit to the other nodes.
     fn on_committed(&mut self, partition: PartitionId, record: CommitRecord) {
         let record = match record {
             CommitRecord::Accepted(version) => Record::Committed(partition, version.ballot, version.sequence),
             CommitRecord::Learned(update) => Record::Learned(partition, update),
         };
-        // A node without a disk follows what is committed and keeps nothing.
+        // A node without a disk follows the committed changes and stores nothing.
         if self.replica.id().is_some() {
             self.store_commit(partition, record);
         }
@@ -229,8 +229,8 @@
         self.decide_requests(partition);
     }
 
-    /// Nothing is said by the commits of applications' changes alone: they go to the disk with the next write, as a sync for each would
-    /// double what each call costs.
+    /// Stores the record of a commit. No message depends on the commit record of an application's change, so that record is deferred to
+    /// the next write: a sync for each commit would double the cost of each call.
     fn store_commit(&mut self, partition: PartitionId, record: Record) {
         if partition.is_coordination() && matches!(record, Record::Committed(..)) {
             self.outbox.store_deferred(record);
@@ -239,7 +239,7 @@
         }
     }
 
-    /// Reads the committed registers of a partition, and hands the result to watchers.
+    /// Decodes the committed registers of a partition, and adds the resulting state to the change feed for watchers.
     pub(super) fn publish_committed(&mut self, partition: PartitionId) {
         let Some(version) = self.partitions.replica(partition).map(|replica| replica.acceptor().committed())
         else {
--- a/control/src/control_plane/mod.rs
+++ b/control/src/control_plane/mod.rs
@@ -1,6 +1,8 @@
-//! The control plane of one node: owns the parts, hands each input to those that it concerns, and joins what they decide.
+//! The control plane of one node: owns the components, dispatches each input to the components that handle it, and connects their
+//! decisions.
 //!
-//! Each part has its own module, state and tests, and knows nothing of this one. The joins are here, one module for each concern.
+//! Each component has its own module, state and tests, and does not depend on this module. The submodules connect the components, one
+//! submodule for each concern.
 
 mod calls;
 mod consensus;
@@ -46,7 +48,7 @@
 use crate::watch::router_registry::RouterRegistry;
 use crate::watch::sessions::WatchSessions;
 
-/// The record with which the disk is to be formatted.
+/// The format record that must be written to the disk before anything else.
 #[derive(Debug)]
 struct PendingFormat {
     replica: ReplicaId,
@@ -83,7 +85,7 @@
 }
 
 impl ControlPlane {
-    /// A control node that starts with what its disk holds.
+    /// Creates a control node from the state that was read from its disk.
     pub fn new(config: NodeConfig, stored: DurableState, now: Nanos) -> Self {
         let (stored, pending_format) = format_if_needed(&config, stored);
         let replica = LocalReplica::new(StoredReplica {
@@ -95,7 +97,7 @@
         let mut partitions =
             Partitions::new(config.node, config.incarnation, config.has_coordination, stored.partitions);
         let voters: Vec<NodeId> = replica.voter_nodes().collect();
-        // Nothing leads yet that could step down.
+        // This node leads no partition yet, so no replica steps down.
         partitions.set_voters(&voters);
         let mut plane = Self {
             now,
@@ -129,8 +131,8 @@
         plane
     }
 
-    /// Publishes what the disk holds as committed, so that watchers need not wait for a quorum. They are sent along that this node
-    /// has no quorum yet.
+    /// Publishes the state that the disk holds as committed, so that watchers need not wait for a quorum. The progress messages to
+    /// watchers say that this node has no quorum yet.
     fn publish_stored(&mut self) {
         for partition in PartitionId::control() {
             if self.partitions.committed_sequence(partition) > 0 {
@@ -139,7 +141,8 @@
         }
     }
 
-    /// Handles one input, and appends what is to be done. `now` is the time of a steady clock; it never goes back.
+    /// Handles one input, and appends the resulting outputs to `out`. `now` is the time of a monotonic clock; an earlier time than that
+    /// of the previous input counts as that time.
     pub fn handle(&mut self, now: Nanos, input: Input, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         self.format_disk();
@@ -247,7 +250,7 @@
         self.outbox.write_completed(token);
     }
 
-    /// The cluster as this node sees it now.
+    /// A view of the cluster from the local replica, the peers' heartbeats and the current time.
     fn view(&self) -> ClusterView<'_> {
         ClusterView {
             now: self.now,
@@ -276,8 +279,9 @@
         self.view().has_quorum()
     }
 
-    /// The addresses of the routers that clients of a region should use. Routers of a region that is partitioned from the others
-    /// can't serve what is bound to other regions: its clients are sent to routers of those as well.
+    /// The addresses of the routers that clients of a region should use. The routers of a region that is partitioned from the other
+    /// regions can't serve requests that are bound to those: the region's clients get the addresses of routers of the other regions
+    /// as well.
     pub fn router_addresses(&self, region: &str) -> Vec<String> {
         if self.has_quorum() {
             return self.routers.addresses_for_region(region);
@@ -289,63 +293,63 @@
         self.routers.addresses_while_partitioned(region, &elsewhere)
     }
 
-    /// The other control nodes that can be reached now.
+    /// The other control nodes that this node can reach now.
     pub fn reachable_peers(&self) -> Vec<NodeId> {
         self.peers.reachable_nodes(self.now)
     }
 
-    /// The zone of another control node, as its heartbeats have it.
+    /// The zone of another control node, from its last heartbeat; `None` before its first heartbeat.
     pub fn zone_of_peer(&self, node: NodeId) -> Option<&str> {
         self.peers.heartbeat(node).map(|heartbeat| heartbeat.zone.as_str())
     }
 
-    /// Whether applications may take locks, numbers and cells here.
+    /// Whether this node has the partitions of applications' locks, numbers and cells, and so accepts calls for them.
     pub fn has_coordination(&self) -> bool {
         self.config.has_coordination
     }
 
-    /// Whether a zone is one of the deployment's.
+    /// Whether the deployment has a zone of this name.
     pub fn has_zone(&self, zone: &str) -> bool {
         self.config.zones.contains(zone)
     }
 
-    /// This replica; `None` without a disk.
+    /// The id of this node's replica; `None` without a disk.
     pub fn replica(&self) -> Option<ReplicaId> {
         self.replica.id()
     }
 
-    /// The status of this replica in the membership.
+    /// The status of this node's replica in the newest known membership.
     pub fn status(&self) -> ReplicaStatus {
         self.replica.status()
     }
 
-    /// The newest membership that is known here.
+    /// The newest membership that this node knows; `None` before the first one.
     pub fn membership(&self) -> Option<&Membership> {
         self.replica.membership()
     }
 
-    /// What is known to be committed of a partition: the sequence number of its last change, and its state.
+    /// The sequence number of a partition's last change that this node knows to be committed, and the partition's state.
     pub fn committed_state(&self, partition: PartitionId) -> (u64, Option<&PartitionState>) {
         (self.partitions.committed_sequence(partition), self.partitions.state(partition))
     }
 
-    /// The ballot under which this node leads a partition now, if it does.
+    /// The ballot under which this node leads a partition; `None` where this node does not lead the partition.
     pub fn leader_ballot(&self, partition: PartitionId) -> Option<Ballot> {
         self.partitions.leader_ballot(partition)
     }
 
-    /// The list of servers as it is known here.
+    /// This node's copy of the server list.
     pub fn server_list(&self) -> &ServerList {
         self.server_list.list()
     }
 
-    /// The state of the cluster as this node knows it, for operators.
+    /// A report for operators of the state of the cluster as this node knows it.
     pub fn report(&self) -> Report {
         report::report(&self.view(), &self.partitions)
     }
 }
 
-/// The state of a node of a release before registers.
+/// Converts the partitions' whole values, as a node of a release before registers sends them, to states with registers.
 fn convert_whole_states(partitions: &[(PartitionId, AcceptorState)]) -> Vec<(PartitionId, TransferredState)> {
     let state = |(partition, state): &(PartitionId, AcceptorState)| {
         (*partition, whole_values::transferred_state_of(*partition, state))
@@ -353,8 +357,8 @@
     partitions.iter().map(state).collect()
 }
 
-/// What the disk holds, and the format that it needs first: where it is empty, or was formatted on another machine. Such a disk is a
-/// copy, or was moved, and its promises are another replica's.
+/// Returns the state that the disk holds, and the format that the disk needs first if it is empty or was formatted on another machine. A
+/// disk of another machine is a copy or was moved: its promises are those of another replica, and its state is discarded.
 fn format_if_needed(config: &NodeConfig, stored: DurableState) -> (DurableState, Option<PendingFormat>) {
     let is_foreign = stored.replica.is_some_and(|formatted| formatted.id.node != config.node);
     let mut stored = if is_foreign { DurableState::default() } else { stored };
--- a/control/src/control_plane/peers.rs
+++ b/control/src/control_plane/peers.rs
@@ -1,4 +1,4 @@
-//! Joins the failure detector, heartbeats and catch-up: connections, contact with a quorum, and what heartbeats cause.
+//! Connects the failure detector, heartbeats and catch-up: connections, contact with a quorum, and the handling of heartbeats.
 
 use std::collections::BTreeSet;
 
@@ -16,7 +16,7 @@
         self.send_all_routers(node);
     }
 
-    /// The other nodes: those that support registers, and those of earlier releases.
+    /// Splits the other nodes into those that support registers and those of earlier releases.
     pub(super) fn peers_by_release(&self) -> (Vec<NodeId>, Vec<NodeId>) {
         self.peers.nodes().partition(|node| self.supports_registers(*node))
     }
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Requests what the other node has committed and this one lacks.
+    /// Requests the committed changes and the server list that the sender of a heartbeat has and this node lacks.
     fn fetch_missing(&mut self, from: NodeId, heartbeat: &Heartbeat) {
         for (partition, sequence) in heartbeat.committed_changes() {
             let after = self.partitions.committed_sequence(partition);
--- a/control/src/control_plane/reconfiguration.rs
+++ b/control/src/control_plane/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! Joins the decisions on the membership with the partitions, the disk and the network: bootstrap, replacement of voters, state
+//! Connects the decisions on the membership with the partitions, the disk and the network: bootstrap, replacement of voters, state
 //! transfer to a new voter, and graceful shutdown.
 
 use ivyhatch_protocol::ids::{NodeId, PartitionId, ReplicaId};
@@ -15,7 +15,7 @@
 use crate::storage::record::Record;
 
 impl ControlPlane {
-    /// Creates the first membership, on the very first start of the whole system.
+    /// Creates the first membership, on the first start of the whole system, after [`reconfiguration::BOOTSTRAP_DELAY`].
     pub(super) fn bootstrap(&mut self) {
         if self.now < self.started_at + reconfiguration::BOOTSTRAP_DELAY {
             return;
@@ -26,7 +26,8 @@
         }
     }
 
-    /// Adopts a membership that has been decided, if it is newer. From here on nothing counts that was sent under an older one.
+    /// Adopts a membership that has been decided, if its generation is newer. Messages sent under an older membership are ignored from
+    /// then on, except those that concern committed changes only.
     pub(super) fn adopt_membership(&mut self, membership: Membership) {
         let generation = membership.generation;
         if generation <= self.replica.generation() {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Sends the membership to a node that has an older one.
+    /// Sends the membership to a node that has an older membership.
     pub(super) fn send_membership(&mut self, to: NodeId) {
         let Some(membership) = self.replica.membership() else { return };
         if !self.membership_sender.may_send() {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// As the leader of the membership, has the next one decided where a voter's seat should go to another replica.
+    /// As the leader of the membership partition, proposes the next membership where a voter's seat should go to another replica.
     pub(super) fn replace_voters(&mut self) {
         let is_leader = self.is_leader(PartitionId::MEMBERSHIP);
         let next = if is_leader { reconfiguration::next_membership(&self.view()) } else { None };
@@ -91,7 +92,7 @@
         self.apply_effects(PartitionId::MEMBERSHIP, effects);
     }
 
-    /// The next membership is committed under this node's leadership, or this node learns of it.
+    /// Called when the next membership is committed under this node's leadership, or is learned from another node.
     pub(super) fn on_membership_committed(&mut self) {
         let registers = self.partitions.membership_mut().acceptor().registers();
         let Some(value) = registers.value(&RegisterKey::Membership) else { return };
@@ -120,8 +121,8 @@
         let previous = self.replica.membership().into_iter().flat_map(|membership| &membership.previous);
         for node in previous.map(|voter| voter.replica.node).filter(|node| *node != self.config.node) {
             let committed = committed.clone();
-            // A node of a release before registers is sent another request, which does not ask for the partitions of applications. Its
-            // answer would count as all that the node has: no node is sent that request before its release is known.
+            // The request for a node of a release before registers does not ask for the coordination partitions, but the answer counts as
+            // the node's complete state: that request is not sent before the node's release is known.
             if self.config.has_coordination && self.known_support(node).is_none() {
                 continue;
             }
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Sends what this replica has promised and accepted, once all of it, and the membership, is durable.
+    /// Answers a new voter with the promised and accepted state of this replica, once that state and the membership are durable.
     pub(super) fn on_register_transfer_request(
         &mut self,
         from: NodeId,
@@ -142,8 +143,8 @@
         committed: &[u64],
     ) {
         let Some(disk) = self.transferable_disk(generation) else { return };
-        // The states count as all that this replica has: none may be left out to a node that has its partition. What a node has is shown by
-        // its request, or else by its heartbeat, and before that it is sent nothing.
+        // The answer counts as this replica's complete state: it must include every partition that the requester has. The request names
+        // these partitions, or else the requester's heartbeat does; without either the request is not answered.
         let names_all = committed.len() == PartitionId::all().count();
         if !names_all && self.peers.heartbeat(from).is_none() {
             return;
@@ -154,13 +155,13 @@
         self.outbox.store_then_send(Vec::new(), [Envelope { to: from, message }]);
     }
 
-    /// The id of this replica's disk, where it may transfer its state to a new voter of this generation.
+    /// The id of this replica's disk; `None` where this replica may not transfer its state to a new voter of this generation.
     fn transferable_disk(&self, generation: u64) -> Option<u64> {
         let replica = self.replica.id().filter(|_| self.replica.may_transfer_state(generation))?;
         Some(replica.disk)
     }
 
-    /// The same for a new voter of a release before registers.
+    /// Answers a new voter of a release before registers with this replica's state as whole values, once that state is durable.
     pub(super) fn on_state_transfer_request(&mut self, from: NodeId, incarnation: u64, generation: u64) {
         if self.peers.supports_coordination(from) {
             return;
@@ -195,14 +196,15 @@
         self.state_transfer.write_begun(write, joined_generation);
     }
 
-    /// The collected state is durable: this replica votes, unless it has lost its seat meanwhile.
+    /// Called when the collected state is durable: this replica votes from now on, unless it has lost its seat meanwhile.
     pub(super) fn on_collected_state_durable(&mut self, joined_generation: u64) {
         self.replica.set_joined(joined_generation);
         self.update_replica_status();
         self.send_heartbeat();
     }
 
-    /// Begins a graceful shutdown: other nodes take over what this one leads, and it waits for its successor if there is one.
+    /// Begins a graceful shutdown: other nodes take over the partitions that this node leads, and this node waits until its state is
+    /// no longer needed or the drain timeout ends.
     pub(super) fn on_drain(&mut self) {
         if self.drain.begin(self.now) {
             self.send_heartbeat();
--- a/control/src/control_plane/requests.rs
+++ b/control/src/control_plane/requests.rs
@@ -1,4 +1,4 @@
-//! Joins operators' requests with the partitions: the way to the leader, the decision, and the response.
+//! Connects operators' requests with the partitions: delivery to the leader, decision, and response.
 
 use ivyhatch_protocol::ids::{NodeId, PartitionId};
 use ivyhatch_protocol::peer::{AdminRequest, AdminResponse, PeerMessage};
@@ -23,8 +23,8 @@
         self.route_request(id);
     }
 
-    /// An evacuation names no revision that it builds on. Here it gets the number of changes of its zone that this node knows, so
-    /// that a delayed copy does not undo a later request.
+    /// Adds to an evacuation request the number of evacuation changes of its zone that this node knows, so that a delayed copy of the
+    /// request does not undo a later request: an evacuation has no base revision that would prevent that.
     fn with_known_change_count(&self, request: AdminRequest) -> AdminRequest {
         match request {
             AdminRequest::Evacuate { zone, active, .. } => {
@@ -42,26 +42,27 @@
         }
     }
 
-    /// The leader of a partition, as the target of a request.
+    /// The leader of a partition, as the target of a request; `None` while the leader is unknown.
     pub(super) fn request_leader(&self, partition: PartitionId) -> Option<RequestLeader> {
         let leader = self.leader(partition)?;
         let is_local = leader == self.config.node;
         Some(if is_local { RequestLeader::Local } else { RequestLeader::Remote(leader) })
     }
 
-    /// The number of another node's last heartbeat, which goes with what is forwarded to it.
+    /// The sequence number of the last heartbeat from another node, which is sent with each call or request forwarded to that node; 0
+    /// where there is no current heartbeat.
     pub(super) fn last_heartbeat_of(&self, node: NodeId) -> u64 {
         self.view().current_heartbeat(node).map_or(0, |heartbeat| heartbeat.sequence)
     }
 
-    /// Whether what another node has forwarded is no older than [`FORWARD_MAX_AGE`], by the last of this node's heartbeats that the
-    /// other node had received.
+    /// Whether a forwarded call or request is no older than [`FORWARD_MAX_AGE`], measured from the send time of this node's last
+    /// heartbeat that the forwarding node had received.
     pub(super) fn is_fresh_forward(&self, last_heartbeat: u64) -> bool {
         let heartbeat_sent_at = self.heartbeats.sent_at(last_heartbeat);
         heartbeat_sent_at.is_some_and(|at| self.now <= at + FORWARD_MAX_AGE)
     }
 
-    /// Brings a request to the leader of its partition, as soon as there is one.
+    /// Enqueues a request, or forwards it to the leader of its partition. Does nothing while the leader is unknown; each tick tries again.
     fn route_request(&mut self, id: RequestId) {
         let Some(partition) = self.requests.partition(id) else { return };
         let Some(leader) = self.request_leader(partition) else { return };
@@ -76,8 +77,8 @@
         }
     }
 
-    /// A request that another node has forwarded. By the last of this node's heartbeats that the other node had received, this one
-    /// knows how old the request is at most.
+    /// Handles a request that another node has forwarded. `last_heartbeat`, the last of this node's heartbeats that the forwarding node
+    /// had received, bounds the age of the request. A stale request is dropped, as is one whose partition this node does not lead.
     pub(super) fn on_forwarded_request(
         &mut self,
         from: NodeId,
@@ -94,7 +95,7 @@
         self.enqueue_request(partition, queued);
     }
 
-    /// Puts a request before this node, the leader of its partition.
+    /// Adds a request to the queue of its partition, which this node leads.
     fn enqueue_request(&mut self, partition: PartitionId, queued: QueuedRequest) {
         if self.requests.enqueue(partition, queued) {
             self.decide_requests(partition);
@@ -107,7 +108,8 @@
         }
     }
 
-    /// Decides the requests before this node, the leader of a partition, until as many as may be are being agreed on.
+    /// Decides queued requests of a partition that this node leads, until the queue is empty or the limit of proposals in flight is
+    /// reached.
     pub(super) fn decide_requests(&mut self, partition: PartitionId) {
         while self.partitions.can_propose(partition) {
             let Some(queued) = self.requests.next(self.now, partition) else { return };
@@ -164,8 +166,8 @@
         }
     }
 
-    /// Sends a response once a quorum has confirmed the leader's ballot: that nothing changes, too, may only be said by a leader that
-    /// is certain to lead still.
+    /// Sends a response once a quorum has confirmed the leader's ballot: without that confirmation another leader may have changed the
+    /// state since.
     pub(super) fn respond_when_confirmed(&mut self, partition: PartitionId, response: UnconfirmedResponse) {
         let number = self.requests.await_confirmation(partition, response);
         self.confirm_leadership(partition, number);
--- a/control/src/control_plane/server_list.rs
+++ b/control/src/control_plane/server_list.rs
@@ -1,4 +1,4 @@
-//! Joins the role of the server list's reader with elections and the network.
+//! Connects the server list reader's role with elections and the network.
 
 use ivyhatch_protocol::ids::{Ballot, NodeId};
 use ivyhatch_protocol::peer::PeerMessage;
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Another node has led the role's partition meanwhile: this one steps down, and starts an election at its next tick.
+    /// Steps down from the role's partition, which another node has led meanwhile. This node starts an election at its next tick.
     fn renew_reader_ballot(&mut self, superseded_by: Ballot) {
         let partition = reader_partition();
         let Some(replica) = self.partitions.replica_mut(partition) else { return };
@@ -62,7 +62,7 @@
         self.apply_effects(partition, effects);
     }
 
-    /// Sends a change of the list to all other control nodes, to those of earlier releases in the form that they understand.
+    /// Sends a change of the server list to all other control nodes, to nodes of earlier releases in the form that these understand.
     fn broadcast_server_list(&mut self, change: ServerListChange) {
         let (peers, of_earlier_releases) = self.peers_by_release();
         if !of_earlier_releases.is_empty() {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Requests what this node lacks of the list.
+    /// Requests from another node the changes of the server list that this node lacks.
     pub(super) fn request_server_list(&mut self, from: NodeId) {
         let request = match self.supports_registers(from) {
             true => PeerMessage::ServerListFetch(self.server_list.list().position()),
--- a/control/src/control_plane/watchers.rs
+++ b/control/src/control_plane/watchers.rs
@@ -1,4 +1,4 @@
-//! Joins the watch sessions with the router registry, the change feed and the server list.
+//! Connects the watch sessions with the router registry, the change feed and the server list.
 
 use ivyhatch_protocol::Nanos;
 use ivyhatch_protocol::ids::NodeId;
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Closes sessions that have timed out, and sends the routers of this node to the others where that is due.
+    /// Closes sessions that have timed out, and reports this node's routers to the other control nodes when that is due.
     pub(super) fn maintain_watch_sessions(&mut self) {
         let has_quorum = self.has_quorum();
         self.routers.refresh(self.now, has_quorum);
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Sends the other control nodes how the routers of this node have changed since the last report.
+    /// Sends the other control nodes the changes of this node's routers since the last report; to nodes of earlier releases, all routers.
     fn send_routers(&mut self) {
         let (peers, of_earlier_releases) = self.peers_by_release();
         let changes = self.routers.take_report(self.now);
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Sends one of the other control nodes all routers of this node.
+    /// Sends all routers of this node to another control node.
     pub(super) fn send_all_routers(&mut self, to: NodeId) {
         let routers = self.routers.local_routers();
         self.outbox.send_to_peer(to, PeerMessage::RouterSessions(routers));
@@ -77,12 +77,12 @@
         }
     }
 
-    /// How far this node is with all that is watched.
+    /// This node's position in everything that watchers follow: the configuration, the evacuations and the server list.
     fn position(&self) -> Position {
         Position { server_list: self.server_list.list().position(), ..self.feed.position() }
     }
 
-    /// The control nodes that are known, in the order of addresses.
+    /// The control nodes that this node knows, itself included, in the order of addresses.
     fn control_nodes(&self) -> Vec<ControlNode> {
         let zone =
             |node| self.peers.heartbeat(node).map_or_else(String::new, |heartbeat| heartbeat.zone.clone());
@@ -93,7 +93,7 @@
         nodes
     }
 
-    /// Sends updates and progress on the sessions where they are due.
+    /// Sends updates and progress on the sessions that are due.
     pub(super) fn publish_to_watchers(&mut self) {
         let position = self.position();
         let due = self.sessions.due(self.now, &position);
@@ -119,7 +119,8 @@
     }
 }
 
-/// What a watcher at this position lacks.
+/// The updates that a watcher at this position lacks. `supports_extensions` selects the message variants; see
+/// [`Position::with_extensions_mark`].
 fn updates_since(
     now: Nanos,
     feed: &ChangeFeed,
--- a/control/src/load_aggregator.rs
+++ b/control/src/load_aggregator.rs
@@ -1,7 +1,7 @@
-//! Sums up the load that routers have put on model servers, for each of them without its own part.
+//! Sums up the load that routers put on model servers. Each router gets the sum without its own share.
 //!
-//! Routers report to one control node each; control nodes send each other the sums over their own routers. Nothing here is agreed on
-//! or stored: what is lost is replaced within a tenth of a second.
+//! Each router reports to one control node; control nodes send each other the sums over their own routers. These loads are neither
+//! decided by consensus nor stored: a lost report is replaced within a tenth of a second.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -9,12 +9,12 @@
 use ivyhatch_protocol::load_exchange::ServerLoad;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
-/// A report counts for this long: four intervals of a router.
+/// How long a report counts: four report intervals of a router.
 const REPORT_LIFETIME: Nanos = 400 * MILLISECOND;
-/// A report of another region's servers counts for this long: two of its intervals and a half.
+/// How long a report of another region's servers counts: two and a half intervals of such reports.
 const REMOTE_REPORT_LIFETIME: Nanos = 2500 * MILLISECOND;
 
-/// The load at one server, over several senders.
+/// The load at one server, summed over several senders.
 #[derive(Clone, Copy, Debug, Default)]
 struct Total {
     queued_tokens: u64,
@@ -43,18 +43,19 @@
     }
 }
 
-/// What a sender has reported last.
+/// The last report of a sender.
 #[derive(Debug)]
 struct Report {
     loads: Vec<ServerLoad>,
     received_at: Nanos,
 }
 
-/// The reports of some senders, and their sum.
+/// The reports of a group of senders, and their sum.
 #[derive(Debug)]
 struct Reports {
     lifetime: Nanos,
     by_sender: BTreeMap<NodeId, Report>,
+    /// The sum of all reports, by the key of the server.
     totals: HashMap<u32, Total>,
 }
 
@@ -63,7 +64,7 @@
         Self { lifetime, by_sender: BTreeMap::new(), totals: HashMap::new() }
     }
 
-    /// Adds the report of a sender that has none.
+    /// Adds the report of a sender that has no report here.
     fn insert(&mut self, now: Nanos, sender: NodeId, loads: Vec<ServerLoad>) {
         for load in &loads {
             self.totals.entry(load.server).or_default().add(load.into());
@@ -98,12 +99,12 @@
     }
 }
 
-/// The loads that are known at one control node.
+/// The loads that one control node knows.
 #[derive(Debug)]
 pub struct LoadAggregator {
     routers: Reports,
     control_nodes: Reports,
-    /// What control nodes of other regions report of their own servers.
+    /// Reports of control nodes of other regions on the servers of their own regions.
     remote_regions: Reports,
 }
 
@@ -118,7 +119,7 @@
 }
 
 impl LoadAggregator {
-    /// Takes a router's report, and returns what all other routers have at the servers.
+    /// Records a router's report, and returns the load that all other routers have at the servers.
     pub fn record_report(&mut self, now: Nanos, router: NodeId, loads: Vec<ServerLoad>) -> Vec<ServerLoad> {
         self.expire(now);
         self.routers.remove(router);
@@ -130,13 +131,13 @@
         server_loads(&others)
     }
 
-    /// Takes the sum over another control node's routers.
+    /// Records the sum over another control node's routers.
     pub fn record_exchange(&mut self, now: Nanos, control_node: NodeId, loads: Vec<ServerLoad>) {
         self.control_nodes.remove(control_node);
         self.control_nodes.insert(now, control_node, loads);
     }
 
-    /// Takes what a control node of another region has at the servers of that region.
+    /// Records the load that the routers of a control node of another region have at the servers of that region.
     pub fn record_remote_exchange(&mut self, now: Nanos, control_node: NodeId, loads: Vec<ServerLoad>) {
         self.remote_regions.remove(control_node);
         self.remote_regions.insert(now, control_node, loads);
--- a/control/src/load_exchange.rs
+++ b/control/src/load_exchange.rs
@@ -1,5 +1,8 @@
-//! Which loads a control node sends to whom: to routers what the others have at the servers of its region, to control nodes of other regions
-//! what its routers have at theirs. What is elsewhere follows once a second, for the choice of a region to overflow to.
+//! Selects the loads that a control node sends to routers and to other control nodes.
+//!
+//! Routers get the load of the other routers at the servers of the control node's region. Control nodes of the same region get the load of
+//! this node's routers at all servers; those of another region get only the load at the servers of that region. The load at servers
+//! elsewhere is sent once a second, for the choice of a region to overflow to.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,38 +12,38 @@
 
 use crate::load_aggregator::LoadAggregator;
 
-/// Interval of what is said of other regions' servers.
+/// The interval of `RemoteSummary` and `RemoteExchange` datagrams to one receiver.
 const REMOTE_INTERVAL: Nanos = SECOND;
 
-/// A region, by its index in the order of names.
+/// The index of a region in the order of region names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RegionIndex(pub u32);
 
-/// Another control node.
+/// Another control node and its region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerLocation {
-    /// The node.
+    /// The id of the control node.
     pub node: NodeId,
-    /// Its region; none where it is not known.
+    /// The region of the control node; `None` where it is not known.
     pub region: Option<RegionIndex>,
 }
 
-/// What a control node has to know of the deployment to send each load where it counts.
+/// The topology of the deployment, by which a control node selects the receivers of each load.
 pub trait LoadTopology {
     /// The control node's own region.
     fn own_region(&self) -> RegionIndex;
-    /// The other control nodes that can be reached.
+    /// The other control nodes that are reachable.
     fn peers(&self) -> Vec<PeerLocation>;
-    /// The region of a server, by [`ivyhatch_protocol::load_exchange::server_key`]; none where it is not known.
+    /// The region of the server with this [`ivyhatch_protocol::load_exchange::server_key`]; `None` where it is not known.
     fn server_region(&self, server: u32) -> Option<RegionIndex>;
 }
 
-/// The exchange at one control node.
+/// The load exchange of one control node.
 #[derive(Debug)]
 pub struct LoadExchange<T> {
     topology: T,
     aggregator: LoadAggregator,
-    /// When the last [`LoadDatagram::RemoteSummary`] was sent to each router.
+    /// The time at which the last [`LoadDatagram::RemoteSummary`] was sent to each router.
     remote_summary_sent_at: BTreeMap<NodeId, Nanos>,
     remote_exchange_sent_at: Option<Nanos>,
     /// Control nodes of other regions whose last exchange held loads.
@@ -48,7 +51,7 @@
 }
 
 impl<T: LoadTopology> LoadExchange<T> {
-    /// No loads are known yet.
+    /// Creates an exchange without any loads.
     pub fn new(topology: T) -> Self {
         Self {
             topology,
@@ -59,12 +62,12 @@
         }
     }
 
-    /// What is to be sent to other control nodes now. Expected ten times a second.
+    /// The datagrams to send to other control nodes now. Expected to be called ten times a second.
     pub fn exchanges(&mut self, now: Nanos) -> Vec<(NodeId, LoadDatagram)> {
         let is_remote_due = is_due(self.remote_exchange_sent_at, now);
         if is_remote_due {
             self.remote_exchange_sent_at = Some(now);
-            // A router that has sent no report for two intervals is gone, or gets its next summary at once.
+            // A router without a report for two intervals is gone; if it reports again, it gets a remote summary at once.
             self.remote_summary_sent_at.retain(|_, sent_at| now < *sent_at + 2 * REMOTE_INTERVAL);
         }
         let own_region = self.topology.own_region();
@@ -78,7 +81,7 @@
             };
             let loads = self.in_region(&sum, region);
             let is_loaded = !loads.is_empty();
-            // Once without loads after some: those are gone.
+            // One empty exchange after a non-empty one clears the loads at the receiver.
             if is_loaded || self.loaded_peers.contains(&node) {
                 datagrams.push((node, LoadDatagram::Exchange(loads)));
             }
@@ -99,7 +102,7 @@
         loads.iter().filter(is_in_region).copied().collect()
     }
 
-    /// Takes a datagram, and returns the answers to its sender.
+    /// Handles a datagram, and returns the answers to its sender.
     pub fn receive(&mut self, now: Nanos, from: NodeId, datagram: LoadDatagram) -> Vec<LoadDatagram> {
         match datagram {
             LoadDatagram::Report(loads) => return self.answer(now, from, loads),
@@ -110,7 +113,8 @@
         Vec::new()
     }
 
-    /// What the other routers have: near by at once, elsewhere once a second. A server whose region is not known counts as near.
+    /// Answers a router's report with the load of the other routers: at servers of the own region in each answer, at other servers once a
+    /// second. A server whose region is not known counts as one of the own region.
     fn answer(&mut self, now: Nanos, router: NodeId, loads: Vec<ServerLoad>) -> Vec<LoadDatagram> {
         let others = self.aggregator.record_report(now, router, loads);
         let own_region = self.topology.own_region();
--- a/control/src/outbox.rs
+++ b/control/src/outbox.rs
@@ -1,4 +1,4 @@
-//! Collects what one input causes: outputs in their order, messages of the node to itself, and messages that wait for a write.
+//! Collects the effects of one input: outputs in order, messages of the node to itself, and messages that wait for a write.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,13 +12,13 @@
 /// A message and its receiver, which may be the node itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Envelope {
-    /// The receiver.
+    /// The receiving node, which may be the sender.
     pub to: NodeId,
-    /// The message.
+    /// The content that the receiver handles.
     pub message: PeerMessage,
 }
 
-/// The outputs of a node, and the messages that are not on their way yet.
+/// The outputs of a node, and its messages that are not sent or handled yet.
 #[derive(Debug)]
 pub struct Outbox {
     node: NodeId,
@@ -26,12 +26,12 @@
     loopback: VecDeque<PeerMessage>,
     last_token: WriteToken,
     sent_after_write: BTreeMap<WriteToken, Vec<Envelope>>,
-    /// Records that go to the disk with the next write.
+    /// Records that are stored with the next write.
     deferred: Vec<Record>,
 }
 
 impl Outbox {
-    /// An empty outbox of a node.
+    /// Creates an empty outbox for a node.
     pub fn new(node: NodeId) -> Self {
         Self {
             node,
@@ -48,12 +48,12 @@
         self.outputs.push(output);
     }
 
-    /// Appends a line for the log.
+    /// Appends an event to be logged.
     pub fn log(&mut self, event: LogEvent) {
         self.push(Output::Log(event));
     }
 
-    /// Sends a message; one to the node itself is returned by [`Outbox::next_loopback`].
+    /// Sends a message. A message to the node itself is returned by [`Outbox::next_loopback`] instead.
     pub fn send(&mut self, envelope: Envelope) {
         if envelope.to == self.node {
             self.loopback.push_back(envelope.message);
@@ -67,7 +67,7 @@
         self.push(Output::Send(to, message));
     }
 
-    /// Sends a message to each of these other nodes.
+    /// Sends a message to several other nodes, as one output.
     pub fn send_to_peers(&mut self, peers: Vec<NodeId>, message: PeerMessage) {
         match peers[..] {
             [] => {}
@@ -76,12 +76,13 @@
         }
     }
 
-    /// Stores records. No message may speak of them before they are durable.
+    /// Stores records. No message that depends on these records may be sent before the write is durable. Returns the token of the write.
     pub fn store(&mut self, records: Vec<Record>) -> WriteToken {
         self.store_then_send(records, None)
     }
 
-    /// Stores a record that no message waits for, with the next write: it costs no sync of its own. The order of records stays.
+    /// Stores a record with the next write, so that the record costs no sync of its own. No message may depend on the record. The order of
+    /// records is kept.
     pub fn store_deferred(&mut self, record: Record) {
         self.deferred.push(record);
     }
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Stores records, and sends a message once they and all earlier ones are durable.
+    /// Stores records, and sends messages once these and all earlier records are durable. Returns the token of the write.
     pub fn store_then_send(
         &mut self,
         mut records: Vec<Record>,
@@ -109,19 +110,19 @@
         self.last_token
     }
 
-    /// A write is durable: what has waited for it is sent.
+    /// Sends the messages that waited for a write, which is durable now.
     pub fn write_completed(&mut self, token: WriteToken) {
         for envelope in self.sent_after_write.remove(&token).unwrap_or_default() {
             self.send(envelope);
         }
     }
 
-    /// The oldest message of the node to itself that has not been handled.
+    /// Removes and returns the oldest message of the node to itself.
     pub fn next_loopback(&mut self) -> Option<PeerMessage> {
         self.loopback.pop_front()
     }
 
-    /// Moves the outputs behind those that are there.
+    /// Moves all outputs to the end of `out`.
     pub fn drain_into(&mut self, out: &mut Vec<Output>) {
         out.append(&mut self.outputs);
     }
--- a/control/src/requests/admin_requests.rs
+++ b/control/src/requests/admin_requests.rs
@@ -1,4 +1,4 @@
-//! The operators' requests on one node: those that came to it, and those before it as the leader of their partition.
+//! The operators' requests on one node: the requests that came to it, and the requests queued at it as the leader of their partition.
 
 use std::collections::BTreeMap;
 
@@ -13,22 +13,22 @@
     CommittedResponses, Enqueued, QueuedRequest, RequestQueue, UnconfirmedResponse,
 };
 
-/// A forwarded request is carried out only while the leader knows that it is no older than this. An older one may have been delayed
-/// by a network partition, and what the operator has done since must not be undone by it.
+/// The highest age at which the leader accepts a forwarded request. An older request may have been delayed by a network partition, and
+/// must not undo what the operator has done since.
 pub const FORWARD_MAX_AGE: Nanos = 1500 * MILLISECOND;
-/// The bits of the first number of a process that come from its incarnation; the others count from there.
+/// The bits of a number that are taken from the incarnation of the process; the other bits are a counter.
 const INCARNATION_BITS: u64 = 0xffff_ffff_0000_0000;
 
-/// Confirmations of a partition that nothing waits for any longer.
+/// Confirmations of a partition that no response waits for any longer.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ExpiredConfirmations {
-    /// The partition.
+    /// The partition whose leader requested the confirmations.
     pub partition: PartitionId,
     /// The numbers of the confirmations.
     pub numbers: Vec<u64>,
 }
 
-/// The requests of operators.
+/// The operators' requests that wait for a response, and the queue of each partition.
 #[derive(Debug)]
 pub struct AdminRequests {
     last_number: u64,
@@ -37,7 +37,7 @@
 }
 
 impl AdminRequests {
-    /// No requests. The numbers of one process are not those of another, as they begin with its incarnation.
+    /// Creates an empty set of requests. Request numbers begin with bits of the incarnation, so that processes use different numbers.
     pub fn new(incarnation: u64) -> Self {
         Self {
             last_number: incarnation & INCARNATION_BITS,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// A number that no other request or call of any process has.
+    /// Returns a new number, which no other request or call of any process has.
     pub fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
@@ -67,33 +67,34 @@
         }
     }
 
-    /// The requests that came to this node and have no response, in the order in which they came.
+    /// The ids of the requests that came to this node and have no response, in the order in which they came.
     pub fn pending_ids(&self) -> Vec<RequestId> {
         self.pending.ids()
     }
 
-    /// The partition that decides on a pending request.
+    /// The partition that decides on a request; `None` where the request is not pending.
     pub fn partition(&self, id: RequestId) -> Option<PartitionId> {
         self.pending.partition(id)
     }
 
-    /// Brings a pending request to the leader of its partition, unless it is there or on its way.
+    /// Returns the next step in the delivery of a pending request to the leader; see [`PendingRequests::route`].
     pub fn route(&mut self, now: Nanos, id: RequestId, leader: RequestLeader) -> Option<Route> {
         self.pending.route(now, id, leader)
     }
 
-    /// Puts a request before this node, the leader of its partition. Returns whether the queue has grown.
+    /// Adds a request to the queue of its partition, which this node leads. Returns false where the request is a duplicate or shares a
+    /// proposal in flight.
     pub fn enqueue(&mut self, partition: PartitionId, queued: QueuedRequest) -> bool {
         let queue = self.queues.get_mut(&partition);
         queue.is_some_and(|queue| queue.enqueue(queued) == Enqueued::Queued)
     }
 
-    /// Removes the next request of a partition to decide on.
+    /// Removes and returns the oldest queued request of a partition that has not expired.
     pub fn next(&mut self, now: Nanos, partition: PartitionId) -> Option<QueuedRequest> {
         self.queues.get_mut(&partition)?.next(now)
     }
 
-    /// The change that a request asks for is proposed under this number; the response is sent once it is committed.
+    /// Records that the change of a request was proposed with this sequence number. The response is sent once that change is committed.
     pub fn add_open_proposal(
         &mut self,
         partition: PartitionId,
@@ -106,14 +107,15 @@
         }
     }
 
-    /// A response waits until the change of this number is committed, and the leader's ballot is confirmed after it.
+    /// Holds a response until the change with this sequence number is committed and the leader's ballot is confirmed after that.
     pub fn await_commit(&mut self, partition: PartitionId, sequence: u64, response: UnconfirmedResponse) {
         if let Some(queue) = self.queues.get_mut(&partition) {
             queue.await_commit(sequence, response);
         }
     }
 
-    /// A response waits until a quorum has confirmed the leader's ballot. Returns the number of that confirmation.
+    /// Holds a response until a quorum has confirmed the leader's ballot. Returns the number of the confirmation that the caller has to
+    /// request.
     pub fn await_confirmation(&mut self, partition: PartitionId, response: UnconfirmedResponse) -> u64 {
         let number = self.next_number();
         if let Some(queue) = self.queues.get_mut(&partition) {
@@ -122,18 +124,19 @@
         number
     }
 
-    /// A quorum has confirmed the leader's ballot: the response that has waited for it.
+    /// Removes and returns the response that waited for the confirmation of this number, which a quorum has given.
     pub fn confirmed(&mut self, partition: PartitionId, number: u64) -> Option<UnconfirmedResponse> {
         self.queues.get_mut(&partition)?.confirmed(number)
     }
 
-    /// All changes of a partition up to this number are committed.
+    /// Records that all changes of a partition up to this sequence number are committed. Returns the responses that waited for them.
     pub fn changes_committed(&mut self, partition: PartitionId, sequence: u64) -> CommittedResponses {
         let queue = self.queues.get_mut(&partition);
         queue.map(|queue| queue.changes_committed(sequence)).unwrap_or_default()
     }
 
-    /// This node no longer leads a partition. Requests that came to this node go to the new leader; other nodes forward theirs anew.
+    /// Clears the queue of a partition that this node no longer leads. Requests that came to this node are routed to the new leader; other
+    /// nodes forward their requests again.
     pub fn stepped_down(&mut self, partition: PartitionId) {
         if let Some(queue) = self.queues.get_mut(&partition) {
             *queue = RequestQueue::default();
@@ -141,17 +144,17 @@
         self.pending.requeue(partition);
     }
 
-    /// Removes a pending request that has its response. Returns whether it was pending.
+    /// Removes a request that was answered. Returns whether it was pending.
     pub fn complete(&mut self, id: RequestId) -> bool {
         self.pending.remove(id)
     }
 
-    /// Removes the pending request that was forwarded under this id, which has its response.
+    /// Removes the request that was forwarded under this id and was answered. Returns its id if it was pending.
     pub fn complete_forwarded(&mut self, forward_id: u64) -> Option<RequestId> {
         self.pending.remove_forwarded(forward_id)
     }
 
-    /// Drops what has expired in the queues.
+    /// Drops expired requests and responses from the queues. Returns the confirmations that no response waits for any longer.
     pub fn expire_queued(&mut self, now: Nanos) -> Vec<ExpiredConfirmations> {
         let expire = |(partition, queue): (&PartitionId, &mut RequestQueue)| ExpiredConfirmations {
             partition: *partition,
@@ -160,7 +163,7 @@
         self.queues.iter_mut().map(expire).collect()
     }
 
-    /// Removes the pending requests that have expired.
+    /// Removes the pending requests that have expired, and returns their ids.
     pub fn expire_pending(&mut self, now: Nanos) -> Vec<RequestId> {
         self.pending.expire(now)
     }
--- a/control/src/requests/delivery.rs
+++ b/control/src/requests/delivery.rs
@@ -1,49 +1,49 @@
-//! The way of one request or call from the node that it came to, to the leader of its partition.
+//! The delivery of one request or call from the node that received it to the leader of its partition.
 
 use ivyhatch_protocol::ids::NodeId;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
-/// A request is answered within this: callers turn to another node after a second without an answer.
+/// A request times out after this. Less than a second, after which callers retry at another node.
 pub const REQUEST_TIMEOUT: Nanos = 920 * MILLISECOND;
-/// Wait before a request is sent to the same leader again.
+/// The wait before a request is forwarded to the same leader again.
 const FORWARD_INTERVAL: Nanos = 300 * MILLISECOND;
 
 /// The leader of a request's partition, as this node knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestLeader {
-    /// This node.
+    /// This node leads the partition.
     Local,
-    /// Another node.
+    /// Another node leads the partition.
     Remote(NodeId),
 }
 
-/// What brings a request to the leader.
+/// The next step in the delivery of a request to the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeliveryStep {
-    /// It goes into this node's own queue.
+    /// Add the request to this node's own queue.
     Enqueue,
-    /// It goes to another node.
+    /// Send the request to another node, the leader.
     Forward(NodeId),
 }
 
-/// When a request was forwarded last, and to whom.
+/// The receiver and the time of the last forward of a request.
 #[derive(Clone, Copy, Debug)]
 struct Forwarded {
     to: NodeId,
     at: Nanos,
 }
 
-/// How far a request is on its way.
+/// The delivery state of a request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Delivery {
     forwarded: Option<Forwarded>,
-    /// It is in this node's own queue, as this node leads the partition.
+    /// Whether the request is in this node's own queue.
     is_queued: bool,
 }
 
 impl Delivery {
-    /// The next step to this leader; none where the request is there or on its way. A leader that does not answer is sent it again after a
-    /// while, and a new one at once.
+    /// The next step in the delivery to this leader; `None` while the request is queued at this node, or was forwarded to the leader
+    /// less than `FORWARD_INTERVAL` ago. A new leader gets the request at once.
     pub fn next_step(&mut self, now: Nanos, leader: RequestLeader) -> Option<DeliveryStep> {
         match leader {
             RequestLeader::Local if self.is_queued => None,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// This node's own queue was dropped: the request is brought to the leader anew.
+    /// Records that this node's own queue was dropped, so that the request is enqueued again if this node leads again.
     pub fn queue_dropped(&mut self) {
         self.is_queued = false;
     }
--- a/control/src/requests/mod.rs
+++ b/control/src/requests/mod.rs
@@ -1,4 +1,4 @@
-//! Operators' requests: those that wait for a response, and the queues of the partitions' leaders.
+//! Operators' requests: the requests that wait for a response, and the queues of the partitions' leaders.
 
 pub mod admin_requests;
 pub mod delivery;
--- a/control/src/requests/pending_requests.rs
+++ b/control/src/requests/pending_requests.rs
@@ -1,4 +1,4 @@
-//! The operators' requests at this node that have no response yet, and the way of each to the leader of its partition.
+//! The operators' requests at this node that have no response yet, and the delivery of each to the leader of its partition.
 
 use std::collections::BTreeMap;
 
@@ -19,18 +19,18 @@
     delivery: Delivery,
 }
 
-/// How a request is brought to the leader.
+/// The next step in the delivery of a request to the leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// Into this node's own queue.
+    /// Add the request to this node's own queue.
     Enqueue(QueuedRequest),
-    /// To another node.
+    /// Send the request to another node.
     Forward {
-        /// The leader.
+        /// The leader of the request's partition.
         to: NodeId,
-        /// Comes back with the response.
+        /// The id that the leader returns with the response.
         forward_id: u64,
-        /// The request.
+        /// A copy of the pending request.
         request: AdminRequest,
     },
 }
@@ -42,25 +42,25 @@
 }
 
 impl PendingRequests {
-    /// Adds a request. No other request of any process has the same `forward_id`.
+    /// Adds a request. `forward_id` has to be unique among the calls and requests of all processes.
     pub fn insert(&mut self, now: Nanos, id: RequestId, forward_id: u64, request: AdminRequest) {
         let expires_at = now + REQUEST_TIMEOUT;
         let pending = PendingRequest { request, forward_id, expires_at, delivery: Delivery::default() };
         self.requests.insert(id, pending);
     }
 
-    /// The requests, in the order in which they came.
+    /// The ids of the pending requests, in the order in which the requests came.
     pub fn ids(&self) -> Vec<RequestId> {
         self.requests.keys().copied().collect()
     }
 
-    /// The partition that decides on a request.
+    /// The partition that decides on a request; `None` where the request is not pending.
     pub fn partition(&self, id: RequestId) -> Option<PartitionId> {
         self.requests.get(&id).map(|pending| pending.request.partition())
     }
 
-    /// Brings a request to the leader, unless it is there or on its way. A leader that does not respond is sent it again, as is
-    /// every new leader.
+    /// Returns the next step in the delivery of a request to the leader; `None` while the request is queued at this node or was forwarded
+    /// to the leader recently. The request is forwarded again to a leader that does not respond, and to every new leader.
     pub fn route(&mut self, now: Nanos, id: RequestId, leader: RequestLeader) -> Option<Route> {
         let pending = self.requests.get_mut(&id)?;
         let step = pending.delivery.next_step(now, leader)?;
@@ -74,7 +74,7 @@
         })
     }
 
-    /// This node's own queue of a partition was dropped: its requests are routed anew.
+    /// Marks the requests of a partition for another delivery, as this node's own queue of the partition was dropped.
     pub fn requeue(&mut self, partition: PartitionId) {
         for pending in self.requests.values_mut().filter(|pending| pending.request.partition() == partition) {
             pending.delivery.queue_dropped();
@@ -86,7 +86,7 @@
         self.requests.remove(&id).is_some()
     }
 
-    /// Removes the request that was forwarded under this id.
+    /// Removes the request that was forwarded under this id. Returns its id if it was pending.
     pub fn remove_forwarded(&mut self, forward_id: u64) -> Option<RequestId> {
         let (id, _) = self.requests.iter().find(|(_, pending)| pending.forward_id == forward_id)?;
         let id = *id;
@@ -94,7 +94,7 @@
         Some(id)
     }
 
-    /// Removes the requests that have expired.
+    /// Removes the requests that have expired, and returns their ids.
     pub fn expire(&mut self, now: Nanos) -> Vec<RequestId> {
         let expired = self.requests.extract_if(.., |_, pending| now >= pending.expires_at);
         expired.map(|(id, _)| id).collect()
--- a/control/src/requests/request_queue.rs
+++ b/control/src/requests/request_queue.rs
@@ -1,4 +1,4 @@
-//! The requests before the leader of one partition: decided one at a time, and answered once a quorum has stored the change or has
+//! The requests at the leader of one partition: decided one at a time, and answered once a quorum has stored the change or has
 //! confirmed the leader's ballot.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -10,38 +10,38 @@
 use crate::consensus::partition_state;
 use crate::interface::RequestId;
 
-/// Who is sent the response to a request.
+/// The receiver of the response to a request or call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Requester {
-    /// An operator, or an application, at this node.
+    /// An operator or application whose request or call came to this node.
     Local(RequestId),
-    /// Another node, which has forwarded the request under this id.
+    /// Another node, which has forwarded the request or call under this id.
     Remote(NodeId, u64),
 }
 
 /// A request that waits for its decision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QueuedRequest {
-    /// Who is sent the response.
+    /// The receiver of the response.
     pub requester: Requester,
-    /// The request.
+    /// What the operator asks for.
     pub request: AdminRequest,
-    /// It is dropped undecided at this time.
+    /// The time at which an undecided request is dropped from the queue.
     pub expires_at: Nanos,
 }
 
-/// What became of a request that was put into the queue.
+/// The result of adding a request to the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Enqueued {
-    /// It waits for its decision.
+    /// The request waits for its decision.
     Queued,
-    /// It equals a proposal in flight, and shares that one's response.
+    /// The request equals a proposal in flight, and shares the response of that proposal.
     JoinedProposal,
-    /// It was in the queue already.
+    /// The request is in the queue already, or was decided and its response waits.
     Duplicate,
 }
 
-/// A proposal in flight, and who is sent the response once it is committed.
+/// A proposal in flight, and the response that the requesters get once it is committed.
 #[derive(Debug)]
 struct OpenProposal {
     digest: u64,
@@ -52,29 +52,29 @@
 /// A response that waits until a quorum has confirmed the leader's ballot.
 #[derive(Debug, PartialEq, Eq)]
 pub struct UnconfirmedResponse {
-    /// Who is sent it.
+    /// The receiver of the response.
     pub requester: Requester,
-    /// The response; `None` for the configuration that is current by then.
+    /// The response; `None` for the configuration that is current at the confirmation.
     pub response: Option<AdminResponse>,
-    /// It is dropped at this time.
+    /// The time at which the response is dropped.
     pub expires_at: Nanos,
 }
 
 /// A response that is ready to be sent.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ReadyResponse {
-    /// Who is sent it.
+    /// The receiver of the response.
     pub requester: Requester,
-    /// The response.
+    /// The response to the requester's request.
     pub response: AdminResponse,
 }
 
-/// What a commit allows to be sent.
+/// The responses that a commit releases.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct CommittedResponses {
     /// Responses to the requests whose changes are committed.
     pub ready: Vec<ReadyResponse>,
-    /// Responses that were decided on the state which is committed now, and wait for the confirmation of the leader's ballot.
+    /// Responses that were decided on the newly committed state, and still need the confirmation of the leader's ballot.
     pub unconfirmed: Vec<UnconfirmedResponse>,
 }
 
@@ -82,15 +82,16 @@
 #[derive(Debug, Default)]
 pub struct RequestQueue {
     waiting: VecDeque<QueuedRequest>,
-    /// By the number of the proposed change.
+    /// Proposals in flight, by the sequence number of the proposed change.
     open_proposals: BTreeMap<u64, OpenProposal>,
-    /// Responses that were decided on the state after a change that is not committed yet, by the number of the change.
+    /// Responses that were decided on the state after a change that is not committed yet, by the sequence number of that change.
     uncommitted: BTreeMap<u64, Vec<UnconfirmedResponse>>,
+    /// Responses by the number of the confirmation that they wait for.
     unconfirmed: BTreeMap<u64, UnconfirmedResponse>,
 }
 
 impl RequestQueue {
-    /// Puts a request into the queue. A request that is repeated while it waits, or is being agreed on, is not decided twice.
+    /// Adds a request to the queue. A request that is repeated while it waits or while its proposal is in flight is not decided twice.
     pub fn enqueue(&mut self, queued: QueuedRequest) -> Enqueued {
         if self.contains(queued.requester) {
             return Enqueued::Duplicate;
@@ -113,7 +114,7 @@
             || decided.any(|response| response.requester == requester)
     }
 
-    /// Removes the oldest request that has not expired.
+    /// Removes and returns the oldest request that has not expired. Drops expired requests before it.
     pub fn next(&mut self, now: Nanos) -> Option<QueuedRequest> {
         while let Some(queued) = self.waiting.pop_front() {
             if now < queued.expires_at {
@@ -123,12 +124,12 @@
         None
     }
 
-    /// Removes the requests of an operator that no longer waits. Proposals in flight go on.
+    /// Removes the request of an operator that no longer waits. A proposal in flight is not cancelled.
     pub fn cancel(&mut self, id: RequestId) {
         self.waiting.retain(|queued| queued.requester != Requester::Local(id));
     }
 
-    /// The change that a request asks for is proposed under this number; the response is sent once it is committed.
+    /// Records that the change of a request was proposed with this sequence number. The response is sent once that change is committed.
     pub fn add_open_proposal(
         &mut self,
         sequence: u64,
@@ -141,12 +142,12 @@
         self.open_proposals.insert(sequence, open);
     }
 
-    /// A response waits until the change of this number is committed, and the leader's ballot is confirmed after it.
+    /// Holds a response until the change with this sequence number is committed and the leader's ballot is confirmed after that.
     pub fn await_commit(&mut self, sequence: u64, response: UnconfirmedResponse) {
         self.uncommitted.entry(sequence).or_default().push(response);
     }
 
-    /// All changes up to this number are committed.
+    /// Records that all changes up to this sequence number are committed. Returns the responses that waited for them.
     pub fn changes_committed(&mut self, sequence: u64) -> CommittedResponses {
         let proposals = self.open_proposals.extract_if(..=sequence, |_, _| true);
         let ready = proposals.flat_map(|(_, OpenProposal { response, requesters, .. })| {
@@ -158,17 +159,17 @@
         CommittedResponses { ready, unconfirmed: uncommitted.flat_map(|(_, responses)| responses).collect() }
     }
 
-    /// A response waits for the confirmation of this number.
+    /// Holds a response until the leader's ballot is confirmed under this number.
     pub fn await_confirmation(&mut self, number: u64, response: UnconfirmedResponse) {
         self.unconfirmed.insert(number, response);
     }
 
-    /// A quorum has confirmed the leader's ballot: the response that has waited for it.
+    /// Removes and returns the response that waited for the confirmation of this number, which a quorum has given.
     pub fn confirmed(&mut self, number: u64) -> Option<UnconfirmedResponse> {
         self.unconfirmed.remove(&number)
     }
 
-    /// Drops what has expired. Returns the numbers of confirmations that nothing waits for any longer.
+    /// Drops expired requests and responses. Returns the numbers of the confirmations that no response waits for any longer.
     pub fn expire(&mut self, now: Nanos) -> Vec<u64> {
         self.waiting.retain(|queued| now < queued.expires_at);
         for responses in self.uncommitted.values_mut() {
--- a/control/src/server_list/mod.rs
+++ b/control/src/server_list/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's list of servers: when it is read, and the singleton role of its reader.
+//! The platform's list of servers: the schedule of reads, and the singleton role of the reader.
 
 pub mod reader;
 pub mod role;
--- a/control/src/server_list/reader.rs
+++ b/control/src/server_list/reader.rs
@@ -1,62 +1,63 @@
 //! Schedules reads of the platform's list of servers on the node that has the reader's role, and renews or yields that role.
 //!
 //! The reader is a singleton role: it belongs to the leader of one partition, and is fenced by the leader's ballot. Leadership is not a
-//! lease. A leader learns that it was superseded only when it next asks the voters for something, and reading the list asks them for
-//! nothing. So this module compares the ballots under which lists are published: one above this node's own means that another
-//! node has led since, nobody accepts this node's lists any longer, and it has to win an election under a new ballot.
-//! `docs/design/list-reader.md` adds up for how long nobody may read.
+//! lease. A leader learns that it was superseded only from its next message exchange with the voters, and reading the list needs no such
+//! exchange. So this module compares the ballots under which lists are published: a ballot above this node's own means that another node
+//! has led since, that no node accepts this node's lists any longer, and that this node has to win an election under a new ballot.
+//! `docs/design/list-reader.md` derives the longest time without a reader.
 
 use ivyhatch_protocol::ids::Ballot;
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
-/// A result that comes later than this is dropped, and the list is read again. Longer than the embedder's own timeout, so that
-/// this one counts only where the process was suspended or the result was lost.
+/// A result that arrives later than this is dropped, and the list is read again. Longer than the embedder's own timeout, so that this
+/// timeout applies only where the process was suspended or the result was lost.
 pub const READ_TIMEOUT: Nanos = 1200 * MILLISECOND;
-/// Wait between a failed read and its retry.
+/// The wait between a failed read and its retry.
 pub const RETRY_INTERVAL: Nanos = 250 * MILLISECOND;
-/// Interval of the reads that a node without any list makes for itself after its start, until it has one.
+/// The interval of reads on a node that has no list yet and reads the platform's list for itself after its start.
 pub const BOOTSTRAP_READ_INTERVAL: Nanos = SECOND;
 /// After this many consecutive failures the role is yielded to another node.
 pub const MAX_CONSECUTIVE_FAILURES: u32 = 2;
-/// For how long the role is yielded the first time; doubled each time that no read has succeeded since, up to [`MAX_YIELD_TIME`].
+/// How long the role is yielded the first time. The time doubles with each further yield without a successful read in between, up to
+/// [`MAX_YIELD_TIME`].
 pub const MIN_YIELD_TIME: Nanos = 5 * SECOND;
 /// The longest time for which the role is yielded.
 pub const MAX_YIELD_TIME: Nanos = 40 * SECOND;
-/// A superseded reader waits this long before it renews its ballot where it can't reach its successor: that one may be reading for
-/// all others behind a partial partition of the network, and the two must not supersede each other without end.
+/// A superseded reader that can't reach its successor waits this long before it renews its ballot: behind a partial network partition the
+/// successor may be reading for all other nodes, and the two readers must not supersede each other endlessly.
 pub const RENEWAL_DELAY: Nanos = 1500 * MILLISECOND;
 
-/// One read of the whole list. Its number is used once in a process.
+/// The id of one read of the whole list, unique within a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReadId(pub u64);
 
-/// What this node knows of the reader's role at the moment of an input.
+/// The state of the reader's role as this node knows it at the time of an input.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReaderRole {
-    /// The ballot under which this node has the role, if it has it.
+    /// The ballot under which this node has the role; `None` where this node does not have the role.
     pub ballot: Option<Ballot>,
-    /// The highest ballot under which a list has been published, as far as is known here.
+    /// The highest ballot under which a list has been published, as far as this node knows.
     pub highest_ballot: Ballot,
-    /// Whether the node of that highest ballot and this one can reach each other.
+    /// Whether this node and the node of the highest ballot can reach each other.
     pub highest_is_reachable: bool,
-    /// Whether any list is known here.
+    /// Whether this node has any list.
     pub has_list: bool,
 }
 
 impl ReaderRole {
-    /// Whether another node has led since this one won its ballot.
+    /// Whether another node has led the role's partition since this node won its ballot.
     fn is_superseded(&self) -> bool {
         self.ballot.is_some_and(|own| own < self.highest_ballot)
     }
 
-    /// The ballot that a list read now would be published under: the role's; else, where there is no list at all, the lowest
-    /// ballot, whose list is replaced by any reader's.
+    /// The ballot under which a list that is read now would be published. Without the role, a node that has no list publishes under the
+    /// lowest ballot, so that the list of any reader replaces it.
     fn read_ballot(&self) -> Option<Ballot> {
         self.ballot.or((!self.has_list).then(Ballot::default))
     }
 }
 
-/// What happens to the reader.
+/// An input to the reader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Input {
     /// Time has passed, or the role may have changed.
@@ -67,28 +68,28 @@
     ReadFailed(ReadId),
 }
 
-/// What the reader wants done.
+/// An action that the reader requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Read the platform's list. A read in flight is cancelled.
+    /// Read the platform's list. A read in flight is to be cancelled.
     Read(ReadId),
     /// Publish the list that has just been read under this ballot.
     Publish(Ballot),
-    /// Another node has read under this higher ballot: win an election under a new one.
+    /// Win an election under a new ballot, as another node has read under a higher one.
     RenewBallot {
-        /// The ballot of the other node.
+        /// The higher ballot, of the other node.
         superseded_by: Ballot,
     },
-    /// This many reads have failed since the last success.
+    /// A read has failed; to be logged.
     ReadFailing {
-        /// How many.
+        /// The number of failed reads since the last success, yield or change of ballot.
         consecutive_failures: u32,
     },
-    /// Another node should read: announce at once that this one can't.
+    /// Announce at once that this node can't read, so that another node takes the role.
     YieldRole,
 }
 
-/// A read that has not ended.
+/// A read without a result yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ReadInFlight {
     read: ReadId,
@@ -96,13 +97,14 @@
     started_at: Nanos,
 }
 
-/// The scheduler of reads on one node.
+/// The scheduler of reads of the platform's list on one node.
 #[derive(Clone, Debug)]
 pub struct ServerListReader {
     interval: Nanos,
     in_flight: Option<ReadInFlight>,
     last_read: ReadId,
-    /// The ballot that the next read is published under. A change of it causes a read at once.
+    /// The ballot under which the next read is published; `None` where this node does not read. A change to another ballot causes an
+    /// immediate read.
     ballot: Option<Ballot>,
     next_read_at: Nanos,
     consecutive_failures: u32,
@@ -112,7 +114,7 @@
 }
 
 impl ServerListReader {
-    /// A reader that reads once in every interval while it has the role.
+    /// Creates a reader that reads once per `interval` while it has the role.
     pub fn new(interval: Nanos) -> Self {
         Self {
             interval,
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Handles one input, and appends what is to be done.
+    /// Handles one input, and appends the requested actions to `out`.
     pub fn handle(&mut self, now: Nanos, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Tick(role) => self.tick(now, role, out),
@@ -136,12 +138,12 @@
         }
     }
 
-    /// Whether this node may take the role: it has not yielded it lately.
+    /// Whether this node may take the role: it has not yielded the role, or the yield time has ended.
     pub fn can_read(&self, now: Nanos) -> bool {
         now >= self.yielded_until
     }
 
-    /// The ballot under which lists are read now, if they are.
+    /// The ballot under which this node reads lists; `None` where it does not read.
     pub fn reading_ballot(&self) -> Option<Ballot> {
         self.ballot
     }
@@ -166,7 +168,7 @@
         }
     }
 
-    /// Sets the ballot that reads are published under. A read under another one no longer counts.
+    /// Sets the ballot under which reads are published. The result of a read in flight under another ballot is ignored.
     fn set_ballot(&mut self, ballot: Option<Ballot>) {
         if ballot == self.ballot {
             return;
@@ -220,7 +222,7 @@
         self.consecutive_failures += 1;
         self.next_read_at = self.next_read_at.min(now + RETRY_INTERVAL);
         out.push(Output::ReadFailing { consecutive_failures: self.consecutive_failures });
-        // A node that reads only for itself has no role to yield.
+        // A node that reads only for itself does not have the role, so it can't yield it.
         if self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES && self.ballot != Some(Ballot::default()) {
             self.yield_role(now, out);
         }
--- a/control/src/server_list/role.rs
+++ b/control/src/server_list/role.rs
@@ -1,7 +1,7 @@
 //! The server list of a node: read from the platform while the node has the reader's role, replicated from the reader otherwise.
 //!
-//! The role is a singleton role of the cluster: it belongs to the leader of one partition, and the leader's ballot is its fencing
-//! token. A list that was read under a lower ballot than the one that is known is rejected by every node.
+//! The reader's role is a singleton role of the cluster: it belongs to the leader of one partition, and the leader's ballot is its
+//! fencing token. Every node rejects a list that was read under a lower ballot than that of the node's own list.
 
 use ivyhatch_protocol::ids::{Ballot, PartitionId};
 use ivyhatch_protocol::server_list::{ListUpdateOutcome, ServerList};
@@ -11,11 +11,12 @@
 use crate::log_event::{LogEvent, ServerListSource};
 use crate::server_list::reader::{self, ReadId, ReaderRole, ServerListReader};
 
-/// The key of the role: it belongs to the leader of the partition that this is hashed into.
+/// The key of the role. The role belongs to the leader of the partition that this key hashes to.
 const ROLE_KEY: &str = "platform-list";
-/// Wait before a list that was requested from another node and has not come is requested again.
+/// The wait before the list is requested again where the last request to another node has brought no newer list.
 const REQUEST_INTERVAL: Nanos = 250 * MILLISECOND;
-/// For so long a change that was made for one receiver serves others: the remaining spans of servers in it age by it.
+/// How long a change that was made for one receiver is reused for others. The remaining durations of servers in the change become
+/// outdated by up to this time.
 const PREPARED_CHANGE_LIFETIME: Nanos = 100 * MILLISECOND;
 
 /// The partition whose leader has the reader's role.
@@ -23,7 +24,7 @@
     PartitionId::for_key(ROLE_KEY)
 }
 
-/// What the role wants done, in this order.
+/// An action that the role requests. Actions are carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RoleOutput {
     /// Write a line to the log.
@@ -32,24 +33,24 @@
     Read(ReadId),
     /// Send a change to all other control nodes.
     Broadcast(ServerListChange),
-    /// Another node has led the role's partition under this ballot: step down, and win an election under a higher one.
+    /// Step down, and win an election under a higher ballot than this one, under which another node has led the role's partition.
     RenewBallot(Ballot),
     /// Send a heartbeat at once, so that another node takes the role.
     AnnounceYield,
 }
 
-/// What became of an update from another node.
+/// The result of applying an update from another node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum UpdateOutcome {
-    /// The list is newer now.
+    /// The update was applied; the event is to be logged.
     Applied(LogEvent),
-    /// The list is as new already.
+    /// The update is ignored, as this node's list is not older.
     NotNewer,
-    /// The update builds on a version that is not known here: the complete list is needed.
+    /// The update builds on a version that this node does not have: the complete list is needed.
     Gap,
 }
 
-/// A change that was made for a receiver, and may serve others.
+/// A change that was made for one receiver, and is reused for others.
 #[derive(Debug)]
 struct PreparedChange {
     since: ServerListPosition,
@@ -57,7 +58,7 @@
     made_at: Nanos,
 }
 
-/// The list and the role of its reader on one node.
+/// One node's copy of the server list, and the state of the reader's role on that node.
 #[derive(Debug)]
 pub struct ServerListRole {
     list: ServerList,
@@ -67,39 +68,39 @@
 }
 
 impl ServerListRole {
-    /// An empty list. The platform is read once in every interval while the node has the role.
+    /// Creates a role with an empty list. The platform's list is read once per `read_interval` while the node has the role.
     pub fn new(read_interval: Nanos) -> Self {
         let reader = ServerListReader::new(read_interval);
         Self { list: ServerList::default(), prepared: None, reader, requested_at: 0 }
     }
 
-    /// The list as it is known here.
+    /// This node's copy of the list.
     pub fn list(&self) -> &ServerList {
         &self.list
     }
 
-    /// Whether this node may take the role.
+    /// Whether this node may take the role; see [`ServerListReader::can_read`].
     pub fn can_read(&self, now: Nanos) -> bool {
         self.reader.can_read(now)
     }
 
-    /// The highest ballot of a list: of this node's own, and of those that other nodes report to have.
+    /// The highest ballot among this node's own list and the lists that other nodes report.
     pub fn highest_ballot(&self, reported: impl Iterator<Item = ServerListPosition>) -> Ballot {
         let own = self.list.position().ballot;
         reported.map(|position| position.ballot).chain([own]).max().unwrap_or_default()
     }
 
-    /// Whether any list is known here.
+    /// Whether this node has any list.
     pub fn has_list(&self) -> bool {
         self.list.position().number > 0
     }
 
-    /// Time has passed, or the role may have changed.
+    /// Handles the passing of time or a possible change of the role.
     pub fn tick(&mut self, now: Nanos, role: ReaderRole) -> Vec<RoleOutput> {
         self.drive_reader(now, reader::Input::Tick(role), Vec::new())
     }
 
-    /// A read of the platform's list has succeeded.
+    /// Handles the result of a successful read of the platform's list.
     pub fn read_succeeded(
         &mut self,
         now: Nanos,
@@ -110,7 +111,7 @@
         self.drive_reader(now, reader::Input::ReadSucceeded(read, role), servers)
     }
 
-    /// A read of the platform's list has failed.
+    /// Handles a failed read of the platform's list.
     pub fn read_failed(&mut self, now: Nanos, read: ReadId) -> Vec<RoleOutput> {
         self.drive_reader(now, reader::Input::ReadFailed(read), Vec::new())
     }
@@ -150,7 +151,7 @@
 
     fn publish(&mut self, now: Nanos, ballot: Ballot, servers: Vec<Server>, out: &mut Vec<RoleOutput>) {
         if ballot == Ballot::default() {
-            // Read by this node for its own watchers: until there is a quorum, no node has the role.
+            // This node has read the list for its own watchers: without a quorum, no node has the role.
             if !servers.is_empty() {
                 self.list.apply_platform_list(now, ballot, servers);
                 out.push(RoleOutput::Log(self.log_event(ServerListSource::Bootstrap)));
@@ -173,19 +174,19 @@
         }
     }
 
-    /// The complete list, if there is one that counts, for a node of a release before [`ServerListChange`].
+    /// The complete list, for a node of a release before [`ServerListChange`]; `None` where this node has no list.
     pub fn whole_update(&self, now: Nanos) -> Option<ServerListUpdate> {
         let has_list = self.list.position() != ServerList::default().position();
         has_list.then(|| self.list.whole_update(now))
     }
 
-    /// What a watcher of a release before [`ServerListChange`] lacks of the list at this position.
+    /// The update that a watcher at this position lacks, for a release before [`ServerListChange`]; `None` where it lacks none.
     pub fn update_since(&self, now: Nanos, position: ServerListPosition) -> Option<ServerListUpdate> {
         (self.list.position() > position).then(|| self.list.update_since(now, position))
     }
 
-    /// What a watcher or another node at this position lacks of the list. Those that ask for the same within a short time are given the
-    /// same, which is encoded once.
+    /// The change that a watcher or another node at this position lacks; `None` where it lacks none. Receivers at the same position share
+    /// one change for `PREPARED_CHANGE_LIFETIME`, which is encoded once.
     pub fn changes_since(
         &mut self,
         now: Nanos,
@@ -207,7 +208,8 @@
         Some(change)
     }
 
-    /// Another node has a list at this position. Returns whether to request it from that node now.
+    /// Returns whether to request the list now from a node that has a list at this position. If so, no other request is due until
+    /// `REQUEST_INTERVAL` has passed.
     pub fn begin_request(&mut self, now: Nanos, position: ServerListPosition) -> bool {
         let is_due = position > self.list.position() && now >= self.requested_at + REQUEST_INTERVAL;
         if is_due {
--- a/control/src/watch/change_feed.rs
+++ b/control/src/watch/change_feed.rs
@@ -1,4 +1,4 @@
-//! What watchers are sent of the committed state: the configuration, with the latest changes that led to it, and the evacuations.
+//! The committed state in the form for watchers: the configuration, with the latest changes that led to it, and the evacuations.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,12 +8,12 @@
 
 use crate::consensus::partition_state::{EvacuationState, EvacuationStatus, PartitionState};
 
-/// The number of changes of the configuration that are kept for watchers that are behind.
+/// The largest number of configuration changes that are kept for watchers that are behind.
 const MAX_CHANGES: usize = 64;
-/// A watcher is sent a snapshot where the changes that it lacks have more items than the configuration divided by this.
+/// A watcher gets a snapshot where the changes that it lacks have more items than the whole configuration has, divided by this ratio.
 const SNAPSHOT_RATIO: usize = 2;
 
-/// A change of the configuration, between two successive sequence numbers that this node knows.
+/// A change of the configuration between two successive sequence numbers that this node knows.
 #[derive(Debug)]
 struct FeedChange {
     from: u64,
@@ -31,7 +31,7 @@
     }
 }
 
-/// The committed state, for watchers.
+/// The committed configuration and evacuations, and the updates that bring a watcher up to date.
 #[derive(Debug, Default)]
 pub struct ChangeFeed {
     sequence: u64,
@@ -41,7 +41,7 @@
 }
 
 impl ChangeFeed {
-    /// Adds a committed state of a partition.
+    /// Adds a committed state of a partition. An older configuration than the current one is ignored.
     pub fn committed(&mut self, partition: PartitionId, sequence: u64, state: &PartitionState) {
         match state {
             PartitionState::Configuration(configuration) => {
@@ -68,23 +68,23 @@
         (self.sequence, self.document) = (sequence, document.into());
     }
 
-    /// The sequence number of the current configuration; 0 where there is none.
+    /// The sequence number of the change that led to the current configuration; 0 where there is none.
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// The current configuration.
+    /// The current configuration; the empty document where there is none.
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// How far the feed is. The position of the server list, which the feed does not have, is the lowest.
+    /// The position of the feed. The server list is not part of the feed: its position is the lowest one.
     pub fn position(&self) -> Position {
         let evacuations = self.evacuations.values().map(EvacuationUpdate::position).collect();
         Position { configuration: self.sequence, evacuations, ..Position::default() }
     }
 
-    /// What a watcher at this position lacks.
+    /// The updates that a watcher at this position lacks.
     pub fn updates_since(&self, position: &Position) -> Vec<WatchResponse> {
         let mut updates = Vec::new();
         if self.sequence > position.configuration {
@@ -97,7 +97,8 @@
         updates
     }
 
-    /// The changes after a sequence number, where all of them are kept and are smaller than a snapshot.
+    /// The configuration changes after a sequence number; `None` where some of them are no longer kept, or a snapshot is preferable by
+    /// `SNAPSHOT_RATIO`.
     fn changes_since(&self, sequence: u64) -> Option<Vec<WatchResponse>> {
         let first = self.changes.iter().position(|change| change.from == sequence)?;
         let changes = self.changes.iter().skip(first);
--- a/control/src/watch/home_regions.rs
+++ b/control/src/watch/home_regions.rs
@@ -1,4 +1,4 @@
-//! The home regions of the configuration's routes, for the directory.
+//! The home regions of the configuration's routes, by which the directory selects router addresses for partitioned regions.
 
 use std::collections::BTreeSet;
 
@@ -7,13 +7,15 @@
 /// The home regions of all routes that have any.
 #[derive(Debug, Default)]
 pub struct HomeRegions {
+    /// The sets of home regions of the routes, each distinct set once.
     distinct_homes: BTreeSet<BTreeSet<String>>,
-    /// The sequence number of the configuration that they are of.
+    /// The sequence number of the configuration that the home regions were read from.
     sequence: u64,
 }
 
 impl HomeRegions {
-    /// Takes those of the configuration with this sequence number, unless they are known; none where it can't be read.
+    /// Reads the home regions from the configuration with this sequence number, unless they have been read from it already. A
+    /// configuration that can't be decoded counts as one without home regions.
     pub fn update(&mut self, sequence: u64, document: &Document) {
         if sequence == self.sequence {
             return;
@@ -23,8 +25,8 @@
         *self = Self { distinct_homes: homes.filter(|homes| !homes.is_empty()).collect(), sequence };
     }
 
-    /// The regions that are home to every route whose requests may not be served in this region; empty where there is no such route.
-    /// Requests that a client of this region sends to a router there are among their homes.
+    /// The regions that are home to every route whose requests may not be served in `region`; empty where there is no such route. A router
+    /// in one of these regions can serve the requests of `region`'s clients on all those routes.
     pub fn common_to_excluding_routes(&self, region: &str) -> BTreeSet<String> {
         let mut excluding = self.distinct_homes.iter().filter(|homes| !homes.contains(region));
         let Some(first) = excluding.next() else { return BTreeSet::new() };
--- a/control/src/watch/mod.rs
+++ b/control/src/watch/mod.rs
@@ -1,4 +1,4 @@
-//! The watchers of the control state: what they are sent, their sessions, and the routers behind these.
+//! Watches of the control state: the updates for watchers, the watch sessions, and the routers that have these sessions.
 
 pub mod change_feed;
 pub mod home_regions;
--- a/control/src/watch/router_registry.rs
+++ b/control/src/watch/router_registry.rs
@@ -1,6 +1,7 @@
-//! The routers that are known: those with a session on this node, and those that other control nodes report.
+//! The known routers: the routers with a session on this node, and the routers that other control nodes report.
 //!
-//! Each control node sends all others the routers that have a session with it, so that each knows all routers.
+//! Each control node reports the routers that have a session with it to all other control nodes, so that every control node knows all
+//! routers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,19 +10,19 @@
 use ivyhatch_protocol::watch::{Router, RouterState};
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
-/// A session on which nothing was received for this long does not count any more: three heartbeats of a router.
+/// A local router is dropped when nothing was received on its session for this long: three heartbeat intervals of a router.
 pub const SESSION_TIMEOUT: Nanos = 1500 * MILLISECOND;
-/// The report of another control node counts for this long after the last message of that node.
+/// The report of another control node expires this long after the last message from that node.
 const REPORT_TIMEOUT: Nanos = 3 * SECOND;
-/// A router that has gone counts for this long in the division of shared quotas: it may come back at any moment, or be partitioned
-/// from the control nodes and still serve. For as long it is remembered for clients of a region that is partitioned from it.
+/// How long a router that was lost still counts in the division of shared quotas: it may return at any moment, or may be partitioned from
+/// the control nodes and still serve requests. Its address is kept equally long for clients of a region that is partitioned from it.
 const LAST_SEEN_RETENTION: Nanos = 60 * SECOND;
-/// A router that drains is usually restarted at the same address. For this long after it was seen draining it stands for its
-/// region in the directory, where that region has no other.
+/// How long the directory keeps a router that was last seen draining, for a region without another router. Such a router is usually
+/// restarted at the same address.
 const DRAINING_RETENTION: Nanos = 3 * SECOND;
-/// Other control nodes are sent the local routers at least this often.
+/// The longest interval between two reports of the local routers to other control nodes.
 const REPORT_INTERVAL: Nanos = 5 * SECOND;
-/// The largest number of addresses in an answer of the directory.
+/// The largest number of addresses in a response of the directory.
 pub const MAX_DIRECTORY_ADDRESSES: usize = 64;
 
 /// A router with a session on this node.
@@ -38,7 +39,7 @@
     received_at: Nanos,
 }
 
-/// A router as it was when it was seen last.
+/// A router in the state in which it was last seen.
 #[derive(Debug)]
 struct SeenRouter {
     router: Router,
@@ -48,29 +49,29 @@
 /// A router's rank among the routers that share quotas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RouterRank {
-    /// The number of routers that are known or were lately; at least 1.
+    /// The number of routers seen within the last minute; at least 1.
     pub count: usize,
-    /// The index of the router among these, from 0, in the order of addresses.
+    /// The index of the router among the counted routers, from 0, in the order of addresses.
     pub index: usize,
 }
 
-/// All routers that are known on this node.
+/// All routers that this node knows, with those that it has seen recently.
 #[derive(Debug, Default)]
 pub struct RouterRegistry {
     local: BTreeMap<NodeId, LocalRouter>,
-    /// The local routers as of the last report to other control nodes.
+    /// The local routers as sent in the last report to other control nodes.
     reported: BTreeMap<NodeId, Router>,
     reported_by_peers: BTreeMap<NodeId, PeerReport>,
     last_seen: BTreeMap<NodeId, Nanos>,
     draining: BTreeMap<NodeId, SeenRouter>,
-    /// Ready routers, for clients of a region that is partitioned from them.
+    /// Routers as last seen ready, for clients of a region that is partitioned from these routers.
     last_seen_ready: BTreeMap<NodeId, SeenRouter>,
     last_report_sent_at: Nanos,
 }
 
 impl RouterRegistry {
-    /// Records that a message of a router was received on its session. Returns whether that is news for other control nodes: the router is
-    /// new, has changed, or had timed out.
+    /// Records that a message from a router was received on its session. Returns whether other control nodes need a new report: the router
+    /// is new, has changed, or had timed out.
     pub fn record_local(&mut self, now: Nanos, router: Router) -> bool {
         let current = LocalRouter { router: router.clone(), last_received_at: now };
         let previous = self.local.insert(router.node, current);
@@ -84,22 +85,22 @@
         self.local.remove(&node).is_some()
     }
 
-    /// The local router at this address.
+    /// The local router at this address; `None` where it has no session on this node.
     pub fn local(&self, node: NodeId) -> Option<&Router> {
         self.local.get(&node).map(|local| &local.router)
     }
 
-    /// The routers with a session on this node, as other control nodes are sent them.
+    /// The routers with a session on this node, as a complete report for other control nodes.
     pub fn local_routers(&self) -> Vec<Router> {
         self.local.values().map(|local| local.router.clone()).collect()
     }
 
-    /// Whether the local routers are to be sent to other control nodes again.
+    /// Whether the next report to other control nodes is due.
     pub fn is_report_due(&self, now: Nanos) -> bool {
         now >= self.last_report_sent_at + REPORT_INTERVAL
     }
 
-    /// How the local routers have changed since the last report, which this one takes the place of.
+    /// The changes of the local routers since the last report. The current routers become the base of the next report.
     pub fn take_report(&mut self, now: Nanos) -> RouterChanges {
         self.last_report_sent_at = now;
         let local: BTreeMap<NodeId, Router> =
@@ -117,7 +118,7 @@
         self.last_report_sent_at = 0;
     }
 
-    /// Drops local routers and reports that have timed out. Returns whether there were any such local routers.
+    /// Drops local routers and reports of other control nodes that have timed out. Returns whether a local router was dropped.
     pub fn expire(&mut self, now: Nanos) -> bool {
         let count_before = self.local.len();
         self.local.retain(|_, local| now < local.last_received_at + SESSION_TIMEOUT);
@@ -131,7 +132,8 @@
         self.reported_by_peers.insert(from, PeerReport { routers, received_at: now });
     }
 
-    /// Changes the report of another control node. Returns whether the result is what that node has; if not, changes were missed.
+    /// Applies changes to the report of another control node. Returns whether the result has the digest that the changes state; if not,
+    /// earlier changes were missed, and the caller has to request a complete report.
     pub fn apply_changes(&mut self, now: Nanos, from: NodeId, changes: RouterChanges) -> bool {
         let RouterChanges { upsert, removed, digest } = changes;
         let new_report = || PeerReport { routers: BTreeMap::new(), received_at: now };
@@ -142,14 +144,14 @@
         routers_digest(report.routers.values()) == digest
     }
 
-    /// Extends the report of another control node, from which a heartbeat has been received.
+    /// Renews the report of another control node, as a heartbeat from that node was received.
     pub fn keep_report_alive(&mut self, now: Nanos, from: NodeId) {
         if let Some(report) = self.reported_by_peers.get_mut(&from) {
             report.received_at = now;
         }
     }
 
-    /// All routers. Of several entries for one, the local one wins, then the one whose state is further on.
+    /// All known routers. Of several entries for one router, the local entry has precedence, then the entry with the most advanced state.
     fn all(&self) -> BTreeMap<NodeId, &Router> {
         let mut all: BTreeMap<NodeId, &Router> = BTreeMap::new();
         for router in self.reported_by_peers.values().flat_map(|report| report.routers.values()) {
@@ -162,8 +164,8 @@
         all
     }
 
-    /// Records which routers are there now, for [`RouterRegistry::rank`] and for the directory. Called on each tick. Routers that go
-    /// while this node is in contact with a quorum are not remembered: nothing separates it from them.
+    /// Records the currently known routers for [`RouterRegistry::rank`] and for the directory. Called on each tick. Routers that are lost
+    /// while this node is in contact with a quorum are not kept for partitioned regions, as no partition separates this node from them.
     pub fn refresh(&mut self, now: Nanos, has_quorum: bool) {
         let all: Vec<Router> = self.all().into_values().cloned().collect();
         if has_quorum {
@@ -187,7 +189,7 @@
         self.last_seen_ready.retain(|_, seen| now < seen.seen_at + LAST_SEEN_RETENTION);
     }
 
-    /// The number of routers that are known or were lately, and a router's index among them.
+    /// The number of routers seen recently, and the index of a router among them.
     pub fn rank(&self, node: NodeId) -> RouterRank {
         RouterRank { count: self.last_seen.len().max(1), index: self.last_seen.range(..node).count() }
     }
@@ -205,9 +207,9 @@
         addresses
     }
 
-    /// The addresses that the directory gives to clients of a region: its ready routers, or all ready routers where it has none. A
-    /// region whose routers all drain keeps these for a moment: they still accept connections or are being restarted, and requests
-    /// that are bound to the region must not leave it.
+    /// The addresses that the directory gives to clients of a region: the region's ready routers; else its routers that were seen draining
+    /// within `DRAINING_RETENTION`; else all ready routers. Draining routers still accept connections or are being restarted, and
+    /// requests that are bound to the region must not leave it.
     pub fn addresses_for_region(&self, region: &str) -> Vec<String> {
         let all = self.all();
         let ready = || all.values().copied().filter(|router| router.state == RouterState::Ready);
--- a/control/src/watch/sessions.rs
+++ b/control/src/watch/sessions.rs
@@ -1,4 +1,4 @@
-//! The watch sessions of routers: how far each watcher is, and what it is sent next.
+//! The watch sessions of routers: the position of each watcher, and the next messages to send on each session.
 
 use std::collections::BTreeMap;
 
@@ -9,26 +9,26 @@
 use crate::interface::SessionId;
 use crate::watch::router_registry::{RouterRank, RouterRegistry};
 
-/// The longest interval between two messages on a session.
+/// The longest interval between two messages to a watcher on a session.
 const PROGRESS_INTERVAL: Nanos = 500 * MILLISECOND;
-/// A session on which nothing was received for this long is closed.
+/// A session is closed when nothing was received on it for this long.
 const SESSION_TIMEOUT: Nanos = 4 * SECOND;
 
-/// A session.
+/// The watch session of one router connection.
 #[derive(Debug)]
 struct WatchSession {
-    /// The router; `None` until it subscribes.
+    /// The router that watches; `None` until it subscribes.
     router: Option<NodeId>,
-    /// Whether the watcher is sent updates. Others are sent positions, and fetch what they need.
+    /// Whether updates are sent on this session. On other sessions only positions are sent, and the watcher fetches the updates it needs.
     is_primary: bool,
-    /// How far the watcher is.
+    /// The position up to which the watcher has updates.
     position: Position,
     last_sent_position: Position,
     last_sent_at: Nanos,
     last_received_at: Nanos,
-    /// Whether the watcher understands `WatchResponse::Alive` and the variants behind it.
+    /// Whether the watcher understands `WatchResponse::Alive` and the variants after it.
     supports_extensions: bool,
-    /// The progress and the control nodes that were sent last, to a watcher that is sent them only when they have changed.
+    /// The last progress and control nodes sent to a watcher that supports extensions, which gets them again only when they change.
     last_sent_progress: Option<WatchResponse>,
     last_sent_control_nodes: Vec<ControlNode>,
 }
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The progress and the control nodes, as far as the watcher does not know them.
+    /// The messages with the progress and the control nodes that have changed since the last ones sent; `Alive` for unchanged progress.
     fn changed_progress(&mut self, progress: &Progress, rank: RouterRank) -> Vec<WatchResponse> {
         let mut responses = Vec::new();
         if self.last_sent_control_nodes != progress.control_nodes {
@@ -71,33 +71,33 @@
     }
 }
 
-/// What a message of a watcher asks for.
+/// The action that a watcher's message requires.
 #[derive(Debug, PartialEq, Eq)]
 pub enum WatchEvent {
-    /// Nothing.
+    /// No action.
     None,
-    /// Other control nodes have to be sent the routers of this one.
+    /// The routers of this node have changed and have to be reported to the other control nodes.
     RoutersChanged,
-    /// The watcher wants the updates after this position, once.
+    /// The watcher requests the updates after a position, once.
     Fetch {
-        /// The position.
+        /// The position up to which the watcher has updates.
         position: Position,
-        /// Whether the watcher understands the later variants of messages.
+        /// Whether the watcher understands `WatchResponse::Alive` and the variants after it.
         supports_extensions: bool,
     },
 }
 
-/// What a control node knows when it sends progress to watchers.
+/// The state of a control node that its progress messages to watchers are made from.
 #[derive(Debug)]
 pub struct Progress {
-    /// How far the node is.
+    /// The position of the node's committed state and server list.
     pub position: Position,
-    /// Whether it is in contact with a quorum.
+    /// Whether the node is in contact with a quorum.
     pub has_quorum: bool,
-    /// Whether it has been for long enough to know all routers. A node that has just joined, or is partitioned, knows few of them:
-    /// quotas that are divided by their number would be too large.
+    /// Whether the node has been in contact with a quorum for long enough to know all routers. A node that has just joined, or is
+    /// partitioned, knows only some routers: quotas that are divided by their number would be too large.
     pub knows_all_routers: bool,
-    /// The control nodes, in the order of addresses.
+    /// The control nodes that the node knows, itself included, in the order of addresses.
     pub control_nodes: Vec<ControlNode>,
 }
 
@@ -113,14 +113,14 @@
     }
 }
 
-/// The sessions of one control node.
+/// The watch sessions of one control node.
 #[derive(Debug, Default)]
 pub struct WatchSessions {
     sessions: BTreeMap<SessionId, WatchSession>,
 }
 
 impl WatchSessions {
-    /// Handles a message of a watcher. Its router counts as present from now on.
+    /// Handles a message from a watcher. A subscription or heartbeat records the watcher's router in `routers`.
     pub fn handle(
         &mut self,
         now: Nanos,
@@ -152,26 +152,27 @@
         if has_changed { WatchEvent::RoutersChanged } else { WatchEvent::None }
     }
 
-    /// Removes a session. Returns its router, if that has no other session by now.
+    /// Removes a session. Returns the session's router if that router has no other session.
     pub fn close(&mut self, id: SessionId) -> Option<NodeId> {
         let session = self.sessions.remove(&id)?;
         let has_other = self.sessions.values().any(|other| other.router == session.router);
         session.router.filter(|_| !has_other)
     }
 
-    /// Removes the sessions that have timed out. Their routers are not removed here, but when they time out themselves.
+    /// Removes and returns the sessions that have timed out. Their routers stay in the router registry until they time out there.
     pub fn expire(&mut self, now: Nanos) -> Vec<SessionId> {
         let is_expired = |session: &WatchSession| now >= session.last_received_at + SESSION_TIMEOUT;
         self.sessions.extract_if(.., |_, session| is_expired(session)).map(|(id, _)| id).collect()
     }
 
-    /// The sessions that are to be sent something now.
+    /// The subscribed sessions on which a message is due: `position` was not sent yet, or `PROGRESS_INTERVAL` has passed.
     pub fn due(&self, now: Nanos, position: &Position) -> Vec<SessionId> {
         let due = self.sessions.iter().filter(|(_, session)| session.is_due(now, position));
         due.map(|(id, _)| *id).collect()
     }
 
-    /// What a session is sent: a primary one the updates since its position, and each the node's progress.
+    /// The messages to send on a session now: the updates since its position if it is primary, and the node's progress. The session counts
+    /// as up to date afterwards.
     pub fn responses(
         &mut self,
         now: Nanos,
