--- a/balancer/benches/decisions.rs
+++ b/balancer/benches/decisions.rs
@@ -1,7 +1,7 @@
-//! The cost of a request in the balancer, with its attempts and its part of the timers.
+//! The cost of a request in the balancer, including its attempts and its share of the timers.
 //!
 //! `cargo bench --bench decisions`. One iteration is one request of a closed loop; only the time inside
-//! `Balancer::handle` is counted. `docs/design/decisions.md` has the table.
+//! `Balancer::handle` is counted. `docs/design/decisions.md` has the results.
 
 #[path = "../tests/common/closed_loop.rs"]
 mod closed_loop;
@@ -16,7 +16,8 @@
     name: &str,
     shape: Shape,
 ) {
-    // Two seconds of arrivals and some responses of each backend: the start is not measured.
+    // Runs two seconds of arrivals first, which gives each backend some responses, so that the start is not
+    // measured.
     let mut closed_loop = ClosedLoop::new(shape);
     closed_loop.run(2 * shape.rate);
     let open = closed_loop.node.open_requests();
@@ -32,7 +33,7 @@
 fn decisions(c: &mut Criterion) {
     let mut group = c.benchmark_group("calm");
     for backends in [12, 100, 1_000, 10_000] {
-        // A third of their capacity; with a few nodes, and with many.
+        // The rate is a third of the backends' capacity.
         let rate = u64::from(backends) * 5;
         let few = Shape { backends, rate, failing: 1, ..Shape::default() };
         measure(&mut group, &format!("{backends} backends, 3 nodes"), few);
--- a/balancer/src/bounded_state_tests.rs
+++ b/balancer/src/bounded_state_tests.rs
@@ -1,4 +1,4 @@
-//! The state of a node stays bounded by its list and its open requests.
+//! The state of a node is bounded by the number of listed backends and of open requests.
 
 use crate::api::{
     Action, Arrival, AttemptEnd, BackendId, BackendState, ClassId, ClassSettings, Event, Idempotency, Limits,
@@ -6,7 +6,7 @@
 };
 use crate::state::Balancer;
 
-/// A node without a host: its actions are kept until they are carried out.
+/// A node whose actions are kept until the test carries them out.
 struct Node {
     balancer: Balancer,
     actions: Vec<Action>,
@@ -24,7 +24,7 @@
             nodes: 300,
             ..defaults
         };
-        let balancer = Balancer::new(settings, 7, SECOND).expect("usable settings");
+        let balancer = Balancer::new(settings, 7, SECOND).expect("valid settings");
         Self { balancer, actions: Vec::new(), arrivals: 0 }
     }
 
@@ -32,7 +32,7 @@
         self.balancer.handle(now, event, &mut self.actions);
     }
 
-    /// Every fifth client disconnects at once.
+    /// A request arrives. Every fifth client disconnects at once.
     fn arrive(&mut self, now: Nanos) {
         let request = RequestId(self.arrivals);
         self.arrivals += 1;
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Ends every attempt with `outcome`, and every probe with a report.
+    /// Ends every attempt with `outcome`, and every probe with a load report.
     fn carry_out(&mut self, now: Nanos, outcome: Outcome) {
         for action in std::mem::take(&mut self.actions) {
             match action {
@@ -81,8 +81,8 @@
     }
 }
 
-/// Thirty backends at a time, one of which is replaced every other round: half of them by a notice, the
-/// others by being missing from a full list.
+/// Thirty backends at a time, one of which is replaced every other round: half of the replaced backends leave
+/// with a removal notice, the others are missing from a full list.
 fn membership(round: u64) -> Event {
     if round.is_multiple_of(4) {
         let leaving = Member { state: BackendState::Removed, ..member(round / 2) };
@@ -92,8 +92,8 @@
     Event::Membership { scope: ListScope::Full, members }
 }
 
-/// Servers start, restart, drain and leave, some unseen; there are requests, probes and clients that
-/// disconnect.
+/// Backends start, restart, drain and leave, some without a notice, while there are requests, probes and
+/// clients that disconnect. No entry may be kept for a backend or a request that is gone.
 #[test]
 fn state_after_many_membership_changes_is_bounded_by_the_list() {
     let mut node = Node::new();
@@ -115,8 +115,13 @@
     assert!(node.requests.len() <= 3, "{} requests", node.requests.len());
     assert!(slow_start_sends <= 31 * 3 * 30, "{slow_start_sends} slow-start sends");
     assert!(node.idle_weights.len() <= 2);
-    // A notice holds for five minutes: so many came in that time, and as many backends went missing.
+    // A notice is valid for five minutes: the bound covers the notices received in that time, and as many
+    // backends that went missing from full lists.
     assert!(node.removal_notices.len() <= 320, "{} notices", node.removal_notices.len());
     assert!(node.probe_scheduler.as_ref().is_some_and(|probes| probes.subset().count() <= 31));
-    assert_eq!(node.zones.iter().map(|zone| zone.in_flight).sum::<f64>(), 0.0, "attempts that nobody makes");
+    assert_eq!(
+        node.zones.iter().map(|zone| zone.in_flight).sum::<f64>(),
+        0.0,
+        "attempts in flight after all have ended"
+    );
 }
--- a/balancer/src/latency_model_tests.rs
+++ b/balancer/src/latency_model_tests.rs
@@ -1,4 +1,4 @@
-//! What the latency model learns from attempts.
+//! Updates of the latency model by the outcomes of attempts.
 
 use super::LatencySample;
 use crate::api::{
@@ -8,8 +8,8 @@
 use crate::policy::tuning::IDLE_LOAD;
 use crate::state::Balancer;
 
-/// Over a day on which nothing was crowded, the bound on a backend's load grew from 4 to 17: its answers
-/// were a little quicker than those of the backends that stood idle.
+/// On a day without any congestion, the load limit of a backend grew from 4 to 17: responses at light load
+/// were slightly quicker than those of idle backends.
 #[test]
 fn quick_responses_at_light_load_do_not_raise_the_load_limit() {
     let class = ClassSettings { latency_target: 400 * MS, deadline: SECOND, ..ClassSettings::default() };
@@ -31,11 +31,11 @@
     learn(IDLE_LOAD, 100 * MS, 1000);
     let before = learn(12.0, 140 * MS, 1000);
     let after = learn(3.0, 70 * MS, 20_000);
-    assert!(after < 1.5 * before, "room for {before}, then for {after}");
+    assert!(after < 1.5 * before, "load limit {before} before, {after} after quick responses at light load");
 }
 
-/// Day 7 of the real score: answers of 10 ms, some held up for a tenth of a second. What then looked more
-/// than six times slow got nothing, and so nothing that could show it well again.
+/// On day 7 of the real score, responses took 10 ms and some were delayed by a tenth of a second. A backend
+/// whose slowness exceeded six then received no requests, so that no response could show its recovery.
 #[test]
 fn idle_backend_of_high_measured_slowness_gets_one_request() {
     let class = ClassSettings { latency_target: 400 * MS, deadline: SECOND, ..ClassSettings::default() };
@@ -45,7 +45,7 @@
     node.apply_membership(ListScope::Full, vec![Member::default()], 1);
     (node.classes[0].idle_latency, node.latency_per_load) = (10.0 * MS as f64, 2.0 * MS as f64);
     node.classes[0].load_limit = 4.0;
-    let backend = node.backends.get_mut(&BackendId(0)).expect("it is listed");
+    let backend = node.backends.get_mut(&BackendId(0)).expect("a listed backend");
     backend.latency_ratio.update(now, 12.0, SECOND, 1.0);
     let sent = |request, node: &mut Balancer| {
         let (class, not_after, mut actions) = (ClassId(0), now + SECOND, Vec::new());
--- a/balancer/src/retry_budget/shared_tests.rs
+++ b/balancer/src/retry_budget/shared_tests.rs
@@ -5,11 +5,11 @@
 
 const WINDOW: Nanos = 10 * SECOND;
 const RATIO: f64 = 0.2;
-/// The time of the tests' first event.
+/// The time of the first event of each test.
 const BEGIN: Nanos = 100 * SECOND;
 
-/// The parts of the slack that all nodes have together: in their first window, and later. With these the bound
-/// holds while each node starts again up to twice in a window.
+/// The parts of the slack that all nodes have together: in their first window, and later. With these parts
+/// the limit holds if each node restarts at most twice within a window.
 const STARTING_PART: f64 = 0.2;
 const LATER_PART: f64 = 0.6;
 const MAX_STARTS_IN_A_WINDOW: usize = 2;
@@ -34,7 +34,7 @@
 fn requests_earn_half_of_the_ratio_for_one_window() {
     let mut budget = SharedBudget::new(settings(0.0, 0));
     (0..100).for_each(|_| budget.earn(BEGIN));
-    assert_eq!(payable(&mut budget, BEGIN + WINDOW), 0, "expired");
+    assert_eq!(payable(&mut budget, BEGIN + WINDOW), 0, "earnings are expired after one window");
     (0..100).for_each(|_| budget.earn(BEGIN + WINDOW));
     assert_eq!(payable(&mut budget, BEGIN + 2 * WINDOW - 1), 10);
 }
@@ -71,7 +71,7 @@
     assert_eq!(payable(&mut budget, BEGIN), 1);
 }
 
-/// What happens at one node of a fleet.
+/// An event at one node.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Requests(u8),
@@ -87,14 +87,14 @@
     ]
 }
 
-/// Requests and retries of a fleet at one moment.
+/// Requests and retries of all nodes at one point in time.
 struct Sample {
     at: Nanos,
     requests: usize,
     retries: usize,
 }
 
-/// Plays events, each after a pause and at one of the nodes.
+/// Runs events, each after a pause in milliseconds and at one of the nodes.
 fn play(nodes: usize, slack: f64, events: &[(u16, usize, Event)]) -> Vec<Sample> {
     let share = LATER_PART * slack / nodes as f64;
     let mut starts: Vec<Vec<Nanos>> = vec![Vec::new(); nodes];
@@ -127,8 +127,8 @@
 }
 
 proptest! {
-    /// The rule itself: in no window do all nodes together retry more than the ratio of the requests of that
-    /// window, or of the one before where that had more, and the slack.
+    /// The limit itself: in no window do all nodes together send more retries than the slack plus the ratio
+    /// of the requests of that window, or of the window before if that had more.
     #[test]
     fn retries_of_all_nodes_together_stay_within_the_budget(
         nodes in 1_usize..100,
@@ -142,7 +142,7 @@
             let requests_from = |from: Nanos| within(from).map(|sample| sample.requests).sum::<usize>();
             let requests = requests_from(first.at).max(requests_from(first.at - WINDOW));
             let bound = RATIO * requests as f64 + slack;
-            prop_assert!(retries as f64 <= bound + 1e-6, "{retries} retries, {bound} allowed, at {}", first.at);
+            prop_assert!(retries as f64 <= bound + 1e-6, "{retries} retries in the window from {}, {bound} allowed", first.at);
         }
     }
 }
--- a/balancer/tests/advisor.rs
+++ b/balancer/tests/advisor.rs
@@ -1,5 +1,4 @@
-//! The advisor, and what an embedder may change while the node runs. An advisor without advice changes
-//! nothing.
+//! The placement advisor, and the settings that an embedder may change while the node runs.
 
 mod common;
 
@@ -19,13 +18,13 @@
 /// An advisor that a test controls.
 #[derive(Clone, Default)]
 struct TestAdvisor {
-    /// Backends that it does not allow.
+    /// Backends that the advisor does not allow.
     disallowed: Rc<RefCell<BTreeSet<u32>>>,
     delays: Rc<RefCell<BTreeMap<u32, f64>>>,
     home_disallowed: Rc<Cell<bool>>,
-    /// The sends that it was notified of.
+    /// The sends that the advisor was notified of.
     sends: Rc<RefCell<Vec<(RequestId, BackendId)>>>,
-    /// The most sends that it allows a backend.
+    /// The most sends to one backend that the advisor allows; `None` for no limit.
     max_sends: Rc<Cell<Option<usize>>>,
 }
 
@@ -74,7 +73,7 @@
     Settings { classes: vec![class], ..settings(class.idempotency) }
 }
 
-/// Ends every attempt of one request with `outcome` until nothing more is sent; returns the backends of all
+/// Ends every attempt of one request with `outcome` until nothing more is sent. Returns the backends of all
 /// sends.
 fn sends_of_one_request(node: &mut Node, outcome: Outcome, wait: Nanos) -> Vec<BackendId> {
     let (request, mut actions) = node.arrive(wait);
@@ -103,12 +102,12 @@
     advisor.disallow(&[0, 1, 2, 6, 7, 8]);
     advisor.home_disallowed.set(true);
     let used = node.serve(60, |_| utilisation(0.2));
-    assert_eq!(used.len(), 60, "none is held for a place at home");
+    assert_eq!(used.len(), 60, "requests were queued to wait for the home zone");
     assert!(used.iter().all(|to| (3..6).contains(&to.0)), "{used:?}");
     advisor.disallow(&[]);
     advisor.home_disallowed.set(false);
     let used = node.serve(60, |_| utilisation(0.2));
-    assert!(used.iter().all(|to| to.0 < 3), "with no such homes it stays: {used:?}");
+    assert!(used.iter().all(|to| to.0 < 3), "requests left the home zone although it is allowed: {used:?}");
 }
 
 #[test]
@@ -143,8 +142,8 @@
     assert_eq!(*advisor.sends.borrow(), sends);
 }
 
-/// Pending requests are sent together once they may be: none of them may pass a limit that the first one
-/// has reached.
+/// Pending requests are sent within one event once they are allowed: none of them may exceed a limit that an
+/// earlier one has reached.
 #[test]
 fn advisor_limit_holds_for_sends_within_one_event() {
     let (mut node, advisor) = advised(settings(Idempotency::Idempotent));
@@ -154,7 +153,7 @@
     advisor.max_sends.set(Some(2));
     node.now += 10 * MS;
     let actions = node.handle(Event::Timer { token: 0 });
-    assert!(all_sent_to(&actions).len() > 1, "several go out together");
+    assert!(all_sent_to(&actions).len() > 1, "not several requests were sent within one event");
     node.advance(300 * MS);
     assert!((0..9).all(|backend| advisor.sent_to(BackendId(backend)) <= 2), "{:?}", advisor.sends);
 }
@@ -180,8 +179,11 @@
         let mut node = Node::new(with_class(class), nine_members());
         node.serve(100, |_| utilisation(0.2));
         let to = sends_of_one_request(&mut node, Outcome::Rejected, SECOND);
-        assert!(to.len() <= most as usize, "{most}: {to:?}");
-        assert!(most == 1 || to.len() > 1, "it is sent again: {most}: {to:?}");
+        assert!(to.len() <= most as usize, "at most {most} attempts: {to:?}");
+        assert!(
+            most == 1 || to.len() > 1,
+            "the request was not retried with at most {most} attempts: {to:?}"
+        );
     }
 }
 
@@ -196,7 +198,7 @@
         let mut node = Node::new(with_class(class), nine_members());
         let to = sends_of_one_request(&mut node, outcome, SECOND);
         assert!(to.len() > 1, "{outcome:?}: {to:?}");
-        assert!(to.len() <= 9, "it does not go through all of them for ever: {outcome:?}: {to:?}");
+        assert!(to.len() <= 9, "unreached attempts are not bounded: {outcome:?}: {to:?}");
     }
 }
 
@@ -208,12 +210,12 @@
         ..class(400, 1000, Idempotency::Idempotent)
     };
     let mut node = Node::new(with_class(class), nine_members());
-    // All tokens that could be saved up are spent by far.
+    // The rounds need many more tokens than can be saved up.
     for _ in 0..200 {
         let (request, actions) = node.arrive(SECOND);
         assert!(first_sent_to(&actions).is_some());
         let again = node.end_attempt(request, 0, Outcome::ConnectFailed, LoadReport::default());
-        assert!(first_sent_to(&again).is_some(), "the next one is tried");
+        assert!(first_sent_to(&again).is_some(), "the next backend was not tried");
         node.end_attempt(request, 1, Outcome::Served, LoadReport::default());
         node.advance(10 * MS);
     }
@@ -239,7 +241,7 @@
             node.end_attempt(request, 1, Outcome::Served, LoadReport::default());
         }
     }
-    assert!(again < 100, "{again} repeats of 200 requests");
+    assert!(again < 100, "{again} retries of 200 requests");
 }
 
 #[test]
@@ -251,12 +253,18 @@
         };
         let mut node = Node::new(with_class(class), Vec::new());
         let (_, actions) = node.arrive(2 * SECOND);
-        assert!(!is_rejected(&actions), "held at first");
+        assert!(!is_rejected(&actions), "the request was not queued at first");
         let early = node.advance((max_queue_ms - 20) * MS);
-        assert!(max_queue_ms == 20 || !is_rejected(&early), "{max_queue_ms}: too early");
-        assert!(is_rejected(&node.advance(60 * MS)), "{max_queue_ms}: in time");
+        assert!(
+            max_queue_ms == 20 || !is_rejected(&early),
+            "max_queue_time {max_queue_ms} ms: rejected too early"
+        );
+        assert!(
+            is_rejected(&node.advance(60 * MS)),
+            "max_queue_time {max_queue_ms} ms: not rejected in time"
+        );
     }
-    // Never longer than the client waits.
+    // A request is never queued for longer than its client waits.
     let class =
         ClassSettings { max_queue_time: Some(10 * SECOND), ..class(800, 2000, Idempotency::Idempotent) };
     let mut node = Node::new(with_class(class), Vec::new());
@@ -264,7 +272,7 @@
     assert!(is_rejected(&node.advance(130 * MS)));
 }
 
-/// A node with a stream that has started; its request, and the backend.
+/// A node with a stream that has started, its request, and its backend.
 fn streaming(effect: Idempotency) -> (Node, RequestId, BackendId) {
     let class =
         ClassSettings { max_attempts: Some(3), retry_past_target: true, ..class(400, 10_000, effect) };
@@ -273,7 +281,7 @@
     let (request, actions) = node.arrive(10 * SECOND);
     let to = first_sent_to(&actions).expect("a send");
     node.handle(Event::StreamStarted { request });
-    // Long past the latency target of its start.
+    // Well past the latency target of the stream's start.
     node.advance(2 * SECOND);
     (node, request, to)
 }
@@ -285,11 +293,11 @@
         let aim_end = node.now + 300 * MS;
         assert!(
             first_sent_to(&node.handle(Event::StreamInterrupted { request, target_at: aim_end })).is_none(),
-            "its attempt's end follows"
+            "resumed before the end of the attempt"
         );
         let mut actions = node.end_attempt(request, 0, outcome, LoadReport::default());
         actions.extend(node.advance(100 * MS));
-        let next = first_sent_to(&actions).expect("it goes on");
+        let next = first_sent_to(&actions).expect("a send that resumes the stream");
         assert_ne!(next, first, "{outcome:?}");
         node.handle(Event::StreamStarted { request });
         let ended = node.end_attempt(request, 1, Outcome::Served, LoadReport::default());
@@ -334,7 +342,7 @@
             node.balancer.add_class(ClassSettings { max_attempts: Some(2), ..class(400, 1000, effect) })
         })
         .into();
-    assert_eq!(ids, [ClassId(1), ClassId(2)], "numbers go on");
+    assert_eq!(ids, [ClassId(1), ClassId(2)], "class numbers are not consecutive");
     for (class, again) in ids.into_iter().zip([false, true]) {
         let request = RequestId(1000 + u64::from(class.0));
         let not_after = node.now + SECOND;
@@ -345,7 +353,7 @@
         assert_eq!(first_sent_to(&actions).is_some(), again, "{class:?}");
         assert_eq!(is_failed(&actions), !again, "{class:?}");
     }
-    assert_eq!(node.serve(50, |_| utilisation(0.2)).len(), 50, "the first class goes on");
+    assert_eq!(node.serve(50, |_| utilisation(0.2)).len(), 50, "the first class is not served any more");
 }
 
 #[test]
@@ -370,9 +378,9 @@
         advised(settings(Idempotency::Idempotent)).0,
     );
     for home in [0.2, 0.7, 0.95, 1.0, 0.4] {
-        // Home has this utilisation; the others are idle.
+        // The home zone has this utilisation; the other zones are idle.
         let report = |to: BackendId| utilisation(if to.0 < 3 { home } else { 0.1 });
-        assert_eq!(plain_node.serve(100, report), advised_node.serve(100, report), "{home}");
+        assert_eq!(plain_node.serve(100, report), advised_node.serve(100, report), "home utilisation {home}");
     }
     for _ in 0..20 {
         let (one, other) = (plain_node.arrive(SECOND), advised_node.arrive(SECOND));
--- a/balancer/tests/common/closed_loop.rs
+++ b/balancer/tests/common/closed_loop.rs
@@ -1,5 +1,6 @@
-//! A small closed loop round one node, in virtual time: arrivals, backends that queue, a list that changes. What the
-//! node does decides which events follow, so two builds that decide alike get the same events.
+//! A closed-loop simulation of one node in virtual time: arrivals, backends with queues, and a list of
+//! backends that changes. The node's actions determine the later events, so two builds that make the same
+//! decisions get the same events.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -14,7 +15,7 @@
 
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1000 * MS;
-/// A backend with more work queued than this rejects requests.
+/// A backend with more queued work than this rejects requests.
 const MAX_QUEUED_WORK: Nanos = 2 * SECOND;
 /// The latency of a probe.
 const PROBE_LATENCY: Nanos = 3 * MS;
@@ -22,22 +23,22 @@
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x100_0000_01b3;
 
-/// What a loop is made of.
+/// The parameters of a closed loop.
 #[derive(Clone, Copy, Debug)]
 pub struct Shape {
     pub seed: u64,
     pub backends: u32,
     pub zones: u32,
     pub nodes: u32,
-    /// Requests a second that come to the node.
+    /// Requests per second that arrive at the node.
     pub rate: u64,
-    /// How long an idle backend works on a request; it has two cores.
+    /// The time that an idle backend, which has two cores, takes for a request.
     pub work: Nanos,
-    /// Attempts in a thousand that fail, of each kind of failure.
+    /// Attempts in a thousand that fail, for each kind of failure.
     pub failing: u64,
-    /// Load reports come with the responses.
+    /// Load reports come with responses.
     pub reports: bool,
-    /// Load reports come with probes.
+    /// Load reports come with the replies to probes.
     pub probes: bool,
     /// The interval at which the list changes; 0 for never.
     pub churn: Nanos,
@@ -89,7 +90,8 @@
     }
 }
 
-/// What happens next. The order of the variants breaks no ties: the queue has an order of its own.
+/// A scheduled event. The order of the variants does not matter: the queue breaks ties by its own sequence
+/// number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Next {
     Arrival,
@@ -115,32 +117,32 @@
 const SERVED: u8 = 0;
 const REJECTED: u8 = 2;
 const TIMED_OUT: u8 = 3;
-/// The outcomes of the failures that [`Shape::failing`] counts.
+/// The positions in [`OUTCOMES`] of the kinds of failure that [`Shape::failing`] applies to.
 const FAILURES: [u8; 3] = [1, 2, 4];
 
-/// A request that has had no final answer.
+/// A request without a final answer.
 struct OpenRequest {
     attempts: u32,
     not_after: Nanos,
 }
 
-/// The loop.
+/// A running closed loop.
 pub struct ClosedLoop {
     pub shape: Shape,
     pub node: Balancer,
     pub now: Nanos,
     pub arrived: u64,
-    /// Time spent inside the node, and events that it has handled.
+    /// Time spent inside the node, and number of events that the node has handled.
     pub inside: Duration,
     pub events: u64,
-    /// A digest of all actions but those of logs and discovery.
+    /// A digest of all actions except logs and discovery requests.
     pub digest: u64,
     pub sends: u64,
     pub refusals: u64,
     random: u64,
     queue: BinaryHeap<Reverse<(Nanos, u64, Next)>>,
     order: u64,
-    /// When each backend's cores are free.
+    /// When each core of each backend becomes free.
     cores_free_at: Vec<[Nanos; 2]>,
     open: BTreeMap<RequestId, OpenRequest>,
     actions: Vec<Action>,
@@ -148,7 +150,7 @@
 
 impl ClosedLoop {
     pub fn new(shape: Shape) -> Self {
-        let node = Balancer::new(shape.settings(), shape.seed, SECOND).expect("usable settings");
+        let node = Balancer::new(shape.settings(), shape.seed, SECOND).expect("valid settings");
         let mut closed_loop = Self {
             node,
             now: SECOND,
@@ -178,7 +180,7 @@
         closed_loop
     }
 
-    /// Runs until so many requests have come in all.
+    /// Runs until `arrivals` requests have arrived in total.
     pub fn run(&mut self, arrivals: u64) {
         while self.arrived < arrivals {
             self.step();
@@ -201,7 +203,7 @@
         free_at.map_or(0, |free_at| free_at.saturating_sub(self.now))
     }
 
-    /// Share of the cores of a backend that is busy.
+    /// Share of a backend's cores that are busy.
     fn utilisation(&self, backend: BackendId) -> f64 {
         let cores = &self.cores_free_at[backend.0 as usize];
         cores.iter().filter(|free_at| **free_at > self.now).count() as f64 / 2.0
@@ -287,7 +289,8 @@
         self.schedule(at, Next::AttemptEnd(running));
     }
 
-    /// Puts a request on a backend's first free core; returns when it is done. Every third backend is half as fast.
+    /// Puts a request on the backend's first free core and returns when the request is done. Every third
+    /// backend is half as fast.
     fn work(&mut self, request: RequestId, backend: BackendId) -> Nanos {
         let cores = &mut self.cores_free_at[backend.0 as usize];
         let core = usize::from(cores[1] < cores[0]);
@@ -333,7 +336,7 @@
         self.handle(Event::ProbeEnded { backend, outcome, elapsed, report });
     }
 
-    /// One backend drawn changes its state, and one is in service again, perhaps restarted.
+    /// A random backend changes its state, and another one is back in service, possibly restarted.
     fn change_list(&mut self) {
         const STATES: [BackendState; 3] =
             [BackendState::InService, BackendState::Draining, BackendState::Removed];
--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A node under test, the events that a test feeds it, and what it answered.
+//! A node under test, with helpers that feed events to it and inspect its actions.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -11,11 +11,11 @@
 pub const MS: Nanos = 1_000_000;
 pub const SECOND: Nanos = 1000 * MS;
 
-/// The time between two timers where a test lets time pass.
+/// The interval of the timer events in [`Node::advance`].
 const TIMER_INTERVAL: Nanos = 10 * MS;
-/// The latency of an attempt where a test does not say otherwise.
+/// The default latency of an attempt.
 const LATENCY: Nanos = 30 * MS;
-/// The same in [`Node::serve`], which spaces its requests by [`TIMER_INTERVAL`].
+/// The latency of an attempt in [`Node::serve`], which spaces its requests by [`TIMER_INTERVAL`].
 const SERVE_LATENCY: Nanos = 40 * MS;
 
 /// A node and its clock.
@@ -35,7 +35,7 @@
     }
 }
 
-/// Three zones, two nodes, and one class of 400 ms latency target and 1 s deadline.
+/// Three zones, two nodes, and one class with a latency target of 400 ms and a deadline of 1 s.
 pub fn settings(idempotency: Idempotency) -> Settings {
     Settings { classes: vec![class(400, 1000, idempotency)], nodes: 2, ..Settings::new(ZoneId(0), 3) }
 }
@@ -50,7 +50,7 @@
     }
 }
 
-/// A report of this utilisation only.
+/// A load report with only a utilisation.
 pub fn utilisation(utilisation: f64) -> LoadReport {
     LoadReport { utilisation: Some(utilisation), ..LoadReport::default() }
 }
@@ -69,7 +69,7 @@
     }
 
     pub fn seeded(seed: u64, settings: Settings, members: Vec<Member>) -> Self {
-        let balancer = Balancer::new(settings, seed, SECOND).expect("usable settings");
+        let balancer = Balancer::new(settings, seed, SECOND).expect("valid settings");
         let mut node = Self { balancer, now: SECOND, next: 0, ended_attempts: BTreeMap::new() };
         node.handle(Event::Start);
         node.handle(Event::Membership { scope: ListScope::Cached, members });
@@ -86,17 +86,17 @@
         self.handle(Event::Membership { scope, members })
     }
 
-    /// A request of class 0 whose client waits for `timeout`.
+    /// A request of class 0 arrives, whose client waits for `timeout`.
     pub fn arrive(&mut self, timeout: Nanos) -> (RequestId, Vec<Action>) {
         self.arrive_as(timeout, false, None)
     }
 
-    /// The same, marked as a client's retry.
+    /// The same, for a request that its client has marked as a retry.
     pub fn arrive_as_retry(&mut self, timeout: Nanos) -> (RequestId, Vec<Action>) {
         self.arrive_as(timeout, true, None)
     }
 
-    /// A request of this tenant's.
+    /// The same, for a request of `tenant`.
     pub fn arrive_from_tenant(&mut self, tenant: u32, timeout: Nanos) -> (RequestId, Vec<Action>) {
         self.arrive_as(timeout, false, Some(tenant))
     }
@@ -110,7 +110,7 @@
         (request, self.handle(Event::Request(arrival)))
     }
 
-    /// The number of a request's attempt in flight, where each ends before the next is sent.
+    /// The number of the attempt in flight of a request whose attempts each end before the next one is sent.
     pub fn attempt(&mut self, request: RequestId) -> u32 {
         let next = self.ended_attempts.entry(request).or_insert(0);
         *next += 1;
@@ -140,7 +140,7 @@
         self.handle(Event::AttemptEnded(end))
     }
 
-    /// Lets time pass, with the housekeeping timer coming due.
+    /// Advances the clock by `span`, with the housekeeping timer due every [`TIMER_INTERVAL`].
     pub fn advance(&mut self, span: Nanos) -> Vec<Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
@@ -151,8 +151,8 @@
         actions
     }
 
-    /// `count` requests, one in 10 ms; every attempt is served after 40 ms with the report of its backend. Returns
-    /// the backends that served.
+    /// `count` requests arrive, one every 10 ms; every attempt is served after 40 ms with its backend's
+    /// report. Returns the backends that served.
     pub fn serve(&mut self, count: usize, report: impl Fn(BackendId) -> LoadReport) -> Vec<BackendId> {
         let mut served_by = Vec::new();
         let mut in_flight: Vec<InFlight> = Vec::new();
@@ -177,7 +177,7 @@
     }
 }
 
-/// The backends of all sends.
+/// The backends of all sends among `actions`.
 pub fn all_sent_to(actions: &[Action]) -> Vec<BackendId> {
     let to = |action: &Action| match action {
         Action::Send { backend, .. } => Some(*backend),
@@ -186,7 +186,7 @@
     actions.iter().filter_map(to).collect()
 }
 
-/// The backend of the first send.
+/// The backend of the first send among `actions`.
 pub fn first_sent_to(actions: &[Action]) -> Option<BackendId> {
     all_sent_to(actions).first().copied()
 }
@@ -199,18 +199,18 @@
     actions.iter().any(|action| matches!(action, Action::Fail { .. }))
 }
 
-/// Whether a backend was logged as ejected.
+/// Whether `actions` log the ejection of a backend.
 pub fn logs_ejection(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Log(text) if text.contains("ejected")))
 }
 
-/// A backend whose latency is `idle_latency` while cores are free, and `latency_per_request` for every request on
-/// it beyond that.
+/// A backend with a latency of `idle_latency` while cores are free, and otherwise of `latency_per_request`
+/// for each request that it holds.
 pub struct QueueingBackend {
     pub idle_latency: Nanos,
     pub latency_per_request: Nanos,
     open: Vec<QueuedRequest>,
-    /// The requests that it was sent.
+    /// The requests sent to the backend.
     pub taken: Vec<RequestId>,
 }
 
@@ -225,12 +225,13 @@
         Self { idle_latency, latency_per_request, open: Vec::new(), taken: Vec::new() }
     }
 
-    /// One request every `interval` for `span`; returns the most requests that were on the backend together.
+    /// Sends one request to the node every `interval` for `span`. Returns the most requests in flight at the
+    /// backend.
     pub fn run(&mut self, node: &mut Node, interval: Nanos, span: Nanos, timeout: Nanos) -> usize {
         self.run_with(node, interval, span, |node| node.arrive(timeout).1)
     }
 
-    /// The same with any kind of request.
+    /// The same, with requests that `arrive` creates.
     pub fn run_with(
         &mut self,
         node: &mut Node,
--- a/balancer/tests/congestion.rs
+++ b/balancer/tests/congestion.rs
@@ -1,4 +1,5 @@
-//! Congestion where nodes are many: windows shrink, recover, and keep what is over quota out first.
+//! Congestion with many nodes: concurrency windows shrink and recover, and requests over quota are rejected
+//! first.
 
 mod common;
 
@@ -7,7 +8,7 @@
 use common::{MS, Node, SECOND, class, first_sent_to, member, settings};
 use ivyhatch_balancer::{Action, BackendId, Idempotency, LoadReport, Nanos, Outcome, RequestId, Settings};
 
-/// What a node did in a period of traffic.
+/// Counts of a node over a period of traffic.
 struct Period {
     arrivals: u32,
     sends: u32,
@@ -33,7 +34,7 @@
     node: Node,
     in_flight: Vec<AttemptInFlight>,
     last_attempts: BTreeMap<RequestId, u32>,
-    /// The tenants of the requests, in turn; empty for none.
+    /// The tenants of the requests, in turn; empty for requests without a tenant.
     tenants: Vec<u32>,
     tenant_of: BTreeMap<RequestId, u32>,
     attempts_by_tenant: [u32; 2],
@@ -53,8 +54,8 @@
         }
     }
 
-    /// `rate` requests a second for `seconds`, whose clients wait for five. Each attempt ends as `outcome_of`
-    /// says of its backend, after the latency that it gives.
+    /// Sends `rate` requests per second to the node for `seconds`; clients wait for five seconds.
+    /// `outcome_of` gives the outcome and the latency of an attempt by its backend and the time.
     fn run(
         &mut self,
         rate: u64,
@@ -125,71 +126,81 @@
     Traffic::of(Node::new(node_settings, (0..60).map(|b| member(b, b / 20)).collect()))
 }
 
-/// The calm day of 300 nodes: a burst filled all backends, each node's share of the arrivals fell by half a
-/// second, and what had been sent stayed there for ten seconds: 12 of 100 requests in time for the rest of
-/// the day.
+/// On a calm day with 300 nodes, a burst filled all backends. Each node's share of the arrivals fell only
+/// after half a second, and the requests sent until then occupied the backends for ten seconds: 12 of 100
+/// requests were served in time for the rest of the day.
 #[test]
 fn congestion_holds_no_more_requests_than_the_window() {
     let mut node = one_of_a_hundred_nodes();
     let calm = node.run(14, 10, |_, _| (Outcome::Served, 180 * MS));
     assert_eq!(calm.sends, calm.arrivals);
-    // No response comes back within four seconds any more.
+    // No response arrives within four seconds any more.
     let in_congestion = node.run(28, 8, |_, _| (Outcome::Served, 4 * SECOND));
     assert!(
         in_congestion.max_in_flight < 30,
-        "{} out of {} asked",
+        "{} requests in flight at once during congestion, of {} arrivals",
         in_congestion.max_in_flight,
         in_congestion.arrivals
     );
     let late = node.run(28, 8, |_, _| (Outcome::Served, 4 * SECOND));
-    assert!(late.sends < 40, "{} sent into congestion, of {}", late.sends, late.arrivals);
+    assert!(late.sends < 40, "{} requests sent during congestion, of {} arrivals", late.sends, late.arrivals);
     node.run(14, 10, |_, _| (Outcome::Served, 180 * MS));
     let after = node.run(14, 5, |_, _| (Outcome::Served, 180 * MS));
-    assert!(after.sends > after.arrivals * 9 / 10, "{} of {} after congestion", after.sends, after.arrivals);
+    assert!(
+        after.sends > after.arrivals * 9 / 10,
+        "{} of {} requests sent after congestion",
+        after.sends,
+        after.arrivals
+    );
 }
 
-/// The fleet days: the share sent was bound by what had been served of all arrivals, the rejected included.
-/// It grew by 15 % in three seconds once congestion was over, and backends were idle for the rest of the
-/// day.
+/// On days with a large fleet, the share sent was limited by the share served of all arrivals, including the
+/// rejected ones. After the congestion the share grew by 15 % in three seconds, and backends were idle for
+/// the rest of the day.
 #[test]
 fn node_sends_all_requests_again_within_seconds_after_congestion() {
     let mut node = one_of_a_hundred_nodes();
     assert!(node.run(17, 5, |_, _| (Outcome::Served, 180 * MS)).sent_share() > 0.95);
     node.run(17, 8, |_, _| (Outcome::TimedOut, 700 * MS));
     let congested = node.run(17, 4, |_, _| (Outcome::TimedOut, 700 * MS)).sent_share();
-    assert!(congested < 0.2, "{congested} sent into congestion");
+    assert!(congested < 0.2, "share {congested} of the requests sent during congestion");
     node.run(17, 8, |_, _| (Outcome::Served, 180 * MS));
     let after = node.run(17, 4, |_, _| (Outcome::Served, 180 * MS)).sent_share();
-    assert!(after > 0.9, "{after} sent eight seconds after congestion");
+    assert!(after > 0.9, "share {after} of the requests sent eight seconds after congestion");
 }
 
-/// Each of ten nodes to a backend added one to its window a round: in a round the backend held twice as
-/// much, and became congested.
+/// Each of ten nodes that share a backend added 1 to its window per round of responses: the load of the
+/// backend doubled within a round, and the backend became congested.
 #[test]
 fn window_that_is_too_small_grows_by_a_part_of_itself() {
     let mut node = one_of_a_hundred_nodes();
-    // Congestion once, so that what follows is the growth after it.
+    // Congestion once, so that the growth measured below is that after the first congestion.
     node.run(28, 3, |_, _| (Outcome::Served, 650 * MS));
     node.run(6, 8, |_, _| (Outcome::Served, 180 * MS));
     let before = node.run(60, 1, |_, _| (Outcome::Served, 180 * MS));
     let after = node.run(60, 1, |_, _| (Outcome::Served, 180 * MS));
     assert!(after.sends > before.sends, "{} sent, then {}", before.sends, after.sends);
-    // A second has five rounds; growing by a tenth in each comes to 1.6 times.
+    // A second has five rounds; growth by a tenth in each gives a factor of 1.6.
     assert!(after.sends < before.sends * 5 / 2, "{} sent, then {}", before.sends, after.sends);
 }
 
-/// A node that started in congestion took its latency for usual, saw no time left for any response, and
-/// sent nothing ever again.
+/// A node that started during congestion took the latency at that time as the usual one, found that no
+/// response could be in time, and never sent anything again.
 #[test]
 fn node_started_in_congestion_sends_once_it_is_over() {
     let mut node = one_of_a_hundred_nodes();
     node.run(28, 4, |_, _| (Outcome::Served, 650 * MS));
     node.run(6, 6, |_, _| (Outcome::Served, 180 * MS));
     let after = node.run(6, 4, |_, _| (Outcome::Served, 180 * MS));
-    assert!(after.sends > after.arrivals * 9 / 10, "{} of {} sent", after.sends, after.arrivals);
+    assert!(
+        after.sends > after.arrivals * 9 / 10,
+        "{} of {} requests sent after congestion",
+        after.sends,
+        after.arrivals
+    );
 }
 
-/// In congestion all nodes of a zone went on to try all of its backends, and none could recover.
+/// During congestion all nodes of a zone went on to try all of its backends, so that none could recover.
 #[test]
 fn node_does_not_leave_a_slow_subset() {
     let mut node = one_of_a_hundred_nodes();
@@ -203,10 +214,10 @@
         (Outcome::Served, 3 * SECOND)
     });
     let home = used.iter().filter(|to| to.0 < 20).count();
-    assert_eq!(home, 4, "of {used:?}");
+    assert_eq!(home, 4, "home backends among {used:?}");
 }
 
-/// An attempt past its latency target showed the congestion only at its end, four latency targets later.
+/// An attempt past its latency target indicated the congestion only at its end, four latency targets later.
 #[test]
 fn overdue_attempts_shrink_the_window_before_they_end() {
     let mut node = one_of_a_hundred_nodes();
@@ -216,7 +227,7 @@
     assert!(after.sends < two.sends / 2, "{} sent, then {}", two.sends, after.sends);
 }
 
-/// The choice of a backend was left to chance, whatever the node itself had in flight there.
+/// The backend was chosen at random, regardless of the node's own requests in flight.
 #[test]
 fn slow_backend_of_the_subset_gets_fewer_requests() {
     let mut node = one_of_a_hundred_nodes();
@@ -228,11 +239,11 @@
     });
     let to_slow = counts.get(&slow).copied().unwrap_or(0);
     let even = counts.values().sum::<i32>() / 4;
-    assert!(to_slow * 2 < even, "{to_slow} to the slow one, an even part is {even}");
+    assert!(to_slow * 2 < even, "{to_slow} requests sent to the slow backend, an even share is {even}");
 }
 
-/// The same bound took the errors of faulty backends for a lack of capacity, and rejected what healthy ones
-/// would have served.
+/// The limit by the share served counted errors of faulty backends as a lack of capacity, and rejected
+/// requests that healthy backends would have served.
 #[test]
 fn errors_are_not_taken_for_congestion() {
     let mut node = one_of_a_hundred_nodes();
@@ -244,11 +255,11 @@
     let taken = node.run(17, 10, ends);
     assert!(
         taken.sends > taken.arrivals * 9 / 10,
-        "{} of {} taken where a third err",
+        "{} of {} requests sent while a third of the backends return errors",
         taken.sends,
         taken.arrivals
     );
-    // The same where all fail three times in ten.
+    // The same if all backends return errors for three attempts in ten.
     let mut node = one_of_a_hundred_nodes();
     let mut turn = 0;
     let mut ends = |_, _| {
@@ -259,16 +270,17 @@
     let taken = node.run(17, 10, &mut ends);
     assert!(
         taken.sends > taken.arrivals * 9 / 10,
-        "{} of {} taken where all err",
+        "{} of {} requests sent while all backends return errors",
         taken.sends,
         taken.arrivals
     );
 }
 
-/// A tenant at several times its usual traffic crowded out all others.
+/// A tenant that sent several times its usual traffic displaced the requests of all other tenants.
 #[test]
 fn tenant_over_its_quota_is_rejected_first() {
-    // 24 requests a second come, 20 of tenant 0, of which three are within its part; eight can be served.
+    // 24 requests per second arrive, 20 of them of tenant 0, of which three are within this node's part of
+    // the quota; eight per second can be served.
     let quota = 300.0;
     let tenants = vec![quota, quota];
     let mut node = one_of_a_hundred_nodes_with(Settings {
@@ -284,5 +296,5 @@
     });
     let Traffic { attempts_by_tenant: taken, arrivals_by_tenant: asked, .. } = node;
     let part = |tenant: usize| f64::from(taken[tenant]) / f64::from(asked[tenant]);
-    assert!(part(1) > 1.5 * part(0), "{taken:?} of {asked:?}");
+    assert!(part(1) > 1.5 * part(0), "sent by tenant {taken:?} of {asked:?}");
 }
--- a/balancer/tests/event_sequences.rs
+++ b/balancer/tests/event_sequences.rs
@@ -1,5 +1,5 @@
-//! Arbitrary legal sequences of events, with fixed seeds; the four rules are checked over the actions.
-//! Nothing is modelled: outcomes are drawn, not computed.
+//! Random legal sequences of events, with fixed seeds; the four rules are checked on the resulting actions.
+//! Backends are not simulated: outcomes are drawn at random.
 
 mod common;
 use common::{MS, Node, SECOND, class, member, settings, utilisation};
@@ -55,7 +55,7 @@
     }
 }
 
-/// What the node may do by the rules, from the events that it was given.
+/// Checks the node's actions against the rules, by the events that the node was given.
 struct RuleChecker {
     now: Nanos,
     idempotency: Vec<Idempotency>,
@@ -95,29 +95,44 @@
             self.idempotency[tracked.class],
             Idempotency::Idempotent | Idempotency::Keyed { scope: IdempotencyScope::All, .. }
         );
-        assert!(free || !ran, "refused what may have run");
+        assert!(free || !ran, "request {request:?} was rejected although an attempt may have run");
         self.end(request);
     }
 
     fn end(&mut self, request: RequestId) {
         let tracked = self.requests.get_mut(&request).expect("a known request");
-        assert!(!std::mem::replace(&mut tracked.ended, true), "two final answers");
+        assert!(!std::mem::replace(&mut tracked.ended, true), "request {request:?} got two final answers");
     }
 
     fn check_send(&mut self, request: RequestId, backend: BackendId) {
         let tracked = self.requests.get_mut(&request).expect("a known request");
-        assert!(!tracked.ended, "sent after its end");
-        assert!(self.now < tracked.not_after, "sent after its time");
-        assert!(tracked.attempts.len() < self.max_attempts, "past the cap");
+        assert!(!tracked.ended, "request {request:?} was sent after its end");
+        assert!(self.now < tracked.not_after, "request {request:?} was sent after its deadline");
+        assert!(
+            tracked.attempts.len() < self.max_attempts,
+            "request {request:?} was sent more often than max_attempts allows"
+        );
         let member = self.listed[&backend];
-        assert_eq!(member.state, BackendState::InService, "sent to a drained backend");
-        assert!(self.hedging || !tracked.attempts.iter().any(TrackedAttempt::is_in_flight), "two copies");
+        assert_eq!(
+            member.state,
+            BackendState::InService,
+            "request {request:?} was sent to {backend:?}, which is not in service"
+        );
+        assert!(
+            self.hedging || !tracked.attempts.iter().any(TrackedAttempt::is_in_flight),
+            "request {request:?} was sent twice at a time without hedging"
+        );
         if let Some(ran) = tracked.attempts.iter().find(|attempt| attempt.may_have_run()) {
             match self.idempotency[tracked.class] {
                 Idempotency::Idempotent => {}
-                Idempotency::NonIdempotent => panic!("an unsafe request was sent again"),
+                Idempotency::NonIdempotent => {
+                    panic!("non-idempotent request {request:?} was sent again although it may have run")
+                }
                 Idempotency::Keyed { scope, window } => {
-                    assert!(self.now <= ran.sent_at + window, "past the window");
+                    assert!(
+                        self.now <= ran.sent_at + window,
+                        "keyed request {request:?} was sent again after the key window"
+                    );
                     let first = self.listed[&ran.backend];
                     assert!(match scope {
                         IdempotencyScope::All => true,
@@ -130,7 +145,7 @@
         tracked.attempts.push(TrackedAttempt { backend, sent_at: self.now, outcome: None });
     }
 
-    /// The attempts in flight, by request and number, of requests that `counts`.
+    /// The attempts in flight, as request and attempt number, of requests for which `counts` is true.
     fn in_flight(&self, counts: impl Fn(&TrackedRequest) -> bool) -> Vec<(RequestId, usize)> {
         let mut in_flight = Vec::new();
         for (&id, tracked) in self.requests.iter().filter(|(_, tracked)| counts(tracked)) {
@@ -140,7 +155,7 @@
         in_flight
     }
 
-    /// Ends an attempt; one that served ends its request.
+    /// Ends an attempt; the outcome `Served` also ends its request.
     fn end_attempt(&mut self, id: RequestId, number: usize, outcome: Outcome, report: LoadReport) -> Event {
         let tracked = self.requests.get_mut(&id).expect("a known request");
         let attempt = &mut tracked.attempts[number];
@@ -152,7 +167,7 @@
     }
 }
 
-/// Draws the events and keeps the checker's view of them.
+/// Draws the events and updates the checker with them.
 struct Sequence {
     draw: Draw,
     zones: u32,
@@ -160,7 +175,7 @@
 }
 
 impl Sequence {
-    /// None where an attempt's end was drawn and none is in flight.
+    /// `None` if an attempt's end was drawn and no attempt is in flight.
     fn next_event(&mut self, step: u64) -> Option<Event> {
         Some(match self.draw.below(12) {
             0..=3 => self.arrival(RequestId(step)),
@@ -221,8 +236,8 @@
         }
     }
 
-    /// A failure of discovery, a client that hangs up, the end of an attempt that nobody made, or that of a
-    /// probe.
+    /// A failure of discovery, a client that disconnects, the end of an attempt that was never sent, or the
+    /// end of a probe.
     fn rare_event(&mut self, step: u64) -> Event {
         match self.draw.below(4) {
             0 => Event::DiscoveryFailed,
@@ -279,7 +294,7 @@
     let mut node = Node::new(settings, vec![]);
     for step in 0..2000u64 {
         let Some(event) = sequence.next_event(step) else { continue };
-        // The module's clock may be shown an earlier time; it must stand still, not fail.
+        // An earlier time may be passed to the balancer, whose clock must then stand still without a panic.
         let now = sequence.checker.now;
         node.now = if sequence.draw.below(50) == 0 { now / 2 } else { now };
         let actions = node.handle(event);
@@ -289,10 +304,11 @@
     time_all_attempts_out(&mut node, &mut checker);
     let open = checker.requests.values().filter(|tracked| !tracked.ended).count();
     assert_eq!(open, 0, "seed {seed}: requests without a final answer");
-    assert_eq!(node.balancer.open_requests(), 0, "seed {seed}: ended requests are kept");
+    assert_eq!(node.balancer.open_requests(), 0, "seed {seed}: the node still holds ended requests");
 }
 
-/// Every attempt still in flight times out with its client; then all must have been answered.
+/// Every attempt still in flight times out at its client's deadline; after that, all requests must have been
+/// answered.
 fn time_all_attempts_out(node: &mut Node, checker: &mut RuleChecker) {
     for _ in 0..200 {
         checker.now += 10 * MS;
--- a/balancer/tests/load_probes.rs
+++ b/balancer/tests/load_probes.rs
@@ -1,4 +1,5 @@
-//! Load reports by probe: what they may cost, and what a report that is false, old or missing may not do.
+//! Load reports by probe: the cost limit of probes, and the effects that false, old or missing reports must
+//! not have.
 
 mod common;
 use common::{MS, Node, SECOND, first_sent_to, member, settings, utilisation};
@@ -36,9 +37,10 @@
     Event::ProbeEnded { backend, outcome, elapsed: 5 * MS, report }
 }
 
-/// A backend's reply to a probe: a report, none within 500 ms, or an impossible one.
+/// The utilisation that a backend reports in reply to a probe; `None` if it does not reply before the
+/// timeout.
 type Reply<'a> = &'a dyn Fn(BackendId) -> Option<f64>;
-/// How a backend fails the requests that it is sent; `None` where it serves them.
+/// The outcome of requests sent to a backend that fails them; `None` if the backend serves them.
 type Failure<'a> = &'a dyn Fn(BackendId) -> Option<Outcome>;
 
 const PROBE_TIMEOUT: Nanos = 500 * MS;
@@ -55,12 +57,12 @@
     sent_at: Nanos,
 }
 
-/// A node, and the probes and requests in flight.
+/// A node with its probes and requests in flight.
 struct ProbedLoop {
     node: Node,
     attempts_in_flight: Vec<Attempt>,
     probes_in_flight: Vec<Probe>,
-    /// The backends of all requests, and of all probes.
+    /// The backends of all sends and of all probes, in order.
     sends: Vec<BackendId>,
     probes: Vec<BackendId>,
 }
@@ -85,7 +87,7 @@
                 }
                 Action::Probe { backend } => {
                     let is_probed = self.probes_in_flight.iter().any(|probe| probe.backend == backend);
-                    assert!(!is_probed, "two probes out to one");
+                    assert!(!is_probed, "two probes in flight to one backend");
                     self.probes.push(backend);
                     self.probes_in_flight.push(Probe { backend, sent_at });
                 }
@@ -94,7 +96,8 @@
         }
     }
 
-    /// One request every `interval` for `span`. Requests are served after 40 ms, or fail at once.
+    /// Sends one request to the node every `interval` for `span`. Requests are served after 40 ms, or fail at
+    /// once.
     fn run(&mut self, span: Nanos, interval: Nanos, reply: Reply, failure: Failure) {
         let (end, mut next_arrival) = (self.node.now + span, self.node.now);
         while self.node.now < end {
@@ -144,7 +147,7 @@
         }
     }
 
-    /// Share of the sends from number `from` on whose backend `counts`.
+    /// Share of the sends from number `from` on to backends for which `counts` is true.
     fn share(&self, from: usize, counts: impl Fn(BackendId) -> bool) -> f64 {
         let sends = &self.sends[from..];
         sends.iter().filter(|to| counts(**to)).count() as f64 / sends.len().max(1) as f64
@@ -159,8 +162,8 @@
         let members = (0..servers).map(|b| member(b, b % 3)).collect();
         let mut run = ProbedLoop::new(probing_settings(), members);
         run.run(30 * SECOND, 20 * MS, &|_| Some(0.3), NO_FAILURE);
-        // A fifth of a point in 100 at a cost of one point for a probe for each request, and the initial
-        // budget.
+        // Probes may cost 0.2 points in 100, and cost one point at one probe per request. The initial budget
+        // is extra.
         let most = 1500.0 * 0.2 + 16.0;
         assert!(run.probes.len() as f64 <= most, "{} probes of {servers} servers", run.probes.len());
         assert!(run.probes.len() > 50, "{} probes of {servers} servers", run.probes.len());
@@ -193,15 +196,17 @@
     run.run(3 * SECOND, 50 * MS, &|to| Some([0.97, 0.6, 0.1][zone(to) as usize]), NO_FAILURE);
     let late = run.sends.len();
     run.run(5 * SECOND, 50 * MS, &|to| Some([0.97, 0.6, 0.1][zone(to) as usize]), NO_FAILURE);
-    assert!(run.share(late, |to| zone(to) == 2) > 0.9, "not all to the zone with headroom");
+    assert!(
+        run.share(late, |to| zone(to) == 2) > 0.9,
+        "requests did not overflow to the zone with the most headroom"
+    );
     run.run(3 * SECOND, 50 * MS, &|_| Some(0.2), NO_FAILURE);
     let late = run.sends.len();
     run.run(5 * SECOND, 50 * MS, &|_| Some(0.2), NO_FAILURE);
-    assert!(run.share(late, |to| zone(to) == 0) > 0.9, "home was not taken again");
+    assert!(run.share(late, |to| zone(to) == 0) > 0.9, "requests did not return to the home zone");
 }
 
-/// A process that runs and rejects every request reports no load at all: its zone must not look free for
-/// that.
+/// A process that rejects every request reports no load: this must not make its zone look free.
 #[test]
 fn backend_that_reports_idle_and_fails_all_requests_gets_few() {
     let reply = |to: BackendId| Some(if to.0 == 0 { 0.0 } else { [0.97, 0.2, 0.2][zone(to) as usize] });
@@ -212,7 +217,7 @@
         let late = run.sends.len();
         run.run(10 * SECOND, 50 * MS, &reply, &failure);
         let share = run.share(late, |to| to.0 == 0);
-        assert!(share < 0.1, "{outcome:?}: {share} of the sends");
+        assert!(share < 0.1, "{outcome:?}: a share {share} of the sends");
     }
 }
 
@@ -221,29 +226,36 @@
     let members: Vec<Member> = (0..6).map(|b| member(b, b / 3)).collect();
     let mut run = ProbedLoop::new(Settings { zones: 2, ..probing_settings() }, members);
     run.run(10 * SECOND, 50 * MS, &|to| Some(if to.0 == 0 { 1.0 } else { 0.3 }), NO_FAILURE);
-    assert!(run.share(0, |to| to.0 < 3) > 0.95, "home was left for one figure");
-    assert!(run.share(0, |to| to.0 == 0) > 0.1, "it was left out");
+    assert!(
+        run.share(0, |to| to.0 < 3) > 0.95,
+        "requests left the home zone because of one backend's report"
+    );
+    assert!(run.share(0, |to| to.0 == 0) > 0.1, "the backend that reports full was not used");
 }
 
-/// Its reply describes a process that has ended.
+/// The reply to a probe of an earlier incarnation describes a process that has ended.
 #[test]
 fn report_of_an_earlier_incarnation_is_ignored() {
     let mut node_settings = probing_settings();
     node_settings.rules.warm_up_time = MS;
     let mut node = Node::new(node_settings, zones());
-    // The first probes of home are in flight when both of its backends restart.
+    // Probes of both home backends are in flight when both backends restart.
     let mut probed = Vec::new();
     while probed.iter().filter(|to| zone(**to) == 0).count() < 2 {
         probed.extend(probes(&node.advance(10 * MS)));
     }
     let restarted = |backend| Member { online_since: Some(SECOND / 2), ..member(backend, 0) };
     node.list(ListScope::Changes, vec![restarted(0), restarted(1)]);
-    // The replies to these probes come; nothing else is reported.
+    // The replies to these probes arrive; there are no other reports.
     for to in probed {
         node.handle(probe_end(to, Outcome::Served, utilisation(if zone(to) == 0 { 0.99 } else { 0.1 })));
     }
     node.advance(200 * MS);
-    assert_eq!(first_sent_to(&node.arrive(SECOND).1).map(zone), Some(0), "home is not full");
+    assert_eq!(
+        first_sent_to(&node.arrive(SECOND).1).map(zone),
+        Some(0),
+        "the request left home because of an earlier incarnation's report"
+    );
 }
 
 #[test]
@@ -251,13 +263,13 @@
     let mut run = ProbedLoop::new(probing_settings(), zones());
     run.run(3 * SECOND, 50 * MS, &|to| Some(if zone(to) == 0 { 0.97 } else { 0.1 }), NO_FAILURE);
     assert_ne!(run.sends.last().map(|to| zone(*to)), Some(0));
-    // The fault is over, and no probe comes back that would show it; nor is the lack of replies taken for a
-    // fault.
+    // The overload is over, but no reply to a probe shows it. The lack of replies must not count as a fault.
     run.node.now += 5 * SECOND;
     assert_eq!(first_sent_to(&run.node.arrive(SECOND).1).map(zone), Some(0));
 }
 
-/// The zone's last reports were low: by these, or by none at all, it would be the best one.
+/// The last reports of the partitioned zone were low: by these, or without any report, the zone would be the
+/// best one.
 #[test]
 fn partitioned_zone_gets_no_requests_and_few_probes() {
     let mut run = ProbedLoop::new(probing_settings(), zones());
@@ -267,11 +279,11 @@
     run.run(3 * SECOND, 50 * MS, &partitioned, NO_FAILURE);
     let (late, probes_before) = (run.sends.len(), run.probes.len());
     run.run(20 * SECOND, 50 * MS, &partitioned, NO_FAILURE);
-    assert_eq!(run.share(late, |to| zone(to) == 1), 0.0, "sent into the partition");
-    assert!(run.share(late, |to| zone(to) == 2) > 0.9, "and not to where there is room");
+    assert_eq!(run.share(late, |to| zone(to) == 1), 0.0, "requests were sent to the partitioned zone");
+    assert!(run.share(late, |to| zone(to) == 2) > 0.9, "requests were not sent to the zone with capacity");
     let into = run.probes[probes_before..].iter().filter(|to| zone(**to) == 1).count();
     let all = run.probes.len() - probes_before;
-    assert!(into * 4 < all && into > 0, "{into} of {all} probes went into the partition");
+    assert!(into * 4 < all && into > 0, "{into} of {all} probes were sent to the partitioned zone");
 }
 
 #[test]
@@ -284,17 +296,17 @@
     run.run(10 * SECOND, 50 * MS, &|_| Some(0.3), NO_FAILURE);
     assert!(run.probes.len() > probes_before + 10);
     let known: std::collections::BTreeSet<_> = run.probes[probes_before..].iter().collect();
-    assert_eq!(known.len(), 6, "all that is known is probed");
+    assert_eq!(known.len(), 6, "not all known backends were probed");
 }
 
-/// Attempts in flight at a backend, of all nodes.
+/// Attempts of all nodes in flight at a backend.
 fn in_flight_at(loops: &[ProbedLoop], backend: u32) -> usize {
     let attempts = loops.iter().flat_map(|run| &run.attempts_in_flight);
     attempts.filter(|attempt| attempt.backend.0 == backend).count()
 }
 
-/// Three nodes, each at home in a zone of its own, all zones just at the threshold: what one overflows
-/// comes back as what the others overflow, for the cost of two crossings.
+/// Three nodes with different home zones, all zones close to the threshold: requests that one zone overflows
+/// would be replaced by requests that the others overflow, at the cost of two crossings.
 #[test]
 fn zones_at_the_threshold_do_not_swap_their_load() {
     const ARRIVAL_INTERVALS: [Nanos; 4] = [MS, 4 * MS, 2 * MS, 3 * MS];
@@ -327,23 +339,26 @@
         }
     }
     let share = crossed as f64 / all as f64;
-    assert!(all > 9000 && share < 0.2, "{share:.3} of {all} crossed");
+    assert!(all > 9000 && share < 0.2, "a share {share:.3} of {all} requests crossed zones");
 }
 
-/// One report of many backends says too little of its zone to leave it, or to use it.
+/// A report of one backend of many says too little about its zone to leave the zone or to choose it.
 #[test]
 fn too_few_reports_do_not_decide_a_zones_utilisation() {
     let members: Vec<Member> = (0..20).map(|b| member(b, b / 10)).collect();
     let mut run = ProbedLoop::new(Settings { zones: 2, ..probing_settings() }, members);
-    // The other backends of home reply without a report.
+    // The other home backends reply without a valid report.
     let reply = |to: BackendId| Some(if matches!(to.0, 1..10) { f64::NAN } else { 0.99 });
     run.run(5 * SECOND, 10 * MS, &reply, NO_FAILURE);
-    assert!(run.share(0, |to| to.0 < 10) > 0.95, "home was left for one figure of ten");
+    assert!(run.share(0, |to| to.0 < 10) > 0.95, "requests left the home zone because of one of ten reports");
     let reply = |to: BackendId| {
         Some(if matches!(to.0, 3..10) { f64::NAN } else { 0.99 * f64::from(u8::from(to.0 < 10)) })
     };
     run.run(3 * SECOND, 10 * MS, &reply, NO_FAILURE);
     let late = run.sends.len();
     run.run(3 * SECOND, 10 * MS, &reply, NO_FAILURE);
-    assert!(run.share(late, |to| to.0 >= 10) > 0.9, "three figures are enough");
+    assert!(
+        run.share(late, |to| to.0 >= 10) > 0.9,
+        "three reports did not decide the home zone's utilisation"
+    );
 }
--- a/balancer/tests/many_nodes.rs
+++ b/balancer/tests/many_nodes.rs
@@ -1,4 +1,5 @@
-//! Faults found where nodes are many: each sees little, shares nothing, and must not act as one.
+//! Regression tests of faults with many nodes: each node sees little of the traffic, shares no state with the
+//! others, and must not act in step with them.
 
 mod common;
 
@@ -10,25 +11,26 @@
 
 const NODES: u32 = 300;
 
-/// Settings of one of many nodes in three zones, with live weights; late responses earn nothing.
+/// Settings of one of many nodes in three zones, with live weights; late responses have no value.
 fn settings_of_many_nodes() -> Settings {
     Settings { nodes: NODES, weights: Weights::Live, ..settings(Idempotency::Idempotent) }
 }
 
-/// A list of ten backends a zone, each of its zone's load.
+/// A list of ten backends per zone, each with the load of its zone.
 fn listed(load: [f64; 3]) -> Vec<Member> {
     let weight = |zone: u32| 1.0 / (1.0 + load[zone as usize]);
     (0..30).map(|b| Member { weight: weight(b / 10), ..member(b, b / 10) }).collect()
 }
 
 fn node(seed: u64, node_settings: Settings, members: Vec<Member>) -> Node {
-    // An idle list first: the largest weight of a kind is its size.
+    // An idle list comes first: the largest weight of a machine kind is taken as its size.
     let mut node = Node::seeded(seed, node_settings, listed([0.0; 3]));
     node.list(ListScope::Full, members);
     node
 }
 
-/// Two requests a second, each of this latency, under a list that is renewed every second.
+/// Two requests per second, each served after `latency`, with a full list every second. Returns the backends
+/// of the first sends.
 fn serve(node: &mut Node, seconds: u64, load: [f64; 3], latency: Nanos) -> Vec<BackendId> {
     let mut used = Vec::new();
     for turn in 0..seconds * 2 {
@@ -50,8 +52,8 @@
     backend.0 / 10
 }
 
-/// Live weights were taken for capacity: home never counted as used, and never overflowed (first full
-/// score).
+/// Live weights were taken as capacity: the home zone never appeared to be in use and never overflowed (first
+/// full score).
 #[test]
 fn live_weights_set_the_zones_utilisation() {
     let mut calm = node(1, settings_of_many_nodes(), listed([1.0; 3]));
@@ -59,11 +61,11 @@
     let mut full = node(1, settings_of_many_nodes(), listed([9.0, 0.2, 3.5]));
     let used = serve(&mut full, 30, [9.0, 0.2, 3.5], 50 * MS);
     let overflowed = used.iter().filter(|to| zone(to) == 1).count();
-    assert!(overflowed > used.len() / 3, "{overflowed} of {} left a full home", used.len());
+    assert!(overflowed > used.len() / 3, "{overflowed} of {} requests left the full home zone", used.len());
     assert!(used.iter().all(|to| zone(to) != 2), "only the best zone takes the overflow");
 }
 
-/// Nodes with the same view all left home at once and piled onto the next zone.
+/// Nodes with the same view all left the home zone at the same time and overloaded the next zone.
 #[test]
 fn nodes_of_the_same_view_overflow_at_different_times() {
     let first_overflow = |seed| {
@@ -73,10 +75,11 @@
     let mut times: Vec<Option<usize>> = (0..12).map(first_overflow).collect();
     times.sort_unstable();
     times.dedup();
-    assert!(times.len() > 3, "overflowed at the same request: {times:?}");
+    assert!(times.len() > 3, "nodes overflowed at the same request: {times:?}");
 }
 
-/// The busiest backend had 13 times the mean: every node took the few that a late list showed as idle.
+/// The busiest backend had 13 times the mean load: all nodes chose the few backends that an outdated list
+/// showed as idle.
 #[test]
 fn nodes_do_not_herd_onto_a_backend_listed_as_idle() {
     let members: Vec<Member> =
@@ -86,10 +89,11 @@
         first_sent_to(&node.arrive(SECOND).1) == Some(BackendId(3))
     });
     let to_idle = to_idle.count();
-    assert!((10..60).contains(&to_idle), "{to_idle} of 200 nodes chose the free one of ten");
+    assert!((10..60).contains(&to_idle), "{to_idle} of 200 nodes chose the one idle backend of ten");
 }
 
-/// Portal at full size: 2,000 refused connections in 5 s, as every node opened one to every server.
+/// In the portal deployment at full size, 2,000 connections were refused in 5 s, because every node opened a
+/// connection to every server.
 #[test]
 fn node_leaves_its_subset_only_when_all_of_it_fails() {
     let distinct = |used: &[BackendId]| {
@@ -101,7 +105,8 @@
     let mut node = node(5, settings_of_many_nodes(), listed([0.5; 3]));
     let subset = distinct(&serve(&mut node, 60, [0.5; 3], 50 * MS));
     assert_eq!(subset.len(), 4);
-    // None of the subset accepts a connection: the request still finds a backend, once each has been tried.
+    // No backend of the subset accepts connections: requests still reach another backend once each one of the
+    // subset has been tried.
     let mut widened = false;
     for _ in 0..10 {
         let (request, actions) = node.arrive(SECOND);
@@ -116,7 +121,8 @@
     assert!(widened);
 }
 
-/// A full connection table was taken for a fault, and its backend ejected for seconds.
+/// Refused connections due to a full connection table were taken as a backend fault, and the backend was
+/// ejected for seconds.
 #[test]
 fn refused_connections_eject_no_backend_where_nodes_are_many() {
     let mut node = node(5, settings_of_many_nodes(), listed([0.5; 3]));
@@ -133,7 +139,8 @@
     assert_eq!(logs, 0);
 }
 
-/// Jitter of arrivals made first attempts look like retries bound by the deadline: a third was rejected.
+/// Jitter of arrival times made first attempts look like retries bounded by the client's deadline, and a
+/// third of them was rejected.
 #[test]
 fn request_with_slightly_shorter_timeout_is_no_retry() {
     let mut node = node(3, settings_of_many_nodes(), listed([0.5; 3]));
@@ -146,19 +153,19 @@
     }
 }
 
-/// Retries past the latency target of the first attempt kept congestion alive: serving them earns nothing.
+/// Retries past the latency target of the first attempt sustained congestion: serving them has no value.
 #[test]
 fn retry_past_its_latency_target_is_rejected_where_late_responses_earn_nothing() {
     let mut node = node(3, settings_of_many_nodes(), listed([0.5; 3]));
     let (request, _) = node.arrive(800 * MS);
     node.end_attempt(request, 0, Outcome::Served, LoadReport::default());
-    // The deadline is 1 s and the latency target 400 ms: a request with 300 ms left was sent first 700 ms
+    // The deadline is 1 s and the latency target 400 ms: a request with 300 ms left was first sent 700 ms
     // ago.
     let (_, actions) = node.arrive(300 * MS);
     assert!(first_sent_to(&actions).is_none() && is_rejected(&actions));
 }
 
-/// A class without recent arrivals found nothing left of a rounded sum.
+/// The capacity left for a class without recent arrivals was 0 due to rounding of a sum.
 #[test]
 fn request_of_a_class_without_recent_arrivals_is_sent() {
     let mut node_settings = settings_of_many_nodes();
@@ -178,8 +185,8 @@
     assert!(first_sent_to(&actions).is_some());
 }
 
-/// After a timeout at its latency target an attempt continued at its backend and was no longer counted:
-/// nodes sent more into the congestion.
+/// An attempt that timed out at its latency target went on at its backend but was no longer counted as in
+/// flight, so that nodes sent more into the congestion.
 #[test]
 fn attempts_have_no_timeout_at_their_latency_target() {
     for nodes in [2, NODES] {
@@ -193,8 +200,8 @@
     }
 }
 
-/// One send of each node in a window was let through: at a thousand nodes more than a backend in slow start
-/// can take.
+/// Each node was allowed one send per window: with a thousand nodes, that exceeds what a backend in slow
+/// start can take.
 #[test]
 fn many_nodes_together_keep_the_slow_start_budget() {
     let mut sent_to_warming_up = 0;
@@ -208,12 +215,16 @@
             node.now += SECOND / 2;
         }
     }
-    // 200 requests a second come to ten backends a third used: 60 a second each. A tenth of that over 2 s
-    // is 12 requests, twice that the rule's limit.
-    assert!((1..=24).contains(&sent_to_warming_up), "{sent_to_warming_up} to the backend in slow start");
+    // 200 requests per second arrive at ten backends that are a third used: 60 per second each. A tenth of
+    // that over 2 s is 12 requests; the rule's limit is twice that.
+    assert!(
+        (1..=24).contains(&sent_to_warming_up),
+        "{sent_to_warming_up} requests sent to the backend in slow start"
+    );
 }
 
-/// A node that had just started sent 5% after its first list: it had counted no arrivals yet.
+/// A node that had just started sent 5% of its requests after its first list, because it had counted no
+/// arrivals yet.
 #[test]
 fn node_that_has_just_started_does_not_shed_all_on_its_first_list() {
     let taken = (0..100).filter(|&seed| {
@@ -227,11 +238,11 @@
         first_sent_to(&node.arrive(SECOND).1).is_some()
     });
     let taken = taken.count();
-    assert!(taken > 60, "{taken} of 100");
+    assert!(taken > 60, "{taken} of 100 nodes sent a request after their first list");
 }
 
-/// Incident i58b577: in congestion nearly nothing was served, so that new backends, the way out, got nearly
-/// nothing.
+/// Incident i58b577: in congestion hardly any request was served, so that the measured capacity was close to
+/// 0 and new backends, which could have ended the congestion, received hardly any requests.
 #[test]
 fn new_backend_is_sent_requests_during_congestion() {
     let node_settings = Settings { nodes: 3, ..settings(Idempotency::Idempotent) };
@@ -250,5 +261,5 @@
         vec![Member { online_since: Some(node.now - 15 * SECOND), ..member(9, 0) }],
     );
     let to_new = (0..40).filter(|_| first_sent_to(&node.arrive(SECOND).1) == Some(BackendId(9))).count();
-    assert!(to_new >= 3, "{to_new} to the new server");
+    assert!(to_new >= 3, "{to_new} of 40 requests sent to the new backend");
 }
--- a/balancer/tests/overflow.rs
+++ b/balancer/tests/overflow.rs
@@ -1,4 +1,5 @@
-//! The design: home under the threshold, one best overflow zone, home when none qualifies.
+//! Overflow between zones: requests stay home under the threshold, overflow to the best other zone, and stay
+//! home if no zone qualifies.
 
 mod common;
 use common::{Node, SECOND, first_sent_to, member, settings, utilisation};
@@ -12,7 +13,8 @@
     backend.0 / 2
 }
 
-/// A node that knows the utilisation of every zone; remote ones by keeping home out of the list.
+/// A node that has reports of these utilisations from every zone; remote zones report while home is not
+/// listed.
 fn node_with_utilisations(utilisations: [f64; 3]) -> Node {
     let mut node = Node::new(settings(Idempotency::Idempotent), zones());
     for remote in [1, 2, 0] {
@@ -29,7 +31,7 @@
 fn home_zone_under_threshold_serves_all_requests() {
     let mut node = Node::new(settings(Idempotency::Idempotent), zones());
     let used = node.serve(50, |_| utilisation(0.5));
-    // The first sends count in full until the first reports have come back.
+    // The utilisation is raised by the first sends until the first reports have been received.
     assert!(used[25..].iter().all(|&to| zone(to) == 0), "{used:?}");
 }
 
@@ -47,7 +49,7 @@
     let used = node.serve(200, |to| utilisation(load[zone(to) as usize]));
     let late = &used[50..];
     let count = |z| late.iter().filter(|&&to| zone(to) == z).count();
-    assert!(count(2) > 3 * count(1).max(1), "{} to zone 1, {} to zone 2", count(1), count(2));
+    assert!(count(2) > 3 * count(1).max(1), "{} requests to zone 1, {} to zone 2", count(1), count(2));
 }
 
 #[test]
@@ -55,7 +57,7 @@
     let mut node = Node::new(settings(Idempotency::Idempotent), zones());
     let used = node.serve(200, |_| utilisation(0.95));
     let home = used[50..].iter().filter(|&&to| zone(to) == 0).count();
-    assert!(home > 100, "{home} of 150 stayed home");
+    assert!(home > 100, "{home} of 150 requests stayed home");
 }
 
 #[test]
@@ -72,7 +74,7 @@
     node.serve(20, |to| utilisation(if zone(to) == 0 { 0.6 } else { 0.1 }));
     let used: Vec<u32> = (0..12).filter_map(|_| first_sent_to(&node.arrive(SECOND).1)).map(zone).collect();
     assert_eq!(used[0], 0);
-    assert!(used.iter().any(|&z| z != 0), "a burst stayed home on an old figure: {used:?}");
+    assert!(used.iter().any(|&z| z != 0), "all requests of a burst stayed home by an old report: {used:?}");
 }
 
 #[test]
@@ -80,6 +82,6 @@
     for figure in [f64::NAN, f64::INFINITY, -1.0] {
         let mut node = Node::new(settings(Idempotency::Idempotent), zones());
         let used = node.serve(30, |_| utilisation(figure));
-        assert!(used.len() >= 30, "{figure}: {}", used.len());
+        assert!(used.len() >= 30, "reported {figure}: {} requests served", used.len());
     }
 }
--- a/balancer/tests/recorded.rs
+++ b/balancer/tests/recorded.rs
@@ -1,8 +1,8 @@
-//! The same events give the same actions as in the build that was recorded. Caches, indexes and queues are
-//! there to decide sooner, never otherwise.
+//! The same events give the same actions as in the recorded build: caches, indexes and queues may make
+//! decisions faster, but must not change them.
 //!
-//! Where a change means to decide otherwise, `RECORD=1 cargo test --test recorded` writes the record anew;
-//! say in the commit which decisions moved, and why.
+//! If a change is meant to change decisions, `RECORD=1 cargo test --test recorded` rewrites the record; the
+//! commit must say which decisions changed, and why.
 
 #[path = "common/closed_loop.rs"]
 mod closed_loop;
@@ -15,7 +15,8 @@
 const MS: u64 = 1_000_000;
 const RECORD: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/recorded.txt");
 
-/// Calm and overloaded; few nodes and many; failures, churn, reports, live weights.
+/// Shapes with light load and overload, few nodes and many, failures, list changes, load reports and live
+/// weights.
 fn shapes() -> Vec<Shape> {
     let mut shapes = Vec::new();
     for seed in 0..3 {
@@ -44,7 +45,7 @@
     for shape in shapes() {
         let mut closed_loop = ClosedLoop::new(shape);
         write!(played, "{shape:?}:").unwrap();
-        // A digest every so often shows where two builds part.
+        // Intermediate digests show where two builds start to differ.
         for part in 1..=8 {
             closed_loop.run(part * 400);
             write!(played, " {:016x}", closed_loop.digest).unwrap();
@@ -54,9 +55,9 @@
     if std::env::var_os("RECORD").is_some() {
         std::fs::write(RECORD, &played).unwrap();
     }
-    let recorded = std::fs::read_to_string(RECORD).expect("a record");
-    assert_eq!(recorded.lines().count(), played.lines().count(), "loops recorded and played");
+    let recorded = std::fs::read_to_string(RECORD).expect("a readable record");
+    assert_eq!(recorded.lines().count(), played.lines().count(), "number of recorded loops and of loops run");
     for (was, is) in recorded.lines().zip(played.lines()) {
-        assert_eq!(was, is, "decided otherwise than recorded");
+        assert_eq!(was, is, "decisions differ from the recorded ones");
     }
 }
--- a/balancer/tests/regressions.rs
+++ b/balancer/tests/regressions.rs
@@ -1,4 +1,4 @@
-//! Each fault met so far, as small as it can be shown.
+//! Regression tests, each a minimal reproduction of a fault.
 
 mod common;
 use common::{
@@ -14,7 +14,7 @@
     (0..count).map(|backend| member(backend, 0)).collect()
 }
 
-/// Incident idbb93b: a backend that rejects within a millisecond drew nearly all sends.
+/// Incident idbb93b: a backend that rejects requests within a millisecond attracted nearly all sends.
 #[test]
 fn backend_that_rejects_at_once_does_not_look_idle() {
     let mut node = Node::new(settings(Idempotency::Idempotent), members(3));
@@ -36,10 +36,10 @@
         node.advance(30 * MS);
         node.end_attempt(request, attempt, Outcome::Served, utilisation(0.4));
     }
-    assert!(rejections < 20, "{rejections} sends to the backend that is full");
+    assert!(rejections < 20, "{rejections} sends to the backend that rejects");
 }
 
-/// A backend that returns errors at once must be ejected, then be tried and readmitted.
+/// A backend that returns errors immediately must be ejected, and later be tried and readmitted.
 #[test]
 fn backend_that_fails_fast_is_ejected_and_readmitted() {
     let mut node = Node::new(settings(Idempotency::Idempotent), members(4));
@@ -67,11 +67,11 @@
     };
     assert!(run(&mut node, 200, true) < 20);
     node.advance(40 * SECOND);
-    assert!(run(&mut node, 200, false) > 20, "never readmitted");
+    assert!(run(&mut node, 200, false) > 20, "the backend was not readmitted");
 }
 
-/// Incident idbb93b: with many nodes, one send of each to a backend where it has none in flight is
-/// congestion.
+/// Incident idbb93b: a backend without own requests in flight counted as idle. If each of many nodes sends
+/// one request to such a backend, the backend is congested.
 #[test]
 fn backend_without_own_requests_is_not_taken_for_idle() {
     let mut node = Node::new(settings(Idempotency::Idempotent), members(2));
@@ -84,11 +84,11 @@
         }
     }
     let taken = (0..20).filter(|_| first_sent_to(&node.arrive(SECOND).1).is_some()).count();
-    assert!(taken <= 1, "{taken} sent into congestion");
+    assert!(taken <= 1, "{taken} requests sent into congestion");
 }
 
-/// Incident if301ed: the class of the highest value, with the tightest latency target, found all capacity
-/// used by the others.
+/// Incident if301ed: the class with the highest value and the tightest latency target found all capacity used
+/// by the other classes.
 #[test]
 fn class_of_higher_value_is_sent_first() {
     let mut node_settings = settings(Idempotency::Idempotent);
@@ -116,7 +116,7 @@
             }
         }
         node.now += 5 * MS;
-        // The backends serve one request in 15 ms, in turn.
+        // The backends serve one request per 15 ms, in the order of the sends.
         if turn % 3 == 0 && !out.is_empty() {
             let request = out.remove(0);
             let elapsed = 15 * MS * (out.len() as u64 + 1);
@@ -129,7 +129,7 @@
         }
         node.handle(Event::Timer { token: 0 });
     }
-    assert!(taken[1] > taken[0], "{taken:?}");
+    assert!(taken[1] > taken[0], "requests sent by class: {taken:?}");
 }
 
 #[test]
@@ -175,10 +175,10 @@
         }
         node.advance(20 * MS);
     }
-    assert!(sent_late > 50, "{sent_late} of 99 were sent at all");
+    assert!(sent_late > 50, "{sent_late} of 99 requests were sent");
 }
 
-/// Incident if301ed: three nodes a zone, each filling the backends to what one alone may send.
+/// Incident if301ed: with three nodes per zone, each node filled the backends to the limit of a single node.
 #[test]
 fn nodes_that_share_a_zone_leave_capacity_for_each_other() {
     let taken = |nodes| {
@@ -188,10 +188,10 @@
         (0..60).filter(|_| first_sent_to(&node.arrive(SECOND).1).is_some()).count()
     };
     let (alone, crowded) = (taken(3), taken(12));
-    assert!(crowded < alone, "{alone} alone, {crowded} among four a zone");
+    assert!(crowded < alone, "{alone} requests sent by one node per zone, {crowded} by one of four");
 }
 
-/// Incidents idbcff6 and i9be87d: a timer that always ran on every node cost more than all requests.
+/// Incidents idbcff6 and i9be87d: a timer that always ran on every node cost more than all requests together.
 #[test]
 fn node_without_pending_requests_sets_no_timer() {
     let mut node = Node::new(settings(Idempotency::Idempotent), members(2));
@@ -201,12 +201,12 @@
     assert!(!timer(&actions) && !timer(&node.end_attempt(request, 0, Outcome::Served, utilisation(0.1))));
     assert!(
         timer(&Node::new(settings(Idempotency::Idempotent), vec![]).arrive(SECOND).1),
-        "what is held needs one"
+        "a queued request needs a timer"
     );
 }
 
-/// First attempts of impatient clients were taken for late retries: a retry may be node_settings what is left of
-/// the client's time, which is more than its first attempt had.
+/// First attempts of clients with short timeouts were taken for late retries: a retry may be given the rest
+/// of the client's time, which can be more than the timeout of the first attempt.
 #[test]
 fn short_first_attempt_is_sent_where_clients_mark_retries() {
     let settings_marking_retries =
@@ -219,7 +219,7 @@
     }
 }
 
-/// Retries ended with time left, as no backend had capacity in the very moment.
+/// Retries were rejected with time left because no backend had capacity at that moment.
 #[test]
 fn retry_that_finds_no_backend_is_queued() {
     let mut node = Node::new(settings(Idempotency::Idempotent), members(1));
@@ -230,11 +230,11 @@
     assert_eq!(
         first_sent_to(&node.advance(150 * MS)),
         Some(BackendId(0)),
-        "sent once the backend takes work again"
+        "the retry is sent once the backend's backoff is over"
     );
 }
 
-/// Each day began with rejections: against the initial latency estimate every backend looked slow.
+/// Each day began with rejections: compared to the initial latency estimate, every backend looked slow.
 #[test]
 fn first_responses_make_no_backend_look_slow() {
     let mut node = Node::new(settings(Idempotency::Idempotent), members(3));
@@ -248,10 +248,11 @@
         assert!(to.is_some());
         node.end_attempt_after(request, 0, Outcome::Served, 200 * MS, utilisation(0.1));
     }
-    assert!(first_sent_to(&node.arrive(SECOND).1).is_some(), "idle backends take the next one");
+    assert!(first_sent_to(&node.arrive(SECOND).1).is_some(), "idle backends take the next request");
 }
 
-/// A request that was never sent is rejected while the client has half of its time for another attempt.
+/// A request that was never sent must be rejected while its client has half of its time left for another
+/// attempt.
 #[test]
 fn request_never_sent_is_rejected_by_half_of_its_timeout() {
     let mut node = Node::new(settings(Idempotency::NonIdempotent), Vec::new());
@@ -265,7 +266,8 @@
     }
 }
 
-/// Most clients had less time than a request takes. Their timeouts ejected healthy backends.
+/// The timeouts of most clients were shorter than the latency of a request, and they ejected healthy
+/// backends.
 #[test]
 fn timeouts_of_impatient_clients_eject_no_backend() {
     let marked = Settings { clients_mark_retries: true, ..settings(Idempotency::Idempotent) };
@@ -279,11 +281,11 @@
         let actions = node.end_attempt_after(request, 0, Outcome::TimedOut, 20 * MS, LoadReport::default());
         assert!(!logs_ejection(&actions));
     }
-    assert!(tried > 50, "{tried} were sent, with room on every backend");
+    assert!(tried > 50, "{tried} of 60 requests were sent, with capacity on every backend");
 }
 
-/// Where reports show spare capacity, a request that may be late costs nobody else: half of such requests
-/// were queued in vain.
+/// If reports show spare capacity, a request that may be late takes nothing from other requests. Half of such
+/// requests were queued in vain.
 #[test]
 fn short_request_is_sent_where_reports_show_spare_capacity() {
     let wide = Member { weight: 2.0, ..member(1, 0) };
@@ -296,7 +298,8 @@
     }
 }
 
-/// With every eighth connection reset, three in a row were chance, and most of a zone was ejected.
+/// With one in eight connections reset, three consecutive resets happened by chance, and most backends of a
+/// zone were ejected.
 #[test]
 fn sporadic_connection_resets_eject_no_backend() {
     let mut node = Node::new(settings(Idempotency::Idempotent), members(2));
@@ -314,7 +317,8 @@
     }
 }
 
-/// The same day's retry tokens ran out: a tenth of the arrivals is less than the resets.
+/// With one in eight connections reset, a node ran out of retry tokens: a tenth of a token per arrival is
+/// less than the resets need.
 #[test]
 fn one_reset_in_six_attempts_leaves_retry_tokens_for_all() {
     let mut node = Node::new(settings(Idempotency::Idempotent), members(3));
@@ -333,9 +337,9 @@
     }
 }
 
-/// Incident sev5594: most of a response's time is spent waiting for other systems. Against the load alone,
-/// every backend of little load looked ten times slow, got one request at a time, and so went on looking
-/// slow.
+/// Incident sev5594: most of a response's latency is spent waiting for other systems. The expected latency
+/// depended on the load alone, so every lightly loaded backend looked ten times as slow, received one request
+/// at a time, and thus continued to look slow.
 #[test]
 fn lightly_loaded_backend_does_not_look_slow() {
     let mut node = Node::new(settings(Idempotency::Idempotent), members(1));
@@ -343,12 +347,12 @@
     let busy = queue.run(&mut node, 20 * MS, 10 * SECOND, SECOND);
     queue.run(&mut node, 200 * MS, 10 * SECOND, SECOND);
     let again = queue.run(&mut node, 20 * MS, SECOND, SECOND);
-    assert!(busy >= 5 && again >= 5, "{busy} at once, after a lull {again}");
+    assert!(busy >= 5 && again >= 5, "{busy} requests in flight at once before the lull, {again} after it");
 }
 
-/// Incident sev5594: with a wide latency target a backend was filled until its responses just met it. One
-/// that has several requests queued for each core for a second or two turns slower, and stays so long
-/// after.
+/// Incident sev5594: with a wide latency target, a backend was filled until its responses just met the
+/// target. A backend with several requests queued per core for a second or two becomes slower, and stays slow
+/// long after.
 #[test]
 fn wide_latency_target_does_not_overload_a_backend() {
     let node_settings = Settings {
@@ -359,11 +363,10 @@
     let mut queue = QueueingBackend::new(200 * MS, 20 * MS);
     queue.run(&mut node, 25 * MS, 10 * SECOND, 8 * SECOND);
     let most = queue.run(&mut node, 10 * MS, 10 * SECOND, 8 * SECOND);
-    assert!((4..=30).contains(&most), "{most} at once");
+    assert!((4..=30).contains(&most), "{most} requests in flight at once");
 }
 
-/// Requests were queued for most of their latency target though no backend would have been sent them any
-/// more.
+/// Requests were queued for most of their latency target, although no backend could be sent them any more.
 #[test]
 fn pending_request_is_rejected_once_no_backend_can_serve_it_in_time() {
     let mut node = Node::new(settings(Idempotency::Idempotent), members(1));
@@ -374,13 +377,14 @@
     while !is_rejected(&actions) {
         actions = node.advance(10 * MS);
     }
-    // Of 400 ms, 120 for a response at best, which may take six tenths of what is left.
+    // The latency target is 400 ms. A response takes at least 120 ms, which may be up to six tenths of the
+    // time left.
     let after = (node.now - came) / MS;
-    assert!((150..=250).contains(&after), "refused after {after} ms");
+    assert!((150..=250).contains(&after), "rejected after {after} ms");
 }
 
-/// A tenant that sent several times its quota was served like those within theirs: with few nodes none
-/// distinguished them.
+/// A tenant that sent several times its quota was served like tenants within their quotas: with few nodes,
+/// the quotas had no effect.
 #[test]
 fn tenant_over_its_quota_leaves_capacity_for_others() {
     let node_settings = Settings {
@@ -397,11 +401,11 @@
     });
     let taken = |wanted| queue.taken.iter().filter(|request| tenant(request.0) == wanted).count() as f64;
     let parts = [taken(0) / (node.next as f64 * 5.0 / 6.0), taken(1) / (node.next as f64 / 6.0)];
-    assert!(parts[1] > 1.5 * parts[0], "{parts:?}");
+    assert!(parts[1] > 1.5 * parts[0], "share of requests sent by tenant: {parts:?}");
 }
 
-/// A node rejected two in five at once for nine seconds: its clients had come to wait for less time, and
-/// all of their requests were taken for retries that come too late.
+/// A node rejected two in five requests at once for nine seconds: the timeouts of its clients had become
+/// shorter, and all their requests were taken for late retries.
 #[test]
 fn shorter_timeouts_of_all_clients_are_not_taken_for_retries() {
     let mut node = Node::new(settings(Idempotency::Idempotent), members(2));
@@ -417,5 +421,5 @@
     };
     assert_eq!(run(SECOND), 200);
     let short = run(500 * MS);
-    assert!(short > 150, "{short} of 200 were taken");
+    assert!(short > 150, "{short} of 200 requests with the shorter timeout were sent");
 }
--- a/balancer/tests/retry_budget.rs
+++ b/balancer/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget that nodes share, and what operators see of its use.
+//! The retry budget that nodes share, and its usage as reported to operators.
 
 mod common;
 
@@ -33,7 +33,8 @@
     }
 }
 
-/// Attempts beyond the first of so many requests at one moment, all of whose attempts end with `outcome`.
+/// The number of attempts beyond the first of `requests` requests at one time, all of whose attempts end with
+/// `outcome`.
 fn repeats_of(node: &mut Node, requests: usize, outcome: Outcome) -> usize {
     let mut repeats = 0;
     for _ in 0..requests {
@@ -56,7 +57,7 @@
         repeats_of(&mut node, 40, Outcome::Reset)
     };
     assert_eq!(repeats(0.0), 4, "half of a fifth of 40 requests");
-    assert_eq!(repeats(0.5), 4, "half a repeat is none");
+    assert_eq!(repeats(0.5), 4, "half a retry of slack pays for none");
     assert_eq!(repeats(3.0), 7);
 }
 
@@ -68,10 +69,14 @@
         repeats_of(&mut node, 30, outcome)
     };
     assert_eq!(repeats(Outcome::Misdirected), 3 + 1);
-    assert!(repeats(Outcome::ConnectFailed) > 30, "what reached no server is no arrival");
+    assert!(
+        repeats(Outcome::ConnectFailed) > 30,
+        "a retry after a failed connection is not bounded by the budget"
+    );
 }
 
-/// Among many nodes the first retry of what was never run is free, but not where they share a budget.
+/// With many nodes, the first retry of a request that was never run is free, except if the nodes share a
+/// budget.
 #[test]
 fn no_retry_is_free_where_nodes_share_a_budget() {
     let usage = |shared: Option<SharedRetryBudget>| {
@@ -111,29 +116,36 @@
         repeats: 3,
         repeats_after_misdirected: 3,
         unpaid_repeats: 0,
-        // Also the second repeats of the three.
+        // Includes the second repeat of each of the three requests.
         denied_repeats: 20,
     };
     assert_eq!(node.balancer.retry_usage(), usage);
     repeats_of(&mut node, 5, Outcome::ConnectFailed);
     let requests = usage.requests + 5;
-    assert_eq!(node.balancer.retry_usage(), RetryUsage { requests, ..usage }, "none of these arrived twice");
+    assert_eq!(
+        node.balancer.retry_usage(),
+        RetryUsage { requests, ..usage },
+        "attempts that reached no server count as no repeats"
+    );
 }
 
-/// A retry that waits in the queue is paid for as it is sent, and not if the budget is used up by then.
+/// A queued retry is paid for when it is sent, and is not sent if the budget is used up by then.
 #[test]
 fn queued_retry_is_paid_for_when_it_is_sent() {
     let repeats = |slack_share_at_send: f64| {
         let mut node = node_with(Idempotency::Idempotent, 2);
         node.balancer.share_retry_budget(budget(1.0));
         let (request, actions) = node.arrive(SECOND);
-        let refused_by = first_sent_to(&actions).expect("a backend");
-        // The others leave, and the one that is left has backed off.
+        let refused_by = first_sent_to(&actions).expect("a send");
+        // The other backends leave, and the remaining one is in backoff.
         let others = nine_members().into_iter().filter(|member| member.backend != refused_by);
         let removed = others.map(|member| Member { state: BackendState::Removed, ..member }).collect();
         node.handle(Event::Membership { scope: ListScope::Changes, members: removed });
         let actions = node.end_attempt(request, 0, Outcome::Rejected, LoadReport::default());
-        assert!(first_sent_to(&actions).is_none() && !is_rejected(&actions), "it is queued: {actions:?}");
+        assert!(
+            first_sent_to(&actions).is_none() && !is_rejected(&actions),
+            "the retry is not queued: {actions:?}"
+        );
         assert_eq!(node.balancer.retry_usage().repeats, 0);
         node.balancer.share_retry_budget(budget(slack_share_at_send));
         let actions = node.advance(300 * MS);
--- a/balancer/tests/send_rules.rs
+++ b/balancer/tests/send_rules.rs
@@ -1,4 +1,4 @@
-//! The rules that every send has to keep, one by one.
+//! Tests of each of the rules that every send must satisfy.
 
 mod common;
 use common::{MS, Node, SECOND, class, first_sent_to, is_failed, is_rejected, member, settings, utilisation};
@@ -26,7 +26,7 @@
     let (_, actions) = node.arrive(300 * MS);
     assert!(
         first_sent_to(&actions).is_none() && !is_rejected(&actions) && !is_failed(&actions),
-        "held at first"
+        "the request was not queued at first"
     );
     assert!(is_rejected(&node.advance(300 * MS)));
 }
@@ -88,7 +88,7 @@
         let (request, first) = node.arrive(SECOND);
         let again = first_sent_to(&node.end_attempt(request, 0, outcome, LoadReport::default()));
         assert_ne!(again, None, "{outcome:?}");
-        assert!(again.is_none_or(|to| to.0 < 2), "left its zone after {first:?}");
+        assert!(again.is_none_or(|to| to.0 < 2), "the retry left the zone of the first attempt {first:?}");
 
         let mut single = settings(keyed(IdempotencyScope::Zone));
         single.limits.hedging = false;
@@ -96,7 +96,10 @@
         let (request, _) = node.arrive(SECOND);
         node.advance(200 * MS);
         let late = node.end_attempt(request, 0, outcome, LoadReport::default());
-        assert!(first_sent_to(&late).is_none() && is_failed(&late), "sent past the window after {outcome:?}");
+        assert!(
+            first_sent_to(&late).is_none() && is_failed(&late),
+            "retried past the key window after {outcome:?}"
+        );
     }
 }
 
@@ -166,7 +169,8 @@
     }
 }
 
-/// Work of about 30 ms each, all backends half used: one in slow start must get a small share of it.
+/// Each request takes about 30 ms and all backends are half used: a backend in slow start may receive only a
+/// small share of the requests.
 #[test]
 fn backend_in_slow_start_gets_no_more_than_its_budget() {
     let mut node = Node::new(settings(Idempotency::Idempotent), vec![member(0, 0), member(1, 0)]);
@@ -177,9 +181,12 @@
     for _ in 0..40 {
         sent_to_warming_up += usize::from(first_sent_to(&node.arrive(SECOND).1) == Some(BackendId(9)));
     }
-    // Half used backends take 33 requests a second together: capacity is about 33 a second each, a tenth
-    // of it over 2 s about 7, twice that the rule's limit for all nodes.
-    assert!((1..=7).contains(&sent_to_warming_up), "{sent_to_warming_up} to the backend in slow start");
+    // Two half-used backends serve 33 requests per second together, so the capacity of each is about 33 per
+    // second. A tenth of that over 2 s is about 7; the rule's limit for all nodes is twice that.
+    assert!(
+        (1..=7).contains(&sent_to_warming_up),
+        "{sent_to_warming_up} requests sent to the backend in slow start"
+    );
 }
 
 #[test]
@@ -188,11 +195,11 @@
     node.serve(50, |_| utilisation(0.5));
     node.list(ListScope::Changes, vec![Member { online_since: Some(node.now), ..member(0, 0) }]);
     let burst: usize = (0..30).filter(|_| first_sent_to(&node.arrive(SECOND).1).is_some()).count();
-    assert!((1..=4).contains(&burst), "{burst} at once to a restarted backend");
+    assert!((1..=4).contains(&burst), "{burst} requests sent at once to a restarted backend");
 }
 
-/// Incident i911ba9: only requests of low expected work fitted into the slow-start budget, and expectations
-/// are rough, so the work behind them was far more than counted.
+/// Incident i911ba9: only requests of low expected work fitted into the slow-start budget. Expected work is a
+/// rough estimate, so the actual work was far more than what was counted.
 #[test]
 fn low_expected_work_does_not_exceed_the_slow_start_budget() {
     let node_settings = Settings {
@@ -226,7 +233,7 @@
     let taken: usize = (0..500)
         .map(|turn| count_sends(arrive(&mut node, Some(if turn % 2 == 0 { MS } else { 39 * MS })).1))
         .sum();
-    // One warm backend does a second's work a second at half use, so the share is 0.4 x 2 x 0.34 x 2: in 2
-    // s that is room for 1.07 s of work, 18 pairs counted as 20 and 39 ms.
-    assert!((1..=40).contains(&taken), "{taken} to the backend in slow start");
+    // One warm backend does a second's work per second at half use, so the budget is 0.4 x 2 x 0.34 x 2: over
+    // 2 s that is 1.07 s of work, or 18 pairs of requests counted as 20 and 39 ms.
+    assert!((1..=40).contains(&taken), "{taken} requests sent to the backend in slow start");
 }
--- a/balancer/tests/size.rs
+++ b/balancer/tests/size.rs
@@ -1,20 +1,19 @@
-//! The decision module as its users see it: the deploy file names all of it, and each of its files has one
-//! concern.
+//! The size of the policy files: the deploy file lists all of them, and each file has one concern.
 
 const ROOT: &str = env!("CARGO_MANIFEST_DIR");
 
-/// The paths under `policy` in the deploy file.
+/// The paths in the `policy` list of the deploy file.
 fn policy() -> Vec<String> {
     let text = std::fs::read_to_string(format!("{ROOT}/../deploy/balancer.toml")).unwrap();
     let (_, listed) = text.split_once("policy = [").expect("a list of policy files");
-    let (listed, _) = listed.split_once(']').expect("its end");
+    let (listed, _) = listed.split_once(']').expect("the end of the list of policy files");
     listed.split('"').skip(1).step_by(2).map(str::to_owned).collect()
 }
 
-/// A file beyond this does several jobs. The bound on the whole module's lines has been withdrawn by its
-/// users.
+/// A longer file has more than one concern. The limit on the lines of the whole module has been withdrawn by
+/// its users.
 const MAX_FILE_LINES: usize = 400;
-/// As `rustfmt.toml` sets it; string literals and comments are not wrapped by the formatter.
+/// As set in `rustfmt.toml`; the formatter does not wrap string literals and comments.
 const MAX_LINE_COLUMNS: usize = 110;
 
 #[test]
@@ -22,13 +21,16 @@
     for path in policy() {
         let text = std::fs::read_to_string(format!("{ROOT}/../{path}")).unwrap();
         let lines = text.lines().count();
-        assert!(lines <= MAX_FILE_LINES, "{path}: {lines} lines");
+        assert!(lines <= MAX_FILE_LINES, "{path}: {lines} lines, at most {MAX_FILE_LINES} allowed");
         let widest = text.lines().map(|line| line.chars().count()).max().unwrap_or(0);
-        assert!(widest <= MAX_LINE_COLUMNS, "{path}: a line of {widest} columns");
+        assert!(
+            widest <= MAX_LINE_COLUMNS,
+            "{path}: a line of {widest} columns, at most {MAX_LINE_COLUMNS} allowed"
+        );
     }
 }
 
-/// A decision that stood in a file which the deploy file does not name would escape these bounds.
+/// A policy file that the deploy file does not list would not be checked against the limits above.
 #[test]
 fn deploy_file_lists_every_policy_file() {
     let mut named = policy();
