--- a/balancer/tests/event_sequences.rs
+++ b/balancer/tests/event_sequences.rs
@@ -125,9 +125,7 @@
         if let Some(ran) = tracked.attempts.iter().find(|attempt| attempt.may_have_run()) {
             match self.idempotency[tracked.class] {
                 Idempotency::Idempotent => {}
-                Idempotency::NonIdempotent => {
-                    panic!("non-idempotent request {request:?} was sent again although it may have run")
-                }
+                Idempotency::NonIdempotent => panic!("non-idempotent {request:?} was sent again"),
                 Idempotency::Keyed { scope, window } => {
                     assert!(
                         self.now <= ran.sent_at + window,
