--- a/balancer/src/api/settings_validation.rs
+++ b/balancer/src/api/settings_validation.rs
@@ -21,22 +21,22 @@
 
 impl std::error::Error for SettingsError {}
 
-const NEGATIVE: &str = "must be finite and not negative";
+const MUST_NOT_BE_NEGATIVE: &str = "must be finite and not negative";
 
 fn require(condition: bool, field: &'static str, problem: &'static str) -> Result<(), SettingsError> {
     if condition { Ok(()) } else { Err(SettingsError { field, problem }) }
 }
 
-fn is_amount(value: f64) -> bool {
+fn is_not_negative(value: f64) -> bool {
     value.is_finite() && value >= 0.0
 }
 
 impl ClassSettings {
     fn validate(&self) -> Result<(), SettingsError> {
-        let has_times = self.latency_target != 0 && self.deadline != 0;
-        require(has_times, "classes", "latency target and deadline must be above 0")?;
-        let has_values = is_amount(self.value) && is_amount(self.late_value_share);
-        require(has_values, "classes", "value and late value share must be finite and not negative")
+        let has_valid_times = self.latency_target != 0 && self.deadline != 0;
+        require(has_valid_times, "classes", "latency target and deadline must be above 0")?;
+        let has_valid_values = is_not_negative(self.value) && is_not_negative(self.late_value_share);
+        require(has_valid_values, "classes", "value and late value share must be finite and not negative")
     }
 }
 
@@ -54,12 +54,24 @@
         self.classes.iter().try_for_each(ClassSettings::validate)?;
         require(self.limits.max_attempts != 0, "limits.attempts", "must be at least 1")?;
         let multiple = self.rules.overload_multiple;
-        require(is_amount(multiple) && multiple != 0.0, "rules.tip_multiple", "must be finite and above 0")?;
+        require(
+            is_not_negative(multiple) && multiple != 0.0,
+            "rules.tip_multiple",
+            "must be finite and above 0",
+        )?;
         let initial = self.rules.initial_capacity;
-        require(is_amount(initial) && initial <= 1.0, "rules.start_capacity", "must lie between 0 and 1")?;
-        require(self.tenant_quotas.iter().all(|&quota| is_amount(quota)), "tenants", NEGATIVE)?;
-        require(is_amount(self.over_quota_value), "over_share_worth", NEGATIVE)?;
-        require(is_amount(self.probe_cost), "probe_price", NEGATIVE)?;
-        require(is_amount(self.worst_class_weight), "worst_class_goal", NEGATIVE)
+        require(
+            is_not_negative(initial) && initial <= 1.0,
+            "rules.start_capacity",
+            "must lie between 0 and 1",
+        )?;
+        require(
+            self.tenant_quotas.iter().all(|&quota| is_not_negative(quota)),
+            "tenants",
+            MUST_NOT_BE_NEGATIVE,
+        )?;
+        require(is_not_negative(self.over_quota_value), "over_share_worth", MUST_NOT_BE_NEGATIVE)?;
+        require(is_not_negative(self.probe_cost), "probe_price", MUST_NOT_BE_NEGATIVE)?;
+        require(is_not_negative(self.worst_class_weight), "worst_class_goal", MUST_NOT_BE_NEGATIVE)
     }
 }
--- a/balancer/src/membership.rs
+++ b/balancer/src/membership.rs
@@ -28,8 +28,8 @@
         self.select_subsets(subset_size);
         // `MIN_LOAD_LIMIT`, which overloads no backend, for this node's even share of the home backends.
         let home = self.settings.home.0 as usize;
-        let even_part = MIN_LOAD_LIMIT * self.zones[home].in_service / self.nodes_per_zone();
-        self.zones[home].window.raise_initial_size(even_part);
+        let even_share = MIN_LOAD_LIMIT * self.zones[home].in_service / self.nodes_per_zone();
+        self.zones[home].window.raise_initial_size(even_share);
         self.update_probe_candidates();
     }
 
--- a/balancer/src/pending_queue.rs
+++ b/balancer/src/pending_queue.rs
@@ -128,6 +128,6 @@
 }
 
 fn collect_by(order: &BTreeSet<Due>, by: Nanos, due: &mut BTreeSet<(u64, RequestId)>) {
-    let first = order.iter().take_while(|(at, ..)| *at <= by);
-    due.extend(first.map(|&(_, sequence, id)| (sequence, id)));
+    let due_entries = order.iter().take_while(|(at, ..)| *at <= by);
+    due.extend(due_entries.map(|&(_, sequence, id)| (sequence, id)));
 }
--- a/balancer/src/policy/admission.rs
+++ b/balancer/src/policy/admission.rs
@@ -12,8 +12,8 @@
     /// flight is not sufficient: the backend must not be known to be slow either.
     pub(super) fn admits(&self, request: &Request, backend: &Backend) -> bool {
         let is_late = self.now >= request.target_at;
-        let end = if is_late { request.not_after } else { request.target_at };
-        let time_left = end.saturating_sub(self.now) as f64;
+        let response_due_at = if is_late { request.not_after } else { request.target_at };
+        let time_left = response_due_at.saturating_sub(self.now) as f64;
         let slowness = backend.slowness(self.now, &self.settings.rules);
         if self.has_many_nodes() {
             return self.fits_window(request, time_left, slowness, backend);
--- a/balancer/src/policy/arrival.rs
+++ b/balancer/src/policy/arrival.rs
@@ -13,7 +13,7 @@
         let id = arrival.request;
         let class = (arrival.class.0 as usize).min(self.classes.len() - 1);
         let request = self.new_request(&arrival, class);
-        let is_late = request.target_at <= self.now && self.is_worthless_late(class);
+        let is_late = request.target_at <= self.now && self.late_response_is_worthless(class);
         self.requests.insert(id, request);
         self.earn_retries();
         self.refresh_overflow_zones(actions);
@@ -74,12 +74,12 @@
         let view = &mut self.classes[class];
         view.longest_timeout = view.longest_timeout.max(timeout);
         let is_short = timeout < view.longest_timeout - view.longest_timeout / SHORT_TIMEOUT_DIVISOR;
-        let is_suspected = may_be_retry && self.is_worthless_late(class) && is_short;
+        let is_suspected_retry = may_be_retry && self.late_response_is_worthless(class) && is_short;
         // Suspected retries in excess of what unserved requests explain are first attempts of clients whose
         // timeouts have become shorter.
         let max_retries = 1.0 + RETRIES_PER_UNSERVED * self.unserved.per_second(self.now);
-        let is_retry = is_suspected && self.suspected_retries.per_second(self.now) <= max_retries;
-        self.suspected_retries.add(self.now, if is_suspected { 1.0 } else { 0.0 });
+        let is_retry = is_suspected_retry && self.suspected_retries.per_second(self.now) <= max_retries;
+        self.suspected_retries.add(self.now, if is_suspected_retry { 1.0 } else { 0.0 });
         if is_retry {
             let deadline = self.settings.classes[class].deadline;
             arrival.not_after.saturating_sub(deadline).min(self.now)
@@ -89,7 +89,7 @@
     }
 
     /// Whether a response after the latency target has no value.
-    fn is_worthless_late(&self, class: usize) -> bool {
+    fn late_response_is_worthless(&self, class: usize) -> bool {
         self.settings.classes[class].late_value_share == 0.0
     }
 
--- a/balancer/src/policy/backend_choice.rs
+++ b/balancer/src/policy/backend_choice.rs
@@ -10,9 +10,9 @@
 
 /// The candidate with the lowest cost so far.
 #[derive(Default)]
-struct Best(Option<(f64, BackendId)>);
+struct BestCandidate(Option<(f64, BackendId)>);
 
-impl Best {
+impl BestCandidate {
     fn offer(&mut self, cost: f64, backend: BackendId) {
         if self.0.is_none_or(|(lowest, _)| cost < lowest) {
             self.0 = Some((cost, backend));
@@ -42,23 +42,23 @@
         let request = self.requests.get(&id)?;
         let seed = self.random.state() ^ id.0.wrapping_mul(ID_MULTIPLIER);
         let mut jitter = PickJitter::new(seed);
-        let mut best = Best::default();
+        let mut best = BestCandidate::default();
         // Of very many candidates only a sample is examined, and a second sample if none of the first has
         // capacity.
         let scans_all = candidates.len() <= MAX_SCANNED_BACKENDS;
-        let looks = if scans_all { candidates.len() } else { 2 * PICK_SAMPLE_SIZE };
+        let max_examined = if scans_all { candidates.len() } else { 2 * PICK_SAMPLE_SIZE };
         let mut position = seed;
-        for look in 0..looks {
-            if !scans_all && look == PICK_SAMPLE_SIZE && best.0.is_some() {
+        for examined in 0..max_examined {
+            if !scans_all && examined == PICK_SAMPLE_SIZE && best.0.is_some() {
                 break;
             }
-            let index = if scans_all { look } else { next_sample(&mut position, candidates.len()) };
+            let index = if scans_all { examined } else { next_sample(&mut position, candidates.len()) };
             self.consider(request, candidates[index], &mut jitter, &mut best);
         }
         best.0.map(|(_, to)| to)
     }
 
-    fn consider(&self, request: &Request, to: BackendId, jitter: &mut PickJitter, best: &mut Best) {
+    fn consider(&self, request: &Request, to: BackendId, jitter: &mut PickJitter, best: &mut BestCandidate) {
         let Some(backend) = self.backends.get(&to) else { return };
         if self.is_usable(backend) && self.admits(request, backend) && self.permits_send(request, backend) {
             best.offer(self.send_cost(request, backend, jitter.next_unit()), to);
--- a/balancer/src/policy/concurrency_window.rs
+++ b/balancer/src/policy/concurrency_window.rs
@@ -103,10 +103,10 @@
 
     /// Mean latency, as a fraction of its target, above which a zone is congested.
     fn congestion_threshold(&self) -> f64 {
-        let above = |baseline: f64| {
+        let threshold_for = |baseline: f64| {
             (CONGESTION_RISE * baseline).clamp(MIN_CONGESTION_THRESHOLD, MAX_CONGESTION_THRESHOLD)
         };
-        self.congestion.baseline().map_or(MAX_CONGESTION_THRESHOLD, above)
+        self.congestion.baseline().map_or(MAX_CONGESTION_THRESHOLD, threshold_for)
     }
 
     /// Records attempts as late once their latency target has passed: by the time they end, the congestion
@@ -124,9 +124,9 @@
         let mut overdue = Vec::new();
         for request in self.requests.values_mut() {
             let class = request.class;
-            let due = self.now.saturating_sub(self.settings.classes[class].latency_target);
+            let overdue_if_sent_by = self.now.saturating_sub(self.settings.classes[class].latency_target);
             let is_overdue = |attempt: &Attempt| {
-                attempt.is_in_flight() && !attempt.recorded_late && attempt.sent_at <= due
+                attempt.is_in_flight() && !attempt.recorded_late && attempt.sent_at <= overdue_if_sent_by
             };
             for attempt in request.attempts.iter_mut().filter(|attempt| is_overdue(attempt)) {
                 attempt.recorded_late = true;
--- a/balancer/src/policy/load_probes.rs
+++ b/balancer/src/policy/load_probes.rs
@@ -66,22 +66,22 @@
         // low.
         let idle_latency = self.classes.iter().map(|class| class.idle_latency).fold(f64::INFINITY, f64::min);
         scheduler.set_probes_per_request(MAX_PROBE_WORK_SHARE * idle_latency / PROBE_WORK as f64);
-        let best = self.overflow_zones.first().copied();
+        let best_zone = self.overflow_zones.first().copied();
         let home_utilisation = self.utilisation(self.settings.home);
         let near_threshold = home_utilisation
             .is_none_or(|utilisation| utilisation > self.overflow_threshold() - PROBE_THRESHOLD_MARGIN);
         for id in scheduler.subset().collect::<Vec<_>>() {
             if let Some(backend) = self.backends.get(&BackendId(id)) {
-                scheduler.set_priority(id, self.probe_priority(backend, best, near_threshold));
+                scheduler.set_priority(id, self.probe_priority(backend, best_zone, near_threshold));
             }
         }
         self.probe_scheduler = Some(scheduler);
     }
 
-    fn probe_priority(&self, backend: &Backend, best: Option<ZoneId>, near_threshold: bool) -> Priority {
+    fn probe_priority(&self, backend: &Backend, best_zone: Option<ZoneId>, near_threshold: bool) -> Priority {
         let is_warming_up = backend.capacity_share(self.now, &self.settings.rules) < 1.0;
         let zone = backend.member.zone;
-        let is_used_zone = zone == self.settings.home || Some(zone) == best;
+        let is_used_zone = zone == self.settings.home || Some(zone) == best_zone;
         match backend.utilisation.updated_at {
             None if !backend.unreachable => Priority::Urgent,
             _ if is_warming_up || self.is_suspect(backend) => Priority::Urgent,
@@ -110,7 +110,7 @@
         report: LoadReport,
         actions: &mut Vec<Action>,
     ) {
-        let end = match outcome {
+        let probe_outcome = match outcome {
             Outcome::Cancelled | Outcome::NotSent => ProbeOutcome::Cancelled,
             Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Misdirected | Outcome::Reset => {
                 ProbeOutcome::Unreachable
@@ -119,18 +119,19 @@
             _ => ProbeOutcome::NoReport,
         };
         let scheduler = self.probe_scheduler.as_mut();
-        let was_expected = scheduler.is_none_or(|scheduler| scheduler.on_probe_ended(id.0, end, self.now));
-        if !was_expected || end == ProbeOutcome::Cancelled {
+        let was_expected =
+            scheduler.is_none_or(|scheduler| scheduler.on_probe_ended(id.0, probe_outcome, self.now));
+        if !was_expected || probe_outcome == ProbeOutcome::Cancelled {
             return;
         }
         if let Some(backend) = self.backends.get_mut(&id) {
-            backend.unreachable = end == ProbeOutcome::Unreachable;
+            backend.unreachable = probe_outcome == ProbeOutcome::Unreachable;
             let zone = backend.member.zone;
             self.invalidate_zone_utilisation(zone);
         }
         // An unreachable server cannot serve requests either. A server that answers a probe has not yet shown
         // that it serves requests.
-        if end == ProbeOutcome::Unreachable {
+        if probe_outcome == ProbeOutcome::Unreachable {
             self.update_health(id, outcome, actions);
         } else {
             self.apply_load_report(id, report);
--- a/balancer/src/policy/outlier_ejection.rs
+++ b/balancer/src/policy/outlier_ejection.rs
@@ -80,7 +80,7 @@
             HealthSignal::Success => self.record_success(id, actions),
             HealthSignal::Failure { consecutive, rate } => {
                 self.record_failure(id, consecutive, rate);
-                if self.is_to_be_ejected(id, rate) {
+                if self.should_eject(id, rate) {
                     self.eject(id, outcome, actions);
                 }
             }
@@ -123,15 +123,15 @@
 
     /// Whether a backend that has just failed is to be ejected: it failed its trial request, or it is an
     /// outlier and the maximum ejected share is not reached.
-    fn is_to_be_ejected(&mut self, id: BackendId, rate: f64) -> bool {
-        let listed = self.in_service_count as f64;
-        let mean_failure_rate = self.total_failure_rate() / listed.max(1.0);
+    fn should_eject(&mut self, id: BackendId, rate: f64) -> bool {
+        let in_service = self.in_service_count as f64;
+        let mean_failure_rate = self.total_failure_rate() / in_service.max(1.0);
         let Some(backend) = self.backends.get(&id) else { return false };
         let outlier_rate = OUTLIER_FAILURE_RATIO * mean_failure_rate.min(MAX_MEAN_FAILURE_RATE);
         let is_outlier = backend.consecutive_failures >= CONSECUTIVE_FAILURES_TO_EJECT
             && backend.failure_rate.value > outlier_rate;
         let failed_trial = rate == 1.0 && matches!(backend.health, Health::HalfOpen { .. });
-        let may_eject = self.ejected_count as f64 + 1.0 <= listed * MAX_EJECTED_SHARE;
+        let may_eject = self.ejected_count as f64 + 1.0 <= in_service * MAX_EJECTED_SHARE;
         failed_trial || (is_outlier && may_eject && backend.health == Health::Healthy)
     }
 
@@ -149,14 +149,14 @@
     fn eject(&mut self, id: BackendId, outcome: Outcome, actions: &mut Vec<Action>) {
         let Some(backend) = self.backends.get_mut(&id) else { return };
         let zone = backend.member.zone;
-        let span = BASE_EJECTION_TIME << backend.ejections.min(MAX_EJECTION_DOUBLINGS);
+        let ejection_time = BASE_EJECTION_TIME << backend.ejections.min(MAX_EJECTION_DOUBLINGS);
         backend.ejections += 1;
         backend.consecutive_failures = 0;
         self.ejected_count += usize::from(backend.health == Health::Healthy);
-        backend.health = Health::Ejected { until: self.now + span };
+        backend.health = Health::Ejected { until: self.now + ejection_time };
         self.invalidate_zone_utilisation(zone);
         self.log_rate_limited(actions, || {
-            format!("backend {} ejected for {} ms: {outcome:?}", id.0, span / MILLISECOND)
+            format!("backend {} ejected for {} ms: {outcome:?}", id.0, ejection_time / MILLISECOND)
         });
     }
 }
--- a/balancer/src/policy/overflow.rs
+++ b/balancer/src/policy/overflow.rs
@@ -90,11 +90,11 @@
         let expected_arrivals = (self.arrival_rate() * self.nodes_per_zone() * 2.0 * self.list_interval_s
             / backends)
             .max(MIN_EXPECTED_ARRIVALS);
-        let wanted = SHARED_OVERFLOW_THRESHOLD / (1.0 - SHARED_OVERFLOW_THRESHOLD);
+        let target_load = SHARED_OVERFLOW_THRESHOLD / (1.0 - SHARED_OVERFLOW_THRESHOLD);
         let best = self.overflow_zones.first().filter(|_| self.qualified_zones > 0);
         // Crossing zones has a cost: the other zone must be lower by at least one request per core.
-        let limit =
-            best.map_or(f64::INFINITY, |zone| (self.zones[zone.0 as usize].load_per_core + 1.0).max(wanted));
+        let limit = best
+            .map_or(f64::INFINITY, |zone| (self.zones[zone.0 as usize].load_per_core + 1.0).max(target_load));
         let view = &mut self.zones[home];
         let excess = view.load_per_core - limit;
         let step = OVERFLOW_GAIN * excess.max(-view.load_per_core) / expected_arrivals;
--- a/balancer/src/policy/pending_requests.rs
+++ b/balancer/src/policy/pending_requests.rs
@@ -28,7 +28,7 @@
         if self.pending.is_empty() {
             return;
         }
-        let mut bands = self.first_of_bands();
+        let mut bands = self.first_request_of_each_band();
         let mut misses = 0;
         while misses <= MAX_DISPATCH_MISSES
             && let Some(index) = most_valuable(&bands)
@@ -55,7 +55,7 @@
         to.is_some_and(|to| self.send(id, to, actions))
     }
 
-    fn first_of_bands(&self) -> Vec<NextInBand> {
+    fn first_request_of_each_band(&self) -> Vec<NextInBand> {
         let first = |band: Band| {
             let request = self.pending.next_in_band(band, None)?;
             let value_density = self.band_value_density(band);
@@ -72,10 +72,10 @@
     /// Whether any backend has headroom for a request of this band, regardless of the request's remaining
     /// time.
     fn any_backend_has_headroom(&self, band: Band) -> bool {
-        let takes = |backend: &Backend| self.is_usable(backend) && self.has_headroom(band, backend);
+        let has_capacity = |backend: &Backend| self.is_usable(backend) && self.has_headroom(band, backend);
         self.has_many_nodes()
             || self.backends.len() > MAX_SCANNED_BACKENDS
-            || self.backends.values().any(takes)
+            || self.backends.values().any(has_capacity)
     }
 
     /// Rejects pending requests that no backend can serve in time any more, and requests whose queue entry
--- a/balancer/src/policy/priorities.rs
+++ b/balancer/src/policy/priorities.rs
@@ -38,12 +38,12 @@
     /// The value of a class is the configured one, with an addition for the worst-served class as configured.
     fn update_value_densities(&mut self, rates: &[ClassRates]) {
         let worst_class_weight = self.settings.worst_class_weight.min(1.0);
-        let offered: f64 =
+        let offered_value: f64 =
             rates.iter().zip(&self.settings.classes).map(|(rate, class)| rate.arrivals * class.value).sum();
-        let worst = rates.iter().map(|rate| rate.served_share()).fold(1.0, f64::min);
+        let worst_served_share = rates.iter().map(|rate| rate.served_share()).fold(1.0, f64::min);
         for ((view, class), rate) in self.classes.iter_mut().zip(&self.settings.classes).zip(rates) {
-            let mut value = (1.0 - worst_class_weight) * class.value / offered.max(EPSILON);
-            if rate.served_share() <= worst {
+            let mut value = (1.0 - worst_class_weight) * class.value / offered_value.max(EPSILON);
+            if rate.served_share() <= worst_served_share {
                 value += worst_class_weight / rate.arrivals.max(EPSILON);
             }
             view.value_density =
--- a/balancer/src/policy/retry_budget.rs
+++ b/balancer/src/policy/retry_budget.rs
@@ -44,7 +44,7 @@
             self.end_unserved(id, RejectReason::AttemptsFailed, retry_after, actions);
             return;
         }
-        self.pay_for_decided_retry(id);
+        self.pay_from_own_budget(id);
         self.dispatch_or_queue(id, actions);
     }
 
@@ -64,7 +64,7 @@
         is_shared && self.requests.get(&id).is_some_and(|request| !self.can_pay_for_retry(request))
     }
 
-    fn pay_for_decided_retry(&mut self, id: RequestId) {
+    fn pay_from_own_budget(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let is_repeat = request.next_is_repeat();
         let token_cost = self.retry_token_cost(request);
--- a/balancer/src/policy/slow_start.rs
+++ b/balancer/src/policy/slow_start.rs
@@ -43,14 +43,15 @@
     fn slow_start_budget(&self, backend: &Backend, zone: &ZoneView, capacity_share: f64) -> f64 {
         let rules = &self.settings.rules;
         let window_s = rules.overload_window as f64 / SECOND as f64;
-        let users = if self.has_many_nodes() { (zone.in_service / SUBSET_SIZE as f64).max(1.0) } else { 1.0 };
+        let subset_factor =
+            if self.has_many_nodes() { (zone.in_service / SUBSET_SIZE as f64).max(1.0) } else { 1.0 };
         SLOW_START_BUDGET_SHARE
             * rules.overload_multiple
             * capacity_share
             * backend.weight()
             * zone.served_per_capacity
             * window_s
-            * users
+            * subset_factor
     }
 
     /// Decides pseudo-randomly whether a budget of less than one request is spent: if it always were, the
--- a/balancer/src/policy/zone_scoring.rs
+++ b/balancer/src/policy/zone_scoring.rs
@@ -23,8 +23,8 @@
     pub(crate) fn utilisation(&self, zone: ZoneId) -> Option<f64> {
         let view = self.zones.get(zone.0 as usize)?;
         let reported = self.zone_utilisation(zone);
-        let quorum = MIN_REPORTING_BACKENDS.min(reported.usable_backends.div_ceil(2));
-        if self.probe_scheduler.is_some() && reported.reporting_backends < quorum {
+        let required_reports = MIN_REPORTING_BACKENDS.min(reported.usable_backends.div_ceil(2));
+        if self.probe_scheduler.is_some() && reported.reporting_backends < required_reports {
             return None;
         }
         let weight = reported.total_weight;
--- a/balancer/src/retry_budget/shared.rs
+++ b/balancer/src/retry_budget/shared.rs
@@ -80,7 +80,7 @@
 
     /// Whether a retry could be paid for now.
     pub(crate) fn can_pay(&self, now: Nanos) -> bool {
-        self.counted(&self.earned, now) + self.slack_at(now) >= RETRY_COST - ROUNDING
+        self.sum_within_window(&self.earned, now) + self.slack_at(now) >= RETRY_COST - ROUNDING
     }
 
     /// Pays for a retry, from the earnings first, the oldest of them before the others, and then from the
@@ -90,19 +90,19 @@
             return false;
         }
         self.expire(now);
-        let mut due = RETRY_COST;
+        let mut remaining_cost = RETRY_COST;
         while let Some(bin) = self.earned.front_mut()
-            && due > 0.0
+            && remaining_cost > 0.0
         {
-            let paid = bin.amount.min(due);
-            due -= paid;
+            let paid = bin.amount.min(remaining_cost);
+            remaining_cost -= paid;
             bin.amount -= paid;
             if bin.amount <= 0.0 {
                 self.earned.pop_front();
             }
         }
-        if due > 0.0 {
-            self.slack_spent.push_back(Entry { at: now, amount: due });
+        if remaining_cost > 0.0 {
+            self.slack_spent.push_back(Entry { at: now, amount: remaining_cost });
         }
         true
     }
@@ -110,11 +110,11 @@
     fn slack_at(&self, now: Nanos) -> f64 {
         let SharedRetryBudget { window, slack_share, starting_slack_share, started_at, .. } = self.settings;
         let share = if now < started_at + window { starting_slack_share } else { slack_share };
-        (share - self.counted(&self.slack_spent, now)).max(0.0)
+        (share - self.sum_within_window(&self.slack_spent, now)).max(0.0)
     }
 
     /// The sum of the entries within the last window.
-    fn counted(&self, entries: &VecDeque<Entry>, now: Nanos) -> f64 {
+    fn sum_within_window(&self, entries: &VecDeque<Entry>, now: Nanos) -> f64 {
         let window = self.settings.window;
         entries.iter().filter(|entry| now < entry.at + window).map(|entry| entry.amount).sum()
     }
--- a/balancer/src/served_capacity.rs
+++ b/balancer/src/served_capacity.rs
@@ -39,9 +39,9 @@
         let by_zone = self.served_capacity_by_zone();
         let mut total = ServedCapacity::default();
         by_zone.iter().for_each(|zone| total.add(*zone));
-        let even_part = total.per_unit() / f64::from(self.settings.nodes);
+        let even_share = total.per_unit() / f64::from(self.settings.nodes);
         for (zone, measured) in self.zones.iter_mut().zip(by_zone) {
-            let change = measured.per_unit().max(even_part) - zone.served_per_capacity;
+            let change = measured.per_unit().max(even_share) - zone.served_per_capacity;
             let rate = if change > 0.0 { CAPACITY_RISE_RATE } else { CAPACITY_FALL_RATE };
             let step = interval as f64 * rate;
             zone.served_per_capacity += change * step.min(1.0);
