--- a/balancer/benches/decisions.rs
+++ b/balancer/benches/decisions.rs
@@ -20,12 +20,12 @@
     // measured.
     let mut closed_loop = ClosedLoop::new(shape);
     closed_loop.run(2 * shape.rate);
-    let open = closed_loop.node.open_requests();
-    group.bench_function(BenchmarkId::new(name, format!("{} open", open)), |bencher| {
+    let open_requests = closed_loop.node.open_requests();
+    group.bench_function(BenchmarkId::new(name, format!("{} open", open_requests)), |bencher| {
         bencher.iter_custom(|iterations| {
-            let before = closed_loop.inside;
+            let before = closed_loop.time_in_node;
             closed_loop.run(closed_loop.arrived + iterations);
-            closed_loop.inside - before
+            closed_loop.time_in_node - before
         });
     });
 }
--- a/balancer/src/latency_model_tests.rs
+++ b/balancer/src/latency_model_tests.rs
@@ -16,7 +16,7 @@
     let settings = Settings { classes: vec![class], ..Settings::new(ZoneId(0), 1) };
     let mut node = Balancer::new(settings, 7, 100 * SECOND).expect("usable settings");
     node.apply_membership(ListScope::Full, vec![Member::default()], 1);
-    let mut learn = |load_at_send, elapsed, times| {
+    let mut learn = |load_at_send, elapsed, count| {
         let sample = LatencySample {
             backend: BackendId(0),
             class: 0,
@@ -25,7 +25,7 @@
             outcome: Outcome::Served,
             elapsed,
         };
-        (0..times).for_each(|_| node.learn_from_attempt(&sample));
+        (0..count).for_each(|_| node.learn_from_attempt(&sample));
         node.load_for_latency(0, 125.0 * MS as f64)
     };
     learn(IDLE_LOAD, 100 * MS, 1000);
--- a/balancer/src/retry_budget/shared_tests.rs
+++ b/balancer/src/retry_budget/shared_tests.rs
@@ -6,7 +6,7 @@
 const WINDOW: Nanos = 10 * SECOND;
 const RATIO: f64 = 0.2;
 /// The time of the first event of each test.
-const BEGIN: Nanos = 100 * SECOND;
+const START: Nanos = 100 * SECOND;
 
 /// The parts of the slack that all nodes have together: in their first window, and later. With these parts
 /// the limit holds if each node restarts at most twice within a window.
@@ -26,49 +26,49 @@
 #[test]
 fn nothing_is_payable_before_anything_was_earned() {
     let mut budget = SharedBudget::new(settings(0.9, 0));
-    assert!(!budget.can_pay(BEGIN));
-    assert_eq!(payable(&mut budget, BEGIN), 0);
+    assert!(!budget.can_pay(START));
+    assert_eq!(payable(&mut budget, START), 0);
 }
 
 #[test]
 fn requests_earn_half_of_the_ratio_for_one_window() {
     let mut budget = SharedBudget::new(settings(0.0, 0));
-    (0..100).for_each(|_| budget.earn(BEGIN));
-    assert_eq!(payable(&mut budget, BEGIN + WINDOW), 0, "earnings are expired after one window");
-    (0..100).for_each(|_| budget.earn(BEGIN + WINDOW));
-    assert_eq!(payable(&mut budget, BEGIN + 2 * WINDOW - 1), 10);
+    (0..100).for_each(|_| budget.earn(START));
+    assert_eq!(payable(&mut budget, START + WINDOW), 0, "earnings are expired after one window");
+    (0..100).for_each(|_| budget.earn(START + WINDOW));
+    assert_eq!(payable(&mut budget, START + 2 * WINDOW - 1), 10);
 }
 
 #[test]
-fn slack_that_was_spent_is_free_again_a_window_later() {
+fn spent_slack_is_available_again_one_window_later() {
     let mut budget = SharedBudget::new(settings(2.0, 0));
-    assert_eq!(payable(&mut budget, BEGIN), 2);
-    assert_eq!(payable(&mut budget, BEGIN + WINDOW - 1), 0);
-    assert_eq!(payable(&mut budget, BEGIN + WINDOW), 2);
+    assert_eq!(payable(&mut budget, START), 2);
+    assert_eq!(payable(&mut budget, START + WINDOW - 1), 0);
+    assert_eq!(payable(&mut budget, START + WINDOW), 2);
 }
 
 #[test]
-fn share_of_the_slack_is_smaller_until_a_predecessor_can_not_have_spent_it_within_the_window() {
-    let mut budget = SharedBudget::new(settings(6.0, BEGIN));
-    assert_eq!(payable(&mut budget, BEGIN), 2);
-    assert_eq!(payable(&mut budget, BEGIN + WINDOW - 1), 0);
-    assert_eq!(payable(&mut budget, BEGIN + WINDOW), 6);
+fn slack_share_is_smaller_in_the_first_window_of_a_process() {
+    let mut budget = SharedBudget::new(settings(6.0, START));
+    assert_eq!(payable(&mut budget, START), 2);
+    assert_eq!(payable(&mut budget, START + WINDOW - 1), 0);
+    assert_eq!(payable(&mut budget, START + WINDOW), 6);
 }
 
 #[test]
-fn what_a_starting_process_has_spent_counts_towards_its_later_share() {
-    let mut budget = SharedBudget::new(settings(6.0, BEGIN));
-    assert_eq!(payable(&mut budget, BEGIN + WINDOW - 1), 2);
-    assert_eq!(payable(&mut budget, BEGIN + WINDOW), 4);
+fn spending_of_a_starting_process_counts_towards_its_later_share() {
+    let mut budget = SharedBudget::new(settings(6.0, START));
+    assert_eq!(payable(&mut budget, START + WINDOW - 1), 2);
+    assert_eq!(payable(&mut budget, START + WINDOW), 4);
 }
 
 #[test]
-fn parts_of_a_retry_that_were_earned_and_slack_together_pay_for_one() {
+fn partial_earnings_and_partial_slack_together_pay_for_a_retry() {
     let mut budget = SharedBudget::new(settings(0.55, 0));
-    (0..4).for_each(|_| budget.earn(BEGIN));
-    assert!(!budget.can_pay(BEGIN));
-    budget.earn(BEGIN);
-    assert_eq!(payable(&mut budget, BEGIN), 1);
+    (0..4).for_each(|_| budget.earn(START));
+    assert!(!budget.can_pay(START));
+    budget.earn(START);
+    assert_eq!(payable(&mut budget, START), 1);
 }
 
 /// An event at one node.
@@ -95,11 +95,11 @@
 }
 
 /// Runs events, each after a pause in milliseconds and at one of the nodes.
-fn play(nodes: usize, slack: f64, events: &[(u16, usize, Event)]) -> Vec<Sample> {
+fn run_events(nodes: usize, slack: f64, events: &[(u16, usize, Event)]) -> Vec<Sample> {
     let share = LATER_PART * slack / nodes as f64;
     let mut starts: Vec<Vec<Nanos>> = vec![Vec::new(); nodes];
     let mut fleet: Vec<SharedBudget> = (0..nodes).map(|_| SharedBudget::new(settings(share, 0))).collect();
-    let mut now = BEGIN;
+    let mut now = START;
     let mut samples = Vec::new();
     for (pause, node, event) in events {
         now += Nanos::from(*pause) * MILLISECOND;
@@ -135,7 +135,7 @@
         slack in 0.0..60.0_f64,
         events in prop::collection::vec((0_u16..1500, 0_usize..100, event()), 1..200),
     ) {
-        let samples = play(nodes, slack, &events);
+        let samples = run_events(nodes, slack, &events);
         let within = |from: Nanos| samples.iter().filter(move |sample| (from..from + WINDOW).contains(&sample.at));
         for first in &samples {
             let retries: usize = within(first.at).map(|sample| sample.retries).sum();
--- a/balancer/tests/advisor.rs
+++ b/balancer/tests/advisor.rs
@@ -40,8 +40,8 @@
 
 impl PlacementAdvisor for TestAdvisor {
     fn allows(&self, _: Nanos, _: RequestId, backend: BackendId) -> bool {
-        let room = self.max_sends.get().is_none_or(|most| self.sent_to(backend) < most);
-        room && !self.disallowed.borrow().contains(&backend.0)
+        let has_capacity = self.max_sends.get().is_none_or(|limit| self.sent_to(backend) < limit);
+        has_capacity && !self.disallowed.borrow().contains(&backend.0)
     }
 
     fn on_sent(&self, _: Nanos, request: RequestId, backend: BackendId) {
@@ -75,8 +75,8 @@
 
 /// Ends every attempt of one request with `outcome` until nothing more is sent. Returns the backends of all
 /// sends.
-fn sends_of_one_request(node: &mut Node, outcome: Outcome, wait: Nanos) -> Vec<BackendId> {
-    let (request, mut actions) = node.arrive(wait);
+fn sends_of_one_request(node: &mut Node, outcome: Outcome, timeout: Nanos) -> Vec<BackendId> {
+    let (request, mut actions) = node.arrive(timeout);
     let mut to = Vec::new();
     for attempt in 0..50 {
         actions.extend(node.advance(20 * MS));
@@ -136,8 +136,8 @@
     for outcome in [Outcome::Served, Outcome::Reset, Outcome::ConnectFailed, Outcome::Rejected] {
         let (request, actions) = node.arrive(SECOND);
         sends.extend(first_sent_to(&actions).map(|to| (request, to)));
-        let again = node.end_attempt(request, 0, outcome, LoadReport::default());
-        sends.extend(first_sent_to(&again).map(|to| (request, to)));
+        let retry_actions = node.end_attempt(request, 0, outcome, LoadReport::default());
+        sends.extend(first_sent_to(&retry_actions).map(|to| (request, to)));
     }
     assert_eq!(*advisor.sends.borrow(), sends);
 }
@@ -170,19 +170,19 @@
 
 #[test]
 fn attempts_are_bounded_by_their_class() {
-    for most in 1..=4 {
+    for limit in 1..=4 {
         let class = ClassSettings {
-            max_attempts: Some(most),
+            max_attempts: Some(limit),
             retry_past_target: true,
             ..class(400, 1000, Idempotency::Idempotent)
         };
         let mut node = Node::new(with_class(class), nine_members());
         node.serve(100, |_| utilisation(0.2));
         let to = sends_of_one_request(&mut node, Outcome::Rejected, SECOND);
-        assert!(to.len() <= most as usize, "at most {most} attempts: {to:?}");
+        assert!(to.len() <= limit as usize, "at most {limit} attempts: {to:?}");
         assert!(
-            most == 1 || to.len() > 1,
-            "the request was not retried with at most {most} attempts: {to:?}"
+            limit == 1 || to.len() > 1,
+            "the request was not retried with at most {limit} attempts: {to:?}"
         );
     }
 }
@@ -214,8 +214,8 @@
     for _ in 0..200 {
         let (request, actions) = node.arrive(SECOND);
         assert!(first_sent_to(&actions).is_some());
-        let again = node.end_attempt(request, 0, Outcome::ConnectFailed, LoadReport::default());
-        assert!(first_sent_to(&again).is_some(), "the next backend was not tried");
+        let retry_actions = node.end_attempt(request, 0, Outcome::ConnectFailed, LoadReport::default());
+        assert!(first_sent_to(&retry_actions).is_some(), "the next backend was not tried");
         node.end_attempt(request, 1, Outcome::Served, LoadReport::default());
         node.advance(10 * MS);
     }
@@ -229,7 +229,7 @@
         ..class(400, 1000, Idempotency::Idempotent)
     };
     let mut node = Node::new(with_class(class), nine_members());
-    let mut again = 0;
+    let mut retries = 0;
     for _ in 0..200 {
         let (request, actions) = node.arrive(SECOND);
         if first_sent_to(&actions).is_none() {
@@ -237,11 +237,11 @@
         }
         let actions = node.end_attempt(request, 0, Outcome::Rejected, LoadReport::default());
         if first_sent_to(&actions).is_some() {
-            again += 1;
+            retries += 1;
             node.end_attempt(request, 1, Outcome::Served, LoadReport::default());
         }
     }
-    assert!(again < 100, "{again} retries of 200 requests");
+    assert!(retries < 100, "{retries} retries of 200 requests");
 }
 
 #[test]
@@ -273,9 +273,9 @@
 }
 
 /// A node with a stream that has started, its request, and its backend.
-fn streaming(effect: Idempotency) -> (Node, RequestId, BackendId) {
+fn streaming(idempotency: Idempotency) -> (Node, RequestId, BackendId) {
     let class =
-        ClassSettings { max_attempts: Some(3), retry_past_target: true, ..class(400, 10_000, effect) };
+        ClassSettings { max_attempts: Some(3), retry_past_target: true, ..class(400, 10_000, idempotency) };
     let mut node = Node::new(with_class(class), nine_members());
     node.serve(100, |_| utilisation(0.2));
     let (request, actions) = node.arrive(10 * SECOND);
@@ -290,15 +290,18 @@
 fn interrupted_stream_is_resumed_at_another_backend() {
     for outcome in [Outcome::Reset, Outcome::InvalidResponse] {
         let (mut node, request, first) = streaming(Idempotency::Idempotent);
-        let aim_end = node.now + 300 * MS;
+        let resumption_target_at = node.now + 300 * MS;
         assert!(
-            first_sent_to(&node.handle(Event::StreamInterrupted { request, target_at: aim_end })).is_none(),
+            first_sent_to(
+                &node.handle(Event::StreamInterrupted { request, target_at: resumption_target_at })
+            )
+            .is_none(),
             "resumed before the end of the attempt"
         );
         let mut actions = node.end_attempt(request, 0, outcome, LoadReport::default());
         actions.extend(node.advance(100 * MS));
-        let next = first_sent_to(&actions).expect("a send that resumes the stream");
-        assert_ne!(next, first, "{outcome:?}");
+        let resumed_at = first_sent_to(&actions).expect("a send that resumes the stream");
+        assert_ne!(resumed_at, first, "{outcome:?}");
         node.handle(Event::StreamStarted { request });
         let ended = node.end_attempt(request, 1, Outcome::Served, LoadReport::default());
         assert!(!is_failed(&ended) && !is_rejected(&ended) && first_sent_to(&ended).is_none());
@@ -338,20 +341,20 @@
     let mut node = Node::new(settings(Idempotency::Idempotent), nine_members());
     node.serve(50, |_| utilisation(0.2));
     let ids: Vec<ClassId> = [Idempotency::NonIdempotent, Idempotency::Idempotent]
-        .map(|effect| {
-            node.balancer.add_class(ClassSettings { max_attempts: Some(2), ..class(400, 1000, effect) })
+        .map(|idempotency| {
+            node.balancer.add_class(ClassSettings { max_attempts: Some(2), ..class(400, 1000, idempotency) })
         })
         .into();
     assert_eq!(ids, [ClassId(1), ClassId(2)], "class numbers are not consecutive");
-    for (class, again) in ids.into_iter().zip([false, true]) {
+    for (class, is_retried) in ids.into_iter().zip([false, true]) {
         let request = RequestId(1000 + u64::from(class.0));
         let not_after = node.now + SECOND;
         let arrival =
             Arrival { request, class, expected_work: None, is_retry: false, tenant: None, not_after };
         assert!(first_sent_to(&node.handle(Event::Request(arrival))).is_some(), "{class:?}");
         let actions = node.end_attempt(request, 0, Outcome::Reset, LoadReport::default());
-        assert_eq!(first_sent_to(&actions).is_some(), again, "{class:?}");
-        assert_eq!(is_failed(&actions), !again, "{class:?}");
+        assert_eq!(first_sent_to(&actions).is_some(), is_retried, "{class:?}");
+        assert_eq!(is_failed(&actions), !is_retried, "{class:?}");
     }
     assert_eq!(node.serve(50, |_| utilisation(0.2)).len(), 50, "the first class is not served any more");
 }
@@ -367,8 +370,9 @@
     let arrival = Arrival { request, class, expected_work: None, is_retry: false, tenant: None, not_after };
     assert!(all_sent_to(&node.handle(Event::Request(arrival))).is_empty());
     let actions = node.advance(100 * MS);
-    let own = |action: &Action| matches!(action, Action::Reject { request: of, .. } if *of == request);
-    assert!(actions.iter().any(own));
+    let rejects_request =
+        |action: &Action| matches!(action, Action::Reject { request: of, .. } if *of == request);
+    assert!(actions.iter().any(rejects_request));
 }
 
 #[test]
@@ -377,16 +381,20 @@
         Node::new(settings(Idempotency::Idempotent), nine_members()),
         advised(settings(Idempotency::Idempotent)).0,
     );
-    for home in [0.2, 0.7, 0.95, 1.0, 0.4] {
+    for home_utilisation in [0.2, 0.7, 0.95, 1.0, 0.4] {
         // The home zone has this utilisation; the other zones are idle.
-        let report = |to: BackendId| utilisation(if to.0 < 3 { home } else { 0.1 });
-        assert_eq!(plain_node.serve(100, report), advised_node.serve(100, report), "home utilisation {home}");
+        let report = |to: BackendId| utilisation(if to.0 < 3 { home_utilisation } else { 0.1 });
+        assert_eq!(
+            plain_node.serve(100, report),
+            advised_node.serve(100, report),
+            "home utilisation {home_utilisation}"
+        );
     }
     for _ in 0..20 {
-        let (one, other) = (plain_node.arrive(SECOND), advised_node.arrive(SECOND));
-        assert_eq!(one, other);
+        let (plain_result, advised_result) = (plain_node.arrive(SECOND), advised_node.arrive(SECOND));
+        assert_eq!(plain_result, advised_result);
         for outcome in [Outcome::Rejected, Outcome::Reset] {
-            let ends = |node: &mut Node| node.end_attempt(one.0, 0, outcome, LoadReport::default());
+            let ends = |node: &mut Node| node.end_attempt(plain_result.0, 0, outcome, LoadReport::default());
             assert_eq!(ends(&mut plain_node), ends(&mut advised_node), "{outcome:?}");
         }
         assert_eq!(plain_node.advance(50 * MS), advised_node.advance(50 * MS));
--- a/balancer/tests/common/closed_loop.rs
+++ b/balancer/tests/common/closed_loop.rs
@@ -133,15 +133,15 @@
     pub now: Nanos,
     pub arrived: u64,
     /// Time spent inside the node, and number of events that the node has handled.
-    pub inside: Duration,
+    pub time_in_node: Duration,
     pub events: u64,
     /// A digest of all actions except logs and discovery requests.
     pub digest: u64,
     pub sends: u64,
-    pub refusals: u64,
+    pub rejections: u64,
     random: u64,
     queue: BinaryHeap<Reverse<(Nanos, u64, Next)>>,
-    order: u64,
+    sequence: u64,
     /// When each core of each backend becomes free.
     cores_free_at: Vec<[Nanos; 2]>,
     open: BTreeMap<RequestId, OpenRequest>,
@@ -155,14 +155,14 @@
             node,
             now: SECOND,
             arrived: 0,
-            inside: Duration::ZERO,
+            time_in_node: Duration::ZERO,
             events: 0,
             digest: FNV_OFFSET,
             sends: 0,
-            refusals: 0,
+            rejections: 0,
             random: shape.seed,
             queue: BinaryHeap::new(),
-            order: 0,
+            sequence: 0,
             cores_free_at: vec![[0; 2]; shape.backends as usize],
             open: BTreeMap::new(),
             actions: Vec::new(),
@@ -194,8 +194,8 @@
     }
 
     fn schedule(&mut self, at: Nanos, next: Next) {
-        self.order += 1;
-        self.queue.push(Reverse((at, self.order, next)));
+        self.sequence += 1;
+        self.queue.push(Reverse((at, self.sequence, next)));
     }
 
     fn queued_work(&self, backend: u32) -> Nanos {
@@ -226,7 +226,7 @@
         let mut actions = std::mem::take(&mut self.actions);
         let started = Instant::now();
         self.node.handle(self.now, event, &mut actions);
-        self.inside += started.elapsed();
+        self.time_in_node += started.elapsed();
         self.events += 1;
         for action in actions.drain(..) {
             self.carry_out(action);
@@ -249,7 +249,7 @@
             }
             Action::Reject { request, retry_after } => {
                 self.add_to_digest([2, request.0, retry_after, 0]);
-                self.refusals += 1;
+                self.rejections += 1;
                 self.open.remove(&request);
             }
             Action::Fail { request } => {
@@ -342,10 +342,10 @@
             [BackendState::InService, BackendState::Draining, BackendState::Removed];
         let changed = self.draw(self.shape.backends.into()) as u32;
         let state = STATES[self.draw(3) as usize];
-        let back = self.draw(self.shape.backends.into()) as u32;
+        let returning = self.draw(self.shape.backends.into()) as u32;
         let online_since = (self.draw(2) == 0).then_some(self.now);
-        let back = Member { online_since, ..self.member(back, BackendState::InService) };
-        let members = vec![self.member(changed, state), back];
+        let returning = Member { online_since, ..self.member(returning, BackendState::InService) };
+        let members = vec![self.member(changed, state), returning];
         self.handle(Event::Membership { scope: ListScope::Changes, members });
         self.schedule(self.now + self.shape.churn, Next::ListChange);
     }
--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -22,7 +22,7 @@
 pub struct Node {
     pub balancer: Balancer,
     pub now: Nanos,
-    pub next: u64,
+    pub next_request: u64,
     ended_attempts: BTreeMap<RequestId, u32>,
 }
 
@@ -70,7 +70,7 @@
 
     pub fn seeded(seed: u64, settings: Settings, members: Vec<Member>) -> Self {
         let balancer = Balancer::new(settings, seed, SECOND).expect("valid settings");
-        let mut node = Self { balancer, now: SECOND, next: 0, ended_attempts: BTreeMap::new() };
+        let mut node = Self { balancer, now: SECOND, next_request: 0, ended_attempts: BTreeMap::new() };
         node.handle(Event::Start);
         node.handle(Event::Membership { scope: ListScope::Cached, members });
         node
@@ -102,8 +102,8 @@
     }
 
     fn arrive_as(&mut self, timeout: Nanos, is_retry: bool, tenant: Option<u32>) -> (RequestId, Vec<Action>) {
-        let request = RequestId(self.next);
-        self.next += 1;
+        let request = RequestId(self.next_request);
+        self.next_request += 1;
         let not_after = self.now + timeout;
         let class = ClassId(0);
         let arrival = Arrival { request, class, expected_work: None, is_retry, tenant, not_after };
@@ -112,9 +112,9 @@
 
     /// The number of the attempt in flight of a request whose attempts each end before the next one is sent.
     pub fn attempt(&mut self, request: RequestId) -> u32 {
-        let next = self.ended_attempts.entry(request).or_insert(0);
-        *next += 1;
-        *next - 1
+        let next_attempt = self.ended_attempts.entry(request).or_insert(0);
+        *next_attempt += 1;
+        *next_attempt - 1
     }
 
     pub fn end_attempt(
@@ -209,9 +209,9 @@
 pub struct QueueingBackend {
     pub idle_latency: Nanos,
     pub latency_per_request: Nanos,
-    open: Vec<QueuedRequest>,
+    in_flight_requests: Vec<QueuedRequest>,
     /// The requests sent to the backend.
-    pub taken: Vec<RequestId>,
+    pub received: Vec<RequestId>,
 }
 
 struct QueuedRequest {
@@ -222,7 +222,7 @@
 
 impl QueueingBackend {
     pub fn new(idle_latency: Nanos, latency_per_request: Nanos) -> Self {
-        Self { idle_latency, latency_per_request, open: Vec::new(), taken: Vec::new() }
+        Self { idle_latency, latency_per_request, in_flight_requests: Vec::new(), received: Vec::new() }
     }
 
     /// Sends one request to the node every `interval` for `span`. Returns the most requests in flight at the
@@ -239,32 +239,34 @@
         span: Nanos,
         arrive: impl Fn(&mut Node) -> Vec<Action>,
     ) -> usize {
-        let (end, mut next_arrival, mut most) = (node.now + span, node.now, 0);
+        let (end, mut next_arrival, mut max_in_flight) = (node.now + span, node.now, 0);
         while node.now < end {
             let mut actions = node.advance(5 * MS);
             if node.now >= next_arrival {
                 next_arrival += interval;
                 actions.extend(arrive(node));
             }
-            self.take(node.now, &actions);
-            most = most.max(self.open.len());
-            while let Some(index) = self.open.iter().position(|queued| queued.due_at <= node.now) {
-                let QueuedRequest { request, sent_at, .. } = self.open.remove(index);
+            self.receive(node.now, &actions);
+            max_in_flight = max_in_flight.max(self.in_flight_requests.len());
+            while let Some(index) =
+                self.in_flight_requests.iter().position(|queued| queued.due_at <= node.now)
+            {
+                let QueuedRequest { request, sent_at, .. } = self.in_flight_requests.remove(index);
                 let (elapsed, report) = (node.now - sent_at, LoadReport::default());
                 let actions = node.end_attempt_after(request, 0, Outcome::Served, elapsed, report);
-                self.take(node.now, &actions);
+                self.receive(node.now, &actions);
             }
         }
-        most
+        max_in_flight
     }
 
-    fn take(&mut self, now: Nanos, actions: &[Action]) {
+    fn receive(&mut self, now: Nanos, actions: &[Action]) {
         for action in actions {
             if let Action::Send { request, .. } = action {
-                let queueing = self.latency_per_request * (self.open.len() as u64 + 1);
+                let queueing = self.latency_per_request * (self.in_flight_requests.len() as u64 + 1);
                 let due_at = now + self.idle_latency.max(queueing);
-                self.open.push(QueuedRequest { request: *request, sent_at: now, due_at });
-                self.taken.push(*request);
+                self.in_flight_requests.push(QueuedRequest { request: *request, sent_at: now, due_at });
+                self.received.push(*request);
             }
         }
     }
--- a/balancer/tests/congestion.rs
+++ b/balancer/tests/congestion.rs
@@ -142,8 +142,13 @@
         in_congestion.max_in_flight,
         in_congestion.arrivals
     );
-    let late = node.run(28, 8, |_, _| (Outcome::Served, 4 * SECOND));
-    assert!(late.sends < 40, "{} requests sent during congestion, of {} arrivals", late.sends, late.arrivals);
+    let later = node.run(28, 8, |_, _| (Outcome::Served, 4 * SECOND));
+    assert!(
+        later.sends < 40,
+        "{} requests sent during congestion, of {} arrivals",
+        later.sends,
+        later.arrivals
+    );
     node.run(14, 10, |_, _| (Outcome::Served, 180 * MS));
     let after = node.run(14, 5, |_, _| (Outcome::Served, 180 * MS));
     assert!(
@@ -222,9 +227,9 @@
 fn overdue_attempts_shrink_the_window_before_they_end() {
     let mut node = one_of_a_hundred_nodes();
     node.run(28, 10, |_, _| (Outcome::Served, 180 * MS));
-    let two = node.run(28, 2, |_, _| (Outcome::Served, 60 * SECOND));
+    let before = node.run(28, 2, |_, _| (Outcome::Served, 60 * SECOND));
     let after = node.run(28, 2, |_, _| (Outcome::Served, 60 * SECOND));
-    assert!(after.sends < two.sends / 2, "{} sent, then {}", two.sends, after.sends);
+    assert!(after.sends < before.sends / 2, "{} sent, then {}", before.sends, after.sends);
 }
 
 /// The backend was chosen at random, regardless of the node's own requests in flight.
@@ -238,8 +243,11 @@
         (Outcome::Served, if to == slow { 650 * MS } else { 180 * MS })
     });
     let to_slow = counts.get(&slow).copied().unwrap_or(0);
-    let even = counts.values().sum::<i32>() / 4;
-    assert!(to_slow * 2 < even, "{to_slow} requests sent to the slow backend, an even share is {even}");
+    let even_share = counts.values().sum::<i32>() / 4;
+    assert!(
+        to_slow * 2 < even_share,
+        "{to_slow} requests sent to the slow backend, an even share is {even_share}"
+    );
 }
 
 /// The limit by the share served counted errors of faulty backends as a lack of capacity, and rejected
@@ -247,32 +255,32 @@
 #[test]
 fn errors_are_not_taken_for_congestion() {
     let mut node = one_of_a_hundred_nodes();
-    let ends = |to: BackendId, _| match to.0 % 3 {
+    let outcome_of = |to: BackendId, _| match to.0 % 3 {
         0 => (Outcome::Error, 50 * MS),
         _ => (Outcome::Served, 180 * MS),
     };
-    node.run(17, 20, ends);
-    let taken = node.run(17, 10, ends);
+    node.run(17, 20, outcome_of);
+    let later = node.run(17, 10, outcome_of);
     assert!(
-        taken.sends > taken.arrivals * 9 / 10,
+        later.sends > later.arrivals * 9 / 10,
         "{} of {} requests sent while a third of the backends return errors",
-        taken.sends,
-        taken.arrivals
+        later.sends,
+        later.arrivals
     );
     // The same if all backends return errors for three attempts in ten.
     let mut node = one_of_a_hundred_nodes();
     let mut turn = 0;
-    let mut ends = |_, _| {
+    let mut outcome_of = |_, _| {
         turn += 1;
         if turn % 10 < 3 { (Outcome::Error, 50 * MS) } else { (Outcome::Served, 180 * MS) }
     };
-    node.run(17, 20, &mut ends);
-    let taken = node.run(17, 10, &mut ends);
+    node.run(17, 20, &mut outcome_of);
+    let later = node.run(17, 10, &mut outcome_of);
     assert!(
-        taken.sends > taken.arrivals * 9 / 10,
+        later.sends > later.arrivals * 9 / 10,
         "{} of {} requests sent while all backends return errors",
-        taken.sends,
-        taken.arrivals
+        later.sends,
+        later.arrivals
     );
 }
 
@@ -289,12 +297,15 @@
         ..settings(Idempotency::NonIdempotent)
     });
     node.tenants = vec![0, 0, 0, 0, 0, 1];
-    let mut free = 0;
+    let mut free_at = 0;
     node.run(24, 30, |_, now| {
-        free = now.max(free + SECOND / 8);
-        (Outcome::Served, free - now + 180 * MS)
+        free_at = now.max(free_at + SECOND / 8);
+        (Outcome::Served, free_at - now + 180 * MS)
     });
-    let Traffic { attempts_by_tenant: taken, arrivals_by_tenant: asked, .. } = node;
-    let part = |tenant: usize| f64::from(taken[tenant]) / f64::from(asked[tenant]);
-    assert!(part(1) > 1.5 * part(0), "sent by tenant {taken:?} of {asked:?}");
+    let Traffic { attempts_by_tenant: attempts, arrivals_by_tenant: arrivals, .. } = node;
+    let attempts_per_arrival = |tenant: usize| f64::from(attempts[tenant]) / f64::from(arrivals[tenant]);
+    assert!(
+        attempts_per_arrival(1) > 1.5 * attempts_per_arrival(0),
+        "sent by tenant {attempts:?} of {arrivals:?}"
+    );
 }
--- a/balancer/tests/event_sequences.rs
+++ b/balancer/tests/event_sequences.rs
@@ -91,11 +91,11 @@
     fn check_rejection(&mut self, request: RequestId) {
         let tracked = self.requests.get_mut(&request).expect("a known request");
         let ran = tracked.attempts.iter().any(TrackedAttempt::may_have_run);
-        let free = matches!(
+        let is_repeatable = matches!(
             self.idempotency[tracked.class],
             Idempotency::Idempotent | Idempotency::Keyed { scope: IdempotencyScope::All, .. }
         );
-        assert!(free || !ran, "request {request:?} was rejected although an attempt may have run");
+        assert!(is_repeatable || !ran, "request {request:?} was rejected although an attempt may have run");
         self.end(request);
     }
 
@@ -284,7 +284,7 @@
     settings
 }
 
-fn drive(seed: u64) {
+fn run_sequence(seed: u64) {
     let mut draw = Draw(seed);
     let settings = drawn_settings(&mut draw);
     let checker = RuleChecker::new(&settings);
@@ -325,7 +325,7 @@
 #[test]
 fn rules_hold_on_arbitrary_event_sequences() {
     for seed in 1..40 {
-        drive(seed);
+        run_sequence(seed);
     }
 }
 
--- a/balancer/tests/load_probes.rs
+++ b/balancer/tests/load_probes.rs
@@ -179,11 +179,11 @@
 
 #[test]
 fn node_sends_no_probes_where_forbidden_or_reporting_is_disabled() {
-    let mut forbidden = probing_settings();
-    forbidden.limits.probes = false;
-    let mut silent = probing_settings();
-    silent.reports = LoadReporting::Disabled;
-    for node_settings in [forbidden, silent] {
+    let mut probes_forbidden = probing_settings();
+    probes_forbidden.limits.probes = false;
+    let mut reporting_disabled = probing_settings();
+    reporting_disabled.reports = LoadReporting::Disabled;
+    for node_settings in [probes_forbidden, reporting_disabled] {
         let mut run = ProbedLoop::new(node_settings, zones());
         run.run(10 * SECOND, 20 * MS, &|_| Some(0.3), NO_FAILURE);
         assert!(run.probes.is_empty());
@@ -281,9 +281,12 @@
     run.run(20 * SECOND, 50 * MS, &partitioned, NO_FAILURE);
     assert_eq!(run.share(late, |to| zone(to) == 1), 0.0, "requests were sent to the partitioned zone");
     assert!(run.share(late, |to| zone(to) == 2) > 0.9, "requests were not sent to the zone with capacity");
-    let into = run.probes[probes_before..].iter().filter(|to| zone(**to) == 1).count();
+    let to_partitioned_zone = run.probes[probes_before..].iter().filter(|to| zone(**to) == 1).count();
     let all = run.probes.len() - probes_before;
-    assert!(into * 4 < all && into > 0, "{into} of {all} probes were sent to the partitioned zone");
+    assert!(
+        to_partitioned_zone * 4 < all && to_partitioned_zone > 0,
+        "{to_partitioned_zone} of {all} probes were sent to the partitioned zone"
+    );
 }
 
 #[test]
--- a/balancer/tests/many_nodes.rs
+++ b/balancer/tests/many_nodes.rs
@@ -58,8 +58,8 @@
 fn live_weights_set_the_zones_utilisation() {
     let mut calm = node(1, settings_of_many_nodes(), listed([1.0; 3]));
     assert!(serve(&mut calm, 30, [1.0, 0.2, 0.2], 50 * MS).iter().all(|to| zone(to) == 0));
-    let mut full = node(1, settings_of_many_nodes(), listed([9.0, 0.2, 3.5]));
-    let used = serve(&mut full, 30, [9.0, 0.2, 3.5], 50 * MS);
+    let mut overloaded = node(1, settings_of_many_nodes(), listed([9.0, 0.2, 3.5]));
+    let used = serve(&mut overloaded, 30, [9.0, 0.2, 3.5], 50 * MS);
     let overflowed = used.iter().filter(|to| zone(to) == 1).count();
     assert!(overflowed > used.len() / 3, "{overflowed} of {} requests left the full home zone", used.len());
     assert!(used.iter().all(|to| zone(to) != 2), "only the best zone takes the overflow");
@@ -113,8 +113,8 @@
         let (mut to, mut attempt) = (first_sent_to(&actions), 0);
         while let Some(tried) = to {
             widened |= !subset.contains(&tried.0);
-            let failed = if subset.contains(&tried.0) { Outcome::ConnectFailed } else { Outcome::Served };
-            to = first_sent_to(&node.end_attempt_after(request, attempt, failed, MS, LoadReport::default()));
+            let outcome = if subset.contains(&tried.0) { Outcome::ConnectFailed } else { Outcome::Served };
+            to = first_sent_to(&node.end_attempt_after(request, attempt, outcome, MS, LoadReport::default()));
             attempt += 1;
         }
     }
@@ -227,7 +227,7 @@
 /// arrivals yet.
 #[test]
 fn node_that_has_just_started_does_not_shed_all_on_its_first_list() {
-    let taken = (0..100).filter(|&seed| {
+    let sending_nodes = (0..100).filter(|&seed| {
         let mut node = node(seed, settings_of_many_nodes(), listed([6.0; 3]));
         let (request, _) = node.arrive(SECOND);
         node.now += 50 * MS;
@@ -237,8 +237,8 @@
         node.now += 200 * MS;
         first_sent_to(&node.arrive(SECOND).1).is_some()
     });
-    let taken = taken.count();
-    assert!(taken > 60, "{taken} of 100 nodes sent a request after their first list");
+    let sending_nodes = sending_nodes.count();
+    assert!(sending_nodes > 60, "{sending_nodes} of 100 nodes sent a request after their first list");
 }
 
 /// Incident i58b577: in congestion hardly any request was served, so that the measured capacity was close to
--- a/balancer/tests/recorded.rs
+++ b/balancer/tests/recorded.rs
@@ -41,23 +41,23 @@
 
 #[test]
 fn recorded_runs_give_the_recorded_actions() {
-    let mut played = String::new();
+    let mut actual = String::new();
     for shape in shapes() {
         let mut closed_loop = ClosedLoop::new(shape);
-        write!(played, "{shape:?}:").unwrap();
+        write!(actual, "{shape:?}:").unwrap();
         // Intermediate digests show where two builds start to differ.
         for part in 1..=8 {
             closed_loop.run(part * 400);
-            write!(played, " {:016x}", closed_loop.digest).unwrap();
+            write!(actual, " {:016x}", closed_loop.digest).unwrap();
         }
-        writeln!(played, " sends {} refusals {}", closed_loop.sends, closed_loop.refusals).unwrap();
+        writeln!(actual, " sends {} refusals {}", closed_loop.sends, closed_loop.rejections).unwrap();
     }
     if std::env::var_os("RECORD").is_some() {
-        std::fs::write(RECORD, &played).unwrap();
+        std::fs::write(RECORD, &actual).unwrap();
     }
     let recorded = std::fs::read_to_string(RECORD).expect("a readable record");
-    assert_eq!(recorded.lines().count(), played.lines().count(), "number of recorded loops and of loops run");
-    for (was, is) in recorded.lines().zip(played.lines()) {
-        assert_eq!(was, is, "decisions differ from the recorded ones");
+    assert_eq!(recorded.lines().count(), actual.lines().count(), "number of recorded loops and of loops run");
+    for (recorded_line, actual_line) in recorded.lines().zip(actual.lines()) {
+        assert_eq!(recorded_line, actual_line, "decisions differ from the recorded ones");
     }
 }
--- a/balancer/tests/regressions.rs
+++ b/balancer/tests/regressions.rs
@@ -44,12 +44,12 @@
 fn backend_that_fails_fast_is_ejected_and_readmitted() {
     let mut node = Node::new(settings(Idempotency::Idempotent), members(4));
     let run = |node: &mut Node, rounds: usize, broken: bool| {
-        let mut bad = 0;
+        let mut sent_to_broken = 0;
         for _ in 0..rounds {
             let (request, actions) = node.arrive(SECOND);
             let (mut to, mut attempt) = (first_sent_to(&actions), 0);
             while to == Some(BackendId(0)) && broken {
-                bad += 1;
+                sent_to_broken += 1;
                 to = first_sent_to(&node.end_attempt_after(
                     request,
                     attempt,
@@ -59,11 +59,11 @@
                 ));
                 attempt += 1;
             }
-            bad += usize::from(to == Some(BackendId(0)));
+            sent_to_broken += usize::from(to == Some(BackendId(0)));
             node.advance(30 * MS);
             node.end_attempt(request, attempt, Outcome::Served, utilisation(0.4));
         }
-        bad
+        sent_to_broken
     };
     assert!(run(&mut node, 200, true) < 20);
     node.advance(40 * SECOND);
@@ -83,8 +83,8 @@
             node.end_attempt_after(request, 0, Outcome::Served, 900 * MS, utilisation(1.0));
         }
     }
-    let taken = (0..20).filter(|_| first_sent_to(&node.arrive(SECOND).1).is_some()).count();
-    assert!(taken <= 1, "{taken} requests sent into congestion");
+    let sent = (0..20).filter(|_| first_sent_to(&node.arrive(SECOND).1).is_some()).count();
+    assert!(sent <= 1, "{sent} requests sent into congestion");
 }
 
 /// Incident if301ed: the class with the highest value and the tightest latency target found all capacity used
@@ -92,12 +92,12 @@
 #[test]
 fn class_of_higher_value_is_sent_first() {
     let mut node_settings = settings(Idempotency::Idempotent);
-    let wide = ClassSettings { latency_target: 800 * MS, ..class(800, 2000, Idempotency::Idempotent) };
+    let wide_target = ClassSettings { latency_target: 800 * MS, ..class(800, 2000, Idempotency::Idempotent) };
     node_settings.classes =
-        vec![wide, ClassSettings { value: 5.0, ..class(500, 2000, Idempotency::Idempotent) }];
+        vec![wide_target, ClassSettings { value: 5.0, ..class(500, 2000, Idempotency::Idempotent) }];
     let mut node = Node::new(node_settings, members(2));
-    let mut taken = [0, 0];
-    let mut out = Vec::new();
+    let mut sent_by_class = [0, 0];
+    let mut in_flight = Vec::new();
     for turn in 0..2000u64 {
         let id = RequestId(1_000_000 + turn);
         let class = ClassId((turn % 2) as u32);
@@ -111,31 +111,31 @@
         };
         for action in node.handle(Event::Request(arrival)) {
             if let Action::Send { request, .. } = action {
-                taken[(request.0 % 2) as usize] += 1;
-                out.push(request);
+                sent_by_class[(request.0 % 2) as usize] += 1;
+                in_flight.push(request);
             }
         }
         node.now += 5 * MS;
         // The backends serve one request per 15 ms, in the order of the sends.
-        if turn % 3 == 0 && !out.is_empty() {
-            let request = out.remove(0);
-            let elapsed = 15 * MS * (out.len() as u64 + 1);
+        if turn % 3 == 0 && !in_flight.is_empty() {
+            let request = in_flight.remove(0);
+            let elapsed = 15 * MS * (in_flight.len() as u64 + 1);
             for action in node.end_attempt_after(request, 0, Outcome::Served, elapsed, utilisation(0.99)) {
                 if let Action::Send { request, .. } = action {
-                    taken[(request.0 % 2) as usize] += 1;
-                    out.push(request);
+                    sent_by_class[(request.0 % 2) as usize] += 1;
+                    in_flight.push(request);
                 }
             }
         }
         node.handle(Event::Timer { token: 0 });
     }
-    assert!(taken[1] > taken[0], "requests sent by class: {taken:?}");
+    assert!(sent_by_class[1] > sent_by_class[0], "requests sent by class: {sent_by_class:?}");
 }
 
 #[test]
 fn retries_stay_within_their_budget() {
     let mut node = Node::new(settings(Idempotency::Idempotent), members(6));
-    let mut extra = 0;
+    let mut retries = 0;
     for _ in 0..500 {
         let (request, actions) = node.arrive(SECOND);
         let (mut to, mut attempt) = (first_sent_to(&actions), 0);
@@ -147,12 +147,12 @@
                 5 * MS,
                 LoadReport::default(),
             ));
-            extra += usize::from(to.is_some());
+            retries += usize::from(to.is_some());
             attempt += 1;
         }
         node.advance(10 * MS);
     }
-    assert!(extra <= 500 / 5 + 11, "{extra} retries of 500 requests");
+    assert!(retries <= 500 / 5 + 11, "{retries} retries of 500 requests");
 }
 
 #[test]
@@ -181,13 +181,13 @@
 /// Incident if301ed: with three nodes per zone, each node filled the backends to the limit of a single node.
 #[test]
 fn nodes_that_share_a_zone_leave_capacity_for_each_other() {
-    let taken = |nodes| {
+    let sent_with = |nodes| {
         let node_settings = Settings { nodes, ..settings(Idempotency::Idempotent) };
         let mut node = Node::new(node_settings, members(2));
         node.serve(200, |_| utilisation(0.5));
         (0..60).filter(|_| first_sent_to(&node.arrive(SECOND).1).is_some()).count()
     };
-    let (alone, crowded) = (taken(3), taken(12));
+    let (alone, crowded) = (sent_with(3), sent_with(12));
     assert!(crowded < alone, "{alone} requests sent by one node per zone, {crowded} by one of four");
 }
 
@@ -211,11 +211,11 @@
 fn short_first_attempt_is_sent_where_clients_mark_retries() {
     let settings_marking_retries =
         |clients_mark_retries| Settings { clients_mark_retries, ..settings(Idempotency::Idempotent) };
-    for (clients_mark_retries, taken) in [(true, true), (false, false)] {
+    for (clients_mark_retries, is_sent) in [(true, true), (false, false)] {
         let mut node = Node::new(settings_marking_retries(clients_mark_retries), vec![member(1, 0)]);
         node.arrive_as_retry(950 * MS);
         let (_, actions) = node.arrive(400 * MS);
-        assert_eq!((first_sent_to(&actions).is_some(), is_rejected(&actions)), (taken, !taken));
+        assert_eq!((first_sent_to(&actions).is_some(), is_rejected(&actions)), (is_sent, !is_sent));
     }
 }
 
@@ -256,11 +256,11 @@
 #[test]
 fn request_never_sent_is_rejected_by_half_of_its_timeout() {
     let mut node = Node::new(settings(Idempotency::NonIdempotent), Vec::new());
-    for wait in [100 * MS, 300 * MS, SECOND] {
-        let came = node.now;
-        let (_, mut actions) = node.arrive(wait);
+    for timeout in [100 * MS, 300 * MS, SECOND] {
+        let arrived_at = node.now;
+        let (_, mut actions) = node.arrive(timeout);
         while !is_rejected(&actions) {
-            assert!(node.now < came + wait / 2, "{wait}");
+            assert!(node.now < arrived_at + timeout / 2, "{timeout}");
             actions = node.advance(10 * MS);
         }
     }
@@ -270,31 +270,31 @@
 /// backends.
 #[test]
 fn timeouts_of_impatient_clients_eject_no_backend() {
-    let marked = Settings { clients_mark_retries: true, ..settings(Idempotency::Idempotent) };
-    let mut node = Node::new(marked, members(3));
+    let node_settings = Settings { clients_mark_retries: true, ..settings(Idempotency::Idempotent) };
+    let mut node = Node::new(node_settings, members(3));
     node.serve(200, |_| utilisation(0.3));
-    let mut tried = 0;
+    let mut sent = 0;
     for _ in 0..60 {
         let (request, actions) = node.arrive(20 * MS);
-        tried += usize::from(first_sent_to(&actions).is_some());
+        sent += usize::from(first_sent_to(&actions).is_some());
         node.advance(20 * MS);
         let actions = node.end_attempt_after(request, 0, Outcome::TimedOut, 20 * MS, LoadReport::default());
         assert!(!logs_ejection(&actions));
     }
-    assert!(tried > 50, "{tried} of 60 requests were sent, with capacity on every backend");
+    assert!(sent > 50, "{sent} of 60 requests were sent, with capacity on every backend");
 }
 
 /// If reports show spare capacity, a request that may be late takes nothing from other requests. Half of such
 /// requests were queued in vain.
 #[test]
 fn short_request_is_sent_where_reports_show_spare_capacity() {
-    let wide = Member { weight: 2.0, ..member(1, 0) };
-    for (used, taken) in [(0.6, true), (0.9, false)] {
+    let large = Member { weight: 2.0, ..member(1, 0) };
+    for (reported, is_sent) in [(0.6, true), (0.9, false)] {
         let node_settings = Settings { clients_mark_retries: true, ..settings(Idempotency::Idempotent) };
-        let mut node = Node::new(node_settings, vec![wide]);
-        node.serve(100, |_| utilisation(used));
+        let mut node = Node::new(node_settings, vec![large]);
+        node.serve(100, |_| utilisation(reported));
         assert!(first_sent_to(&node.arrive(SECOND).1).is_some());
-        assert_eq!(first_sent_to(&node.arrive(20 * MS).1).is_some(), taken, "{used}");
+        assert_eq!(first_sent_to(&node.arrive(20 * MS).1).is_some(), is_sent, "{reported}");
     }
 }
 
@@ -308,9 +308,9 @@
         .map(|_| node.arrive(SECOND))
         .map(|(request, actions)| (request, first_sent_to(&actions)))
         .collect();
-    let broken: Vec<_> = open.iter().filter(|(_, to)| *to == Some(BackendId(0))).collect();
-    assert!(broken.len() >= 3, "{open:?}");
-    for (request, _) in broken {
+    let to_first: Vec<_> = open.iter().filter(|(_, to)| *to == Some(BackendId(0))).collect();
+    assert!(to_first.len() >= 3, "{open:?}");
+    for (request, _) in to_first {
         let actions = node.end_attempt_after(*request, 0, Outcome::Reset, 10 * MS, LoadReport::default());
         assert!(!logs_ejection(&actions));
         node.now += 2 * SECOND;
@@ -344,10 +344,13 @@
 fn lightly_loaded_backend_does_not_look_slow() {
     let mut node = Node::new(settings(Idempotency::Idempotent), members(1));
     let mut queue = QueueingBackend::new(150 * MS, 10 * MS);
-    let busy = queue.run(&mut node, 20 * MS, 10 * SECOND, SECOND);
+    let before = queue.run(&mut node, 20 * MS, 10 * SECOND, SECOND);
     queue.run(&mut node, 200 * MS, 10 * SECOND, SECOND);
-    let again = queue.run(&mut node, 20 * MS, SECOND, SECOND);
-    assert!(busy >= 5 && again >= 5, "{busy} requests in flight at once before the lull, {again} after it");
+    let after = queue.run(&mut node, 20 * MS, SECOND, SECOND);
+    assert!(
+        before >= 5 && after >= 5,
+        "{before} requests in flight at once before the lull, {after} after it"
+    );
 }
 
 /// Incident sev5594: with a wide latency target, a backend was filled until its responses just met the
@@ -362,8 +365,8 @@
     let mut node = Node::new(node_settings, members(1));
     let mut queue = QueueingBackend::new(200 * MS, 20 * MS);
     queue.run(&mut node, 25 * MS, 10 * SECOND, 8 * SECOND);
-    let most = queue.run(&mut node, 10 * MS, 10 * SECOND, 8 * SECOND);
-    assert!((4..=30).contains(&most), "{most} requests in flight at once");
+    let max_in_flight = queue.run(&mut node, 10 * MS, 10 * SECOND, 8 * SECOND);
+    assert!((4..=30).contains(&max_in_flight), "{max_in_flight} requests in flight at once");
 }
 
 /// Requests were queued for most of their latency target, although no backend could be sent them any more.
@@ -372,15 +375,15 @@
     let mut node = Node::new(settings(Idempotency::Idempotent), members(1));
     QueueingBackend::new(120 * MS, 40 * MS).run(&mut node, 150 * MS, 10 * SECOND, SECOND);
     while first_sent_to(&node.arrive(SECOND).1).is_some() {}
-    let came = node.now;
+    let arrived_at = node.now;
     let (_, mut actions) = node.arrive(SECOND);
     while !is_rejected(&actions) {
         actions = node.advance(10 * MS);
     }
     // The latency target is 400 ms. A response takes at least 120 ms, which may be up to six tenths of the
     // time left.
-    let after = (node.now - came) / MS;
-    assert!((150..=250).contains(&after), "rejected after {after} ms");
+    let rejected_after_ms = (node.now - arrived_at) / MS;
+    assert!((150..=250).contains(&rejected_after_ms), "rejected after {rejected_after_ms} ms");
 }
 
 /// A tenant that sent several times its quota was served like tenants within their quotas: with few nodes,
@@ -396,12 +399,16 @@
     let mut queue = QueueingBackend::new(80 * MS, 20 * MS);
     let tenant = |request: u64| u32::from(request.is_multiple_of(6));
     queue.run_with(&mut node, 10 * MS, 20 * SECOND, |node| {
-        let tenant = tenant(node.next);
+        let tenant = tenant(node.next_request);
         node.arrive_from_tenant(tenant, SECOND).1
     });
-    let taken = |wanted| queue.taken.iter().filter(|request| tenant(request.0) == wanted).count() as f64;
-    let parts = [taken(0) / (node.next as f64 * 5.0 / 6.0), taken(1) / (node.next as f64 / 6.0)];
-    assert!(parts[1] > 1.5 * parts[0], "share of requests sent by tenant: {parts:?}");
+    let received =
+        |by_tenant| queue.received.iter().filter(|request| tenant(request.0) == by_tenant).count() as f64;
+    let shares = [
+        received(0) / (node.next_request as f64 * 5.0 / 6.0),
+        received(1) / (node.next_request as f64 / 6.0),
+    ];
+    assert!(shares[1] > 1.5 * shares[0], "share of requests sent by tenant: {shares:?}");
 }
 
 /// A node rejected two in five requests at once for nine seconds: the timeouts of its clients had become
@@ -409,17 +416,20 @@
 #[test]
 fn shorter_timeouts_of_all_clients_are_not_taken_for_retries() {
     let mut node = Node::new(settings(Idempotency::Idempotent), members(2));
-    let mut run = |wait| {
-        let mut taken = 0;
+    let mut run = |timeout| {
+        let mut sent = 0;
         for _ in 0..200 {
-            let (request, actions) = node.arrive(wait);
-            taken += usize::from(first_sent_to(&actions).is_some());
+            let (request, actions) = node.arrive(timeout);
+            sent += usize::from(first_sent_to(&actions).is_some());
             node.advance(40 * MS);
             node.end_attempt(request, 0, Outcome::Served, utilisation(0.3));
         }
-        taken
+        sent
     };
     assert_eq!(run(SECOND), 200);
-    let short = run(500 * MS);
-    assert!(short > 150, "{short} of 200 requests with the shorter timeout were sent");
+    let sent_with_short_timeout = run(500 * MS);
+    assert!(
+        sent_with_short_timeout > 150,
+        "{sent_with_short_timeout} of 200 requests with the shorter timeout were sent"
+    );
 }
--- a/balancer/tests/retry_budget.rs
+++ b/balancer/tests/retry_budget.rs
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn what_was_earned_and_spent_counts_on_when_the_share_changes() {
+fn earnings_and_spending_are_kept_when_the_share_changes() {
     let mut node = node_with(Idempotency::Idempotent, 2);
     node.balancer.share_retry_budget(budget(2.0));
     assert_eq!(repeats_of(&mut node, 10, Outcome::Reset), 1 + 2);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn usage_counts_requests_repeats_and_what_was_denied() {
+fn usage_counts_requests_repeats_and_denied_repeats() {
     let mut node = node_with(Idempotency::Idempotent, 2);
     node.balancer.share_retry_budget(budget(1.0));
     repeats_of(&mut node, 20, Outcome::Misdirected);
@@ -136,9 +136,9 @@
         let mut node = node_with(Idempotency::Idempotent, 2);
         node.balancer.share_retry_budget(budget(1.0));
         let (request, actions) = node.arrive(SECOND);
-        let refused_by = first_sent_to(&actions).expect("a send");
+        let rejected_by = first_sent_to(&actions).expect("a send");
         // The other backends leave, and the remaining one is in backoff.
-        let others = nine_members().into_iter().filter(|member| member.backend != refused_by);
+        let others = nine_members().into_iter().filter(|member| member.backend != rejected_by);
         let removed = others.map(|member| Member { state: BackendState::Removed, ..member }).collect();
         node.handle(Event::Membership { scope: ListScope::Changes, members: removed });
         let actions = node.end_attempt(request, 0, Outcome::Rejected, LoadReport::default());
--- a/balancer/tests/send_rules.rs
+++ b/balancer/tests/send_rules.rs
@@ -7,13 +7,13 @@
     ListScope, LoadReport, Member, Outcome, RequestId, Settings,
 };
 
-const RAN: [Outcome; 5] =
+const MAY_HAVE_RUN: [Outcome; 5] =
     [Outcome::Error, Outcome::InvalidResponse, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled];
-const NOT_RAN: [Outcome; 4] =
+const NEVER_RAN: [Outcome; 4] =
     [Outcome::Rejected, Outcome::ConnectFailed, Outcome::Misdirected, Outcome::NotSent];
 
-fn keyed(group: IdempotencyScope) -> Idempotency {
-    Idempotency::Keyed { scope: group, window: 200 * MS }
+fn keyed(key_scope: IdempotencyScope) -> Idempotency {
+    Idempotency::Keyed { scope: key_scope, window: 200 * MS }
 }
 
 fn three_zones() -> Vec<Member> {
@@ -54,15 +54,15 @@
     node.end_attempt(request, 0, Outcome::Served, utilisation(0.1));
     assert!(node.end_attempt(request, 0, Outcome::Error, utilisation(0.1)).is_empty());
     assert!(node.handle(Event::ClientDisconnected { request }).is_empty());
-    let (gone, _) = node.arrive(SECOND);
-    node.handle(Event::ClientDisconnected { request: gone });
-    let actions = node.end_attempt(gone, 0, Outcome::Error, utilisation(0.1));
+    let (disconnected, _) = node.arrive(SECOND);
+    node.handle(Event::ClientDisconnected { request: disconnected });
+    let actions = node.end_attempt(disconnected, 0, Outcome::Error, utilisation(0.1));
     assert!(first_sent_to(&actions).is_none() && !is_rejected(&actions) && !is_failed(&actions));
 }
 
 #[test]
 fn non_idempotent_request_is_retried_only_if_it_never_ran() {
-    for outcome in NOT_RAN {
+    for outcome in NEVER_RAN {
         let mut node = Node::new(settings(Idempotency::NonIdempotent), three_zones());
         let (request, _) = node.arrive(SECOND);
         assert!(
@@ -70,7 +70,7 @@
             "{outcome:?}"
         );
     }
-    for outcome in RAN {
+    for outcome in MAY_HAVE_RUN {
         let mut node = Node::new(settings(Idempotency::NonIdempotent), three_zones());
         let (request, _) = node.arrive(SECOND);
         let actions = node.end_attempt(request, 0, outcome, LoadReport::default());
@@ -83,21 +83,24 @@
 
 #[test]
 fn keyed_request_is_retried_only_within_its_scope_and_window() {
-    for outcome in RAN {
+    for outcome in MAY_HAVE_RUN {
         let mut node = Node::new(settings(keyed(IdempotencyScope::Zone)), three_zones());
         let (request, first) = node.arrive(SECOND);
-        let again = first_sent_to(&node.end_attempt(request, 0, outcome, LoadReport::default()));
-        assert_ne!(again, None, "{outcome:?}");
-        assert!(again.is_none_or(|to| to.0 < 2), "the retry left the zone of the first attempt {first:?}");
+        let retried_at = first_sent_to(&node.end_attempt(request, 0, outcome, LoadReport::default()));
+        assert_ne!(retried_at, None, "{outcome:?}");
+        assert!(
+            retried_at.is_none_or(|to| to.0 < 2),
+            "the retry left the zone of the first attempt {first:?}"
+        );
 
-        let mut single = settings(keyed(IdempotencyScope::Zone));
-        single.limits.hedging = false;
-        let mut node = Node::new(single, three_zones());
+        let mut without_hedging = settings(keyed(IdempotencyScope::Zone));
+        without_hedging.limits.hedging = false;
+        let mut node = Node::new(without_hedging, three_zones());
         let (request, _) = node.arrive(SECOND);
         node.advance(200 * MS);
-        let late = node.end_attempt(request, 0, outcome, LoadReport::default());
+        let late_actions = node.end_attempt(request, 0, outcome, LoadReport::default());
         assert!(
-            first_sent_to(&late).is_none() && is_failed(&late),
+            first_sent_to(&late_actions).is_none() && is_failed(&late_actions),
             "retried past the key window after {outcome:?}"
         );
     }
@@ -126,9 +129,9 @@
 
 #[test]
 fn request_is_not_retried_past_max_attempts() {
-    let mut limits = settings(Idempotency::Idempotent);
-    limits.limits.max_attempts = 2;
-    let mut node = Node::new(limits, three_zones());
+    let mut node_settings = settings(Idempotency::Idempotent);
+    node_settings.limits.max_attempts = 2;
+    let mut node = Node::new(node_settings, three_zones());
     let (request, _) = node.arrive(SECOND);
     assert!(
         first_sent_to(&node.end_attempt(request, 0, Outcome::ConnectFailed, LoadReport::default())).is_some()
@@ -140,8 +143,8 @@
 
 #[test]
 fn draining_or_removed_backend_is_sent_nothing() {
-    let two = vec![member(0, 0), member(1, 1)];
-    let changes = |stage| (ListScope::Changes, vec![Member { state: stage, ..member(0, 0) }]);
+    let both_members = vec![member(0, 0), member(1, 1)];
+    let changes = |new_state| (ListScope::Changes, vec![Member { state: new_state, ..member(0, 0) }]);
     let lists = [
         changes(BackendState::Draining),
         changes(BackendState::Removed),
@@ -149,7 +152,7 @@
         (ListScope::Cached, vec![Member { state: BackendState::Draining, ..member(0, 0) }, member(1, 1)]),
     ];
     for (scope, members) in lists {
-        let mut node = Node::new(settings(Idempotency::Idempotent), two.clone());
+        let mut node = Node::new(settings(Idempotency::Idempotent), both_members.clone());
         node.list(scope, members);
         for _ in 0..20 {
             assert_ne!(first_sent_to(&node.arrive(SECOND).1), Some(BackendId(0)), "{scope:?}");
@@ -208,8 +211,8 @@
     };
     let mut node = Node::new(node_settings, vec![member(0, 0), member(1, 0)]);
     let arrive = |node: &mut Node, hint| {
-        let request = RequestId(node.next);
-        node.next += 1;
+        let request = RequestId(node.next_request);
+        node.next_request += 1;
         let (class, not_after) = (ClassId(0), node.now + 90 * SECOND);
         (
             request,
@@ -230,10 +233,10 @@
     }
     node.list(ListScope::Changes, vec![Member { online_since: Some(node.now - 8 * SECOND), ..member(9, 0) }]);
     let count_sends = |actions: Vec<Action>| usize::from(first_sent_to(&actions) == Some(BackendId(9)));
-    let taken: usize = (0..500)
+    let sent: usize = (0..500)
         .map(|turn| count_sends(arrive(&mut node, Some(if turn % 2 == 0 { MS } else { 39 * MS })).1))
         .sum();
     // One warm backend does a second's work per second at half use, so the budget is 0.4 x 2 x 0.34 x 2: over
     // 2 s that is 1.07 s of work, or 18 pairs of requests counted as 20 and 39 ms.
-    assert!((1..=40).contains(&taken), "{taken} requests sent to the backend in slow start");
+    assert!((1..=40).contains(&sent), "{sent} requests sent to the backend in slow start");
 }
