--- a/balancer/src/api/action.rs
+++ b/balancer/src/api/action.rs
@@ -8,9 +8,9 @@
 pub enum Action {
     /// Start an attempt.
     Send {
-        /// The request.
+        /// The request to send.
         request: RequestId,
-        /// The backend.
+        /// The backend to send the request to.
         backend: BackendId,
         /// The timeout of the attempt in nanoseconds; `None` if the attempt may last as long as the client
         /// waits.
@@ -18,26 +18,26 @@
     },
     /// Final answer: the request is rejected. The client may safely retry.
     Reject {
-        /// The request.
+        /// The request to reject.
         request: RequestId,
         /// How long the client is to wait before a retry, in nanoseconds; 0 to give no such advice.
         retry_after: Nanos,
     },
     /// Final answer: the request failed. It may have taken effect.
     Fail {
-        /// The request.
+        /// The request that failed.
         request: RequestId,
     },
     /// Cancel an attempt.
     Cancel {
-        /// The request.
+        /// The request whose attempt is cancelled.
         request: RequestId,
         /// The attempt's number, from 0 in the order of the sends.
         attempt: u32,
     },
     /// Probe a backend for its load report.
     Probe {
-        /// The backend.
+        /// The backend to probe.
         backend: BackendId,
     },
     /// Subscribe to all changes of the list of backends from now on.
--- a/balancer/src/api/attempt.rs
+++ b/balancer/src/api/attempt.rs
@@ -10,20 +10,20 @@
     pub utilisation: Option<f64>,
     /// Requests served per second.
     pub requests_per_second: Option<f64>,
-    /// Requests in flight.
+    /// Requests in flight at the backend.
     pub in_flight: Option<f64>,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The backend served the request.
     Served,
     /// The backend returned an error.
     Error,
     /// The response is unusable, which does not by itself indicate an unhealthy backend.
     InvalidResponse,
-    /// Rejected by the backend without being processed.
+    /// The backend rejected the attempt without processing it.
     Rejected,
     /// No response before the timeout.
     TimedOut,
@@ -62,7 +62,7 @@
 /// The end of one attempt, reported by the embedder.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
     /// The attempt's number, from 0 in the order of the sends.
     pub attempt: u32,
--- a/balancer/src/api/event.rs
+++ b/balancer/src/api/event.rs
@@ -23,7 +23,7 @@
     pub not_after: Nanos,
 }
 
-/// An input.
+/// An input, which the embedder passes to [`Balancer::handle`](crate::Balancer::handle).
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The node starts. Must be the first event, and occur once.
@@ -39,24 +39,24 @@
     DiscoveryFailed,
     /// A request arrived; the balancer must give one final answer to it.
     Request(Arrival),
-    /// An attempt ended.
+    /// An attempt ended, whatever its outcome.
     AttemptEnded(AttemptEnd),
     /// The first part of a streamed response has been received.
     StreamStarted {
-        /// The request.
+        /// The request whose response is streamed.
         request: RequestId,
     },
     /// A streamed response was interrupted and may be resumed at another backend. The end of its attempt
     /// follows as [`Event::AttemptEnded`].
     StreamInterrupted {
-        /// The request.
+        /// The request whose response was interrupted.
         request: RequestId,
         /// When the latency target of the resumed response is reached.
         target_at: Nanos,
     },
     /// A probe ended.
     ProbeEnded {
-        /// The backend.
+        /// The backend that was probed.
         backend: BackendId,
         /// How the probe ended.
         outcome: Outcome,
@@ -67,7 +67,7 @@
     },
     /// The client disconnected; the request needs no answer any more.
     ClientDisconnected {
-        /// The request.
+        /// The request whose client disconnected.
         request: RequestId,
     },
     /// A timer came due.
--- a/balancer/src/counters.rs
+++ b/balancer/src/counters.rs
@@ -19,9 +19,9 @@
     /// When the counters were last logged and reset; 0 if never.
     pub(crate) since: Nanos,
     pub(crate) arrivals: u32,
-    /// By [`RejectReason`].
+    /// Number of requests that ended unserved, indexed by [`RejectReason`].
     pub(crate) unserved: [u32; 3],
-    /// By [`Outcome`].
+    /// Number of attempts that ended, indexed by [`Outcome`].
     pub(crate) outcomes: [u32; Outcome::COUNT],
     pub(crate) sent: u32,
     pub(crate) sent_outside_subset: u32,
--- a/balancer/src/estimators.rs
+++ b/balancer/src/estimators.rs
@@ -54,13 +54,13 @@
 }
 
 impl RateEstimator {
-    /// Counts an amount.
+    /// Adds an amount that is observed at `now`.
     pub(crate) fn add(&mut self, now: Nanos, amount: f64) {
         self.rate = self.per_second(now) + amount * SECOND as f64 / RATE_TIME_CONSTANT as f64;
         self.updated_at = now;
     }
 
-    /// The rate now.
+    /// The rate at `now`.
     pub(crate) fn per_second(&self, now: Nanos) -> f64 {
         self.rate * decay(now.saturating_sub(self.updated_at), RATE_TIME_CONSTANT)
     }
--- a/balancer/src/latency_model.rs
+++ b/balancer/src/latency_model.rs
@@ -11,7 +11,7 @@
 pub(crate) struct LatencySample {
     pub(crate) backend: BackendId,
     pub(crate) class: usize,
-    /// In nanoseconds on a standard core.
+    /// The expected work of the request, in nanoseconds on a standard core.
     pub(crate) expected_work: f64,
     pub(crate) load_at_send: f64,
     pub(crate) outcome: Outcome,
--- a/balancer/src/policy/tuning.rs
+++ b/balancer/src/policy/tuning.rs
@@ -2,7 +2,8 @@
 
 use crate::api::{MILLISECOND, Nanos, SECOND};
 
-/// Short compared to latency targets of tens of milliseconds, and long enough to cost little CPU time.
+/// Interval of the housekeeping timer: short compared to latency targets of tens of milliseconds, and long
+/// enough to cost little CPU time.
 pub(crate) const HOUSEKEEPING_INTERVAL: Nanos = 10 * MILLISECOND;
 /// Interval between two scorings of the overflow zones: about the time until a send shows in a report.
 pub(crate) const REFRESH_INTERVAL: Nanos = 100 * MILLISECOND;
@@ -15,7 +16,8 @@
 /// Utilisation at which a zone overflows. With a lower value, loaded zones would swap requests and pay for
 /// each crossing; with a higher one, queues would grow faster than reports arrive.
 pub(crate) const OVERFLOW_THRESHOLD: f64 = 0.85;
-/// The same with many nodes sharing the zones: reports then lag behind the effect of all nodes' sends.
+/// Utilisation at which a zone overflows with many nodes sharing the zones: reports then lag behind the
+/// effect of all nodes' sends.
 pub(crate) const SHARED_OVERFLOW_THRESHOLD: f64 = 0.75;
 /// With few nodes, a zone takes home's overflow only if its utilisation is lower than home's by this much.
 pub(crate) const MIN_OVERFLOW_GAIN: f64 = 0.1;
@@ -89,7 +91,7 @@
 
 /// Relative jitter of a backend's cost, so that nodes with the same view do not all choose the same backend.
 pub(crate) const PICK_JITTER: f64 = 0.1;
-/// The same with many nodes sharing the backends.
+/// Relative jitter of a backend's cost with many nodes sharing the backends.
 pub(crate) const SHARED_PICK_JITTER: f64 = 0.5;
 /// Cost factor of failures: a backend that always fails counts as 1 plus this many times as slow, so that
 /// failing fast does not look idle.
@@ -119,7 +121,7 @@
 pub(crate) const MIN_LOAD_LIMIT: f64 = 4.0;
 /// A send is admitted if its expected latency fits into this share of the time left until its target.
 pub(crate) const ADMISSION_SHARE: f64 = 0.6;
-/// The same for a retry by the node: its time is nearly over, and half of its work is done.
+/// Like `ADMISSION_SHARE`, for a retry by the node: its time is nearly over, and half of its work is done.
 pub(crate) const RETRY_ADMISSION_SHARE: f64 = 1.0;
 /// An idle backend no slower than this takes a request even if the expected latency exceeds the target.
 pub(crate) const MAX_IDLE_SLOWNESS: f64 = 1.1;
--- a/balancer/src/state/backend.rs
+++ b/balancer/src/state/backend.rs
@@ -1,4 +1,4 @@
-//! A backend as this node sees it.
+//! The state of a backend.
 
 use std::collections::VecDeque;
 
@@ -22,11 +22,11 @@
 /// A send to a backend during its slow start.
 pub(crate) struct SlowStartSend {
     pub(crate) sent_at: Nanos,
-    /// In nanoseconds on a standard core.
+    /// The work that the request counts as, in nanoseconds on a standard core.
     pub(crate) work: f64,
 }
 
-/// A backend as this node sees it.
+/// The estimates and measurements of this node for a backend.
 #[derive(Default)]
 pub(crate) struct Backend {
     pub(crate) member: Member,
--- a/balancer/src/state/class.rs
+++ b/balancer/src/state/class.rs
@@ -1,4 +1,4 @@
-//! A request class as this node sees it.
+//! The state of a request class.
 
 use crate::api::{ClassSettings, Nanos};
 use crate::estimators::RateEstimator;
@@ -7,7 +7,7 @@
 /// Initial estimate of an idle backend's latency, as a fraction of the latency target.
 pub(crate) const INITIAL_LATENCY_FRACTION: f64 = 1.0 / 16.0;
 
-/// A class as this node sees it.
+/// The estimates and measurements of this node for a request class.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct ClassView {
     /// Latency of an idle backend in nanoseconds: its own work and its waiting for other systems. Load does
@@ -17,7 +17,7 @@
     pub(crate) idle_samples: f64,
     /// Mean expected work of a request, in nanoseconds on a standard core.
     pub(crate) mean_work: f64,
-    /// Requests per second that arrived with time left until their latency target.
+    /// Requests per second, without those that were too late on arrival.
     pub(crate) arrivals: RateEstimator,
     /// Requests per second that were served.
     pub(crate) served: RateEstimator,
--- a/balancer/src/state/request.rs
+++ b/balancer/src/state/request.rs
@@ -11,7 +11,7 @@
     pub(crate) sent_at: Nanos,
     /// The estimated load of the backend when the attempt was sent.
     pub(crate) load_at_send: f64,
-    /// `None` while in flight.
+    /// `None` while the attempt is in flight.
     pub(crate) outcome: Option<Outcome>,
     /// The latency target has passed, and the attempt has been recorded as late.
     pub(crate) recorded_late: bool,
@@ -50,7 +50,7 @@
     pub(crate) id: RequestId,
     /// Index of the request's class.
     pub(crate) class: usize,
-    /// In nanoseconds on a standard core; at least 1.
+    /// The expected work in nanoseconds on a standard core; at least 1.
     pub(crate) expected_work: f64,
     /// The work that the request counts as in a slow-start budget, in nanoseconds on a standard core.
     pub(crate) slow_start_work: f64,
--- a/balancer/src/state/window.rs
+++ b/balancer/src/state/window.rs
@@ -7,7 +7,7 @@
 /// nodes, whose traffic it does not see.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct ConcurrencyWindow {
-    /// In requests; a size below 1 means one request per 1 / size response times.
+    /// Number of requests; a size below 1 means one request per 1 / size response times.
     pub(crate) size: f64,
     /// The size that an unused window decays to.
     pub(crate) idle_size: f64,
--- a/balancer/src/state/zone.rs
+++ b/balancer/src/state/zone.rs
@@ -1,11 +1,11 @@
-//! A zone as this node sees it.
+//! The state of a zone.
 
 use crate::api::Nanos;
 use crate::estimators::Ewma;
 
 use super::window::ConcurrencyWindow;
 
-/// A zone as this node sees it.
+/// The estimates and measurements of this node for a zone.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct ZoneView {
     /// This node's attempts in flight in the zone, now and smoothed.
@@ -17,7 +17,7 @@
     pub(crate) in_service: f64,
     /// The highest [`subset_rank`](super::Backend::subset_rank) of the node's subset.
     pub(crate) subset_cutoff: u64,
-    /// Work that this node's requests are served in the zone, per unit of used capacity.
+    /// Work of this node's requests that is served in the zone, per unit of used capacity.
     pub(crate) served_per_capacity: f64,
     /// Share of the requests that overflow to another zone; used with many nodes.
     pub(crate) overflow_share: f64,
@@ -49,7 +49,7 @@
 /// The reported utilisation of a zone's usable backends, summed by weight.
 #[derive(Clone, Copy)]
 pub(crate) struct ZoneUtilisation {
-    /// Weight in use, of `total_weight`.
+    /// Part of `total_weight` that is in use.
     pub(crate) used_weight: f64,
     pub(crate) total_weight: f64,
     /// Backends that may be sent requests.
--- a/balancer/tests/advisor.rs
+++ b/balancer/tests/advisor.rs
@@ -93,7 +93,7 @@
     advisor.disallow(&[0, 1]);
     let used = node.serve(40, |_| utilisation(0.2));
     assert_eq!(used.len(), 40);
-    assert!(used.iter().all(|to| *to == BackendId(2)), "{used:?}");
+    assert!(used.iter().all(|to| *to == BackendId(2)), "served by a disallowed backend: {used:?}");
 }
 
 #[test]
@@ -103,7 +103,7 @@
     advisor.home_disallowed.set(true);
     let used = node.serve(60, |_| utilisation(0.2));
     assert_eq!(used.len(), 60, "requests were queued to wait for the home zone");
-    assert!(used.iter().all(|to| (3..6).contains(&to.0)), "{used:?}");
+    assert!(used.iter().all(|to| (3..6).contains(&to.0)), "served by a disallowed zone: {used:?}");
     advisor.disallow(&[]);
     advisor.home_disallowed.set(false);
     let used = node.serve(60, |_| utilisation(0.2));
@@ -155,7 +155,11 @@
     let actions = node.handle(Event::Timer { token: 0 });
     assert!(all_sent_to(&actions).len() > 1, "not several requests were sent within one event");
     node.advance(300 * MS);
-    assert!((0..9).all(|backend| advisor.sent_to(BackendId(backend)) <= 2), "{:?}", advisor.sends);
+    assert!(
+        (0..9).all(|backend| advisor.sent_to(BackendId(backend)) <= 2),
+        "more than two sends to a backend: {:?}",
+        advisor.sends
+    );
 }
 
 #[test]
@@ -301,7 +305,7 @@
         let mut actions = node.end_attempt(request, 0, outcome, LoadReport::default());
         actions.extend(node.advance(100 * MS));
         let resumed_at = first_sent_to(&actions).expect("a send that resumes the stream");
-        assert_ne!(resumed_at, first, "{outcome:?}");
+        assert_ne!(resumed_at, first, "resumed at the same backend after {outcome:?}");
         node.handle(Event::StreamStarted { request });
         let ended = node.end_attempt(request, 1, Outcome::Served, LoadReport::default());
         assert!(!is_failed(&ended) && !is_rejected(&ended) && first_sent_to(&ended).is_none());
--- a/balancer/tests/overflow.rs
+++ b/balancer/tests/overflow.rs
@@ -32,7 +32,7 @@
     let mut node = Node::new(settings(Idempotency::Idempotent), zones());
     let used = node.serve(50, |_| utilisation(0.5));
     // The utilisation is raised by the first sends until the first reports have been received.
-    assert!(used[25..].iter().all(|&to| zone(to) == 0), "{used:?}");
+    assert!(used[25..].iter().all(|&to| zone(to) == 0), "requests left the home zone: {used:?}");
 }
 
 #[test]
--- a/balancer/tests/regressions.rs
+++ b/balancer/tests/regressions.rs
@@ -260,7 +260,7 @@
         let arrived_at = node.now;
         let (_, mut actions) = node.arrive(timeout);
         while !is_rejected(&actions) {
-            assert!(node.now < arrived_at + timeout / 2, "{timeout}");
+            assert!(node.now < arrived_at + timeout / 2, "not rejected by half of a timeout of {timeout} ns");
             actions = node.advance(10 * MS);
         }
     }
@@ -294,7 +294,11 @@
         let mut node = Node::new(node_settings, vec![large]);
         node.serve(100, |_| utilisation(reported));
         assert!(first_sent_to(&node.arrive(SECOND).1).is_some());
-        assert_eq!(first_sent_to(&node.arrive(20 * MS).1).is_some(), is_sent, "{reported}");
+        assert_eq!(
+            first_sent_to(&node.arrive(20 * MS).1).is_some(),
+            is_sent,
+            "reported utilisation {reported}"
+        );
     }
 }
 
@@ -309,7 +313,7 @@
         .map(|(request, actions)| (request, first_sent_to(&actions)))
         .collect();
     let to_first: Vec<_> = open.iter().filter(|(_, to)| *to == Some(BackendId(0))).collect();
-    assert!(to_first.len() >= 3, "{open:?}");
+    assert!(to_first.len() >= 3, "too few attempts at backend 0: {open:?}");
     for (request, _) in to_first {
         let actions = node.end_attempt_after(*request, 0, Outcome::Reset, 10 * MS, LoadReport::default());
         assert!(!logs_ejection(&actions));
--- a/balancer/tests/retry_budget.rs
+++ b/balancer/tests/retry_budget.rs
@@ -92,9 +92,9 @@
         node.balancer.retry_usage()
     };
     let (own, shared) = (usage(None), usage(Some(budget(0.0))));
-    assert!(own.unpaid_repeats > 10, "{own:?}");
-    assert_eq!(shared.unpaid_repeats, 0, "{shared:?}");
-    assert!(shared.repeats <= 40 / 10, "{shared:?}");
+    assert!(own.unpaid_repeats > 10, "too few free retries with an own budget: {own:?}");
+    assert_eq!(shared.unpaid_repeats, 0, "free retries with a shared budget: {shared:?}");
+    assert!(shared.repeats <= 40 / 10, "too many retries with a shared budget: {shared:?}");
 }
 
 #[test]
@@ -149,7 +149,11 @@
         assert_eq!(node.balancer.retry_usage().repeats, 0);
         node.balancer.share_retry_budget(budget(slack_share_at_send));
         let actions = node.advance(300 * MS);
-        assert_ne!(first_sent_to(&actions).is_some(), is_rejected(&actions), "{actions:?}");
+        assert_ne!(
+            first_sent_to(&actions).is_some(),
+            is_rejected(&actions),
+            "the queued retry must be either sent or rejected: {actions:?}"
+        );
         node.balancer.retry_usage()
     };
     let (paid, unaffordable) = (repeats(1.0), repeats(0.0));
--- a/balancer/tests/send_rules.rs
+++ b/balancer/tests/send_rules.rs
@@ -87,7 +87,7 @@
         let mut node = Node::new(settings(keyed(IdempotencyScope::Zone)), three_zones());
         let (request, first) = node.arrive(SECOND);
         let retried_at = first_sent_to(&node.end_attempt(request, 0, outcome, LoadReport::default()));
-        assert_ne!(retried_at, None, "{outcome:?}");
+        assert_ne!(retried_at, None, "not retried after {outcome:?}");
         assert!(
             retried_at.is_none_or(|to| to.0 < 2),
             "the retry left the zone of the first attempt {first:?}"
@@ -155,7 +155,11 @@
         let mut node = Node::new(settings(Idempotency::Idempotent), both_members.clone());
         node.list(scope, members);
         for _ in 0..20 {
-            assert_ne!(first_sent_to(&node.arrive(SECOND).1), Some(BackendId(0)), "{scope:?}");
+            assert_ne!(
+                first_sent_to(&node.arrive(SECOND).1),
+                Some(BackendId(0)),
+                "sent after a {scope:?} list"
+            );
         }
     }
 }
--- a/balancer/tests/size.rs
+++ b/balancer/tests/size.rs
@@ -44,6 +44,6 @@
     let text = std::fs::read_to_string(format!("{ROOT}/../deploy/balancer.toml")).unwrap();
     assert!(
         text.lines().any(|line| line.ends_with(r#"target/release/ivyhatch-simulator-adapter""#)),
-        "{text}"
+        "the deploy file does not name the simulator adapter: {text}"
     );
 }
