--- a/load-probing/src/scheduler.rs
+++ b/load-probing/src/scheduler.rs
@@ -77,7 +77,9 @@
 impl Scheduler {
     /// Creates a scheduler without candidates. `seed` determines the jitter and should differ between nodes.
     ///
-    /// # Errors If a limit is out of the range that its documentation states.
+    /// # Errors
+    ///
+    /// If a limit is out of the range that its documentation states.
     pub fn new(limits: Limits, seed: u64, now: Nanos) -> Result<Self, LimitsError> {
         limits.validate()?;
         Ok(Self {
