--- a/balancer/tests/advisor.rs
+++ b/balancer/tests/advisor.rs
@@ -1,5 +1,4 @@
-//! The advisor, and what an embedder may change while the node runs. An advisor without advice changes
-//! nothing.
+//! The placement advisor, and the settings that an embedder may change while the node runs.
 
 mod common;
 
@@ -19,13 +18,13 @@
 /// An advisor that a test controls.
 #[derive(Clone, Default)]
 struct TestAdvisor {
-    /// Backends that it does not allow.
+    /// Backends that the advisor does not allow.
     disallowed: Rc<RefCell<BTreeSet<u32>>>,
     delays: Rc<RefCell<BTreeMap<u32, f64>>>,
     home_disallowed: Rc<Cell<bool>>,
-    /// The sends that it was notified of.
+    /// The sends that the advisor was notified of.
     sends: Rc<RefCell<Vec<(RequestId, BackendId)>>>,
-    /// The most sends that it allows a backend.
+    /// The most sends to one backend that the advisor allows; `None` for no limit.
     max_sends: Rc<Cell<Option<usize>>>,
 }
 
@@ -41,8 +40,8 @@
 
 impl PlacementAdvisor for TestAdvisor {
     fn allows(&self, _: Nanos, _: RequestId, backend: BackendId) -> bool {
-        let room = self.max_sends.get().is_none_or(|most| self.sent_to(backend) < most);
-        room && !self.disallowed.borrow().contains(&backend.0)
+        let has_capacity = self.max_sends.get().is_none_or(|limit| self.sent_to(backend) < limit);
+        has_capacity && !self.disallowed.borrow().contains(&backend.0)
     }
 
     fn on_sent(&self, _: Nanos, request: RequestId, backend: BackendId) {
@@ -74,10 +73,10 @@
     Settings { classes: vec![class], ..settings(class.idempotency) }
 }
 
-/// Ends every attempt of one request with `outcome` until nothing more is sent; returns the backends of all
+/// Ends every attempt of one request with `outcome` until nothing more is sent. Returns the backends of all
 /// sends.
-fn sends_of_one_request(node: &mut Node, outcome: Outcome, wait: Nanos) -> Vec<BackendId> {
-    let (request, mut actions) = node.arrive(wait);
+fn sends_of_one_request(node: &mut Node, outcome: Outcome, timeout: Nanos) -> Vec<BackendId> {
+    let (request, mut actions) = node.arrive(timeout);
     let mut to = Vec::new();
     for attempt in 0..50 {
         actions.extend(node.advance(20 * MS));
@@ -94,7 +93,7 @@
     advisor.disallow(&[0, 1]);
     let used = node.serve(40, |_| utilisation(0.2));
     assert_eq!(used.len(), 40);
-    assert!(used.iter().all(|to| *to == BackendId(2)), "{used:?}");
+    assert!(used.iter().all(|to| *to == BackendId(2)), "served by a disallowed backend: {used:?}");
 }
 
 #[test]
@@ -103,12 +102,12 @@
     advisor.disallow(&[0, 1, 2, 6, 7, 8]);
     advisor.home_disallowed.set(true);
     let used = node.serve(60, |_| utilisation(0.2));
-    assert_eq!(used.len(), 60, "none is held for a place at home");
-    assert!(used.iter().all(|to| (3..6).contains(&to.0)), "{used:?}");
+    assert_eq!(used.len(), 60, "requests were queued to wait for the home zone");
+    assert!(used.iter().all(|to| (3..6).contains(&to.0)), "served by a disallowed zone: {used:?}");
     advisor.disallow(&[]);
     advisor.home_disallowed.set(false);
     let used = node.serve(60, |_| utilisation(0.2));
-    assert!(used.iter().all(|to| to.0 < 3), "with no such homes it stays: {used:?}");
+    assert!(used.iter().all(|to| to.0 < 3), "requests left the home zone although it is allowed: {used:?}");
 }
 
 #[test]
@@ -137,14 +136,14 @@
     for outcome in [Outcome::Served, Outcome::Reset, Outcome::ConnectFailed, Outcome::Rejected] {
         let (request, actions) = node.arrive(SECOND);
         sends.extend(first_sent_to(&actions).map(|to| (request, to)));
-        let again = node.end_attempt(request, 0, outcome, LoadReport::default());
-        sends.extend(first_sent_to(&again).map(|to| (request, to)));
+        let retry_actions = node.end_attempt(request, 0, outcome, LoadReport::default());
+        sends.extend(first_sent_to(&retry_actions).map(|to| (request, to)));
     }
     assert_eq!(*advisor.sends.borrow(), sends);
 }
 
-/// Pending requests are sent together once they may be: none of them may pass a limit that the first one
-/// has reached.
+/// Pending requests are sent within one event once they are allowed: none of them may exceed a limit that an
+/// earlier one has reached.
 #[test]
 fn advisor_limit_holds_for_sends_within_one_event() {
     let (mut node, advisor) = advised(settings(Idempotency::Idempotent));
@@ -154,9 +153,13 @@
     advisor.max_sends.set(Some(2));
     node.now += 10 * MS;
     let actions = node.handle(Event::Timer { token: 0 });
-    assert!(all_sent_to(&actions).len() > 1, "several go out together");
+    assert!(all_sent_to(&actions).len() > 1, "not several requests were sent within one event");
     node.advance(300 * MS);
-    assert!((0..9).all(|backend| advisor.sent_to(BackendId(backend)) <= 2), "{:?}", advisor.sends);
+    assert!(
+        (0..9).all(|backend| advisor.sent_to(BackendId(backend)) <= 2),
+        "more than two sends to a backend: {:?}",
+        advisor.sends
+    );
 }
 
 #[test]
@@ -171,17 +174,20 @@
 
 #[test]
 fn attempts_are_bounded_by_their_class() {
-    for most in 1..=4 {
+    for limit in 1..=4 {
         let class = ClassSettings {
-            max_attempts: Some(most),
+            max_attempts: Some(limit),
             retry_past_target: true,
             ..class(400, 1000, Idempotency::Idempotent)
         };
         let mut node = Node::new(with_class(class), nine_members());
         node.serve(100, |_| utilisation(0.2));
         let to = sends_of_one_request(&mut node, Outcome::Rejected, SECOND);
-        assert!(to.len() <= most as usize, "{most}: {to:?}");
-        assert!(most == 1 || to.len() > 1, "it is sent again: {most}: {to:?}");
+        assert!(to.len() <= limit as usize, "at most {limit} attempts: {to:?}");
+        assert!(
+            limit == 1 || to.len() > 1,
+            "the request was not retried with at most {limit} attempts: {to:?}"
+        );
     }
 }
 
@@ -196,7 +202,7 @@
         let mut node = Node::new(with_class(class), nine_members());
         let to = sends_of_one_request(&mut node, outcome, SECOND);
         assert!(to.len() > 1, "{outcome:?}: {to:?}");
-        assert!(to.len() <= 9, "it does not go through all of them for ever: {outcome:?}: {to:?}");
+        assert!(to.len() <= 9, "unreached attempts are not bounded: {outcome:?}: {to:?}");
     }
 }
 
@@ -208,12 +214,12 @@
         ..class(400, 1000, Idempotency::Idempotent)
     };
     let mut node = Node::new(with_class(class), nine_members());
-    // All tokens that could be saved up are spent by far.
+    // The rounds need many more tokens than can be saved up.
     for _ in 0..200 {
         let (request, actions) = node.arrive(SECOND);
         assert!(first_sent_to(&actions).is_some());
-        let again = node.end_attempt(request, 0, Outcome::ConnectFailed, LoadReport::default());
-        assert!(first_sent_to(&again).is_some(), "the next one is tried");
+        let retry_actions = node.end_attempt(request, 0, Outcome::ConnectFailed, LoadReport::default());
+        assert!(first_sent_to(&retry_actions).is_some(), "the next backend was not tried");
         node.end_attempt(request, 1, Outcome::Served, LoadReport::default());
         node.advance(10 * MS);
     }
@@ -227,7 +233,7 @@
         ..class(400, 1000, Idempotency::Idempotent)
     };
     let mut node = Node::new(with_class(class), nine_members());
-    let mut again = 0;
+    let mut retries = 0;
     for _ in 0..200 {
         let (request, actions) = node.arrive(SECOND);
         if first_sent_to(&actions).is_none() {
@@ -235,11 +241,11 @@
         }
         let actions = node.end_attempt(request, 0, Outcome::Rejected, LoadReport::default());
         if first_sent_to(&actions).is_some() {
-            again += 1;
+            retries += 1;
             node.end_attempt(request, 1, Outcome::Served, LoadReport::default());
         }
     }
-    assert!(again < 100, "{again} repeats of 200 requests");
+    assert!(retries < 100, "{retries} retries of 200 requests");
 }
 
 #[test]
@@ -251,12 +257,18 @@
         };
         let mut node = Node::new(with_class(class), Vec::new());
         let (_, actions) = node.arrive(2 * SECOND);
-        assert!(!is_rejected(&actions), "held at first");
+        assert!(!is_rejected(&actions), "the request was not queued at first");
         let early = node.advance((max_queue_ms - 20) * MS);
-        assert!(max_queue_ms == 20 || !is_rejected(&early), "{max_queue_ms}: too early");
-        assert!(is_rejected(&node.advance(60 * MS)), "{max_queue_ms}: in time");
+        assert!(
+            max_queue_ms == 20 || !is_rejected(&early),
+            "max_queue_time {max_queue_ms} ms: rejected too early"
+        );
+        assert!(
+            is_rejected(&node.advance(60 * MS)),
+            "max_queue_time {max_queue_ms} ms: not rejected in time"
+        );
     }
-    // Never longer than the client waits.
+    // A request is never queued for longer than its client waits.
     let class =
         ClassSettings { max_queue_time: Some(10 * SECOND), ..class(800, 2000, Idempotency::Idempotent) };
     let mut node = Node::new(with_class(class), Vec::new());
@@ -264,16 +276,16 @@
     assert!(is_rejected(&node.advance(130 * MS)));
 }
 
-/// A node with a stream that has started; its request, and the backend.
-fn streaming(effect: Idempotency) -> (Node, RequestId, BackendId) {
+/// A node with a stream that has started, its request, and its backend.
+fn streaming(idempotency: Idempotency) -> (Node, RequestId, BackendId) {
     let class =
-        ClassSettings { max_attempts: Some(3), retry_past_target: true, ..class(400, 10_000, effect) };
+        ClassSettings { max_attempts: Some(3), retry_past_target: true, ..class(400, 10_000, idempotency) };
     let mut node = Node::new(with_class(class), nine_members());
     node.serve(100, |_| utilisation(0.2));
     let (request, actions) = node.arrive(10 * SECOND);
     let to = first_sent_to(&actions).expect("a send");
     node.handle(Event::StreamStarted { request });
-    // Long past the latency target of its start.
+    // Well past the latency target of the stream's start.
     node.advance(2 * SECOND);
     (node, request, to)
 }
@@ -282,15 +294,18 @@
 fn interrupted_stream_is_resumed_at_another_backend() {
     for outcome in [Outcome::Reset, Outcome::InvalidResponse] {
         let (mut node, request, first) = streaming(Idempotency::Idempotent);
-        let aim_end = node.now + 300 * MS;
+        let resumption_target_at = node.now + 300 * MS;
         assert!(
-            first_sent_to(&node.handle(Event::StreamInterrupted { request, target_at: aim_end })).is_none(),
-            "its attempt's end follows"
+            first_sent_to(
+                &node.handle(Event::StreamInterrupted { request, target_at: resumption_target_at })
+            )
+            .is_none(),
+            "resumed before the end of the attempt"
         );
         let mut actions = node.end_attempt(request, 0, outcome, LoadReport::default());
         actions.extend(node.advance(100 * MS));
-        let next = first_sent_to(&actions).expect("it goes on");
-        assert_ne!(next, first, "{outcome:?}");
+        let resumed_at = first_sent_to(&actions).expect("a send that resumes the stream");
+        assert_ne!(resumed_at, first, "resumed at the same backend after {outcome:?}");
         node.handle(Event::StreamStarted { request });
         let ended = node.end_attempt(request, 1, Outcome::Served, LoadReport::default());
         assert!(!is_failed(&ended) && !is_rejected(&ended) && first_sent_to(&ended).is_none());
@@ -330,22 +345,22 @@
     let mut node = Node::new(settings(Idempotency::Idempotent), nine_members());
     node.serve(50, |_| utilisation(0.2));
     let ids: Vec<ClassId> = [Idempotency::NonIdempotent, Idempotency::Idempotent]
-        .map(|effect| {
-            node.balancer.add_class(ClassSettings { max_attempts: Some(2), ..class(400, 1000, effect) })
+        .map(|idempotency| {
+            node.balancer.add_class(ClassSettings { max_attempts: Some(2), ..class(400, 1000, idempotency) })
         })
         .into();
-    assert_eq!(ids, [ClassId(1), ClassId(2)], "numbers go on");
-    for (class, again) in ids.into_iter().zip([false, true]) {
+    assert_eq!(ids, [ClassId(1), ClassId(2)], "class numbers are not consecutive");
+    for (class, is_retried) in ids.into_iter().zip([false, true]) {
         let request = RequestId(1000 + u64::from(class.0));
         let not_after = node.now + SECOND;
         let arrival =
             Arrival { request, class, expected_work: None, is_retry: false, tenant: None, not_after };
         assert!(first_sent_to(&node.handle(Event::Request(arrival))).is_some(), "{class:?}");
         let actions = node.end_attempt(request, 0, Outcome::Reset, LoadReport::default());
-        assert_eq!(first_sent_to(&actions).is_some(), again, "{class:?}");
-        assert_eq!(is_failed(&actions), !again, "{class:?}");
+        assert_eq!(first_sent_to(&actions).is_some(), is_retried, "{class:?}");
+        assert_eq!(is_failed(&actions), !is_retried, "{class:?}");
     }
-    assert_eq!(node.serve(50, |_| utilisation(0.2)).len(), 50, "the first class goes on");
+    assert_eq!(node.serve(50, |_| utilisation(0.2)).len(), 50, "the first class is not served any more");
 }
 
 #[test]
@@ -359,8 +374,9 @@
     let arrival = Arrival { request, class, expected_work: None, is_retry: false, tenant: None, not_after };
     assert!(all_sent_to(&node.handle(Event::Request(arrival))).is_empty());
     let actions = node.advance(100 * MS);
-    let own = |action: &Action| matches!(action, Action::Reject { request: of, .. } if *of == request);
-    assert!(actions.iter().any(own));
+    let rejects_request =
+        |action: &Action| matches!(action, Action::Reject { request: of, .. } if *of == request);
+    assert!(actions.iter().any(rejects_request));
 }
 
 #[test]
@@ -369,16 +385,20 @@
         Node::new(settings(Idempotency::Idempotent), nine_members()),
         advised(settings(Idempotency::Idempotent)).0,
     );
-    for home in [0.2, 0.7, 0.95, 1.0, 0.4] {
-        // Home has this utilisation; the others are idle.
-        let report = |to: BackendId| utilisation(if to.0 < 3 { home } else { 0.1 });
-        assert_eq!(plain_node.serve(100, report), advised_node.serve(100, report), "{home}");
+    for home_utilisation in [0.2, 0.7, 0.95, 1.0, 0.4] {
+        // The home zone has this utilisation; the other zones are idle.
+        let report = |to: BackendId| utilisation(if to.0 < 3 { home_utilisation } else { 0.1 });
+        assert_eq!(
+            plain_node.serve(100, report),
+            advised_node.serve(100, report),
+            "home utilisation {home_utilisation}"
+        );
     }
     for _ in 0..20 {
-        let (one, other) = (plain_node.arrive(SECOND), advised_node.arrive(SECOND));
-        assert_eq!(one, other);
+        let (plain_result, advised_result) = (plain_node.arrive(SECOND), advised_node.arrive(SECOND));
+        assert_eq!(plain_result, advised_result);
         for outcome in [Outcome::Rejected, Outcome::Reset] {
-            let ends = |node: &mut Node| node.end_attempt(one.0, 0, outcome, LoadReport::default());
+            let ends = |node: &mut Node| node.end_attempt(plain_result.0, 0, outcome, LoadReport::default());
             assert_eq!(ends(&mut plain_node), ends(&mut advised_node), "{outcome:?}");
         }
         assert_eq!(plain_node.advance(50 * MS), advised_node.advance(50 * MS));
--- a/balancer/tests/common/closed_loop.rs
+++ b/balancer/tests/common/closed_loop.rs
@@ -1,5 +1,6 @@
-//! A small closed loop round one node, in virtual time: arrivals, backends that queue, a list that changes. What the
-//! node does decides which events follow, so two builds that decide alike get the same events.
+//! A closed-loop simulation of one node in virtual time: arrivals, backends with queues, and a list of
+//! backends that changes. The node's actions determine the later events, so two builds that make the same
+//! decisions get the same events.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -14,7 +15,7 @@
 
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1000 * MS;
-/// A backend with more work queued than this rejects requests.
+/// A backend with more queued work than this rejects requests.
 const MAX_QUEUED_WORK: Nanos = 2 * SECOND;
 /// The latency of a probe.
 const PROBE_LATENCY: Nanos = 3 * MS;
@@ -22,22 +23,22 @@
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x100_0000_01b3;
 
-/// What a loop is made of.
+/// The parameters of a closed loop.
 #[derive(Clone, Copy, Debug)]
 pub struct Shape {
     pub seed: u64,
     pub backends: u32,
     pub zones: u32,
     pub nodes: u32,
-    /// Requests a second that come to the node.
+    /// Requests per second that arrive at the node.
     pub rate: u64,
-    /// How long an idle backend works on a request; it has two cores.
+    /// The time that an idle backend, which has two cores, takes for a request.
     pub work: Nanos,
-    /// Attempts in a thousand that fail, of each kind of failure.
+    /// Attempts in a thousand that fail, for each kind of failure.
     pub failing: u64,
-    /// Load reports come with the responses.
+    /// Load reports come with responses.
     pub reports: bool,
-    /// Load reports come with probes.
+    /// Load reports come with the replies to probes.
     pub probes: bool,
     /// The interval at which the list changes; 0 for never.
     pub churn: Nanos,
@@ -89,9 +90,10 @@
     }
 }
 
-/// What happens next. The order of the variants breaks no ties: the queue has an order of its own.
+/// A scheduled event. The order of the variants does not matter: the queue breaks ties by its own sequence
+/// number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Next {
+enum ScheduledEvent {
     Arrival,
     AttemptEnd(RunningAttempt),
     Timer(u64),
@@ -115,32 +117,32 @@
 const SERVED: u8 = 0;
 const REJECTED: u8 = 2;
 const TIMED_OUT: u8 = 3;
-/// The outcomes of the failures that [`Shape::failing`] counts.
+/// The positions in [`OUTCOMES`] of the kinds of failure that [`Shape::failing`] applies to.
 const FAILURES: [u8; 3] = [1, 2, 4];
 
-/// A request that has had no final answer.
+/// A request without a final answer.
 struct OpenRequest {
     attempts: u32,
     not_after: Nanos,
 }
 
-/// The loop.
+/// A running closed loop.
 pub struct ClosedLoop {
     pub shape: Shape,
     pub node: Balancer,
     pub now: Nanos,
     pub arrived: u64,
-    /// Time spent inside the node, and events that it has handled.
-    pub inside: Duration,
+    /// Time spent inside the node, and number of events that the node has handled.
+    pub time_in_node: Duration,
     pub events: u64,
-    /// A digest of all actions but those of logs and discovery.
+    /// A digest of all actions except logs and discovery requests.
     pub digest: u64,
     pub sends: u64,
-    pub refusals: u64,
+    pub rejections: u64,
     random: u64,
-    queue: BinaryHeap<Reverse<(Nanos, u64, Next)>>,
-    order: u64,
-    /// When each backend's cores are free.
+    queue: BinaryHeap<Reverse<(Nanos, u64, ScheduledEvent)>>,
+    sequence: u64,
+    /// When each core of each backend becomes free.
     cores_free_at: Vec<[Nanos; 2]>,
     open: BTreeMap<RequestId, OpenRequest>,
     actions: Vec<Action>,
@@ -148,19 +150,19 @@
 
 impl ClosedLoop {
     pub fn new(shape: Shape) -> Self {
-        let node = Balancer::new(shape.settings(), shape.seed, SECOND).expect("usable settings");
+        let node = Balancer::new(shape.settings(), shape.seed, SECOND).expect("valid settings");
         let mut closed_loop = Self {
             node,
             now: SECOND,
             arrived: 0,
-            inside: Duration::ZERO,
+            time_in_node: Duration::ZERO,
             events: 0,
             digest: FNV_OFFSET,
             sends: 0,
-            refusals: 0,
+            rejections: 0,
             random: shape.seed,
             queue: BinaryHeap::new(),
-            order: 0,
+            sequence: 0,
             cores_free_at: vec![[0; 2]; shape.backends as usize],
             open: BTreeMap::new(),
             actions: Vec::new(),
@@ -168,17 +170,17 @@
         };
         closed_loop.handle(Event::Start);
         closed_loop.list_all(ListScope::Cached);
-        closed_loop.schedule(SECOND, Next::Arrival);
+        closed_loop.schedule(SECOND, ScheduledEvent::Arrival);
         if shape.churn > 0 {
-            closed_loop.schedule(SECOND + shape.churn, Next::ListChange);
+            closed_loop.schedule(SECOND + shape.churn, ScheduledEvent::ListChange);
         }
         if shape.weights == Weights::Live {
-            closed_loop.schedule(2 * SECOND, Next::FullList);
+            closed_loop.schedule(2 * SECOND, ScheduledEvent::FullList);
         }
         closed_loop
     }
 
-    /// Runs until so many requests have come in all.
+    /// Runs until `arrivals` requests have arrived in total.
     pub fn run(&mut self, arrivals: u64) {
         while self.arrived < arrivals {
             self.step();
@@ -191,9 +193,9 @@
         (self.random >> 33) % bound.max(1)
     }
 
-    fn schedule(&mut self, at: Nanos, next: Next) {
-        self.order += 1;
-        self.queue.push(Reverse((at, self.order, next)));
+    fn schedule(&mut self, at: Nanos, next: ScheduledEvent) {
+        self.sequence += 1;
+        self.queue.push(Reverse((at, self.sequence, next)));
     }
 
     fn queued_work(&self, backend: u32) -> Nanos {
@@ -201,7 +203,7 @@
         free_at.map_or(0, |free_at| free_at.saturating_sub(self.now))
     }
 
-    /// Share of the cores of a backend that is busy.
+    /// Share of a backend's cores that are busy.
     fn utilisation(&self, backend: BackendId) -> f64 {
         let cores = &self.cores_free_at[backend.0 as usize];
         cores.iter().filter(|free_at| **free_at > self.now).count() as f64 / 2.0
@@ -224,7 +226,7 @@
         let mut actions = std::mem::take(&mut self.actions);
         let started = Instant::now();
         self.node.handle(self.now, event, &mut actions);
-        self.inside += started.elapsed();
+        self.time_in_node += started.elapsed();
         self.events += 1;
         for action in actions.drain(..) {
             self.carry_out(action);
@@ -247,7 +249,7 @@
             }
             Action::Reject { request, retry_after } => {
                 self.add_to_digest([2, request.0, retry_after, 0]);
-                self.refusals += 1;
+                self.rejections += 1;
                 self.open.remove(&request);
             }
             Action::Fail { request } => {
@@ -257,11 +259,11 @@
             Action::Cancel { request, attempt } => self.add_to_digest([4, request.0, attempt.into(), 0]),
             Action::Probe { backend } => {
                 self.add_to_digest([5, backend.0.into(), 0, 0]);
-                self.schedule(self.now + PROBE_LATENCY, Next::ProbeEnd(backend));
+                self.schedule(self.now + PROBE_LATENCY, ScheduledEvent::ProbeEnd(backend));
             }
             Action::Timer { after, token } => {
                 self.add_to_digest([6, after, token, 0]);
-                self.schedule(self.now + after, Next::Timer(token));
+                self.schedule(self.now + after, ScheduledEvent::Timer(token));
             }
             Action::Watch | Action::Fetch | Action::Log(_) => {}
         }
@@ -284,10 +286,11 @@
         };
         let sent_at = self.now;
         let running = RunningAttempt { request, attempt, backend, outcome, sent_at };
-        self.schedule(at, Next::AttemptEnd(running));
+        self.schedule(at, ScheduledEvent::AttemptEnd(running));
     }
 
-    /// Puts a request on a backend's first free core; returns when it is done. Every third backend is half as fast.
+    /// Puts a request on the backend's first free core and returns when the request is done. Every third
+    /// backend is half as fast.
     fn work(&mut self, request: RequestId, backend: BackendId) -> Nanos {
         let cores = &mut self.cores_free_at[backend.0 as usize];
         let core = usize::from(cores[1] < cores[0]);
@@ -301,14 +304,14 @@
         let Some(Reverse((at, _, next))) = self.queue.pop() else { return };
         self.now = self.now.max(at);
         match next {
-            Next::Arrival => self.arrive(),
-            Next::AttemptEnd(attempt) => self.end_attempt(attempt),
-            Next::ProbeEnd(backend) => self.end_probe(backend),
-            Next::Timer(token) => self.handle(Event::Timer { token }),
-            Next::ListChange => self.change_list(),
-            Next::FullList => {
+            ScheduledEvent::Arrival => self.arrive(),
+            ScheduledEvent::AttemptEnd(attempt) => self.end_attempt(attempt),
+            ScheduledEvent::ProbeEnd(backend) => self.end_probe(backend),
+            ScheduledEvent::Timer(token) => self.handle(Event::Timer { token }),
+            ScheduledEvent::ListChange => self.change_list(),
+            ScheduledEvent::FullList => {
                 self.list_all(ListScope::Full);
-                self.schedule(self.now + SECOND, Next::FullList);
+                self.schedule(self.now + SECOND, ScheduledEvent::FullList);
             }
         }
     }
@@ -333,18 +336,18 @@
         self.handle(Event::ProbeEnded { backend, outcome, elapsed, report });
     }
 
-    /// One backend drawn changes its state, and one is in service again, perhaps restarted.
+    /// A random backend changes its state, and another one is back in service, possibly restarted.
     fn change_list(&mut self) {
         const STATES: [BackendState; 3] =
             [BackendState::InService, BackendState::Draining, BackendState::Removed];
         let changed = self.draw(self.shape.backends.into()) as u32;
         let state = STATES[self.draw(3) as usize];
-        let back = self.draw(self.shape.backends.into()) as u32;
+        let returning = self.draw(self.shape.backends.into()) as u32;
         let online_since = (self.draw(2) == 0).then_some(self.now);
-        let back = Member { online_since, ..self.member(back, BackendState::InService) };
-        let members = vec![self.member(changed, state), back];
+        let returning = Member { online_since, ..self.member(returning, BackendState::InService) };
+        let members = vec![self.member(changed, state), returning];
         self.handle(Event::Membership { scope: ListScope::Changes, members });
-        self.schedule(self.now + self.shape.churn, Next::ListChange);
+        self.schedule(self.now + self.shape.churn, ScheduledEvent::ListChange);
     }
 
     fn arrive(&mut self) {
@@ -359,6 +362,6 @@
         self.handle(Event::Request(arrival));
         let interval = SECOND / self.shape.rate;
         let next = self.now + interval / 2 + self.draw(interval);
-        self.schedule(next, Next::Arrival);
+        self.schedule(next, ScheduledEvent::Arrival);
     }
 }
