--- a/balancer/tests/common/closed_loop.rs
+++ b/balancer/tests/common/closed_loop.rs
@@ -93,7 +93,7 @@
 /// A scheduled event. The order of the variants does not matter: the queue breaks ties by its own sequence
 /// number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Next {
+enum ScheduledEvent {
     Arrival,
     AttemptEnd(RunningAttempt),
     Timer(u64),
@@ -140,7 +140,7 @@
     pub sends: u64,
     pub rejections: u64,
     random: u64,
-    queue: BinaryHeap<Reverse<(Nanos, u64, Next)>>,
+    queue: BinaryHeap<Reverse<(Nanos, u64, ScheduledEvent)>>,
     sequence: u64,
     /// When each core of each backend becomes free.
     cores_free_at: Vec<[Nanos; 2]>,
@@ -170,12 +170,12 @@
         };
         closed_loop.handle(Event::Start);
         closed_loop.list_all(ListScope::Cached);
-        closed_loop.schedule(SECOND, Next::Arrival);
+        closed_loop.schedule(SECOND, ScheduledEvent::Arrival);
         if shape.churn > 0 {
-            closed_loop.schedule(SECOND + shape.churn, Next::ListChange);
+            closed_loop.schedule(SECOND + shape.churn, ScheduledEvent::ListChange);
         }
         if shape.weights == Weights::Live {
-            closed_loop.schedule(2 * SECOND, Next::FullList);
+            closed_loop.schedule(2 * SECOND, ScheduledEvent::FullList);
         }
         closed_loop
     }
@@ -193,7 +193,7 @@
         (self.random >> 33) % bound.max(1)
     }
 
-    fn schedule(&mut self, at: Nanos, next: Next) {
+    fn schedule(&mut self, at: Nanos, next: ScheduledEvent) {
         self.sequence += 1;
         self.queue.push(Reverse((at, self.sequence, next)));
     }
@@ -259,11 +259,11 @@
             Action::Cancel { request, attempt } => self.add_to_digest([4, request.0, attempt.into(), 0]),
             Action::Probe { backend } => {
                 self.add_to_digest([5, backend.0.into(), 0, 0]);
-                self.schedule(self.now + PROBE_LATENCY, Next::ProbeEnd(backend));
+                self.schedule(self.now + PROBE_LATENCY, ScheduledEvent::ProbeEnd(backend));
             }
             Action::Timer { after, token } => {
                 self.add_to_digest([6, after, token, 0]);
-                self.schedule(self.now + after, Next::Timer(token));
+                self.schedule(self.now + after, ScheduledEvent::Timer(token));
             }
             Action::Watch | Action::Fetch | Action::Log(_) => {}
         }
@@ -286,7 +286,7 @@
         };
         let sent_at = self.now;
         let running = RunningAttempt { request, attempt, backend, outcome, sent_at };
-        self.schedule(at, Next::AttemptEnd(running));
+        self.schedule(at, ScheduledEvent::AttemptEnd(running));
     }
 
     /// Puts a request on the backend's first free core and returns when the request is done. Every third
@@ -304,14 +304,14 @@
         let Some(Reverse((at, _, next))) = self.queue.pop() else { return };
         self.now = self.now.max(at);
         match next {
-            Next::Arrival => self.arrive(),
-            Next::AttemptEnd(attempt) => self.end_attempt(attempt),
-            Next::ProbeEnd(backend) => self.end_probe(backend),
-            Next::Timer(token) => self.handle(Event::Timer { token }),
-            Next::ListChange => self.change_list(),
-            Next::FullList => {
+            ScheduledEvent::Arrival => self.arrive(),
+            ScheduledEvent::AttemptEnd(attempt) => self.end_attempt(attempt),
+            ScheduledEvent::ProbeEnd(backend) => self.end_probe(backend),
+            ScheduledEvent::Timer(token) => self.handle(Event::Timer { token }),
+            ScheduledEvent::ListChange => self.change_list(),
+            ScheduledEvent::FullList => {
                 self.list_all(ListScope::Full);
-                self.schedule(self.now + SECOND, Next::FullList);
+                self.schedule(self.now + SECOND, ScheduledEvent::FullList);
             }
         }
     }
@@ -347,7 +347,7 @@
         let returning = Member { online_since, ..self.member(returning, BackendState::InService) };
         let members = vec![self.member(changed, state), returning];
         self.handle(Event::Membership { scope: ListScope::Changes, members });
-        self.schedule(self.now + self.shape.churn, Next::ListChange);
+        self.schedule(self.now + self.shape.churn, ScheduledEvent::ListChange);
     }
 
     fn arrive(&mut self) {
@@ -362,6 +362,6 @@
         self.handle(Event::Request(arrival));
         let interval = SECOND / self.shape.rate;
         let next = self.now + interval / 2 + self.draw(interval);
-        self.schedule(next, Next::Arrival);
+        self.schedule(next, ScheduledEvent::Arrival);
     }
 }
--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -111,7 +111,7 @@
     }
 
     /// The number of the attempt in flight of a request whose attempts each end before the next one is sent.
-    pub fn attempt(&mut self, request: RequestId) -> u32 {
+    pub fn next_attempt_number(&mut self, request: RequestId) -> u32 {
         let next_attempt = self.ended_attempts.entry(request).or_insert(0);
         *next_attempt += 1;
         *next_attempt - 1
--- a/balancer/tests/load_probes.rs
+++ b/balancer/tests/load_probes.rs
@@ -140,7 +140,7 @@
                 }
                 outcome => outcome.unwrap_or(Outcome::Served),
             };
-            let number = self.node.attempt(attempt.request);
+            let number = self.node.next_attempt_number(attempt.request);
             let report = LoadReport::default();
             let actions = self.node.end_attempt_after(attempt.request, number, outcome, elapsed, report);
             self.carry_out(actions);
@@ -194,16 +194,16 @@
 fn home_overflows_and_recovers_by_probe_reports() {
     let mut run = ProbedLoop::new(probing_settings(), zones());
     run.run(3 * SECOND, 50 * MS, &|to| Some([0.97, 0.6, 0.1][zone(to) as usize]), NO_FAILURE);
-    let late = run.sends.len();
+    let sends_before = run.sends.len();
     run.run(5 * SECOND, 50 * MS, &|to| Some([0.97, 0.6, 0.1][zone(to) as usize]), NO_FAILURE);
     assert!(
-        run.share(late, |to| zone(to) == 2) > 0.9,
+        run.share(sends_before, |to| zone(to) == 2) > 0.9,
         "requests did not overflow to the zone with the most headroom"
     );
     run.run(3 * SECOND, 50 * MS, &|_| Some(0.2), NO_FAILURE);
-    let late = run.sends.len();
+    let sends_before = run.sends.len();
     run.run(5 * SECOND, 50 * MS, &|_| Some(0.2), NO_FAILURE);
-    assert!(run.share(late, |to| zone(to) == 0) > 0.9, "requests did not return to the home zone");
+    assert!(run.share(sends_before, |to| zone(to) == 0) > 0.9, "requests did not return to the home zone");
 }
 
 /// A process that rejects every request reports no load: this must not make its zone look free.
@@ -214,9 +214,9 @@
         let mut run = ProbedLoop::new(probing_settings(), zones());
         let failure = |to: BackendId| (to.0 == 0).then_some(outcome);
         run.run(5 * SECOND, 50 * MS, &reply, &failure);
-        let late = run.sends.len();
+        let sends_before = run.sends.len();
         run.run(10 * SECOND, 50 * MS, &reply, &failure);
-        let share = run.share(late, |to| to.0 == 0);
+        let share = run.share(sends_before, |to| to.0 == 0);
         assert!(share < 0.1, "{outcome:?}: a share {share} of the sends");
     }
 }
@@ -277,10 +277,17 @@
     assert_eq!(run.sends.last().map(|to| zone(*to)), Some(1));
     let partitioned = |to: BackendId| (zone(to) != 1).then_some([0.97, 0.0, 0.5][zone(to) as usize]);
     run.run(3 * SECOND, 50 * MS, &partitioned, NO_FAILURE);
-    let (late, probes_before) = (run.sends.len(), run.probes.len());
+    let (sends_before, probes_before) = (run.sends.len(), run.probes.len());
     run.run(20 * SECOND, 50 * MS, &partitioned, NO_FAILURE);
-    assert_eq!(run.share(late, |to| zone(to) == 1), 0.0, "requests were sent to the partitioned zone");
-    assert!(run.share(late, |to| zone(to) == 2) > 0.9, "requests were not sent to the zone with capacity");
+    assert_eq!(
+        run.share(sends_before, |to| zone(to) == 1),
+        0.0,
+        "requests were sent to the partitioned zone"
+    );
+    assert!(
+        run.share(sends_before, |to| zone(to) == 2) > 0.9,
+        "requests were not sent to the zone with capacity"
+    );
     let to_partitioned_zone = run.probes[probes_before..].iter().filter(|to| zone(**to) == 1).count();
     let all = run.probes.len() - probes_before;
     assert!(
@@ -298,8 +305,8 @@
     let probes_before = run.probes.len();
     run.run(10 * SECOND, 50 * MS, &|_| Some(0.3), NO_FAILURE);
     assert!(run.probes.len() > probes_before + 10);
-    let known: std::collections::BTreeSet<_> = run.probes[probes_before..].iter().collect();
-    assert_eq!(known.len(), 6, "not all known backends were probed");
+    let probed: std::collections::BTreeSet<_> = run.probes[probes_before..].iter().collect();
+    assert_eq!(probed.len(), 6, "not all known backends were probed");
 }
 
 /// Attempts of all nodes in flight at a backend.
@@ -358,10 +365,10 @@
         Some(if matches!(to.0, 3..10) { f64::NAN } else { 0.99 * f64::from(u8::from(to.0 < 10)) })
     };
     run.run(3 * SECOND, 10 * MS, &reply, NO_FAILURE);
-    let late = run.sends.len();
+    let sends_before = run.sends.len();
     run.run(3 * SECOND, 10 * MS, &reply, NO_FAILURE);
     assert!(
-        run.share(late, |to| to.0 >= 10) > 0.9,
+        run.share(sends_before, |to| to.0 >= 10) > 0.9,
         "three reports did not decide the home zone's utilisation"
     );
 }
--- a/balancer/tests/many_nodes.rs
+++ b/balancer/tests/many_nodes.rs
@@ -84,12 +84,12 @@
 fn nodes_do_not_herd_onto_a_backend_listed_as_idle() {
     let members: Vec<Member> =
         (0..30).map(|b| Member { weight: if b == 3 { 1.0 } else { 0.25 }, ..member(b, b / 10) }).collect();
-    let to_idle = (0..200).filter(|&seed| {
+    let chose_idle = (0..200).filter(|&seed| {
         let mut node = node(seed, settings_of_many_nodes(), members.clone());
         first_sent_to(&node.arrive(SECOND).1) == Some(BackendId(3))
     });
-    let to_idle = to_idle.count();
-    assert!((10..60).contains(&to_idle), "{to_idle} of 200 nodes chose the one idle backend of ten");
+    let chose_idle = chose_idle.count();
+    assert!((10..60).contains(&chose_idle), "{chose_idle} of 200 nodes chose the one idle backend of ten");
 }
 
 /// In the portal deployment at full size, 2,000 connections were refused in 5 s, because every node opened a
@@ -260,6 +260,6 @@
         ListScope::Changes,
         vec![Member { online_since: Some(node.now - 15 * SECOND), ..member(9, 0) }],
     );
-    let to_new = (0..40).filter(|_| first_sent_to(&node.arrive(SECOND).1) == Some(BackendId(9))).count();
-    assert!(to_new >= 3, "{to_new} of 40 requests sent to the new backend");
+    let sent_to_new = (0..40).filter(|_| first_sent_to(&node.arrive(SECOND).1) == Some(BackendId(9))).count();
+    assert!(sent_to_new >= 3, "{sent_to_new} of 40 requests sent to the new backend");
 }
--- a/balancer/tests/overflow.rs
+++ b/balancer/tests/overflow.rs
@@ -47,8 +47,8 @@
     let mut node = Node::new(settings(Idempotency::Idempotent), zones());
     let load = [0.95, 0.7, 0.2];
     let used = node.serve(200, |to| utilisation(load[zone(to) as usize]));
-    let late = &used[50..];
-    let count = |z| late.iter().filter(|&&to| zone(to) == z).count();
+    let after_start = &used[50..];
+    let count = |z| after_start.iter().filter(|&&to| zone(to) == z).count();
     assert!(count(2) > 3 * count(1).max(1), "{} requests to zone 1, {} to zone 2", count(1), count(2));
 }
 
