--- a/balancer/tests/load_probes.rs
+++ b/balancer/tests/load_probes.rs
@@ -37,8 +37,8 @@
     Event::ProbeEnded { backend, outcome, elapsed: 5 * MS, report }
 }
 
-/// The utilisation that a backend reports in reply to a probe; `None` if it does not reply before the
-/// timeout.
+/// The utilisation that a backend reports in reply to a probe, possibly an impossible one; `None` if it does
+/// not reply within 500 ms.
 type Reply<'a> = &'a dyn Fn(BackendId) -> Option<f64>;
 /// The outcome of requests sent to a backend that fails them; `None` if the backend serves them.
 type Failure<'a> = &'a dyn Fn(BackendId) -> Option<Outcome>;
