--- a/control/src/consensus/acceptor.rs
+++ b/control/src/consensus/acceptor.rs
@@ -1,8 +1,8 @@
-//! The durable state of one replica of a partition: what it has promised, what it knows to be committed, and what it has accepted
-//! beyond that.
+//! The durable acceptor state of one replica of a partition: the promised ballot, the committed contents, and the changes that were
+//! accepted after them.
 //!
-//! The disk's records are replayed by the same transitions that the process makes ([`crate::storage::durable_state`]), so both have
-//! the same state. All transitions keep the versions of what is accepted and committed from going back.
+//! After a restart the disk's records are replayed by the same transitions that a running process makes
+//! ([`crate::storage::durable_state`]), so both lead to the same state. No transition lowers the accepted or the committed version.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,57 +12,57 @@
     RegisterKey, RegisterMap, RegisterValue, RegisterWrite, StateUpdate, UpdateBase, Version, writes_digest,
 };
 
-/// One change, or several, that were accepted together and are not known to be committed.
+/// One or more changes that were accepted as a single update and are not known to be committed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct PendingChange {
-    /// The number of the last change.
+    /// The sequence number of the last of these changes.
     sequence: u64,
-    /// Whether the registers replace all contents before them.
+    /// Whether `writes` replace all earlier contents.
     replaces_all: bool,
     writes: BTreeMap<RegisterKey, RegisterWrite>,
-    /// The digest of the contents after the change.
+    /// The digest of the contents after these changes.
     digest: u64,
 }
 
-/// What became of an update that was to be accepted.
+/// The result of [`Acceptor::accept`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub enum AcceptOutcome {
-    /// It is accepted.
+    /// The update is accepted now.
     Accepted,
-    /// It was accepted before, under the same ballot.
+    /// The update was accepted before, under the same ballot.
     AlreadyAccepted,
-    /// A later change is known to be committed.
+    /// A later change is known to be committed here.
     Outdated,
-    /// It does not apply: changes before it are missing here.
+    /// The update does not apply: this replica lacks changes before it.
     Behind,
-    /// Its digest shows that the contents here are not the sender's.
+    /// The digests differ: the contents here are not the sender's.
     Diverged,
 }
 
-/// What became of a change that is said to be committed.
+/// The result of [`Acceptor::commit`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub enum CommitOutcome {
-    /// It is committed here from now on.
+    /// The version is newly known to be committed.
     Committed,
-    /// It was known to be committed.
+    /// The version was already known to be committed.
     AlreadyCommitted,
-    /// It was not accepted here.
+    /// The version was not accepted here.
     Unknown,
 }
 
-/// What became of an update with committed contents.
+/// The result of [`Acceptor::learn`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub enum LearnOutcome {
-    /// The contents are known to be committed here from now on.
+    /// The contents are newly known to be committed.
     Learned,
-    /// They are not newer than what is known.
+    /// The contents are not newer than the committed ones here.
     NotNewer,
-    /// The update does not apply: changes before it are missing here.
+    /// The update does not apply: this replica lacks changes before it.
     Behind,
-    /// Its digest shows that the contents here are not the sender's.
+    /// The digests differ: the contents here are not the sender's.
     Diverged,
 }
 
@@ -74,12 +74,12 @@
     committed: Version,
     /// The contents as of `committed`.
     registers: RegisterMap,
-    /// The changes from `committed` to `accepted`, in order.
+    /// The changes after `committed` up to `accepted`, oldest first.
     pending: VecDeque<PendingChange>,
 }
 
 impl Acceptor {
-    /// The highest ballot that was promised: lower ones are rejected.
+    /// The highest promised ballot: messages under lower ones are rejected.
     pub fn promised(&self) -> Ballot {
         self.promised
     }
@@ -99,12 +99,12 @@
         &self.registers
     }
 
-    /// Promises a ballot, unless a higher one is promised.
+    /// Promises a ballot, unless a higher one is already promised.
     pub fn promise(&mut self, ballot: Ballot) {
         self.promised = self.promised.max(ballot);
     }
 
-    /// The next change under a ballot, as an update of the version that is accepted now.
+    /// The next change under a ballot, as an update that applies to the currently accepted version.
     pub fn next_change(
         &self,
         ballot: Ballot,
@@ -118,14 +118,14 @@
         StateUpdate { version: Version { ballot, sequence }, base, writes, digest }
     }
 
-    /// Whether an update applies to the committed contents, with the result that its sender has.
+    /// Whether an update applies to the committed contents and leads to the digest that its sender has computed.
     fn can_build_on_committed(&self, update: &StateUpdate) -> bool {
         let applies = update.base.applies_to(self.committed.sequence);
         applies && self.digest_on_committed(update) == update.digest
     }
 
-    /// Whether nothing of what another replica has accepted is lost when it is merged here: it is no news, or applies to the committed
-    /// contents with the result that its sender has.
+    /// Whether [`Acceptor::merge`] would lose nothing that another replica has accepted: that update is not newer than the state here,
+    /// or applies to the committed contents and leads to the digest that its sender has computed.
     pub fn can_merge(&self, accepted: Option<&StateUpdate>) -> bool {
         accepted.is_none_or(|update| {
             update.version <= self.accepted
@@ -134,7 +134,7 @@
         })
     }
 
-    /// Accepts an update. The caller has checked its ballot against the promise.
+    /// Accepts an update. The caller must have checked that the update's ballot is not below the promised one.
     pub fn accept(&mut self, update: &StateUpdate) -> AcceptOutcome {
         let Version { ballot, sequence } = update.version;
         if self.accepted.ballot == ballot && self.accepted.sequence >= sequence {
@@ -167,8 +167,8 @@
         if sequence > self.committed.sequence {
             self.pending.push_back(PendingChange { sequence, replaces_all, writes, digest });
         } else if replaces_all {
-            // The committed contents are proposed again under another ballot. What was whole values on the way may be cut into other
-            // registers that say the same: from here on they are the leader's.
+            // The committed contents are proposed again under another ballot. If they were sent as a whole value in between, they may
+            // be split into other registers with the same meaning: the leader's registers replace those here.
             apply(&mut self.registers, sequence, replaces_all, writes.into_values());
         }
         self.accepted = update.version;
@@ -176,7 +176,7 @@
         AcceptOutcome::Accepted
     }
 
-    /// Marks a version as committed, and all before it, if it was accepted here.
+    /// Marks a version and all versions before it as committed, if that version was accepted here.
     pub fn commit(&mut self, version: Version) -> CommitOutcome {
         if version.sequence <= self.committed.sequence {
             return CommitOutcome::AlreadyCommitted;
@@ -195,8 +195,8 @@
         CommitOutcome::Committed
     }
 
-    /// Takes contents that another replica knows to be committed. What was accepted here under a lower ballot is dropped, as the
-    /// committed contents may not have grown out of it.
+    /// Takes over contents that another replica knows to be committed. Changes that were accepted here under a lower ballot are
+    /// dropped, as the committed contents may not build on them.
     pub fn learn(&mut self, update: &StateUpdate) -> LearnOutcome {
         let Version { ballot, sequence } = update.version;
         if sequence <= self.committed.sequence {
@@ -222,18 +222,19 @@
         LearnOutcome::Learned
     }
 
-    /// Merges what another replica has promised and accepted, where that is newer. Returns the update that was accepted.
+    /// Merges what another replica has promised and accepted, where that is newer. Returns the other replica's update if it was
+    /// accepted here.
     ///
-    /// A new voter merges the states of a quorum of the previous generation before it votes, so that it upholds whatever they have
-    /// promised and accepted.
+    /// A new voter merges the states of a quorum of the previous generation before it votes, so that it upholds every promise and every
+    /// accepted change of that quorum.
     pub fn merge(&mut self, other: &TransferredState) -> Option<StateUpdate> {
         self.promise(other.promised);
         let update = other.accepted.as_ref().filter(|update| update.version > self.accepted)?;
         (self.accept(update) == AcceptOutcome::Accepted).then(|| update.clone())
     }
 
-    /// The accepted contents, for a replica whose own agree with them up to a change; whole where `receiver_sequence` is `None`, or removed
-    /// registers may be forgotten.
+    /// The accepted contents, as an update for a replica whose contents are the same up to the change `receiver_sequence`. The update
+    /// holds all registers where that is `None`, or where the removal of registers since then may have been forgotten.
     pub fn accepted_update(&self, receiver_sequence: Option<u64>) -> StateUpdate {
         let is_replaced = self.pending.iter().any(|change| change.replaces_all);
         let committed = self.committed_update(receiver_sequence.filter(|_| !is_replaced));
@@ -258,8 +259,8 @@
         StateUpdate { version: self.accepted, base, writes, digest: self.accepted_digest() }
     }
 
-    /// The committed contents, for a replica whose own agree with them up to a change; whole where `receiver_sequence` is `None`, or removed
-    /// registers may be forgotten.
+    /// The committed contents, as an update for a replica whose contents are the same up to the change `receiver_sequence`. The update
+    /// holds all registers where that is `None`, or where the removal of registers since then may have been forgotten.
     pub fn committed_update(&self, receiver_sequence: Option<u64>) -> StateUpdate {
         let writes = receiver_sequence.and_then(|known| Some((known, self.registers.written_since(known)?)));
         let (base, writes) = match writes {
@@ -269,7 +270,7 @@
         StateUpdate { version: self.committed, base, writes, digest: self.registers.digest() }
     }
 
-    /// The updates from the committed contents to the accepted ones, one for each change that may be committed by itself.
+    /// The updates that lead from the committed contents to the accepted ones, oldest first. Each may be committed by itself.
     pub fn pending_updates(&self) -> Vec<StateUpdate> {
         let mut base_sequence = self.committed.sequence;
         let mut updates = Vec::new();
@@ -305,7 +306,7 @@
         digest_after(self.registers.digest(), new, |key| self.registers.digest_of(key))
     }
 
-    /// The part of a register in the digest of the accepted contents.
+    /// The contribution of a register to the digest of the accepted contents.
     fn accepted_digest_of(&self, key: &RegisterKey) -> u64 {
         for change in self.pending.iter().rev() {
             if let Some(write) = change.writes.get(key) {
@@ -319,7 +320,7 @@
     }
 }
 
-/// Applies the writes of a change to registers, or puts them in place of all.
+/// Applies the writes of a change to `registers`, or replaces all registers by them.
 fn apply(
     registers: &mut RegisterMap,
     sequence: u64,
@@ -333,7 +334,7 @@
     }
 }
 
-/// The digest of contents after some of their registers are written; `digest_of` gives the part of a register before that.
+/// The digest of contents after `writes`. `before` is the digest before them, and `digest_of` a register's contribution to it.
 fn digest_after<'a>(
     before: u64,
     writes: impl Iterator<Item = &'a RegisterWrite>,
--- a/control/src/consensus/catch_up.rs
+++ b/control/src/consensus/catch_up.rs
@@ -1,21 +1,21 @@
-//! Requests for committed changes that another node has and this one lacks.
+//! Requests for committed changes that this node lacks and another node has.
 
 use std::collections::BTreeMap;
 
 use ivyhatch_protocol::ids::PartitionId;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
-/// Wait before a change that was requested and has not come is requested again, from any node.
+/// Wait before changes that were requested and have not arrived are requested again, from any node.
 const REQUEST_INTERVAL: Nanos = 250 * MILLISECOND;
 
-/// When the last change of each partition was requested.
+/// When the missing changes of each partition were last requested.
 #[derive(Debug, Default)]
 pub struct CatchUp {
     requested_at: BTreeMap<PartitionId, Nanos>,
 }
 
 impl CatchUp {
-    /// Whether to request the changes of a partition now from a node that has committed up to a sequence number above this node's.
+    /// Whether to request a partition's missing changes now, from a node that has committed more than this one. Records the request.
     pub fn begin_request(&mut self, now: Nanos, partition: PartitionId) -> bool {
         let last = self.requested_at.get(&partition);
         let begins = last.is_none_or(|at| now >= at + REQUEST_INTERVAL);
--- a/control/src/consensus/configuration_registers.rs
+++ b/control/src/consensus/configuration_registers.rs
@@ -1,8 +1,7 @@
-//! The registers of the configuration: one for each item of a section, so that a change travels and is stored as the items that it
-//! concerns.
+//! The registers of the configuration: one for each item of a section, so that a change is sent and stored as the changed items only.
 //!
-//! The items of a section have an order. An item's register holds its position beside its text: positions rise along the section, and
-//! are not dense.
+//! The items of a section have an order. An item's register holds the item's position and its JSON text: positions increase along the
+//! section, and may have gaps.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,7 +18,7 @@
     json: String,
 }
 
-/// The value of an applied request's register. The one with number n stands in slot n modulo the number of slots.
+/// The value of an applied request's register. The request with number n is stored in slot n modulo [`MAX_APPLIED_DIGESTS`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 struct AppliedRequest {
     number: u64,
@@ -31,8 +30,8 @@
 pub struct ItemPositions(BTreeMap<String, Vec<u64>>);
 
 impl ItemPositions {
-    /// The positions in a document that replaces another one. Items keep theirs where the order allows it, and new items at the end
-    /// get the next ones; otherwise all items of the section are numbered anew.
+    /// The positions after `new` has replaced `old`. Items keep their positions where the new order allows that, and new items at the
+    /// end get the next positions; otherwise all items of the section are renumbered from 1.
     #[must_use]
     pub fn updated(&self, old: &Document, new: &Document) -> Self {
         let section = |(name, items): (&String, &Vec<Item>)| {
@@ -64,7 +63,7 @@
     }
 }
 
-/// The registers that differ between two states, as the second one has them.
+/// The register changes that lead from one state to another.
 pub fn configuration_changes(old: &ConfigurationState, new: &ConfigurationState) -> RegisterChanges {
     let mut changes = Vec::new();
     if old.document.revision != new.document.revision {
@@ -126,12 +125,12 @@
     items.zip(positions).map(by_name).collect()
 }
 
-/// The registers that hold a state, from empty ones.
+/// The register writes that lead from no registers to a state.
 pub fn configuration_registers(state: &ConfigurationState) -> RegisterChanges {
     configuration_changes(&ConfigurationState::default(), state)
 }
 
-/// Reads the state from its registers; `None` where a register is unknown or malformed.
+/// Decodes the state from its registers; `None` where a register is unknown or malformed.
 pub fn read_configuration(registers: &RegisterMap) -> Option<ConfigurationState> {
     let mut state = ConfigurationState::default();
     let mut sections: BTreeMap<&str, Vec<(u64, Item)>> = BTreeMap::new();
--- a/control/src/consensus/elections.rs
+++ b/control/src/consensus/elections.rs
@@ -10,18 +10,19 @@
 use crate::membership::rules::election_order;
 use crate::server_list::role::reader_partition;
 
-/// The backoff of a node that a higher ballot has made step down, for each voter before it in the election order.
+/// Backoff after a higher ballot made a node step down, for each voter before that node in the election order.
 const ELECTION_BACKOFF: Nanos = 300 * MILLISECOND;
 
-/// What speaks against a voter as the leader. Fields are compared in their order; the voter with the least leads.
+/// Reasons against a voter as the leader, the strongest first, as fields are compared in order. The voter with the least penalty leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct LeaderPenalty {
     cannot_perform_role: bool,
     is_draining: bool,
 }
 
-/// The leader of a partition: the first voter in the election order that is active and in contact with a quorum. Voters that are
-/// draining, or can't read the list of servers where the leader has to, lead only where there is no other.
+/// The node that should lead a partition: the first voter in the election order that is active and in contact with a quorum; `None`
+/// without such a voter. A voter that is draining, or can't read the list of servers where the leader has to, leads only where there
+/// is no other.
 pub fn leader(view: &ClusterView<'_>, partition: PartitionId) -> Option<NodeId> {
     let membership = view.local.membership()?;
     let reads_server_list = partition == reader_partition();
@@ -47,34 +48,34 @@
     candidates.min_by_key(|(penalty, _)| *penalty).map(|(_, node)| node)
 }
 
-/// The index of this node in the election order of a partition; 0 where it is no voter.
+/// The index of this node in the election order of a partition; 0 where this node is not a voter.
 pub fn order_index(view: &ClusterView<'_>, partition: PartitionId) -> usize {
     let order = view.local.membership().map(|membership| election_order(membership, partition));
     let index = order.and_then(|mut order| order.position(|node| node == view.node));
     index.unwrap_or(0)
 }
 
-/// Until when this node starts no election for partitions in which it was made to step down.
+/// Until when this node starts no election in partitions where a higher ballot made it step down.
 ///
-/// Where a network path is cut one way only, two nodes may both contend, and make each other step down without end. The one further
-/// back in the election order waits. The first never does, as nobody else leads while it is active.
+/// Where a network path is cut in one direction only, two nodes may both contend, and make each other step down without end. The node
+/// that is later in the election order backs off. The first node never does, as no other node leads while the first is active.
 #[derive(Debug, Default)]
 pub struct ElectionBackoff {
     until: BTreeMap<PartitionId, Nanos>,
 }
 
 impl ElectionBackoff {
-    /// Whether the node still waits.
+    /// Whether the backoff of this node in a partition has not elapsed.
     pub fn is_waiting(&self, now: Nanos, partition: PartitionId) -> bool {
         self.until.get(&partition).is_some_and(|until| now < *until)
     }
 
-    /// The node has stepped down. `order_index` is its index in the election order of the partition.
+    /// Starts the backoff after this node has stepped down. `order_index` is its index in the partition's election order: 0 has none.
     pub fn stepped_down(&mut self, now: Nanos, partition: PartitionId, order_index: usize) {
         self.until.insert(partition, now + ELECTION_BACKOFF * order_index as u64);
     }
 
-    /// Another node leads the partition: the next election of this node has no rival to wait for.
+    /// Ends the backoff, as another node leads the partition: the next election of this node competes with no other candidate.
     pub fn clear(&mut self, partition: PartitionId) {
         self.until.remove(&partition);
     }
--- a/control/src/consensus/mod.rs
+++ b/control/src/consensus/mod.rs
@@ -1,4 +1,4 @@
-//! Agreement on the partitions of the control state: the consensus itself, the values, and who contends for which partition.
+//! Consensus on the partitions of the control state: the protocol, the state machines of the partitions, and the choice of leaders.
 
 pub mod acceptor;
 pub mod catch_up;
--- a/control/src/consensus/partition_state.rs
+++ b/control/src/consensus/partition_state.rs
@@ -1,4 +1,4 @@
-//! The state machine of each partition: what its registers hold, and what an operator's request does to them.
+//! The state machine of each partition: the state that its registers hold, and how an operator's request changes that state.
 
 use std::collections::BTreeMap;
 
@@ -11,26 +11,26 @@
 
 use crate::consensus::configuration_registers::{ItemPositions, configuration_changes, read_configuration};
 
-/// Digests of applied requests that are kept, as a count of revisions. A request that is sent again unchanged within these is
-/// acknowledged again (idempotent retry), also when a later revision is current; an older one is a conflict like any other request
-/// that builds on a past revision.
+/// The number of applied requests whose digests are kept, one for each revision. If one of these requests is sent again unchanged, it
+/// is acknowledged again (idempotent retry), also when a later revision is current; an older request is a conflict like any other
+/// request that builds on a past revision.
 pub const MAX_APPLIED_DIGESTS: usize = 512;
 
 /// What the leader of a partition does with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Nothing changes: respond, once a quorum has confirmed the leader's ballot.
+    /// The request changes nothing: respond, once a quorum has confirmed the leader's ballot.
     Respond(AdminResponse),
-    /// Propose these changes of the partition's registers, and respond once they are committed.
+    /// Propose these changes of the partition's registers, and respond once the changes are committed.
     Propose {
-        /// The changes.
+        /// The registers to write, and those to remove.
         changes: RegisterChanges,
-        /// The state after them.
+        /// The state after the changes.
         next: PartitionState,
         /// The response after the commit.
         response: AdminResponse,
     },
-    /// Respond with the configuration that is current once a quorum has confirmed the leader's ballot.
+    /// Once a quorum has confirmed the leader's ballot, respond with the configuration that is current then.
     ReadConfiguration,
 }
 
@@ -39,11 +39,11 @@
 pub struct ConfigurationState {
     /// The current configuration.
     pub document: Document,
-    /// Digests of the requests that led to it, oldest first; at most 512.
+    /// Digests of the last applied requests, oldest first; at most [`MAX_APPLIED_DIGESTS`].
     pub applied_digests: Vec<u64>,
-    /// The number of the first of these requests, from 0 for the first of all.
+    /// The number of the first request in `applied_digests`, counted from 0 over all applied requests.
     pub first_applied: u64,
-    /// Where the items of each section stand in its order.
+    /// The positions that give the items of each section their order.
     pub item_positions: ItemPositions,
 }
 
@@ -59,7 +59,7 @@
 /// The state of the partitions that zones are hashed into.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct EvacuationState {
-    /// Each zone that was ever evacuated.
+    /// The status of each zone that was ever evacuated, by the zone's name.
     pub zones: BTreeMap<String, EvacuationStatus>,
 }
 
@@ -72,7 +72,7 @@
     Evacuations(EvacuationState),
 }
 
-/// The digest by which a repeated request is recognised; 0 for requests that change nothing.
+/// The digest by which a repeated request is recognised; 0 for a read.
 pub fn digest(request: &AdminRequest) -> u64 {
     match request {
         AdminRequest::Put { base, body } => fnv1a_hash(body) ^ base.rotate_left(17),
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Reads the state from a partition's registers; `None` where they were written in a format that this release does not know.
+    /// Decodes the state from a partition's registers; `None` where they have a format that this release does not know.
     pub fn from_registers(partition: PartitionId, registers: &RegisterMap) -> Option<Self> {
         match partition {
             PartitionId::CONFIGURATION => read_configuration(registers).map(Self::Configuration),
@@ -99,7 +99,7 @@
         }
     }
 
-    /// How many times the evacuation of a zone has begun or ended.
+    /// How many times the evacuation of a zone has begun or ended; 0 for a zone that was never evacuated.
     pub fn evacuation_change_count(&self, zone: &str) -> u64 {
         match self {
             Self::Evacuations(evacuations) => {
@@ -123,7 +123,7 @@
             (Self::Evacuations(evacuations), AdminRequest::Evacuate { zone, active, change_count }) => {
                 evacuations.decide(zone, *active, *change_count)
             }
-            _ => Decision::Respond(AdminResponse::Invalid("this part does not hold that".to_owned())),
+            _ => Decision::Respond(AdminResponse::Invalid("wrong partition for this request".to_owned())),
         }
     }
 }
@@ -155,7 +155,7 @@
         Decision::Propose { changes, next: PartitionState::Configuration(next), response }
     }
 
-    /// The state after a request with this digest has led to a configuration.
+    /// The state after a request with this digest has replaced the configuration by `document`.
     fn with_applied_request(&self, document: Document, digest: u64) -> Self {
         let mut applied_digests = self.applied_digests.clone();
         applied_digests.push(digest);
@@ -176,7 +176,7 @@
         }
         if known_change_count != current.change_count {
             let text =
-                "the zone's evacuation has changed since this was sent: send it again if it still holds";
+                "the zone's evacuation changed after this request arrived: send it again if still wanted";
             return Decision::Respond(AdminResponse::Unavailable(text.to_owned()));
         }
         let status = EvacuationStatus { active, change_count: current.change_count + 1 };
@@ -186,7 +186,7 @@
         Decision::Propose { changes, next: PartitionState::Evacuations(next), response }
     }
 
-    /// The registers that hold this state, from empty ones.
+    /// The register writes that lead from no registers to this state.
     pub fn registers(&self) -> RegisterChanges {
         self.zones.iter().map(|(zone, status)| zone_register(zone, *status)).collect()
     }
--- a/control/src/consensus/partitions.rs
+++ b/control/src/consensus/partitions.rs
@@ -1,4 +1,4 @@
-//! All partitions of the control state on one replica: their consensus, and the decoded values that are committed.
+//! All partitions of the control state on one replica: the consensus replica and the decoded committed state of each.
 
 use std::collections::BTreeMap;
 
@@ -17,14 +17,14 @@
     incarnation: u64,
     replicas: BTreeMap<PartitionId, PartitionReplica>,
     states: BTreeMap<PartitionId, PartitionState>,
-    /// The states after all changes that this node, their leader, has proposed, of the partitions where some are not committed yet.
+    /// For partitions that this node leads and in which proposals are not committed yet: the state after all proposed changes.
     proposed_states: BTreeMap<PartitionId, PartitionState>,
-    /// Decides on the next membership, for the present generation only.
+    /// Decides on the next membership; replaced by an empty replica in each generation.
     membership: PartitionReplica,
 }
 
 impl Partitions {
-    /// The partitions with what the disk holds of them.
+    /// The partitions as restored from disk; `has_coordination` adds the partitions of applications' calls.
     pub fn new(
         node: NodeId,
         incarnation: u64,
@@ -50,12 +50,12 @@
         }
     }
 
-    /// The partitions with durable state that this node has, in ascending order.
+    /// The partitions that this node holds, without the membership's, in ascending order.
     pub fn ids(&self) -> Vec<PartitionId> {
         self.replicas.keys().copied().collect()
     }
 
-    /// The consensus of a partition; `None` for an unknown one.
+    /// The consensus replica of a partition; `None` for a partition that this node does not hold.
     pub fn replica(&self, partition: PartitionId) -> Option<&PartitionReplica> {
         match partition {
             PartitionId::MEMBERSHIP => Some(&self.membership),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The consensus of a partition; `None` for an unknown one.
+    /// The consensus replica of a partition; `None` for a partition that this node does not hold.
     pub fn replica_mut(&mut self, partition: PartitionId) -> Option<&mut PartitionReplica> {
         match partition {
             PartitionId::MEMBERSHIP => Some(&mut self.membership),
@@ -71,19 +71,19 @@
         }
     }
 
-    /// The partition that decides on the next membership.
+    /// The consensus replica that decides on the next membership.
     pub fn membership_mut(&mut self) -> &mut PartitionReplica {
         &mut self.membership
     }
 
-    /// Begins a new generation: the partition of the membership starts from nothing.
+    /// Begins a new generation: the membership's partition starts again with an empty state.
     pub fn reset_membership(&mut self) {
         self.membership = PartitionReplica::new(self.node, self.incarnation, Acceptor::default());
     }
 
-    /// Sets the voters of all partitions. Leadership under other voters ends; returns what that causes, by partition.
+    /// Sets the voters of all partitions, which ends leadership under other voters. Returns the resulting effects by partition.
     pub fn set_voters(&mut self, voters: &[NodeId]) -> Vec<(PartitionId, Vec<Effect>)> {
-        // The partition of the membership has just begun, and leads nothing.
+        // The membership's partition was just reset: its replica leads nothing, and has no effects to return.
         self.membership.set_voters(voters, &mut Vec::new());
         let set = |(partition, replica): (&PartitionId, &mut PartitionReplica)| {
             let mut effects = Vec::new();
@@ -93,13 +93,13 @@
         self.replicas.iter_mut().map(set).collect()
     }
 
-    /// The committed state of a partition.
+    /// The committed state of a partition, as of the last [`Partitions::read_committed_state`].
     pub fn state(&self, partition: PartitionId) -> Option<&PartitionState> {
         self.states.get(&partition)
     }
 
-    /// Reads the committed state of a partition from its registers. Returns it; `None` where they were written in a format that this
-    /// release does not know.
+    /// Decodes the committed state of a partition from its registers, and returns it; `None` where the registers have a format that
+    /// this release does not know.
     pub fn read_committed_state(&mut self, partition: PartitionId) -> Option<&PartitionState> {
         let registers = self.replicas.get(&partition)?.acceptor().registers();
         let state = PartitionState::from_registers(partition, registers)?;
@@ -107,22 +107,22 @@
         self.states.get(&partition)
     }
 
-    /// The state of a partition that this node leads, after all changes that it has proposed.
+    /// The state of a partition that this node leads, after all changes that this node has proposed.
     pub fn proposed_state(&self, partition: PartitionId) -> Option<&PartitionState> {
         self.proposed_states.get(&partition).or_else(|| self.state(partition))
     }
 
-    /// The state of a partition after a change that is being proposed.
+    /// Sets the state of a partition after a change that is being proposed.
     pub fn set_proposed_state(&mut self, partition: PartitionId, state: PartitionState) {
         self.proposed_states.insert(partition, state);
     }
 
-    /// Nothing that this node has proposed for a partition is in flight any longer.
+    /// Clears the proposed state of a partition, in which no proposal of this node is in flight any longer.
     pub fn clear_proposed_state(&mut self, partition: PartitionId) {
         self.proposed_states.remove(&partition);
     }
 
-    /// The number of the last change that was accepted here for a partition.
+    /// The sequence number of the last change that was accepted here for a partition; 0 for none.
     pub fn accepted_sequence(&self, partition: PartitionId) -> u64 {
         self.replicas.get(&partition).map_or(0, |replica| replica.acceptor().accepted().sequence)
     }
@@ -132,7 +132,7 @@
         self.replicas.get(&partition).map_or(0, PartitionReplica::committed_sequence)
     }
 
-    /// The sequence numbers of all partitions that hold state, in the order of [`PartitionId::all`]; 0 for none.
+    /// The committed sequence numbers of the partitions of [`Partitions::ids`], in the order of [`PartitionId::all`]; 0 for none.
     pub fn committed_sequences(&self) -> impl Iterator<Item = u64> {
         self.replicas.values().map(PartitionReplica::committed_sequence)
     }
@@ -147,15 +147,15 @@
         self.replicas.get(&partition).is_some_and(PartitionReplica::can_propose)
     }
 
-    /// Drops confirmations of a partition that nothing waits for any longer.
+    /// Drops confirmations of a partition, by their numbers, that no request waits for any longer.
     pub fn cancel_confirmations(&mut self, partition: PartitionId, numbers: &[u64]) {
         if let Some(replica) = self.replicas.get_mut(&partition) {
             numbers.iter().for_each(|number| replica.cancel_confirmation(*number));
         }
     }
 
-    /// What is promised and accepted for all partitions that hold state, for a replica that knows these changes, one of each partition,
-    /// to be committed.
+    /// What is promised and accepted for the partitions of [`Partitions::ids`]. `committed` are the sequence numbers that the receiver
+    /// has committed, in the same order; contents of partitions beyond its end are whole.
     pub fn transferred_states(&self, committed: &[u64]) -> Vec<(PartitionId, TransferredState)> {
         let known = committed.iter().copied().map(Some).chain(std::iter::repeat(None));
         let state = |((partition, replica), known): ((&PartitionId, &PartitionReplica), _)| {
@@ -164,7 +164,7 @@
         self.replicas.iter().zip(known).map(state).collect()
     }
 
-    /// What is promised and accepted for all partitions that hold state.
+    /// The acceptors of the partitions of [`Partitions::ids`].
     pub fn acceptors(&self) -> impl Iterator<Item = (PartitionId, &Acceptor)> {
         self.replicas.iter().map(|(partition, replica)| (*partition, replica.acceptor()))
     }
@@ -176,7 +176,7 @@
         known.all(|(replica, state)| replica.can_merge(state))
     }
 
-    /// Merges what other replicas have promised and accepted. Returns the records that make the result durable.
+    /// Merges what other replicas have promised and accepted. The caller stores the returned records, which make the result durable.
     pub fn merge(&mut self, collected: BTreeMap<PartitionId, Vec<TransferredState>>) -> Vec<Record> {
         let mut records = Vec::new();
         for (partition, states) in collected {
--- a/control/src/consensus/whole_values.rs
+++ b/control/src/consensus/whole_values.rs
@@ -1,8 +1,9 @@
-//! Compatibility with releases before registers, which encode the contents of a partition as one value: their stored records, and
-//! their messages while a group is upgraded node by node.
+//! Compatibility with releases before registers, which encode the contents of a partition as one whole value: their stored records,
+//! and their messages while a group is upgraded node by node.
 //!
-//! What comes from such a release is translated into registers when it arrives, and what goes to one is translated when it is sent;
-//! the consensus knows registers only. May be removed once no stored record and no running node is of such a release.
+//! Records and messages of such a release are converted to registers when they are read or received, and messages to nodes of such a
+//! release are converted when they are sent; the consensus handles registers only. The module can be removed once no stored record and
+//! no running node is of such a release.
 
 use ivyhatch_protocol::configuration::Document;
 use ivyhatch_protocol::ids::PartitionId;
@@ -16,12 +17,12 @@
 use super::configuration_registers::{ItemPositions, configuration_registers, read_configuration};
 use super::partition_state::{ConfigurationState, EvacuationState, PartitionState};
 
-/// The whole value of the configuration's partition.
+/// The contents of the configuration's partition, as such a release encodes them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct WholeConfiguration {
     /// The current configuration.
     pub document: Document,
-    /// Digests of the requests that led to it, oldest first.
+    /// Digests of the applied requests, oldest first.
     pub applied_digests: Vec<u64>,
 }
 
@@ -33,7 +34,7 @@
     }
 }
 
-/// The registers that hold what a value holds. One that can't be decoded is kept as it is: the number of its change still counts.
+/// The registers for a whole value. A value that can't be decoded is kept in one register unchanged, as its sequence number counts.
 fn registers_of(partition: PartitionId, value: &[u8]) -> RegisterChanges {
     let registers = match partition {
         PartitionId::CONFIGURATION => WholeConfiguration::read_from_buffer(value)
@@ -44,7 +45,7 @@
     registers.unwrap_or_else(|_| vec![(RegisterKey::Undecodable, Some(value.to_vec().into()))])
 }
 
-/// A whole value as an update.
+/// Converts a whole value to an update that holds all registers.
 pub fn to_update(partition: PartitionId, whole: &AcceptedValue) -> StateUpdate {
     let AcceptedValue { ballot, sequence, value } = whole;
     let (version, sequence) = (Version { ballot: *ballot, sequence: *sequence }, *sequence);
@@ -54,7 +55,7 @@
     StateUpdate { version, base: UpdateBase::Empty, writes, digest }
 }
 
-/// The whole value that an update with all registers stands for; `None` where the registers can't be read.
+/// Converts an update that holds all registers to a whole value; `None` where the registers can't be decoded.
 pub fn to_whole_value(partition: PartitionId, update: StateUpdate) -> Option<AcceptedValue> {
     let Version { ballot, sequence } = update.version;
     let registers = RegisterMap::from_whole(sequence, update.writes);
@@ -79,13 +80,13 @@
     }
 }
 
-/// What a node of such a release has promised and accepted.
+/// Converts what a node of a release before registers has promised and accepted.
 pub fn to_transferred_state(partition: PartitionId, whole: &AcceptorState) -> TransferredState {
     let accepted = whole.accepted.as_ref().map(|value| to_update(partition, value));
     TransferredState { promised: whole.promised, accepted }
 }
 
-/// What this replica has promised and accepted, for a node of such a release.
+/// What this replica has promised and accepted, for a node of a release before registers.
 pub fn to_whole_state(partition: PartitionId, acceptor: &Acceptor) -> AcceptorState {
     AcceptorState { promised: acceptor.promised(), accepted: accepted_value(partition, acceptor) }
 }
@@ -95,7 +96,7 @@
     has_accepted.then(|| to_whole_value(partition, acceptor.accepted_update(None))).flatten()
 }
 
-/// Whether the sender of a message understands registers, where the message shows it.
+/// Whether the sender of a message understands registers; `None` where the message does not show it.
 pub fn sender_supports_registers(message: &ConsensusMessage) -> Option<bool> {
     match message {
         ConsensusMessage::WholePrepare { .. }
@@ -113,7 +114,7 @@
     }
 }
 
-/// A message from a node of any release, with registers.
+/// Converts a message from a node of any release to one with registers; a message without a whole value stays as it is.
 pub fn to_register_message(partition: PartitionId, message: ConsensusMessage) -> ConsensusMessage {
     match message {
         ConsensusMessage::WholePrepare { ballot } => {
@@ -130,8 +131,8 @@
     }
 }
 
-/// A message of this replica, for a node of such a release; `None` where there is nothing to say to it. Contents are sent whole, as
-/// the acceptor has them now.
+/// Converts a message of this replica for a node of a release before registers; `None` where there is nothing to send to that node.
+/// Contents are sent whole, as the acceptor has them now.
 pub fn to_whole_value_message(
     partition: PartitionId,
     message: &ConsensusMessage,
