--- a/control/src/consensus/partition/effect.rs
+++ b/control/src/consensus/partition/effect.rs
@@ -1,22 +1,22 @@
-//! What a partition wants done by its caller.
+//! The effects that a partition's replica asks its caller to carry out.
 
 use ivyhatch_protocol::ids::{Ballot, NodeId};
 use ivyhatch_protocol::peer::ConsensusMessage;
 use ivyhatch_protocol::registers::{StateUpdate, Version};
 
-/// How committed contents became known, for the disk.
+/// How a commit became known, for the record on disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommitRecord {
-    /// This version, which the disk holds as accepted, is committed.
+    /// This version, which the disk already holds as accepted, is committed.
     Accepted(Version),
-    /// Another replica has sent the contents.
+    /// Another replica has sent these committed contents.
     Learned(StateUpdate),
 }
 
-/// What a partition wants done. The caller carries effects out in order.
+/// What a partition's replica asks its caller to do. The caller carries effects out in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Send a message to a node, which may be this one.
+    /// Send a message to a node, possibly to this one.
     Send(NodeId, ConsensusMessage),
     /// Send a message to several other nodes.
     Broadcast(Vec<NodeId>, ConsensusMessage),
@@ -24,14 +24,15 @@
     Promise(Ballot, NodeId, ConsensusMessage),
     /// Store the accepted update, and send the message once it is durable.
     Accept(StateUpdate, NodeId, ConsensusMessage),
-    /// Send the message once all that was stored before is durable.
+    /// Send the message once all records of earlier effects are durable.
     SendWhenDurable(NodeId, ConsensusMessage),
-    /// More is committed. The caller stores the record and publishes the committed contents.
+    /// A newer version is committed. The caller stores the record and publishes the committed contents.
     Committed(CommitRecord),
-    /// A digest shows that the contents here are not those of another replica, which is asked for them whole.
+    /// The digests differ: the contents here are not those of another replica, from which whole contents are requested.
     Diverged,
-    /// A quorum has confirmed that this leader's ballot was still the highest after [`super::PartitionReplica::confirm`] with this number.
+    /// A quorum has confirmed that this leader's ballot was still the highest after the call of
+    /// [`super::PartitionReplica::confirm`] with this number.
     QuorumConfirmed(u64),
-    /// This replica no longer contends or leads. Whether proposals in flight will be committed is unknown.
+    /// This replica is no longer candidate or leader. Whether its proposals in flight will be committed is unknown.
     SteppedDown,
 }
--- a/control/src/consensus/partition/leadership.rs
+++ b/control/src/consensus/partition/leadership.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of the voters: how far each of them is, and when an acknowledgement is overdue.
+//! A leader's record of its voters: which changes each has acknowledged, and when an acknowledgement is overdue.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,21 +6,22 @@
 use ivyhatch_protocol::peer::majority;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
-/// The shortest wait for an acknowledgement: a few round trips and the sync of a slow disk.
+/// The shortest wait for an acknowledgement before a resend: a few round trips and the sync of a slow disk.
 pub(super) const MIN_RETRY_INTERVAL: Nanos = 300 * MILLISECOND;
-/// The longest wait for an acknowledgement.
+/// The longest wait for an acknowledgement before a resend.
 const MAX_RETRY_INTERVAL: Nanos = 2400 * MILLISECOND;
-/// The wait is the smoothed time of an acknowledgement and this many times its mean deviation (RFC 6298, section 2).
+/// The wait is the smoothed acknowledgement time plus this many times its mean deviation (RFC 6298, section 2).
 const DEVIATION_FACTOR: u64 = 4;
-/// The weight of a new measurement in the smoothed time is one in so many, and twice that in its deviation (RFC 6298, section 2).
+/// A new measurement has 1 / `SMOOTHING_DIVISOR` of the weight in the smoothed time, and twice that in its mean deviation (RFC 6298,
+/// section 2).
 const SMOOTHING_DIVISOR: u64 = 8;
 
-/// How long a voter takes to acknowledge, and for how long it is waited for (RFC 6298).
+/// Measures how long a voter takes to acknowledge, and derives the wait before a resend (RFC 6298).
 #[derive(Clone, Copy, Debug, Default)]
 struct AcknowledgementTimer {
     smoothed: Option<Nanos>,
     deviation: Nanos,
-    /// How often the present wait has been doubled.
+    /// How often the wait has been doubled since the last acknowledgement (exponential backoff).
     doublings: u32,
 }
 
@@ -44,14 +45,14 @@
     }
 }
 
-/// How far a voter is.
+/// What a voter was sent, and what it has acknowledged.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Progress {
     /// The last change that the voter has acknowledged under this ballot.
     matched: Option<u64>,
-    /// The last change that the voter is known to have committed; none where it needs whole contents.
+    /// The last change that the voter is known to have committed; `None` where the voter needs whole contents.
     committed: Option<u64>,
-    /// The last change that was sent to it under this ballot.
+    /// The last change that was sent to the voter under this ballot.
     sent: Option<u64>,
     sent_at: Nanos,
     was_sent_again: bool,
@@ -59,25 +60,25 @@
 }
 
 impl Progress {
-    /// A voter that is known to have committed this change, and was sent nothing.
+    /// The progress of a voter that is known to have committed this change, and was sent nothing yet.
     pub(super) fn new(committed: Option<u64>) -> Self {
         Self { committed, ..Self::default() }
     }
 
-    /// The change up to which the voter's contents agree with the leader's, if all that was sent arrives in order.
+    /// The change up to which the voter's contents will be the leader's if all that was sent arrives in order.
     fn expected(&self) -> Option<u64> {
         self.sent.or(self.acknowledged())
     }
 
-    /// The change up to which the voter's contents are known to agree with the leader's.
+    /// The change up to which the voter's contents are known to be the leader's.
     fn acknowledged(&self) -> Option<u64> {
         self.matched.max(self.committed)
     }
 
-    /// All changes up to this one are sent now. Returns the change up to which the voter has them already.
+    /// Records that all changes up to `sequence` are sent now. Returns the change up to which the voter is expected to have them.
     pub(super) fn send(&mut self, now: Nanos, sequence: u64) -> Option<u64> {
         let known = self.expected();
-        // Of several changes in flight the first is measured and waited for.
+        // With several changes in flight, the acknowledgement of the first is measured and waited for.
         if self.sent.is_none() || self.sent == self.matched {
             (self.sent_at, self.was_sent_again) = (now, false);
         }
@@ -85,7 +86,7 @@
         known
     }
 
-    /// The voter has acknowledged all changes up to this one.
+    /// Records that the voter has acknowledged all changes up to `sequence`.
     pub(super) fn acknowledge(&mut self, now: Nanos, sequence: u64) {
         if self.matched >= Some(sequence) {
             return;
@@ -95,24 +96,25 @@
         if !self.was_sent_again {
             self.timer.record(now.saturating_sub(self.sent_at));
         }
-        // What is still in flight is waited for from now on.
+        // The wait for changes that are still in flight starts anew.
         (self.sent_at, self.was_sent_again) = (now, false);
     }
 
-    /// Whether the last change was sent, and its acknowledgement is overdue.
+    /// Whether the voter was sent changes that it has not acknowledged, and the acknowledgement is overdue.
     fn is_overdue(&self, now: Nanos) -> bool {
         self.sent > self.matched && now >= self.sent_at + self.timer.wait()
     }
 
-    /// All that the voter has not acknowledged is sent again. Returns the change up to which it has.
+    /// Records that all unacknowledged changes are sent again now, and doubles the wait. Returns the change after which they begin.
     pub(super) fn send_again(&mut self, now: Nanos) -> Option<u64> {
         (self.sent_at, self.was_sent_again) = (now, true);
         self.timer.doublings = (self.timer.doublings + 1).min(MAX_RETRY_INTERVAL.ilog2());
         self.acknowledged()
     }
 
-    /// The voter lacks changes before those that it was sent up to `sequence`. Returns whether it is to be sent what it lacks now: not
-    /// where more was sent since, as it will say so of that as well, nor right after it was sent again what it lacks.
+    /// Records a voter's report that it lacks changes before those that it was sent up to `sequence`. Returns whether to send the
+    /// missing changes now: not where more changes were sent since, as the voter will report those as well, and not right after a
+    /// resend.
     pub(super) fn on_behind(&mut self, now: Nanos, sequence: u64, committed: Option<u64>) -> bool {
         if self.sent != Some(sequence) {
             return false;
@@ -130,9 +132,10 @@
 #[derive(Clone, Debug)]
 pub(super) struct Leadership {
     pub(super) ballot: Ballot,
-    /// The last change of the leaders before. The leader is ready once it is committed.
+    /// The last change of earlier leaders. This leader may propose changes once that one is committed.
     pub(super) recovered: u64,
     progress: BTreeMap<NodeId, Progress>,
+    /// The voters that have confirmed the ballot, by the number of each confirmation in flight.
     pub(super) confirmations: BTreeMap<u64, BTreeSet<NodeId>>,
 }
 
@@ -149,7 +152,7 @@
         self.progress.keys().copied()
     }
 
-    /// The voters whose acknowledgement is overdue.
+    /// The voters with overdue acknowledgements.
     pub(super) fn overdue(&self, now: Nanos) -> Vec<NodeId> {
         let overdue = self.progress.iter().filter(|(_, progress)| progress.is_overdue(now));
         overdue.map(|(voter, _)| *voter).collect()
--- a/control/src/consensus/partition/mod.rs
+++ b/control/src/consensus/partition/mod.rs
@@ -1,11 +1,12 @@
-//! The consensus on one partition, as one replica runs it: acceptor, and, while it contends for the partition, candidate or leader.
+//! The consensus on one partition, as one replica runs it. The replica is an acceptor, and a candidate or leader while it contends for
+//! the partition.
 //!
 //! A candidate prepares a ballot on a quorum of the voters (`Prepare`, answered by `Promise`: Paxos phase 1). The newest version that
-//! was accepted before comes with the promises, as far as the candidate lacks it, and is proposed again under the new ballot. From
-//! then on each change takes one round trip (`Accept`, answered by `Accepted`: phase 2) and is committed once a quorum has stored it.
-//! Several changes may be in flight; a voter accepts them in their order, so that they are committed in their order. A voter rejects
-//! every ballot below the one that it has promised, so that of two leaders at least one fails. There is no log: a voter that lacks
-//! changes says up to which one its contents are the leader's (`Behind`), and is sent the registers that were written since.
+//! was accepted before is returned with the promises, as far as the candidate lacks it, and is proposed again under the new ballot.
+//! From then on each change takes one round trip (`Accept`, answered by `Accepted`: phase 2) and is committed once a quorum has stored
+//! it. Several changes may be in flight; a voter accepts changes in their order, so that they are committed in their order. A voter
+//! rejects every ballot below the one that it has promised, so that of two leaders at least one fails. There is no log: a voter that
+//! lacks changes reports the last one up to which its contents are the leader's (`Behind`), and is sent the registers written since.
 //! `Confirm` asks a quorum whether a ballot is still the highest, before a read is answered.
 
 mod effect;
@@ -24,17 +25,17 @@
 use self::leadership::Leadership;
 use super::acceptor::Acceptor;
 
-/// The most changes of a partition that are in flight at once.
+/// The maximum number of uncommitted changes in flight in a partition.
 pub const MAX_IN_FLIGHT: u64 = 16;
 
-/// What a voter has promised a candidate.
+/// A voter's promise to a candidate, with the voter's accepted update as far as the candidate lacks it.
 #[derive(Clone, Debug)]
 struct Promised {
     accepted: Option<StateUpdate>,
     committed: u64,
 }
 
-/// An election: the replica prepares a ballot.
+/// An election in progress: the replica prepares a ballot.
 #[derive(Clone, Debug)]
 struct Candidacy {
     ballot: Ballot,
@@ -71,20 +72,20 @@
     voters: Vec<NodeId>,
     acceptor: Acceptor,
     role: Role,
-    /// The highest counter of any ballot that is known.
+    /// The highest counter among the ballots seen so far.
     highest_counter: u64,
 }
 
 impl PartitionReplica {
-    /// A follower with what its disk holds, and no voters yet. No other process of the node has the same incarnation: ballots are
-    /// unique by it.
+    /// A follower with the state restored from disk, and no voters yet. `incarnation` must differ from that of every other process of
+    /// the node, as it makes ballots unique.
     pub fn new(node: NodeId, incarnation: u64, acceptor: Acceptor) -> Self {
         let highest_counter = acceptor.promised().counter;
         let (voters, role) = (Vec::new(), Role::Follower);
         Self { node, incarnation, voters, acceptor, role, highest_counter }
     }
 
-    /// Sets the voters. Leadership under other voters ends.
+    /// Sets the voters. Leadership under the previous voters ends.
     pub fn set_voters(&mut self, voters: &[NodeId], out: &mut Vec<Effect>) {
         self.step_down(out);
         self.voters = voters.to_vec();
@@ -95,26 +96,27 @@
         &self.acceptor
     }
 
-    /// What this replica has promised and accepted, for one whose contents agree with the committed ones up to a change.
+    /// What this replica has promised and accepted, for a replica whose committed contents are the same up to `receiver_sequence`;
+    /// with whole contents for `None`.
     pub fn transferred_state(&self, receiver_sequence: Option<u64>) -> TransferredState {
         let has_accepted = self.acceptor.accepted().sequence > 0;
         let accepted = has_accepted.then(|| self.acceptor.accepted_update(receiver_sequence));
         TransferredState { promised: self.acceptor.promised(), accepted }
     }
 
-    /// Whether [`PartitionReplica::merge`] would keep all that another replica has accepted.
+    /// Whether [`PartitionReplica::merge`] would lose nothing that another replica has accepted.
     pub fn can_merge(&self, other: &TransferredState) -> bool {
         self.acceptor.can_merge(other.accepted.as_ref())
     }
 
-    /// Merges what another replica has promised and accepted, where that is newer. The caller makes the promise and the update, if one
-    /// is returned, durable.
+    /// Merges what another replica has promised and accepted, where that is newer. The caller makes the promise durable, and the update
+    /// if one is returned.
     pub fn merge(&mut self, other: &TransferredState) -> Option<StateUpdate> {
         self.highest_counter = self.highest_counter.max(other.promised.counter);
         self.acceptor.merge(other)
     }
 
-    /// The number of the last change that is known to be committed; 0 for none.
+    /// The sequence number of the last change that is known to be committed; 0 for none.
     pub fn committed_sequence(&self) -> u64 {
         self.acceptor.committed().sequence
     }
@@ -124,7 +126,7 @@
         self.role.ballot().is_some()
     }
 
-    /// The ballot under which this replica leads, if it does: a quorum has promised it.
+    /// The ballot under which this replica leads, which a quorum has promised; `None` where this replica does not lead.
     pub fn leader_ballot(&self) -> Option<Ballot> {
         match &self.role {
             Role::Leader(leadership) => Some(leadership.ballot),
@@ -132,13 +134,13 @@
         }
     }
 
-    /// The leader's ballot, while no proposal is in flight.
+    /// The ballot under which this replica leads; `None` also while a proposal is in flight.
     pub fn ready_ballot(&self) -> Option<Ballot> {
         self.leader_ballot().filter(|_| self.in_flight() == 0)
     }
 
-    /// Whether [`PartitionReplica::propose`] may be called: all changes of the leaders before are committed, and not too many of this
-    /// one are in flight.
+    /// Whether [`PartitionReplica::propose`] may be called: this replica leads, all changes of earlier leaders are committed, and fewer
+    /// than [`MAX_IN_FLIGHT`] changes are in flight.
     pub fn can_propose(&self) -> bool {
         match &self.role {
             Role::Leader(leadership) => {
@@ -152,7 +154,7 @@
         self.acceptor.accepted().sequence.saturating_sub(self.committed_sequence())
     }
 
-    /// Ends the leadership, or the election.
+    /// Ends this replica's leadership or election, if there is one.
     pub fn step_down(&mut self, out: &mut Vec<Effect>) {
         if self.is_contending() {
             self.role = Role::Follower;
@@ -160,7 +162,7 @@
         }
     }
 
-    /// Records another replica's ballot. Leadership under a lower one ends, and the next ballot of this replica is higher.
+    /// Records another replica's ballot. Leadership under a lower ballot ends, and the next ballot of this replica will be higher.
     pub fn observe_ballot(&mut self, ballot: Ballot, out: &mut Vec<Effect>) {
         self.highest_counter = self.highest_counter.max(ballot.counter);
         if self.role.ballot().is_some_and(|own| own < ballot) {
@@ -168,8 +170,8 @@
         }
     }
 
-    /// Handles a message. A replica that is no voter ignores requests for its vote: any answer could break a promise that another
-    /// replica of its node has made. Messages of releases before registers are translated before they come here, see
+    /// Handles a message. A replica that is not a voter ignores requests for its vote: any response could break a promise that another
+    /// replica of the same node has made. Messages of releases before registers are converted before this call, see
     /// [`super::whole_values`].
     pub fn handle(
         &mut self,
--- a/control/src/consensus/partition/proposer.rs
+++ b/control/src/consensus/partition/proposer.rs
@@ -1,4 +1,5 @@
-//! The replica as a candidate and as the leader: it prepares a ballot, proposes changes and commits them once a quorum has stored them.
+//! The replica as a candidate, which prepares a ballot, and as the leader, which proposes changes and commits each once a quorum has
+//! stored it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,7 +13,7 @@
 use super::{Candidacy, CommitRecord, Effect, PartitionReplica, Promised, Role};
 
 impl PartitionReplica {
-    /// Starts an election: prepares a new ballot, above all that are known.
+    /// Starts an election: prepares a new ballot above all ballots seen so far.
     pub fn start_election(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         self.highest_counter += 1;
         let ballot = Ballot { counter: self.highest_counter, node: self.node, incarnation: self.incarnation };
@@ -24,8 +25,8 @@
         ConsensusMessage::Prepare { ballot, committed, accepted: self.acceptor.accepted() }
     }
 
-    /// Proposes a change: the registers to write, and those to remove. Returns its number; `None`, without effect, unless
-    /// [`PartitionReplica::can_propose`].
+    /// Proposes a change: the registers to write, and those to remove, whose value is `None`. Returns the sequence number of the change;
+    /// returns `None` and does nothing unless [`PartitionReplica::can_propose`].
     pub fn propose(
         &mut self,
         now: Nanos,
@@ -39,10 +40,10 @@
         Some(sequence)
     }
 
-    /// Accepts an update under the leader's own ballot, and sends each voter what it lacks of the result.
+    /// Accepts an update under the leader's own ballot, and sends each voter the part of the result that the voter lacks.
     fn send_proposal(&mut self, now: Nanos, update: StateUpdate, out: &mut Vec<Effect>) {
         if self.acceptor.accept(&update) != AcceptOutcome::Accepted {
-            // Something newer was committed by another leader.
+            // Another leader has committed a newer change.
             return self.step_down(out);
         }
         let Version { ballot, sequence } = update.version;
@@ -63,8 +64,8 @@
         }
     }
 
-    /// Asks the voters whether the leader's ballot is still the highest; `number` comes back with [`Effect::QuorumConfirmed`]. Such
-    /// messages are not sent again: the caller cancels a confirmation that takes too long.
+    /// Asks the voters whether the leader's ballot is still the highest; [`Effect::QuorumConfirmed`] returns `number`. The messages are
+    /// not sent again when lost: the caller cancels a confirmation that takes too long.
     pub fn confirm(&mut self, number: u64, out: &mut Vec<Effect>) {
         let Role::Leader(leadership) = &mut self.role else { return };
         let ballot = leadership.ballot;
@@ -72,14 +73,14 @@
         self.send_to_voters(&ConsensusMessage::Confirm { ballot, request_id: number }, out);
     }
 
-    /// Drops a confirmation that nothing waits for any longer.
+    /// Drops a confirmation that no request waits for any longer.
     pub fn cancel_confirmation(&mut self, number: u64) {
         if let Role::Leader(leadership) = &mut self.role {
             leadership.confirmations.remove(&number);
         }
     }
 
-    /// Sends again to voters whose answer is overdue.
+    /// Sends messages again to voters whose response is overdue.
     pub fn tick(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         match &mut self.role {
             Role::Follower => {}
@@ -95,7 +96,7 @@
                 out.extend(missing.into_iter().map(|voter| Effect::Send(voter, message.clone())));
             }
             Role::Leader(leadership) => {
-                // The replica's own acknowledgement waits for its disk, and is not lost.
+                // This replica's own acknowledgement waits for the local disk only, and can't be lost.
                 for voter in leadership.overdue(now).into_iter().filter(|voter| *voter != self.node) {
                     let Some(progress) = leadership.progress_mut(voter) else { continue };
                     let update = self.acceptor.accepted_update(progress.send_again(now));
@@ -130,8 +131,8 @@
         }
     }
 
-    /// Leads under a ballot that a quorum has promised. Whether the newest version among theirs and this replica's own was committed
-    /// is unknown: proposing it again commits it either way.
+    /// Begins to lead under a ballot that a quorum has promised. Whether the newest version that the quorum or this replica has accepted
+    /// was committed is unknown: proposing that version again commits it in either case.
     fn become_leader(
         &mut self,
         now: Nanos,
@@ -178,7 +179,7 @@
         }
     }
 
-    /// A voter lacks what is before an update.
+    /// Handles a voter's report that it lacks changes before the update of this version.
     pub(super) fn on_behind(
         &mut self,
         now: Nanos,
--- a/control/src/consensus/partition/voter.rs
+++ b/control/src/consensus/partition/voter.rs
@@ -1,4 +1,4 @@
-//! The replica as a voter and as a reader of what is committed: it promises ballots, accepts changes and learns of commits.
+//! The replica as a voter, which promises ballots and accepts changes, and as a learner of commits.
 
 use ivyhatch_protocol::ids::{Ballot, NodeId};
 use ivyhatch_protocol::peer::ConsensusMessage;
@@ -64,8 +64,8 @@
         out.push(Effect::Send(from, ConsensusMessage::Confirmed { ballot, request_id: number }));
     }
 
-    /// A change is committed. Under a higher ballot than this leader's that shows that a quorum has promised that ballot: a proposal in
-    /// flight here may have been committed by the other leader, and would never be answered.
+    /// Handles a commit. A ballot above this leader's shows that a quorum has promised that ballot, and this leader steps down: the other
+    /// leader may have committed a proposal that is in flight here, whose request would otherwise never be answered.
     pub(super) fn on_commit(&mut self, from: NodeId, version: Version, out: &mut Vec<Effect>) {
         self.observe_ballot(version.ballot, out);
         match self.acceptor.commit(version) {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Contents that another replica knows to be committed, see [`PartitionReplica::on_commit`].
+    /// Handles contents that another replica knows to be committed; a higher ballot as in [`PartitionReplica::on_commit`].
     pub(super) fn on_committed(&mut self, from: NodeId, update: StateUpdate, out: &mut Vec<Effect>) {
         self.observe_ballot(update.version.ballot, out);
         match self.acceptor.learn(&update) {
@@ -93,13 +93,13 @@
         }
     }
 
-    /// Asks a replica for what was committed after what is known here.
+    /// Requests the changes from a replica that are committed after the last commit known here.
     fn fetch_newer(&self, from: NodeId, out: &mut Vec<Effect>) {
         let committed = Some(self.committed_sequence());
         out.push(Effect::Send(from, ConsensusMessage::Fetch { committed }));
     }
 
-    /// Promises a ballot. Leadership under a lower one ends.
+    /// Promises a ballot. Leadership under a lower ballot ends.
     fn promise(&mut self, ballot: Ballot, out: &mut Vec<Effect>) {
         self.acceptor.promise(ballot);
         self.observe_ballot(ballot, out);
--- a/control/src/interface.rs
+++ b/control/src/interface.rs
@@ -12,44 +12,44 @@
 use crate::server_list::reader::ReadId;
 use crate::storage::record::Record;
 
-/// An operator's request, or an application's call. The embedder numbers them, and uses no number twice in a process.
+/// Identifies an operator's request or an application's call. Assigned by the embedder, which uses no number twice in a process.
 pub type RequestId = u64;
-/// A watch session, that is, one connection of a router. The embedder numbers them, and uses no number twice in a process.
+/// Identifies a watch session, that is, one connection of a router. Assigned by the embedder, which uses no number twice in a process.
 pub type SessionId = u64;
-/// A write to the disk, numbered in the order in which writes have to become durable.
+/// Identifies a write to the disk. Numbers increase in the order in which writes have to become durable.
 pub type WriteToken = u64;
 
 /// The configuration of a control node.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
-    /// The node: the address of its machine.
+    /// The node's ID: the address of its machine.
     pub node: NodeId,
     /// The zone of its machine.
     pub zone: String,
     /// A random number that no earlier process of the same node had.
     pub incarnation: u64,
-    /// Whether the node has a disk. It can be a voter only with one.
+    /// Whether the node has a disk. A node without one can't be a voter.
     pub has_disk: bool,
     /// Whether this is the very first start of the whole system.
     pub first_start: bool,
-    /// Control nodes that the settings name: the first that are contacted.
+    /// The control nodes in the settings, which are contacted first.
     pub seeds: Vec<NodeId>,
     /// All zones of the deployment.
     pub zones: BTreeSet<String>,
     /// Interval between two reads of the platform's list of servers.
     pub server_list_interval: Nanos,
-    /// A draining node waits no longer than this for a successor.
+    /// The longest time for which a draining node waits for a successor.
     pub drain_timeout: Nanos,
-    /// Whether the node has the partitions of applications' locks, numbers and cells.
+    /// Whether the node holds the partitions of applications' locks, numbers and cells.
     pub has_coordination: bool,
-    /// For how long a watch may go on from a revision of cells that it was given.
+    /// How long a watch can be resumed from a revision of cells after that revision was returned to it.
     pub cell_history: Nanos,
 }
 
-/// What happens to a control node.
+/// An event that a control node handles.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time has passed. Expected about every 100 ms.
+    /// Time has passed. Expected about every 100 ms, as all retries and timeouts depend on ticks.
     Tick,
     /// A connection to another control node is open.
     Connected(NodeId),
@@ -69,17 +69,17 @@
     Watch(SessionId, WatchRequest),
     /// A watch session has ended.
     SessionClosed(SessionId),
-    /// The platform's list of servers, complete.
+    /// The complete list of servers, read from the platform for this [`Output::ReadServerList`].
     ServerList(ReadId, Vec<Server>),
-    /// The platform's list could not be read.
+    /// The platform's list of servers could not be read for this [`Output::ReadServerList`].
     ServerListFailed(ReadId),
-    /// The settings name other seeds now.
+    /// The seeds in the settings have changed to these.
     Seeds(Vec<NodeId>),
     /// Graceful shutdown begins; [`Output::Drained`] ends it.
     Drain,
 }
 
-/// What a control node wants done. The embedder carries outputs out in order.
+/// An action that a control node requests. The embedder carries outputs out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a message to another control node. Messages may be lost; those on one connection must stay in order.
@@ -92,7 +92,7 @@
     Store(WriteToken, Vec<Record>),
     /// Respond to an operator.
     Respond(RequestId, AdminResponse),
-    /// Respond to an application's call with what became of it.
+    /// Respond to an application's call with its outcome.
     EndCall(RequestId, CallOutcome),
     /// Send a message on a watch session.
     Watch(SessionId, WatchResponse),
--- a/control/src/liveness/failure_detector.rs
+++ b/control/src/liveness/failure_detector.rs
@@ -1,4 +1,4 @@
-//! The other control nodes that are known, their last heartbeats, and whether they are reachable.
+//! The other known control nodes, their last heartbeats, and whether each is reachable.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,11 +7,11 @@
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
 /// A node from which nothing was received for this long counts as unreachable: four heartbeat intervals, as a connection between
-/// regions delays a heartbeat now and then.
+/// regions occasionally delays a heartbeat.
 pub const FAILURE_TIMEOUT: Nanos = 850 * MILLISECOND;
-/// A node that is neither a voter nor a seed is forgotten when nothing was received from it for this long.
+/// A node that is neither a voter nor a seed is removed when nothing was received from that node for this long.
 const FORGET_TIMEOUT: Nanos = 60 * SECOND;
-/// A node that is known only from the heartbeats of others is forgotten unless a message comes from it within this time.
+/// A node that is known only from the heartbeats of other nodes is removed unless it sends a message within this time.
 const DISCOVERY_TIMEOUT: Nanos = 5 * SECOND;
 
 /// Another control node.
@@ -19,7 +19,7 @@
 struct Peer {
     last_received_at: Option<Nanos>,
     heartbeat: Option<Heartbeat>,
-    /// Whether the node understands messages that carry registers; none before a message has shown it.
+    /// Whether the node understands messages that carry registers; `None` before a message has shown that.
     supports_registers: Option<bool>,
 }
 
@@ -49,12 +49,12 @@
         self.peers.keys().copied()
     }
 
-    /// Adds a node that this one has a connection to.
+    /// Adds a node to which this one has a connection.
     pub fn add(&mut self, node: NodeId) {
         self.peers.entry(node).or_default();
     }
 
-    /// Records that a message was received. Returns whether its sender is new.
+    /// Records that a message was received. Returns whether its sender was unknown before.
     pub fn record_message(&mut self, now: Nanos, from: NodeId) -> bool {
         if from == self.node {
             return false;
@@ -64,8 +64,8 @@
         is_new
     }
 
-    /// Records a heartbeat, unless a later one of the same process is known: heartbeats on a connection that has ended may be
-    /// overtaken.
+    /// Records a heartbeat, unless a later one of the same process is known: heartbeats on a closed connection may arrive after those
+    /// on its successor.
     pub fn record_heartbeat(&mut self, from: NodeId, heartbeat: Heartbeat) {
         let peer = self.peers.entry(from).or_default();
         let is_newer = peer.heartbeat.as_ref().is_none_or(|known| {
@@ -82,17 +82,17 @@
         self.peers.entry(node).or_default().supports_registers = Some(supports_registers);
     }
 
-    /// Whether a node understands messages that carry registers; `None` before a message has shown it.
+    /// Whether a node understands messages that carry registers; `None` before a message has shown that.
     pub fn supports_registers(&self, node: NodeId) -> Option<bool> {
         self.peers.get(&node)?.supports_registers
     }
 
-    /// Whether a node is known to have the partitions of applications.
+    /// Whether a node's last heartbeat shows that it holds the partitions of applications' calls.
     pub fn supports_coordination(&self, node: NodeId) -> bool {
         self.heartbeat(node).is_some_and(Heartbeat::supports_coordination)
     }
 
-    /// Adds nodes that another node can reach. They stay known if they send something.
+    /// Adds nodes that another node can reach. Each is removed after `DISCOVERY_TIMEOUT` unless it sends a message.
     pub fn discover(&mut self, now: Nanos, nodes: &[NodeId]) {
         let last_received_at = Some(now.saturating_sub(FORGET_TIMEOUT - DISCOVERY_TIMEOUT));
         for node in nodes.iter().filter(|node| **node != self.node) {
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Forgets nodes that were silent for long, and adds those that are always kept: voters and seeds. Returns the nodes to connect
-    /// to, all that are known, where that has changed.
+    /// Removes nodes from which nothing was received for `FORGET_TIMEOUT`, except `permanent` ones (voters and seeds), which are added
+    /// if missing. Returns the nodes to connect to, which are all known ones, if that list has changed.
     pub fn update_connections(&mut self, now: Nanos, permanent: &BTreeSet<NodeId>) -> Option<Vec<NodeId>> {
         self.peers.retain(|node, peer| {
             let last_received_at = peer.last_received_at.unwrap_or(self.started_at);
@@ -123,19 +123,19 @@
         self.peers.get(&node).is_some_and(|peer| peer.is_reachable(now))
     }
 
-    /// The nodes that are reachable.
+    /// The reachable nodes.
     pub fn reachable_nodes(&self, now: Nanos) -> Vec<NodeId> {
         let reachable = self.peers.iter().filter(|(_, peer)| peer.is_reachable(now));
         reachable.map(|(node, _)| *node).collect()
     }
 
-    /// Whether a node is reachable, and reports that it can reach this one.
+    /// Whether a node is reachable and its last heartbeat lists this node as reachable.
     pub fn is_bidirectional(&self, now: Nanos, node: NodeId) -> bool {
         let reaches_this_node = |heartbeat: &Heartbeat| heartbeat.reachable.contains(&self.node);
         self.reachable_heartbeat(now, node).is_some_and(reaches_this_node)
     }
 
-    /// Since when nothing has been received from a node.
+    /// The time of the last message from a node, or of this node's start if there was none.
     pub fn silent_since(&self, node: NodeId) -> Nanos {
         self.peers.get(&node).and_then(|peer| peer.last_received_at).unwrap_or(self.started_at)
     }
@@ -155,7 +155,7 @@
         self.peers.values().filter_map(|peer| peer.heartbeat.as_ref())
     }
 
-    /// The replica on a node, as its last heartbeat has it.
+    /// The replica on a node according to its last heartbeat; `None` without a heartbeat, or if the node has no disk.
     pub fn replica(&self, node: NodeId) -> Option<ReplicaId> {
         let disk = self.heartbeat(node)?.disk?;
         Some(ReplicaId { node, disk })
--- a/control/src/liveness/heartbeat_schedule.rs
+++ b/control/src/liveness/heartbeat_schedule.rs
@@ -1,4 +1,4 @@
-//! When this node sends heartbeats, and when it has sent the last ones.
+//! When the next heartbeat of this node is due, and when the recent ones were sent.
 
 use std::collections::VecDeque;
 
@@ -6,7 +6,7 @@
 
 /// Interval between two heartbeats.
 pub const HEARTBEAT_INTERVAL: Nanos = 200 * MILLISECOND;
-/// For how long the time of a heartbeat is kept. Longer than any age at which a forwarded request is still carried out.
+/// How long the sending time of a heartbeat is kept. Longer than the maximum age at which a forwarded request is still carried out.
 const HISTORY: Nanos = 3 * SECOND;
 
 /// A heartbeat that was sent.
@@ -34,7 +34,7 @@
         self.last_sent_at = 0;
     }
 
-    /// Records that a heartbeat is sent now, and returns its sequence number.
+    /// Records that a heartbeat is sent now, and returns the heartbeat's sequence number.
     pub fn record_sent(&mut self, now: Nanos) -> u64 {
         let sequence = self.sent.back().map_or(1, |last| last.sequence + 1);
         self.last_sent_at = now;
@@ -45,7 +45,8 @@
         sequence
     }
 
-    /// When this process has sent a heartbeat; `None` where that was too long ago, or by an earlier process.
+    /// When this process sent the heartbeat with this sequence number; `None` where that is longer ago than
+    /// `HISTORY`, or an earlier process sent it.
     pub fn sent_at(&self, sequence: u64) -> Option<Nanos> {
         self.sent.iter().find(|heartbeat| heartbeat.sequence == sequence).map(|heartbeat| heartbeat.sent_at)
     }
--- a/control/src/liveness/quorum_contact.rs
+++ b/control/src/liveness/quorum_contact.rs
@@ -1,8 +1,8 @@
-//! Since when this node has been in contact with a quorum.
+//! How long this node has been in contact with a quorum.
 
 use ivyhatch_protocol::{Nanos, SECOND};
 
-/// A node that has been in contact with a quorum for this long has received the reports of all other nodes.
+/// After this time in contact with a quorum, a node has received the reports of all other nodes.
 const SETTLING_TIME: Nanos = 2 * SECOND;
 
 /// Contact with a quorum of the voters.
@@ -12,7 +12,7 @@
 }
 
 impl QuorumContact {
-    /// Updates the contact. Returns whether it was made or lost.
+    /// Updates the contact. Returns whether contact was made or lost by this update.
     pub fn update(&mut self, now: Nanos, has_quorum: bool) -> bool {
         let has_changed = has_quorum != self.since.is_some();
         if has_changed {
@@ -21,7 +21,7 @@
         has_changed
     }
 
-    /// Whether contact has lasted long enough for this node to know what all others know.
+    /// Whether contact has lasted long enough for this node to have received the reports of all other nodes.
     pub fn is_settled(&self, now: Nanos) -> bool {
         self.since.is_some_and(|since| now >= since + SETTLING_TIME)
     }
--- a/control/src/log_event.rs
+++ b/control/src/log_event.rs
@@ -1,4 +1,4 @@
-//! Events for the operator's log, as types; [`LogEvent::name`] and `Display` give their text form.
+//! Typed events for the operator's log; [`LogEvent::name`] and `Display` give their text form.
 
 use std::fmt;
 
@@ -9,9 +9,9 @@
 /// Why a disk is formatted at the start of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FormatReason {
-    /// It holds no records.
+    /// The disk holds no records.
     EmptyDisk,
-    /// It was formatted on another machine: a copy, or a disk that was moved. Its promises are another replica's.
+    /// The disk was formatted on another machine: a copy, or a disk that was moved. The promises on it are another replica's.
     AnotherMachinesDisk,
 }
 
@@ -27,7 +27,7 @@
 /// Where a version of the server list came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerListSource {
-    /// Read by this node for itself, before any control node has the reader's role.
+    /// Read from the platform by this node for its own use, before any control node has the reader's role.
     Bootstrap,
     /// Read from the platform by this node, in the reader's role.
     Platform,
@@ -45,14 +45,14 @@
     }
 }
 
-/// Something that an operator may want to know. `docs/operators/system.md` says what to do about each event.
+/// An event for the operator's log. `docs/operators/system.md` describes what to do about each event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogEvent {
     /// The disk has been formatted as this replica's.
     DiskFormatted {
         /// The new replica.
         replica: ReplicaId,
-        /// Why.
+        /// Why the disk was formatted.
         reason: FormatReason,
     },
     /// Contact with a quorum of the voters was made or lost.
@@ -60,7 +60,7 @@
         /// Whether there is contact now.
         in_contact: bool,
     },
-    /// The status of this replica in the membership has changed.
+    /// This replica's status in the membership has changed.
     ReplicaStatus {
         /// The new status.
         status: ReplicaStatus,
@@ -69,22 +69,22 @@
     },
     /// A newer membership is in force.
     Membership {
-        /// Its generation.
+        /// The membership's generation.
         generation: u64,
-        /// Its voters.
+        /// The membership's voters.
         voters: Vec<ReplicaId>,
     },
     /// A membership was committed that this release can't decode.
     MembershipUndecodable {
-        /// What the decoder says.
+        /// The decoder's error.
         error: String,
     },
-    /// A value was committed that this release can't decode.
+    /// A partition's state was committed that this release can't decode.
     StateUndecodable {
-        /// Its partition.
+        /// The partition.
         partition: PartitionId,
     },
-    /// The contents of a partition here are not those of another replica, and are fetched whole.
+    /// The contents of a partition here differ from those of another replica, and are replaced by whole contents.
     ContentsDiverged {
         /// The partition.
         partition: PartitionId,
@@ -98,28 +98,28 @@
     CoordinationLeader {
         /// The partition.
         partition: PartitionId,
-        /// Locks that are stored.
+        /// The number of stored locks.
         locks: usize,
-        /// Cells that are stored.
+        /// The number of stored cells.
         cells: usize,
-        /// Puts in the history of watches.
+        /// The number of puts in the history for watches.
         events: usize,
     },
     /// A configuration was committed.
     Configuration {
-        /// Its revision, as operators number them.
+        /// The configuration's revision, assigned by operators.
         revision: u64,
-        /// The number of the partition's change.
+        /// The sequence number of the change in the configuration's partition.
         sequence: u64,
-        /// The ballot that it was committed under.
+        /// The ballot under which the change was committed.
         ballot: Ballot,
     },
-    /// This node has begun or ended to read the platform's list of servers.
+    /// This node has started or stopped reading the platform's list of servers.
     ServerListReader {
-        /// The ballot that it reads under; `None` where it no longer reads.
+        /// The ballot under which this node reads the list; `None` where it has stopped.
         ballot: Option<Ballot>,
     },
-    /// Another node has read the list under a higher ballot: this one has to renew its own before it reads on.
+    /// Another node has read the list under a higher ballot: this node has to renew its ballot before its next read.
     ServerListReaderSuperseded {
         /// The higher ballot.
         superseded_by: Ballot,
@@ -131,16 +131,16 @@
     },
     /// A newer version of the server list is in force.
     ServerList {
-        /// Where it came from.
+        /// The source of the version.
         source: ServerListSource,
         /// The reader's ballot.
         ballot: Ballot,
         /// The number of the version under that ballot.
         number: u64,
-        /// How many servers it has.
+        /// The number of servers in the list.
         servers: usize,
     },
-    /// A server is new or has changed.
+    /// A server was added to the list or has changed.
     ServerChanged(Server),
 }
 
--- a/control/src/membership/cluster_view.rs
+++ b/control/src/membership/cluster_view.rs
@@ -1,4 +1,4 @@
-//! What a node knows of the cluster at one moment: which voters are active, and whether they make a quorum.
+//! One node's view of the cluster at one moment: which voters are active, and whether they form a quorum.
 
 use ivyhatch_protocol::Nanos;
 use ivyhatch_protocol::ids::{NodeId, ReplicaId};
@@ -7,7 +7,7 @@
 use crate::liveness::failure_detector::FailureDetector;
 use crate::membership::local_replica::LocalReplica;
 
-/// A view of the cluster from one node, for decisions that change nothing by themselves.
+/// One node's read-only view of the cluster, from which leaders and memberships are decided.
 #[derive(Clone, Copy, Debug)]
 pub struct ClusterView<'a> {
     /// The time of the view.
@@ -25,14 +25,15 @@
 }
 
 impl<'a> ClusterView<'a> {
-    /// The heartbeat of a node that counts now: the two nodes reach each other, and know the same membership.
+    /// The last heartbeat of another node; `None` unless the two nodes reach each other and know the same membership.
     pub fn current_heartbeat(&self, node: NodeId) -> Option<&'a Heartbeat> {
         let heartbeat = self.peers.heartbeat(node)?;
         let same_membership = heartbeat.generation == self.local.generation();
         (same_membership && self.peers.is_bidirectional(self.now, node)).then_some(heartbeat)
     }
 
-    /// Whether a voter can vote now, as far as this node knows.
+    /// Whether a replica votes now, as far as this node knows. A replica of another node counts if that node is in contact, runs this
+    /// replica, and reports it as a voter.
     pub fn is_active_voter(&self, replica: ReplicaId) -> bool {
         if Some(replica) == self.local.id() {
             return self.local.is_voter();
--- a/control/src/membership/local_replica.rs
+++ b/control/src/membership/local_replica.rs
@@ -1,20 +1,20 @@
-//! This node's replica and its standing in the newest membership that the node knows.
+//! This node's replica and its status in the newest membership that the node knows.
 
 use ivyhatch_protocol::ids::{NodeId, ReplicaId};
 use ivyhatch_protocol::peer::{Membership, ReplicaStatus, Voter};
 
 use crate::membership::rules::FIRST_GENERATION;
 
-/// What a process begins with: what its disk holds about the replica.
+/// What the disk holds about the replica when the process starts.
 #[derive(Clone, Debug, Default)]
 pub struct StoredReplica {
     /// The replica that the disk was formatted as; `None` without a disk.
     pub replica: Option<ReplicaId>,
     /// Whether the disk was formatted on the first start of the whole system.
     pub may_bootstrap: bool,
-    /// The newest membership.
+    /// The newest membership; `None` before the first one.
     pub membership: Option<Membership>,
-    /// The generation in which the replica became a voter with all the state that it needs.
+    /// The generation in which the replica became a voter, set once it holds the state that it needs to vote.
     pub joined: Option<u64>,
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl LocalReplica {
-    /// The replica with what its disk holds.
+    /// The replica as restored from disk.
     pub fn new(stored: StoredReplica) -> Self {
         let StoredReplica { replica, may_bootstrap, membership, joined } = stored;
         let status = ReplicaStatus::Uninitialized;
@@ -38,7 +38,7 @@
         local
     }
 
-    /// The replica; `None` without a disk.
+    /// The replica's identity; `None` without a disk.
     pub fn id(&self) -> Option<ReplicaId> {
         self.replica
     }
@@ -73,12 +73,12 @@
         self.membership.iter().flat_map(Membership::nodes)
     }
 
-    /// Whether a replica has a seat in the membership.
+    /// Whether a replica has a seat in the newest known membership, that is, is one of its voters.
     pub fn has_seat(&self, replica: ReplicaId) -> bool {
         self.membership.as_ref().is_some_and(|membership| membership.voter(replica).is_some())
     }
 
-    /// Replaces the membership by a newer one. The caller stores it, and then updates the status.
+    /// Replaces the membership by a newer one. The caller stores the new membership, and then calls [`LocalReplica::update_status`].
     pub fn set_membership(&mut self, membership: Membership) {
         self.membership = Some(membership);
     }
@@ -88,26 +88,26 @@
         self.joined = Some(generation);
     }
 
-    /// Updates the status. Returns the new one if it has changed.
+    /// Updates the status. Returns the new status if it has changed.
     pub fn update_status(&mut self) -> Option<ReplicaStatus> {
         let status = self.status_in_membership();
         (std::mem::replace(&mut self.status, status) != status).then_some(status)
     }
 
-    /// The generation in which the replica joins, where it has a seat and lacks the state that it needs to vote.
+    /// The generation in which the replica joins; `None` unless it has a seat and lacks the state that it needs to vote.
     pub fn joining_generation(&self) -> Option<u64> {
         let voter = self.membership.as_ref()?.voter(self.replica?)?;
         (!self.holds_state_of(voter)).then_some(voter.joined_generation)
     }
 
-    /// Whether the replica may transfer its state to a new voter of this generation: it was a voter in the generation before.
+    /// Whether the replica may transfer its state to a new voter of `generation`: it was a voter in the previous generation.
     pub fn may_transfer_state(&self, generation: u64) -> bool {
         let (Some(membership), Some(replica)) = (&self.membership, self.replica) else { return false };
         let previous = membership.previous_voter(replica);
         generation == membership.generation && previous.is_some_and(|voter| self.holds_state_of(voter))
     }
 
-    /// Whether the replica holds the state that this voter needs to vote. Voters of the first generation need none, as nothing was
+    /// Whether the replica holds the state that it needs to vote as `voter`. Voters of the first generation need none, as nothing was
     /// decided before.
     fn holds_state_of(&self, voter: &Voter) -> bool {
         voter.joined_generation == FIRST_GENERATION || self.joined == Some(voter.joined_generation)
--- a/control/src/membership/mod.rs
+++ b/control/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! The membership: its rules, this node's replica in it, and how it changes.
+//! The membership: its rules, this node's replica in the membership, and the replacement of voters.
 
 pub mod cluster_view;
 pub mod drain;
--- a/control/src/membership/reconfiguration.rs
+++ b/control/src/membership/reconfiguration.rs
@@ -1,5 +1,5 @@
-//! Decisions on the membership from a node's view of the cluster: the first one, the next one, and whether a draining replica is
-//! still needed.
+//! Decisions from a node's view of the cluster: the first membership, the next membership, and whether a draining replica is still
+//! needed.
 
 use ivyhatch_protocol::ids::NodeId;
 use ivyhatch_protocol::peer::{Heartbeat, Membership, ReplicaStatus, Voter};
@@ -8,15 +8,15 @@
 use crate::membership::cluster_view::ClusterView;
 use crate::membership::rules::{self, Candidate, FIRST_GENERATION, VoterHealth};
 
-/// The first membership is created no earlier than this after the start, so that all nodes that start together become voters.
+/// The first membership is created no earlier than this after the process started, so that all nodes that start together are voters.
 pub const BOOTSTRAP_DELAY: Nanos = 1500 * MILLISECOND;
-/// A voter that no other voter could reach for this long gives its seat to a successor in its zone, if there is one.
+/// A voter that no other voter could reach for this long is replaced by a candidate in its zone, if there is one.
 const REPLACEMENT_TIMEOUT: Nanos = 2 * SECOND;
-/// The same for a successor in another zone. Longer than any partition that heals by itself.
+/// The same for a candidate in another zone. Longer than any network partition that ends by itself.
 const LOSS_TIMEOUT: Nanos = 90 * SECOND;
 
-/// The first membership, on the very first start of the whole system: the lowest of the seeds creates it, once it can reach all seeds.
-/// All nodes with a disk that it can reach are voters.
+/// The first membership, on the very first start of the whole system: the seed with the lowest address creates it, once that node can
+/// reach all seeds. All nodes with a disk that it can reach are voters.
 pub fn first_membership(view: &ClusterView<'_>, zone: &str, seeds: &[NodeId]) -> Option<Membership> {
     let is_bootstrap_node = view.local.may_bootstrap() && seeds.iter().min() == Some(&view.node);
     if view.local.membership().is_some() || !is_bootstrap_node {
@@ -38,13 +38,13 @@
     Some(Membership { generation: FIRST_GENERATION, voters, previous: Vec::new() })
 }
 
-/// The next membership, where a voter's seat should go to another replica.
+/// The next membership, with one voter replaced; `None` where no voter should be replaced now.
 pub fn next_membership(view: &ClusterView<'_>) -> Option<Membership> {
     let membership = view.local.membership()?;
     rules::next_membership(membership, &candidates(view), |voter| voter_health(view, voter))
 }
 
-/// Replicas that follow the committed state and have no seat.
+/// Replicas without a seat that follow the committed state and are not draining.
 fn candidates(view: &ClusterView<'_>) -> Vec<Candidate> {
     let candidate = |node: NodeId| {
         let heartbeat = view.current_heartbeat(node)?;
@@ -80,8 +80,8 @@
     }
 }
 
-/// Whether the cluster still needs a replica that is draining: the others have no quorum without it, a candidate could take its seat,
-/// or a new voter has not collected its state yet.
+/// Whether the cluster still needs a draining replica: the other voters have no quorum without it, a candidate could take its seat, or
+/// a new voter has not collected the state to vote yet.
 pub fn is_replica_needed(view: &ClusterView<'_>) -> bool {
     let (Some(membership), Some(replica)) = (view.local.membership(), view.local.id()) else { return false };
     let others = membership.voters.iter().filter(|voter| voter.replica != replica);
--- a/control/src/membership/rules.rs
+++ b/control/src/membership/rules.rs
@@ -1,6 +1,7 @@
-//! The rules of membership: in which order voters lead, and which replica takes which voter's seat.
+//! The rules of membership: the election order of voters, and which replica replaces which voter. A seat is a voter's place in the
+//! membership.
 //!
-//! Each generation of the membership is decided by a quorum of the one before and differs from it in one voter, so that quorums of
+//! Each generation of the membership is decided by a quorum of the previous one and differs from it in one voter, so that quorums of
 //! two successive generations always intersect (Raft thesis, section 4.1: single-server changes). `docs/design/control-safety.md` has
 //! the argument for ballots in place of a log.
 
@@ -10,24 +11,25 @@
 /// The generation of the first membership.
 pub const FIRST_GENERATION: u64 = 1;
 
-/// The order in which voters lead a partition. Each partition begins with another voter, so that the load is spread.
+/// The order in which voters are preferred as the leader of a partition. It starts at another voter for each partition, which spreads
+/// the load.
 pub fn election_order(membership: &Membership, partition: PartitionId) -> impl Iterator<Item = NodeId> {
     let count = membership.voters.len();
     let start = usize::from(partition.0) % count.max(1);
     (0..count).map(move |step| membership.voters[(start + step) % count].replica.node)
 }
 
-/// The condition of a voter, as the leader of the membership sees it.
+/// The condition of a voter, as seen by the leader of the membership's partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoterHealth {
-    /// It is reachable, or has been unreachable for a short time only.
+    /// The voter is reachable, or has been unreachable for a short time only.
     Healthy,
-    /// It is reachable, and is shutting down.
+    /// The voter is reachable, and is shutting down.
     Draining,
-    /// Neither the leader nor any voter that the leader can reach has been able to reach it for some time: a replacement in its zone
-    /// takes its seat.
+    /// Neither the leader nor any voter that the leader can reach has been able to reach this voter for some time: a candidate in its
+    /// zone takes its seat.
     Unreachable,
-    /// The same for so long that a replacement in another zone takes its seat.
+    /// The voter has been unreachable for so long that a candidate in another zone takes its seat.
     Lost,
 }
 
@@ -40,14 +42,14 @@
     pub zone: String,
 }
 
-/// The next membership, where a voter's seat should go to a candidate. In this order:
+/// The next membership, with one seat given to a candidate; `None` where no rule applies. The rules, in order of precedence:
 ///
-/// 1. A machine that comes back with an empty disk takes the seat of its former disk at once.
+/// 1. A machine that returns with an empty disk takes the seat of its former disk at once.
 /// 2. A candidate on another machine takes the seat of a voter of its zone that is draining or unreachable: a platform starts a control
 ///    node beside a running one only to replace it, and a voter that is merely partitioned has no successor in its zone.
 /// 3. A candidate in a zone without a voter takes a seat of a zone that has several, so that the loss of a zone costs few seats.
-/// 4. A candidate takes the seat of a voter of another zone that is lost, where that zone has no candidate. It goes back by rule 3 when
-///    the zone has a control node again.
+/// 4. A candidate takes the seat of a lost voter of another zone, where that zone has no candidate. The seat returns to the zone by
+///    rule 3 when the zone has a control node again.
 pub fn next_membership(
     membership: &Membership,
     candidates: &[Candidate],
@@ -77,7 +79,7 @@
     Some(membership.with_replacement(voter.replica, candidate.replica, &candidate.zone))
 }
 
-/// A voter of a zone that has several, for a candidate whose zone has none; one that is not healthy before others.
+/// A voter of a zone with several voters, whose seat a candidate of a zone without voters takes; an unhealthy one if there is one.
 fn surplus_voter<'a>(
     membership: &'a Membership,
     candidate: &Candidate,
--- a/control/src/membership/state_transfer.rs
+++ b/control/src/membership/state_transfer.rs
@@ -1,5 +1,5 @@
-//! State transfer to a new voter: it collects what the voters of the generation before have promised and accepted, and votes once
-//! the newest of it is durable.
+//! State transfer to a new voter, which collects what the voters of the previous generation have promised and accepted, and votes once
+//! the newest of these states is durable.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 
 use crate::interface::WriteToken;
 
-/// Wait before a state that was requested and has not come is requested again.
+/// Wait before a state that was requested and has not arrived is requested again.
 const REQUEST_INTERVAL: Nanos = 250 * MILLISECOND;
 
 /// The states that voters of the previous generation have sent to a new voter.
@@ -24,7 +24,7 @@
         self.sources.insert(source, partitions);
     }
 
-    /// The states of each partition, once a quorum of the previous generation's voters has sent theirs.
+    /// The states of each partition; `None` until a quorum of the previous generation's voters has sent their states.
     pub fn complete(&self, membership: &Membership) -> Option<BTreeMap<PartitionId, Vec<TransferredState>>> {
         let from_voters =
             self.sources.iter().filter(|(source, _)| membership.previous_voter(**source).is_some());
@@ -57,23 +57,23 @@
 }
 
 impl StateTransfer {
-    /// Begins anew for another membership. A write that is pending still counts for the generation that it was collected for.
+    /// Starts again for another membership. A pending write still counts for the generation for which its state was collected.
     pub fn reset(&mut self) {
         self.collector = StateCollector::default();
         self.requested_at = None;
     }
 
-    /// A state that was received does not apply to what this replica has committed: it is requested whole from now on.
+    /// Requests whole states from now on, as a received state does not apply to the contents that this replica has committed.
     pub fn request_whole_state(&mut self) {
         self.needs_whole_state = true;
     }
 
-    /// Whether states are to be requested whole.
+    /// Whether whole states are to be requested.
     pub fn needs_whole_state(&self) -> bool {
         self.needs_whole_state
     }
 
-    /// Whether the states are to be requested now, by a replica that lacks its state; the time counts as that of the request.
+    /// Whether a replica that lacks its state is to request it now. Records the request if so.
     pub fn begin_request(&mut self, now: Nanos) -> bool {
         let is_due = self.requested_at.is_none_or(|at| now >= at + REQUEST_INTERVAL);
         let begins = is_due && !self.is_writing();
@@ -88,7 +88,7 @@
         self.write.is_some()
     }
 
-    /// Adds the state of one replica. Returns the states once there are enough.
+    /// Adds the state of one replica. Returns the states of each partition once a quorum of the previous generation has sent them.
     pub fn receive(
         &mut self,
         membership: &Membership,
@@ -99,12 +99,12 @@
         self.collector.complete(membership)
     }
 
-    /// The collected state is being written, for a voter that joins in this generation.
+    /// Records that the collected state is being written, for a voter that joins in this generation.
     pub fn write_begun(&mut self, token: WriteToken, joined_generation: u64) {
         self.write = Some(PendingWrite { token, joined_generation });
     }
 
-    /// A write is durable. If it is that of the collected state, returns the generation that the state was collected for.
+    /// Records that a write is durable. If it wrote the collected state, returns the generation for which the state was collected.
     pub fn write_completed(&mut self, token: WriteToken) -> Option<u64> {
         self.write.take_if(|write| write.token == token).map(|write| write.joined_generation)
     }
--- a/control/src/report.rs
+++ b/control/src/report.rs
@@ -12,45 +12,45 @@
 pub struct Report {
     /// The node that reports.
     pub node: NodeId,
-    /// Whether it is in contact with a quorum: if not, the rest may be outdated.
+    /// Whether that node is in contact with a quorum; if not, the other fields may be outdated.
     pub has_quorum: bool,
     /// The membership's generation; 0 for none.
     pub generation: u64,
     /// The voters, and after them the other replicas.
     pub replicas: Vec<ReplicaReport>,
-    /// The partitions.
+    /// The partitions that the reporting node holds, without the membership's.
     pub partitions: Vec<PartitionReport>,
 }
 
 /// One replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaReport {
-    /// The replica.
+    /// The replica's node and disk.
     pub replica: ReplicaId,
     /// The zone of its machine.
     pub zone: String,
-    /// Whether it has a seat in the membership.
+    /// Whether the replica has a seat in the membership.
     pub is_voter: bool,
-    /// Its status, as it reports it; `None` where it is unreachable, or its machine has another replica now.
+    /// The status that the replica reports; `None` where the replica is unreachable, or its machine has another replica now.
     pub status: Option<ReplicaStatus>,
-    /// Whether it is shutting down.
+    /// Whether the replica is shutting down.
     pub is_draining: bool,
-    /// The number of changes, over all partitions, that it has not committed and the reporting node has.
+    /// The number of changes, over all partitions, that the reporting node has committed and this replica has not.
     pub changes_behind: u64,
 }
 
 /// One partition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PartitionReport {
-    /// The partition.
+    /// The partition's ID.
     pub partition: PartitionId,
-    /// The sequence number of its last committed change.
+    /// The sequence number of the partition's last committed change; 0 for none.
     pub committed: u64,
-    /// The node that leads it, or would start the next election.
+    /// The node that leads the partition, or would start the next election; `None` where no voter can lead.
     pub leader: Option<NodeId>,
 }
 
-/// The report of the node whose view this is.
+/// Builds the report of the node whose view `view` is.
 pub fn report(view: &ClusterView<'_>, partitions: &Partitions) -> Report {
     let voters = view.local.membership().into_iter().flat_map(|membership| &membership.voters);
     let mut replicas: Vec<ReplicaReport> =
@@ -115,7 +115,7 @@
     Some(with_heartbeat(report, partitions, heartbeat))
 }
 
-/// Adds what a replica reports itself.
+/// Adds the status that a replica reports in its heartbeat.
 fn with_heartbeat(report: ReplicaReport, partitions: &Partitions, heartbeat: &Heartbeat) -> ReplicaReport {
     let behind =
         |(partition, their_sequence)| partitions.committed_sequence(partition).saturating_sub(their_sequence);
--- a/control/src/storage/durable_state.rs
+++ b/control/src/storage/durable_state.rs
@@ -1,4 +1,4 @@
-//! The state that the records of a control node's disk make up, and the shortest list of records that makes up the same state.
+//! The state that results from the records of a control node's disk, and the shortest list of records that results in the same state.
 
 use std::collections::BTreeMap;
 
@@ -19,14 +19,14 @@
     pub first_start: bool,
 }
 
-/// What all records of a disk make up together.
+/// The state that results from all records of a disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DurableState {
     /// The replica that the disk was formatted as; `None` for an empty disk.
     pub replica: Option<FormattedReplica>,
-    /// The newest membership, once there is one.
+    /// The newest membership; `None` before the first one.
     pub membership: Option<Membership>,
-    /// The generation in which the replica became a voter, once it holds the state that it needs to vote.
+    /// The generation in which the replica became a voter; `None` until the replica holds the state that it needs to vote.
     pub joined: Option<u64>,
     /// What is promised, accepted and committed, by partition.
     pub partitions: BTreeMap<PartitionId, Acceptor>,
@@ -41,7 +41,7 @@
                 *self = Self { replica, ..Self::default() };
             }
             Record::Membership(membership) => {
-                // Each generation decides on the next one anew.
+                // The decision on the next membership starts again in each generation.
                 self.partitions.remove(&PartitionId::MEMBERSHIP);
                 self.membership = Some(membership);
             }
@@ -67,7 +67,7 @@
         self.partitions.entry(partition).or_default()
     }
 
-    /// Records that make up the same state, for compaction.
+    /// Records that result in the same state, for compaction.
     pub fn records(&self) -> Vec<Record> {
         let formatted = self
             .replica
@@ -79,7 +79,7 @@
     }
 }
 
-/// The committed contents, what was accepted since, and the promise.
+/// The records of a partition: its committed contents, the updates accepted since, and the promise.
 fn partition_records((partition, acceptor): (&PartitionId, &Acceptor)) -> Vec<Record> {
     let mut records = Vec::new();
     if acceptor.committed().sequence > 0 {
--- a/control/src/storage/mod.rs
+++ b/control/src/storage/mod.rs
@@ -1,4 +1,4 @@
-//! What a control node's disk holds: its records, and the state that they make up.
+//! What a control node's disk holds: records, and the state that results from them.
 
 pub mod durable_state;
 pub mod record;
