--- a/control/tests/acceptor.rs
+++ b/control/tests/acceptor.rs
@@ -1,4 +1,4 @@
-//! What a replica holds of a partition by itself: accepted and committed contents, whatever the order in which they come.
+//! The acceptor of one replica: accepted and committed contents, in every order in which updates arrive.
 
 use googletest::prelude::*;
 use ivyhatch_control::consensus::acceptor::{AcceptOutcome, Acceptor, CommitOutcome, LearnOutcome};
@@ -20,7 +20,7 @@
     Some(vec![value].into())
 }
 
-/// The leader's replica after these changes under the first ballot, of which the first so many are committed.
+/// The leader's replica after these changes under the first ballot, of which the first `committed` ones are committed.
 fn leader(changes: &[(&str, Option<u8>)], committed: u64) -> Acceptor {
     let mut leader = Acceptor::default();
     for (name, byte) in changes {
@@ -158,7 +158,7 @@
     expect_that!(leader.registers().digest(), eq(expected));
 }
 
-/// The same contents as the leader's in other registers, as of the leader's committed version under a later ballot.
+/// The leader's committed contents split into other registers, with the same sequence number under a later ballot.
 fn in_other_registers(leader: &Acceptor) -> StateUpdate {
     let sequence = leader.committed().sequence;
     let writes: Vec<RegisterWrite> = [("a", 1), ("x", 2)]
@@ -175,7 +175,7 @@
     let update = in_other_registers(&follower);
     expect_that!(follower.accept(&update), eq(AcceptOutcome::Accepted));
     expect_that!(names(&follower), elements_are![eq("a"), eq("x")]);
-    // The replica can propose them again itself, and go on from them.
+    // The replica can propose these contents again itself, and then propose further changes.
     let mut again = follower.accepted_update(Some(2));
     again.version.ballot = ballot(3);
     expect_that!(follower.accept(&again), eq(AcceptOutcome::Accepted));
--- a/control/tests/bootstrap.rs
+++ b/control/tests/bootstrap.rs
@@ -1,4 +1,4 @@
-//! Creation of the first membership, and which replicas are its voters.
+//! Creation of the first membership, and which replicas become its voters.
 
 mod common;
 
@@ -42,7 +42,7 @@
     step(&mut bootstrap_node, 1_600, &[uninitialized(2, 2)]);
     expect_that!(bootstrap_node.membership(), none());
     step(&mut bootstrap_node, 1_700, &[uninitialized(2, 3), uninitialized(3, 1)]);
-    let created = bootstrap_node.membership().expect("it is created");
+    let created = bootstrap_node.membership().expect("the first membership was created");
     let voters: Vec<NodeId> = created.nodes().collect();
     expect_that!(voters, eq(&NODES.to_vec()));
     expect_that!(created.voter(replica(2)), some(anything()));
@@ -67,7 +67,7 @@
     step_and_store(&mut bootstrap_node, 1_600, &[uninitialized(2, 2), uninitialized(3, 2)]);
     let out = step(&mut bootstrap_node, 1_900, &[uninitialized(2, 3), uninitialized(3, 3)]);
     expect_that!(memberships_sent(&out), unordered_elements_are![eq(&NodeId(2)), eq(&NodeId(3))]);
-    let created = bootstrap_node.membership().cloned().expect("it is created");
+    let created = bootstrap_node.membership().cloned().expect("the first membership was created");
     let own_disk = Record::Formatted { replica: replica(2), first_start: true };
     let mut other = ControlPlane::new(node_config(2, true), [own_disk].into_iter().collect(), 0);
     step(&mut other, 2_000, &[(1, PeerMessage::Membership(created))]);
--- a/control/tests/cluster_view.rs
+++ b/control/tests/cluster_view.rs
@@ -1,4 +1,4 @@
-//! Decisions from a node's view of the cluster: active voters, quorum, leaders, and the replica's own status.
+//! Decisions from a node's view of the cluster: active voters, quorum, leaders, and the status of the node's own replica.
 
 use googletest::prelude::*;
 use ivyhatch_control::consensus::elections;
@@ -13,7 +13,7 @@
 
 const NOW: Nanos = 100 * SECOND;
 const OWN: u32 = 1;
-/// Its election order begins with the first node.
+/// A partition whose election order begins with the first node.
 const FIRST: PartitionId = PartitionId(0);
 
 fn replica(node: u32) -> ReplicaId {
@@ -48,7 +48,7 @@
     }
 }
 
-/// The first node, and the others from which it has just received a heartbeat.
+/// The state of the first node, which has just received heartbeats from other nodes.
 struct Node {
     local: LocalReplica,
     peers: FailureDetector,
@@ -60,7 +60,7 @@
     fn with(heartbeats: &[Heartbeat]) -> Self {
         let mut peers = FailureDetector::new(NodeId(OWN), 0);
         for heartbeat in heartbeats {
-            let node = NodeId(heartbeat.disk.expect("a disk") as u32);
+            let node = NodeId(heartbeat.disk.expect("the node has a disk") as u32);
             peers.record_message(NOW, node);
             peers.record_heartbeat(node, heartbeat.clone());
         }
--- a/control/tests/common/mod.rs
+++ b/control/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Builders of control nodes, memberships and heartbeats, and the steps that tests take with them.
+//! Builders of control nodes, memberships and heartbeats, and helpers that deliver inputs to a node and inspect its outputs.
 #![allow(dead_code)]
 
 use std::collections::BTreeSet;
@@ -41,7 +41,7 @@
     }
 }
 
-/// The records of a voter of this membership.
+/// The disk records of a voter of this membership.
 pub fn records(node: u32, membership: Membership) -> Vec<Record> {
     vec![Record::Formatted { replica: replica(node), first_start: true }, Record::Membership(membership)]
 }
@@ -69,7 +69,7 @@
     }
 }
 
-/// Delivers messages to a node, and then a tick; returns the outputs.
+/// Delivers messages to a node, and then a tick. Returns the outputs.
 pub fn step(plane: &mut ControlPlane, at_ms: u64, messages: &[(u32, PeerMessage)]) -> Vec<Output> {
     let (at, mut out) = (at_ms * MILLISECOND, Vec::new());
     for (from, message) in messages {
@@ -79,7 +79,7 @@
     out
 }
 
-/// The same as [`step`], with all writes made durable after it.
+/// Like [`step`], and then reports all writes as durable.
 pub fn step_and_store(plane: &mut ControlPlane, at_ms: u64, messages: &[(u32, PeerMessage)]) -> Vec<Output> {
     let mut out = step(plane, at_ms, messages);
     let writes: Vec<u64> = out
@@ -95,7 +95,7 @@
     out
 }
 
-/// The messages to a node.
+/// The messages that the outputs send to a node.
 pub fn sent_to(out: &[Output], node: u32) -> Vec<&PeerMessage> {
     let message = |output| match output {
         &Output::Send(to, ref message) if to == NodeId(node) => Some(message),
--- a/control/tests/configuration_registers.rs
+++ b/control/tests/configuration_registers.rs
@@ -1,4 +1,4 @@
-//! The registers of the configuration: which of them a change writes, and that they are read as the same configuration.
+//! The registers of the configuration: which registers a change writes, and that the configuration decoded from them is the same.
 
 use googletest::prelude::*;
 use ivyhatch_control::consensus::partition_state::{ConfigurationState, Decision, PartitionState};
@@ -19,10 +19,10 @@
         Self { state, registers: RegisterMap::default(), sequence: 0 }
     }
 
-    /// Applies a request, and returns the registers that it writes. What is read from them is the state that was decided on.
+    /// Applies a request, checks that the state decoded from the registers is the proposed one, and returns the written registers.
     fn apply(&mut self, request: &AdminRequest) -> Vec<RegisterKey> {
         let Decision::Propose { changes, next, .. } = self.state.decide(request) else {
-            panic!("a proposal");
+            panic!("the request is not proposed");
         };
         self.sequence += 1;
         let keys = changes.iter().map(|(key, _)| key.clone()).collect();
@@ -38,7 +38,7 @@
     fn configuration(&self) -> &ConfigurationState {
         match &self.state {
             PartitionState::Configuration(configuration) => configuration,
-            PartitionState::Evacuations(_) => panic!("a configuration"),
+            PartitionState::Evacuations(_) => panic!("not a configuration"),
         }
     }
 }
--- a/control/tests/elections.rs
+++ b/control/tests/elections.rs
@@ -1,7 +1,7 @@
-//! When a node starts its next election after another leader has made it step down.
+//! When a node starts its next election after another leader's ballot has made the node step down.
 //!
-//! Regression: the first voter in the election order backed off for seconds. As no other node contends while it is active, the
-//! platform's list was not read in that time.
+//! Regression: the first voter in the election order backed off for seconds. As no other node contends while that voter is active,
+//! the platform's list of servers was not read in that time.
 
 mod common;
 
--- a/control/tests/failure_detector.rs
+++ b/control/tests/failure_detector.rs
@@ -1,4 +1,4 @@
-//! The failure detector by itself: which nodes it knows, which are reachable, and which heartbeat of a node counts.
+//! The failure detector: which nodes are known, which are reachable, and which heartbeat of a node is kept.
 
 use std::collections::BTreeSet;
 
--- a/control/tests/golden_records.rs
+++ b/control/tests/golden_records.rs
@@ -1,8 +1,8 @@
-//! Records files of a control node that are kept in `golden/`: each is read as the state that was written, and the same records
-//! are written as the same bytes.
+//! Records files of a control node in `golden/`: reading each file gives the state that was written, and writing the same records
+//! gives the same bytes.
 //!
-//! `UPDATE_GOLDEN=1` in the environment writes the files of the present format anew. `format_1.records` was written by the release
-//! before that format (commit 4761d54) from the same encoded records, and can't be written by this one.
+//! With `UPDATE_GOLDEN=1` in the environment, the tests rewrite the files of the current format. `format_1.records` was written by the
+//! release before that format (commit 4761d54) from the same encoded records; this release can't write it.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -27,15 +27,15 @@
 use speedy::{Readable, Writable};
 use tempfile::TempDir;
 
-/// The file's name in the data folder of a control node.
+/// The name of the records file in a control node's data folder.
 const FILE_NAME: &str = "control.records";
-/// Set to `1` in the environment, this writes the golden files anew instead of comparing with them.
+/// The environment variable that, set to `1`, makes the tests rewrite the golden files before they compare.
 const UPDATE_VARIABLE: &str = "UPDATE_GOLDEN";
-/// Holds evacuations that change before the file is compacted.
+/// The partition of evacuations, which change before the file is compacted.
 const EVACUATIONS: PartitionId = PartitionId(3);
-/// Holds a promise and nothing accepted.
+/// A partition with a promise and no accepted change.
 const ONLY_PROMISED: PartitionId = PartitionId(6);
-/// The first block of a file of the present format has this offset, in bytes.
+/// The offset of the first block in a file of the current format, in bytes.
 const FILE_HEADER_LENGTH: usize = 16;
 
 fn node(last: u8) -> NodeId {
@@ -67,7 +67,7 @@
     let text =
         br#"{"revision":7,"routes":[{"name":"chat","host":"chat.example"}],"tenants":[],"owner":"platform"}"#;
     WholeConfiguration {
-        document: Document::parse(text).expect("a readable configuration"),
+        document: Document::parse(text).expect("the configuration can be parsed"),
         applied_digests: vec![11, 0xffee],
     }
 }
@@ -83,7 +83,7 @@
     AcceptedValue { ballot: ballot(counter), sequence, value }
 }
 
-/// Writes in their order, each a block; among them every kind of record.
+/// Writes in order, each of which is one block. They contain every kind of record from before registers.
 fn writes() -> Vec<Vec<Record>> {
     let proposed = second_membership().with_replacement(replica(1), replica(5), "north-c");
     vec![
@@ -112,7 +112,7 @@
     ]
 }
 
-/// A replica that has accepted these whole values in their order, and then promised a ballot.
+/// A replica that has accepted these whole values in order, and then promised a ballot.
 fn acceptor(values: &[(PartitionId, AcceptedValue)], promised: u64) -> Acceptor {
     let mut acceptor = Acceptor::default();
     for (partition, value) in values {
@@ -128,7 +128,7 @@
     acceptor
 }
 
-/// What the records of [`writes`] say together.
+/// The state that results from the records of [`writes`].
 fn expected_state() -> DurableState {
     let first = (PartitionId::CONFIGURATION, accepted(3, 1, &WholeConfiguration::default()));
     let second = accepted(5, 2, &configured());
@@ -140,7 +140,7 @@
     state_with_configuration(configuration)
 }
 
-/// The same where the configuration has this state.
+/// The state that results from the records of [`writes`], with this acceptor for the configuration's partition.
 fn state_with_configuration(configuration: Acceptor) -> DurableState {
     let proposed = second_membership().with_replacement(replica(1), replica(5), "north-c");
     let evacuations = acceptor(&[(EVACUATIONS, accepted(4, 9, &evacuated()))], 6);
@@ -157,7 +157,7 @@
     }
 }
 
-/// What a compacted file of a release before registers says: it holds the last value of each partition.
+/// The state in a compacted file of a release before registers, which holds the last value of each partition only.
 fn expected_whole_values() -> DurableState {
     let value = accepted(5, 2, &configured());
     state_with_configuration(acceptor(&[(PartitionId::CONFIGURATION, value)], 5))
@@ -173,7 +173,7 @@
     RegisterWrite { key: RegisterKey::Zone(zone.to_owned()), sequence, value }
 }
 
-/// Writes with records of registers, each a block.
+/// Writes in order with records of registers, each of which is one block.
 fn register_writes() -> Vec<Vec<Record>> {
     let first = vec![zone_write("north-a", 1, Some(b"one"))];
     let second = update(3, 2, UpdateBase::Since(1), vec![zone_write("north-b", 2, Some(b"two"))]);
@@ -197,7 +197,7 @@
     ]
 }
 
-/// Records that make the file long enough to be compacted, and leave the state as it was before.
+/// Records that make the file long enough to be compacted, and leave the state unchanged.
 fn records_that_trigger_compaction() -> Vec<Record> {
     let long = vec![zone_write("north-a", 1, Some(&vec![0; MIN_COMPACTION_BYTES as usize]))];
     vec![Record::Learned(EVACUATIONS, update(3, 1, UpdateBase::Since(0), long))]
@@ -209,14 +209,14 @@
 
 fn decode(bytes: &[u8]) -> Record {
     let (record, length) = Record::read_with_length_from_buffer(bytes);
-    assert_eq!(length, bytes.len(), "a record takes all of its bytes");
-    record.expect("a record that can be read")
+    assert_eq!(length, bytes.len(), "the record does not use all of its bytes");
+    record.expect("the record can be decoded")
 }
 
-/// Writes to a new file as a control node's disk does, and returns the bytes of the file.
+/// Writes to a new file in the way of a control node's disk, and returns the bytes of the file.
 fn write_file(writes: &[Vec<Record>]) -> Vec<u8> {
-    let folder = tempfile::tempdir().expect("a folder");
-    let (log, found) = Wal::open(folder.path(), FILE_NAME).expect("a new file");
+    let folder = tempfile::tempdir().expect("a temporary folder");
+    let (log, found) = Wal::open(folder.path(), FILE_NAME).expect("a new file can be opened");
     assert!(found.is_empty());
     let (mut log, mut stored) = (CompactingWal::new(log), DurableState::default());
     for records in writes {
@@ -228,7 +228,7 @@
 }
 
 fn read_file(folder: &Path) -> Vec<u8> {
-    fs::read(folder.join(FILE_NAME)).expect("the file")
+    fs::read(folder.join(FILE_NAME)).expect("the records file can be read")
 }
 
 fn golden_path(name: &str) -> PathBuf {
@@ -237,14 +237,14 @@
 
 /// A data folder that holds a copy of a golden file.
 fn folder_with(name: &str) -> TempDir {
-    let folder = tempfile::tempdir().expect("a folder");
-    fs::copy(golden_path(name), folder.path().join(FILE_NAME)).expect("a golden file");
+    let folder = tempfile::tempdir().expect("a temporary folder");
+    fs::copy(golden_path(name), folder.path().join(FILE_NAME)).expect("the golden file can be copied");
     folder
 }
 
-/// Opens the file in a data folder as a control node's disk does.
+/// Opens the file in a data folder in the way of a control node's disk, and returns its records.
 fn read_records(folder: &Path) -> Vec<Record> {
-    let (_, records) = Wal::open(folder, FILE_NAME).expect("a file that can be read");
+    let (_, records) = Wal::open(folder, FILE_NAME).expect("the records file can be opened");
     records.iter().map(|bytes| decode(bytes)).collect()
 }
 
@@ -252,15 +252,15 @@
     read_records(folder).into_iter().collect()
 }
 
-/// Compares bytes with a golden file; writes it first where the environment asks for that.
+/// Compares bytes with a golden file, after rewriting the file if `UPDATE_GOLDEN` is set.
 fn check_bytes(name: &str, bytes: &[u8]) {
     if std::env::var(UPDATE_VARIABLE).is_ok_and(|value| value == "1") {
-        fs::write(golden_path(name), bytes).expect("a folder that can be written to");
+        fs::write(golden_path(name), bytes).expect("the golden file can be written");
     }
-    let golden = fs::read(golden_path(name)).expect("a golden file");
+    let golden = fs::read(golden_path(name)).expect("the golden file can be read");
     assert!(
         golden == bytes,
-        "{name}: other bytes are written now ({} against {})",
+        "{name}: the written bytes differ from the golden file ({} bytes, golden {} bytes)",
         bytes.len(),
         golden.len()
     );
@@ -272,7 +272,7 @@
     let folder = folder_with("appended.records");
     expect_that!(read_records(folder.path()), eq(&writes().concat()));
     expect_that!(read_state(folder.path()), eq(&expected_state()));
-    expect_that!(read_file(folder.path()), eq(&write_file(&writes())), "reading leaves it as it was");
+    expect_that!(read_file(folder.path()), eq(&write_file(&writes())), "reading leaves the file unchanged");
 }
 
 #[gtest]
@@ -342,8 +342,8 @@
     expect_that!(read(PartitionId::CONFIGURATION), some(eq(&configuration)));
     expect_that!(read(EVACUATIONS), some(eq(&PartitionState::Evacuations(evacuated()))));
     let registers = registers(PartitionId::MEMBERSHIP);
-    let value = registers.value(&RegisterKey::Membership).expect("a value");
-    let membership = Membership::read_from_buffer(value).expect("a membership");
+    let value = registers.value(&RegisterKey::Membership).expect("the membership register has a value");
+    let membership = Membership::read_from_buffer(value).expect("the membership can be decoded");
     expect_that!(membership.generation, eq(3));
     expect_that!(membership.previous, eq(&second_membership().voters));
 }
--- a/control/tests/log_event.rs
+++ b/control/tests/log_event.rs
@@ -1,4 +1,4 @@
-//! The text form of log events: names and fields as operators' tools read them.
+//! The text form of log events, which operators' tools parse: names and fields.
 
 use googletest::prelude::*;
 use ivyhatch_control::{FormatReason, LogEvent, ServerListSource};
--- a/control/tests/partition.rs
+++ b/control/tests/partition.rs
@@ -1,4 +1,4 @@
-//! The consensus on one partition: voters by themselves, and a leader while voters lag, messages are lost and other leaders come.
+//! The consensus on one partition: a single voter, and a leader while voters lag, messages are lost and other leaders contend.
 
 use googletest::prelude::*;
 use ivyhatch_control::consensus::acceptor::Acceptor;
@@ -25,7 +25,7 @@
     vec![(key(name), Some(vec![value].into()))]
 }
 
-/// Contents that hold one register, as of this version.
+/// An update whose contents are one register, with this version.
 fn contents(ballot: Ballot, sequence: u64, value: u8) -> StateUpdate {
     let writes = vec![RegisterWrite { key: key("a"), sequence, value: Some(vec![value].into()) }];
     let digest = writes_digest(&writes);
@@ -85,7 +85,7 @@
     let (mut partition, ballot) = leader();
     propose(&mut partition, "a", 7);
     receive(&mut partition, 0, 2, accepted(ballot, 1));
-    // Another leader has found the proposal on the second voter, and committed it under its own ballot.
+    // Another leader has recovered the proposal from the second voter, and committed it under a higher ballot.
     let higher = Ballot { counter: 2, node: NodeId(3), incarnation: 33 };
     let committed = contents(higher, 1, 7);
     let out = receive(&mut partition, 0, 2, ConsensusMessage::Committed(committed.clone()));
@@ -160,13 +160,13 @@
     // The third voter has missed all but the last proposal.
     let behind = |committed| ConsensusMessage::Behind { ballot, sequence: 3, committed };
     let out = receive(&mut partition, 0, 3, behind(Some(1)));
-    let update = sent_update(&out, 3).expect("what it lacks");
+    let update = sent_update(&out, 3).expect("an update with the missing changes");
     expect_that!(update.base, eq(UpdateBase::Since(1)));
     expect_that!(sequences(update), elements_are![eq(&3), eq(&2)]);
-    // It says so again before that has arrived.
+    // A repeated report before the update has arrived causes no resend.
     expect_that!(receive(&mut partition, MILLISECOND, 3, behind(Some(1))), is_empty());
     let out = receive(&mut partition, 400 * MILLISECOND, 3, behind(None));
-    let update = sent_update(&out, 3).expect("whole contents");
+    let update = sent_update(&out, 3).expect("an update with whole contents");
     expect_that!(update.base, eq(UpdateBase::Empty));
     expect_that!(update.writes.len(), eq(2));
 }
@@ -221,7 +221,7 @@
     let update = sent_update(&out, 2).expect("a proposal");
     expect_that!(update.version, eq(Version { ballot, sequence: 2 }));
     expect_that!(update.writes.first().and_then(|write| write.value.clone()), some(eq(&vec![9].into())));
-    // Nothing new is proposed before that is committed.
+    // No new change is proposed before the recovered version is committed.
     expect_false!(partition.can_propose());
     receive(&mut partition, 0, 1, accepted(ballot, 2));
     receive(&mut partition, 0, 2, accepted(ballot, 2));
@@ -287,7 +287,7 @@
     let out = effects(&mut partition, prepare(ballot), true);
     expect_that!(out, elements_are![eq(&promised)]);
     expect_that!(partition.acceptor().promised(), eq(ballot));
-    // A candidate that has the same version needs nothing.
+    // A candidate that has accepted the same version is sent no update.
     let (committed, accepted) = (Some(0), partition.acceptor().accepted());
     let message = ConsensusMessage::Prepare { ballot, committed, accepted };
     let answer = ConsensusMessage::Promise { ballot, accepted: None, committed: 0 };
@@ -361,7 +361,7 @@
     let fetch = |committed| ConsensusMessage::Fetch { committed };
     let out = receive(&mut partition, 0, 3, fetch(Some(1)));
     let Some(Effect::Send(_, ConsensusMessage::Committed(update))) = out.first() else {
-        panic!("contents: {out:?}");
+        panic!("expected committed contents, got {out:?}");
     };
     expect_that!(sequences(update), elements_are![eq(&2)]);
     expect_that!(receive(&mut partition, 0, 3, fetch(Some(2))), is_empty());
--- a/control/tests/partition_state.rs
+++ b/control/tests/partition_state.rs
@@ -1,4 +1,4 @@
-//! What requests do to the value of a partition.
+//! How requests change the state of a partition.
 
 use googletest::prelude::*;
 use ivyhatch_control::consensus::partition_state::{ConfigurationState, Decision, PartitionState, digest};
@@ -20,7 +20,7 @@
 fn after(state: &PartitionState, request: &AdminRequest) -> PartitionState {
     match state.decide(request) {
         Decision::Propose { next, .. } => next,
-        other => panic!("a proposal: {other:?}"),
+        other => panic!("expected a proposal, got {other:?}"),
     }
 }
 
@@ -36,7 +36,7 @@
 
 #[gtest]
 fn configuration_that_builds_on_the_current_revision_is_proposed() {
-    let PartitionState::Configuration(configuration) = configured() else { panic!("a configuration") };
+    let PartitionState::Configuration(configuration) = configured() else { panic!("not a configuration") };
     expect_that!(configuration.document.revision, eq(2));
     expect_that!(configuration.applied_digests, eq(&vec![digest(&put(0, 1)), digest(&put(1, 2))]));
 }
@@ -71,7 +71,7 @@
     let applied_digests = (1..=512).collect();
     let state = PartitionState::Configuration(ConfigurationState { applied_digests, ..Default::default() });
     let PartitionState::Configuration(next) = after(&state, &put(0, 1)) else {
-        panic!("a configuration");
+        panic!("not a configuration");
     };
     expect_that!(next.applied_digests.len(), eq(512));
     expect_that!(next.applied_digests.first(), some(eq(&2)));
--- a/control/tests/reconfiguration.rs
+++ b/control/tests/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! Replacement of a voter: when a successor gets its seat, when the successor votes, and when the former voter may go.
+//! Replacement of a voter: when a successor gets the voter's seat, when the successor votes, and when the former voter may stop.
 
 mod common;
 
@@ -63,7 +63,7 @@
     })
 }
 
-/// The membership that the leader proposes, and when, while it receives these heartbeats every 100 ms.
+/// The membership that the leader proposes, and the time of the proposal in ms, while it receives these heartbeats every 100 ms.
 fn proposal(mut received: impl FnMut(u64) -> Vec<Heartbeat>) -> Option<(u64, Membership)> {
     let mut node = voter(1, membership());
     (1..=60).find_map(|step| {
@@ -242,7 +242,7 @@
         .flatten()
         .collect();
     let ballot = |counter| Ballot { counter, node: NodeId(1), incarnation: 1 };
-    // The newest accepted value of the one, and the highest promise of the other.
+    // The newest accepted update, from the first node, and the highest promise, from the second node.
     expect_that!(stored, contains(eq(&Record::Promised(PartitionId(1), ballot(9)))));
     expect_that!(stored, contains(eq(&Record::AcceptedUpdate(PartitionId(1), update(3, 5)))));
     expect_that!(stored, contains(eq(&Record::Joined(2))));
@@ -361,7 +361,7 @@
     let out = step_and_store(&mut node, 1_000, &[others(1, 2).to_vec(), vec![candidate(2)]].concat());
     expect_false!(is_drained(&out));
     step_and_store(&mut node, 1_100, &[(2, PeerMessage::Membership(replaced()))]);
-    // The successor has its seat, and lacks the state to vote.
+    // The successor has the seat, but lacks the state to vote.
     let joining = heartbeat_message(Heartbeat { generation: 2, ..learner(SUCCESSOR, 3, 3) });
     let out = step_and_store(&mut node, 1_200, &[others(2, 3).to_vec(), vec![joining]].concat());
     expect_false!(is_drained(&out));
@@ -406,7 +406,7 @@
     expect_that!(sent_to(&out, 1).into_iter().filter(|message| is_request(message)).count(), eq(1));
 }
 
-/// The health of voters that are not healthy, by node.
+/// The health of voters: as listed by node, and healthy for all others.
 fn health_of(unhealthy: &[(u32, VoterHealth)]) -> impl Fn(&Voter) -> VoterHealth + '_ {
     |voter| {
         let known = unhealthy.iter().find(|(node, _)| NodeId(*node) == voter.replica.node);
@@ -438,15 +438,15 @@
 fn seat_goes_back_to_a_zone_without_a_voter() {
     let moved = membership().with_replacement(replica(3), replica(SUCCESSOR), &zone(2));
     let candidates = [candidate(6, 3)];
-    let next = next_membership(&moved, &candidates, health_of(&[])).expect("a membership");
+    let next = next_membership(&moved, &candidates, health_of(&[])).expect("a membership is proposed");
     let zones: Vec<&str> = next.voters.iter().map(|voter| voter.zone.as_str()).collect();
     expect_that!(zones, unordered_elements_are![eq(&zone(1)), eq(&zone(2)), eq(&zone(3))]);
-    // Of the two voters of the crowded zone the one that is not healthy loses its seat.
+    // Of the two voters of one zone, the unhealthy one loses its seat.
     let next = next_membership(&moved, &candidates, health_of(&[(2, VoterHealth::Unreachable)]));
-    let next = next.expect("a membership");
+    let next = next.expect("a membership is proposed");
     expect_that!(next.voter(replica(2)), none());
     expect_that!(next.voter(replica(SUCCESSOR)), some(anything()));
-    // A further candidate of a zone that has a voter changes nothing.
+    // A candidate of a zone that already has a voter gets no seat.
     expect_that!(next_membership(&membership(), &[candidate(6, 3)], health_of(&[])), none());
 }
 
--- a/control/tests/state_transfer.rs
+++ b/control/tests/state_transfer.rs
@@ -1,4 +1,4 @@
-//! State transfer to a new voter by itself: when it requests state, whose state counts, and when it is complete.
+//! State transfer to a new voter: when state is requested, whose state counts, and when the transfer is complete.
 
 use googletest::prelude::*;
 use ivyhatch_control::consensus::acceptor::Acceptor;
@@ -48,7 +48,7 @@
     let mut collector = StateCollector::default();
     collector.add(replica(1), state(3, 3));
     collector.add(replica(2), state(2, 8));
-    let collected = collector.complete(&membership()).expect("a quorum");
+    let collected = collector.complete(&membership()).expect("a quorum has sent its states");
     let mut merged = Acceptor::default();
     for state in &collected[&PARTITION] {
         merged.merge(state);
--- a/control/tests/timing.rs
+++ b/control/tests/timing.rs
@@ -1,4 +1,4 @@
-//! The small parts that keep times: heartbeats, contact with a quorum, graceful shutdown, backoff of elections, and repeated requests.
+//! Schedules and timeouts: heartbeats, contact with a quorum, graceful shutdown, election backoff, and repeated requests.
 
 use googletest::prelude::*;
 use ivyhatch_control::consensus::catch_up::CatchUp;
--- a/control/tests/virtual_cluster/calls.rs
+++ b/control/tests/virtual_cluster/calls.rs
@@ -1,4 +1,5 @@
-//! Applications' calls in a cluster in virtual time: any node takes them, and they outlast leaders, restarts, disks and members.
+//! Applications' calls in a cluster in virtual time: any node accepts calls, and acknowledged calls survive changes of the leader,
+//! restarts, the loss of disks and new members.
 
 use googletest::prelude::*;
 use ivyhatch_control::storage::durable_state::DurableState;
@@ -25,11 +26,11 @@
     Call::WatchGroup { group: "g.".to_owned(), after, wait_ms }
 }
 
-/// The value of the next number, at a node.
+/// Requests the next number at a node, and returns its value.
 fn next_number(cluster: &mut Cluster, node: u32) -> u64 {
     match cluster.call(node, number()) {
         CallOutcome::Applied(Reply::Number { value }) => value,
-        other => panic!("{other:?}"),
+        other => panic!("expected a number, got {other:?}"),
     }
 }
 
@@ -62,17 +63,17 @@
 fn acknowledged_calls_survive_a_restart_of_all_nodes() {
     let mut cluster = Cluster::with_coordination();
     let value = next_number(&mut cluster, 1);
-    let first_fence = fence(&cluster.call(2, acquire("a", 1_000))).expect("it is free");
+    let first_fence = fence(&cluster.call(2, acquire("a", 1_000))).expect("the lock is free");
     cluster.call(3, put("one"));
     let disks: Vec<DurableState> = (1..=3).map(|node| cluster.stop(node)).collect();
     for (node, disk) in (1..=3).zip(disks) {
         cluster.start(node, node, disk, false);
     }
-    cluster.run_until("the group is back", |cluster| (1..=3).all(|node| cluster.plane(node).has_quorum()));
-    // Since when the lock is held nobody knows: it is held for its whole time from now on.
+    cluster.run_until("nodes have quorum", |cluster| (1..=3).all(|node| cluster.plane(node).has_quorum()));
+    // No process knows when the lock was acquired: it is held for its whole hold time from the restart on.
     expect_that!(cluster.call(1, acquire("b", 1_000)), eq(&CallOutcome::Refused(Refusal::LockHeld)));
     let restarted_at = cluster.now();
-    cluster.run_until("its time is over", |cluster| cluster.now() > restarted_at + 1_100 * MILLISECOND);
+    cluster.run_until("the hold time elapses", |cluster| cluster.now() > restarted_at + 1_100 * MILLISECOND);
     expect_that!(fence(&cluster.call(1, acquire("b", 1_000))), some(gt(first_fence)));
     expect_that!(next_number(&mut cluster, 2), gt(value));
     let read = Call::ReadCell { name: "g.a".to_owned() };
@@ -92,7 +93,7 @@
         cluster.call(2, put(&format!("before {node}")));
         cluster.stop(node);
         cluster.start(node, node, DurableState::default(), false);
-        cluster.run_until("it votes again", |cluster| {
+        cluster.run_until("the node votes again", |cluster| {
             cluster.votes(node) && (1..=3).all(|node| cluster.plane(node).has_quorum())
         });
         expect_that!(next_number(&mut cluster, node), gt(last));
@@ -113,12 +114,12 @@
         let after = u64::from(node);
         let id = cluster.begin_call(node, watch(after, 5_000));
         let held_until = cluster.now() + 200 * MILLISECOND;
-        cluster.run_until("it is held", |cluster| cluster.now() >= held_until);
+        cluster.run_until("the watch is pending", |cluster| cluster.now() >= held_until);
         expect_that!(cluster.outcome(id), none());
         cluster.call(node % 3 + 1, put(&format!("after {node}")));
-        cluster.run_until("it wakes", |cluster| cluster.outcome(id).is_some());
+        cluster.run_until("the watch returns", |cluster| cluster.outcome(id).is_some());
         expect_that!(
-            event_count_and_revision(cluster.outcome(id).expect("it is there")),
+            event_count_and_revision(cluster.outcome(id).expect("the watch has returned")),
             some(eq((1, after + 1)))
         );
         expect_that!(cluster.now(), lt(held_until + SECOND));
@@ -131,16 +132,19 @@
     cluster.call(1, put("one"));
     let partition = put("").partition();
     let leads = |cluster: &Cluster, node: u32| cluster.plane(node).leader_ballot(partition).is_some();
-    let leader = (1..=3).find(|node| leads(&cluster, *node)).expect("one leads");
+    let leader = (1..=3).find(|node| leads(&cluster, *node)).expect("a node leads");
     let others: Vec<u32> = (1..=3).filter(|node| *node != leader).collect();
     let id = cluster.begin_call(others[0], watch(1, 8_000));
     let held_until = cluster.now() + 200 * MILLISECOND;
-    cluster.run_until("it is held", |cluster| cluster.now() >= held_until);
+    cluster.run_until("the watch is pending", |cluster| cluster.now() >= held_until);
     cluster.stop(leader);
-    cluster.run_until("another leads", |cluster| others.iter().any(|node| leads(cluster, *node)));
+    cluster.run_until("another node leads", |cluster| others.iter().any(|node| leads(cluster, *node)));
     cluster.call_until_known(others[1], put("two"));
-    cluster.run_until("it wakes", |cluster| cluster.outcome(id).is_some());
-    expect_that!(event_count_and_revision(cluster.outcome(id).expect("it is there")), some(eq((1, 2))));
+    cluster.run_until("the watch returns", |cluster| cluster.outcome(id).is_some());
+    expect_that!(
+        event_count_and_revision(cluster.outcome(id).expect("the watch has returned")),
+        some(eq((1, 2)))
+    );
 }
 
 #[gtest]
@@ -149,7 +153,7 @@
     next_number(&mut cluster, 1);
     cluster.stop(2);
     cluster.stop(3);
-    cluster.run_until("it sees that", |cluster| !cluster.plane(1).has_quorum());
+    cluster.run_until("the loss of the quorum is detected", |cluster| !cluster.plane(1).has_quorum());
     let started_at = cluster.now();
     expect_that!(cluster.call(1, number()), eq(&CallOutcome::NotStarted(NotStarted::NoQuorum)));
     expect_that!(cluster.now(), eq(started_at));
@@ -161,17 +165,17 @@
     next_number(&mut cluster, 1);
     let partition = number().partition();
     let leader = (1..=3).find(|node| cluster.plane(*node).leader_ballot(partition).is_some());
-    let leader = leader.expect("one leads");
+    let leader = leader.expect("a node leads");
     let contacted = leader % 3 + 1;
     let id = cluster.begin_call(contacted, number());
     for node in (1..=3).filter(|node| *node != contacted) {
         cluster.stop(node);
     }
-    cluster.run_until("it ends", |cluster| cluster.outcome(id).is_some());
+    cluster.run_until("the call ends", |cluster| cluster.outcome(id).is_some());
     expect_that!(cluster.outcome(id), some(eq(&CallOutcome::Unknown)));
 }
 
-/// Has a configuration committed, and returns how long that takes.
+/// Commits a configuration, and returns the time until the response.
 fn configure(cluster: &mut Cluster, revision: u64) -> Nanos {
     let started_at = cluster.now();
     let body = format!(r#"{{"revision":{revision},"services":[],"routes":[]}}"#).into_bytes();
@@ -183,18 +187,18 @@
 #[gtest]
 fn calls_do_not_delay_a_configuration_change() {
     let mut cluster = Cluster::with_coordination();
-    // Leaders and connections are warm by the third.
+    // The first two changes warm up leaders and connections; the third one is the reference.
     configure(&mut cluster, 1);
     configure(&mut cluster, 2);
     let undisturbed = configure(&mut cluster, 3);
     let waiting: Vec<_> = (0..300).map(|_| cluster.begin_call(1, number())).collect();
     expect_that!(configure(&mut cluster, 4), eq(undisturbed));
-    cluster.run_until("all are answered", |cluster| waiting.iter().all(|id| cluster.outcome(*id).is_some()));
+    cluster.run_until("all calls ended", |cluster| waiting.iter().all(|id| cluster.outcome(*id).is_some()));
     let mut values: Vec<u64> = Vec::new();
     for id in waiting {
         match cluster.outcome(id) {
             Some(CallOutcome::Applied(Reply::Number { value })) => values.push(*value),
-            other => panic!("{other:?}"),
+            other => panic!("expected a number, got {other:?}"),
         }
     }
     values.sort_unstable();
@@ -206,7 +210,7 @@
 fn node_without_coordination_leads_no_coordination_partition() {
     let mut cluster = Cluster::bootstrapped();
     let id = cluster.begin_call(1, number());
-    cluster.run_until("it ends", |cluster| cluster.outcome(id).is_some());
+    cluster.run_until("the call ends", |cluster| cluster.outcome(id).is_some());
     expect_that!(cluster.outcome(id), some(eq(&CallOutcome::NotStarted(NotStarted::NoQuorum))));
     for partition in PartitionId::coordination() {
         expect_that!(cluster.plane(1).leader_ballot(partition), none());
--- a/control/tests/virtual_cluster/catch_up_time.rs
+++ b/control/tests/virtual_cluster/catch_up_time.rs
@@ -1,5 +1,5 @@
-//! The time and the bytes that a node needs to catch up after a restart, with an empty disk, or as a successor do not grow with the
-//! number of past changes.
+//! The time and the bytes in which a node catches up after a restart, with an empty disk, or as a successor do not grow with the number
+//! of past changes.
 
 use googletest::prelude::*;
 use ivyhatch_control::storage::durable_state::DurableState;
@@ -10,17 +10,18 @@
 
 use crate::cluster::Cluster;
 
+/// Numbers of past changes.
 const CHANGE_COUNTS: [u64; 3] = [10, 300, 3_000];
-/// Routes of a configuration.
+/// The number of routes in a configuration.
 const ROUTES: u64 = 200;
-/// The successor of the third node.
+/// The node that replaces the third one.
 const SUCCESSOR: u32 = 4;
-/// A node votes again within this time, however many changes there were: after a restart, a lost disk, or as a successor (which
-/// waits until the voter has been unreachable for two seconds).
+/// Limits of the time until a node votes, independent of the number of changes: after a restart, after the loss of its disk, or as a
+/// successor (whose limit includes the two seconds for which the former voter has to be unreachable).
 const RESTART_LIMIT: Nanos = SECOND;
 const WIPE_LIMIT: Nanos = SECOND;
 const REPLACEMENT_LIMIT: Nanos = 3 * SECOND;
-/// The most that a node is sent while it catches up, as a multiple of the state that it has in the end.
+/// Limit of the bytes that a node is sent while it catches up, as a multiple of the size of its final state.
 const MAX_TRANSFER_RATIO: u64 = 12;
 
 fn body(revision: u64) -> Vec<u8> {
@@ -50,11 +51,10 @@
     cluster.plane(node).committed_state(PartitionId::CONFIGURATION).0
 }
 
-/// The time until a node votes and has all changes, and the bytes that it is sent.
+/// The time until a node votes and has all changes, and the bytes that the node is sent in that time.
 fn catch_up(cluster: &mut Cluster, node: u32, changes: u64) -> (Nanos, u64) {
     let started = cluster.now();
-    cluster
-        .run_until("it is up to date", |cluster| cluster.votes(node) && sequence(cluster, node) == changes);
+    cluster.run_until("node up to date", |cluster| cluster.votes(node) && sequence(cluster, node) == changes);
     (cluster.now() - started, cluster.received(node))
 }
 
--- a/control/tests/virtual_cluster/cluster.rs
+++ b/control/tests/virtual_cluster/cluster.rs
@@ -24,7 +24,7 @@
     plane: ControlPlane,
     incarnation: u64,
     disk: DurableState,
-    /// Bytes that other nodes have sent to it.
+    /// Bytes that other nodes have sent to this node since its start.
     received: u64,
 }
 
@@ -48,7 +48,7 @@
         Self::default().bootstrap()
     }
 
-    /// The same, with the partitions of applications.
+    /// Three nodes with the first membership and with the partitions of applications' calls.
     pub fn with_coordination() -> Self {
         let mut cluster = Self { has_coordination: true, ..Self::default() }.bootstrap();
         cluster.run_until("all nodes are in contact with a quorum", |cluster| {
@@ -67,7 +67,7 @@
         cluster
     }
 
-    /// Starts a node in a zone, with what its disk holds.
+    /// Starts a node in a zone, with this state on its disk.
     pub fn start(&mut self, node: u32, zone: u32, disk: DurableState, first_start: bool) {
         self.start_count += 1;
         let config = NodeConfig {
@@ -89,9 +89,9 @@
         self.schedule(0, NodeId(node), Event::Tick(incarnation));
     }
 
-    /// Stops a node, and returns what its disk holds.
+    /// Stops a node, and returns the state on its disk.
     pub fn stop(&mut self, node: u32) -> DurableState {
-        self.members.remove(&NodeId(node)).expect("it runs").disk
+        self.members.remove(&NodeId(node)).expect("the node is running").disk
     }
 
     pub fn plane(&self, node: u32) -> &ControlPlane {
@@ -121,7 +121,7 @@
         let id = self.last_request_id;
         self.input(NodeId(node), Input::Admin(id, request));
         self.run_until("the request is answered", |cluster| cluster.responses.contains_key(&id));
-        self.responses.remove(&id).expect("it is answered")
+        self.responses.remove(&id).expect("the request is answered")
     }
 
     /// Sends an application's call to a node.
@@ -132,37 +132,37 @@
         id
     }
 
-    /// What became of a call, once it has ended.
+    /// The outcome of a call; `None` until the call has ended.
     pub fn outcome(&self, id: RequestId) -> Option<&CallOutcome> {
         self.outcomes.get(&id)
     }
 
-    /// Sends an application's call to a node, and returns what became of it.
+    /// Sends an application's call to a node, and returns the call's outcome.
     pub fn call(&mut self, node: u32, call: Call) -> CallOutcome {
         let id = self.begin_call(node, call);
         self.run_until("the call ends", |cluster| cluster.outcomes.contains_key(&id));
-        self.outcomes.remove(&id).expect("it has ended")
+        self.outcomes.remove(&id).expect("the call has ended")
     }
 
-    /// The same, again and again until the outcome is clear.
+    /// Sends an application's call to a node, and retries until the call is known to be applied or refused.
     pub fn call_until_known(&mut self, node: u32, call: Call) -> CallOutcome {
         loop {
             match self.call(node, call.clone()) {
                 CallOutcome::Unknown | CallOutcome::NotStarted(_) => {
                     let retry_at = self.now + TICK;
-                    self.run_until("a moment passes", |cluster| cluster.now >= retry_at);
+                    self.run_until("the retry delay passes", |cluster| cluster.now >= retry_at);
                 }
                 outcome => return outcome,
             }
         }
     }
 
-    /// Advances time until the condition holds.
+    /// Advances time until the condition holds; panics with `description` after 20 seconds of virtual time.
     pub fn run_until(&mut self, description: &str, mut is_done: impl FnMut(&Self) -> bool) {
         let end = self.now + 20 * SECOND;
         while !is_done(self) {
             assert!(self.now < end, "timed out: {description}");
-            let ((at, _), (node, event)) = self.queue.pop_first().expect("nodes tick");
+            let ((at, _), (node, event)) = self.queue.pop_first().expect("ticks are scheduled");
             self.now = at;
             self.handle_event(node, event);
         }
@@ -182,7 +182,7 @@
                 self.schedule(TICK, node, Event::Tick(incarnation));
             }
             Event::Stored(incarnation, token, records) if is_running(incarnation) => {
-                let member = self.members.get_mut(&node).expect("it runs");
+                let member = self.members.get_mut(&node).expect("the node is running");
                 records.into_iter().for_each(|record| member.disk.apply(record));
                 self.input(node, Input::Stored(token));
             }
--- a/control/tests/virtual_cluster/main.rs
+++ b/control/tests/virtual_cluster/main.rs
@@ -1,4 +1,4 @@
-//! A cluster of control nodes in virtual time: applications' calls, and how long members take to catch up.
+//! A cluster of control nodes in virtual time: applications' calls, and the time in which members catch up.
 
 mod calls;
 mod catch_up_time;
--- a/control/tests/whole_values.rs
+++ b/control/tests/whole_values.rs
@@ -1,4 +1,4 @@
-//! Compatibility with releases before registers: messages in both directions between a group's nodes while it is upgraded.
+//! Compatibility with releases before registers: messages in both directions between the nodes of a group during an upgrade.
 
 use googletest::prelude::*;
 use ivyhatch_control::consensus::acceptor::{AcceptOutcome, Acceptor, CommitOutcome};
@@ -25,7 +25,7 @@
         let body =
             format!(r#"{{"revision":{revision},"routes":[],"services":[{{"name":"s"}}],"owner":"x"}}"#);
         let request = AdminRequest::Put { base: revision - 1, body: body.into_bytes() };
-        let Decision::Propose { changes, next, .. } = state.decide(&request) else { panic!("a proposal") };
+        let Decision::Propose { changes, next, .. } = state.decide(&request) else { panic!("no proposal") };
         let update = acceptor.next_change(ballot(1), changes);
         assert_eq!(acceptor.accept(&update), AcceptOutcome::Accepted);
         state = next;
@@ -38,7 +38,7 @@
 #[gtest]
 fn whole_value_has_the_contents_of_the_registers() {
     let acceptor = configured();
-    let value = to_whole_value(CONFIGURATION, acceptor.accepted_update(None)).expect("a value");
+    let value = to_whole_value(CONFIGURATION, acceptor.accepted_update(None)).expect("a whole value");
     expect_that!((value.ballot, value.sequence), eq((ballot(1), 2)));
     expect_that!(to_update(CONFIGURATION, &value).digest, eq(acceptor.accepted_update(None).digest));
 }
@@ -46,7 +46,7 @@
 #[gtest]
 fn value_that_can_not_be_decoded_keeps_its_number_and_its_bytes() {
     let mut acceptor = Acceptor::default();
-    let value = to_whole_value(CONFIGURATION, configured().accepted_update(None)).expect("a value");
+    let value = to_whole_value(CONFIGURATION, configured().accepted_update(None)).expect("a whole value");
     let unknown = ivyhatch_protocol::peer::AcceptedValue { value: vec![1, 2, 3], ..value };
     let accepted = acceptor.accept(&to_update(CONFIGURATION, &unknown));
     expect_that!(accepted, eq(AcceptOutcome::Accepted));
@@ -67,7 +67,7 @@
         ConsensusMessage::Commit { ballot: ballot(1), sequence: 1 },
     ];
     for message in messages {
-        let sent = to_whole_value_message(CONFIGURATION, &message, &acceptor).expect("a message");
+        let sent = to_whole_value_message(CONFIGURATION, &message, &acceptor).expect("a converted message");
         let received = to_register_message(CONFIGURATION, sent);
         match (&message, &received) {
             (ConsensusMessage::Prepare { ballot, .. }, ConsensusMessage::Prepare { ballot: other, .. }) => {
@@ -102,7 +102,7 @@
 #[gtest]
 fn heartbeat_shows_what_its_sender_supports() {
     let of = |committed: Vec<u64>| Heartbeat { committed, ..Heartbeat::default() };
-    // Releases before registers, and those before coordination, as they encode it.
+    // The committed sequence numbers as encoded by releases before registers, before coordination, and by this one.
     let whole_values = of(PartitionId::control().map(|_| 5).collect());
     let registers = of(PartitionId::control().map(|_| 5).chain([1]).collect());
     let coordination = of(Heartbeat::encode_committed(true, |partition| u64::from(partition.0)));
