--- a/control/src/consensus/whole_values.rs
+++ b/control/src/consensus/whole_values.rs
@@ -35,7 +35,7 @@
 }
 
 /// The registers for a whole value. A value that can't be decoded is kept in one register unchanged, as its sequence number counts.
-fn registers_of(partition: PartitionId, value: &[u8]) -> RegisterChanges {
+fn to_registers(partition: PartitionId, value: &[u8]) -> RegisterChanges {
     let registers = match partition {
         PartitionId::CONFIGURATION => WholeConfiguration::read_from_buffer(value)
             .map(|whole| configuration_registers(&ConfigurationState::from(whole))),
@@ -50,7 +50,7 @@
     let AcceptedValue { ballot, sequence, value } = whole;
     let (version, sequence) = (Version { ballot: *ballot, sequence: *sequence }, *sequence);
     let write = |(key, value)| RegisterWrite { key, sequence, value };
-    let writes: Vec<RegisterWrite> = registers_of(partition, value).into_iter().map(write).collect();
+    let writes: Vec<RegisterWrite> = to_registers(partition, value).into_iter().map(write).collect();
     let digest = writes_digest(&writes);
     StateUpdate { version, base: UpdateBase::Empty, writes, digest }
 }
