--- a/control/tests/call_queue.rs
+++ b/control/tests/call_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of a partition's leader: the barrier, outcomes that wait, held watches and copies of a call.
+//! The call queue of a partition's leader: the barrier, outcomes that wait, held watches and copies of a call.
 
 use googletest::prelude::*;
 use ivyhatch_control::calls::call_queue::{CallQueue, EnqueuedCall, MAX_WAITING, QueuedCall, ReadyOutcome};
@@ -33,17 +33,17 @@
     let mut queue = CallQueue::default();
     queue.barrier_proposed();
     let state = CoordinationState::from_registers(0, SECOND, &RegisterMap::default());
-    queue.begin_deciding(state.expect("it is empty"));
+    queue.begin_deciding(state.expect("a state from empty registers"));
     queue
 }
 
-/// Decides on a call and proposes what it asks for.
+/// Decides on a call, and records its change as proposed.
 fn propose(queue: &mut CallQueue, sequence: u64, requester: Requester, call: &Call) {
     match queue.decide(0, sequence, call) {
         Some(Decision::Propose { reply, publication, .. }) => {
             queue.proposed(sequence, requester, reply, publication);
         }
-        other => panic!("{other:?}"),
+        other => panic!("the call {call:?} proposes a change: {other:?}"),
     }
 }
 
@@ -119,7 +119,7 @@
     queue.hold_watch(queued(remote(2), watch(1)), SECOND);
     propose(&mut queue, 2, remote(3), &put("two"));
     propose(&mut queue, 3, remote(3), &put("three"));
-    // A watch that comes meanwhile, and knows what is committed, waits as well.
+    // A watch that comes while the puts are in flight, and starts after the last committed revision, has to wait as well.
     expect_that!(queue.decide(0, 4, &watch(1)), some(eq(&Decision::Wait)));
     let ready = outcomes(queue.changes_committed(2));
     let event = CellEvent { name: "g.a".to_owned(), value: "two".to_owned(), revision: 2 };
--- a/control/tests/change_feed.rs
+++ b/control/tests/change_feed.rs
@@ -1,4 +1,4 @@
-//! The change feed by itself: when a watcher is sent changes, a snapshot or nothing.
+//! The change feed by itself: when a watcher gets changes, a snapshot or no update.
 
 use googletest::prelude::*;
 use ivyhatch_control::consensus::partition_state::{
@@ -12,7 +12,7 @@
 const ROUTES: u64 = 20;
 const EVACUATIONS: PartitionId = PartitionId(3);
 
-/// A configuration in which the route of this number differs from that of the revision before.
+/// The configuration of a revision. The timeout of one route, selected by the revision, differs from that in the previous revision.
 fn configuration(revision: u64) -> PartitionState {
     let route = |number: u64| {
         let timeout = if number == revision % ROUTES { 1_000 + revision } else { 1 };
@@ -51,7 +51,7 @@
         .iter()
         .map(|update| match update {
             WatchResponse::Change { from, to, .. } => (*from, *to),
-            other => panic!("a change: {other:?}"),
+            other => panic!("expected a change, got {other:?}"),
         })
         .collect();
     expect_that!(steps, elements_are![eq(&(2, 3)), eq(&(3, 4))]);
--- a/control/tests/home_regions.rs
+++ b/control/tests/home_regions.rs
@@ -1,4 +1,4 @@
-//! The regions to which the clients of a partitioned region may be sent.
+//! The regions whose routers the directory may give to clients of a partitioned region.
 
 use googletest::prelude::*;
 use ivyhatch_control::watch::home_regions::HomeRegions;
--- a/control/tests/load_aggregator.rs
+++ b/control/tests/load_aggregator.rs
@@ -1,4 +1,4 @@
-//! Sums of the load that routers report: each is answered with what the others have, and reports expire.
+//! Sums of the load that routers report: the answer to each router has the load of the other routers, and reports expire.
 
 use googletest::prelude::*;
 use ivyhatch_control::load_aggregator::LoadAggregator;
--- a/control/tests/load_exchange.rs
+++ b/control/tests/load_exchange.rs
@@ -1,4 +1,4 @@
-//! What a control node sends of the loads that it knows, and to whom.
+//! The loads that a control node sends to routers and to other control nodes.
 
 use googletest::prelude::*;
 use ivyhatch_control::load_exchange::{LoadExchange, LoadTopology, PeerLocation, RegionIndex};
@@ -9,13 +9,13 @@
 const START: Nanos = 10 * SECOND;
 const OWN_REGION: RegionIndex = RegionIndex(0);
 const OTHER_REGION: RegionIndex = RegionIndex(1);
-/// A control node of the same region, one of another, and one whose region is not known yet.
+/// A control node of the own region, one of another region, and one whose region is not known yet.
 const OWN_REGION_PEER: NodeId = NodeId(2);
 const OTHER_REGION_PEER: NodeId = NodeId(3);
 const UNKNOWN_REGION_PEER: NodeId = NodeId(4);
 const ROUTER: NodeId = NodeId(50);
 const OTHER_ROUTER: NodeId = NodeId(51);
-/// Servers up to this one are here, the others are there.
+/// Servers up to this one are in the own region, the others in the other region.
 const LAST_OWN_REGION_SERVER: u32 = 9;
 
 struct Topology;
@@ -57,14 +57,16 @@
     let all = LoadDatagram::Exchange(vec![load(1), load(20)]);
     for node in [OWN_REGION_PEER, UNKNOWN_REGION_PEER] {
         let sent = sent_to(&mut exchange, START, node);
-        let [LoadDatagram::Exchange(loads)] = &sent[..] else { panic!("one exchange: {sent:?}") };
+        let [LoadDatagram::Exchange(loads)] = &sent[..] else {
+            panic!("expected one exchange, got {sent:?}")
+        };
         expect_that!(loads, unordered_elements_are![eq(&load(1)), eq(&load(20))], "{all:?}");
     }
     let later = START + SECOND;
     exchange.receive(later, ROUTER, LoadDatagram::Report(vec![load(1), load(20)]));
     let expected = [LoadDatagram::Exchange(vec![load(20)]), LoadDatagram::RemoteExchange(vec![load(1)])];
     expect_that!(sent_to(&mut exchange, later, OTHER_REGION_PEER), eq(&expected.to_vec()));
-    // Its servers' loads go on; those here follow a second later.
+    // The load at the peer's servers is sent each time; the load at servers of the own region only once a second.
     let sent = sent_to(&mut exchange, later + 100 * MILLISECOND, OTHER_REGION_PEER);
     expect_that!(sent, elements_are![eq(&LoadDatagram::Exchange(vec![load(20)]))]);
 }
@@ -89,7 +91,7 @@
     let report = || LoadDatagram::Report(Vec::new());
     let answers = exchange.receive(START, ROUTER, report());
     let [LoadDatagram::RemoteSummary(remote), LoadDatagram::Summary(local)] = &answers[..] else {
-        panic!("both: {answers:?}");
+        panic!("expected a remote summary and a summary, got {answers:?}");
     };
     expect_that!(local, elements_are![eq(&load(1))]);
     expect_that!(remote, unordered_elements_are![eq(&load(20)), eq(&load(21))]);
--- a/control/tests/pending_calls.rs
+++ b/control/tests/pending_calls.rs
@@ -1,4 +1,4 @@
-//! What may be said of a call whose copies went to several leaders, or to one of them twice.
+//! The outcome of a call of which several leaders, or one leader twice, have received copies.
 
 use googletest::prelude::*;
 use ivyhatch_control::calls::pending_calls::{CallRoute, EndedCall, PendingCalls};
@@ -49,7 +49,7 @@
 fn a_call_that_came_to_no_leader_ends_as_not_started() {
     let mut calls = pending(number());
     expect_that!(calls.expire(REQUEST_TIMEOUT - 1), is_empty());
-    expect_that!(calls.expire(REQUEST_TIMEOUT), elements_are![eq(&ended(NO_QUORUM).expect("one"))]);
+    expect_that!(calls.expire(REQUEST_TIMEOUT), elements_are![eq(&ended(NO_QUORUM).expect("an ended call"))]);
 }
 
 #[gtest]
@@ -59,7 +59,10 @@
     {
         let mut calls = pending(call);
         expect_true!(is_forwarded(&mut calls, 0, FIRST_LEADER));
-        expect_that!(calls.expire(REQUEST_TIMEOUT), elements_are![eq(&ended(outcome).expect("one"))]);
+        expect_that!(
+            calls.expire(REQUEST_TIMEOUT),
+            elements_are![eq(&ended(outcome).expect("an ended call"))]
+        );
     }
 }
 
@@ -121,13 +124,13 @@
     let mut calls = pending(Call::WatchGroup { group: "g.".to_owned(), after: 1, wait_ms });
     let end = REQUEST_TIMEOUT + wait_ms * MILLISECOND;
     expect_that!(calls.expire(end - 1), is_empty());
-    expect_that!(calls.expire(end), elements_are![eq(&ended(NO_QUORUM).expect("one"))]);
+    expect_that!(calls.expire(end), elements_are![eq(&ended(NO_QUORUM).expect("an ended call"))]);
 }
 
-/// Story: in a simulated world (seed 2000606004459) a put was shown to a watch, and its caller had been denied it with 503. Order of events: the put
-/// was forwarded to its leader, which carried it out, and whose answer a one-way cut held back; it was forwarded to another node, which does not lead,
-/// twice; that node's answers were doubled on the way. Cause: each of them ended one copy, that of the leader as well. Evidence: the world's trace has
-/// three answers `NotLeader` for two copies, and then the denial.
+/// Regression (found by simulation, seed 2000606004459): a caller got 503, "not started", for a put that was executed and shown to a
+/// watch. The leader executed the put, but a one-way partition held back its answer. The put was then forwarded twice to a node that does
+/// not lead, and the network duplicated that node's `NotLeader` answers: three answers for two copies. Each answer ended one copy, so that
+/// the leader's copy counted as ended as well.
 #[gtest]
 fn duplicated_answers_of_one_node_do_not_end_the_copy_at_another() {
     let mut calls = pending(put(Some(5)));
@@ -138,6 +141,6 @@
     }
     expect_that!(
         calls.expire(REQUEST_TIMEOUT),
-        elements_are![eq(&ended(CallOutcome::Unknown).expect("one"))]
+        elements_are![eq(&ended(CallOutcome::Unknown).expect("an ended call"))]
     );
 }
--- a/control/tests/pending_requests.rs
+++ b/control/tests/pending_requests.rs
@@ -1,4 +1,4 @@
-//! The operators' requests at a node without a response, by themselves: their way to the leader.
+//! The operators' requests without a response at a node, by themselves: their delivery to the leader.
 
 use googletest::prelude::*;
 use ivyhatch_control::requests::delivery::{REQUEST_TIMEOUT, RequestLeader};
--- a/control/tests/request_queue.rs
+++ b/control/tests/request_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of a partition's leader by itself.
+//! The request queue of a partition's leader by itself: order, duplicates, shared proposals, commits, confirmations and expiry.
 
 use googletest::prelude::*;
 use ivyhatch_control::requests::request_queue::{
--- a/control/tests/router_registry.rs
+++ b/control/tests/router_registry.rs
@@ -1,7 +1,7 @@
-//! The routers that are known, their ranks, and the addresses that the directory gives to clients.
+//! The known routers, their ranks, and the addresses that the directory gives to clients.
 //!
-//! Regression: all routers of a region began to drain within three seconds, and its clients, whose requests were bound to that
-//! region, were sent to another one.
+//! Regression: all routers of a region began to drain within three seconds, and the directory sent the region's clients to another
+//! region, although their requests were bound to the region.
 
 use googletest::prelude::*;
 use ivyhatch_control::watch::router_registry::{
@@ -21,7 +21,7 @@
     }
 }
 
-/// Two routers of one region, and one of another.
+/// A registry with two routers of region `here`, in these states, and a ready router of region `there`.
 fn registry(first: RouterState, second: RouterState) -> RouterRegistry {
     let mut registry = RouterRegistry::default();
     registry.record_local(0, router(1, "here", first));
@@ -143,7 +143,7 @@
     expect_that!(
         registry.addresses_while_partitioned("here", &elsewhere),
         elements_are![eq("10.0.0.1:8161")],
-        "it is forgotten after a minute"
+        "a router that was not seen for a minute is dropped"
     );
 }
 
--- a/control/tests/server_list_age.rs
+++ b/control/tests/server_list_age.rs
@@ -1,5 +1,5 @@
-//! The highest age of the server list on healthy nodes while its reader is killed, partitioned or suspended: three and six control nodes
-//! in virtual time, with links that return one by one, over a range of times.
+//! The highest age of the server list on healthy nodes while its reader is killed, partitioned or suspended. Clusters of three and six
+//! control nodes run in virtual time; the links of a killed reader return one by one, with a range of fault durations.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,28 +12,29 @@
 use ivyhatch_protocol::watch::Server;
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
-/// Numbers of control nodes: one in each zone of a small deployment, and of a large one.
+/// Numbers of control nodes: one in each zone of a small deployment and of a large deployment.
 const CLUSTER_SIZES: [usize; 2] = [3, 6];
 const TICK: Nanos = 100 * MILLISECOND;
-/// The delay of a message.
+/// The one-way delay of a message between two nodes.
 const LINK_DELAY: Nanos = 35 * MILLISECOND;
-/// The time that a write takes.
+/// The time until a write is durable.
 const SYNC_TIME: Nanos = 3 * MILLISECOND;
-/// The time that a read of the platform's list takes.
+/// The time that a successful read of the platform's list takes.
 const READ_TIME: Nanos = 40 * MILLISECOND;
-/// A read fails after this where the platform can't be reached.
+/// The time after which a read fails on a node that can't reach the platform.
 const PLATFORM_TIMEOUT: Nanos = SECOND;
 const SERVER_LIST_INTERVAL: Nanos = 500 * MILLISECOND;
-/// The interval of changes of the platform's list, by which the age of a version is known.
+/// The interval at which the platform's list changes. The id of its server counts these changes, and so shows the age of a version.
 const LIST_CHANGE_INTERVAL: Nanos = 50 * MILLISECOND;
 const FAULT_AT: Nanos = 5 * SECOND;
 const END: Nanos = 16 * SECOND;
 
-/// The highest age of the list while the platform responds in time; `docs/design/list-reader.md` adds it up.
+/// The highest age of the list while the platform responds in time; derived in `docs/design/list-reader.md`.
 const AGE_LIMIT: Nanos = SERVER_LIST_INTERVAL + 1600 * MILLISECOND;
-/// The same where the next reader's first read is lost.
+/// The highest age of the list where the next reader's first read is lost.
 const AGE_LIMIT_LOST_READ: Nanos = AGE_LIMIT + READ_TIMEOUT + TICK;
-/// The same where a healthy reader can't reach the platform: the time of its reads, and the intervals between them.
+/// The highest age of the list where a healthy reader can't reach the platform: adds the reader's failing reads and the intervals between
+/// them.
 const AGE_LIMIT_NO_PLATFORM: Nanos =
     AGE_LIMIT + MAX_CONSECUTIVE_FAILURES as u64 * (PLATFORM_TIMEOUT + RETRY_INTERVAL + TICK);
 
@@ -71,7 +72,7 @@
     links: BTreeSet<(usize, usize)>,
     /// Nodes that can't reach the platform.
     without_platform: BTreeSet<usize>,
-    /// Nodes whose next read is lost.
+    /// Nodes whose next read after the fault is lost.
     loses_next_read: BTreeSet<usize>,
 }
 
@@ -83,7 +84,7 @@
     ReplicaId { node: address(machine), disk: 1 + machine as u64 }
 }
 
-/// The records of a voter of the first membership.
+/// The records on the disk of a voter of the first membership.
 fn disk(machine: usize, size: usize) -> Vec<Record> {
     let voter = |machine| Voter { replica: replica(machine), zone: String::new(), joined_generation: 1 };
     let voters = (0..size).map(voter).collect();
@@ -95,12 +96,12 @@
     node.0 as usize - 1
 }
 
-/// The first node in the election order of the role's partition.
+/// The first node in the election order of the partition that the reader's role belongs to.
 fn first_reader(size: usize) -> usize {
     usize::from(PartitionId::for_key("platform-list").0) % size
 }
 
-/// All other nodes, in the election order.
+/// All nodes but the first reader, in the election order.
 fn others(size: usize) -> Vec<usize> {
     (1..size).map(|index| (first_reader(size) + index) % size).collect()
 }
@@ -136,13 +137,13 @@
         self.at(self.now + after, event);
     }
 
-    /// Takes a link down at a time, for a duration.
+    /// Schedules an outage of a link at a time, for a duration.
     fn take_link_down(&mut self, at: Nanos, from: usize, to: usize, duration: Nanos) {
         self.at(at, Event::LinkDown(from, to));
         self.at(at + duration, Event::LinkUp(from, to));
     }
 
-    /// Runs to the end. Returns the highest age of the list on any of these nodes after the fault.
+    /// Runs until [`END`]. Returns the highest age of the list on any of the observers after the fault.
     fn run_and_measure_age(&mut self, observers: &[usize]) -> Nanos {
         let mut highest_age = 0;
         while let Some(((at, _), event)) = self.queue.pop_first() {
@@ -159,7 +160,7 @@
         highest_age
     }
 
-    /// When the platform had the version of the list that a node has.
+    /// The time at which the platform published the version of the list that a node has.
     fn list_version_time(&self, machine: usize) -> Nanos {
         let node = self.machines[machine].node.as_ref().expect("observers keep running");
         let steps = node.server_list().servers(self.now).filter_map(|server| server.id.parse::<u64>().ok());
@@ -209,7 +210,7 @@
         }
     }
 
-    /// Starts a read of the platform's list.
+    /// Starts a read of the platform's list, which succeeds, fails or is lost.
     fn start_read(&mut self, machine: usize, incarnation: u64, read: ReadId) {
         if self.now > FAULT_AT && self.loses_next_read.remove(&machine) {
             return;
@@ -234,7 +235,7 @@
         }
     }
 
-    /// Whether this incarnation of a node runs. A suspended one handles the event later.
+    /// Whether this incarnation of a node runs and is not suspended. The event is deferred until a suspended incarnation resumes.
     fn runs(&mut self, machine: usize, incarnation: u64, event: Event) -> bool {
         let this = &mut self.machines[machine];
         let is_running = this.node.is_some() && this.incarnation == incarnation;
@@ -344,7 +345,7 @@
     }
 }
 
-/// The delays in ms after which links return: for four links all combinations of three delays, for more some of them.
+/// The delays in ms after which links return: all combinations of three delays for four links, some combinations for more links.
 fn delays(combination: u64, links: usize) -> Vec<u64> {
     let digit = |index: usize| {
         let shuffled = if index < 4 { combination } else { combination * 7 + index as u64 };
@@ -375,7 +376,7 @@
     Inbound,
 }
 
-/// Partitions the reader from other nodes, in the directions given.
+/// Partitions the reader from other nodes for a duration, in this direction or in both.
 fn partition_reader(cluster: &mut Cluster, others: &[usize], direction: Direction, duration_ms: u64) {
     let reader = first_reader(cluster.machines.len());
     for other in others {
@@ -438,7 +439,7 @@
             expect_that!(
                 cluster.run_and_measure_age(&others(size)),
                 lt(AGE_LIMIT_LOST_READ),
-                "{size} nodes, {other}"
+                "{size} nodes, the first read of node {other} lost"
             );
         }
     }
--- a/control/tests/server_list_reader.rs
+++ b/control/tests/server_list_reader.rs
@@ -1,4 +1,4 @@
-//! The reader of the platform's list by itself, in virtual time: when it reads, under which ballot, and which results count.
+//! The reader of the platform's list by itself, in virtual time: when it reads, under which ballot, and which results it publishes.
 
 use googletest::prelude::*;
 use ivyhatch_control::server_list::reader::{
@@ -14,7 +14,7 @@
     Ballot { counter, node: NodeId(1), incarnation: 7 }
 }
 
-/// This node has the role, under the highest ballot.
+/// The role where this node has it, under the highest ballot.
 fn leading(counter: u64) -> ReaderRole {
     ReaderRole {
         ballot: Some(ballot(counter)),
@@ -24,12 +24,12 @@
     }
 }
 
-/// Another node has the role.
+/// The role where another node has it.
 fn following() -> ReaderRole {
     ReaderRole { ballot: None, highest_ballot: ballot(9), highest_is_reachable: true, has_list: true }
 }
 
-/// This node believes to have the role, and another one has read under a higher ballot.
+/// The role where this node leads under its own ballot, and another node has read under a higher ballot.
 fn superseded(highest_is_reachable: bool) -> ReaderRole {
     ReaderRole { highest_ballot: ballot(9), highest_is_reachable, ..leading(3) }
 }
@@ -55,7 +55,7 @@
     read
 }
 
-/// Makes the reader start a read that fails.
+/// Makes the reader start a read that fails, and returns the outputs of the failure.
 fn fail_read(reader: &mut ServerListReader, now: Nanos, role: ReaderRole) -> Vec<Output> {
     let read = start_read(reader, now, role);
     handle(reader, now, Input::ReadFailed(read))
@@ -93,7 +93,7 @@
     let mut reader = reader();
     let old = start_read(&mut reader, SECOND, leading(3));
     expect_that!(tick(&mut reader, SECOND + 1, leading(4)), elements_are![eq(&Output::Read(ReadId(2)))]);
-    // The result of the earlier read is not published under this ballot, and does not end the read of this ballot either.
+    // The result of the earlier read is not published under the new ballot, and does not end the read under the new ballot.
     expect_that!(handle(&mut reader, SECOND + 2, Input::ReadSucceeded(old, leading(4))), is_empty());
     expect_that!(handle(&mut reader, SECOND + 2, Input::ReadFailed(old)), is_empty());
     let out = handle(&mut reader, SECOND + 3, Input::ReadSucceeded(ReadId(2), leading(4)));
@@ -256,7 +256,7 @@
     let third = start_read(&mut reader, SECOND + 2 * RETRY_INTERVAL, bootstrapping);
     let out = handle(&mut reader, SECOND + 2 * RETRY_INTERVAL, Input::ReadSucceeded(third, bootstrapping));
     expect_that!(out, elements_are![eq(&Output::Publish(Ballot::default()))]);
-    // An empty list does not count: the reader reads again, at the interval of a bootstrap.
+    // The node still has no list: the reader reads again, at the interval of bootstrap reads.
     expect_that!(tick(&mut reader, SECOND + 3 * RETRY_INTERVAL, bootstrapping), is_empty());
     start_read(&mut reader, SECOND + 2 * RETRY_INTERVAL + BOOTSTRAP_READ_INTERVAL, bootstrapping);
 }
--- a/control/tests/server_list_role.rs
+++ b/control/tests/server_list_role.rs
@@ -1,7 +1,7 @@
-//! The role of the server list's reader among three control nodes, as one of them sees it.
+//! The server list reader's role on one of three control nodes, with the other two scripted.
 //!
-//! Regression: nobody read the platform's list for seconds. A leader that was superseded while it could not reach the other leader
-//! went on reading under its old ballot, and its lists were rejected.
+//! Regression: no node read the platform's list successfully for seconds. A leader that was superseded while it could not reach the other
+//! leader continued to read under its old ballot, and the other nodes rejected its lists.
 
 mod common;
 
@@ -13,7 +13,7 @@
 use ivyhatch_protocol::watch::{Server, ServerListPosition, ServerListUpdate};
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
-/// The key of the role: its partition has the role.
+/// The key of the role, which selects the partition that the role belongs to.
 const ROLE_KEY: &str = "platform-list";
 const TICK: Nanos = 100 * MILLISECOND;
 const NODES: [NodeId; 3] = [NodeId(1), NodeId(2), NodeId(3)];
@@ -22,13 +22,13 @@
     PartitionId::for_key(ROLE_KEY)
 }
 
-/// The nodes in the election order of the partition.
+/// The nodes in the election order of the role's partition.
 fn election_order() -> [NodeId; 3] {
     let start = usize::from(role_partition().0) % NODES.len();
     [0, 1, 2].map(|index| NODES[(start + index) % NODES.len()])
 }
 
-/// The first node in the election order, in virtual time, with the other two scripted.
+/// The first node in the election order, in virtual time. The test scripts the messages of the other two nodes.
 struct FirstNode {
     node: ControlPlane,
     now: Nanos,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Delivers a heartbeat of another node, which reaches these nodes and has a list at this position.
+    /// Delivers a heartbeat of another node, which reaches the nodes in `reaches` and has a list at position `servers`.
     fn receive_heartbeat(&mut self, from: NodeId, reaches: &[NodeId], servers: ServerListPosition) {
         self.heartbeats_sent += 1;
         let reachable = reaches.to_vec();
@@ -68,7 +68,8 @@
         self.handle(Input::Peer(from, PeerMessage::Heartbeat(heartbeat)));
     }
 
-    /// Advances time by a tick, with a heartbeat of each of these nodes, which reach all and have a list at this position.
+    /// Advances time by a tick, with a heartbeat from each node in `reachable`. These nodes reach all nodes and have a list at position
+    /// `servers`.
     fn tick(&mut self, reachable: &[NodeId], servers: ServerListPosition) {
         self.now += TICK;
         for from in reachable {
@@ -77,7 +78,8 @@
         self.handle(Input::Tick);
     }
 
-    /// The ballot that the node prepares in its outputs so far, if it does.
+    /// The highest ballot of the `Prepare` messages for the role's partition in the outputs so far; `None` without any. Clears the
+    /// outputs.
     fn prepares(&mut self) -> Option<Ballot> {
         let prepare = |output: &Output| match output {
             Output::Send(
@@ -101,12 +103,12 @@
         ));
     }
 
-    /// A node that leads the partition, with the promise of the last node, and reaches both others.
+    /// A node that leads the partition with the promise of the last node in the election order, and reaches both other nodes.
     fn leading() -> Self {
         let mut first = Self::new();
         let none = ServerListPosition::default();
         first.tick(&election_order()[1..], none);
-        let ballot = first.prepares().expect("it prepares a ballot");
+        let ballot = first.prepares().expect("the node prepares a ballot");
         first.promise(election_order()[2], ballot);
         assert_eq!(first.node.leader_ballot(role_partition()), Some(ballot));
         first
@@ -126,7 +128,7 @@
     }
 }
 
-/// The complete list, as another reader publishes it.
+/// The complete list, as a reader on another node publishes it.
 fn published_list(ballot: Ballot) -> PeerMessage {
     PeerMessage::ServerList(ServerListUpdate {
         ballot,
@@ -140,9 +142,9 @@
 #[gtest]
 fn leader_superseded_without_notice_wins_a_new_ballot_after_a_newer_list() {
     let mut first = FirstNode::leading();
-    let own_ballot = first.node.leader_ballot(role_partition()).expect("it leads");
-    // The second node could not reach this one, led with the third node's promise, read the list, and stepped down when it reached
-    // this one again.
+    let own_ballot = first.node.leader_ballot(role_partition()).expect("the node leads the partition");
+    // The second node could not reach the first node, led with the third node's promise, read the list, and stepped down when it reached
+    // the first node again.
     let other_ballot = Ballot { counter: own_ballot.counter + 1, node: election_order()[1], incarnation: 22 };
     first.handle(Input::Peer(election_order()[2], published_list(other_ballot)));
     first.out.clear();
@@ -151,7 +153,7 @@
         first.tick(&election_order()[1..], ServerListPosition { ballot: other_ballot, number: 1 });
         new_ballot = new_ballot.max(first.prepares());
     }
-    let new_ballot = new_ballot.expect("it prepares a new ballot");
+    let new_ballot = new_ballot.expect("the superseded leader prepares a new ballot");
     expect_that!(new_ballot, gt(other_ballot));
     first.promise(election_order()[2], new_ballot);
     expect_that!(first.node.leader_ballot(role_partition()), some(eq(new_ballot)));
@@ -160,7 +162,7 @@
 #[gtest]
 fn leader_superseded_without_notice_contends_again_after_heartbeats_with_a_newer_list() {
     let mut first = FirstNode::leading();
-    let own_ballot = first.node.leader_ballot(role_partition()).expect("it leads");
+    let own_ballot = first.node.leader_ballot(role_partition()).expect("the node leads the partition");
     let other_ballot = Ballot { counter: own_ballot.counter + 1, node: election_order()[1], incarnation: 22 };
     first.out.clear();
     first.tick(&election_order()[1..], ServerListPosition { ballot: other_ballot, number: 1 });
--- a/control/tests/server_list_updates.rs
+++ b/control/tests/server_list_updates.rs
@@ -1,4 +1,4 @@
-//! The server list of a node by itself: what is published, and what becomes of updates from other nodes.
+//! The server list of a node by itself: the changes that a reader publishes, and the handling of updates from other nodes.
 
 use googletest::prelude::*;
 use ivyhatch_control::server_list::reader::{ReadId, ReaderRole};
@@ -47,7 +47,7 @@
     update.into()
 }
 
-/// A role in which the first read has begun.
+/// A role whose first read is in flight.
 fn reading(role: ReaderRole) -> ServerListRole {
     let mut list = ServerListRole::new(SECOND);
     let out = list.tick(NOW, role);
@@ -120,7 +120,7 @@
         removed: vec!["i-1".to_owned()],
     };
     expect_that!(out.last(), some(eq(&RoleOutput::Broadcast(change.clone()))));
-    // Another node at the same version applies it, one at another version needs the whole list.
+    // A node at the same version applies the change; a node at another version needs the whole list.
     let mut follower = ServerListRole::new(SECOND);
     let _ = follower.apply_change(NOW, whole);
     expect_true!(matches!(follower.apply_change(NOW, change.clone()), UpdateOutcome::Applied(_)));
@@ -138,10 +138,12 @@
     let _ = list.apply_change(NOW, update(2, None, 7));
     list.tick(NOW, leading());
     let out = list.read_succeeded(NOW, ReadId(1), leading(), vec![server("i-1")]);
-    let Some(RoleOutput::Broadcast(change)) = out.last() else { panic!("a change: {out:?}") };
+    let Some(RoleOutput::Broadcast(change)) = out.last() else {
+        panic!("expected a broadcast change, got {out:?}")
+    };
     expect_that!(change.position, eq(ServerListPosition { ballot: ballot(3), number: 1 }));
     expect_true!(change.base.is_some() && change.upsert.is_empty() && change.removed.is_empty());
-    // A receiver of an earlier release knows no change from one reader to the next.
+    // Earlier releases have no form of a change that starts from the list of another reader.
     expect_that!(change.to_update(), none());
 }
 
@@ -151,7 +153,9 @@
     list.read_succeeded(NOW, ReadId(1), ReaderRole::default(), vec![server("i-1")]);
     list.tick(NOW + SECOND, leading());
     let out = list.read_succeeded(NOW + SECOND, ReadId(2), leading(), vec![server("i-1")]);
-    let Some(RoleOutput::Broadcast(change)) = out.last() else { panic!("a change: {out:?}") };
+    let Some(RoleOutput::Broadcast(change)) = out.last() else {
+        panic!("expected a broadcast change, got {out:?}")
+    };
     expect_that!(change.base, none());
 }
 
--- a/control/tests/watch_sessions.rs
+++ b/control/tests/watch_sessions.rs
@@ -1,4 +1,4 @@
-//! The watch sessions by themselves: what they are sent, when, and when they end.
+//! The watch sessions by themselves: which messages are sent on them and when, and when they end.
 
 use googletest::prelude::*;
 use ivyhatch_control::watch::router_registry::RouterRegistry;
@@ -62,7 +62,7 @@
         self.sessions.handle(now, id, request, &mut self.routers)
     }
 
-    /// What the session is sent, with an update that names the position it is made for.
+    /// The messages for the session. The update among them is a snapshot whose sequence is the position that the update starts from.
     fn responses(&mut self, now: Nanos, progress: &Progress) -> Vec<WatchResponse> {
         let update = |since: &Position, _: bool| {
             let sequence = since.configuration;
@@ -121,7 +121,7 @@
         let mut subscribed = Subscribed::new(false);
         let out = subscribed.responses(START, &progress(1, knows_all_routers));
         let [WatchResponse::Progress { router_count, router_index, .. }] = &out[..] else {
-            panic!("one progress: {out:?}");
+            panic!("expected one progress message, got {out:?}");
         };
         expect_that!((*router_count, *router_index), eq((expected, 0)));
     }
@@ -177,7 +177,7 @@
     let moved = Progress { control_nodes: vec![control_node(1, "b")], ..progress(2, true) };
     let out = subscribed.responses(START, &moved);
     expect_that!(out, elements_are![eq(&nodes(vec![control_node(1, "b")])), eq(&WatchResponse::Alive)]);
-    // After another subscription the whole progress is sent again.
+    // After another subscription the progress is sent again, although it has not changed.
     subscribed.handle(START, SESSION, marked);
     let out = subscribed.responses(START, &moved);
     expect_true!(matches!(&out[..], [WatchResponse::Progress { .. }]));
