--- a/wal/src/directory.rs
+++ b/wal/src/directory.rs
@@ -1,4 +1,4 @@
-//! The operations of [`Storage`] on a directory of the file system.
+//! The implementation of [`Storage`] on a directory of the file system.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, ErrorKind, Read, Seek, SeekFrom, Write};
@@ -6,12 +6,12 @@
 
 use crate::storage::Storage;
 
-/// A directory of the file system.
+/// The path of a directory of the file system.
 #[derive(Clone, Debug)]
 pub struct Directory(PathBuf);
 
 impl Directory {
-    /// The directory at this path, which need not exist yet.
+    /// The directory at `path`, which need not exist yet.
     pub fn new(path: &Path) -> Self {
         Self(path.to_owned())
     }
@@ -80,7 +80,7 @@
     }
 }
 
-/// Creates a directory and its missing parents. Each is durable once its own parent is synced.
+/// Creates a directory and its missing parents. Each created directory is durable after its parent is synced.
 fn create_directory_durably(path: &Path) -> io::Result<()> {
     if path.as_os_str().is_empty() || path.try_exists()? {
         return Ok(());
--- a/wal/src/format/decoder.rs
+++ b/wal/src/format/decoder.rs
@@ -1,4 +1,4 @@
-//! Files to records. Distinguishes a torn last block, which a crash explains, from damage, which it does not.
+//! Decodes files to records. Distinguishes a torn last block, which a crash may leave, from damage.
 
 use ivyhatch_protocol::hash::checksum;
 
@@ -12,8 +12,8 @@
 pub(crate) struct DecodedBlocks {
     /// The records of all valid blocks, in order.
     pub records: Vec<Vec<u8>>,
-    /// Where the valid blocks end, in bytes from the beginning of the file. Behind that there is at most one
-    /// torn block.
+    /// The offset at which the valid blocks end, in bytes from the beginning of the file. At most one torn block
+    /// follows.
     pub length: usize,
     pub block_count: u32,
 }
@@ -25,14 +25,14 @@
     Current(DecodedBlocks),
     /// A file of format version 1.
     Unnumbered(DecodedBlocks),
-    /// The file has damage that no crash explains.
+    /// The file is damaged in a way that no crash explains.
     Damaged {
-        /// Where the damage begins, in bytes from the beginning of the file.
+        /// The offset at which the damage begins, in bytes from the beginning of the file.
         offset: usize,
     },
-    /// The file has a format version that is not known.
+    /// The file has a format version that this release does not support.
     UnsupportedFormat {
-        /// That version.
+        /// The format version of the file.
         version: u32,
     },
 }
@@ -57,7 +57,7 @@
 
 /// A block whose checksum matches.
 struct Block<'a> {
-    /// None in format version 1.
+    /// `None` in format version 1.
     number: Option<u32>,
     body: &'a [u8],
 }
@@ -105,11 +105,10 @@
     is_valid.then_some((version, durable_length as usize))
 }
 
-/// Decodes the blocks from `start` on.
+/// Decodes the blocks from the offset `start` on.
 ///
 /// # Errors
-/// The offset of damage that a crash does not explain: anywhere before `durable_end`, or before a valid
-/// block.
+/// The offset of damage that a crash does not explain: damage before `durable_end`, or before a valid block.
 fn decode_blocks(
     bytes: &[u8],
     start: usize,
@@ -134,7 +133,7 @@
     Ok(blocks)
 }
 
-/// Whether a valid block begins anywhere behind this offset.
+/// Whether a valid block begins anywhere after this offset.
 fn has_block_after(bytes: &[u8], offset: usize, layout: BlockLayout) -> bool {
     let magic = BLOCK_MAGIC.to_le_bytes();
     let last = bytes.len().saturating_sub(layout.header_length());
@@ -142,7 +141,7 @@
     (offset + 1..=last).any(is_block)
 }
 
-/// The block that begins at this offset, if it is complete and its checksum matches.
+/// The block that begins at this offset; `None` if it is incomplete or its checksum does not match.
 fn decode_block(bytes: &[u8], offset: usize, layout: BlockLayout) -> Option<Block<'_>> {
     if read_u32(bytes, offset)? != BLOCK_MAGIC {
         return None;
@@ -161,7 +160,7 @@
     (sum == expected).then_some(Block { number, body })
 }
 
-/// The records of a body; `None` if a length does not fit.
+/// The records of a body; `None` if the length of a record exceeds the rest of the body.
 fn decode_records(body: &[u8]) -> Option<Vec<Vec<u8>>> {
     let (mut records, mut offset) = (Vec::new(), 0);
     while offset < body.len() {
--- a/wal/src/format/encoder.rs
+++ b/wal/src/format/encoder.rs
@@ -1,4 +1,4 @@
-//! Records to blocks and files.
+//! Encodes records to blocks and files.
 
 use super::layout::{
     BLOCK_HEADER_LENGTH, BLOCK_MAGIC, FORMAT_VERSION, RECORD_HEADER_LENGTH, block_checksum, file_header,
@@ -7,12 +7,12 @@
 /// The bytes of a whole file.
 pub(crate) struct EncodedFile {
     pub bytes: Vec<u8>,
-    /// The number of blocks in it, which is the number of the next block.
+    /// The number of blocks in the file, which is the number of the next block.
     pub block_count: u32,
 }
 
-/// A file of one block with these records, or of none without records. It must be durable before it is
-/// renamed to the log's name.
+/// A file of one block with these records, or of no blocks if there are no records. The file must be durable before it
+/// is renamed to the log's name.
 pub(crate) fn encode_file(records: &[Vec<u8>]) -> EncodedFile {
     let (mut blocks, mut block_count) = (Vec::new(), 0);
     if !records.is_empty() {
@@ -29,7 +29,8 @@
     records.iter().map(|record| RECORD_HEADER_LENGTH + record.len()).sum()
 }
 
-/// Appends the block of this number. Its [`body_length`] must be at most [`super::layout::MAX_BODY_LENGTH`].
+/// Appends a block with these records to `bytes`. The [`body_length`] of the records must be at most
+/// [`super::layout::MAX_BODY_LENGTH`].
 pub(crate) fn encode_block(records: &[Vec<u8>], number: u32, bytes: &mut Vec<u8>) {
     let mut body = Vec::with_capacity(body_length(records));
     for record in records {
--- a/wal/src/format/layout.rs
+++ b/wal/src/format/layout.rs
@@ -3,21 +3,22 @@
 
 use ivyhatch_protocol::hash::checksum;
 
-/// The format version that is written.
+/// The format version of files that this release writes.
 pub(crate) const FORMAT_VERSION: u32 = 2;
-/// The longest body of a block, in bytes.
+/// The maximum length of a block's body, in bytes.
 pub(crate) const MAX_BODY_LENGTH: usize = 32 << 20;
 
 /// `IVHR` as a little-endian number.
 pub(super) const FILE_MAGIC: u32 = 0x5248_5649;
 /// `IVHL` as a little-endian number.
 pub(super) const BLOCK_MAGIC: u32 = 0x4c48_5649;
+/// Length of the file header in format version 2, in bytes.
 pub(super) const FILE_HEADER_LENGTH: usize = 16;
-/// Length of a block's header in format version 2.
+/// Length of a block's header in format version 2, in bytes.
 pub(super) const BLOCK_HEADER_LENGTH: usize = 16;
-/// Length of a block's header in format version 1.
+/// Length of a block's header in format version 1, in bytes.
 pub(super) const UNNUMBERED_BLOCK_HEADER_LENGTH: usize = 12;
-/// Length of a record's length.
+/// Length of the field that holds a record's length, in bytes.
 pub(super) const RECORD_HEADER_LENGTH: usize = 4;
 
 pub(super) fn file_header(version: u32, durable_length: u32) -> Vec<u8> {
--- a/wal/src/format/mod.rs
+++ b/wal/src/format/mod.rs
@@ -1,4 +1,4 @@
-//! The bytes of a log file, in format version 2.
+//! The file format of a log, in version 2.
 //!
 //! A file is a file header, followed by blocks. All numbers are unsigned, 32 bits and little-endian; lengths
 //! are in bytes; checksums are [`ivyhatch_protocol::hash::checksum`].
@@ -18,11 +18,11 @@
 //! | 12 | checksum of the body, xor checksum of bytes 4 to 7 |
 //! | 16 | body |
 //!
-//! A body is a sequence of records, each of which is its length and its bytes. The block number detects a
-//! block that was duplicated or moved.
+//! A body is a sequence of records; a record is its length and its bytes. The block number reveals blocks that were
+//! duplicated or moved.
 //!
 //! Format version 1 has no file header, and its blocks have no number: magic number, length, checksum of the
-//! body, body. It is read and never written.
+//! body, body. This release reads version 1 and never writes it.
 
 mod decoder;
 mod encoder;
--- a/wal/src/wal.rs
+++ b/wal/src/wal.rs
@@ -11,7 +11,7 @@
 };
 use crate::storage::Storage;
 
-/// The number of files that are kept after they were set aside. A further one replaces the last of them.
+/// The maximum number of set-aside files. Another one replaces the last of them.
 const MAX_SET_ASIDE: u32 = 4;
 
 /// Whether the file under the log's name can be written to.
@@ -19,10 +19,10 @@
 enum State<F> {
     /// The whole file is valid and durable.
     Ready(F),
-    /// An append failed: there may be bytes behind the durable ones.
+    /// An append failed: the file may have bytes after its durable part.
     TailUnknown(F),
-    /// A rewrite failed after it began to rename its file. Which file a loss of power would leave under the
-    /// name is unknown, so that an append to either could be lost.
+    /// A rewrite failed after it began to rename its file. It is unknown which of the two files has the log's name
+    /// after a power loss, so an append to either file could be lost.
     NameUnknown,
 }
 
@@ -34,15 +34,15 @@
     state: State<S::File>,
     /// The length of the durable part of the file, in bytes.
     length: u64,
-    /// The number of blocks in the durable part.
+    /// The number of blocks in the durable part, which is the number of the next block.
     block_count: u32,
 }
 
-/// A log, and the records that it had when it was opened, in the order in which they were appended.
+/// An open log, and the records that the log had when it was opened, in the order in which they were appended.
 pub type OpenedWal<S> = (Wal<S>, Vec<Vec<u8>>);
 
 impl Wal {
-    /// Opens the log of this name in a directory. Creates a directory or file that is missing.
+    /// Opens the log `name` in a directory. Creates the directory and the file if they are missing.
     ///
     /// # Errors
     /// As [`Wal::open_in`].
@@ -52,8 +52,8 @@
 }
 
 impl<S: Storage> Wal<S> {
-    /// Opens the log of this name, and creates a file that is missing. The records that are returned are
-    /// durable, as are the names of the file and of its directory.
+    /// Opens the log `name`, and creates the file if it is missing. The returned records are durable, as are the
+    /// names of the file and of its directory.
     ///
     /// # Errors
     /// [`WalError::Damaged`] and [`WalError::UnsupportedFormat`] after the file was set aside: the next call
@@ -61,8 +61,8 @@
     pub fn open_in(storage: S, name: &str) -> Result<OpenedWal<S>, WalError> {
         let io_error = |source| WalError::from_io(storage.path(name), source);
         storage.create_directory().map_err(io_error)?;
-        // The file of a rewrite that was not completed has no records that count, and does no harm if it
-        // can't be removed.
+        // The temporary file of a rewrite that was not completed. No record in it was acknowledged, and it does no
+        // harm if it can't be removed.
         let _ = storage.remove(&temporary_name(name));
         let Some(mut file) = storage.open(name).map_err(io_error)? else {
             return Ok((Self::create_with(storage, name, &[])?, Vec::new()));
@@ -97,10 +97,10 @@
         }
     }
 
-    /// Makes a file durable as far as its blocks are valid.
+    /// Truncates a torn block, and makes the valid blocks and the name of the file durable.
     ///
     /// A process that was killed may have left bytes or a name that were not synced. The caller acts on the
-    /// records that it reads, so a later loss of power must not take them back.
+    /// records that it reads, so a later power loss must not remove them.
     fn recover(
         storage: S,
         name: &str,
@@ -119,8 +119,8 @@
         Ok((Self { storage, name: name.to_owned(), state, length, block_count }, records))
     }
 
-    /// Creates the file with these records. It gets its name only after it is durable, so that a file without
-    /// a valid header is damaged rather than new.
+    /// Creates the file with these records. The file is renamed to the log's name only after it is durable, so that a
+    /// file without a valid header is damaged rather than new.
     fn create_with(storage: S, name: &str, records: &[Vec<u8>]) -> Result<Self, WalError> {
         let state = State::NameUnknown;
         let mut wal = Self { storage, name: name.to_owned(), state, length: 0, block_count: 0 };
@@ -133,13 +133,13 @@
         self.length
     }
 
-    /// Appends records as one block; they are durable when this returns without an error. After a crash
-    /// either all of them are in the log or none.
+    /// Appends records as one block, which is durable when this returns without an error. After a crash the log
+    /// contains either all of these records or none.
     ///
     /// # Errors
     /// [`WalError::Io`] and [`WalError::DiskFull`] if an operation failed: the records may or may not be in
-    /// the file, and the next append first truncates them. [`WalError::BatchTooLong`] if they do not fit in a
-    /// block. Earlier records stay durable.
+    /// the file, and the next append first truncates the file to its durable part. [`WalError::BatchTooLong`] if the
+    /// records do not fit in a block. Earlier records stay durable.
     pub fn append(&mut self, records: &[Vec<u8>]) -> Result<(), WalError> {
         self.check_length(records)?;
         let mut bytes = Vec::new();
@@ -151,7 +151,7 @@
         self.truncate_unknown_tail()?;
         let State::Ready(mut file) = std::mem::replace(&mut self.state, State::NameUnknown) else {
             return Err(io::Error::other(
-                "a replacement of the file has failed and must be tried again first",
+                "a rewrite of the file failed during its rename, and has to succeed before the next append",
             ));
         };
         let written =
@@ -166,7 +166,7 @@
         Ok(())
     }
 
-    /// Removes what an append that failed may have written.
+    /// Removes the bytes that a failed append may have written.
     fn truncate_unknown_tail(&mut self) -> io::Result<()> {
         let State::TailUnknown(file) = &mut self.state else { return Ok(()) };
         self.storage.truncate(file, self.length)?;
@@ -178,11 +178,11 @@
         Ok(())
     }
 
-    /// Replaces the file by one with just these records; it is durable when this returns without an error.
+    /// Replaces the file by one with only these records, which is durable when this returns without an error.
     ///
     /// # Errors
     /// [`WalError::Io`] and [`WalError::DiskFull`] if an operation failed: after a crash the log has either
-    /// its earlier records or these. If the rename was begun, appends fail until a rewrite succeeds.
+    /// its earlier records or the new ones. If the rename was begun, appends fail until a rewrite succeeds.
     /// [`WalError::BatchTooLong`] if the records do not fit in a block.
     pub fn rewrite(&mut self, records: &[Vec<u8>]) -> Result<(), WalError> {
         self.check_length(records)?;
@@ -197,13 +197,13 @@
         let file = match self.write_temporary(&temporary, bytes) {
             Ok(file) => file,
             Err(error) => {
-                // The disk may be full because of the incomplete file. If this fails, the next rewrite
+                // The disk may be full because of the incomplete file. If it can't be removed, the next rewrite
                 // overwrites it.
                 let _ = self.storage.remove(&temporary);
                 return Err(error);
             }
         };
-        // From here on the present file may have no name.
+        // From here on the log's name may refer to either file.
         self.state = State::NameUnknown;
         self.storage.rename(&temporary, &self.name)?;
         self.storage.sync_directory()?;
@@ -245,12 +245,12 @@
     }
 }
 
-/// The name of the file that a rewrite makes before it has the log's name.
+/// The name of the file that a rewrite creates and then renames to the log's name.
 fn temporary_name(name: &str) -> String {
     format!("{name}.new")
 }
 
-/// Sets the file aside and returns the error for that, which is made of the paths that the file had and has.
+/// Sets the file aside. Returns the error that `error` makes of the old and the new path, or the error of the rename.
 fn set_aside_or_io_error<S: Storage>(
     storage: &S,
     name: &str,
@@ -263,7 +263,7 @@
     }
 }
 
-/// Renames a file that can't be used, so that it is kept for the operator. Returns its new path.
+/// Renames an unusable file, so that it is kept for the operator. Returns its new path.
 fn set_aside<S: Storage>(storage: &S, name: &str) -> io::Result<PathBuf> {
     let mut target = String::new();
     for number in 1..=MAX_SET_ASIDE {
