--- a/protocol/src/registers/map.rs
+++ b/protocol/src/registers/map.rs
@@ -45,18 +45,18 @@
         let digest = write.digest();
         let RegisterWrite { key, sequence, value } = write;
         let is_removed = value.is_none();
-        self.forget(&key);
+        self.erase(&key);
         self.digest = self.digest.wrapping_add(digest);
         self.by_sequence.insert((sequence, key.clone()));
         if is_removed {
             self.removed.insert((sequence, key.clone()));
         }
         self.registers.insert(key, Register { sequence, value, digest });
-        self.limit_removed();
+        self.evict_oldest_removed();
     }
 
     /// Removes a register from the map, so that [`RegisterMap::written_since`] no longer returns it.
-    fn forget(&mut self, key: &RegisterKey) {
+    fn erase(&mut self, key: &RegisterKey) {
         let Some(known) = self.registers.remove(key) else { return };
         let position = (known.sequence, key.clone());
         self.by_sequence.remove(&position);
@@ -64,10 +64,10 @@
         self.digest = self.digest.wrapping_sub(known.digest);
     }
 
-    fn limit_removed(&mut self) {
+    fn evict_oldest_removed(&mut self) {
         while self.removed.len() > MAX_REMOVED {
             let Some((sequence, key)) = self.removed.first().cloned() else { return };
-            self.forget(&key);
+            self.erase(&key);
             self.complete_since = self.complete_since.max(sequence);
         }
     }
--- a/protocol/src/server_list.rs
+++ b/protocol/src/server_list.rs
@@ -61,7 +61,7 @@
 
 type Entries = BTreeMap<String, Entry>;
 
-fn entries(servers: Vec<Server>, now: Nanos) -> Entries {
+fn entries_by_id(servers: Vec<Server>, now: Nanos) -> Entries {
     servers.into_iter().map(|server| (server.id.clone(), Entry::new(server, now))).collect()
 }
 
@@ -135,7 +135,7 @@
         if ballot < before.ballot {
             return None;
         }
-        let mut entries = entries(servers, now);
+        let mut entries = entries_by_id(servers, now);
         // Lists under the default ballot were read by each node for its own use, and differ from node to node.
         if before.number == 0 || before.ballot == Ballot::default() {
             self.reset(ServerListPosition { ballot, number: 1 }, entries);
@@ -192,7 +192,7 @@
         if position <= self.position {
             return ListUpdateOutcome::Stale;
         }
-        let entries = entries(upsert, now);
+        let entries = entries_by_id(upsert, now);
         let Some(from) = base else {
             self.reset(position, entries);
             return ListUpdateOutcome::Applied;
--- a/protocol/tests/compression.rs
+++ b/protocol/tests/compression.rs
@@ -11,9 +11,9 @@
 
 fn routes(count: u64) -> Vec<u8> {
     let route = |at: u64| {
-        let (name, place) = (hash_mix(at) % 0xfff_ffff, hash_mix(at + 1) % 10_000);
+        let (name, path) = (hash_mix(at) % 0xfff_ffff, hash_mix(at + 1) % 10_000);
         format!(
-            "{{\"name\":\"r-{name:07x}\",\"host\":\"host{}.example\",\"path_prefix\":\"/p{place}/\",\"route_kind\":\"safe\",\
+            "{{\"name\":\"r-{name:07x}\",\"host\":\"host{}.example\",\"path_prefix\":\"/p{path}/\",\"route_kind\":\"safe\",\
              \"timeout_ms\":1500,\"target_ms\":150,\"priority\":2,\"service\":\"lobby\",\"max_tries\":2}}",
             at % 60
         )
--- a/protocol/tests/configuration.rs
+++ b/protocol/tests/configuration.rs
@@ -37,8 +37,8 @@
 #[gtest]
 fn invalid_configuration_is_rejected_with_the_field_at_fault() {
     use ConfigurationError as E;
-    let cut = Document::parse(&WHOLE.as_bytes()[..WHOLE.len() - 40]);
-    expect_that!(cut, err(matches_pattern!(E::Unreadable(_))));
+    let truncated = Document::parse(&WHOLE.as_bytes()[..WHOLE.len() - 40]);
+    expect_that!(truncated, err(matches_pattern!(E::Unreadable(_))));
     expect_that!(
         checked_with(r#""service":"s"}"#, r#""service":"z"}"#),
         err(matches_pattern!(E::UnknownService { .. }))
@@ -113,9 +113,9 @@
     )
     .expect("sound");
     for (one, two) in [(whole(), other.clone()), (other, whole()), (Document::default(), whole())] {
-        let mut there = one.with_change(&one.diff(&two));
-        there.sections.retain(|_, items| !items.is_empty());
-        expect_that!(there, eq(&two));
+        let mut changed = one.with_change(&one.diff(&two));
+        changed.sections.retain(|_, items| !items.is_empty());
+        expect_that!(changed, eq(&two));
     }
 }
 
--- a/protocol/tests/frame.rs
+++ b/protocol/tests/frame.rs
@@ -27,8 +27,8 @@
     let bytes: Vec<u8> = (0..5).flat_map(|_| encode(&request())).collect();
     for size in [1, 2, 3, 7, 64, bytes.len()] {
         let (mut decoder, mut received) = (Decoder::default(), 0);
-        for piece in bytes.chunks(size) {
-            decoder.feed(piece);
+        for chunk in bytes.chunks(size) {
+            decoder.feed(chunk);
             while let Some(message) = decoder.next_message::<WatchRequest>().expect("sound") {
                 expect_that!(message, eq(&request()));
                 received += 1;
@@ -40,24 +40,27 @@
 
 #[gtest]
 fn malformed_frame_is_rejected_with_a_typed_error() {
-    let good = encode(&request());
-    let with = |at: usize, byte: u8| {
-        let mut bytes = good.clone();
+    let valid = encode(&request());
+    let decoded_with = |at: usize, byte: u8| {
+        let mut bytes = valid.clone();
         bytes[at] = byte;
         decoded(&bytes)
     };
     expect_that!(decoded(b"GET / HTTP/1.1\r\n\r\n"), err(eq(&FrameError::UnknownMagic)));
     expect_that!(decoded(b"GE"), err(eq(&FrameError::UnknownMagic)));
     expect_that!(
-        with(2, PROTOCOL_VERSION as u8 + 1),
+        decoded_with(2, PROTOCOL_VERSION as u8 + 1),
         err(eq(&FrameError::UnsupportedVersion { received: PROTOCOL_VERSION + 1 }))
     );
     expect_that!(
-        with(7, 0xff),
+        decoded_with(7, 0xff),
         err(matches_pattern!(FrameError::MessageTooLong { length: gt(&MAX_MESSAGE_BYTES) }))
     );
-    expect_that!(with(good.len() - 1, good[good.len() - 1] ^ 1), err(eq(&FrameError::ChecksumMismatch)));
-    expect_that!(decoded(&good[..good.len() - 1]), ok(none()));
+    expect_that!(
+        decoded_with(valid.len() - 1, valid[valid.len() - 1] ^ 1),
+        err(eq(&FrameError::ChecksumMismatch))
+    );
+    expect_that!(decoded(&valid[..valid.len() - 1]), ok(none()));
     // The checksum matches, and the body is no message.
     expect_that!(decoded(&encode(&255_u32)), err(matches_pattern!(FrameError::Undecodable(_))));
 }
@@ -76,17 +79,17 @@
     let between = b"between".to_vec();
     let fragments = encode_fragments(&large);
     expect_that!(fragments.len(), eq(6), "the length comes on top of the bytes");
-    for cut in [1, 7, 4096, 3 * FRAGMENT_BYTES] {
+    for size in [1, 7, 4096, 3 * FRAGMENT_BYTES] {
         let bytes: Vec<u8> =
             fragments.iter().flat_map(|fragment| [fragment.clone(), encode(&between)].concat()).collect();
         let (mut decoder, mut received) = (Decoder::default(), Vec::new());
-        for piece in bytes.chunks(cut) {
-            decoder.feed(piece);
+        for chunk in bytes.chunks(size) {
+            decoder.feed(chunk);
             while let Some(message) = decoder.next_message::<Vec<u8>>().expect("sound") {
                 received.push(message);
             }
         }
-        expect_that!(received.len(), eq(7), "pieces of {cut}");
+        expect_that!(received.len(), eq(7), "chunks of {size} bytes");
         expect_that!(received[..5].iter().all(|message| *message == between), eq(true));
         expect_that!(received[5] == large, eq(true), "whole once its last fragment has come");
         expect_that!(received[6], eq(&between));
--- a/protocol/tests/golden.rs
+++ b/protocol/tests/golden.rs
@@ -167,11 +167,11 @@
     PeerMessage::Consensus { generation: 4, partition: PartitionId(3), message }
 }
 
-fn forward(request: AdminRequest) -> PeerMessage {
+fn forward_request(request: AdminRequest) -> PeerMessage {
     PeerMessage::ForwardRequest { request_id: 900, last_heartbeat: 76, request }
 }
 
-fn forwarded(response: AdminResponse) -> PeerMessage {
+fn forward_response(response: AdminResponse) -> PeerMessage {
     PeerMessage::ForwardResponse { request_id: 900, response }
 }
 
@@ -186,7 +186,7 @@
     }
 }
 
-fn consensus_messages() -> Vec<(&'static str, ConsensusMessage)> {
+fn legacy_consensus_messages() -> Vec<(&'static str, ConsensusMessage)> {
     vec![
         ("prepare", ConsensusMessage::LegacyPrepare { ballot: ballot(5) }),
         ("promise_without_value", ConsensusMessage::LegacyPromise { ballot: ballot(5), accepted: None }),
@@ -328,7 +328,7 @@
     }
 }
 
-fn next_readers_list() -> ServerListChange {
+fn list_of_next_reader() -> ServerListChange {
     let base = Some(ServerListPosition { ballot: ballot(5), number: 40 });
     let position = ServerListPosition { ballot: ballot(6), number: 1 };
     ServerListChange { base, position, upsert: vec![server()], removed: vec!["chat-2#1".to_owned()] }
@@ -402,9 +402,9 @@
         single("membership/full", PeerMessage::Membership(membership())),
         single("state_transfer_request", transfer_request),
         single("state_transfer", state_transfer()),
-        prefixed("consensus", consensus_messages(), consensus),
-        prefixed("forward_request", admin_requests(), forward),
-        prefixed("forward_response", admin_responses(), forwarded),
+        prefixed("consensus", legacy_consensus_messages(), consensus),
+        prefixed("forward_request", admin_requests(), forward_request),
+        prefixed("forward_response", admin_responses(), forward_response),
         single("router_sessions", PeerMessage::RouterSessions(routers)),
         single("server_list/whole", PeerMessage::ServerList(whole_server_list())),
         single("server_list/change", PeerMessage::ServerList(server_list_change())),
@@ -413,7 +413,7 @@
         single("register_transfer_request", register_transfer_request()),
         single("register_transfer", register_transfer()),
         single("server_list_change/whole", PeerMessage::ServerListChange(whole_server_list().into())),
-        single("server_list_change/next_reader", PeerMessage::ServerListChange(next_readers_list())),
+        single("server_list_change/next_reader", PeerMessage::ServerListChange(list_of_next_reader())),
         single("server_list_fetch", PeerMessage::ServerListFetch(position().server_list)),
         single("router_changes", PeerMessage::RouterChanges(router_changes())),
         single("router_sessions_request", PeerMessage::RouterSessionsRequest),
@@ -479,7 +479,7 @@
         ("server_list/change", WatchResponse::ServerList(server_list_change())),
         ("alive", WatchResponse::Alive),
         ("control_nodes", WatchResponse::ControlNodes(vec![control_node])),
-        ("server_list_change", WatchResponse::ServerListChange(next_readers_list().into())),
+        ("server_list_change", WatchResponse::ServerListChange(list_of_next_reader().into())),
     ];
     messages.into_iter().map(|(name, message)| (name.to_owned(), message)).collect()
 }
--- a/protocol/tests/golden_configuration.rs
+++ b/protocol/tests/golden_configuration.rs
@@ -30,15 +30,15 @@
 /// A route that names only the required fields.
 fn plain_route(
     name: &str,
-    place: (&str, &str),
+    host_and_prefix: (&str, &str),
     route_kind: RouteKind,
     timeout_ms: f64,
     service: &str,
 ) -> Route {
     Route {
         name: name.to_owned(),
-        host: place.0.to_owned(),
-        path_prefix: place.1.to_owned(),
+        host: host_and_prefix.0.to_owned(),
+        path_prefix: host_and_prefix.1.to_owned(),
         route_kind,
         timeout_ms,
         latency_target_ms: 0.0,
--- a/protocol/tests/load_exchange.rs
+++ b/protocol/tests/load_exchange.rs
@@ -36,7 +36,7 @@
 }
 
 #[gtest]
-fn bytes_of_another_format_and_cut_ones_are_ignored() {
+fn bytes_of_another_format_and_truncated_ones_are_ignored() {
     let bytes = LoadDatagram::Report(loads(3)).encode();
     expect_that!(LoadDatagram::decode(&[]), none());
     expect_that!(LoadDatagram::decode(&[&[2], &bytes[1..]].concat()), none());
--- a/protocol/tests/properties.rs
+++ b/protocol/tests/properties.rs
@@ -46,8 +46,8 @@
 {
     match decoded::<M>(&frame_around(body)) {
         Ok(Some(message)) => {
-            let again = decoded::<M>(&encode(&message));
-            prop_assert_eq!(again, Ok(Some(message)));
+            let decoded_again = decoded::<M>(&encode(&message));
+            prop_assert_eq!(decoded_again, Ok(Some(message)));
         }
         Ok(None) => prop_assert!(false, "a whole frame is no message and no error"),
         Err(FrameError::Undecodable(_)) => {}
@@ -195,10 +195,10 @@
 }
 
 /// Decodes a stream in chunks until its end or the first error; the number of messages.
-fn decode_all<M: for<'a> Readable<'a, LittleEndian>>(bytes: &[u8], piece: usize) -> usize {
+fn decode_all<M: for<'a> Readable<'a, LittleEndian>>(bytes: &[u8], chunk_size: usize) -> usize {
     let (mut decoder, mut count) = (Decoder::default(), 0);
-    for piece in bytes.chunks(piece) {
-        decoder.feed(piece);
+    for chunk in bytes.chunks(chunk_size) {
+        decoder.feed(chunk);
         loop {
             match decoder.next_message::<M>() {
                 Ok(Some(_)) => count += 1,
@@ -217,33 +217,33 @@
     }
 
     #[test]
-    fn corrupted_body_is_rejected_or_round_trips(which in any::<Index>(), corruptions in vec(any_corruption(), 0..4)) {
+    fn corrupted_body_is_rejected_or_round_trips(body_index in any::<Index>(), corruptions in vec(any_corruption(), 0..4)) {
         let bodies = sample_bodies();
-        check_all_messages(&corrupted(bodies[which.index(bodies.len())].clone(), &corruptions))?;
+        check_all_messages(&corrupted(bodies[body_index.index(bodies.len())].clone(), &corruptions))?;
     }
 
     #[test]
     fn arbitrary_stream_gives_messages_or_a_typed_error(
         stream in vec(any::<u8>(), 0..400),
         has_magic in any::<bool>(),
-        piece in 1..50_usize,
+        chunk_size in 1..50_usize,
     ) {
         let stream = if has_magic { [&0x6976_u16.to_le_bytes()[..], &stream].concat() } else { stream };
-        decode_all::<PeerMessage>(&stream, piece);
-        decode_all::<WatchRequest>(&stream, piece);
-        decode_all::<WatchResponse>(&stream, piece);
+        decode_all::<PeerMessage>(&stream, chunk_size);
+        decode_all::<WatchRequest>(&stream, chunk_size);
+        decode_all::<WatchResponse>(&stream, chunk_size);
     }
 
     #[test]
     fn corrupted_stream_gives_no_more_messages_than_were_sent(
-        which in any::<Index>(),
+        body_index in any::<Index>(),
         corruptions in vec(any_corruption(), 1..4),
-        piece in 1..50_usize,
+        chunk_size in 1..50_usize,
     ) {
         let bodies = sample_bodies();
-        let frame = frame_around(&bodies[which.index(bodies.len())]);
+        let frame = frame_around(&bodies[body_index.index(bodies.len())]);
         let longest = corrupted([frame.clone(), frame.clone(), frame].concat(), &corruptions);
-        let count = decode_all::<PeerMessage>(&longest, piece).max(decode_all::<WatchResponse>(&longest, piece));
+        let count = decode_all::<PeerMessage>(&longest, chunk_size).max(decode_all::<WatchResponse>(&longest, chunk_size));
         // Each duplication may add what the stream had before it.
         prop_assert!(count <= 3 << corruptions.len(), "{count} messages");
     }
--- a/wal/tests/model/mod.rs
+++ b/wal/tests/model/mod.rs
@@ -144,10 +144,10 @@
 pub struct ModelDisk(Rc<Model>);
 
 /// How far an operation gets.
-enum Permit {
-    Whole,
+enum Effect {
+    Full,
     /// It is done in part, and fails.
-    Half(ErrorKind),
+    Partial(ErrorKind),
     None(ErrorKind),
 }
 
@@ -213,35 +213,35 @@
         disks
     }
 
-    fn permit(&self) -> Permit {
+    fn next_effect(&self) -> Effect {
         let number = self.0.operations.get();
         self.0.operations.set(number + 1);
         match self.0.fault.get() {
-            Some(Fault::CrashAt(at)) if number == at => Permit::Half(ErrorKind::Other),
-            Some(Fault::CrashAt(at)) if number > at => Permit::None(ErrorKind::Other),
-            Some(Fault::FailAt(at, kind)) if number == at => Permit::Half(kind),
-            Some(Fault::FailFrom(from, to, kind)) if (from..to).contains(&number) => Permit::None(kind),
-            _ => Permit::Whole,
+            Some(Fault::CrashAt(at)) if number == at => Effect::Partial(ErrorKind::Other),
+            Some(Fault::CrashAt(at)) if number > at => Effect::None(ErrorKind::Other),
+            Some(Fault::FailAt(at, kind)) if number == at => Effect::Partial(kind),
+            Some(Fault::FailFrom(from, to, kind)) if (from..to).contains(&number) => Effect::None(kind),
+            _ => Effect::Full,
         }
     }
 
     /// Runs an operation that may take effect although it fails.
     fn run_partially<T>(&self, operation: impl FnOnce(&mut Files) -> T) -> io::Result<T> {
-        match self.permit() {
-            Permit::Whole => Ok(operation(&mut self.0.files.borrow_mut())),
-            Permit::Half(kind) => {
+        match self.next_effect() {
+            Effect::Full => Ok(operation(&mut self.0.files.borrow_mut())),
+            Effect::Partial(kind) => {
                 operation(&mut self.0.files.borrow_mut());
                 Err(kind.into())
             }
-            Permit::None(kind) => Err(kind.into()),
+            Effect::None(kind) => Err(kind.into()),
         }
     }
 
     /// Runs an operation that takes no effect where it fails.
     fn run_atomically<T>(&self, operation: impl FnOnce(&mut Files) -> T) -> io::Result<T> {
-        match self.permit() {
-            Permit::Whole => Ok(operation(&mut self.0.files.borrow_mut())),
-            Permit::Half(kind) | Permit::None(kind) => Err(kind.into()),
+        match self.next_effect() {
+            Effect::Full => Ok(operation(&mut self.0.files.borrow_mut())),
+            Effect::Partial(kind) | Effect::None(kind) => Err(kind.into()),
         }
     }
 }
@@ -276,10 +276,10 @@
 
     fn write(&self, file: &mut usize, offset: u64, bytes: &[u8]) -> io::Result<()> {
         let offset = offset as usize;
-        let written = match self.permit() {
-            Permit::Whole => Ok(bytes.len()),
-            Permit::Half(kind) => Err((bytes.len() / 2, kind)),
-            Permit::None(kind) => Err((0, kind)),
+        let written = match self.next_effect() {
+            Effect::Full => Ok(bytes.len()),
+            Effect::Partial(kind) => Err((bytes.len() / 2, kind)),
+            Effect::None(kind) => Err((0, kind)),
         };
         let mut files = self.0.files.borrow_mut();
         let free = self.0.capacity.get().map_or(usize::MAX, |capacity| capacity.saturating_sub(files.used()));
