--- a/control/src/consensus/partition/mod.rs
+++ b/control/src/consensus/partition/mod.rs
@@ -96,8 +96,8 @@
         &self.acceptor
     }
 
-    /// What this replica has promised and accepted, for a replica whose committed contents are the same up to `receiver_sequence`;
-    /// with whole contents for `None`.
+    /// What this replica has promised and accepted, for a replica whose contents are the same up to the change `receiver_sequence`. The
+    /// accepted contents are whole where that is `None`.
     pub fn transferred_state(&self, receiver_sequence: Option<u64>) -> TransferredState {
         let has_accepted = self.acceptor.accepted().sequence > 0;
         let accepted = has_accepted.then(|| self.acceptor.accepted_update(receiver_sequence));
--- a/control/src/consensus/partition_state.rs
+++ b/control/src/consensus/partition_state.rs
@@ -66,9 +66,9 @@
 /// The state of a partition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PartitionState {
-    /// The configuration.
+    /// The state of [`PartitionId::CONFIGURATION`].
     Configuration(ConfigurationState),
-    /// Evacuations of the zones in this partition.
+    /// Evacuations of the zones that are hashed into this partition.
     Evacuations(EvacuationState),
 }
 
--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -38,8 +38,8 @@
 //!   which `ivyhatch-coordination` decides;
 //! - [`watch`]: the data sent to routers, their watch sessions, and the registry of routers;
 //! - [`server_list`]: the platform's list of servers and the role of its reader;
-//! - [`load_aggregator`]: the load from all routers, summed for each server; [`load_exchange`]: the loads sent to
-//!   routers and to other control nodes;
+//! - [`load_aggregator`]: the load from all routers, summed for each server; [`load_exchange`]: the loads sent to routers and to other
+//!   control nodes;
 //! - [`storage`]: records and the state that results from them; [`outbox`]: outputs; [`interface`]: inputs and outputs;
 //! - [`ControlPlane`]: owns the state of all these modules, and dispatches inputs to them.
 
--- a/control/src/liveness/heartbeat_schedule.rs
+++ b/control/src/liveness/heartbeat_schedule.rs
@@ -45,8 +45,8 @@
         sequence
     }
 
-    /// When this process sent the heartbeat with this sequence number; `None` where that is longer ago than
-    /// `HISTORY`, or an earlier process sent it.
+    /// When this process sent the heartbeat with this sequence number; `None` where that is longer ago than `HISTORY`,
+    /// or an earlier process sent the heartbeat.
     pub fn sent_at(&self, sequence: u64) -> Option<Nanos> {
         self.sent.iter().find(|heartbeat| heartbeat.sequence == sequence).map(|heartbeat| heartbeat.sent_at)
     }
--- a/control/src/log_event.rs
+++ b/control/src/log_event.rs
@@ -50,7 +50,7 @@
 pub enum LogEvent {
     /// The disk has been formatted as this replica's.
     DiskFormatted {
-        /// The new replica.
+        /// The replica that the disk belongs to from now on.
         replica: ReplicaId,
         /// Why the disk was formatted.
         reason: FormatReason,
@@ -81,22 +81,22 @@
     },
     /// A partition's state was committed that this release can't decode.
     StateUndecodable {
-        /// The partition.
+        /// The partition with that state.
         partition: PartitionId,
     },
     /// The contents of a partition here differ from those of another replica, and are replaced by whole contents.
     ContentsDiverged {
-        /// The partition.
+        /// The partition whose contents differ.
         partition: PartitionId,
     },
     /// This node no longer leads a partition, nor contends for it.
     SteppedDown {
-        /// The partition.
+        /// The partition that this node led or contended for.
         partition: PartitionId,
     },
     /// This node has begun to decide on applications' calls in a partition.
     CoordinationLeader {
-        /// The partition.
+        /// The partition of the calls.
         partition: PartitionId,
         /// The number of stored locks.
         locks: usize,
@@ -121,7 +121,7 @@
     },
     /// Another node has read the list under a higher ballot: this node has to renew its ballot before its next read.
     ServerListReaderSuperseded {
-        /// The higher ballot.
+        /// The other node's ballot.
         superseded_by: Ballot,
     },
     /// A read of the platform's list has failed.
--- a/control/src/membership/cluster_view.rs
+++ b/control/src/membership/cluster_view.rs
@@ -16,7 +16,7 @@
     pub node: NodeId,
     /// The node's own replica, with its membership.
     pub local: &'a LocalReplica,
-    /// The other nodes.
+    /// The other nodes, with their last heartbeats.
     pub peers: &'a FailureDetector,
     /// Whether the node itself is draining.
     pub is_draining: bool,
--- a/control/src/membership/reconfiguration.rs
+++ b/control/src/membership/reconfiguration.rs
@@ -12,7 +12,8 @@
 pub const BOOTSTRAP_DELAY: Nanos = 1500 * MILLISECOND;
 /// A voter that no other voter could reach for this long is replaced by a candidate in its zone, if there is one.
 const REPLACEMENT_TIMEOUT: Nanos = 2 * SECOND;
-/// The same for a candidate in another zone. Longer than any network partition that ends by itself.
+/// A voter that no other voter could reach for this long is replaced by a candidate in any zone, if there is one. Longer than any
+/// network partition that ends by itself.
 const LOSS_TIMEOUT: Nanos = 90 * SECOND;
 
 /// The first membership, on the very first start of the whole system: the seed with the lowest address creates it, once that node can
--- a/control/src/membership/rules.rs
+++ b/control/src/membership/rules.rs
@@ -36,7 +36,7 @@
 /// A replica without a seat that could take one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// The replica.
+    /// The replica that would become a voter.
     pub replica: ReplicaId,
     /// The zone of its machine.
     pub zone: String,
--- a/control/src/storage/durable_state.rs
+++ b/control/src/storage/durable_state.rs
@@ -13,7 +13,7 @@
 /// The replica that a disk was formatted as.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FormattedReplica {
-    /// The replica.
+    /// The replica's node and disk.
     pub id: ReplicaId,
     /// Whether the disk was formatted on the first start of the whole system.
     pub first_start: bool,
--- a/control/src/storage/record.rs
+++ b/control/src/storage/record.rs
@@ -11,7 +11,7 @@
 pub enum Record {
     /// The disk was formatted for this replica; earlier records are ignored.
     Formatted {
-        /// The replica.
+        /// The replica's node and disk.
         replica: ReplicaId,
         /// Whether the disk was formatted on the first start of the whole system.
         first_start: bool,
