--- a/control/src/control_plane/requests.rs
+++ b/control/src/control_plane/requests.rs
@@ -12,9 +12,9 @@
 use crate::requests::pending_requests::Route;
 use crate::requests::request_queue::{QueuedRequest, ReadyResponse, Requester, UnconfirmedResponse};
 
-/// The response to a request that was not decided in time.
+/// The text of the `Unavailable` response to a request that was not decided in time.
 const NO_QUORUM_TEXT: &str =
-    "most control nodes can't be reached from here now: send it again unchanged, to any of them";
+    "most control nodes can't be reached from this one: send the request again unchanged, to any of them";
 
 impl ControlPlane {
     pub(super) fn on_admin_request(&mut self, id: RequestId, request: AdminRequest) {
