--- a/control/src/watch/router_registry.rs
+++ b/control/src/watch/router_registry.rs
@@ -194,9 +194,9 @@
         RouterRank { count: self.last_seen.len().max(1), index: self.last_seen.range(..node).count() }
     }
 
-    /// The addresses that the directory of a partitioned region gives to its clients: its own ready routers, which still reach the
-    /// region's servers, and as many of those that were last seen ready in `other_regions`, to which the partition may not extend
-    /// for clients.
+    /// The addresses that the directory of a partitioned region gives to the region's clients: the region's routers, which still reach
+    /// the region's servers, and routers last seen ready in `other_regions`, which the clients may still reach. Each group gets at most
+    /// half of [`MAX_DIRECTORY_ADDRESSES`].
     pub fn addresses_while_partitioned(&self, region: &str, other_regions: &BTreeSet<String>) -> Vec<String> {
         let mut addresses = self.addresses_for_region(region);
         let last_seen_ready = self.last_seen_ready.values().map(|seen| &seen.router);
