--- a/control/tests/call_queue.rs
+++ b/control/tests/call_queue.rs
@@ -43,7 +43,7 @@
         Some(Decision::Propose { reply, publication, .. }) => {
             queue.proposed(sequence, requester, reply, publication);
         }
-        other => panic!("the call {call:?} proposes a change: {other:?}"),
+        other => panic!("expected a proposed change, got {other:?}"),
     }
 }
 
