--- a/protocol/tests/compression.rs
+++ b/protocol/tests/compression.rs
@@ -1,10 +1,10 @@
-//! Compression: round trips, and rejection of bytes that no compression has made.
+//! Compression: round trips, and rejection of bytes that are not compressed data.
 
 use googletest::prelude::*;
 use ivyhatch_protocol::compression::{CompressionError, compress, decompress};
 use ivyhatch_protocol::hash::hash_mix;
 
-/// Pseudo-random bytes out of an alphabet of this size.
+/// Pseudo-random bytes below `alphabet`.
 fn bytes(seed: u64, length: usize, alphabet: u64) -> Vec<u8> {
     (0..length as u64).map(|at| (hash_mix(seed ^ hash_mix(at)) % alphabet) as u8).collect()
 }
@@ -28,7 +28,11 @@
             let bytes = bytes(length as u64, length, alphabet);
             let compressed = compress(&bytes);
             expect_that!(compressed.len(), le(length + length / 200 + 16));
-            expect_that!(decompress(&compressed, length) == Ok(bytes), eq(true), "{length} of {alphabet}");
+            expect_that!(
+                decompress(&compressed, length) == Ok(bytes),
+                eq(true),
+                "length {length}, alphabet {alphabet}"
+            );
         }
     }
 }
@@ -38,7 +42,7 @@
     for gap in [1, 2, 3, 5, 4096, 65_530, 65_535, 65_536, 65_540, 131_072] {
         let pattern = bytes(1, 300, 256);
         let bytes = [pattern.clone(), bytes(2, gap - 1, 256), pattern.clone(), pattern].concat();
-        expect_that!(decompress(&compress(&bytes), bytes.len()) == Ok(bytes), eq(true), "{gap}");
+        expect_that!(decompress(&compress(&bytes), bytes.len()) == Ok(bytes), eq(true), "gap {gap}");
     }
 }
 
@@ -58,7 +62,11 @@
         expect_that!(decompress(&compressed[..cut], bytes.len()), err(anything()), "cut at {cut}");
     }
     for length in [0, 1, bytes.len() - 1, bytes.len() + 1, usize::MAX] {
-        expect_that!(decompress(&compressed, length), err(eq(&CompressionError::LengthMismatch)), "{length}");
+        expect_that!(
+            decompress(&compressed, length),
+            err(eq(&CompressionError::LengthMismatch)),
+            "length {length}"
+        );
     }
     expect_that!(decompress(&[0x10, b'x', 0, 0, 0], 9), err(eq(&CompressionError::InvalidDistance)));
     expect_that!(decompress(&[0x10, b'x', 2, 0, 0], 9), err(eq(&CompressionError::InvalidDistance)));
--- a/protocol/tests/configuration.rs
+++ b/protocol/tests/configuration.rs
@@ -13,18 +13,18 @@
   "limits":{"max_header_bytes":16384}}"#;
 
 fn whole() -> Document {
-    Document::parse(WHOLE.as_bytes()).expect("a sound configuration")
+    Document::parse(WHOLE.as_bytes()).expect("a valid configuration")
 }
 
 /// Validates the configuration with one text replaced by another; the current revision is 5.
 fn checked_with(from: &str, to: &str) -> std::result::Result<(), ConfigurationError> {
-    assert!(WHOLE.contains(from), "{from} does not stand there");
+    assert!(WHOLE.contains(from), "the configuration does not contain {from}");
     Document::parse(WHOLE.replace(from, to).as_bytes())?.validate(5).map(drop)
 }
 
 #[gtest]
 fn valid_configuration_is_accepted_and_returned_with_all_its_fields() {
-    let view = whole().validate(5).expect("sound");
+    let view = whole().validate(5).expect("configuration is valid");
     expect_that!(view.routes.len(), eq(2));
     expect_that!(view.routes[0].targets(), elements_are![eq(&("s", 90.0)), eq(&("t", 10.0))]);
     expect_that!(view.routes[1].targets(), elements_are![eq(&("s", 1.0))]);
@@ -85,8 +85,8 @@
 fn change_adds_replaces_and_removes_items_by_name() {
     let change = br#"{"revision":9,"upsert":{"routes":[{"name":"c","host":"h.example","path_prefix":"/c/","route_kind":"safe",
         "timeout_ms":1,"service":"s"}],"tenants":[{"name":"x","quota":4}]},"remove":{"routes":["b","not-there"]}}"#;
-    let changed = whole().with_change(&Change::parse(change).expect("a sound change"));
-    let view = changed.validate(7).expect("sound");
+    let changed = whole().with_change(&Change::parse(change).expect("a valid change"));
+    let view = changed.validate(7).expect("configuration is valid");
     let names: Vec<&str> = view.routes.iter().map(|route| route.name.as_str()).collect();
     expect_that!(names, elements_are![eq(&"a"), eq(&"c")]);
     expect_that!(changed.to_json(), contains_substring(r#""quota":4"#));
@@ -111,7 +111,7 @@
             .replace("16384", "1")
             .as_bytes(),
     )
-    .expect("sound");
+    .expect("configuration is valid");
     for (one, two) in [(whole(), other.clone()), (other, whole()), (Document::default(), whole())] {
         let mut changed = one.with_change(&one.diff(&two));
         changed.sections.retain(|_, items| !items.is_empty());
@@ -128,7 +128,7 @@
     let nested = |depth: usize| format!("{}{}", "[".repeat(depth), "]".repeat(depth));
     expect_that!(with(&nested(126)), ok(anything()));
     expect_that!(with(&nested(127)), err(matches_pattern!(ConfigurationError::Unreadable(_))));
-    // Beside each other, and in a string, behind an escaped quote.
+    // Siblings, and brackets in a string after an escaped quote.
     expect_that!(with(&format!("[{}]", vec!["[{}]"; 500].join(","))), ok(anything()));
     expect_that!(with(&format!("\"{}\\\"{}\"", "[".repeat(300), "{".repeat(300))), ok(anything()));
 }
--- a/protocol/tests/frame.rs
+++ b/protocol/tests/frame.rs
@@ -1,4 +1,5 @@
-//! Frames: chunks of any size, foreign bytes, other versions, damage, fragments, compression.
+//! Framing: decoding from chunks of any size; rejection of foreign bytes, other versions and corruption; fragments;
+//! compression.
 
 use googletest::prelude::*;
 use ivyhatch_protocol::frame::{
@@ -11,7 +12,7 @@
     WatchRequest::Fetch { position: Default::default() }
 }
 
-/// A message that compression does not make shorter.
+/// A message of `length` bytes that compression does not make shorter.
 fn incompressible(length: usize) -> Vec<u8> {
     (0..length as u64).map(|at| hash_mix(at) as u8).collect()
 }
@@ -29,7 +30,7 @@
         let (mut decoder, mut received) = (Decoder::default(), 0);
         for chunk in bytes.chunks(size) {
             decoder.feed(chunk);
-            while let Some(message) = decoder.next_message::<WatchRequest>().expect("sound") {
+            while let Some(message) = decoder.next_message::<WatchRequest>().expect("frames are valid") {
                 expect_that!(message, eq(&request()));
                 received += 1;
             }
@@ -61,7 +62,7 @@
         err(eq(&FrameError::ChecksumMismatch))
     );
     expect_that!(decoded(&valid[..valid.len() - 1]), ok(none()));
-    // The checksum matches, and the body is no message.
+    // The checksum matches, but the body is not a message.
     expect_that!(decoded(&encode(&255_u32)), err(matches_pattern!(FrameError::Undecodable(_))));
 }
 
@@ -78,20 +79,20 @@
     let large = incompressible(5 * FRAGMENT_BYTES);
     let between = b"between".to_vec();
     let fragments = encode_fragments(&large);
-    expect_that!(fragments.len(), eq(6), "the length comes on top of the bytes");
+    expect_that!(fragments.len(), eq(6), "the length of the vector is encoded in front of its bytes");
     for size in [1, 7, 4096, 3 * FRAGMENT_BYTES] {
         let bytes: Vec<u8> =
             fragments.iter().flat_map(|fragment| [fragment.clone(), encode(&between)].concat()).collect();
         let (mut decoder, mut received) = (Decoder::default(), Vec::new());
         for chunk in bytes.chunks(size) {
             decoder.feed(chunk);
-            while let Some(message) = decoder.next_message::<Vec<u8>>().expect("sound") {
+            while let Some(message) = decoder.next_message::<Vec<u8>>().expect("frames are valid") {
                 received.push(message);
             }
         }
         expect_that!(received.len(), eq(7), "chunks of {size} bytes");
         expect_that!(received[..5].iter().all(|message| *message == between), eq(true));
-        expect_that!(received[5] == large, eq(true), "whole once its last fragment has come");
+        expect_that!(received[5] == large, eq(true), "decoded after its last fragment");
         expect_that!(received[6], eq(&between));
         expect_that!(decoder.fragments_received(), eq(6));
     }
@@ -122,9 +123,12 @@
     for bytes in [frame.clone(), encode_fragments(&long).concat()] {
         let mut decoder = Decoder::default();
         decoder.feed(&bytes);
-        expect_that!(decoder.next_message::<String>().expect("sound") == Some(long.clone()), eq(true));
+        expect_that!(
+            decoder.next_message::<String>().expect("frames are valid") == Some(long.clone()),
+            eq(true)
+        );
     }
-    // The checksum matches, and the compressed body is damaged.
+    // The checksum matches, but the compressed body is corrupted.
     let (head, body) = frame.split_at(12);
     for (at, byte) in [(3, 0xff), (2, 1)] {
         let mut body = body.to_vec();
--- a/protocol/tests/golden.rs
+++ b/protocol/tests/golden.rs
@@ -1,8 +1,7 @@
-//! The bytes of each message between processes stay as they are stored in `golden/`: in both directions,
-//! whole and framed.
+//! Golden tests of the wire format: each message between processes is encoded to, and decoded from, the bytes in
+//! `golden/`, as single frames and as fragments. They guard against unintended changes of the format.
 //!
-//! A new message is added by `UPDATE_GOLDEN=1 cargo test -p ivyhatch-protocol --test golden`; a line that is
-//! there never changes.
+//! `UPDATE_GOLDEN=1 cargo test -p ivyhatch-protocol --test golden` adds a new message; existing lines must not change.
 
 mod golden_files;
 
@@ -205,7 +204,7 @@
     ]
 }
 
-/// A write of each kind of register.
+/// A write of each kind of register of the control state.
 fn register_writes() -> Vec<RegisterWrite> {
     let item = RegisterKey::Item { section: "routes".to_owned(), name: "chat".to_owned() };
     let keys = [
@@ -381,7 +380,7 @@
     ]
 }
 
-/// Values under names that begin with a prefix.
+/// Messages with names that begin with a prefix.
 fn prefixed<T, M>(
     prefix: &str,
     values: Vec<(&'static str, T)>,
@@ -484,7 +483,7 @@
     messages.into_iter().map(|(name, message)| (name.to_owned(), message)).collect()
 }
 
-/// Text of this many characters that hardly repeats itself.
+/// Text of `length` characters with hardly any repetition.
 fn varied_text(length: u64) -> String {
     (0..length)
         .map(|at| char::from(b'#' + (hash_mix(at) % 90) as u8).to_string().replace('\\', "!"))
@@ -500,7 +499,7 @@
     WatchResponse::Snapshot { sequence: 12, document: document.into() }
 }
 
-/// Over 2 KiB of items that resemble each other.
+/// A message of more than 2 KiB, with items that resemble each other.
 fn repetitive_message() -> WatchResponse {
     let route = |number: u64| {
         let name = format!("route-{number}");
@@ -511,12 +510,12 @@
     document_of((0..40).map(route).collect())
 }
 
-/// Over 16 KiB that compression would lengthen.
+/// A message of more than 16 KiB that compression would lengthen.
 fn varied_message() -> WatchResponse {
     document_of(vec![item("varied", &varied_text(18_000))])
 }
 
-/// Over 16 KiB also once it is compressed.
+/// A message of more than 16 KiB even after compression.
 fn half_repetitive_message() -> WatchResponse {
     let text = varied_text(18_000);
     document_of(vec![item("first", &text), item("second", &text)])
@@ -525,11 +524,10 @@
 fn decode_all<M: for<'a> Readable<'a, LittleEndian>>(bytes: &[u8]) -> Vec<M> {
     let mut decoder = Decoder::default();
     decoder.feed(bytes);
-    std::iter::from_fn(|| decoder.next_message().expect("sound frames")).collect()
+    std::iter::from_fn(|| decoder.next_message().expect("frames are valid")).collect()
 }
 
-/// Compares the frame of each message with the golden file, and each golden frame's message with the one that
-/// made it.
+/// Checks that each message is encoded to its frame in the golden file, and that this frame is decoded to the message.
 fn check_messages<M>(file: &str, messages: &[(String, M)])
 where
     M: for<'a> Readable<'a, LittleEndian> + Writable<LittleEndian> + PartialEq + Debug,
@@ -539,11 +537,14 @@
     let golden = compare(file, &lines);
     for ((name, message), golden_line) in messages.iter().zip(&golden) {
         let decoded: Vec<M> = decode_all(&golden_line.bytes);
-        assert!(decoded.iter().eq([message]), "{file}: {name}: the golden frame is another message");
+        assert!(
+            decoded.iter().eq([message]),
+            "{file}: {name}: the golden frame is decoded to another message"
+        );
     }
 }
 
-/// The same for values that are not sent by themselves.
+/// Like [`check_messages`], for values that are sent only within other messages.
 fn check_values<V>(file: &str, values: &[(&str, V)])
 where
     V: for<'a> Readable<'a, LittleEndian> + Writable<LittleEndian> + PartialEq + Debug,
@@ -553,12 +554,13 @@
         values.iter().map(|(name, value)| GoldenLine::new(name, bytes(value))).collect();
     let golden = compare(file, &lines);
     for ((name, value), golden_line) in values.iter().zip(&golden) {
-        let decoded = V::read_from_buffer(&golden_line.bytes).expect("a golden value that can be read");
-        assert!(decoded == *value, "{file}: {name}: the golden bytes are another value");
+        let decoded = V::read_from_buffer(&golden_line.bytes).expect("golden value can be decoded");
+        assert!(decoded == *value, "{file}: {name}: the golden bytes are decoded to another value");
     }
 }
 
-/// Compares the fragments of a message, each a line, and the message that all of them together decode to.
+/// Checks that a message is encoded to the fragments in the golden file, one per line, and that these fragments are
+/// decoded to the message. Returns the lines of the file.
 fn check_fragments(file: &str, message: &WatchResponse) -> Vec<GoldenLine> {
     let fragments = encode_fragments(message);
     let line = |(index, bytes)| GoldenLine::new(&format!("fragment_{index}"), bytes);
@@ -566,11 +568,11 @@
     let golden = compare(file, &lines);
     let stream: Vec<u8> = golden.iter().flat_map(|line| line.bytes.clone()).collect();
     let decoded: Vec<WatchResponse> = decode_all(&stream);
-    assert!(decoded == [message.clone()], "{file}: the golden fragments are another message");
+    assert!(decoded == [message.clone()], "{file}: the golden fragments are decoded to another message");
     golden
 }
 
-/// The bits of a frame's length field that are no length.
+/// The flags in the length field of a frame.
 fn flags(frame: &[u8]) -> u8 {
     frame[7] & 0xe0
 }
--- a/protocol/tests/golden_configuration.rs
+++ b/protocol/tests/golden_configuration.rs
@@ -1,5 +1,5 @@
-//! How a configuration and a patch are read, kept and given back stays as it is, as do the texts for invalid
-//! ones: whole documents and texts are kept in `golden/`.
+//! Golden tests of configurations and patches: parsing, encoding, changes and error texts, with whole documents and
+//! texts in `golden/`. They guard against unintended changes of what an operator sends and reads.
 
 mod golden_files;
 
@@ -12,22 +12,22 @@
 
 const CONFIGURATION: &str = include_str!("golden/configuration.json");
 const PATCH: &str = include_str!("golden/patch.json");
-/// The version that is in force before the golden configuration.
+/// The revision of the configuration that the golden configuration replaces.
 const CURRENT_REVISION: u64 = 40;
 
 fn document() -> Document {
-    Document::parse(CONFIGURATION.as_bytes()).expect("a golden configuration that can be read")
+    Document::parse(CONFIGURATION.as_bytes()).expect("golden configuration can be parsed")
 }
 
 fn patch() -> Change {
-    Change::parse(PATCH.as_bytes()).expect("a golden patch that can be read")
+    Change::parse(PATCH.as_bytes()).expect("golden patch can be parsed")
 }
 
 fn split(service: &str, weight: f64) -> Split {
     Split { service: service.to_owned(), weight }
 }
 
-/// A route that names only the required fields.
+/// A route with only the required fields.
 fn plain_route(
     name: &str,
     host_and_prefix: (&str, &str),
@@ -103,18 +103,18 @@
     Configuration { revision: 41, routes, services: services(), limits }
 }
 
-/// The outcome for the golden configuration with one text replaced by another.
+/// Parses and validates the golden configuration after `from` is replaced by `to`.
 fn checked_with(from: &str, to: &str) -> std::result::Result<Configuration, ConfigurationError> {
-    assert!(CONFIGURATION.contains(from), "{from} does not stand there");
+    assert!(CONFIGURATION.contains(from), "the golden configuration does not contain {from}");
     Document::parse(CONFIGURATION.replacen(from, to, 1).as_bytes())?.validate(CURRENT_REVISION)
 }
 
 fn error_with(from: &str, to: &str) -> String {
-    checked_with(from, to).expect_err("a configuration that is refused").to_string()
+    checked_with(from, to).expect_err("configuration is rejected").to_string()
 }
 
 fn patch_error(text: &str) -> String {
-    Change::parse(text.as_bytes()).expect_err("a patch that is refused").to_string()
+    Change::parse(text.as_bytes()).expect_err("patch is rejected").to_string()
 }
 
 fn compare_errors(file: &str, errors: &[(&str, String)]) {
@@ -131,7 +131,7 @@
 
 #[gtest]
 fn missing_fields_have_their_default_values() {
-    let document = Document::parse(br#"{"revision":1}"#).expect("a readable configuration");
+    let document = Document::parse(br#"{"revision":1}"#).expect("configuration can be parsed");
     let limits = RequestLimits {
         max_header_bytes: 16_384.0,
         max_body_bytes: 4_194_304.0,
@@ -145,7 +145,7 @@
 #[gtest]
 fn each_flag_of_a_route_is_read_from_its_own_field() {
     let flags_with = |from: &str, to: &str| {
-        let route = checked_with(from, to).expect("a sound configuration").routes.swap_remove(0);
+        let route = checked_with(from, to).expect("configuration is valid").routes.swap_remove(0);
         (route.sticky, route.resumable)
     };
     expect_that!(flags_with("\"sticky\": true", "\"sticky\": false"), eq((false, true)));
@@ -181,8 +181,8 @@
 fn unreadable_configurations_are_rejected_with_the_golden_texts() {
     let errors = [
         ("not_json", error_with("\"revision\": 41,", "\"revision\" 41,")),
-        ("not_an_object", Document::parse(b"[]").expect_err("refused").to_string()),
-        ("cut_short", Document::parse(b"{\"revision\":41,\"routes\":[").expect_err("refused").to_string()),
+        ("not_an_object", Document::parse(b"[]").expect_err("rejected").to_string()),
+        ("cut_short", Document::parse(b"{\"revision\":41,\"routes\":[").expect_err("rejected").to_string()),
         ("revision_missing", error_with("\"revision\": 41,", "")),
         ("revision_not_whole", error_with("\"revision\": 41,", "\"revision\": 41.5,")),
         ("revision_text", error_with("\"revision\": 41,", "\"revision\": \"41\",")),
--- a/protocol/tests/golden_files/mod.rs
+++ b/protocol/tests/golden_files/mod.rs
@@ -1,23 +1,22 @@
-//! Golden files: of bytes, one `name: hex` line for each encoded value, or of text.
+//! Golden files: either encoded values, one `name: hex` line for each value, or plain text.
 #![allow(dead_code)]
 
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
 
-/// Set to `1` in the environment, this writes the golden files anew instead of comparing with them.
+/// The environment variable that, if set to `1`, makes the tests rewrite their golden files before the comparison.
 const UPDATE_VARIABLE: &str = "UPDATE_GOLDEN";
 
-/// An encoded value, under the name by which it stands in its file.
+/// An encoded value and its name in the golden file.
 #[derive(Debug, PartialEq, Eq)]
 pub struct GoldenLine {
-    /// Its name; no two lines of a file share one.
+    /// The name of the value, unique in the file.
     pub name: String,
-    /// Its bytes.
+    /// The encoded value.
     pub bytes: Vec<u8>,
 }
 
 impl GoldenLine {
-    /// A line of this name with these bytes.
     pub fn new(name: &str, bytes: Vec<u8>) -> Self {
         Self { name: name.to_owned(), bytes }
     }
@@ -28,20 +27,20 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file)
 }
 
-/// Whether the golden files are to be written anew.
+/// Whether the golden files are to be rewritten.
 fn is_update() -> bool {
     std::env::var(UPDATE_VARIABLE).is_ok_and(|value| value == "1")
 }
 
 fn write(file: &str, text: &str) {
-    std::fs::write(path(file), text).expect("a folder that can be written to");
+    std::fs::write(path(file), text).expect("golden file can be written");
 }
 
 fn read(file: &str) -> String {
-    std::fs::read_to_string(path(file)).expect("a golden file that can be read")
+    std::fs::read_to_string(path(file)).expect("golden file can be read")
 }
 
-/// Compares a text with the golden file. Where the environment asks for an update, the file is written first.
+/// Compares a text with the golden file. If [`UPDATE_VARIABLE`] is set, the file is rewritten first.
 pub fn compare_text(file: &str, text: &str) {
     if is_update() {
         write(file, text);
@@ -49,8 +48,8 @@
     assert_eq!(text, read(file), "{file}");
 }
 
-/// Compares the lines with those of the golden file, which has to hold the same names in the same order, and
-/// returns those of the file. Where the environment asks for an update, the file is written first.
+/// Compares the lines with those of the golden file, which must have the same names in the same order. Returns the
+/// lines of the file. If [`UPDATE_VARIABLE`] is set, the file is rewritten first.
 pub fn compare(file: &str, lines: &[GoldenLine]) -> Vec<GoldenLine> {
     if is_update() {
         write(file, &to_text(lines));
@@ -72,7 +71,7 @@
 }
 
 fn parse_line(line: &str) -> GoldenLine {
-    let (name, hex) = line.split_once(": ").expect("a line `name: hex`");
+    let (name, hex) = line.split_once(": ").expect("line has the form `name: hex`");
     GoldenLine::new(name, from_hex(hex))
 }
 
@@ -84,7 +83,7 @@
 }
 
 fn from_hex(hex: &str) -> Vec<u8> {
-    assert!(hex.len().is_multiple_of(2), "an odd count of hex digits");
+    assert!(hex.len().is_multiple_of(2), "odd number of hex digits");
     let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex digits");
     (0..hex.len()).step_by(2).map(byte).collect()
 }
--- a/protocol/tests/golden_settings.rs
+++ b/protocol/tests/golden_settings.rs
@@ -1,5 +1,5 @@
-//! The fields, default values and error texts of a process's settings file stay as they are: whole files are
-//! kept in `golden/`.
+//! Golden tests of a process's settings file: fields, default values and error texts, with whole files in `golden/`.
+//! They guard against unintended changes of the file format.
 
 mod golden_files;
 
@@ -15,18 +15,18 @@
 const REQUIRED_FIELDS: &str = include_str!("golden/settings-required-fields.json");
 
 fn read(text: &str) -> Settings {
-    Settings::from_text(text, "node.json").expect("a golden file that can be read")
+    Settings::from_text(text, "node.json").expect("golden file is valid")
 }
 
 fn address(ip: [u8; 4], port: u16) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::from(ip), port)
 }
 
-/// The error text for the file with every field, with one text replaced by another.
+/// The error text for the file with every field, after `from` is replaced by `to`.
 fn error_with(from: &str, to: &str) -> String {
-    assert!(EVERY_FIELD.contains(from), "{from} does not stand there");
+    assert!(EVERY_FIELD.contains(from), "the file does not contain {from}");
     let read = Settings::from_text(&EVERY_FIELD.replacen(from, to, 1), "node.json");
-    read.expect_err("settings that are refused").to_string()
+    read.expect_err("settings are rejected").to_string()
 }
 
 #[gtest]
--- a/protocol/tests/load_exchange.rs
+++ b/protocol/tests/load_exchange.rs
@@ -1,9 +1,9 @@
-//! Datagrams of the load exchange: what is decoded is what was encoded, and nothing else is.
+//! Datagrams of the load exchange: round trips, stable bytes, and rejection of other bytes.
 
 use googletest::prelude::*;
 use ivyhatch_protocol::load_exchange::{LoadDatagram, MAX_SERVERS, ServerLoad, server_key};
 
-/// The payload of a UDP datagram that is not fragmented on Ethernet.
+/// The maximum payload of a UDP datagram that is not fragmented on Ethernet.
 const MAX_PAYLOAD_BYTES: usize = 1472;
 
 fn loads(count: u32) -> Vec<ServerLoad> {
--- a/protocol/tests/properties.rs
+++ b/protocol/tests/properties.rs
@@ -1,5 +1,5 @@
 //! Properties of all decoders on arbitrary and corrupted input: the result is a typed error or a value that
-//! round-trips; there are no panics, and memory is bounded by the length of the input.
+//! round-trips; decoding never panics, and its memory is bounded by the length of the input.
 //!
 //! A longer run: `PROPTEST_CASES=100000 cargo test --release -p ivyhatch-protocol --test properties`.
 
@@ -23,7 +23,7 @@
 
 const FRAME_HEADER: usize = 12;
 
-/// A frame with a valid header around any body.
+/// A frame with a valid header and this body.
 fn frame_around(body: &[u8]) -> Vec<u8> {
     let mut bytes = 0x6976_u16.to_le_bytes().to_vec();
     bytes.extend_from_slice(&PROTOCOL_VERSION.to_le_bytes());
@@ -39,7 +39,7 @@
     decoder.next_message()
 }
 
-/// A body that can be decoded round-trips.
+/// Checks that a body is rejected or round-trips.
 fn check_body<M>(body: &[u8]) -> std::result::Result<(), TestCaseError>
 where
     M: for<'a> Readable<'a, LittleEndian> + Writable<LittleEndian> + PartialEq + Debug,
@@ -49,7 +49,7 @@
             let decoded_again = decoded::<M>(&encode(&message));
             prop_assert_eq!(decoded_again, Ok(Some(message)));
         }
-        Ok(None) => prop_assert!(false, "a whole frame is no message and no error"),
+        Ok(None) => prop_assert!(false, "a complete frame gave neither a message nor an error"),
         Err(FrameError::Undecodable(_)) => {}
         Err(error) => prop_assert!(false, "{error}"),
     }
@@ -64,7 +64,7 @@
     check_body::<Change>(body)
 }
 
-/// Bodies of messages of each kind, without their frames.
+/// Sample bodies: encoded messages without their frame headers.
 fn sample_bodies() -> Vec<Vec<u8>> {
     let ballot = Ballot { counter: 3, node: NodeId(0x7f00_0001), incarnation: 99 };
     let router = Router {
@@ -91,7 +91,7 @@
         upsert: vec![server],
         removed: vec!["s-0".to_owned()],
     };
-    let document = Document::parse(CONFIGURATION.as_bytes()).expect("a sound configuration");
+    let document = Document::parse(CONFIGURATION.as_bytes()).expect("a valid configuration");
     let change = Document::default().diff(&document);
     let position = Position {
         configuration: 4,
@@ -130,7 +130,7 @@
 enum Corruption {
     Truncate(Index),
     Byte(Index, u8),
-    /// Overwrites four bytes, which may be a length.
+    /// Overwrites four bytes, which may be the length of a vector or string.
     Word(Index, u32),
     Insert(Index, Vec<u8>),
     Duplicate(Index, Index),
@@ -183,7 +183,7 @@
     ]
 }
 
-/// Bytes many of which are small, like tags and lengths.
+/// Arbitrary bytes, many of which are small like enum tags and lengths.
 fn any_body() -> impl Strategy<Value = Vec<u8>> {
     let byte = prop_oneof![3 => Just(0_u8), 3 => 0..12_u8, 1 => any::<u8>()];
     vec(byte, 0..200)
@@ -194,7 +194,7 @@
     bytes
 }
 
-/// Decodes a stream in chunks until its end or the first error; the number of messages.
+/// Decodes a stream in chunks until its end or the first error. Returns the number of decoded messages.
 fn decode_all<M: for<'a> Readable<'a, LittleEndian>>(bytes: &[u8], chunk_size: usize) -> usize {
     let (mut decoder, mut count) = (Decoder::default(), 0);
     for chunk in bytes.chunks(chunk_size) {
@@ -244,7 +244,7 @@
         let frame = frame_around(&bodies[body_index.index(bodies.len())]);
         let longest = corrupted([frame.clone(), frame.clone(), frame].concat(), &corruptions);
         let count = decode_all::<PeerMessage>(&longest, chunk_size).max(decode_all::<WatchResponse>(&longest, chunk_size));
-        // Each duplication may add what the stream had before it.
+        // Each duplication can at most double the number of messages.
         prop_assert!(count <= 3 << corruptions.len(), "{count} messages");
     }
 }
@@ -264,7 +264,7 @@
     "tolerate":{"machines":1},"bounds":{"drain_ms":3000,"grace_s":8,"budget_ratio":0.2},
     "cloud_api":{"address":"10.200.0.79:8169","rate_per_s":40.0,"lag_ms":800}}"#;
 
-/// Tokens of JSON and of our fields in any order.
+/// Tokens of JSON and field names of the configuration, in any order.
 fn any_json() -> impl Strategy<Value = Vec<u8>> {
     let token = prop_oneof![
         prop::sample::select(vec![
@@ -299,23 +299,24 @@
 fn check_configuration(body: &[u8]) -> std::result::Result<(), TestCaseError> {
     if let Ok(document) = Document::parse(body) {
         prop_assert_eq!(Document::parse(document.to_json().as_bytes()), Ok(document.clone()));
-        // The document need not be valid; validation must not panic.
+        // The document may be invalid; validation must not panic.
         let _ = document.validate(0);
-        let before = Document::parse(CONFIGURATION.as_bytes()).expect("sound");
+        let before = Document::parse(CONFIGURATION.as_bytes()).expect("configuration is valid");
         let mut changed = before.with_change(&before.diff(&document));
         changed.sections.retain(|name, items| !items.is_empty() || document.sections.contains_key(name));
         prop_assert_eq!(names(&changed), names(&document));
         prop_assert_eq!(changed.other_fields, document.other_fields);
     }
     if let Ok(change) = Change::parse(body) {
-        let changed = Document::parse(CONFIGURATION.as_bytes()).expect("sound").with_change(&change);
+        let changed =
+            Document::parse(CONFIGURATION.as_bytes()).expect("configuration is valid").with_change(&change);
         prop_assert_eq!(changed.revision, change.revision);
         let _ = changed.validate(0);
     }
     Ok(())
 }
 
-/// Items by section, sorted: a change keeps the order of the items that it does not replace.
+/// Names and JSON of the items by section, sorted, because a change keeps the order of existing items.
 fn names(document: &Document) -> Vec<(String, Vec<(String, String)>)> {
     let by_name = |items: &Vec<Item>| {
         let mut pairs: Vec<_> = items.iter().map(|item| (item.name.clone(), item.json.clone())).collect();
@@ -362,7 +363,10 @@
             || matches!(decoded::<Change>(&frame), Ok(Some(_)));
         expect_true!(is_known);
     }
-    expect_that!(Document::parse(CONFIGURATION.as_bytes()).expect("sound").validate(0), ok(anything()));
+    expect_that!(
+        Document::parse(CONFIGURATION.as_bytes()).expect("configuration is valid").validate(0),
+        ok(anything())
+    );
     expect_that!(Change::parse(CHANGE.as_bytes()), ok(anything()));
     expect_that!(Settings::from_text(SETTINGS, "node.json"), ok(anything()));
 }
@@ -389,7 +393,11 @@
         {
             let text = format!("{before}{nested}{after}");
             if let Ok(document) = Document::parse(text.as_bytes()) {
-                expect_that!(document.validate(0), err(anything()), "a document this deep is in force");
+                expect_that!(
+                    document.validate(0),
+                    err(anything()),
+                    "a document nested this deep was accepted"
+                );
             }
             if let Ok(change) = Change::parse(text.as_bytes()) {
                 expect_that!(Document::default().with_change(&change).validate(0), err(anything()));
@@ -405,15 +413,18 @@
 
 /// The peak virtual memory of this process, in bytes.
 fn peak_memory() -> u64 {
-    let status = std::fs::read_to_string("/proc/self/status").expect("the state of this process");
-    let line = status.lines().find_map(|line| line.strip_prefix("VmPeak:")).expect("its peak");
-    let kilobytes: u64 = line.trim().trim_end_matches(" kB").parse().expect("a number");
+    let status = std::fs::read_to_string("/proc/self/status").expect("/proc/self/status can be read");
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmPeak:"))
+        .expect("/proc/self/status has a line VmPeak");
+    let kilobytes: u64 = line.trim().trim_end_matches(" kB").parse().expect("VmPeak is a number of kB");
     kilobytes << 10
 }
 
 #[gtest]
 fn false_length_allocates_no_memory() {
-    // Above what concurrent tests allocate, and far below any of these lengths.
+    // Above the allocations of concurrent tests, and below the two largest of the false lengths.
     const ALLOWANCE: u64 = 1 << 30;
     let before = peak_memory();
     for body in sample_bodies() {
@@ -422,8 +433,8 @@
                 let mut corrupted = body.clone();
                 let end = corrupted.len().min(at + 4);
                 corrupted[at..end].copy_from_slice(&length.to_le_bytes()[..end - at]);
-                check_all_messages(&corrupted).expect("an error or the same message again");
-                // In the header, the decoder waits for the rest of the body or rejects the length.
+                check_all_messages(&corrupted).expect("the body is rejected or round-trips");
+                // With a false length in the header, the decoder waits for the rest of the body or rejects the length.
                 let mut frame = frame_around(&corrupted);
                 frame[4..8].copy_from_slice(&length.to_le_bytes());
                 let read = decoded::<PeerMessage>(&frame);
--- a/wal/tests/compaction.rs
+++ b/wal/tests/compaction.rs
@@ -1,4 +1,4 @@
-//! The length of a file over many appends, on a real disk.
+//! The length of a log file over many appends, on a real disk: compaction keeps it bounded.
 //!
 //! Figures: `cargo test --release -p ivyhatch-wal --test compaction -- --nocapture`.
 
@@ -10,27 +10,27 @@
 
 const NAME: &str = "log";
 const DOCUMENT_LENGTH: usize = 50_000;
-/// The most bytes that a block adds to its records.
+/// An upper bound of the bytes that a block adds to its records.
 const BLOCK_OVERHEAD: u64 = 64;
 /// The size of a machine's disk, in bytes.
 const DISK_LENGTH: u64 = 64 << 20;
 
-/// A document that differs for each number.
+/// A document of `length` bytes that differs for each number.
 fn document(number: u32, length: usize) -> Vec<u8> {
     (0..length as u32).map(|at| (at.wrapping_mul(31).wrapping_add(number * 7) >> 3) as u8).collect()
 }
 
-/// The greatest lengths at any moment, in bytes.
+/// The greatest lengths at any time, in bytes.
 #[derive(Debug, Default)]
 struct Longest {
     file: u64,
-    /// Of the file and its replacement together, during a rewrite.
+    /// The length of the file and its replacement together, during a rewrite.
     with_replacement: u64,
 }
 
-/// Appends this many documents, each of which replaces the state.
+/// Appends `count` documents, each of which replaces the state.
 fn write_documents(folder: &std::path::Path, count: u32, length: usize) -> Longest {
-    let (log, _) = Wal::open(folder, NAME).expect("opened");
+    let (log, _) = Wal::open(folder, NAME).expect("log opens");
     let (mut log, mut longest) = (CompactingWal::new(log), Longest::default());
     for number in 0..count {
         let records = vec![document(number, length)];
@@ -55,12 +55,12 @@
         let (mut read_times, mut found) = (Vec::new(), Vec::new());
         for _ in 0..5 {
             let begin = Instant::now();
-            found = Wal::open(folder.path(), NAME).expect("sound").1;
+            found = Wal::open(folder.path(), NAME).expect("log opens").1;
             read_times.push(begin.elapsed());
         }
         read_times.sort();
         println!(
-            "{count} changes of {DOCUMENT_LENGTH} bytes: file {bytes} bytes, longest {}, opened in {:?} (middle of 5)",
+            "{count} changes of {DOCUMENT_LENGTH} bytes: file {bytes} bytes, longest {}, opened in {:?} (median of 5)",
             longest.file, read_times[2]
         );
         expect_that!(found.last(), some(eq(&document(count - 1, DOCUMENT_LENGTH))));
--- a/wal/tests/model/mod.rs
+++ b/wal/tests/model/mod.rs
@@ -1,5 +1,5 @@
-//! A disk in memory that implements the crash model of `ivyhatch_wal`: it enumerates all disks that a loss of
-//! power may leave, and injects a crash or an error at any operation.
+//! An in-memory disk that implements the crash model of `ivyhatch_wal`: it enumerates all states of the disk that a
+//! power loss may leave, and injects a crash or an error at any operation.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -30,7 +30,7 @@
         }
     }
 
-    /// What a loss of power may leave of the change: nothing, all, its first half, or its first half followed
+    /// The parts of the change that a power loss may leave: nothing, all, its first half, or its first half followed
     /// by zeros.
     fn outcomes(&self) -> Vec<Option<Pending>> {
         let mut outcomes = vec![None, Some(self.clone())];
@@ -58,7 +58,7 @@
         bytes
     }
 
-    /// All contents that a loss of power may leave.
+    /// All contents of the file that a power loss may leave.
     fn after_power_loss(&self) -> Vec<Vec<u8>> {
         let mut contents = vec![self.durable.clone()];
         for pending in &self.pending {
@@ -96,7 +96,7 @@
         self.names.values().map(|inode| self.inodes[*inode].bytes().len()).sum()
     }
 
-    /// All sets of names that a loss of power may leave: each changed name is kept or lost by itself.
+    /// All sets of names that a power loss may leave: each changed name is kept or lost independently.
     fn names_after_power_loss(&self) -> Vec<Names> {
         let mut all = vec![Names::new()];
         let keys = self.names.keys().chain(self.durable_names.keys());
@@ -125,9 +125,9 @@
 pub enum Fault {
     /// The process is killed within this operation, counted from 0.
     CrashAt(usize),
-    /// This operation fails, after it was done in part.
+    /// This operation fails after taking partial effect.
     FailAt(usize, ErrorKind),
-    /// The operations from the first up to, and without, the second fail.
+    /// The operations from the first number up to, but not including, the second fail without any effect.
     FailFrom(usize, usize, ErrorKind),
 }
 
@@ -139,15 +139,16 @@
     capacity: Cell<Option<usize>>,
 }
 
-/// A disk in memory. Clones are the same disk.
+/// An in-memory disk. Clones share one disk.
 #[derive(Clone, Debug, Default)]
 pub struct ModelDisk(Rc<Model>);
 
-/// How far an operation gets.
+/// How much of an operation takes effect.
 enum Effect {
     Full,
-    /// It is done in part, and fails.
+    /// The operation takes partial effect and fails with this error.
     Partial(ErrorKind),
+    /// The operation takes no effect and fails with this error.
     None(ErrorKind),
 }
 
@@ -179,12 +180,12 @@
         self.0.files.borrow().names.keys().cloned().collect()
     }
 
-    /// The disk as the next process finds it after this one was killed.
+    /// The disk that the next process finds after this process was killed.
     pub fn after_kill(&self) -> Self {
         Self::of(self.0.files.borrow().clone())
     }
 
-    /// All disks that a loss of power may leave.
+    /// All states of the disk that a power loss may leave.
     pub fn after_power_loss(&self) -> Vec<Self> {
         let files = self.0.files.borrow();
         let contents: Vec<Vec<Vec<u8>>> = files.inodes.iter().map(Inode::after_power_loss).collect();
@@ -192,7 +193,7 @@
         for names in files.names_after_power_loss() {
             let mut inodes: Vec<Vec<Inode>> = vec![Vec::new()];
             for (number, choices) in contents.iter().enumerate() {
-                // The contents of a file without a name make no difference.
+                // The contents of a file without a name don't matter, so only one of them is kept.
                 let count = if names.values().any(|inode| *inode == number) { choices.len() } else { 1 };
                 inodes = inodes
                     .into_iter()
@@ -225,7 +226,7 @@
         }
     }
 
-    /// Runs an operation that may take effect although it fails.
+    /// Runs an operation that may take effect even if it fails.
     fn run_partially<T>(&self, operation: impl FnOnce(&mut Files) -> T) -> io::Result<T> {
         match self.next_effect() {
             Effect::Full => Ok(operation(&mut self.0.files.borrow_mut())),
@@ -237,7 +238,7 @@
         }
     }
 
-    /// Runs an operation that takes no effect where it fails.
+    /// Runs an operation that takes no effect if it fails.
     fn run_atomically<T>(&self, operation: impl FnOnce(&mut Files) -> T) -> io::Result<T> {
         match self.next_effect() {
             Effect::Full => Ok(operation(&mut self.0.files.borrow_mut())),
--- a/wal/tests/power_loss.rs
+++ b/wal/tests/power_loss.rs
@@ -1,5 +1,5 @@
-//! Crashes at every operation, losses of power that keep or lose each name and each unsynced write by itself,
-//! and disk operations that fail: acknowledged records survive, and the file is valid.
+//! Crashes at every operation, power losses that keep or lose each name and each unsynced write independently, and
+//! failed disk operations: acknowledged records survive, and the file is valid.
 
 mod model;
 
@@ -10,7 +10,7 @@
 use model::{Fault, ModelDisk};
 
 const NAME: &str = "log";
-/// More operations than the longest script has.
+/// An upper bound of the number of disk operations in a script.
 const MAX_OPERATIONS: usize = 200;
 
 type Records = Vec<Vec<u8>>;
@@ -23,7 +23,7 @@
     numbers.map(record).collect()
 }
 
-/// The records that the log has acknowledged, and those of the call that has not returned successfully.
+/// The acknowledged records, and those of the call that has not returned successfully.
 #[derive(Clone, Debug, Default)]
 struct Outcome {
     acknowledged: Records,
@@ -31,7 +31,7 @@
 }
 
 impl Outcome {
-    /// Whether a crash may leave these records: all acknowledged ones, and all or none of those in flight.
+    /// Whether a crash may leave these records: all acknowledged records, and all or none of those in flight.
     fn allows(&self, found: &Records) -> bool {
         let with_rest: Records = self.acknowledged.iter().chain(&self.in_flight).cloned().collect();
         *found == self.acknowledged || *found == with_rest
@@ -73,7 +73,7 @@
         let outcome = run_script(&disk);
         for after in disk.after_power_loss() {
             disks += 1;
-            let found = reopened(&after).expect("a sound file");
+            let found = reopened(&after).expect("file is valid");
             expect_true!(
                 outcome.allows(&found),
                 "crash at {crash_at}, names {:?}: {outcome:?} left {found:?}",
@@ -94,10 +94,10 @@
         let disk = ModelDisk::with_fault(Fault::CrashAt(crash_at));
         let outcome = run_script(&disk);
         let killed = disk.after_kill();
-        let read = reopened(&killed).expect("a sound file");
+        let read = reopened(&killed).expect("file is valid");
         expect_true!(outcome.allows(&read), "crash at {crash_at}: {outcome:?} left {read:?}");
         for after in killed.after_power_loss() {
-            let found = reopened(&after).expect("a sound file");
+            let found = reopened(&after).expect("file is valid");
             expect_that!(found, eq(&read), "crash at {crash_at}, names {:?}", after.file_names());
         }
         if disk.operations() <= crash_at {
@@ -115,17 +115,17 @@
         for after in std::iter::once(disk.after_kill()).chain(disk.after_power_loss()) {
             let outcome = run_script(&after);
             for last in after.after_power_loss() {
-                let found = reopened(&last).expect("a sound file");
+                let found = reopened(&last).expect("file is valid");
                 expect_true!(outcome.allows(&found), "crash at {first_crash}: {outcome:?} left {found:?}");
             }
         }
     }
 }
 
-/// Appends with a state that grows, and retries what failed. Returns the acknowledged records and the errors.
+/// Appends with a growing state, and retries failed appends. Returns the acknowledged records and the errors.
 fn append_with_retries(disk: &ModelDisk, writes: usize) -> (Records, Vec<WalError>) {
     let opened = (0..MAX_OPERATIONS).find_map(|_| Wal::open_in(disk.clone(), NAME).ok());
-    let (log, mut acknowledged) = opened.expect("opened once the disk is well");
+    let (log, mut acknowledged) = opened.expect("log opens once the disk has recovered");
     let (mut log, mut errors) = (CompactingWal::new(log), Vec::new());
     for number in 0..writes {
         let next = records(number..number + 1);
@@ -138,9 +138,9 @@
                     break;
                 }
                 Err(error) => {
-                    // A failed append puts no acknowledged record at risk.
+                    // A failed append must not put acknowledged records at risk.
                     for after in disk.after_power_loss() {
-                        let found = reopened(&after).expect("a sound file");
+                        let found = reopened(&after).expect("file is valid");
                         expect_true!(
                             found == acknowledged || found == all,
                             "{error}: left {found:?} of {acknowledged:?}"
@@ -150,7 +150,7 @@
                 }
             }
         }
-        assert!(is_appended, "never written: {errors:?}");
+        assert!(is_appended, "append never succeeds: {errors:?}");
         acknowledged = all;
     }
     (acknowledged, errors)
@@ -176,7 +176,7 @@
 fn expect_acknowledged_records_survive(disk: &ModelDisk) {
     let (acknowledged, _) = append_with_retries(disk, 6);
     for after in disk.after_power_loss() {
-        expect_that!(reopened(&after).expect("a sound file"), eq(&acknowledged));
+        expect_that!(reopened(&after).expect("file is valid"), eq(&acknowledged));
     }
 }
 
@@ -193,11 +193,11 @@
     }
 }
 
-/// Appends and rewrites by turns, whether they succeed or not, and checks after each step what a loss of
-/// power would leave.
+/// Alternates appends and rewrites, whether they succeed or not, and checks after each step which records a power
+/// loss would leave.
 fn append_and_rewrite_despite_errors(disk: &ModelDisk) {
     let opened = (0..MAX_OPERATIONS).find_map(|_| Wal::open_in(disk.clone(), NAME).ok());
-    let (mut log, mut acknowledged) = opened.expect("opened once the disk is well");
+    let (mut log, mut acknowledged) = opened.expect("log opens once the disk has recovered");
     for step in 0..9_usize {
         let next = if step % 3 == 1 { Vec::new() } else { records(step..step + 1) };
         let written = if next.is_empty() { log.rewrite(&acknowledged) } else { log.append(&next) };
@@ -209,7 +209,7 @@
             Err(_) => Outcome { acknowledged: acknowledged.clone(), in_flight: next },
         };
         for after in disk.after_power_loss() {
-            let found = reopened(&after).expect("a sound file");
+            let found = reopened(&after).expect("file is valid");
             expect_true!(outcome.allows(&found), "step {step}: {outcome:?} left {found:?}");
         }
     }
@@ -218,42 +218,42 @@
 #[gtest]
 fn full_disk_is_a_typed_error_and_appends_succeed_once_there_is_space() {
     let disk = ModelDisk::default();
-    let (log, _) = Wal::open_in(disk.clone(), NAME).expect("opened");
+    let (log, _) = Wal::open_in(disk.clone(), NAME).expect("log opens");
     let mut log = CompactingWal::new(log);
     let first = records(0..3);
-    log.append(&first, || first.clone()).expect("there is room");
-    // Space for a part of the next block, and for no second file.
+    log.append(&first, || first.clone()).expect("space for the append");
+    // Space for a part of the next block, but not for a second file.
     disk.set_capacity(Some(disk.used() + 7));
     let next = records(3..4);
     let all = records(0..4);
     for _ in 0..3 {
         expect_that!(log.append(&next, || all.clone()), err(matches_pattern!(WalError::DiskFull { .. })));
         for after in disk.after_power_loss() {
-            expect_that!(reopened(&after).expect("a sound file"), eq(&first));
+            expect_that!(reopened(&after).expect("file is valid"), eq(&first));
         }
     }
-    // Space for the block and still for no second file: the block is appended to the present file.
+    // Space for the block, but still not for a second file: the block is appended to the present file.
     disk.set_capacity(Some(disk.used() + 40));
     expect_that!(log.append(&next, || all.clone()), ok(anything()));
     for after in disk.after_power_loss() {
-        expect_that!(reopened(&after).expect("a sound file"), eq(&all));
+        expect_that!(reopened(&after).expect("file is valid"), eq(&all));
     }
 }
 
 #[gtest]
 fn stale_temporary_file_is_ignored_and_removed() {
     let disk = ModelDisk::default();
-    let (mut log, _) = Wal::open_in(disk.clone(), NAME).expect("opened");
+    let (mut log, _) = Wal::open_in(disk.clone(), NAME).expect("log opens");
     log.append(&records(0..2)).expect("written");
     {
         use ivyhatch_wal::Storage;
-        let mut stale = disk.create("log.new").expect("made");
+        let mut stale = disk.create("log.new").expect("created");
         disk.write(&mut stale, 0, b"half").expect("written");
         disk.sync(&mut stale).expect("synced");
         disk.sync_directory().expect("synced");
     }
     for after in disk.after_power_loss() {
-        expect_that!(reopened(&after).expect("a sound file"), eq(&records(0..2)));
+        expect_that!(reopened(&after).expect("file is valid"), eq(&records(0..2)));
         expect_that!(after.file_names(), elements_are![eq("log")]);
     }
 }
--- a/wal/tests/properties.rs
+++ b/wal/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Properties of a log: arbitrary records round-trip, and corrupted or arbitrary files give a typed error or
-//! records that were written.
+//! Properties of a log: arbitrary records round-trip, and opening a corrupted or arbitrary file gives a typed error
+//! or records that were written.
 //!
 //! A longer run: `PROPTEST_CASES=100000 cargo test --release -p ivyhatch-wal --test properties`.
 
@@ -74,7 +74,7 @@
     ]
 }
 
-/// Blocks: the first is written by a rewrite, the others are appended.
+/// The records of each block; the first block is written by a rewrite, the others are appended.
 fn any_blocks() -> impl Strategy<Value = Vec<Records>> {
     vec(vec(vec(any::<u8>(), 0..60), 1..4), 1..6)
 }
@@ -93,7 +93,7 @@
     fn reopened_log_returns_arbitrary_records_in_order(blocks in any_blocks()) {
         let folder = tempfile::tempdir().expect("a folder");
         write_blocks(folder.path(), &blocks);
-        let (_, found) = Wal::open(folder.path(), NAME).expect("sound");
+        let (_, found) = Wal::open(folder.path(), NAME).expect("log opens");
         prop_assert_eq!(found, blocks.concat());
     }
 
@@ -108,18 +108,18 @@
         fs::write(folder.path().join(NAME), &bytes).expect("a corrupted file");
         match Wal::open(folder.path(), NAME) {
             Ok((mut log, found)) => {
-                // An empty file is a new one; any other file has at least its first block, and whole blocks
-                // only.
+                // An empty file counts as a new log; any other file has at least its first block, and complete
+                // blocks only.
                 let prefixes = (0..=blocks.len()).map(|count| blocks[..count].concat());
                 let allowed: Vec<Records> = prefixes.skip(usize::from(!bytes.is_empty())).collect();
                 prop_assert!(allowed.contains(&found), "{found:?}");
-                log.append(&[b"more".to_vec()]).expect("goes on");
-                let (_, again) = Wal::open(folder.path(), NAME).expect("sound");
+                log.append(&[b"more".to_vec()]).expect("append succeeds");
+                let (_, again) = Wal::open(folder.path(), NAME).expect("log opens");
                 prop_assert_eq!(again, [found, vec![b"more".to_vec()]].concat());
             }
             Err(WalError::Damaged { set_aside, .. } | WalError::UnsupportedFormat { set_aside, .. }) => {
-                prop_assert_eq!(fs::read(set_aside).expect("kept"), bytes);
-                let (_, found) = Wal::open(folder.path(), NAME).expect("starts anew");
+                prop_assert_eq!(fs::read(set_aside).expect("set-aside file can be read"), bytes);
+                let (_, found) = Wal::open(folder.path(), NAME).expect("a new log opens");
                 prop_assert!(found.is_empty());
             }
             Err(error) => prop_assert!(false, "{error}"),
@@ -144,7 +144,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let bytes = write_blocks(folder.path(), &blocks);
     for cut in 1..bytes.len() {
-        fs::write(folder.path().join(NAME), &bytes[..cut]).expect("cut off");
+        fs::write(folder.path().join(NAME), &bytes[..cut]).expect("truncated file is written");
         match Wal::open(folder.path(), NAME) {
             Ok((_, found)) => {
                 let allowed: Vec<Records> =
--- a/wal/tests/wal.rs
+++ b/wal/tests/wal.rs
@@ -1,4 +1,4 @@
-//! The file of a log: torn blocks, damage of single bytes, format versions, rewrites.
+//! The file of a log: torn blocks, corruption of single bytes, format versions, rewrites.
 
 use std::fs;
 use std::path::Path;
@@ -19,7 +19,7 @@
     assert!(found.is_empty());
     log.append(&[record("one")]).expect("written");
     log.append(&[record("two"), record("and a half")]).expect("written");
-    log.append(&[record("write_three_blocks")]).expect("written");
+    log.append(&[record("record of block three")]).expect("written");
     fs::read(folder.join("log")).expect("the file")
 }
 
@@ -31,7 +31,7 @@
 fn reopened_log_returns_all_records_in_order() {
     let folder = tempfile::tempdir().expect("a folder");
     write_three_blocks(folder.path());
-    let all = ["one", "two", "and a half", "write_three_blocks"].map(record);
+    let all = ["one", "two", "and a half", "record of block three"].map(record);
     expect_that!(reopened(folder.path()), ok(eq(&all.to_vec())));
 }
 
@@ -39,14 +39,14 @@
 fn torn_last_block_is_truncated_and_overwritten() {
     let folder = tempfile::tempdir().expect("a folder");
     let bytes = write_three_blocks(folder.path());
-    let last = bytes.len() - (BLOCK_HEADER + RECORD_HEADER + "write_three_blocks".len());
+    let last = bytes.len() - (BLOCK_HEADER + RECORD_HEADER + "record of block three".len());
     for cut in last..bytes.len() {
-        // Truncated, and of full length with zeros at its end.
+        // Either truncated, or of full length with zeros at the end.
         let mut hole = bytes.clone();
         hole[cut..].fill(0);
         for corrupted in [&bytes[..cut], &hole[..]] {
             fs::write(folder.path().join("log"), corrupted).expect("a corrupted file");
-            let (mut log, found) = Wal::open(folder.path(), "log").expect("the rest is sound");
+            let (mut log, found) = Wal::open(folder.path(), "log").expect("the other blocks are valid");
             expect_that!(found.len(), eq(3), "cut at {cut}");
             log.append(&[record("four")]).expect("written");
             let all = ["one", "two", "and a half", "four"].map(record);
@@ -59,18 +59,18 @@
 fn damage_before_the_last_block_sets_the_file_aside() {
     let folder = tempfile::tempdir().expect("a folder");
     let bytes = write_three_blocks(folder.path());
-    let last = bytes.len() - (BLOCK_HEADER + RECORD_HEADER + "write_three_blocks".len());
+    let last = bytes.len() - (BLOCK_HEADER + RECORD_HEADER + "record of block three".len());
     for at in 0..last {
         let mut corrupted = bytes.clone();
         corrupted[at] ^= 0x10;
         fs::write(folder.path().join("log"), &corrupted).expect("a corrupted file");
         let Err(WalError::Damaged { set_aside, .. }) = reopened(folder.path()) else {
-            fail!("not found at {at}").and_log_failure();
+            fail!("damage at byte {at} is not detected").and_log_failure();
             continue;
         };
-        // The next start has an empty file, and the damaged one stands beside it.
+        // The next open creates an empty log, and the damaged file is kept under its new name.
         expect_that!(reopened(folder.path()), ok(is_empty()));
-        expect_that!(fs::read(set_aside).expect("set aside"), eq(&corrupted));
+        expect_that!(fs::read(set_aside).expect("set-aside file can be read"), eq(&corrupted));
     }
 }
 
@@ -87,9 +87,9 @@
         corrupted[at] ^= 0x01;
         fs::write(&path, &corrupted).expect("a corrupted file");
         expect_that!(reopened(folder.path()), err(matches_pattern!(WalError::Damaged { .. })), "at {at}");
-        fs::write(&path, &bytes[..at]).expect("cut off");
+        fs::write(&path, &bytes[..at]).expect("truncated file is written");
         if at == 0 {
-            // An empty file is a new one.
+            // An empty file counts as a new log.
             expect_that!(reopened(folder.path()), ok(is_empty()));
         } else {
             expect_that!(
@@ -105,13 +105,16 @@
 fn set_aside_files_are_kept_up_to_a_maximum() {
     let folder = tempfile::tempdir().expect("a folder");
     for number in 0..6_u8 {
-        fs::write(folder.path().join("log"), [number; 20]).expect("no file of records");
-        let error = reopened(folder.path()).expect_err("refused");
+        fs::write(folder.path().join("log"), [number; 20]).expect("invalid file is written");
+        let error = reopened(folder.path()).expect_err("rejected");
         expect_true!(error.is_set_aside());
         expect_that!(error, displays_as(contains_substring("log.set-aside-")));
     }
     let kept: Vec<u8> = (1..=4)
-        .map(|number| fs::read(folder.path().join(format!("log.set-aside-{number}"))).expect("kept")[0])
+        .map(|number| {
+            fs::read(folder.path().join(format!("log.set-aside-{number}")))
+                .expect("set-aside file can be read")[0]
+        })
         .collect();
     expect_that!(kept, eq(&vec![0, 1, 2, 5]));
     expect_false!(folder.path().join("log.set-aside-5").exists());
@@ -129,10 +132,13 @@
         bytes
     };
     fs::write(folder.path().join("log"), &later).expect("written");
-    let error = reopened(folder.path()).expect_err("refused");
+    let error = reopened(folder.path()).expect_err("rejected");
     expect_that!(error, displays_as(contains_substring("file format 99, this release reads 2")));
     expect_that!(error, matches_pattern!(WalError::UnsupportedFormat { version: eq(&99), .. }));
-    expect_that!(fs::read(folder.path().join("log.set-aside-1")).expect("kept"), eq(&later));
+    expect_that!(
+        fs::read(folder.path().join("log.set-aside-1")).expect("set-aside file can be read"),
+        eq(&later)
+    );
 }
 
 /// A block in format version 1.
@@ -156,13 +162,16 @@
     expect_that!(reopened(folder.path()), ok(eq(&all)));
     expect_that!(fs::read(&path).expect("the file")[..4], eq(b"IVHR"));
     expect_that!(reopened(folder.path()), ok(eq(&all)));
-    // The last block may be torn. The first one was durable before the log was used, so a part of it is
+    // The last block may be torn. The first block was durable before the log was used, so a partial first block is
     // damage.
-    fs::write(&path, &old[..old.len() - 1]).expect("cut off");
+    fs::write(&path, &old[..old.len() - 1]).expect("truncated file is written");
     expect_that!(reopened(folder.path()), ok(eq(&all[..1].to_vec())));
-    fs::write(&path, &old[..15]).expect("cut off");
+    fs::write(&path, &old[..15]).expect("truncated file is written");
     expect_that!(reopened(folder.path()), err(matches_pattern!(WalError::Damaged { .. })));
-    expect_that!(fs::read(folder.path().join("log.set-aside-1")).expect("kept"), eq(&old[..15]));
+    expect_that!(
+        fs::read(folder.path().join("log.set-aside-1")).expect("set-aside file can be read"),
+        eq(&old[..15])
+    );
 }
 
 #[gtest]
@@ -171,7 +180,7 @@
     let path = folder.path().join("log");
     let bytes = write_three_blocks(folder.path());
     let first_end = FILE_HEADER + BLOCK_HEADER + RECORD_HEADER + "one".len();
-    let last = bytes.len() - (BLOCK_HEADER + RECORD_HEADER + "write_three_blocks".len());
+    let last = bytes.len() - (BLOCK_HEADER + RECORD_HEADER + "record of block three".len());
     let (head, first, middle, end) =
         (&bytes[..FILE_HEADER], &bytes[FILE_HEADER..first_end], &bytes[first_end..last], &bytes[last..]);
     let corrupted = [
@@ -195,19 +204,22 @@
 fn rejected_record_sets_the_file_aside_and_names_its_index() {
     let folder = tempfile::tempdir().expect("a folder");
     let bytes = write_three_blocks(folder.path());
-    let (log, _) = Wal::open(folder.path(), "log").expect("sound");
+    let (log, _) = Wal::open(folder.path(), "log").expect("log opens");
     let error = log.reject_record(2, "unknown tag 9".to_owned());
     expect_true!(error.is_set_aside());
     expect_that!(error, displays_as(contains_substring("record 2 can't be decoded (unknown tag 9)")));
     expect_that!(reopened(folder.path()), ok(is_empty()));
-    expect_that!(fs::read(folder.path().join("log.set-aside-1")).expect("kept"), eq(&bytes));
+    expect_that!(
+        fs::read(folder.path().join("log.set-aside-1")).expect("set-aside file can be read"),
+        eq(&bytes)
+    );
 }
 
 #[gtest]
 fn batch_over_the_block_limit_is_rejected_and_changes_nothing() {
     let folder = tempfile::tempdir().expect("a folder");
     write_three_blocks(folder.path());
-    let (mut log, found) = Wal::open(folder.path(), "log").expect("sound");
+    let (mut log, found) = Wal::open(folder.path(), "log").expect("log opens");
     let huge = vec![vec![0_u8; 33 << 20]];
     expect_that!(log.append(&huge), err(matches_pattern!(WalError::BatchTooLong { .. })));
     expect_that!(log.rewrite(&huge), err(matches_pattern!(WalError::BatchTooLong { .. })));
@@ -218,7 +230,7 @@
 fn rewritten_log_has_only_the_new_records_and_accepts_appends() {
     let folder = tempfile::tempdir().expect("a folder");
     write_three_blocks(folder.path());
-    let (mut log, _) = Wal::open(folder.path(), "log").expect("sound");
+    let (mut log, _) = Wal::open(folder.path(), "log").expect("log opens");
     let before = log.length();
     log.rewrite(&[record("all")]).expect("rewritten");
     expect_that!(log.length(), lt(before));
@@ -230,9 +242,9 @@
 fn temporary_file_left_by_a_crash_is_ignored_and_removed() {
     let folder = tempfile::tempdir().expect("a folder");
     write_three_blocks(folder.path());
-    fs::write(folder.path().join("log.new"), b"half").expect("left behind");
-    expect_that!(reopened(folder.path()).expect("sound").len(), eq(4));
-    let (mut log, _) = Wal::open(folder.path(), "log").expect("sound");
+    fs::write(folder.path().join("log.new"), b"half").expect("temporary file is written");
+    expect_that!(reopened(folder.path()).expect("log opens").len(), eq(4));
+    let (mut log, _) = Wal::open(folder.path(), "log").expect("log opens");
     log.rewrite(&[record("all")]).expect("rewritten");
     expect_that!(reopened(folder.path()), ok(eq(&[record("all")].to_vec())));
     expect_false!(folder.path().join("log.new").exists());
