--- a/wal/src/error.rs
+++ b/wal/src/error.rs
@@ -44,7 +44,7 @@
     /// The file has a format version that this release does not support.
     #[error(
         "{path}: file format {version}, this release reads {known}: the file was renamed to {set_aside}; \
-         install the release that wrote the file and rename it back, or let the replica fetch its state from \
+         install the release that wrote it and rename the file back, or let the replica fetch its state from \
          other replicas",
         known = crate::format::FORMAT_VERSION
     )]
@@ -59,7 +59,7 @@
     /// The caller can't decode a record whose checksum matches: see [`crate::Wal::reject_record`].
     #[error(
         "{path}: record {index} can't be decoded ({reason}): the file was renamed to {set_aside}; install \
-         the release that wrote the file and rename it back, or let the replica fetch its state from other \
+         the release that wrote it and rename the file back, or let the replica fetch its state from other \
          replicas"
     )]
     UndecodableRecord {
