--- a/wal/tests/wal.rs
+++ b/wal/tests/wal.rs
@@ -111,10 +111,7 @@
         expect_that!(error, displays_as(contains_substring("log.set-aside-")));
     }
     let kept: Vec<u8> = (1..=4)
-        .map(|number| {
-            fs::read(folder.path().join(format!("log.set-aside-{number}")))
-                .expect("set-aside file can be read")[0]
-        })
+        .map(|number| fs::read(folder.path().join(format!("log.set-aside-{number}"))).expect("kept")[0])
         .collect();
     expect_that!(kept, eq(&vec![0, 1, 2, 5]));
     expect_false!(folder.path().join("log.set-aside-5").exists());
