--- a/system/src/control/admin_api.rs
+++ b/system/src/control/admin_api.rs
@@ -1,4 +1,4 @@
-//! The operators' HTTP interface: translates requests to and responses of the state machine.
+//! The HTTP interface for operators: translates HTTP requests to inputs of the state machine, and its responses to HTTP responses.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,10 +17,10 @@
 use super::status;
 use crate::http_server::{self, HttpRequest, HttpResponse};
 
-/// A request that the state machine has not answered within this gets a 503.
+/// A request that the state machine has not answered within this time gets a 503.
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Cancels a request whose connection ends, or whose timeout passes, before it was answered.
+/// Cancels a request when it is dropped: when its connection ends, or it times out, before the state machine has answered it.
 struct CancelOnDrop {
     host: Rc<Host>,
     request: RequestId,
@@ -32,17 +32,17 @@
     }
 }
 
-/// What an operator's request asks for.
+/// A valid request of an operator.
 enum Call {
-    /// `GET /-/status`, answered from this node's own knowledge.
+    /// `GET /-/status`, answered from this node's local state, which may be stale.
     Status,
-    /// `GET /-/metrics`, the numbers of answered calls.
+    /// `GET /-/metrics`: how many calls were answered.
     Metrics,
-    /// A request that the state machine decides on.
+    /// A request that the state machine answers.
     Decide(AdminRequest),
 }
 
-/// Why an operator's request does not reach the state machine.
+/// Why an operator's request is rejected before it reaches the state machine. The text is the error in the response.
 #[derive(Debug, thiserror::Error)]
 enum InvalidCall {
     #[error("no such call: see docs/operators/system.md")]
@@ -62,7 +62,7 @@
     }
 }
 
-/// Responds to a call, and counts it. Dropping the future cancels the request.
+/// Responds to an operator's or application's call, and counts the response. Dropping the future cancels the call.
 pub async fn respond(host: Rc<Host>, request: HttpRequest) -> HttpResponse {
     let (kind, method) = (CallKind::of_path(&request.path()), request.method.clone());
     let response = if kind.is_coordination() {
@@ -86,9 +86,9 @@
     }
 }
 
-/// Has the state machine decide on a request.
+/// Submits a request to the state machine and waits for the response, for [`ADMIN_TIMEOUT`] at most.
 async fn decide(host: Rc<Host>, request: AdminRequest) -> HttpResponse {
-    // Where this process was stalled, an operator may have disconnected meanwhile: let the connection's task notice before the request
+    // If this process was stalled, the operator may have disconnected. Yielding lets the connection's task detect this before the request
     // begins.
     yield_now().await;
     yield_now().await;
@@ -114,7 +114,7 @@
     }
 }
 
-/// `PUT` and `PATCH /-/config`, with the revision that the change is based on in `If-Match`.
+/// Parses `PUT` and `PATCH /-/config`. The header `If-Match` has the revision that the change is based on.
 fn write_request(request: &HttpRequest) -> Result<AdminRequest, InvalidCall> {
     let revision = request.header(&IF_MATCH).ok_or(InvalidCall::BaseRevision)?;
     let base = revision.trim_matches('"').parse().map_err(|_| InvalidCall::BaseRevision)?;
@@ -126,7 +126,7 @@
     }
 }
 
-/// `POST` and `DELETE /-/evacuations/ZONE`.
+/// Parses `POST` and `DELETE /-/evacuations/ZONE`, which begin and end the evacuation of a zone.
 fn evacuation_request(host: &Host, request: &HttpRequest, zone: &str) -> Result<AdminRequest, InvalidCall> {
     if !host.query(|control_plane| control_plane.has_zone(zone)) {
         return Err(InvalidCall::UnknownZone);
--- a/system/src/control/call_statistics.rs
+++ b/system/src/control/call_statistics.rs
@@ -1,6 +1,6 @@
-//! How many calls of each kind the control listener has answered, by method and status: for the log and for `GET /-/metrics`.
+//! Counts the calls that the control listener has answered, by kind, method and status, for the log and for `GET /-/metrics`.
 //!
-//! The table is bounded: kinds and methods are fixed sets, whatever callers send.
+//! The table is bounded, as kinds and methods are fixed sets: requests with any other path or method are counted as unknown or other.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,27 +8,27 @@
 use hyper::{Method, StatusCode};
 use strum::{Display, EnumString};
 
-/// What a call is about: the first segment of its path after `/-/`.
+/// The kind of a call: the first segment of its path after `/-/`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Display, EnumString)]
 #[strum(serialize_all = "lowercase")]
 pub enum CallKind {
-    /// The operators' configuration.
+    /// Reads and writes of the configuration.
     Config,
-    /// Evacuations of zones.
+    /// Begin or end of the evacuation of a zone.
     Evacuations,
-    /// The state of the cluster.
+    /// Reads of the control node's status report.
     Status,
-    /// The figures of this module.
+    /// Reads of the numbers that this module counts.
     Metrics,
-    /// Locks and elections.
+    /// Calls on locks, which also serve for leader elections.
     Locks,
-    /// Numbers that rise.
+    /// Calls on number sequences.
     Numbers,
-    /// Cells.
+    /// Reads and writes of cells.
     Cells,
-    /// Watches of groups of cells.
+    /// Watches on groups of cells.
     Watch,
-    /// Any other path.
+    /// Calls with any other path.
     Unknown,
 }
 
@@ -41,13 +41,13 @@
         }
     }
 
-    /// Whether it is one of applications' calls.
+    /// Whether the call belongs to the coordination interface, which applications use.
     pub fn is_coordination(self) -> bool {
         matches!(self, Self::Locks | Self::Numbers | Self::Cells | Self::Watch)
     }
 }
 
-/// The methods that are distinguished.
+/// The HTTP methods that are counted separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Display)]
 #[strum(serialize_all = "lowercase")]
 enum CallMethod {
@@ -72,7 +72,7 @@
     }
 }
 
-/// One row of the table.
+/// The key of a counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Row {
     kind: CallKind,
@@ -80,7 +80,7 @@
     status: u16,
 }
 
-/// The number of answered calls.
+/// The numbers of answered calls since the start of the process.
 #[derive(Debug, Default)]
 pub struct CallStatistics {
     counts: BTreeMap<Row, u64>,
@@ -88,14 +88,14 @@
 }
 
 impl CallStatistics {
-    /// Counts an answered call.
+    /// Counts an answered call with the status of its response.
     pub fn record(&mut self, kind: CallKind, method: &Method, status: StatusCode) {
         let row = Row { kind, method: method.into(), status: status.as_u16() };
         *self.counts.entry(row).or_default() += 1;
         self.has_changed = true;
     }
 
-    /// The totals as fields of a log line; `None` where nothing was counted since the last time.
+    /// Returns the totals as fields of a log line, or `None` if no call was counted since the last time.
     pub fn take_log_fields(&mut self) -> Option<String> {
         if !std::mem::take(&mut self.has_changed) {
             return None;
@@ -106,7 +106,7 @@
     }
 }
 
-/// The totals in the text format of Prometheus.
+/// Writes the totals in the text format of Prometheus.
 impl fmt::Display for CallStatistics {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "# TYPE ivyhatch_control_calls_total counter")?;
--- a/system/src/control/coordination_api.rs
+++ b/system/src/control/coordination_api.rs
@@ -1,7 +1,7 @@
-//! The applications' HTTP interface to locks, numbers, cells and watches: translates requests to calls of the state machine, and its
-//! outcomes to responses.
+//! The HTTP interface for applications to locks, numbers, cells and watches: translates requests to calls of the state machine, and the
+//! outcomes of the calls to responses.
 //!
-//! | request | responses beside 400, 429, 503 and 504 |
+//! | request | responses besides 400, 429, 503 and 504 |
 //! | --- | --- |
 //! | `POST /-/locks/ID` `{"holder", "hold_ms"}` | 200 `{"fence"}`, 409 |
 //! | `PUT /-/locks/ID` `{"holder", "fence", "hold_ms"}` | 200, 409 |
@@ -11,7 +11,7 @@
 //! | `GET /-/cells/ID` | 200 `{"value", "rev"}`, 404 |
 //! | `GET /-/watch/GROUP?after=N&wait_ms=N` | 200 `{"events", "rev"}`, 410 |
 //!
-//! 400, 412, 429 and 503 say that nothing was done and never will be; 504 says that this is not known.
+//! After 400, 412, 429 and 503 the call was not executed and never will be. After 504 it is unknown whether the call was executed.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -29,10 +29,11 @@
 use super::host::Host;
 use crate::http_server::{self, HttpRequest, HttpResponse};
 
-/// The state machine ends each call by itself, a second after its wait; this is for a process that is short of time.
+/// A call times out here this long after its wait time. The state machine normally ends each call one second after its wait time; this
+/// longer timeout takes effect only if the process is too slow for that.
 const CALL_MARGIN: Duration = Duration::from_secs(2);
 
-/// Why a request is no call.
+/// Why a request is not a valid call. The text is the error in the response.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 enum InvalidCall {
     #[error("no such call: see docs/operators/coordination.md")]
@@ -105,7 +106,7 @@
     expected_revision: Option<u64>,
 }
 
-/// Drops a call whose connection ends before it was answered.
+/// Cancels a call when it is dropped: when its connection ends before the state machine has answered it.
 struct CancelOnDrop {
     host: Rc<Host>,
     call: RequestId,
@@ -129,7 +130,8 @@
 }
 
 async fn carry_out(host: Rc<Host>, call: Call) -> HttpResponse {
-    // Where this process was stalled, the caller may have disconnected meanwhile: let the connection's task notice before the call begins.
+    // If this process was stalled, the caller may have disconnected. Yielding lets the connection's task detect this before the call
+    // begins.
     yield_now().await;
     yield_now().await;
     let is_read = call.is_read();
--- a/system/src/control/directory_api.rs
+++ b/system/src/control/directory_api.rs
@@ -1,4 +1,4 @@
-//! The directory's HTTP interface: which routers a client may use. Reads the state machine, and changes nothing.
+//! The HTTP interface of the directory, which lists the routers that a client may use. It only reads the state machine.
 
 use hyper::{Method, StatusCode};
 use serde_json::json;
@@ -6,10 +6,10 @@
 use super::host::Host;
 use crate::http_server::{self, HttpRequest, HttpResponse};
 
-/// How long clients may cache a response, in seconds; a lost router stays in their caches until then.
+/// Upper bound of the time for which clients may cache a response, in seconds. A router that is lost stays in their caches until then.
 const MAX_TTL_SECONDS: f64 = 2.0;
 
-/// Responds to `GET /-/resolve`.
+/// Responds to `GET /-/resolve` with the addresses of the routers for a zone or region.
 pub fn respond(host: &Host, request: &HttpRequest) -> HttpResponse {
     match (&request.method, request.path().as_slice()) {
         (&Method::GET, ["-", "resolve"]) => resolve(host, request),
--- a/system/src/control/host.rs
+++ b/system/src/control/host.rs
@@ -1,7 +1,7 @@
-//! The host of the control state machine: feeds it inputs and executes its outputs.
+//! The host of the control plane's state machine: feeds inputs to the state machine and executes its outputs.
 //!
-//! [`Host`] owns the state machine and what its outputs address: connections, watch sessions, pending operator requests, the disk. All
-//! tasks of the role share one host, in one thread; no borrow of the state machine is held across an await.
+//! [`Host`] owns the state machine and everything that its outputs act on: connections, watch sessions, pending requests and the disk.
+//! All tasks of the role share one host, in one thread; no borrow of the state machine is held across an await.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -24,18 +24,18 @@
 use crate::outgoing::OutgoingConnections;
 use crate::settings_reload::PeriodicReload;
 
-/// Interval between two log lines with the numbers of answered calls.
+/// Minimum time between two log lines with the numbers of answered calls.
 const CALLS_LOG_INTERVAL: Nanos = 5 * SECOND;
 
-/// The state machine and what its outputs address.
+/// The state machine and everything that its outputs act on.
 pub struct Host {
-    /// The settings of the process.
+    /// The settings that the process was started with.
     pub settings: Settings,
-    /// Open watch sessions.
+    /// The open watch sessions of routers.
     pub watch_sessions: WatchSessions,
-    /// Resolves once the state machine has handed over all that it leads: the process may end.
+    /// Notified once the shutdown is complete: this replica's state is handed over, and the process may exit.
     pub shutdown_complete: Notify,
-    /// The calls that the control listener has answered.
+    /// Counts the calls that the control listener has answered.
     pub call_statistics: RefCell<CallStatistics>,
     calls_logged_at: Cell<Nanos>,
     control_plane: RefCell<ControlPlane>,
@@ -43,31 +43,31 @@
     peers: Rc<OutgoingConnections>,
     admin_requests: PendingResponses<AdminResponse>,
     calls: PendingResponses<CallOutcome>,
-    /// The last id of a session, an operator's request or a call.
+    /// The last ID that was assigned to a session, an operator's request or a call.
     last_id: Cell<u64>,
     disk: Option<Disk>,
     list_reads: UnboundedSender<ReadId>,
     periodic_reload: PeriodicReload,
 }
 
-/// What a host is made of.
+/// The parts that a host is created from.
 pub struct HostParts {
     /// The settings of the process.
     pub settings: Settings,
     /// The clock of the process.
     pub clock: Clock,
-    /// Who the control node is, and its time limits.
+    /// The identity and the timeouts of the control node.
     pub node_config: NodeConfig,
-    /// What its disk holds.
+    /// The state that was read from the node's disk; the default on a machine without a disk.
     pub stored: DurableState,
-    /// Its disk; none on a machine without one.
+    /// The node's disk; `None` if the settings name no data folder.
     pub disk: Option<Disk>,
-    /// Takes reads of the platform's instance list.
+    /// Sends requested reads of the platform's instance list to the task that executes them.
     pub list_reads: UnboundedSender<ReadId>,
 }
 
 impl Host {
-    /// A host whose state machine starts now.
+    /// Creates a host and starts its state machine.
     pub fn new(parts: HostParts) -> Self {
         let HostParts { settings, clock, node_config, stored, disk, list_reads } = parts;
         Self {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Feeds an input to the state machine and executes what it asks for.
+    /// Feeds an input to the state machine and executes the outputs.
     pub fn handle_input(self: &Rc<Self>, input: Input) {
         let mut outputs = Vec::new();
         self.control_plane.borrow_mut().handle(self.clock.now(), input, &mut outputs);
@@ -110,51 +110,51 @@
             Output::EndCall(id, outcome) => self.calls.respond(id, outcome),
             Output::Watch(id, message) => self.watch_sessions.send(id, &message),
             Output::CloseSession(id) => self.watch_sessions.close(id),
-            // Its receiver is dropped only with the process.
+            // Sending fails only if the receiver was dropped, which happens only at the end of the process.
             Output::ReadServerList(read) => drop(self.list_reads.send(read)),
             Output::Drained => self.shutdown_complete.notify_one(),
             Output::Log(event) => log::info!("event={} {event}", event.name()),
         }
     }
 
-    /// Runs a query on the state machine, which changes nothing.
+    /// Runs a read-only query on the state machine.
     pub fn query<T>(&self, query: impl FnOnce(&ControlPlane) -> T) -> T {
         query(&self.control_plane.borrow())
     }
 
-    /// An id for a session or an operator's request, unique within the process.
+    /// Returns a new ID for a session, an operator's request or a call, unique within the process.
     pub fn next_id(&self) -> u64 {
         self.last_id.set(self.last_id.get() + 1);
         self.last_id.get()
     }
 
-    /// Registers an operator's request; its response comes on the receiver.
+    /// Registers an operator's request. The receiver gets its response.
     pub fn register_admin_request(&self) -> (RequestId, oneshot::Receiver<AdminResponse>) {
         let id = self.next_id();
         (id, self.admin_requests.register(id))
     }
 
-    /// Forgets an operator's request, and cancels it where it was not answered.
+    /// Removes an operator's request, and cancels the request in the state machine if it was not answered.
     pub fn cancel_admin_request(self: &Rc<Self>, id: RequestId) {
         if self.admin_requests.forget(id) {
             self.handle_input(Input::AdminCancelled(id));
         }
     }
 
-    /// Registers an application's call; its outcome comes on the receiver.
+    /// Registers an application's call. The receiver gets its outcome.
     pub fn register_call(&self) -> (RequestId, oneshot::Receiver<CallOutcome>) {
         let id = self.next_id();
         (id, self.calls.register(id))
     }
 
-    /// Forgets a call, and cancels it where it was not answered.
+    /// Removes a call, and cancels the call in the state machine if it was not answered.
     pub fn cancel_call(self: &Rc<Self>, id: RequestId) {
         if self.calls.forget(id) {
             self.handle_input(Input::CallCancelled(id));
         }
     }
 
-    /// Logs the numbers of answered calls, where there were any since the last time.
+    /// Logs the numbers of answered calls if [`CALLS_LOG_INTERVAL`] has passed and calls were answered since the last log line.
     pub fn log_calls_if_due(&self) {
         let now = self.clock.now();
         if now < self.calls_logged_at.get() + CALLS_LOG_INTERVAL {
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Takes seeds from the settings file while no quorum can be reached.
+    /// Reloads the seeds from the settings file at intervals while no quorum can be reached.
     pub fn reload_seeds_without_quorum(self: &Rc<Self>) {
         if self.query(ControlPlane::has_quorum) {
             return;
--- a/system/src/control/instance_list_reader.rs
+++ b/system/src/control/instance_list_reader.rs
@@ -10,8 +10,8 @@
 use super::host::Host;
 use crate::instance_list::{InstanceListClient, InstanceListError};
 
-/// Executes requested reads, one at a time. A newer request cancels the read under way, and with it its connection: no page of the
-/// cancelled read can be taken for one of the newer.
+/// Executes requested reads, one at a time. A newer request cancels the read in progress and drops its connection, so that no page of
+/// the cancelled read can be mistaken for one of the newer read.
 pub async fn run_reads(host: Rc<Host>, mut requests: UnboundedReceiver<ReadId>) {
     let mut client = InstanceListClient::new(host.settings.ip, host.settings.cloud_api.address);
     let mut next = requests.recv().await;
--- a/system/src/control/load_topology.rs
+++ b/system/src/control/load_topology.rs
@@ -1,4 +1,4 @@
-//! What the load exchange has to know of the deployment, from the state machine and the settings.
+//! The topology of the deployment that the load exchange needs, from the state machine and the settings.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -13,14 +13,14 @@
 use super::host::Host;
 use crate::regions::Regions;
 
-/// The deployment as one control node knows it.
+/// The regions of peers and servers as known to this control node.
 pub struct Topology {
     host: Rc<Host>,
     regions: Regions,
     servers: RefCell<ServerRegions>,
 }
 
-/// The regions of the servers of one version of the server list.
+/// The regions of the servers in one version of the server list, cached until the list changes.
 #[derive(Default)]
 struct ServerRegions {
     position: ServerListPosition,
@@ -28,7 +28,7 @@
 }
 
 impl Topology {
-    /// The deployment of the host's settings.
+    /// Creates the topology from the host's settings. Servers are read from the state machine later.
     pub fn new(host: Rc<Host>) -> Self {
         let regions = Regions::new(&host.settings);
         Self { host, regions, servers: RefCell::default() }
--- a/system/src/control/mod.rs
+++ b/system/src/control/mod.rs
@@ -1,6 +1,7 @@
 //! The control role: opens its listeners and its disk, starts its tasks, and ends the process on SIGTERM.
 //!
-//! `ivyhatch-control` decides; this module's parts carry out what it decides. All tasks run in one thread and share the [`host::Host`].
+//! The decisions are made by the state machine in `ivyhatch-control`; this module executes them. All tasks run in one thread and share
+//! the [`host::Host`].
 
 mod admin_api;
 mod call_statistics;
@@ -61,10 +62,10 @@
     }
 }
 
-/// Runs the role until SIGTERM, and then until its state is handed over.
+/// Runs the control node until SIGTERM, and then until its state is handed over.
 ///
 /// # Errors
-/// Where the role can't start.
+/// If the role cannot start.
 pub async fn run(settings: Settings) -> Result<(), RoleError> {
     let clock = Clock::start();
     let mut terminate = signal(SignalKind::terminate())?;
@@ -101,7 +102,7 @@
     Ok(())
 }
 
-/// The host, started on what its disk holds, and the tokens of durable writes where there is a disk.
+/// Creates the host from the state that the disk holds. Also returns the receiver of durable writes' tokens if there is a disk.
 fn start_host(
     settings: Settings,
     clock: Clock,
@@ -111,7 +112,7 @@
     let mut node_config = node_config::node_config(&settings, opened.is_some());
     let (disk, stored, durable_tokens) = match opened {
         Some(opened) => {
-            // A node that had a file is not on its first start, whatever the settings say.
+            // If a log file was set aside, this is not the node's first start, whatever the settings say.
             node_config.first_start &= !opened.history_lost;
             (Some(opened.disk), opened.stored, Some(opened.durable_tokens))
         }
@@ -127,7 +128,7 @@
     (Rc::new(host), durable_tokens)
 }
 
-/// Starts to accept peers, routers, operators and the directory's clients.
+/// Starts the tasks that accept connections of peers, routers, operators, applications and the directory's clients.
 fn spawn_servers(host: &Rc<Host>, listeners: Listeners) {
     spawn_local(peers::serve_peers(host.clone(), listeners.peers));
     spawn_local(watch_server::serve_watches(host.clone(), listeners.watches));
--- a/system/src/control/peers.rs
+++ b/system/src/control/peers.rs
@@ -1,5 +1,5 @@
-//! Messages between control nodes. Each pair of nodes has two connections, one for each direction: this node sends on the one that it
-//! opens, and receives on the one that it accepts. A sender is known by its address.
+//! Messages between control nodes. Each pair of nodes has two connections, one for each direction: a node sends on the connection that
+//! it has opened, and receives on the one that it has accepted. The sender is identified by its IP address.
 
 use std::net::IpAddr;
 use std::rc::Rc;
@@ -19,7 +19,7 @@
 use crate::transport::reader::{ConnectionError, read_messages};
 use crate::transport::socket::accept_each;
 
-/// A connection is closed when nothing is received on it for this long: later messages on it may be outdated.
+/// A connection is closed if nothing is received on it for this long, as messages that arrive after such a pause may be stale.
 const PEER_IDLE_TIMEOUT: Duration = Duration::from_millis(1300);
 
 impl SessionHandler for Host {
@@ -27,7 +27,7 @@
         self.handle_input(Input::Connected(node));
     }
 
-    /// The other node sends nothing on this connection: a read that returns, with bytes or without, ends it.
+    /// The peer sends nothing on this connection. A read that returns, whether with bytes, end of file or an error, ends the connection.
     async fn read(self: &Rc<Self>, _node: NodeId, stream: &mut ReadHalf<'_>) -> Result<(), ConnectionError> {
         let mut ignored = [0; 64];
         stream.read(&mut ignored).await.map(drop).map_err(ConnectionError::from)
@@ -36,7 +36,7 @@
     fn disconnected(self: &Rc<Self>, _node: NodeId) {}
 }
 
-/// Accepts other control nodes' connections; never returns.
+/// Accepts connections of other control nodes; never returns.
 pub async fn serve_peers(host: Rc<Host>, listener: TcpListener) {
     accept_each(listener, |stream, remote| {
         if let IpAddr::V4(address) = remote.ip() {
@@ -46,7 +46,7 @@
     .await;
 }
 
-/// Receives a node's messages until its connection ends.
+/// Receives the messages of a node until its connection ends, and feeds them to the state machine.
 async fn receive(host: Rc<Host>, mut stream: TcpStream, node: NodeId) {
     let handle = |message: PeerMessage| host.handle_input(Input::Peer(node, message));
     if let Err(error @ ConnectionError::Frame(_)) =
--- a/system/src/control/pending_responses.rs
+++ b/system/src/control/pending_responses.rs
@@ -1,4 +1,4 @@
-//! What waits in this process for the state machine: the channel of each request, by its id.
+//! The requests that wait for a response of the state machine, each with the channel on which the response is sent.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 use ivyhatch_control::RequestId;
 use tokio::sync::oneshot;
 
-/// Requests whose responses are of one type.
+/// Pending requests whose responses have the type `T`.
 pub struct PendingResponses<T>(RefCell<BTreeMap<RequestId, oneshot::Sender<T>>>);
 
 impl<T> Default for PendingResponses<T> {
@@ -16,22 +16,22 @@
 }
 
 impl<T> PendingResponses<T> {
-    /// Adds a request; its response comes on the receiver.
+    /// Adds a request. The receiver gets its response.
     pub fn register(&self, id: RequestId) -> oneshot::Receiver<T> {
         let (sender, receiver) = oneshot::channel();
         self.0.borrow_mut().insert(id, sender);
         receiver
     }
 
-    /// Forgets a request. Returns whether it had no response.
+    /// Removes a request. Returns whether the request was still pending.
     pub fn forget(&self, id: RequestId) -> bool {
         self.0.borrow_mut().remove(&id).is_some()
     }
 
-    /// Sends the response to a request, if it is pending.
+    /// Sends the response of a request if the request is pending; otherwise drops the response.
     pub fn respond(&self, id: RequestId, response: T) {
         if let Some(sender) = self.0.borrow_mut().remove(&id) {
-            // A caller that has disconnected meanwhile needs no response.
+            // Fails only if the caller has disconnected, and so needs no response.
             let _ = sender.send(response);
         }
     }
--- a/system/src/control/status.rs
+++ b/system/src/control/status.rs
@@ -1,10 +1,10 @@
-//! The JSON form of a control node's report, the response to `GET /-/status`.
+//! Encodes a control node's status report as JSON, the response to `GET /-/status`.
 
 use ivyhatch_control::report::{PartitionReport, ReplicaReport, Report};
 use ivyhatch_protocol::peer::ReplicaStatus;
 use serde_json::{Value, json};
 
-/// A report as JSON text.
+/// Encodes a report as JSON text.
 pub fn to_json(report: &Report) -> String {
     json!({
         "node": report.node.to_string(),
--- a/system/src/control/watch_server.rs
+++ b/system/src/control/watch_server.rs
@@ -1,4 +1,4 @@
-//! Accepts routers' watch sessions, and runs each in a task of its own.
+//! Accepts the watch sessions of routers, and runs each in a task of its own.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 use crate::transport::reader::{ConnectionError, read_messages};
 use crate::transport::socket::{accept_each, set_options};
 
-/// A session is closed when nothing is received on it for this long.
+/// A session is closed if nothing is received on it for this long.
 const SESSION_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Accepts sessions; never returns.
+/// Accepts watch sessions; never returns.
 pub async fn serve_watches(host: Rc<Host>, listener: TcpListener) {
     accept_each(listener, |stream, _| {
         spawn_local(run_session(host.clone(), stream));
@@ -23,7 +23,7 @@
     .await;
 }
 
-/// Runs a session until its connection ends, or the state machine closes it.
+/// Runs a session until its connection ends, or the state machine closes the session.
 async fn run_session(host: Rc<Host>, mut stream: TcpStream) {
     set_options(&stream);
     let id = host.next_id();
--- a/system/src/control/watch_sessions.rs
+++ b/system/src/control/watch_sessions.rs
@@ -1,4 +1,4 @@
-//! The send queues of open watch sessions: routers that follow the configuration and the server list.
+//! The send queues of the open watch sessions, on which routers receive the configuration and the server list.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 use crate::transport::frame_cache::FrameCache;
 use crate::transport::writer::{BulkPacer, SendQueue, Writer};
 
-/// Open sessions. A session's task owns its [`SendQueue`]; removing the writer here makes the task end.
+/// The open watch sessions. The task of a session owns its [`SendQueue`]; removing the writer from the table ends the task.
 pub struct WatchSessions {
     writers: RefCell<BTreeMap<SessionId, Writer>>,
     frame_cache: RefCell<FrameCache>,
@@ -18,7 +18,8 @@
 }
 
 impl WatchSessions {
-    /// No sessions yet, on a machine with a link of this rate, in bytes a second.
+    /// Creates an empty table. `link_bytes_per_second` is the bandwidth of the machine's link, which limits the rate of bulk messages;
+    /// `None` if the bandwidth is unknown.
     pub fn new(link_bytes_per_second: Option<f64>) -> Self {
         Self {
             writers: RefCell::default(),
@@ -27,19 +28,19 @@
         }
     }
 
-    /// Opens a session, and returns the queue of what is sent on it.
+    /// Opens a session, and returns the queue of messages to be written to its connection.
     pub fn open(&self, id: SessionId) -> SendQueue {
         let (writer, queue) = Writer::new(self.pacer.clone());
         self.writers.borrow_mut().insert(id, writer);
         queue
     }
 
-    /// Closes a session.
+    /// Closes a session; its task ends. Does nothing if the session is closed already.
     pub fn close(&self, id: SessionId) {
         self.writers.borrow_mut().remove(&id);
     }
 
-    /// Queues a message on a session; closes the session where its router does not read.
+    /// Queues a message on a session. Closes the session if its queue is full because the router does not read.
     pub fn send(&self, id: SessionId, message: &WatchResponse) {
         let sent = self.writers.borrow().get(&id).map(|writer| self.queue(writer, message));
         if sent == Some(false) {
@@ -47,7 +48,8 @@
         }
     }
 
-    /// Snapshots and changes are bulk, both of them: so changes of the configuration keep their order.
+    /// Queues a message as bulk or as a small message. Snapshots and changes of the configuration are both bulk, so that they keep their
+    /// order. Returns false if the connection has ended or its queue is full.
     fn queue(&self, writer: &Writer, message: &WatchResponse) -> bool {
         match message {
             WatchResponse::Snapshot { .. } | WatchResponse::Change { .. } => {
