--- a/system/src/clock.rs
+++ b/system/src/clock.rs
@@ -1,31 +1,32 @@
-//! The monotonic clock of a process. The time of day may jump; no decision depends on it.
+//! The monotonic clock of a process. No decision depends on the time of day, which may jump.
 
 use std::time::Duration;
 
 use ivyhatch_protocol::Nanos;
 use tokio::time::Instant;
 
-/// Gives the time in nanoseconds since an hour before the process's start. `Copy`: all parts of a process share one epoch.
+/// Measures the time in nanoseconds since an hour before the start of the clock. Copies of a clock share its epoch.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started_at: Instant,
 }
 
-/// The clock's reading at its start. Far from 0, so that a state machine may subtract a timeout from the present without underflow.
+/// The reading of a clock at its start. Far from 0, so that a state machine may subtract a timeout from the current time without
+/// underflow.
 const READING_AT_START: Duration = Duration::from_secs(3600);
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock. Its first reading is one hour.
     pub fn start() -> Self {
         Self { started_at: Instant::now() }
     }
 
-    /// The present, in nanoseconds of this clock.
+    /// The current time, in nanoseconds of this clock.
     pub fn now(&self) -> Nanos {
         (self.started_at.elapsed() + READING_AT_START).as_nanos() as Nanos
     }
 
-    /// The runtime's instant for a reading of this clock, for use in timers.
+    /// Converts a reading of this clock to the runtime's instant, for use in timers.
     pub fn instant(&self, at: Nanos) -> Instant {
         self.started_at + Duration::from_nanos(at).saturating_sub(READING_AT_START)
     }
--- a/system/src/disk.rs
+++ b/system/src/disk.rs
@@ -1,9 +1,9 @@
-//! The control state's write-ahead log on disk, written by a thread of its own.
+//! The write-ahead log of the control state on disk, written by a thread of its own.
 //!
-//! The thread owns the file. It takes writes in order from a channel, gathers what is queued into one batch, and reports each write's
-//! token once it is durable. The channel has no bound of its own: the state machine acknowledges nothing before its token is back. A
-//! disk that hangs blocks this thread and nothing else; a write that fails is retried until it succeeds. The thread ends with the
-//! process: writes that are not durable by then were not acknowledged.
+//! The thread owns the file. It receives write requests in order from a channel, merges the queued ones into one batch, and reports the
+//! token of each write once the write is durable. The channel is unbounded: the state machine acknowledges nothing before it has the
+//! token back, which limits the queue. A disk that hangs blocks only this thread; a failed write is retried until it succeeds. The thread
+//! ends with the process: writes that are not durable by then were not acknowledged.
 
 use std::path::Path;
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -16,42 +16,42 @@
 use speedy::{Readable, Writable};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// The file's name in the data folder.
+/// The name of the log file in the data folder.
 const FILE_NAME: &str = "control.records";
 /// Pause before a failed write is retried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// Writes are gathered into one batch up to this length, and beyond it by no more than the last of them.
+/// Write requests are merged into one batch until it has this length. The last request may exceed the limit.
 const MAX_BATCH_BYTES: usize = 4 << 20;
 const THREAD_STACK_BYTES: usize = 256 * 1024;
 
-/// Records to be written, and the token by which their durability is reported.
+/// Records to be written, and the token that is reported once they are durable.
 struct WriteRequest {
     token: WriteToken,
     records: Vec<Record>,
 }
 
-/// A handle on the disk's thread.
+/// A handle on the thread that writes to the disk.
 pub struct Disk {
     requests: Sender<WriteRequest>,
 }
 
-/// A disk that has been opened.
+/// The result of opening the disk.
 pub struct OpenedDisk {
-    /// Takes writes.
+    /// The handle for queueing writes.
     pub disk: Disk,
     /// The state that the file holds.
     pub stored: DurableState,
     /// The tokens of durable writes, in order.
     pub durable_tokens: UnboundedReceiver<WriteToken>,
-    /// A file was there and could not be used: this replica's promises are lost, also on a first start.
+    /// Whether an unusable file was set aside, so that this replica's promises are lost. If true, the start must not count as the first.
     pub history_lost: bool,
 }
 
 impl Disk {
-    /// Opens the file and starts the thread. An unusable file is set aside, and an empty one takes its place.
+    /// Opens the log file and starts the thread. An unusable file is set aside and replaced by an empty one.
     ///
     /// # Errors
-    /// Where the disk can't be read or written.
+    /// If the disk can't be read or written, or the thread can't be started.
     pub fn start(folder: &Path) -> Result<OpenedDisk, WalError> {
         let (log, stored, history_lost) = match open(folder) {
             Err(error) if error.is_set_aside() => {
@@ -75,15 +75,15 @@
         Ok(OpenedDisk { disk: Self { requests }, stored, durable_tokens, history_lost })
     }
 
-    /// Queues records behind all earlier ones. The token is reported once they are durable.
+    /// Queues records behind all earlier ones. The token is reported once the records are durable.
     pub fn write(&self, token: WriteToken, records: Vec<Record>) {
-        // The receiver is dropped only with the process.
+        // Fails only if the thread has dropped the receiver, which happens only at the end of the process.
         let _ = self.requests.send(WriteRequest { token, records });
     }
 }
 
-/// Opens the file and decodes its records. A file with an unknown record is set aside whole: the record may hold a promise, and
-/// records written behind it would be unreadable as well.
+/// Opens the log file and decodes its records. A file with an unknown record is set aside as a whole: the record may hold a promise, and
+/// records written after it could not be read either.
 fn open(folder: &Path) -> Result<(Wal, DurableState), WalError> {
     let (log, records) = Wal::open(folder, FILE_NAME)?;
     let mut stored = DurableState::default();
@@ -96,10 +96,10 @@
     Ok((log, stored))
 }
 
-/// Why stored bytes are no record of this release.
+/// Why stored bytes can't be decoded as a record by this release.
 #[derive(Debug, thiserror::Error)]
 enum RecordDecodeError {
-    #[error("{0} bytes too long")]
+    #[error("{0} bytes follow the end of the record")]
     TrailingBytes(usize),
     #[error(transparent)]
     Malformed(#[from] speedy::Error),
@@ -115,14 +115,14 @@
 }
 
 fn encode<'a>(records: impl IntoIterator<Item = &'a Record>) -> Vec<Vec<u8>> {
-    // Serialising to memory can't fail: a record holds nothing that speedy rejects.
+    // Serialisation to memory can't fail, as records contain no value that speedy rejects.
     records.into_iter().filter_map(|record| record.write_to_vec().ok()).collect()
 }
 
-/// The state of the disk's thread.
+/// The state of the thread that writes to the disk.
 struct DiskWriter {
     log: CompactingWal,
-    /// The state that the file holds once all requests taken so far are written; the content of the next compaction.
+    /// The state that the file holds once all requests received so far are written. The next compaction writes this state.
     stored: DurableState,
 }
 
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Returns when the records are durable.
+    /// Writes records, retrying every [`RETRY_INTERVAL`]. Returns once the records are durable.
     fn write_until_durable(&mut self, records: &[Vec<u8>]) {
         let stored = &self.stored;
         loop {
@@ -158,7 +158,7 @@
     }
 }
 
-/// Requests that are written together.
+/// Write requests that are written together.
 struct Batch {
     tokens: Vec<WriteToken>,
     records: Vec<Record>,
@@ -166,7 +166,7 @@
 }
 
 impl Batch {
-    /// The first request, and those that are queued behind it.
+    /// Merges the first request with those queued behind it, up to [`MAX_BATCH_BYTES`].
     fn gather(first: WriteRequest, requests: &Receiver<WriteRequest>) -> Self {
         let mut batch = Self { tokens: Vec::new(), records: Vec::new(), encoded: Vec::new() };
         let mut length = batch.add(first);
@@ -178,7 +178,7 @@
         batch
     }
 
-    /// Adds a request and returns its length in bytes.
+    /// Adds a request, and returns the length of its encoded records in bytes.
     fn add(&mut self, request: WriteRequest) -> usize {
         let encoded = encode(&request.records);
         let length = encoded.iter().map(Vec::len).sum();
--- a/system/src/http_server.rs
+++ b/system/src/http_server.rs
@@ -1,7 +1,8 @@
-//! A small HTTP server for the control role's and the readiness interfaces: complete requests in, JSON responses out.
+//! A small HTTP server for the interfaces of the control role and for readiness: receives complete requests and sends JSON responses.
 //!
-//! One task accepts, one task serves each connection. The number of connections is bounded by the process's descriptors only: callers
-//! are operators and the directory's clients. A connection's task ends with its connection, which drops the handler's future.
+//! One task accepts connections, and one task serves each connection. The number of connections is limited only by the process's
+//! descriptors, as the callers are operators, applications and the directory's clients. The task of a connection ends with the
+//! connection, which drops the handler's future.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -21,52 +22,52 @@
 
 use crate::transport::socket;
 
-/// The longest request body: the longest configuration with room to spare.
+/// The longest request body: more than the longest configuration needs.
 const MAX_BODY_BYTES: usize = 16 << 20;
-/// A request's body is complete within this after its head.
+/// Timeout of a request's body, measured from the end of its head.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
-/// A connection on which no request head is complete within this is closed.
+/// A connection on which no complete request head is received within this time is closed.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(20);
-/// Pause after a failed accept: out of descriptors, the next one would fail at once.
+/// Pause after a failed accept: if the process is out of descriptors, another accept would fail immediately.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// What a rejected caller waits before the next attempt, in seconds.
+/// The `Retry-After` header of 429 and 503 responses, in seconds.
 const RETRY_AFTER_SECONDS: &str = "0.2";
 
-/// A complete request.
+/// A request that has been received completely.
 pub struct HttpRequest {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
     /// The segments of the path, percent-decoded.
     pub segments: Vec<String>,
     /// The name-value pairs of the query, percent-decoded.
     pub query: Vec<(String, String)>,
-    /// The headers.
+    /// All headers of the request.
     pub headers: HeaderMap,
-    /// The body.
+    /// The whole body, of up to [`MAX_BODY_BYTES`].
     pub body: Bytes,
 }
 
 impl HttpRequest {
-    /// The first value of a query parameter.
+    /// The first value of a query parameter; `None` if the parameter is missing.
     pub fn query(&self, name: &str) -> Option<&str> {
         self.query.iter().find(|(parameter, _)| parameter == name).map(|(_, value)| value.as_str())
     }
 
-    /// A header's value, where it is text.
+    /// The trimmed value of a header; `None` if the header is missing or is no text.
     pub fn header(&self, name: &HeaderName) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok()).map(str::trim)
     }
 
-    /// The segments of the path, for matching.
+    /// The segments of the path as slices, for pattern matching.
     pub fn path(&self) -> Vec<&str> {
         self.segments.iter().map(String::as_str).collect()
     }
 }
 
-/// A response.
+/// A response with a complete body.
 pub type HttpResponse = Response<Full<Bytes>>;
 
-/// A response with a JSON body.
+/// Creates a response with a JSON body.
 pub fn json(status: StatusCode, body: String) -> HttpResponse {
     let mut response = Response::new(Full::new(Bytes::from(body)));
     *response.status_mut() = status;
@@ -74,24 +75,24 @@
     response
 }
 
-/// A response with plain text.
+/// Creates a 200 response with plain text.
 pub fn text(body: String) -> HttpResponse {
     let mut response = Response::new(Full::new(Bytes::from(body)));
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain; charset=utf-8"));
     response
 }
 
-/// An error response, whose text says what is wrong and what to do.
+/// Creates a JSON response `{"error": text}`. The text should say what is wrong and what to do.
 pub fn error(status: StatusCode, text: &str) -> HttpResponse {
     json(status, serde_json::json!({ "error": text }).to_string())
 }
 
-/// A 503 that asks for another attempt in a moment.
+/// Creates a 503 response with a `Retry-After` header.
 pub fn unavailable(text: &str) -> HttpResponse {
     retry_later(StatusCode::SERVICE_UNAVAILABLE, text)
 }
 
-/// A 429 that asks for another attempt in a moment.
+/// Creates a 429 response with a `Retry-After` header.
 pub fn too_many_requests(text: &str) -> HttpResponse {
     retry_later(StatusCode::TOO_MANY_REQUESTS, text)
 }
@@ -102,7 +103,7 @@
     response
 }
 
-/// Serves requests for as long as it is polled; never returns.
+/// Accepts connections and serves their requests; never returns.
 pub async fn serve<F: Future<Output = HttpResponse> + 'static>(
     listener: TcpListener,
     handler: impl Fn(HttpRequest) -> F + 'static,
@@ -146,7 +147,7 @@
     builder.serve_connection(TokioIo::new(stream), service).await
 }
 
-/// Waits for the body of a request. The error is the status of the rejection.
+/// Receives the body of a request. The error is the status with which the request is rejected.
 async fn read_request(request: Request<Incoming>) -> Result<HttpRequest, StatusCode> {
     let (head, body) = request.into_parts();
     let body = match timeout(BODY_TIMEOUT, Limited::new(body, MAX_BODY_BYTES).collect()).await {
@@ -167,7 +168,7 @@
     })
 }
 
-/// Decodes `%XX` sequences (RFC 3986, section 2.1); an incomplete one stays as it is.
+/// Decodes `%XX` sequences (RFC 3986, section 2.1). Incomplete or invalid sequences are left unchanged.
 fn percent_decode(text: &str) -> String {
     let bytes = text.as_bytes();
     let mut decoded = Vec::with_capacity(bytes.len());
--- a/system/src/instance_list.rs
+++ b/system/src/instance_list.rs
@@ -1,8 +1,8 @@
-//! Client of the platform's API: reads the list of server instances, page by page.
+//! Client of the platform API: reads the list of server instances, page by page.
 //!
-//! A read ends within [`READ_TIMEOUT`], whatever the platform or the network does. The connection is reused for the next read, but a
-//! reused connection gets only [`REUSED_CONNECTION_TIMEOUT`] to answer: behind a partition it never does. A read that is cancelled,
-//! fails or times out drops its connection, so that no late response can be taken for one of the next read.
+//! A read ends within [`READ_TIMEOUT`], whatever the platform or the network does. The connection is reused for the next read, but the
+//! timeout of a page on a reused connection is only [`REUSED_CONNECTION_TIMEOUT`], as the connection may have been cut by a partition. A
+//! read that is cancelled, fails or times out drops its connection, so that no late response can be mistaken for one of the next read.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
@@ -20,43 +20,45 @@
 
 use crate::transport::socket;
 
-/// All pages of the list are read within this, or the read fails.
+/// Timeout of a read of all pages of the list.
 pub const READ_TIMEOUT: Duration = Duration::from_millis(1000);
-/// A page that a reused connection has not delivered within this is requested again on a new connection.
+/// A page that has not been received within this time on a reused connection is requested again on a new connection.
 pub const REUSED_CONNECTION_TIMEOUT: Duration = Duration::from_millis(400);
-/// Connection attempts for a page; the first has the shortest timeout (see [`socket::connect`]).
+/// Maximum number of connect attempts for a page; the first has the shortest timeout (see [`socket::connect`]).
 const CONNECT_ATTEMPTS: u32 = 2;
 const MAX_PAGE_BYTES: usize = 4 << 20;
-/// A list of more pages than this is taken for an endless one.
+/// Maximum number of pages of a list; a longer list is assumed to be endless, and rejected.
 const MAX_PAGES: usize = 1000;
-/// The state of an instance that takes requests.
+/// The `state` of an instance that takes new requests.
 const READY_STATE: &str = "ready";
 
-/// Why the list could not be read.
+/// Why the instance list could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum InstanceListError {
-    /// No connection, or one that broke.
-    #[error("the platform's list can't be reached: {0}")]
+    /// No connection could be opened, or the connection was lost.
+    #[error("no connection to the platform API for the instance list: {0}")]
     Connection(String),
-    /// A status other than 200.
-    #[error("the platform's list answers {0}: where it is 429, fewer may ask")]
+    /// The platform answered with a status other than 200.
+    #[error(
+        "the platform API answered {0} instead of 200 for the instance list: after 429, let fewer processes read it"
+    )]
     Status(StatusCode),
-    /// A response that is no page of the list.
-    #[error("the platform's list can't be read: {0}")]
+    /// A response is not a page of the list, or the list has no last page.
+    #[error("invalid response of the platform API for the instance list: {0}")]
     InvalidResponse(String),
-    /// No complete list within [`READ_TIMEOUT`].
-    #[error("the platform's list does not answer in time")]
+    /// The list was not complete within [`READ_TIMEOUT`].
+    #[error("the platform API did not deliver the whole instance list within the read timeout")]
     Timeout,
 }
 
-/// A page of the platform's API.
+/// A page of the instance list, as encoded by the platform API.
 #[derive(Deserialize)]
 struct Page {
     instances: Vec<Instance>,
     next_token: Option<String>,
 }
 
-/// An instance in the form of the platform's API.
+/// An instance, as encoded by the platform API.
 #[derive(Deserialize)]
 struct Instance {
     id: String,
@@ -81,7 +83,7 @@
             address: instance.address,
             zone: instance.zone,
             slots: instance.slots,
-            // Every state but ready, known or not, means that the instance takes no new requests.
+            // In every state but `ready`, including unknown ones, an instance takes no new requests.
             draining: instance.state != READY_STATE,
             warm_up_remaining_ms: instance.cold_left_ms.max(0.0) as u32,
             lifetime_remaining_ms: instance.remaining_ms.map(|left| left.max(0.0) as u32),
@@ -91,28 +93,28 @@
 
 type Sender = SendRequest<Empty<Bytes>>;
 
-/// A client, which reuses its connection for as long as the list has a single page.
+/// A client of the platform API. Reuses its connection for the next read as long as the list has a single page.
 pub struct InstanceListClient {
     local: Ipv4Addr,
     platform: SocketAddrV4,
-    /// The connection of the last read, if that ended well.
+    /// The connection of the last read; `None` if the read failed or the list had several pages.
     idle_connection: Option<Sender>,
 }
 
 impl InstanceListClient {
-    /// A client that connects from the machine's own address `local`.
+    /// Creates a client that connects from the machine's own address `local` to the address `platform`.
     pub fn new(local: Ipv4Addr, platform: SocketAddrV4) -> Self {
         Self { local, platform, idle_connection: None }
     }
 
-    /// The whole list.
+    /// Reads the whole list.
     ///
-    /// Pages do not say which request they answer. Within one read a duplicate page only has its successor requested again. But as
-    /// the first page of the next read, a duplicate last page would pass for the whole list: so the connection of a read of several
-    /// pages is not reused.
+    /// Pages do not identify the request that they answer. Within one read, a duplicate page only causes the next page to be requested
+    /// again. But a duplicate of the last page would be mistaken for the whole list if it were received as the first page of the next
+    /// read. So the connection is not reused after a read of several pages.
     ///
     /// # Errors
-    /// Where the list is not complete in time.
+    /// If the platform can't be reached, its response is invalid, or the list is not complete within [`READ_TIMEOUT`].
     pub async fn read(&mut self) -> Result<Vec<Server>, InstanceListError> {
         timeout(READ_TIMEOUT, self.read_pages()).await.map_err(|_| InstanceListError::Timeout)?
     }
@@ -129,10 +131,10 @@
                 return Ok(servers);
             }
         }
-        Err(InstanceListError::InvalidResponse("it has no last page".to_owned()))
+        Err(InstanceListError::InvalidResponse("the list exceeds the maximum number of pages".to_owned()))
     }
 
-    /// One page. The connection is stored again only once the page is complete: a cancelled request drops it.
+    /// Reads one page. The connection is stored again only once the page is complete, so that a cancelled read drops the connection.
     async fn read_page(&mut self, token: Option<&str>) -> Result<Page, InstanceListError> {
         if let Some(mut idle) = self.idle_connection.take().filter(|sender| !sender.is_closed())
             && let Ok(Ok(response)) =
@@ -147,7 +149,7 @@
         response.into_page()
     }
 
-    /// Requests one page on this connection.
+    /// Requests one page on the connection of `sender`, and reads the response.
     async fn request_page(
         &self,
         sender: &mut Sender,
@@ -187,7 +189,7 @@
     }
 }
 
-/// A complete response of the platform.
+/// A complete response of the platform API.
 struct PageResponse {
     status: StatusCode,
     body: Bytes,
--- a/system/src/lib.rs
+++ b/system/src/lib.rs
@@ -1,15 +1,15 @@
-//! The system's processes on real sockets and disks: the control role and the router role.
+//! The processes of the system on real sockets and disks: the control role and the router role.
 //!
-//! Carries out what the state machines of `ivyhatch-control`, `ivyhatch-routing` and `ivyhatch-balancer` decide. A process runs all of
-//! its tasks in one thread on a current-thread runtime; the only other thread writes to the disk, so that a disk that hangs delays
-//! nothing else.
+//! Executes the decisions of the state machines in `ivyhatch-control`, `ivyhatch-routing` and `ivyhatch-balancer`. A process runs all of
+//! its tasks in one thread on a current-thread runtime. The only other thread writes to the disk, so that a disk that hangs delays no
+//! other task.
 //!
 //! - `control`: the control role: the replicated configuration, the server list, and the directory
-//! - `router`: the router role: clients' requests
+//! - `router`: the router role: forwards client requests to servers
 //! - `outgoing`, [`transport`]: connections between the processes
-//! - `load_exchange`: datagrams by which routers share the load that they have put on servers
+//! - `load_exchange`: datagrams by which routers share the load that they have placed on servers
 //! - `disk`: the control role's write-ahead log
-//! - [`instance_list`]: the client of the platform's API
+//! - [`instance_list`]: the client of the platform API that lists the server instances
 //! - `http_server`: the server of the roles' own HTTP interfaces
 
 pub mod clock;
@@ -34,24 +34,24 @@
 use tokio::runtime;
 use tokio::task::LocalSet;
 
-/// Why a role can't run.
+/// Why a role can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum RoleError {
     /// The settings file is missing or invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// An address can't be bound.
+    /// A listening address can't be bound.
     #[error(
-        "can't listen at {address}: {source}: see who else has that address, and that the settings name this machine's"
+        "can't listen at {address}: {source}: check that no other process uses it, and that the settings name this machine"
     )]
     Listen {
-        /// The address.
+        /// The address in the settings.
         address: SocketAddrV4,
-        /// The system's error.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The system denies a resource: a thread, a descriptor, a signal handler.
-    #[error("can't start: {0}: see to the limits of this machine")]
+    /// The operating system denies a resource, such as a thread, a descriptor or a signal handler.
+    #[error("can't start: {0}: check the resource limits of this machine")]
     System(#[from] std::io::Error),
     /// The write-ahead log can't be read or written.
     #[error(transparent)]
@@ -63,7 +63,7 @@
     run(control::run)
 }
 
-/// Runs a router in the foreground until SIGTERM, and then until its requests have ended.
+/// Runs a router in the foreground until SIGTERM, and then until its requests have ended or the shutdown grace period is nearly over.
 pub fn run_router() -> ExitCode {
     run(router::run)
 }
--- a/system/src/load_exchange.rs
+++ b/system/src/load_exchange.rs
@@ -1,7 +1,7 @@
-//! The sockets by which routers share the load that they have put on model servers; see [`ivyhatch_protocol::load_exchange`].
+//! The UDP sockets by which routers share the load that they have placed on model servers; see [`ivyhatch_protocol::load_exchange`].
 //!
-//! A router reports ten times a second to the nearest control node that it has a session with, and is answered at once. Each node reads
-//! datagrams only from its own port, and ignores those that it can't read.
+//! A router sends a report ten times a second to the nearest control node with an open session, which answers immediately. Each process
+//! receives datagrams only on its own port, and ignores those that it can't decode.
 
 use std::cell::RefCell;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -15,25 +15,28 @@
 use crate::clock::Clock;
 use crate::ticker;
 
-/// Ports of the two roles, behind the first of the ports between nodes.
+/// The port of control nodes is the first of the peer ports plus this offset.
 const CONTROL_PORT_OFFSET: u16 = 2;
+/// The port of routers is the first of the peer ports plus this offset.
 const ROUTER_PORT_OFFSET: u16 = 3;
-/// The longest datagram that is read.
+/// The longest datagram that is received; longer ones are truncated.
 const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// A bound socket, and the port at which control nodes have theirs.
+/// A bound socket, and the port on which control nodes receive.
 pub struct LoadSocket {
     socket: UdpSocket,
     control_port: u16,
 }
 
 impl LoadSocket {
-    /// The socket of a control node. None where the address can't be bound: the role goes on without.
+    /// Binds the socket of a control node. If the address can't be bound, logs a warning and returns `None`: the role runs without the
+    /// load exchange.
     pub async fn bind_control(settings: &Settings) -> Option<Self> {
         Self::bind(settings, CONTROL_PORT_OFFSET).await
     }
 
-    /// The socket of a router. None where the address can't be bound: the role goes on without.
+    /// Binds the socket of a router. If the address can't be bound, logs a warning and returns `None`: the role runs without the load
+    /// exchange.
     pub async fn bind_router(settings: &Settings) -> Option<Self> {
         Self::bind(settings, ROUTER_PORT_OFFSET).await
     }
@@ -58,7 +61,7 @@
         }
     }
 
-    /// Sends a datagram if that is possible at once: the next one replaces it.
+    /// Sends a datagram if this is possible without waiting. A datagram that is not sent is replaced by the next one.
     fn send(&self, datagram: &[u8], to: SocketAddrV4) {
         let _ = self.socket.try_send_to(datagram, to.into());
     }
@@ -67,11 +70,11 @@
         SocketAddrV4::new(node.ip(), self.control_port)
     }
 
-    /// The next datagram that can be read, with its sender.
+    /// Waits for the next datagram that can be decoded, and returns it with its sender.
     async fn receive(&self) -> (LoadDatagram, SocketAddrV4) {
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         loop {
-            // An error reports that an earlier datagram was not delivered.
+            // An error only reports that a datagram sent earlier was not delivered.
             let Ok((length, SocketAddr::V4(from))) = self.socket.recv_from(&mut buffer).await else {
                 continue;
             };
@@ -82,8 +85,8 @@
     }
 }
 
-/// Runs a router's part; never returns. `nearest_control_node` is who is reported to, `local_loads` what; `on_summary` takes what the
-/// other routers have.
+/// Runs the router's side of the load exchange; never returns. Each report has the loads that `local_loads` returns, and is sent to the
+/// node that `nearest_control_node` returns. `on_summary` is called with the loads of all other routers.
 pub async fn run_router(
     socket: LoadSocket,
     nearest_control_node: impl Fn() -> Option<NodeId>,
@@ -111,7 +114,7 @@
     tokio::join!(report, receive);
 }
 
-/// Runs a control node's part; never returns.
+/// Runs the control node's side of the load exchange; never returns.
 pub async fn run_control(socket: LoadSocket, clock: Clock, topology: impl LoadTopology) {
     let exchange = RefCell::new(LoadExchange::new(topology));
     let send = ticker::run_ticks(|| {
--- a/system/src/load_exchange_tests.rs
+++ b/system/src/load_exchange_tests.rs
@@ -1,4 +1,4 @@
-//! The load exchange on loopback sockets: a control node answers each router with what the others have.
+//! Tests of the load exchange on loopback sockets: a control node answers each router with the loads of the other routers.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -25,7 +25,7 @@
     Settings::from_text(&text, "node.json").expect("settings")
 }
 
-/// A deployment of one region, whose servers are not known.
+/// A topology with one region, no peers and no known servers.
 struct OneRegion;
 
 impl LoadTopology for OneRegion {
@@ -42,19 +42,19 @@
     }
 }
 
-/// A router's socket at its own address.
+/// Binds a router's socket at an address of its own, with `last` as the last byte.
 async fn router(last: u8) -> UdpSocket {
     UdpSocket::bind((Ipv4Addr::new(127, 44, 1, last), 0)).await.expect("a socket")
 }
 
-/// Reports this load, and returns the control node's answer.
+/// Sends a report with these loads, and returns the control node's first answer.
 async fn report(router: &UdpSocket, loads: Vec<ServerLoad>) -> Option<LoadDatagram> {
     let datagram = LoadDatagram::Report(loads).encode();
-    router.send_to(&datagram, (CONTROL, FIRST_PORT + 2)).await.expect("it is sent");
+    router.send_to(&datagram, (CONTROL, FIRST_PORT + 2)).await.expect("send a report");
     receive(router).await
 }
 
-/// The next datagram to a router.
+/// Receives the next datagram to a router.
 async fn receive(router: &UdpSocket) -> Option<LoadDatagram> {
     let mut buffer = [0; 2048];
     let length = timeout(Duration::from_secs(10), router.recv(&mut buffer)).await.expect("an answer").ok()?;
@@ -73,7 +73,7 @@
         expect_that!(receive(&one).await, some(eq(&LoadDatagram::Summary(vec![]))));
         expect_that!(report(&other, vec![]).await, some(eq(&LoadDatagram::RemoteSummary(vec![]))));
         expect_that!(receive(&other).await, some(eq(&LoadDatagram::Summary(vec![load]))));
-        one.send_to(b"no datagram of this format", (CONTROL, FIRST_PORT + 2)).await.expect("it is sent");
+        one.send_to(b"no datagram of this format", (CONTROL, FIRST_PORT + 2)).await.expect("send");
         expect_that!(report(&one, vec![]).await, some(eq(&LoadDatagram::Summary(vec![]))));
     };
     LocalSet::new().run_until(exchange).await;
--- a/system/src/outgoing.rs
+++ b/system/src/outgoing.rs
@@ -1,9 +1,9 @@
-//! Outgoing connections to control nodes: one task for each node keeps a connection open, and reconnects when it ends.
+//! Outgoing connections to control nodes: one task for each node keeps a connection open, and reconnects when the connection ends.
 //!
-//! Both roles use it: the control role for its messages to other control nodes, the router for its watch sessions. The role's state
-//! machine decides to which nodes connections are kept ([`OutgoingConnections::connect_to`]) and what is sent; its host handles what
-//! happens on them ([`SessionHandler`]). A node that is no longer wanted has its task aborted, which drops its connection and its
-//! send queue; its host is not notified then.
+//! Used by the control role for its messages to other control nodes, and by the router role for its watch sessions. The role's state
+//! machine decides to which nodes connections are kept ([`OutgoingConnections::connect_to`]) and what is sent; the role's host handles
+//! the events of the connections ([`SessionHandler`]). If a connection to a node is no longer needed, the node's task is aborted, which
+//! drops the connection and its send queue; the host is not notified in this case.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -25,49 +25,49 @@
 use crate::transport::socket;
 use crate::transport::writer::{BulkPacer, Writer};
 
-/// Pause before a connection that has ended, or could not be opened, is opened again.
+/// Pause before reconnecting after a connection has ended or could not be opened.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a role does when connections open, deliver bytes, and end. Each method is called by the node's own task.
+/// Handles the events of a role's outgoing connections. Each method is called by the task of the node that it is about.
 pub trait SessionHandler: 'static {
-    /// A connection is open, after `connect_duration`. What is sent from now on is queued on it.
+    /// Called when a connection has been opened, which took `connect_duration` nanoseconds. Messages sent from now on are queued on it.
     fn connected(self: &Rc<Self>, node: NodeId, connect_duration: Nanos);
 
-    /// Reads what the node sends, until the connection ends. Cancelled when writing fails first.
+    /// Reads the node's messages until the connection ends. The future is dropped if a write to the connection fails first.
     fn read(
         self: &Rc<Self>,
         node: NodeId,
         stream: &mut ReadHalf<'_>,
     ) -> impl Future<Output = Result<(), ConnectionError>>;
 
-    /// The connection has ended, or could not be opened.
+    /// Called when the connection has ended or could not be opened.
     fn disconnected(self: &Rc<Self>, node: NodeId);
 }
 
-/// The connections of one role, and the tasks that keep them.
+/// The outgoing connections of one role, and the tasks that keep them open.
 pub struct OutgoingConnections {
     clock: Clock,
     local: Ipv4Addr,
     port: u16,
     writers: RefCell<BTreeMap<NodeId, Writer>>,
-    /// Nothing is sent as bulk here.
+    /// Required by [`Writer`]; unlimited, as no bulk messages are sent on these connections.
     pacer: Rc<BulkPacer>,
     tasks: RefCell<BTreeMap<NodeId, JoinHandle<()>>>,
 }
 
 impl OutgoingConnections {
-    /// None yet. They will go from this machine's own address to this port of the nodes.
+    /// Creates an empty set of connections, which will be opened from this machine's address `local` to port `port` of the nodes.
     pub fn new(clock: Clock, local: Ipv4Addr, port: u16) -> Self {
         let pacer = Rc::new(BulkPacer::new(None));
         Self { clock, local, port, writers: RefCell::default(), pacer, tasks: RefCell::default() }
     }
 
-    /// Queues a message on the connection to a node; drops it where there is none.
+    /// Queues a message on the connection to a node. The message is dropped if there is no connection.
     pub fn send<M: Writable<LittleEndian>>(&self, node: NodeId, message: &M) {
         self.send_to_all(&[node], message);
     }
 
-    /// Queues a message, encoded once, on the connections to these nodes; drops it where there is none.
+    /// Encodes a message once and queues it on the connections to these nodes. Nodes without a connection don't get the message.
     pub fn send_to_all<M: Writable<LittleEndian>>(&self, nodes: &[NodeId], message: &M) {
         let mut writers = self.writers.borrow_mut();
         let mut frame = None;
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Keeps connections to these nodes and to no others.
+    /// Keeps connections to exactly these nodes: opens missing connections, and closes those to other nodes.
     pub fn connect_to<H: SessionHandler>(self: &Rc<Self>, nodes: &[NodeId], handler: &Rc<H>) {
         let mut tasks = self.tasks.borrow_mut();
         tasks.retain(|node, task| {
--- a/system/src/regions.rs
+++ b/system/src/regions.rs
@@ -1,4 +1,4 @@
-//! The regions of the settings, as indexes.
+//! Maps the regions and zones of the settings to region indexes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,7 +6,7 @@
 use ivyhatch_protocol::settings::Settings;
 use ivyhatch_routing::placement::RegionSet;
 
-/// Regions in their alphabetical order, which all routers share.
+/// The regions of the settings in alphabetical order, so that all processes assign the same indexes.
 pub struct Regions {
     names: Vec<String>,
     by_zone: BTreeMap<String, String>,
@@ -15,7 +15,7 @@
 }
 
 impl Regions {
-    /// The regions of all zones, and this machine's own.
+    /// Collects the regions of all zones in the settings, and this machine's region.
     pub fn new(settings: &Settings) -> Self {
         let names: BTreeSet<String> =
             settings.zones.values().cloned().chain([settings.region.clone()]).collect();
@@ -24,18 +24,19 @@
         Self { names, by_zone: settings.zones.clone(), home }
     }
 
-    /// How many regions there are.
+    /// The number of regions. Indexes of known regions are below this number.
     pub fn count(&self) -> u32 {
         self.names.len() as u32
     }
 
-    /// The index of a zone's region. Zones that the settings do not name share an index behind all regions, which is home to nothing.
+    /// The index of a zone's region. Zones that the settings do not name share the index after the last region, which is no route's home
+    /// region.
     pub fn index_of_zone(&self, zone: &str) -> u32 {
         let region = self.by_zone.get(zone).map_or(zone, String::as_str);
         self.position(region).unwrap_or(self.names.len()) as u32
     }
 
-    /// The regions in which a route's requests may be served.
+    /// The regions in which a route's requests may be served: all if the route names none.
     pub fn home_regions(&self, route: &Route) -> RegionSet {
         if route.home_regions.is_empty() {
             return RegionSet::MAX;
--- a/system/src/settings_reload.rs
+++ b/system/src/settings_reload.rs
@@ -1,5 +1,5 @@
-//! Reloading of the settings file: on SIGHUP, and unasked while the control plane can't be reached, as the file may name other seeds by
-//! then. Only the seeds are taken from a reloaded file; all else counts from the next start.
+//! Reloads the settings file on SIGHUP, and periodically while the control plane can't be reached, as the file may name other seeds by
+//! then. Only the seeds of a reloaded file take effect; all other settings take effect at the next start.
 
 use std::cell::Cell;
 
@@ -7,10 +7,10 @@
 use ivyhatch_protocol::settings::Settings;
 use ivyhatch_protocol::{Nanos, SECOND};
 
-/// A process without contact to the control plane reads the file no more often than this.
+/// Minimum time between two periodic reloads while the control plane can't be reached.
 const RELOAD_INTERVAL: Nanos = 2 * SECOND;
 
-/// Reads the file after SIGHUP and returns its seeds. None, and a line in the log, where the file can't be used.
+/// Reads the settings file after SIGHUP and returns its seeds. If the file is invalid, logs the error and returns `None`.
 pub fn reload_seeds() -> Option<Vec<NodeId>> {
     match Settings::from_environment() {
         Ok(settings) => {
@@ -24,14 +24,15 @@
     }
 }
 
-/// Reads the file from time to time, without a signal.
+/// Reloads the settings file periodically, without a signal.
 #[derive(Default)]
 pub struct PeriodicReload {
     last_read_at: Cell<Nanos>,
 }
 
 impl PeriodicReload {
-    /// The file's seeds, at most once in [`RELOAD_INTERVAL`]. Silent where the file can't be used.
+    /// Reads the seeds from the settings file. Returns `None` if the last read was less than [`RELOAD_INTERVAL`] ago, or if the file is
+    /// invalid, which is not logged here.
     pub fn poll_seeds(&self, now: Nanos) -> Option<Vec<NodeId>> {
         if now < self.last_read_at.get() + RELOAD_INTERVAL {
             return None;
--- a/system/src/transport/frame_cache.rs
+++ b/system/src/transport/frame_cache.rs
@@ -1,7 +1,7 @@
-//! The encoded form of large watch messages, shared by all connections that get the same message.
+//! A cache of encoded watch messages, shared by all connections on which the same message is sent.
 //!
-//! Owned by the control role's host and used in its single thread. Holds the fragments of the last `CACHED_MESSAGES` messages; a
-//! send queue that still holds evicted fragments keeps them alive by its own reference.
+//! Owned by the control role's host and used in its single thread. Holds the frames of the last `CACHED_MESSAGES` messages; send queues
+//! have references of their own to the frames that they hold, which are not affected by eviction.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -9,25 +9,25 @@
 use ivyhatch_protocol::frame;
 use ivyhatch_protocol::watch::WatchResponse;
 
-/// Messages whose fragments are cached. All watch clients get a change at the same time, and few are further behind.
+/// Maximum number of cached messages. Few are enough: all watch clients get a change at the same time, and few are further behind.
 const CACHED_MESSAGES: usize = 4;
 
-/// The fragments of one message, each an encoded frame.
+/// The frames of one message: its fragments, or a single frame.
 pub type Fragments = Rc<[Rc<Vec<u8>>]>;
 
-/// The frames of the messages that were encoded last, oldest first.
+/// The frames of the most recently encoded messages, oldest first.
 #[derive(Default)]
 pub struct FrameCache {
     entries: VecDeque<(WatchResponse, Fragments)>,
 }
 
 impl FrameCache {
-    /// The fragments of a message, encoded unless they are cached.
+    /// Returns the fragments of a message. Encodes the message if its fragments are not cached.
     pub fn fragments(&mut self, message: &WatchResponse) -> Fragments {
         self.cached_or(message, frame::encode_fragments)
     }
 
-    /// The message as one frame, encoded unless it is cached.
+    /// Returns the message as one frame. Encodes the message if its frame is not cached.
     pub fn frame(&mut self, message: &WatchResponse) -> Option<Rc<Vec<u8>>> {
         self.cached_or(message, |message| vec![frame::encode(message)]).first().cloned()
     }
@@ -50,8 +50,8 @@
     }
 }
 
-/// Whether two messages are clones of one. Compares pointers to the shared content, as comparing the content would cost as much as
-/// encoding it.
+/// Whether two messages are clones of the same message. Compares pointers to the shared content, as comparing the content itself would
+/// cost as much as encoding it.
 fn shares_content(one: &WatchResponse, other: &WatchResponse) -> bool {
     match (one, other) {
         (
--- a/system/src/transport/reader.rs
+++ b/system/src/transport/reader.rs
@@ -1,5 +1,5 @@
-//! The receive loop of a connection: decodes frames and hands each message on. The connection's task owns the decoder; a cancelled
-//! loop drops what was received of an incomplete message.
+//! The receive loop of a connection: decodes frames and passes each message to a handler. The loop owns the decoder; if the loop is
+//! cancelled, the received part of an incomplete message is dropped.
 
 use std::io;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use tokio::task::yield_now;
 use tokio::time::timeout;
 
-/// Other tasks run between the decoding of a message of at least this length and its handling.
+/// The loop yields to other tasks between decoding and handling a message of at least this length.
 const LARGE_MESSAGE_BYTES: usize = 64 * 1024;
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
@@ -20,26 +20,26 @@
     /// The socket failed, or the peer closed it.
     #[error("{0}")]
     Socket(#[from] io::Error),
-    /// The peer sent bytes that are no frame of this protocol.
+    /// The peer sent bytes that are not a frame of this protocol.
     #[error(transparent)]
     Frame(#[from] FrameError),
     /// Nothing was received within the idle timeout.
-    #[error("silent")]
+    #[error("nothing was received within the idle timeout")]
     IdleTimeout,
 }
 
-/// What a connection delivers.
+/// What the receive loop passes to its handler.
 pub enum Received<M> {
-    /// A message.
+    /// A complete message.
     Message(M),
-    /// A fragment of a message that is not complete yet: a sign of liveness.
+    /// At least one fragment of a large message was received, which shows that the peer is alive before the message is complete.
     Fragment,
 }
 
-/// Hands each message to `handle` until the connection ends, or nothing is received for `idle_timeout`.
+/// Passes each message to `handle` until the connection ends, or nothing is received for `idle_timeout`.
 ///
 /// # Errors
-/// Always: the reason for which the connection ended.
+/// Always returns an error: the reason for which the connection ended.
 pub async fn read_messages<M: for<'a> Readable<'a, LittleEndian>>(
     stream: &mut (impl AsyncRead + Unpin),
     idle_timeout: Duration,
@@ -52,10 +52,10 @@
     read_messages_and_fragments(stream, idle_timeout, handle_message).await
 }
 
-/// Like [`read_messages`]; reports also fragments of large messages as they come.
+/// Like [`read_messages`], but also reports fragments of large messages when they are received.
 ///
 /// # Errors
-/// Always: the reason for which the connection ended.
+/// Always returns an error: the reason for which the connection ended.
 pub async fn read_messages_and_fragments<M: for<'a> Readable<'a, LittleEndian>>(
     stream: &mut (impl AsyncRead + Unpin),
     idle_timeout: Duration,
@@ -74,7 +74,7 @@
         let fragments_before = decoder.fragments_received();
         while let Some(message) = decoder.next_message()? {
             if decoder.last_message_bytes() >= LARGE_MESSAGE_BYTES {
-                // Decoding took a while, and so does handling.
+                // Decoding and handling a large message both take long: other tasks run in between.
                 yield_now().await;
             }
             handle(Received::Message(message));
--- a/system/src/transport/socket.rs
+++ b/system/src/transport/socket.rs
@@ -1,4 +1,4 @@
-//! TCP sockets: listening, connecting from the machine's own address, and the options of a connection.
+//! TCP sockets: listens, connects from the machine's own address, and sets the options of connections.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::time::Duration;
@@ -6,35 +6,35 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// The first connect of a series is abandoned after this: behind a partition, or before its machine is up, nothing answers. Short
-/// first, so that processes that start together find each other.
+/// Timeout of the first connect of a series. A connect gets no answer during a partition, or before the remote machine is up. Short at
+/// first, so that processes that start at the same time connect to each other soon.
 const FIRST_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// The timeout doubles with each attempt, and begins anew after this many: somewhere the round trip is long.
+/// The connect timeout doubles with each failed attempt, as the round trip may be long, and is reset after this many attempts.
 const CONNECT_TIMEOUT_STEPS: u32 = 3;
-/// `TCP_USER_TIMEOUT`: unacknowledged bytes end a connection after this, also where nothing more is written.
+/// `TCP_USER_TIMEOUT`: the kernel closes a connection if sent bytes stay unacknowledged for this long, even if nothing more is written.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Connections that the kernel completes before they are accepted.
+/// Maximum number of connections that the kernel has established and the process has not accepted.
 const LISTEN_BACKLOG: u32 = 1024;
-/// Pause after a failed accept: out of descriptors, the next one would fail at once.
+/// Pause after a failed accept: if the process is out of descriptors, another accept would fail immediately.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Opens a listening socket.
 ///
 /// # Errors
-/// Where the address can't be bound.
+/// If the address can't be bound.
 pub fn listen(address: SocketAddrV4) -> std::io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
-    // A restart must not wait until the last process's connections leave TIME_WAIT.
+    // A restarted process must not wait until connections of the previous process have left TIME_WAIT.
     socket.set_reuseaddr(true)?;
     socket.bind(address.into())?;
     socket.listen(LISTEN_BACKLOG)
 }
 
-/// Connects from this machine's own address `local`, by which the other side knows the sender. The timeout depends on how many
-/// attempts have failed before.
+/// Connects from this machine's own address `local`, by which the remote side identifies the sender. The timeout depends on
+/// `failed_attempts`, the number of failed attempts since the last connection.
 ///
 /// # Errors
-/// Where the connection can't be opened within the timeout.
+/// If the connection can't be opened within the timeout.
 pub async fn connect(
     local: Ipv4Addr,
     remote: SocketAddrV4,
@@ -48,13 +48,14 @@
     Ok(stream)
 }
 
-/// Sends small messages at once and detects a lost peer. Best effort: a connection without these options is only slower to notice.
+/// Sets the options of a connection so that small messages are sent immediately, and a lost peer is detected within
+/// [`UNACKNOWLEDGED_TIMEOUT`]. Errors are ignored: without these options, sending and detection are only slower.
 pub fn set_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let _ = socket2::SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
 }
 
-/// Hands each accepted connection and its remote address to `accepted`; never returns.
+/// Calls `accepted` with each accepted connection and its remote address; never returns.
 pub async fn accept_each(listener: TcpListener, mut accepted: impl FnMut(TcpStream, SocketAddr)) {
     loop {
         match listener.accept().await {
--- a/system/src/transport/writer.rs
+++ b/system/src/transport/writer.rs
@@ -1,8 +1,8 @@
-//! The send queue of a connection: small messages first, fragments of large ones (bulk) behind them at a limited rate.
+//! The send queue of a connection. Small messages are written first; fragments of large messages (bulk) follow at a limited rate.
 //!
-//! [`Writer`] is the queue's sending end and is held by the part that addresses the peer; [`SendQueue`] is owned by the connection's task,
-//! which drains it with [`SendQueue::write_to`]. Both count the queued bytes in one shared `QueuedBytes`. Dropping all writers ends
-//! the task's loop; dropping the queue makes each further send return false.
+//! [`Writer`] is the sending end of the queue, held by the code that sends messages to the peer. [`SendQueue`] is owned by the
+//! connection's task, which writes the queue's content with [`SendQueue::write_to`]. Both count the queued bytes in a shared
+//! `QueuedBytes`. Dropping all writers ends the task's loop; once the queue is dropped, each send returns false.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,22 +14,22 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// A write that the peer does not accept within this ends the connection.
+/// A write that blocks for longer than this because the peer does not read ends the connection.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Bytes queued at most; over this the peer does not read.
+/// Maximum number of queued bytes. If the queue is full, the peer is assumed not to read, and its connection is closed.
 const MAX_QUEUED_BYTES: usize = 32 << 20;
-/// Small messages are written together up to this length.
+/// Small messages are merged into one write up to this length.
 const MAX_BATCH_BYTES: usize = 64 * 1024;
-/// Bulk is written at this rate: half of a link of 10 Mbit/s, so that requests have the rest ...
+/// The rate of bulk on a connection: half of a link of 10 Mbit/s, so that the other half is left for requests.
 const BULK_BYTES_PER_SECOND: f64 = 640.0 * 1024.0;
-/// ... or faster, where the queued bulk would take longer than this.
+/// The rate of bulk is raised so that the queued bulk takes no longer than this.
 const BULK_DRAIN_TARGET: Duration = Duration::from_millis(1000);
-/// After a pause, what the rate allows in this time is written at once.
+/// After a pause, as much bulk as the rate allows in this time may be written at once.
 const BULK_BURST: Duration = Duration::from_millis(100);
 
-/// The rate of bulk over all connections that share it: half of the machine's link, or as much as drains all of it within a second.
-/// Without it, a configuration that goes to many connections at once fills the link, and whatever else the machine does waits behind
-/// it.
+/// Limits the total rate of bulk of all connections that share the pacer: to half of the bandwidth of the machine's link, or to the
+/// higher rate at which all queued bulk is written within [`BULK_DRAIN_TARGET`]. Without this limit, a configuration that is sent on
+/// many connections at once would fill the link and delay all other traffic of the machine.
 pub struct BulkPacer {
     bytes_per_second: f64,
     queued: Cell<usize>,
@@ -37,13 +37,14 @@
 }
 
 impl BulkPacer {
-    /// The pacer of a machine with a link of this rate, in bytes a second; without a known rate bulk is limited by connection only.
+    /// Creates the pacer of a machine whose link has this bandwidth, in bytes per second. If the bandwidth is unknown, only the rate of
+    /// each connection is limited.
     pub fn new(link_bytes_per_second: Option<f64>) -> Self {
         let bytes_per_second = link_bytes_per_second.map_or(f64::INFINITY, |rate| rate / 2.0);
         Self { bytes_per_second, queued: Cell::new(0), next_at: Cell::new(Instant::now()) }
     }
 
-    /// Reserves the time in which some bytes are written. Returns when it begins.
+    /// Reserves the time that it takes to write `length` bytes at the limited rate. Returns when the write may begin.
     fn reserve(&self, length: usize) -> Instant {
         let rate = self.bytes_per_second.max(self.queued.get() as f64 / BULK_DRAIN_TARGET.as_secs_f64());
         let begins_at = self.next_at.get().max(Instant::now());
@@ -68,7 +69,7 @@
     queued: Rc<QueuedBytes>,
 }
 
-/// Bytes in the queue.
+/// The number of bytes in a connection's queue, in total and of bulk.
 struct QueuedBytes {
     total: Cell<usize>,
     bulk: Cell<usize>,
@@ -94,7 +95,7 @@
 }
 
 impl Writer {
-    /// Both ends of an empty queue, whose bulk shares the pacer's rate with that of other connections.
+    /// Creates the two ends of an empty queue. Its bulk shares the rate of `pacer` with that of other connections.
     pub fn new(pacer: Rc<BulkPacer>) -> (Self, SendQueue) {
         let (messages, queued_messages) = unbounded_channel();
         let (bulk_frames, queued_bulk_frames) = unbounded_channel();
@@ -108,17 +109,19 @@
         (Self { messages, bulk_frames, queued }, queue)
     }
 
-    /// Queues a message. False where the connection has ended or its peer does not read.
+    /// Queues a message. Returns false if the connection has ended, or the queue is full because the peer does not read. The caller should
+    /// then drop the writer, which closes the connection.
     pub fn send<M: Writable<LittleEndian>>(&self, message: &M) -> bool {
         self.send_frame(Rc::new(frame::encode(message)))
     }
 
-    /// Queues an encoded message. False as for [`Self::send`].
+    /// Queues an encoded message. Returns false in the same cases as [`Self::send`].
     pub fn send_frame(&self, frame: Rc<Vec<u8>>) -> bool {
         self.reserve(frame.len()) && self.messages.send(frame).is_ok()
     }
 
-    /// Queues the fragments of a large message, in order and behind all bulk before them. False as for [`Self::send`].
+    /// Queues the fragments of a large message, in order and behind all bulk queued before. Returns false in the same cases as
+    /// [`Self::send`].
     pub fn send_bulk(&self, fragments: &[Rc<Vec<u8>>]) -> bool {
         let length = fragments.iter().map(|fragment| fragment.len()).sum();
         if !self.reserve(length) {
@@ -128,7 +131,7 @@
         fragments.iter().all(|fragment| self.bulk_frames.send(fragment.clone()).is_ok())
     }
 
-    /// Counts bytes as queued. False where they exceed the bound.
+    /// Counts `length` bytes as queued. Returns false, and counts nothing, if the queue would exceed [`MAX_QUEUED_BYTES`].
     fn reserve(&self, length: usize) -> bool {
         let total = self.queued.total.get() + length;
         let fits = total <= MAX_QUEUED_BYTES;
@@ -143,16 +146,16 @@
 pub struct SendQueue {
     messages: UnboundedReceiver<Rc<Vec<u8>>>,
     bulk_frames: UnboundedReceiver<Rc<Vec<u8>>>,
-    /// The bulk frame that is written next, and when.
+    /// The bulk frame that is written next, and the time from which it may be written.
     next_bulk_frame: Option<(Rc<Vec<u8>>, Instant)>,
     queued: Rc<QueuedBytes>,
 }
 
 impl SendQueue {
-    /// Writes until all writers are dropped.
+    /// Writes the queue's content to `stream`. Returns once all writers are dropped.
     ///
     /// # Errors
-    /// Where the connection breaks, or takes no bytes for too long.
+    /// If a write fails, or blocks for longer than [`WRITE_TIMEOUT`].
     pub async fn write_to(&mut self, stream: &mut (impl AsyncWrite + Unpin)) -> std::io::Result<()> {
         let mut batch = Vec::new();
         let mut limiter = BulkRateLimiter::default();
@@ -186,7 +189,7 @@
         }
     }
 
-    /// Writes a message, together with those that are queued behind it.
+    /// Writes a message together with the messages queued behind it, up to [`MAX_BATCH_BYTES`].
     async fn write_batch(
         &mut self,
         first: &[u8],
@@ -214,7 +217,7 @@
     }
 }
 
-/// When bulk may be written next. After a pause a burst of [`BULK_BURST`] is allowed.
+/// Limits the rate of bulk on one connection. After a pause, a burst of [`BULK_BURST`] is allowed.
 struct BulkRateLimiter {
     next_at: Instant,
 }
