--- a/system/src/control/coordination_api.rs
+++ b/system/src/control/coordination_api.rs
@@ -124,12 +124,12 @@
         return InvalidCall::NotEnabled.response();
     }
     match parse(&request) {
-        Ok(call) => carry_out(host, call).await,
+        Ok(call) => execute_call(host, call).await,
         Err(invalid) => invalid.response(),
     }
 }
 
-async fn carry_out(host: Rc<Host>, call: Call) -> HttpResponse {
+async fn execute_call(host: Rc<Host>, call: Call) -> HttpResponse {
     // If this process was stalled, the caller may have disconnected. Yielding lets the connection's task detect this before the call
     // begins.
     yield_now().await;
--- a/system/src/control/mod.rs
+++ b/system/src/control/mod.rs
@@ -83,11 +83,11 @@
     if let Some(socket) = load_socket {
         spawn_local(load_exchange::run_control(socket, clock, Topology::new(host.clone())));
     }
-    let ticking = host.clone();
+    let tick_host = host.clone();
     spawn_local(ticker::run_ticks(move || {
-        ticking.handle_input(Input::Tick);
-        ticking.reload_seeds_without_quorum();
-        ticking.log_calls_if_due();
+        tick_host.handle_input(Input::Tick);
+        tick_host.reload_seeds_without_quorum();
+        tick_host.log_calls_if_due();
     }));
     loop {
         tokio::select! {
--- a/system/src/router/dispatch/retry_budget_tests.rs
+++ b/system/src/router/dispatch/retry_budget_tests.rs
@@ -64,7 +64,7 @@
 
 /// The order in which a router receives its share and the server list when it starts.
 #[derive(Clone, Copy, Debug)]
-enum Learns {
+enum StartupOrder {
     ShareFirst,
     ServersFirst,
 }
@@ -79,15 +79,15 @@
 }
 
 impl TestRouter {
-    fn start(clock: Clock, share: RouterShare, learns: Learns) -> Self {
+    fn start(clock: Clock, share: RouterShare, startup_order: StartupOrder) -> Self {
         let state = DispatcherState::new(&settings(), clock);
         let mut router = Self { state, replacements: [0; SERVERS], requests: 0, responses: Vec::new() };
-        match learns {
-            Learns::ShareFirst => {
+        match startup_order {
+            StartupOrder::ShareFirst => {
                 router.state.set_router_share(share);
                 router.list_servers();
             }
-            Learns::ServersFirst => {
+            StartupOrder::ServersFirst => {
                 router.list_servers();
                 router.state.set_router_share(share);
             }
@@ -181,16 +181,16 @@
 struct Fleet {
     clock: Clock,
     routers: Vec<TestRouter>,
-    learns: Learns,
+    startup_order: StartupOrder,
     usage: ServiceUsage,
 }
 
 impl Fleet {
-    fn start(count: u32, learns: Learns) -> Self {
+    fn start(count: u32, startup_order: StartupOrder) -> Self {
         let clock = Clock::start();
         let share = |index| RouterShare { count, index };
-        let routers = (0..count).map(|index| TestRouter::start(clock, share(index), learns)).collect();
-        Self { clock, routers, learns, usage: ServiceUsage::default() }
+        let routers = (0..count).map(|index| TestRouter::start(clock, share(index), startup_order)).collect();
+        Self { clock, routers, startup_order, usage: ServiceUsage::default() }
     }
 
     /// Submits a request to each router; the first `misdirected` attempts of each are misdirected, and the next one is served.
@@ -207,7 +207,7 @@
         let count = self.routers.len() as u32;
         for index in 0..count {
             let share = RouterShare { count, index };
-            self.routers[index as usize] = TestRouter::start(self.clock, share, self.learns);
+            self.routers[index as usize] = TestRouter::start(self.clock, share, self.startup_order);
         }
     }
 }
@@ -215,10 +215,10 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn repeats_of_all_routers_together_stay_within_the_retry_budget() {
-    for learns in [Learns::ServersFirst, Learns::ShareFirst] {
+    for startup_order in [StartupOrder::ServersFirst, StartupOrder::ShareFirst] {
         for count in [12, 48, 88, 300] {
             for starts in [1, 2, 3] {
-                let mut fleet = Fleet::start(count, learns);
+                let mut fleet = Fleet::start(count, startup_order);
                 for start in 0..starts {
                     if start > 0 {
                         fleet.restart_all();
@@ -229,7 +229,7 @@
                     }
                 }
                 let excess = fleet.usage.largest_excess();
-                expect_that!(excess, le(0.0), "{count} routers, {starts} starts, {learns:?}");
+                expect_that!(excess, le(0.0), "{count} routers, {starts} starts, {startup_order:?}");
             }
         }
     }
@@ -239,7 +239,7 @@
 #[tokio::test(start_paused = true)]
 async fn many_routers_repeat_what_the_retry_budget_of_all_allows() {
     for count in [12, 48, 88, 300] {
-        let mut fleet = Fleet::start(count, Learns::ServersFirst);
+        let mut fleet = Fleet::start(count, StartupOrder::ServersFirst);
         // One request in twenty reaches a replaced server: a quarter of the repeats that the budget allows.
         for request in 0..200 {
             fleet.request_everywhere(u64::from(request % 20 == 19));
--- a/system/src/router/upstream/mod.rs
+++ b/system/src/router/upstream/mod.rs
@@ -200,7 +200,7 @@
         request: Request<Full<Bytes>>,
     ) -> SendResult {
         let mut response = pin!(sender.try_send_request(request));
-        match self.unless_unreachable(spec, spec.idle_timeouts.head, &mut response).await {
+        match self.await_unless_unreachable(spec, spec.idle_timeouts.head, &mut response).await {
             None => SendResult::Failed(Outcome::Reset),
             Some(Ok(response)) => SendResult::Response(response),
             Some(Err(mut error)) => match error.take_message() {
@@ -253,7 +253,7 @@
 
     /// Awaits a future that resolves when the server sends something. After `idle_timeout` of silence the server is probed with a new
     /// connection, and again after twice the time. Returns `None` if a probe fails and the request may be retried at another server.
-    async fn unless_unreachable<F: Future>(
+    async fn await_unless_unreachable<F: Future>(
         &self,
         spec: &AttemptSpec,
         idle_timeout: Duration,
--- a/system/src/router/upstream/stream.rs
+++ b/system/src/router/upstream/stream.rs
@@ -29,7 +29,7 @@
         let (mut client, mut head) = (None, Some(head));
         loop {
             let mut frame = pin!(body.frame());
-            let Some(frame) = self.unless_unreachable(spec, spec.idle_timeouts.chunk, &mut frame).await
+            let Some(frame) = self.await_unless_unreachable(spec, spec.idle_timeouts.chunk, &mut frame).await
             else {
                 return Outcome::Reset;
             };
--- a/system/tests/instance_list.rs
+++ b/system/tests/instance_list.rs
@@ -24,55 +24,55 @@
     /// The same after a while.
     Late(Duration, &'static str, Option<&'static str>),
     /// Nothing, ever; the connection stays.
-    Silence,
+    NoResponse,
     /// The connection ends.
     Close,
     /// Too many calls.
-    TooMany,
+    TooManyRequests,
     /// A part of a page, and nothing more.
-    HalfPage,
+    PartialPage,
 }
 
 /// A platform, with what it was asked: the number of the connection, and the path.
 struct Platform {
-    at: SocketAddrV4,
-    asked: Rc<RefCell<Vec<(usize, String)>>>,
+    address: SocketAddrV4,
+    requests: Rc<RefCell<Vec<(usize, String)>>>,
 }
 
 impl Platform {
     async fn start(replies: impl IntoIterator<Item = Reply>) -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("loopback");
-        let SocketAddr::V4(at) = listener.local_addr().expect("it has one") else { unreachable!() };
-        let asked = Rc::new(RefCell::new(Vec::new()));
+        let SocketAddr::V4(address) = listener.local_addr().expect("it has one") else { unreachable!() };
+        let requests = Rc::new(RefCell::new(Vec::new()));
         let script = Rc::new(RefCell::new(replies.into_iter().collect::<VecDeque<_>>()));
-        let seen = asked.clone();
+        let recorded = requests.clone();
         spawn_local(async move {
             for connection in 1.. {
                 let (stream, _) = listener.accept().await.expect("it comes");
-                spawn_local(converse(connection, stream, script.clone(), seen.clone()));
+                spawn_local(serve_connection(connection, stream, script.clone(), recorded.clone()));
             }
         });
-        Self { at, asked }
+        Self { address, requests }
     }
 
-    fn asked(&self) -> Vec<(usize, String)> {
-        self.asked.borrow().clone()
+    fn requests(&self) -> Vec<(usize, String)> {
+        self.requests.borrow().clone()
     }
 
     /// The number of the connection on which each call came.
     fn connections(&self) -> Vec<usize> {
-        self.asked.borrow().iter().map(|(connection, _)| *connection).collect()
+        self.requests.borrow().iter().map(|(connection, _)| *connection).collect()
     }
 }
 
-async fn converse(
+async fn serve_connection(
     connection: usize,
     mut stream: TcpStream,
     script: Rc<RefCell<VecDeque<Reply>>>,
-    asked: Rc<RefCell<Vec<(usize, String)>>>,
+    requests: Rc<RefCell<Vec<(usize, String)>>>,
 ) {
     while let Some(path) = request(&mut stream).await {
-        asked.borrow_mut().push((connection, path));
+        requests.borrow_mut().push((connection, path));
         let reply = script.borrow_mut().pop_front().expect("the script has a reply for each call");
         let (status, body) = match reply {
             Reply::Page(id, next) => ("200 OK", page(id, next)),
@@ -80,13 +80,13 @@
                 sleep(after).await;
                 ("200 OK", page(id, next))
             }
-            Reply::Silence => {
+            Reply::NoResponse => {
                 let _ = stream.read(&mut [0; 64]).await;
                 return;
             }
             Reply::Close => return,
-            Reply::TooMany => ("429 Too Many Requests", String::new()),
-            Reply::HalfPage => {
+            Reply::TooManyRequests => ("429 Too Many Requests", String::new()),
+            Reply::PartialPage => {
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"inst").await;
                 let _ = stream.read(&mut [0; 64]).await;
                 return;
@@ -119,9 +119,9 @@
 
 /// The whole list, by the servers' ids, and how long it took.
 async fn read(client: &mut InstanceListClient) -> (Outcome, Duration) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let read = client.read().await;
-    (read.map(|servers| servers.into_iter().map(|server| server.id).collect()), began.elapsed())
+    (read.map(|servers| servers.into_iter().map(|server| server.id).collect()), started_at.elapsed())
 }
 
 /// Runs a test in virtual time.
@@ -146,12 +146,12 @@
             Reply::Page("i-3", None),
         ])
         .await;
-        let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.at);
+        let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.address);
         expect_that!(ids(read(&mut client).await.0), elements_are![eq("i-1"), eq("i-2")]);
         expect_that!(ids(read(&mut client).await.0), elements_are![eq("i-3")]);
-        let asked = platform.asked();
+        let requests = platform.requests();
         expect_that!(
-            asked,
+            requests,
             eq(&[(1, FIRST), (1, SECOND), (2, FIRST)].map(|(on, path)| (on, path.to_owned())))
         );
     });
@@ -161,7 +161,7 @@
 fn connection_of_a_list_of_one_page_is_reused() {
     run(async {
         let platform = Platform::start([Reply::Page("i-1", None), Reply::Page("i-2", None)]).await;
-        let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.at);
+        let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.address);
         expect_that!(ids(read(&mut client).await.0), elements_are![eq("i-1")]);
         expect_that!(ids(read(&mut client).await.0), elements_are![eq("i-2")]);
         expect_that!(platform.connections(), eq(&[1, 1]));
@@ -172,8 +172,8 @@
 fn silent_reused_connection_is_replaced_after_its_timeout() {
     run(async {
         let platform =
-            Platform::start([Reply::Page("i-1", None), Reply::Silence, Reply::Page("i-2", None)]).await;
-        let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.at);
+            Platform::start([Reply::Page("i-1", None), Reply::NoResponse, Reply::Page("i-2", None)]).await;
+        let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.address);
         ids(read(&mut client).await.0);
         let (list, took) = read(&mut client).await;
         expect_that!(ids(list), elements_are![eq("i-2")]);
@@ -190,7 +190,7 @@
     run(async {
         let platform =
             Platform::start([Reply::Page("i-1", None), Reply::Close, Reply::Page("i-2", None)]).await;
-        let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.at);
+        let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.address);
         ids(read(&mut client).await.0);
         let (list, took) = read(&mut client).await;
         expect_that!(ids(list), elements_are![eq("i-2")]);
@@ -203,7 +203,7 @@
     run(async {
         let slow = Reply::Late(REUSED_CONNECTION_TIMEOUT - Duration::from_millis(10), "i-1", Some("p-50"));
         let platform = Platform::start([slow; 20]).await;
-        let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.at);
+        let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.address);
         let (list, took) = read(&mut client).await;
         expect_that!(list, err(matches_pattern!(InstanceListError::Timeout)));
         expect_that!(took, all![ge(READ_TIMEOUT), lt(READ_TIMEOUT + Duration::from_millis(50))]);
@@ -212,10 +212,10 @@
 
 #[gtest]
 fn platform_that_sends_nothing_or_half_a_page_times_out() {
-    for reply in [Reply::Silence, Reply::HalfPage] {
+    for reply in [Reply::NoResponse, Reply::PartialPage] {
         run(async move {
             let platform = Platform::start([reply; 4]).await;
-            let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.at);
+            let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.address);
             let (list, took) = read(&mut client).await;
             expect_that!(list, err(matches_pattern!(InstanceListError::Timeout)), "{reply:?}");
             expect_that!(took, lt(READ_TIMEOUT + Duration::from_millis(50)), "{reply:?}");
@@ -229,7 +229,7 @@
         let late = Reply::Late(READ_TIMEOUT + Duration::from_millis(100), "i-old", Some("p-50"));
         let platform =
             Platform::start([late, Reply::Page("i-1", Some("p-50")), Reply::Page("i-2", None)]).await;
-        let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.at);
+        let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.address);
         expect_that!(read(&mut client).await.0, err(matches_pattern!(InstanceListError::Timeout)));
         expect_that!(ids(read(&mut client).await.0), elements_are![eq("i-1"), eq("i-2")]);
         expect_that!(platform.connections(), eq(&[1, 2, 2]));
@@ -245,20 +245,20 @@
             Reply::Page("i-1", None),
         ])
         .await;
-        let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.at);
+        let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.address);
         let dropped = timeout(Duration::from_millis(20), client.read()).await;
         expect_that!(dropped, err(anything()));
         expect_that!(ids(read(&mut client).await.0), elements_are![eq("i-1")]);
-        let asked = platform.asked();
-        expect_that!(asked.last(), some(eq(&(2, FIRST.to_owned()))));
+        let requests = platform.requests();
+        expect_that!(requests.last(), some(eq(&(2, FIRST.to_owned()))));
     });
 }
 
 #[gtest]
 fn error_status_is_reported() {
     run(async {
-        let platform = Platform::start([Reply::TooMany, Reply::Page("i-1", None)]).await;
-        let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.at);
+        let platform = Platform::start([Reply::TooManyRequests, Reply::Page("i-1", None)]).await;
+        let mut client = InstanceListClient::new(Ipv4Addr::LOCALHOST, platform.address);
         let (list, _) = read(&mut client).await;
         let too_many = hyper::StatusCode::TOO_MANY_REQUESTS;
         expect_that!(list, err(matches_pattern!(InstanceListError::Status(eq(&too_many)))));
@@ -270,9 +270,9 @@
 fn refused_connection_is_reported_without_delay() {
     run(async {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("loopback");
-        let SocketAddr::V4(at) = listener.local_addr().expect("it has one") else { unreachable!() };
+        let SocketAddr::V4(address) = listener.local_addr().expect("it has one") else { unreachable!() };
         drop(listener);
-        let (list, took) = read(&mut InstanceListClient::new(Ipv4Addr::LOCALHOST, at)).await;
+        let (list, took) = read(&mut InstanceListClient::new(Ipv4Addr::LOCALHOST, address)).await;
         expect_that!(list, err(matches_pattern!(InstanceListError::Connection(_))));
         expect_that!(took, lt(Duration::from_millis(50)));
     });
--- a/system/tests/transport.rs
+++ b/system/tests/transport.rs
@@ -54,16 +54,16 @@
 
 /// The messages from a slow connection, and when each arrived.
 async fn arrivals(mut from: DuplexStream, duration: Duration) -> Vec<(Duration, WatchResponse)> {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let (mut decoder, mut received) = (Decoder::default(), Vec::new());
     let mut buffer = [0; BYTES_PER_MILLISECOND];
-    while began.elapsed() < duration {
+    while started_at.elapsed() < duration {
         sleep(Duration::from_millis(1)).await;
         let read = tokio::time::timeout(Duration::from_millis(1), from.read(&mut buffer)).await;
         let Ok(Ok(read)) = read else { continue };
         decoder.feed(&buffer[..read]);
         while let Some(message) = decoder.next_message().expect("sound") {
-            received.push((began.elapsed(), message));
+            received.push((started_at.elapsed(), message));
         }
     }
     received
@@ -173,13 +173,13 @@
 /// The bytes that arrive on all connections in each tenth of a second.
 async fn bytes_by_tenth(connections: Vec<DuplexStream>, tenths: usize) -> Vec<usize> {
     let received = Rc::new(std::cell::RefCell::new(vec![0; tenths]));
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for mut connection in connections {
         let received = received.clone();
         spawn_local(async move {
             let mut buffer = vec![0; 64 * 1024];
             while let Ok(length) = connection.read(&mut buffer).await {
-                let tenth = (begun.elapsed().as_millis() / 100) as usize;
+                let tenth = (started_at.elapsed().as_millis() / 100) as usize;
                 if length == 0 || tenth >= tenths {
                     return;
                 }
