--- a/system/src/instance_list.rs
+++ b/system/src/instance_list.rs
@@ -40,7 +40,8 @@
     Connection(String),
     /// The platform answered with a status other than 200.
     #[error(
-        "the platform API answered {0} instead of 200 for the instance list: after 429, let fewer processes read it"
+        "the platform API answered {0} instead of 200 for the instance list: on 429, let fewer processes \
+         read the list"
     )]
     Status(StatusCode),
     /// A response is not a page of the list, or the list has no last page.
--- a/system/src/lib.rs
+++ b/system/src/lib.rs
@@ -42,7 +42,8 @@
     Settings(#[from] SettingsError),
     /// A listening address can't be bound.
     #[error(
-        "can't listen at {address}: {source}: check that no other process uses it, and that the settings name this machine"
+        "can't listen at {address}: {source}: check that no other process uses the address, and that the \
+         settings name an address of this machine"
     )]
     Listen {
         /// The address in the settings.
--- a/system/src/load_exchange_tests.rs
+++ b/system/src/load_exchange_tests.rs
@@ -63,7 +63,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn router_is_answered_with_what_the_others_have() {
+async fn router_is_answered_with_the_loads_of_the_other_routers() {
     let exchange = async {
         let socket = LoadSocket::bind_control(&settings(FIRST_PORT + 3)).await.expect("a socket");
         spawn_local(run_control(socket, Clock::start(), OneRegion));
--- a/system/src/outgoing.rs
+++ b/system/src/outgoing.rs
@@ -28,7 +28,7 @@
 /// Pause before reconnecting after a connection has ended or could not be opened.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Handles the events of a role's outgoing connections. Each method is called by the task of the node that it is about.
+/// Handles the events of a role's outgoing connections. Each method is called by the task of the node concerned.
 pub trait SessionHandler: 'static {
     /// Called when a connection has been opened, which took `connect_duration` nanoseconds. Messages sent from now on are queued on it.
     fn connected(self: &Rc<Self>, node: NodeId, connect_duration: Nanos);
--- a/system/src/router/dispatch/requests.rs
+++ b/system/src/router/dispatch/requests.rs
@@ -140,7 +140,7 @@
         });
     }
 
-    /// Ends a request that was not executed, or failed at each server that executed it, with the server's report.
+    /// Ends a request that was never executed, or whose executions all ended with an error response of the server.
     pub(super) fn reject(&mut self, request: RequestId, retry_after: Nanos) {
         let retry_after = retry_after.min(self.latest_retry(request)).max(MIN_RETRY_AFTER);
         self.finish_with_failure_or(request, Rejection::Overloaded { retry_after });
--- a/system/src/router/upstream/pool.rs
+++ b/system/src/router/upstream/pool.rs
@@ -27,7 +27,8 @@
 const MAX_HEAD_BYTES: usize = 32 * 1024;
 /// Upper bound of the connect timeout, and the connect timeout for a region whose round trip time is unknown.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// Once the shortest round trip to a region is known, connects to it time out after [`CONNECT_ROUND_TRIPS`] of these and this margin.
+/// Once the shortest round trip to a region is known, connects to the region time out after [`CONNECT_ROUND_TRIPS`] times this round
+/// trip plus this margin.
 const CONNECT_MARGIN: Duration = Duration::from_millis(120);
 /// Round trips in the connect timeout for a region whose shortest round trip is known.
 const CONNECT_ROUND_TRIPS: u32 = 4;
--- a/system/tests/instance_list.rs
+++ b/system/tests/instance_list.rs
@@ -1,5 +1,5 @@
-//! The client of the platform's API against a scripted platform on loopback sockets, in virtual time: connections that are partitioned
-//! or closed, pages that come late or never, and reads that time out or are cancelled.
+//! Tests of the client of the platform API against a scripted platform on loopback sockets, in virtual time: partitioned or closed
+//! connections, late, partial or missing pages, and reads that time out or are cancelled.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -16,24 +16,24 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
 
-/// What the platform does with one request, in the order in which requests come.
+/// How the platform responds to one request.
 #[derive(Clone, Copy, Debug)]
 enum Reply {
-    /// A page with this one server, and the token of the next page.
+    /// Responds with a page that has this one server, and the token of the next page.
     Page(&'static str, Option<&'static str>),
-    /// The same after a while.
+    /// Responds like `Page`, after this delay.
     Late(Duration, &'static str, Option<&'static str>),
-    /// Nothing, ever; the connection stays.
+    /// Never responds, and keeps the connection open.
     NoResponse,
-    /// The connection ends.
+    /// Closes the connection without a response.
     Close,
-    /// Too many calls.
+    /// Responds with status 429.
     TooManyRequests,
-    /// A part of a page, and nothing more.
+    /// Sends the beginning of a page and then nothing, and keeps the connection open.
     PartialPage,
 }
 
-/// A platform, with what it was asked: the number of the connection, and the path.
+/// A platform that responds to requests in the order of a script, and records the connection number and the path of each.
 struct Platform {
     address: SocketAddrV4,
     requests: Rc<RefCell<Vec<(usize, String)>>>,
@@ -42,13 +42,13 @@
 impl Platform {
     async fn start(replies: impl IntoIterator<Item = Reply>) -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("loopback");
-        let SocketAddr::V4(address) = listener.local_addr().expect("it has one") else { unreachable!() };
+        let SocketAddr::V4(address) = listener.local_addr().expect("local address") else { unreachable!() };
         let requests = Rc::new(RefCell::new(Vec::new()));
         let script = Rc::new(RefCell::new(replies.into_iter().collect::<VecDeque<_>>()));
         let recorded = requests.clone();
         spawn_local(async move {
             for connection in 1.. {
-                let (stream, _) = listener.accept().await.expect("it comes");
+                let (stream, _) = listener.accept().await.expect("a connection");
                 spawn_local(serve_connection(connection, stream, script.clone(), recorded.clone()));
             }
         });
@@ -59,7 +59,7 @@
         self.requests.borrow().clone()
     }
 
-    /// The number of the connection on which each call came.
+    /// The number of the connection on which each request was received; the first connection is 1.
     fn connections(&self) -> Vec<usize> {
         self.requests.borrow().iter().map(|(connection, _)| *connection).collect()
     }
@@ -73,7 +73,7 @@
 ) {
     while let Some(path) = request(&mut stream).await {
         requests.borrow_mut().push((connection, path));
-        let reply = script.borrow_mut().pop_front().expect("the script has a reply for each call");
+        let reply = script.borrow_mut().pop_front().expect("the script has a reply for each request");
         let (status, body) = match reply {
             Reply::Page(id, next) => ("200 OK", page(id, next)),
             Reply::Late(after, id, next) => {
@@ -99,7 +99,7 @@
     }
 }
 
-/// The path of the next request on a connection.
+/// Reads the next request on a connection, and returns its path; `None` if the connection ends.
 async fn request(stream: &mut TcpStream) -> Option<String> {
     let mut text = Vec::new();
     while !text.ends_with(b"\r\n\r\n") {
@@ -117,7 +117,7 @@
 
 type Outcome = std::result::Result<Vec<String>, InstanceListError>;
 
-/// The whole list, by the servers' ids, and how long it took.
+/// Reads the whole list. Returns the servers' IDs, and the duration of the read.
 async fn read(client: &mut InstanceListClient) -> (Outcome, Duration) {
     let started_at = Instant::now();
     let read = client.read().await;
@@ -131,7 +131,7 @@
 }
 
 fn ids(outcome: Outcome) -> Vec<String> {
-    outcome.expect("the list comes")
+    outcome.expect("a complete list")
 }
 
 const FIRST: &str = "/instances";
@@ -270,7 +270,7 @@
 fn refused_connection_is_reported_without_delay() {
     run(async {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("loopback");
-        let SocketAddr::V4(address) = listener.local_addr().expect("it has one") else { unreachable!() };
+        let SocketAddr::V4(address) = listener.local_addr().expect("local address") else { unreachable!() };
         drop(listener);
         let (list, took) = read(&mut InstanceListClient::new(Ipv4Addr::LOCALHOST, address)).await;
         expect_that!(list, err(matches_pattern!(InstanceListError::Connection(_))));
--- a/system/tests/stored_codecs.rs
+++ b/system/tests/stored_codecs.rs
@@ -1,4 +1,4 @@
-//! The encoding of what a control node stores: any bytes are rejected, or decode to a value that round-trips.
+//! Tests of the encoding of a control node's stored state: any bytes are either rejected or decoded to a value that round-trips.
 //!
 //! A longer run: `PROPTEST_CASES=100000 cargo test --release -p ivyhatch-system --test stored_codecs`.
 
@@ -15,6 +15,7 @@
 use proptest::sample::Index;
 use speedy::{LittleEndian, Readable, Writable};
 
+/// Checks that bytes that decode as `T` round-trip. Returns whether the bytes decode.
 fn check<T>(bytes: &[u8]) -> std::result::Result<bool, TestCaseError>
 where
     T: for<'a> Readable<'a, LittleEndian> + Writable<LittleEndian> + PartialEq + std::fmt::Debug,
@@ -36,12 +37,13 @@
     Ok(())
 }
 
-/// Registers of a whole value, decodable or not, are those of the value that is made of them again.
+/// Checks that a whole value that is converted to registers, back to a value and again to registers yields the same registers. The
+/// bytes of the value need not be decodable.
 fn check_whole_value(partition: PartitionId, bytes: &[u8]) -> std::result::Result<(), TestCaseError> {
     let value = AcceptedValue { ballot: Ballot::default(), sequence: 3, value: bytes.to_vec() };
     let update = update_of(partition, &value);
     let Some(again) = value_of(partition, update.clone()) else {
-        // Of two items with one name the registers hold one.
+        // Not convertible back: of two items with the same name, the registers hold only one.
         prop_assert_ne!(partition, PartitionId::MEMBERSHIP);
         return Ok(());
     };
@@ -49,7 +51,7 @@
     Ok(())
 }
 
-/// Some of each kind, as bytes.
+/// One encoded value of each stored type.
 fn samples() -> Vec<Vec<u8>> {
     let document =
         Document::parse(br#"{"revision":7,"routes":[{"name":"a"},{"name":"b"}],"limits":{"x":1}}"#)
--- a/system/tests/transport.rs
+++ b/system/tests/transport.rs
@@ -1,4 +1,5 @@
-//! Small and large messages on one connection, in virtual time.
+//! Tests of the transport of small and large messages, in virtual time. Guards against heartbeats and requests that are delayed by a
+//! large configuration on the same connection or link.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -16,16 +17,16 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep};
 
-/// 10 Mbit/s.
+/// Bandwidth of the simulated link: 10 Mbit/s.
 const BYTES_PER_MILLISECOND: usize = 1250;
 
-/// Runs a test in virtual time in one thread, like a role.
+/// Runs a test in virtual time in a single thread, as a role's process does.
 fn run<F: Future>(test: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), test)
 }
 
-/// A configuration of this many routes, of some 300 bytes each, that hardly shrinks.
+/// A configuration with this many routes of about 300 bytes each, with pseudorandom content that is hardly compressible.
 fn document(routes: u64) -> Document {
     let letter = |at: u64| char::from(b'0' + (hash_mix(at) % 64) as u8).to_string().replace('\\', "~");
     let padding = |route: u64| (0..250).map(|at| letter(route * 250 + at)).collect::<String>();
@@ -52,7 +53,7 @@
     }
 }
 
-/// The messages from a slow connection, and when each arrived.
+/// Reads from a connection at the simulated bandwidth for `duration`. Returns the messages and the arrival time of each.
 async fn arrivals(mut from: DuplexStream, duration: Duration) -> Vec<(Duration, WatchResponse)> {
     let started_at = Instant::now();
     let (mut decoder, mut received) = (Decoder::default(), Vec::new());
@@ -62,7 +63,7 @@
         let read = tokio::time::timeout(Duration::from_millis(1), from.read(&mut buffer)).await;
         let Ok(Ok(read)) = read else { continue };
         decoder.feed(&buffer[..read]);
-        while let Some(message) = decoder.next_message().expect("sound") {
+        while let Some(message) = decoder.next_message().expect("a valid frame") {
             received.push((started_at.elapsed(), message));
         }
     }
@@ -140,7 +141,7 @@
         expect_that!(Rc::ptr_eq(&first, &again), eq(true));
     }
     let other = frames.fragments(&snapshot(&Shared::from((*document).clone())));
-    expect_that!(Rc::ptr_eq(&first, &other), eq(false), "another document, though it says the same");
+    expect_that!(Rc::ptr_eq(&first, &other), eq(false), "another document with equal content");
 }
 
 #[gtest]
@@ -152,7 +153,7 @@
         let mut frames = FrameCache::default();
         writer.send_bulk(&frames.fragments(&snapshot(&document(500).into())));
         let (mut fragments, mut messages) = (0, 0);
-        // The connection ends by its idle timeout.
+        // Returns when the connection has reached its idle timeout.
         let _ = read_messages_and_fragments(
             &mut from,
             Duration::from_secs(2),
@@ -170,7 +171,7 @@
     expect_that!(fragments, ge(5));
 }
 
-/// The bytes that arrive on all connections in each tenth of a second.
+/// Returns how many bytes arrive on all connections together in each tenth of a second.
 async fn bytes_by_tenth(connections: Vec<DuplexStream>, tenths: usize) -> Vec<usize> {
     let received = Rc::new(std::cell::RefCell::new(vec![0; tenths]));
     let started_at = Instant::now();
@@ -193,7 +194,7 @@
 
 #[gtest]
 fn configuration_for_many_connections_leaves_room_on_the_link() {
-    // A configuration to forty connections at once, on a link of two megabytes a second.
+    // A configuration is sent on forty connections at once, over a link of two megabytes per second.
     const CONNECTIONS: usize = 40;
     const LINK_BYTES_PER_SECOND: f64 = 2e6;
     let (total, by_tenth) = run(async {
@@ -215,7 +216,7 @@
         (fragments.iter().map(|fragment| fragment.len()).sum::<usize>() * CONNECTIONS, by_tenth)
     });
     expect_that!(by_tenth.iter().sum::<usize>(), eq(total));
-    // Half of the link, or all of it within a second, and no more than a fragment beyond it.
+    // The rate is half of the link's bandwidth, or as much as sends all bulk within a second. A tenth may exceed the rate by a fragment.
     let rate = (LINK_BYTES_PER_SECOND / 2.0).max(total as f64);
     let most_in_a_tenth = (rate / 10.0) as usize + 17 * 1024;
     expect_that!(by_tenth, each(le(&most_in_a_tenth)));
