--- a/system/src/control/admin_api.rs
+++ b/system/src/control/admin_api.rs
@@ -39,7 +39,7 @@
     /// `GET /-/metrics`: how many calls were answered.
     Metrics,
     /// A request that the state machine answers.
-    Decide(AdminRequest),
+    StateMachine(AdminRequest),
 }
 
 /// Why an operator's request is rejected before it reaches the state machine. The text is the error in the response.
@@ -81,13 +81,13 @@
             http_server::json(StatusCode::OK, status::to_json(&report))
         }
         Ok(Call::Metrics) => http_server::text(host.call_statistics.borrow().to_string()),
-        Ok(Call::Decide(request)) => decide(host.clone(), request).await,
+        Ok(Call::StateMachine(request)) => submit_admin_request(host.clone(), request).await,
         Err(invalid) => http_server::error(invalid.status(), &invalid.to_string()),
     }
 }
 
 /// Submits a request to the state machine and waits for the response, for [`ADMIN_TIMEOUT`] at most.
-async fn decide(host: Rc<Host>, request: AdminRequest) -> HttpResponse {
+async fn submit_admin_request(host: Rc<Host>, request: AdminRequest) -> HttpResponse {
     // If this process was stalled, the operator may have disconnected. Yielding lets the connection's task detect this before the request
     // begins.
     yield_now().await;
@@ -105,10 +105,10 @@
     match (&request.method, request.path().as_slice()) {
         (&Method::GET, ["-", "status"]) => Ok(Call::Status),
         (&Method::GET, ["-", "metrics"]) => Ok(Call::Metrics),
-        (&Method::GET, ["-", "config"]) => Ok(Call::Decide(AdminRequest::Read)),
-        (&Method::PUT | &Method::PATCH, ["-", "config"]) => write_request(request).map(Call::Decide),
+        (&Method::GET, ["-", "config"]) => Ok(Call::StateMachine(AdminRequest::Read)),
+        (&Method::PUT | &Method::PATCH, ["-", "config"]) => write_request(request).map(Call::StateMachine),
         (&Method::POST | &Method::DELETE, ["-", "evacuations", zone]) => {
-            evacuation_request(host, request, zone).map(Call::Decide)
+            evacuation_request(host, request, zone).map(Call::StateMachine)
         }
         _ => Err(InvalidCall::UnknownCall),
     }
--- a/system/src/router/dispatch/requests.rs
+++ b/system/src/router/dispatch/requests.rs
@@ -142,13 +142,13 @@
 
     /// Ends a request that was never executed, or whose executions all ended with an error response of the server.
     pub(super) fn reject(&mut self, request: RequestId, retry_after: Nanos) {
-        let retry_after = retry_after.min(self.latest_retry(request)).max(MIN_RETRY_AFTER);
+        let retry_after = retry_after.min(self.max_retry_after(request)).max(MIN_RETRY_AFTER);
         self.finish_with_failure_or(request, Rejection::Overloaded { retry_after });
     }
 
     /// Upper bound of `Retry-After` so that most of what is left of the request's latency target remains for the retry at another router.
     /// No bound if too little is left for a retry in time.
-    fn latest_retry(&self, request: RequestId) -> Nanos {
+    fn max_retry_after(&self, request: RequestId) -> Nanos {
         let Some(request) = self.requests.get(&request) else { return Nanos::MAX };
         let target = request.route.latency_target();
         let target_at = request.not_after.min(request.received_at + target);
--- a/system/src/router/upstream/mod.rs
+++ b/system/src/router/upstream/mod.rs
@@ -99,15 +99,15 @@
         let is_written = Cell::new(false);
         let cancelled = std::mem::replace(&mut spec.cancelled, oneshot::channel().1);
         // A request that was never written was not executed, so the client may still get a rejection.
-        let unless_unwritten = |outcome| {
+        let outcome_or_not_sent = |outcome| {
             let outcome = if is_written.get() { outcome } else { Outcome::NotSent };
             AttemptOutcome::without_response(outcome)
         };
         let outcome = tokio::select! {
             biased;
-            _ = cancelled => unless_unwritten(Outcome::Cancelled),
+            _ = cancelled => outcome_or_not_sent(Outcome::Cancelled),
             outcome = self.attempt(&observer, &spec, &is_written) => outcome,
-            () = sleep_until(self.clock.instant(spec.not_after)) => unless_unwritten(Outcome::TimedOut),
+            () = sleep_until(self.clock.instant(spec.not_after)) => outcome_or_not_sent(Outcome::TimedOut),
         };
         observer.attempt_finished(spec.id, outcome);
     }
