--- a/system/src/transport/socket.rs
+++ b/system/src/transport/socket.rs
@@ -49,7 +49,7 @@
 }
 
 /// Sets the options of a connection so that small messages are sent immediately, and a lost peer is detected within
-/// [`UNACKNOWLEDGED_TIMEOUT`]. Errors are ignored: without these options, sending and detection are only slower.
+/// `UNACKNOWLEDGED_TIMEOUT`. Errors are ignored: without these options, sending and detection are only slower.
 pub fn set_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let _ = socket2::SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
--- a/system/src/transport/writer.rs
+++ b/system/src/transport/writer.rs
@@ -28,8 +28,8 @@
 const BULK_BURST: Duration = Duration::from_millis(100);
 
 /// Limits the total rate of bulk of all connections that share the pacer: to half of the bandwidth of the machine's link, or to the
-/// higher rate at which all queued bulk is written within [`BULK_DRAIN_TARGET`]. Without this limit, a configuration that is sent on
-/// many connections at once would fill the link and delay all other traffic of the machine.
+/// higher rate at which all queued bulk is written within `BULK_DRAIN_TARGET`. Without this limit, a configuration that is sent on many
+/// connections at once would fill the link and delay all other traffic of the machine.
 pub struct BulkPacer {
     bytes_per_second: f64,
     queued: Cell<usize>,
@@ -155,7 +155,7 @@
     /// Writes the queue's content to `stream`. Returns once all writers are dropped.
     ///
     /// # Errors
-    /// If a write fails, or blocks for longer than [`WRITE_TIMEOUT`].
+    /// If a write fails, or blocks for longer than `WRITE_TIMEOUT`.
     pub async fn write_to(&mut self, stream: &mut (impl AsyncWrite + Unpin)) -> std::io::Result<()> {
         let mut batch = Vec::new();
         let mut limiter = BulkRateLimiter::default();
