--- a/system/src/router/dispatch/pending_request.rs
+++ b/system/src/router/dispatch/pending_request.rs
@@ -38,7 +38,7 @@
     pub response: Option<oneshot::Sender<ClientResponse>>,
     /// Sends a stream's chunks to the client; `None` before the stream has begun and after it has ended.
     pub stream: Option<StreamSender>,
-    /// The ID of the last event that was forwarded to the client.
+    /// The ID of the last event that the client has received, from this router or before it resumed the stream; `None` if there is none.
     pub last_event_id: Option<u64>,
     /// The last response by which a server reported its own failure. Sent to the client if no attempt succeeds.
     pub failure: Option<CompleteResponse>,
@@ -50,7 +50,8 @@
 
 /// The effect of the end of an attempt on its request.
 pub struct AttemptEffect {
-    /// The outcome that is reported to the balancer; differs from the attempt's own if a stream was resumed by a complete response.
+    /// The outcome that is reported to the balancer. Differs from the attempt's own outcome if an attempt that resumes a stream was
+    /// answered with a complete response.
     pub outcome: Outcome,
     /// Whether the attempt has received a complete response, and the request has no stream.
     pub has_complete_response: bool,
