--- a/cli/src/control_hunt.rs
+++ b/cli/src/control_hunt.rs
@@ -5,7 +5,9 @@
 use std::time::Instant;
 
 use bpaf::{Parser, construct, long};
-use ivyhatch_simulation::hunt::{RecordedRun, RecordingError, find_and_shrink, message_mutations, plans};
+use ivyhatch_simulation::randomized_search::{
+    RecordedRun, RecordingError, find_and_shrink, message_mutations, plans,
+};
 use ivyhatch_simulation::run::play_traced;
 
 use crate::exit::{FAILURE, code_for_failures, report_unusable};
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -6,15 +6,15 @@
 //! equal outcomes.
 //!
 //! Reading order: [`plan`] describes a run, [`disk`] models a disk and [`workload`] the operators' requests, [`run`] plays the plan,
-//! [`oracle`] checks the invariants from outside, [`injected_bugs`] names the bugs that a hunt has to find, [`hunt`] looks for plans
+//! [`oracle`] checks the invariants from outside, [`injected_bugs`] names the bugs that a hunt has to find, [`randomized_search`] looks for plans
 //! that violate an invariant and reduces them, and [`search`] explores all interleavings of one partition.
 
 pub mod disk;
-pub mod hunt;
 pub mod injected_bugs;
 pub mod oracle;
 pub mod plan;
 pub mod random;
+pub mod randomized_search;
 pub mod run;
 pub mod search;
 pub mod workload;
--- a/simulation/src/hunt/mod.rs
+++ b/simulation/src/randomized_search/mod.rs
@@ -18,7 +18,7 @@
 pub const LAST_EXTENDED_SEED: u64 = 2_000_000;
 
 /// The distance between the plan seeds of two neighbouring hunt seeds.
-const PLAN_SEEDS_PER_HUNT_SEED: u64 = 1_000_003;
+const PLAN_SEEDS_PER_SEARCH_SEED: u64 = 1_000_003;
 
 /// The plans of a hunt seed, in order and without end.
 pub fn plans(seed: u64) -> impl Iterator<Item = Plan> {
@@ -28,7 +28,7 @@
         (false, true) => Plan::random_extended,
         (false, false) => Plan::random,
     };
-    (0..).map(move |number: u64| draw(seed.wrapping_mul(PLAN_SEEDS_PER_HUNT_SEED).wrapping_add(number)))
+    (0..).map(move |number: u64| draw(seed.wrapping_mul(PLAN_SEEDS_PER_SEARCH_SEED).wrapping_add(number)))
 }
 
 /// Plays a plan. If it violates an invariant, reduces it.
--- a/simulation/tests/coordination.rs
+++ b/simulation/tests/coordination.rs
@@ -1,7 +1,9 @@
 //! Whole runs with applications' callers: random plans violate no invariant, and injected bugs are found.
 
 use googletest::prelude::*;
-use ivyhatch_simulation::hunt::{LAST_EXTENDED_SEED, RecordedRun, find_violation, message_mutations, plans};
+use ivyhatch_simulation::randomized_search::{
+    LAST_EXTENDED_SEED, RecordedRun, find_violation, message_mutations, plans,
+};
 use ivyhatch_simulation::{InjectedBug, Invariant, Plan, play};
 
 /// Plans that are played where none may violate an invariant.
--- a/simulation/tests/found.rs
+++ b/simulation/tests/found.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use googletest::prelude::*;
-use ivyhatch_simulation::hunt::RecordedRun;
+use ivyhatch_simulation::randomized_search::RecordedRun;
 
 #[gtest]
 fn recorded_runs_violate_an_invariant_only_with_their_injected_bug() {
--- a/simulation/tests/hunt.rs
+++ b/simulation/tests/hunt.rs
@@ -1,8 +1,10 @@
 //! Whole runs: equal plans have equal outcomes, random plans violate no invariant, and injected bugs are found.
 
 use googletest::prelude::*;
-use ivyhatch_simulation::hunt::{RecordedRun, find_and_shrink, find_violation, message_mutations, plans};
 use ivyhatch_simulation::plan::{Fault, FaultTrigger, NodeSet, ScheduledFault};
+use ivyhatch_simulation::randomized_search::{
+    RecordedRun, find_and_shrink, find_violation, message_mutations, plans,
+};
 use ivyhatch_simulation::run::play_traced;
 use ivyhatch_simulation::{InjectedBug, Invariant, Plan, play};
 
