--- a/cli/tests/soak/applications.rs
+++ b/cli/tests/soak/applications.rs
@@ -8,7 +8,7 @@
 
 use ivyhatch_protocol::Nanos;
 use ivyhatch_protocol::coordination::{Call, CallOutcome, CellEvent, NotStarted, Refusal, Reply};
-use ivyhatch_simulation::oracle::{CoordinationOracle, Try};
+use ivyhatch_simulation::oracle::{CallAttempt, CoordinationOracle};
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
@@ -120,7 +120,7 @@
 
     fn check(
         &self,
-        check: impl FnOnce(&mut CoordinationOracle) -> Result<(), ivyhatch_simulation::oracle::Found>,
+        check: impl FnOnce(&mut CoordinationOracle) -> Result<(), ivyhatch_simulation::oracle::CheckFailure>,
     ) {
         if let Err((invariant, text)) = check(&mut self.oracle.lock().unwrap()) {
             self.recorder.report(format!("COORDINATION: {invariant}: {text}"));
@@ -236,11 +236,11 @@
     fn call(&mut self, call: &Call, first_sent_at: Option<Nanos>) -> Option<CallOutcome> {
         let sent_at = self.shared.now();
         let first_sent_at = first_sent_at.unwrap_or(sent_at);
-        let sent = Try { caller: self.number, call: call.clone(), sent_at, first_sent_at };
-        self.shared.oracle.lock().unwrap().sent(&sent);
+        let sent = CallAttempt { caller: self.number, call: call.clone(), sent_at, first_sent_at };
+        self.shared.oracle.lock().unwrap().attempt_sent(&sent);
         let outcome = self.round_trip(call).unwrap_or(CallOutcome::Unknown);
         let now = self.shared.now();
-        self.shared.check(|oracle| oracle.ended(now, &sent, &outcome));
+        self.shared.check(|oracle| oracle.outcome_received(now, &sent, &outcome));
         let is_clear = !matches!(outcome, CallOutcome::Unknown | CallOutcome::NotStarted(_));
         let counter = if is_clear { &self.shared.clear } else { &self.shared.unclear };
         counter.fetch_add(1, Ordering::SeqCst);
--- a/simulation/src/disk.rs
+++ b/simulation/src/disk.rs
@@ -16,7 +16,7 @@
 
 /// What becomes of the block in progress when the process ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BlockFate {
+pub enum BlockOutcome {
     /// It reached the disk, though no completion was reported.
     Durable,
     /// It is absent or torn, and so discarded.
@@ -56,11 +56,11 @@
     }
 
     /// Ends the process: its queue is lost, and the block in progress is durable or lost.
-    pub fn crash(&mut self, fate: BlockFate) {
+    pub fn crash(&mut self, fate: BlockOutcome) {
         self.queue.clear();
         match fate {
-            BlockFate::Durable => drop(self.complete_write()),
-            BlockFate::Lost => self.block_in_progress.clear(),
+            BlockOutcome::Durable => drop(self.complete_write()),
+            BlockOutcome::Lost => self.block_in_progress.clear(),
         }
     }
 
--- a/simulation/src/oracle/coordination.rs
+++ b/simulation/src/oracle/coordination.rs
@@ -12,11 +12,11 @@
 use super::invariant::Invariant;
 
 /// A violated invariant, and what was seen.
-pub type Found = (Invariant, String);
+pub type CheckFailure = (Invariant, String);
 
 /// One try of a call.
 #[derive(Clone, Debug)]
-pub struct Try {
+pub struct CallAttempt {
     /// The caller.
     pub caller: usize,
     /// The call.
@@ -107,7 +107,7 @@
     }
 
     /// A try of a call is sent.
-    pub fn sent(&mut self, sent: &Try) {
+    pub fn attempt_sent(&mut self, sent: &CallAttempt) {
         match &sent.call {
             Call::PutCell { name, value, expected_revision } => {
                 let put = self.puts.entry(value.clone()).or_insert_with(|| PutHistory {
@@ -135,7 +135,12 @@
     ///
     /// # Errors
     /// The invariant that it violates.
-    pub fn ended(&mut self, now: Nanos, ended: &Try, outcome: &CallOutcome) -> Result<(), Found> {
+    pub fn outcome_received(
+        &mut self,
+        now: Nanos,
+        ended: &CallAttempt,
+        outcome: &CallOutcome,
+    ) -> Result<(), CheckFailure> {
         match (&ended.call, outcome) {
             (call, CallOutcome::Applied(reply)) => self.applied(now, ended, call, reply),
             (Call::PutCell { name, value, .. }, CallOutcome::Refused(refusal)) => {
@@ -155,7 +160,13 @@
         }
     }
 
-    fn applied(&mut self, now: Nanos, ended: &Try, call: &Call, reply: &Reply) -> Result<(), Found> {
+    fn applied(
+        &mut self,
+        now: Nanos,
+        ended: &CallAttempt,
+        call: &Call,
+        reply: &Reply,
+    ) -> Result<(), CheckFailure> {
         match (call, reply) {
             (Call::AcquireLock { name, hold_ms, .. }, Reply::LockAcquired { fence }) => {
                 self.fence_given(now, name, *fence, ended)?;
@@ -183,7 +194,13 @@
     }
 
     /// [`Invariant::FencingOrder`].
-    fn fence_given(&mut self, now: Nanos, name: &str, fence: u64, ended: &Try) -> Result<(), Found> {
+    fn fence_given(
+        &mut self,
+        now: Nanos,
+        name: &str,
+        fence: u64,
+        ended: &CallAttempt,
+    ) -> Result<(), CheckFailure> {
         let fences = &mut self.locks.entry(name.to_owned()).or_default().fences;
         let other = fences.iter().find(|(given, (holder, since))| {
             *holder != ended.caller && (**given == fence || (**given > fence && *since < ended.sent_at))
@@ -197,7 +214,14 @@
     }
 
     /// [`Invariant::MutualExclusion`].
-    fn held(&mut self, now: Nanos, name: &str, ended: &Try, hold_ms: u64, is_new: bool) -> Result<(), Found> {
+    fn held(
+        &mut self,
+        now: Nanos,
+        name: &str,
+        ended: &CallAttempt,
+        hold_ms: u64,
+        is_new: bool,
+    ) -> Result<(), CheckFailure> {
         let ends_at = ended.sent_at + hold_ms * ivyhatch_protocol::MILLISECOND;
         let holds = &mut self.locks.entry(name.to_owned()).or_default().holds;
         let own = holds.get(&ended.caller).copied();
@@ -217,7 +241,13 @@
     }
 
     /// [`Invariant::NumberOrder`].
-    fn number_given(&mut self, now: Nanos, name: &str, value: u64, ended: &Try) -> Result<(), Found> {
+    fn number_given(
+        &mut self,
+        now: Nanos,
+        name: &str,
+        value: u64,
+        ended: &CallAttempt,
+    ) -> Result<(), CheckFailure> {
         let numbers = self.numbers.entry(name.to_owned()).or_default();
         let highest = numbers.highest_before(ended.sent_at);
         let is_new = self.number_values.insert((name.to_owned(), value));
@@ -231,7 +261,7 @@
 
     /// A caller has seen that a put made a revision: [`Invariant::CellIntegrity`], [`Invariant::RevisionOrder`] and
     /// [`Invariant::RejectedCallNeverApplied`].
-    fn put_seen(&mut self, now: Nanos, name: &str, value: &str, revision: u64) -> Result<(), Found> {
+    fn put_seen(&mut self, now: Nanos, name: &str, value: &str, revision: u64) -> Result<(), CheckFailure> {
         let Some(put) = self.puts.get_mut(value).filter(|put| put.cell == name) else {
             return Err((
                 Invariant::CellIntegrity,
@@ -265,7 +295,7 @@
         Ok(())
     }
 
-    fn put_rejected(&mut self, value: &str) -> Result<(), Found> {
+    fn put_rejected(&mut self, value: &str) -> Result<(), CheckFailure> {
         let Some(put) = self.puts.get_mut(value) else { return Ok(()) };
         put.rejected += 1;
         if put.rejected == put.tries && put.revision.is_some() {
@@ -276,7 +306,7 @@
     }
 
     /// [`Invariant::FreshCellRead`].
-    fn read(&self, name: &str, revision: u64, sent_at: Nanos) -> Result<(), Found> {
+    fn read(&self, name: &str, revision: u64, sent_at: Nanos) -> Result<(), CheckFailure> {
         let known = self.cells.get(name).map_or(0, |cell| cell.highest_before(sent_at));
         if revision < known {
             let text = format!("{name} is read at {revision} after {known} was known");
@@ -293,8 +323,8 @@
         after: u64,
         events: &[CellEvent],
         revision: u64,
-        ended: &Try,
-    ) -> Result<(), Found> {
+        ended: &CallAttempt,
+    ) -> Result<(), CheckFailure> {
         let revisions: Vec<u64> = events.iter().map(|event| event.revision).collect();
         let expected: Vec<u64> = if after == 0 { Vec::new() } else { (after + 1..=revision).collect() };
         if revisions != expected {
@@ -315,7 +345,13 @@
     }
 
     /// [`Invariant::WatchCompleteness`], for a watch that is not answered with puts.
-    fn watch_refused(&self, now: Nanos, group: &str, after: u64, refusal: Refusal) -> Result<(), Found> {
+    fn watch_refused(
+        &self,
+        now: Nanos,
+        group: &str,
+        after: u64,
+        refusal: Refusal,
+    ) -> Result<(), CheckFailure> {
         let given = self.given.get(&(group.to_owned(), after));
         let is_recent = given.is_some_and(|given| now < given + self.history_span);
         let text = format!("{group}: a watch goes on after {after}, and gets {refusal:?}");
@@ -330,7 +366,7 @@
     ///
     /// # Errors
     /// The invariant that is violated.
-    pub fn check_history(&self) -> Result<(), Found> {
+    pub fn check_history(&self) -> Result<(), CheckFailure> {
         for group in self.groups.values() {
             let mut last_of_cell: BTreeMap<&str, u64> = BTreeMap::new();
             let mut previous = 0;
--- a/simulation/src/oracle/mod.rs
+++ b/simulation/src/oracle/mod.rs
@@ -15,7 +15,7 @@
 use ivyhatch_protocol::peer::Membership;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
-pub use coordination::{CoordinationOracle, Found, Try};
+pub use coordination::{CallAttempt, CheckFailure, CoordinationOracle};
 pub use deadlines::RouterView;
 pub use final_state::{AppliedState, FinalState, ZoneState};
 pub use invariant::{Invariant, Violation};
@@ -65,13 +65,13 @@
     }
 
     /// A caller sends a try of a call.
-    pub fn call_sent(&mut self, sent: &Try) {
-        self.coordination.sent(sent);
+    pub fn call_sent(&mut self, sent: &CallAttempt) {
+        self.coordination.attempt_sent(sent);
     }
 
     /// A caller receives the outcome of a try that it still waits for.
-    pub fn call_ended(&mut self, ended: &Try, outcome: &CallOutcome) {
-        let checked = self.coordination.ended(self.now, ended, outcome);
+    pub fn call_ended(&mut self, ended: &CallAttempt, outcome: &CallOutcome) {
+        let checked = self.coordination.outcome_received(self.now, ended, outcome);
         self.report_found(checked);
     }
 
@@ -81,7 +81,7 @@
         self.report_found(checked);
     }
 
-    fn report_found(&mut self, checked: Result<(), Found>) {
+    fn report_found(&mut self, checked: Result<(), CheckFailure>) {
         if let Err((invariant, text)) = checked {
             self.report(invariant, text);
         }
--- a/simulation/src/run/callers.rs
+++ b/simulation/src/run/callers.rs
@@ -9,7 +9,7 @@
 
 use super::Simulation;
 use super::event::Event;
-use crate::oracle::{Invariant, Try};
+use crate::oracle::{CallAttempt, Invariant};
 
 /// A caller turns to another node after this long without an answer, beside what a watch waits for.
 const CALL_TIMEOUT: Nanos = SECOND;
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug)]
 struct InFlight {
     id: RequestId,
-    sent: Try,
+    sent: CallAttempt,
 }
 
 /// A caller.
@@ -109,7 +109,7 @@
         }
         let call = self.draw_call(caller);
         let now = self.now;
-        self.send_call(Try { caller, call, sent_at: now, first_sent_at: now });
+        self.send_call(CallAttempt { caller, call, sent_at: now, first_sent_at: now });
     }
 
     fn draw_call(&mut self, caller: usize) -> Call {
@@ -160,7 +160,7 @@
         Call::PutCell { name, value, expected_revision: expects.then_some(known) }
     }
 
-    fn send_call(&mut self, sent: Try) {
+    fn send_call(&mut self, sent: CallAttempt) {
         let id = self.operators.next_id();
         let slot = self.random_below(self.plan.members as u64) as usize;
         let machine = self.slots[slot];
@@ -237,7 +237,7 @@
     }
 
     /// Sends a put again unchanged; other callers decide anew what to do.
-    fn retry_call(&mut self, sent: Try) {
+    fn retry_call(&mut self, sent: CallAttempt) {
         let caller = sent.caller;
         let faults_end = self.plan.faults_end_ms * MILLISECOND;
         if self.now > sent.first_sent_at.max(faults_end) + ANSWER_DEADLINE {
@@ -261,10 +261,10 @@
         self.schedule_after(delay, Event::CallRetried(sent));
     }
 
-    pub(super) fn call_retried(&mut self, sent: Try) {
+    pub(super) fn call_retried(&mut self, sent: CallAttempt) {
         if self.callers.0[sent.caller].in_flight.is_none() {
             let now = self.now;
-            self.send_call(Try { sent_at: now, ..sent });
+            self.send_call(CallAttempt { sent_at: now, ..sent });
         }
     }
 
@@ -275,7 +275,7 @@
         self.schedule_after(delay, Event::CallDue(caller));
     }
 
-    fn note_reply(&mut self, caller: usize, sent: &Try, reply: &Reply) {
+    fn note_reply(&mut self, caller: usize, sent: &CallAttempt, reply: &Reply) {
         let now = self.now;
         let this = &mut self.callers.0[caller];
         match (&sent.call, reply) {
@@ -299,7 +299,7 @@
         }
     }
 
-    fn note_refusal(&mut self, caller: usize, sent: &Try, refusal: Refusal) {
+    fn note_refusal(&mut self, caller: usize, sent: &CallAttempt, refusal: Refusal) {
         let this = &mut self.callers.0[caller];
         match (&sent.call, refusal) {
             (_, Refusal::LockLost | Refusal::LockHeld) => this.held = None,
--- a/simulation/src/run/event.rs
+++ b/simulation/src/run/event.rs
@@ -7,7 +7,7 @@
 use ivyhatch_protocol::watch::{WatchRequest, WatchResponse};
 
 use super::{CHECK_INTERVAL, Simulation};
-use crate::oracle::Try;
+use crate::oracle::CallAttempt;
 
 /// A message on a link.
 #[derive(Clone, Debug)]
@@ -111,7 +111,7 @@
         outcome: CallOutcome,
     },
     CallTimeout(RequestId),
-    CallRetried(Try),
+    CallRetried(CallAttempt),
     FaultBegins(usize),
     FaultEnds(usize),
     DeadlineCheck,
--- a/simulation/src/run/processes.rs
+++ b/simulation/src/run/processes.rs
@@ -10,7 +10,7 @@
 use super::event::Event;
 use super::machine::{LostReplica, ObservedState, may_vote};
 use super::{CELL_HISTORY, SEED_COUNT, Simulation, ZONE_COUNT, address};
-use crate::disk::BlockFate;
+use crate::disk::BlockOutcome;
 use crate::injected_bugs::InjectedBug;
 use crate::random::{Stream, keyed_random};
 use crate::workload::zone_name;
@@ -116,7 +116,7 @@
         this.deferred_events.clear();
         this.frozen_until = 0;
         let is_durable = block_is_written && this.full_disk_faults == 0;
-        this.disk.crash(if is_durable { BlockFate::Durable } else { BlockFate::Lost });
+        this.disk.crash(if is_durable { BlockOutcome::Durable } else { BlockOutcome::Lost });
         for other in &mut self.machines {
             other.connected_peers.remove(&machine);
         }
--- a/simulation/tests/disk.rs
+++ b/simulation/tests/disk.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 use ivyhatch_control::Record;
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId};
-use ivyhatch_simulation::disk::{BlockFate, Disk};
+use ivyhatch_simulation::disk::{BlockOutcome, Disk};
 
 fn promised(counter: u64) -> Vec<Record> {
     vec![Record::Promised(PartitionId(1), Ballot { counter, node: NodeId(1), incarnation: 1 })]
@@ -31,7 +31,7 @@
 
 #[gtest]
 fn block_in_progress_is_durable_as_a_whole_or_lost_after_a_crash() {
-    for (fate, left) in [(BlockFate::Durable, 2), (BlockFate::Lost, 1)] {
+    for (fate, left) in [(BlockOutcome::Durable, 2), (BlockOutcome::Lost, 1)] {
         let mut disk = Disk::default();
         disk.enqueue(1, promised(1));
         disk.start_write();
