--- a/simulation/src/oracle/coordination.rs
+++ b/simulation/src/oracle/coordination.rs
@@ -29,18 +29,18 @@
 
 /// A value with the time from which callers know it.
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct KnownValue {
     value: u64,
     since: Nanos,
 }
 
 /// Values that rise, with the times from which they were known.
 #[derive(Debug, Default)]
-struct RisingValues(Vec<Known>);
+struct RisingValues(Vec<KnownValue>);
 
 impl RisingValues {
-    fn learn(&mut self, value: u64, since: Nanos) {
-        self.0.push(Known { value, since });
+    fn record(&mut self, value: u64, since: Nanos) {
+        self.0.push(KnownValue { value, since });
     }
 
     /// The highest value that was known before a moment.
@@ -52,14 +52,14 @@
 
 /// The time in which a caller counts itself holder of a lock.
 #[derive(Clone, Copy, Debug)]
-struct Hold {
+struct LockHold {
     ends_at: Nanos,
 }
 
 #[derive(Debug, Default)]
 struct LockHistory {
     /// By caller.
-    holds: BTreeMap<usize, Hold>,
+    holds: BTreeMap<usize, LockHold>,
     /// The fencing tokens that were given, each with its holder and time.
     fences: BTreeMap<u64, (usize, Nanos)>,
 }
@@ -71,8 +71,8 @@
     expected_revision: Option<u64>,
     first_sent_at: Nanos,
     /// Tries that were rejected for certain.
-    rejected: u32,
-    tries: u32,
+    rejected_attempts: u32,
+    attempts: u32,
     revision: Option<u64>,
 }
 
@@ -96,7 +96,7 @@
     /// Revisions that conflicting puts were given, which some put of the cell must have made.
     conflicts: BTreeSet<(String, u64)>,
     /// When each watcher was given each revision.
-    given: BTreeMap<(String, u64), Nanos>,
+    delivered: BTreeMap<(String, u64), Nanos>,
     history_span: Nanos,
 }
 
@@ -114,11 +114,11 @@
                     cell: name.clone(),
                     expected_revision: *expected_revision,
                     first_sent_at: sent.first_sent_at,
-                    rejected: 0,
-                    tries: 0,
+                    rejected_attempts: 0,
+                    attempts: 0,
                     revision: None,
                 });
-                put.tries += 1;
+                put.attempts += 1;
             }
             Call::ReleaseLock { name, .. } => {
                 // A holder counts until it sends the release.
@@ -142,7 +142,7 @@
         outcome: &CallOutcome,
     ) -> Result<(), CheckFailure> {
         match (&ended.call, outcome) {
-            (call, CallOutcome::Applied(reply)) => self.applied(now, ended, call, reply),
+            (call, CallOutcome::Applied(reply)) => self.check_reply(now, ended, call, reply),
             (Call::PutCell { name, value, .. }, CallOutcome::Refused(refusal)) => {
                 if let Refusal::RevisionConflict { revision } = refusal {
                     self.conflicts.insert((name.clone(), *revision));
@@ -151,16 +151,16 @@
             }
             (Call::PutCell { value, .. }, CallOutcome::NotStarted(_)) => self.put_rejected(value),
             (Call::WatchGroup { group, after, .. }, CallOutcome::Refused(refusal)) => {
-                self.watch_refused(now, group, *after, *refusal)
+                self.check_refused_watch(now, group, *after, *refusal)
             }
             (Call::ReadCell { name }, CallOutcome::Refused(Refusal::NoSuchCell)) => {
-                self.read(name, 0, ended.sent_at)
+                self.check_read(name, 0, ended.sent_at)
             }
             _ => Ok(()),
         }
     }
 
-    fn applied(
+    fn check_reply(
         &mut self,
         now: Nanos,
         ended: &CallAttempt,
@@ -169,24 +169,24 @@
     ) -> Result<(), CheckFailure> {
         match (call, reply) {
             (Call::AcquireLock { name, hold_ms, .. }, Reply::LockAcquired { fence }) => {
-                self.fence_given(now, name, *fence, ended)?;
-                self.held(now, name, ended, *hold_ms, true)
+                self.check_fence(now, name, *fence, ended)?;
+                self.check_hold(now, name, ended, *hold_ms, true)
             }
             (Call::RenewLock { name, hold_ms, .. }, Reply::LockRenewed) => {
-                self.held(now, name, ended, *hold_ms, false)
+                self.check_hold(now, name, ended, *hold_ms, false)
             }
             (Call::NextNumber { name }, Reply::Number { value }) => {
-                self.number_given(now, name, *value, ended)
+                self.check_number(now, name, *value, ended)
             }
             (Call::PutCell { name, value, .. }, Reply::CellPut { revision }) => {
-                self.put_seen(now, name, value, *revision)
+                self.check_put(now, name, value, *revision)
             }
             (Call::ReadCell { name }, Reply::Cell { value, revision }) => {
-                self.read(name, *revision, ended.sent_at)?;
-                self.put_seen(now, name, value, *revision)
+                self.check_read(name, *revision, ended.sent_at)?;
+                self.check_put(now, name, value, *revision)
             }
             (Call::WatchGroup { group, after, .. }, Reply::Events { events, revision }) => {
-                self.watched(now, group, *after, events, *revision, ended)
+                self.check_watch(now, group, *after, events, *revision, ended)
             }
             (Call::ReleaseLock { .. }, Reply::LockReleased) => Ok(()),
             (call, reply) => Err((Invariant::CallIntegrity, format!("{call:?} is answered with {reply:?}"))),
@@ -194,7 +194,7 @@
     }
 
     /// [`Invariant::FencingOrder`].
-    fn fence_given(
+    fn check_fence(
         &mut self,
         now: Nanos,
         name: &str,
@@ -214,7 +214,7 @@
     }
 
     /// [`Invariant::MutualExclusion`].
-    fn held(
+    fn check_hold(
         &mut self,
         now: Nanos,
         name: &str,
@@ -236,12 +236,12 @@
             return Err((Invariant::MutualExclusion, text));
         }
         let ends_at = own.filter(|own| own.ends_at > now).map_or(ends_at, |own| own.ends_at.max(ends_at));
-        holds.insert(ended.caller, Hold { ends_at });
+        holds.insert(ended.caller, LockHold { ends_at });
         Ok(())
     }
 
     /// [`Invariant::NumberOrder`].
-    fn number_given(
+    fn check_number(
         &mut self,
         now: Nanos,
         name: &str,
@@ -255,21 +255,21 @@
             let text = format!("{name}: {value} is given after {highest}, new: {is_new}");
             return Err((Invariant::NumberOrder, text));
         }
-        numbers.learn(value, now);
+        numbers.record(value, now);
         Ok(())
     }
 
     /// A caller has seen that a put made a revision: [`Invariant::CellIntegrity`], [`Invariant::RevisionOrder`] and
     /// [`Invariant::RejectedCallNeverApplied`].
-    fn put_seen(&mut self, now: Nanos, name: &str, value: &str, revision: u64) -> Result<(), CheckFailure> {
+    fn check_put(&mut self, now: Nanos, name: &str, value: &str, revision: u64) -> Result<(), CheckFailure> {
         let Some(put) = self.puts.get_mut(value).filter(|put| put.cell == name) else {
             return Err((
                 Invariant::CellIntegrity,
                 format!("{name} shows {value}, which no one has put to it"),
             ));
         };
-        if put.rejected == put.tries {
-            let text = format!("{name} shows {value}, whose {} tries were all rejected", put.tries);
+        if put.rejected_attempts == put.attempts {
+            let text = format!("{name} shows {value}, whose {} tries were all rejected", put.attempts);
             return Err((Invariant::RejectedCallNeverApplied, text));
         }
         if put.revision.is_some_and(|known| known != revision) {
@@ -290,15 +290,15 @@
                 format!("{name}: {value} has {revision}, and was first sent after {highest} was known");
             return Err((Invariant::RevisionOrder, text));
         }
-        group.revisions.learn(revision, now);
-        self.cells.entry(name.to_owned()).or_default().learn(revision, now);
+        group.revisions.record(revision, now);
+        self.cells.entry(name.to_owned()).or_default().record(revision, now);
         Ok(())
     }
 
     fn put_rejected(&mut self, value: &str) -> Result<(), CheckFailure> {
         let Some(put) = self.puts.get_mut(value) else { return Ok(()) };
-        put.rejected += 1;
-        if put.rejected == put.tries && put.revision.is_some() {
+        put.rejected_attempts += 1;
+        if put.rejected_attempts == put.attempts && put.revision.is_some() {
             let text = format!("{value} was shown, and all of its tries are rejected");
             return Err((Invariant::RejectedCallNeverApplied, text));
         }
@@ -306,7 +306,7 @@
     }
 
     /// [`Invariant::FreshCellRead`].
-    fn read(&self, name: &str, revision: u64, sent_at: Nanos) -> Result<(), CheckFailure> {
+    fn check_read(&self, name: &str, revision: u64, sent_at: Nanos) -> Result<(), CheckFailure> {
         let known = self.cells.get(name).map_or(0, |cell| cell.highest_before(sent_at));
         if revision < known {
             let text = format!("{name} is read at {revision} after {known} was known");
@@ -316,7 +316,7 @@
     }
 
     /// [`Invariant::WatchCompleteness`].
-    fn watched(
+    fn check_watch(
         &mut self,
         now: Nanos,
         group: &str,
@@ -338,22 +338,22 @@
             return Err((Invariant::WatchCompleteness, text));
         }
         for event in events {
-            self.put_seen(now, &event.name, &event.value, event.revision)?;
+            self.check_put(now, &event.name, &event.value, event.revision)?;
         }
-        self.given.insert((group.to_owned(), revision), now);
+        self.delivered.insert((group.to_owned(), revision), now);
         Ok(())
     }
 
     /// [`Invariant::WatchCompleteness`], for a watch that is not answered with puts.
-    fn watch_refused(
+    fn check_refused_watch(
         &self,
         now: Nanos,
         group: &str,
         after: u64,
         refusal: Refusal,
     ) -> Result<(), CheckFailure> {
-        let given = self.given.get(&(group.to_owned(), after));
-        let is_recent = given.is_some_and(|given| now < given + self.history_span);
+        let delivered = self.delivered.get(&(group.to_owned(), after));
+        let is_recent = delivered.is_some_and(|delivered| now < delivered + self.history_span);
         let text = format!("{group}: a watch goes on after {after}, and gets {refusal:?}");
         match refusal {
             Refusal::HistoryExpired { .. } if !is_recent => Ok(()),
@@ -383,12 +383,16 @@
                 }
             }
         }
-        let was_made = |cell: &str, revision: u64| {
+        let belongs_to_cell = |cell: &str, revision: u64| {
             let group = self.groups.get(group_of(cell));
             let value = group.and_then(|group| group.puts.get(&revision));
             value.is_none_or(|value| self.puts.get(value).is_some_and(|put| put.cell == cell))
         };
-        match self.conflicts.iter().find(|(cell, revision)| *revision > 0 && !was_made(cell, *revision)) {
+        match self
+            .conflicts
+            .iter()
+            .find(|(cell, revision)| *revision > 0 && !belongs_to_cell(cell, *revision))
+        {
             Some((cell, revision)) => {
                 let text = format!("a conflict names revision {revision}, which is none of {cell}");
                 Err((Invariant::CellIntegrity, text))
--- a/simulation/src/oracle/mod.rs
+++ b/simulation/src/oracle/mod.rs
@@ -72,16 +72,16 @@
     /// A caller receives the outcome of a try that it still waits for.
     pub fn call_ended(&mut self, ended: &CallAttempt, outcome: &CallOutcome) {
         let checked = self.coordination.outcome_received(self.now, ended, outcome);
-        self.report_found(checked);
+        self.report_failure(checked);
     }
 
     /// Checks the calls of a whole run.
     pub fn check_calls(&mut self) {
         let checked = self.coordination.check_history();
-        self.report_found(checked);
+        self.report_failure(checked);
     }
 
-    fn report_found(&mut self, checked: Result<(), CheckFailure>) {
+    fn report_failure(&mut self, checked: Result<(), CheckFailure>) {
         if let Err((invariant, text)) = checked {
             self.report(invariant, text);
         }
--- a/simulation/src/plan/generate.rs
+++ b/simulation/src/plan/generate.rs
@@ -30,8 +30,8 @@
 }
 
 /// A trigger shortly after a random number of acknowledged changes.
-fn after_acknowledgements(random: &mut Random, most: u64, delay_end_ms: u64) -> FaultTrigger {
-    let count = random.between(2, most);
+fn after_acknowledgements(random: &mut Random, max_count: u64, delay_end_ms: u64) -> FaultTrigger {
+    let count = random.between(2, max_count);
     let delay_ms = random.below(delay_end_ms);
     FaultTrigger::AfterAcknowledgements(AcknowledgementTrigger { count, delay_ms })
 }
--- a/simulation/src/run/callers.rs
+++ b/simulation/src/run/callers.rs
@@ -14,13 +14,13 @@
 /// A caller turns to another node after this long without an answer, beside what a watch waits for.
 const CALL_TIMEOUT: Nanos = SECOND;
 /// A put without a clear answer is sent again, with the same value, for this long.
-const PUT_RETRIES: Nanos = 6 * SECOND;
+const PUT_RETRY_PERIOD: Nanos = 6 * SECOND;
 /// Callers begin this long after the start of a run.
-const CALLERS_START_MS: u64 = 3_000;
+const FIRST_CALL_MS: u64 = 3_000;
 /// The longest pause of a caller between two calls, in milliseconds.
 const LONGEST_PAUSE_MS: u64 = 300;
 /// After the last fault calls are answered within this.
-const ANSWER_DEADLINE: Nanos = 8 * SECOND;
+const CALL_DEADLINE: Nanos = 8 * SECOND;
 /// The last calls of a run begin this long before its end.
 const LAST_CALL_BEFORE_END: Nanos = 2 * SECOND;
 const LOCK_COUNT: u64 = 2;
@@ -44,7 +44,7 @@
 
 /// A lock that a caller has.
 #[derive(Clone, Debug)]
-struct Held {
+struct HeldLock {
     name: String,
     fence: u64,
     ends_at: Nanos,
@@ -62,11 +62,11 @@
 struct Caller {
     kind: CallerKind,
     in_flight: Option<InFlight>,
-    held: Option<Held>,
+    held: Option<HeldLock>,
     /// The revision of each cell as the caller knows it.
     revisions: BTreeMap<&'static str, u64>,
     /// The revision that a watcher goes on from.
-    watched: u64,
+    watched_revision: u64,
     puts: u64,
 }
 
@@ -81,7 +81,7 @@
             in_flight: None,
             held: None,
             revisions: BTreeMap::new(),
-            watched: 0,
+            watched_revision: 0,
             puts: 0,
         };
         Self((0..count).map(caller).collect())
@@ -89,15 +89,15 @@
 
     /// The caller whose call has this id.
     fn of_call(&self, id: RequestId) -> Option<usize> {
-        let has_it = |caller: &Caller| caller.in_flight.as_ref().is_some_and(|call| call.id == id);
-        self.0.iter().position(has_it)
+        let is_its_caller = |caller: &Caller| caller.in_flight.as_ref().is_some_and(|call| call.id == id);
+        self.0.iter().position(is_its_caller)
     }
 }
 
 impl Simulation<'_> {
     pub(super) fn schedule_callers(&mut self) {
         for caller in 0..self.plan.callers {
-            let delay = (CALLERS_START_MS + self.random_below(500)) * MILLISECOND;
+            let delay = (FIRST_CALL_MS + self.random_below(500)) * MILLISECOND;
             self.schedule_after(delay, Event::CallDue(caller));
         }
     }
@@ -119,7 +119,7 @@
             CallerKind::Cells => self.draw_cell_call(caller),
             CallerKind::Watch => {
                 let group = GROUPS[caller / KINDS.len() % GROUPS.len()].to_owned();
-                let after = self.callers.0[caller].watched;
+                let after = self.callers.0[caller].watched_revision;
                 Call::WatchGroup { group, after, wait_ms: 300 + self.random_below(900) }
             }
         }
@@ -131,7 +131,7 @@
         let now = self.now;
         self.callers.0[caller].held.take_if(|held| held.ends_at <= now);
         let draw = self.random_below(10);
-        let Some(Held { name, fence, .. }) = self.callers.0[caller].held.clone() else {
+        let Some(HeldLock { name, fence, .. }) = self.callers.0[caller].held.clone() else {
             let name = format!("l{}", self.random_below(LOCK_COUNT));
             return Call::AcquireLock { name, holder, hold_ms };
         };
@@ -220,11 +220,11 @@
         match outcome {
             CallOutcome::Unknown | CallOutcome::NotStarted(_) => self.retry_call(sent),
             CallOutcome::Applied(reply) => {
-                self.note_reply(caller, &sent, reply);
+                self.apply_reply(caller, &sent, reply);
                 self.pause(caller);
             }
             CallOutcome::Refused(refusal) => {
-                self.note_refusal(caller, &sent, *refusal);
+                self.apply_refusal(caller, &sent, *refusal);
                 self.pause(caller);
             }
         }
@@ -240,7 +240,7 @@
     fn retry_call(&mut self, sent: CallAttempt) {
         let caller = sent.caller;
         let faults_end = self.plan.faults_end_ms * MILLISECOND;
-        if self.now > sent.first_sent_at.max(faults_end) + ANSWER_DEADLINE {
+        if self.now > sent.first_sent_at.max(faults_end) + CALL_DEADLINE {
             let text = format!("{:?} has no clear answer since the faults have ended", sent.call);
             self.oracle.report(Invariant::CallDeadline, text);
         }
@@ -249,7 +249,7 @@
             return self.pause(caller);
         }
         let is_put = matches!(sent.call, Call::PutCell { .. });
-        if is_put && self.now > sent.first_sent_at + PUT_RETRIES {
+        if is_put && self.now > sent.first_sent_at + PUT_RETRY_PERIOD {
             return self.pause(caller);
         }
         if let Call::ReadCell { .. } | Call::NextNumber { .. } | Call::WatchGroup { .. } = sent.call
@@ -275,13 +275,13 @@
         self.schedule_after(delay, Event::CallDue(caller));
     }
 
-    fn note_reply(&mut self, caller: usize, sent: &CallAttempt, reply: &Reply) {
+    fn apply_reply(&mut self, caller: usize, sent: &CallAttempt, reply: &Reply) {
         let now = self.now;
         let this = &mut self.callers.0[caller];
         match (&sent.call, reply) {
             (Call::AcquireLock { name, hold_ms, .. }, Reply::LockAcquired { fence }) => {
                 let ends_at = sent.sent_at + hold_ms * MILLISECOND;
-                let held = Held { name: name.clone(), fence: *fence, ends_at };
+                let held = HeldLock { name: name.clone(), fence: *fence, ends_at };
                 this.held = Some(held).filter(|held| now < held.ends_at);
             }
             (Call::RenewLock { hold_ms, .. }, Reply::LockRenewed) => {
@@ -293,27 +293,27 @@
                 }
             }
             (Call::PutCell { name, .. }, Reply::CellPut { revision })
-            | (Call::ReadCell { name }, Reply::Cell { revision, .. }) => this.learn(name, *revision),
-            (Call::WatchGroup { .. }, Reply::Events { revision, .. }) => this.watched = *revision,
+            | (Call::ReadCell { name }, Reply::Cell { revision, .. }) => this.set_known(name, *revision),
+            (Call::WatchGroup { .. }, Reply::Events { revision, .. }) => this.watched_revision = *revision,
             _ => {}
         }
     }
 
-    fn note_refusal(&mut self, caller: usize, sent: &CallAttempt, refusal: Refusal) {
+    fn apply_refusal(&mut self, caller: usize, sent: &CallAttempt, refusal: Refusal) {
         let this = &mut self.callers.0[caller];
         match (&sent.call, refusal) {
             (_, Refusal::LockLost | Refusal::LockHeld) => this.held = None,
             (Call::PutCell { name, .. }, Refusal::RevisionConflict { revision }) => {
-                this.learn(name, revision);
+                this.set_known(name, revision);
             }
-            (Call::WatchGroup { .. }, Refusal::HistoryExpired { .. }) => this.watched = 0,
+            (Call::WatchGroup { .. }, Refusal::HistoryExpired { .. }) => this.watched_revision = 0,
             _ => {}
         }
     }
 }
 
 impl Caller {
-    fn learn(&mut self, name: &str, revision: u64) {
+    fn set_known(&mut self, name: &str, revision: u64) {
         if let Some(cell) = CELLS.iter().find(|cell| **cell == name) {
             self.revisions.insert(cell, revision);
         }
--- a/simulation/src/run/faults.rs
+++ b/simulation/src/run/faults.rs
@@ -73,19 +73,19 @@
             Fault::Kill(members) => self.restart_members(members, ProcessEnd::Killed, duration_ms),
             Fault::PowerLoss(members) => self.restart_members(members, ProcessEnd::PowerLost, duration_ms),
             Fault::DiskLoss(loss) => self.lose_disks(loss, duration_ms),
-            Fault::Freeze(members) => self.freeze(members, duration_ms),
+            Fault::Freeze(members) => self.suspend(members, duration_ms),
             Fault::RouterKill(router) => {
                 self.stop_router(router);
                 self.schedule_after(duration_ms * MILLISECOND, Event::RouterStarts(router));
             }
             Fault::SlowDisk(slow) => {
-                self.disturb_disks(number, slow.members, |machine| machine.slow_write_ms.push(slow.write_ms));
+                self.impair_disks(number, slow.members, |machine| machine.slow_write_ms.push(slow.write_ms));
             }
             Fault::StalledDisk(members) => {
-                self.disturb_disks(number, members, |machine| machine.stall_faults += 1);
+                self.impair_disks(number, members, |machine| machine.stall_faults += 1);
             }
             Fault::FullDisk(members) => {
-                self.disturb_disks(number, members, |machine| machine.full_disk_faults += 1);
+                self.impair_disks(number, members, |machine| machine.full_disk_faults += 1);
             }
             Fault::UnreliableLinks(rates) => {
                 self.links.fault_rates = rates;
@@ -166,19 +166,19 @@
         }
     }
 
-    fn freeze(&mut self, members: NodeSet, duration_ms: u64) {
+    fn suspend(&mut self, members: NodeSet, duration_ms: u64) {
         let until = self.now + duration_ms * MILLISECOND;
         for machine in self.machines_in(members) {
             let this = &mut self.machines[machine];
             if this.is_running() {
-                this.frozen_until = this.frozen_until.max(until);
+                this.suspended_until = this.suspended_until.max(until);
                 self.schedule_at(until, Event::NodeResumes(machine));
             }
         }
     }
 
     /// Applies a disk fault to the machines of these members until the fault ends.
-    fn disturb_disks(&mut self, number: usize, members: NodeSet, begin: impl Fn(&mut Machine)) {
+    fn impair_disks(&mut self, number: usize, members: NodeSet, begin: impl Fn(&mut Machine)) {
         let machines = self.machines_in(members);
         machines.iter().for_each(|machine| begin(&mut self.machines[*machine]));
         self.faulty_disks.insert(number, machines);
--- a/simulation/src/run/machine.rs
+++ b/simulation/src/run/machine.rs
@@ -36,7 +36,7 @@
     /// How often the process has started.
     pub(super) incarnation: u64,
     /// The end of the present suspension; 0 if the process is not suspended.
-    pub(super) frozen_until: Nanos,
+    pub(super) suspended_until: Nanos,
     /// Events that a suspended process handles once it resumes.
     pub(super) deferred_events: Vec<Event>,
     pub(super) disk: Disk,
@@ -89,7 +89,7 @@
 
     /// Whether it counts towards a stable core: it runs, is not suspended, and needs no state transfer.
     pub(super) fn is_serving(&self) -> bool {
-        self.is_running() && self.frozen_until == 0 && self.state_sources.is_none()
+        self.is_running() && self.suspended_until == 0 && self.state_sources.is_none()
     }
 
     /// From now on it needs the state of a quorum before it may vote.
--- a/simulation/src/run/network.rs
+++ b/simulation/src/run/network.rs
@@ -140,7 +140,7 @@
     }
 
     /// Applies the present fault rates to a message.
-    fn disturb(&self, transmission: &mut Transmission, fault_bits: u64) {
+    fn apply_fault_rates(&self, transmission: &mut Transmission, fault_bits: u64) {
         let rates = self.fault_rates;
         if fault_bits % 100 < rates.lost_percent {
             transmission.copies = 0;
@@ -164,7 +164,7 @@
         if self.links.is_partitioned(from, to) {
             return;
         }
-        self.links.disturb(&mut transmission, draw.fault_bits);
+        self.links.apply_fault_rates(&mut transmission, draw.fault_bits);
         for copy in 0..transmission.copies {
             let at = self.arrival_time(from, to, &draw, copy, transmission.additional_delay);
             let message = transmission.message.clone();
--- a/simulation/src/run/nodes.rs
+++ b/simulation/src/run/nodes.rs
@@ -19,9 +19,9 @@
 const FULL_DISK_RETRY: Nanos = 200 * MILLISECOND;
 /// The interval at which a stalled write is looked at again.
 const STALLED_DISK_RETRY: Nanos = 20 * MILLISECOND;
-/// The platform's list has this many servers; every [`SERVER_STEP`] the first one drains and a new one comes.
+/// The platform's list has this many servers; every [`SERVER_ROTATION_INTERVAL`] the first one drains and a new one comes.
 const SERVER_COUNT: u64 = 4;
-const SERVER_STEP: Nanos = 3 * SECOND;
+const SERVER_ROTATION_INTERVAL: Nanos = 3 * SECOND;
 /// One read of the platform's list in this many fails until the last fault has ended.
 const READS_PER_FAILURE: u64 = 20;
 
@@ -72,7 +72,7 @@
         let Delivery { from, to, message, .. } = delivery;
         match message {
             LinkMessage::Peer(message) => {
-                self.note_peer_message(from, to, &message);
+                self.track_peer_message(from, to, &message);
                 self.input_to_node(to, Input::Peer(address(from), message));
             }
             LinkMessage::WatchRequest(session, message) => {
@@ -85,7 +85,7 @@
     }
 
     /// Notes what the checks need to know of a message between control nodes.
-    fn note_peer_message(&mut self, from: usize, machine: usize, message: &PeerMessage) {
+    fn track_peer_message(&mut self, from: usize, machine: usize, message: &PeerMessage) {
         self.record(|| format!("{from} -> {machine} {}", peer_message(message)));
         let process_id = self.process_id(machine);
         let majority = self.plan.members / 2 + 1;
@@ -144,7 +144,7 @@
 
     /// The platform's server list at the present time.
     fn platform_servers(&self) -> Vec<Server> {
-        let first = self.now / SERVER_STEP;
+        let first = self.now / SERVER_ROTATION_INTERVAL;
         let server = |number: u64| Server {
             id: format!("i-{number}"),
             service: "s".to_owned(),
--- a/simulation/src/run/processes.rs
+++ b/simulation/src/run/processes.rs
@@ -73,7 +73,7 @@
         let this = &mut self.machines[machine];
         this.node = Some(ControlPlane::new(config, stored, now));
         this.observed = ObservedState::default();
-        this.frozen_until = 0;
+        this.suspended_until = 0;
         this.last_accept = None;
         this.wanted_peers.clear();
         this.connected_peers.clear();
@@ -114,7 +114,7 @@
         let this = &mut self.machines[machine];
         this.node = None;
         this.deferred_events.clear();
-        this.frozen_until = 0;
+        this.suspended_until = 0;
         let is_durable = block_is_written && this.full_disk_faults == 0;
         this.disk.crash(if is_durable { BlockOutcome::Durable } else { BlockOutcome::Lost });
         for other in &mut self.machines {
@@ -155,10 +155,10 @@
     pub(super) fn resume_node(&mut self, machine: usize) {
         let now = self.now;
         let this = &mut self.machines[machine];
-        if this.frozen_until == 0 || now < this.frozen_until {
+        if this.suspended_until == 0 || now < this.suspended_until {
             return;
         }
-        this.frozen_until = 0;
+        this.suspended_until = 0;
         self.last_core_event = now;
         self.record(|| format!("node {machine} resumes"));
         for event in std::mem::take(&mut self.machines[machine].deferred_events) {
@@ -179,8 +179,8 @@
         if !this.is_running() || incarnation.is_some_and(|expected| expected != this.incarnation) {
             return false;
         }
-        if this.frozen_until > 0 {
-            debug_assert!(now <= this.frozen_until, "a suspended process resumes at its time");
+        if this.suspended_until > 0 {
+            debug_assert!(now <= this.suspended_until, "a suspended process resumes at its time");
             this.deferred_events.push(event());
             return false;
         }
--- a/simulation/src/search/cluster.rs
+++ b/simulation/src/search/cluster.rs
@@ -24,8 +24,8 @@
 }
 
 impl Cluster {
-    /// A cluster without a leader: `voters` nodes that vote, and `spares` more that may replace one of them.
-    pub fn new(voters: usize, spares: usize, budget: Budget) -> Self {
+    /// A cluster without a leader: `voters` nodes that vote, and `spare_nodes` more that may replace one of them.
+    pub fn new(voters: usize, spare_nodes: usize, budget: Budget) -> Self {
         let voter = |number| Voter {
             replica: replica_id(number, 1),
             zone: String::new(),
@@ -37,7 +37,7 @@
             previous: Vec::new(),
         };
         Self {
-            members: (0..voters + spares).map(|number| Member::new(number, &membership)).collect(),
+            members: (0..voters + spare_nodes).map(|number| Member::new(number, &membership)).collect(),
             memberships: vec![membership],
             messages: Vec::new(),
             committed: BTreeMap::new(),
@@ -48,9 +48,9 @@
     }
 
     /// A cluster whose node 0 leads: its election is complete, and no message is in flight.
-    pub fn with_leader(voters: usize, spares: usize, budget: Budget) -> Self {
+    pub fn with_leader(voters: usize, spare_nodes: usize, budget: Budget) -> Self {
         let budget_with_election = Budget { elections: budget.elections + 1, ..budget };
-        let mut cluster = Self::new(voters, spares, budget_with_election);
+        let mut cluster = Self::new(voters, spare_nodes, budget_with_election);
         cluster.apply(Step::StartElection(0));
         loop {
             let writer = cluster.members.iter().position(|member| !member.writes.is_empty());
--- a/simulation/tests/coordination.rs
+++ b/simulation/tests/coordination.rs
@@ -18,9 +18,9 @@
 }
 
 /// The first run that shows a bug, and the number of plans until then.
-fn first_found(injected_bug: InjectedBug, most: usize) -> Option<(usize, RecordedRun)> {
+fn first_found(injected_bug: InjectedBug, max_plans: usize) -> Option<(usize, RecordedRun)> {
     let found = |(number, plan)| Some((number + 1, find_violation(plan, Some(injected_bug))?));
-    coordination_plans(7).take(most).enumerate().find_map(found)
+    coordination_plans(7).take(max_plans).enumerate().find_map(found)
 }
 
 #[gtest]
--- a/simulation/tests/search.rs
+++ b/simulation/tests/search.rs
@@ -33,9 +33,9 @@
     expect_that!(result.states, gt(10_000));
 }
 
-fn violation_found(bug: ProtocolBug, spares: usize, depth: usize) -> Option<String> {
+fn violation_found(bug: ProtocolBug, spare_nodes: usize, depth: usize) -> Option<String> {
     let budget = Budget { elections: 1, proposals: 1, failures: 1, replacements: 1 };
-    let result = search(Cluster::with_leader(3, spares, budget).with_bug(bug), depth, usize::MAX);
+    let result = search(Cluster::with_leader(3, spare_nodes, budget).with_bug(bug), depth, usize::MAX);
     let Counterexample { steps, violation } = result.counterexample?;
     println!("{bug:?}: {violation} after {steps:?}, {} states", result.states);
     Some(violation)
@@ -49,11 +49,11 @@
 /// A value is committed by node 0 and node 2, whose disk is lost then; its new replica becomes a voter.
 fn committed_and_replaced(bug: ProtocolBug, budget: Budget) -> Cluster {
     let mut interleaving = Interleaving::new(Cluster::with_leader(3, 0, budget).with_bug(bug));
-    interleaving.take(Step::Propose(0));
-    interleaving.take(Step::CompleteWrite(0));
+    interleaving.apply_if_enabled(Step::Propose(0));
+    interleaving.apply_if_enabled(Step::CompleteWrite(0));
     interleaving.accepted_by(2);
-    interleaving.take(Step::LoseDisk(2));
-    interleaving.take(Step::DecideMembership { replaced: 2, successor: 2 });
+    interleaving.apply_if_enabled(Step::LoseDisk(2));
+    interleaving.apply_if_enabled(Step::DecideMembership { replaced: 2, successor: 2 });
     interleaving.cluster
 }
 
@@ -80,7 +80,7 @@
 fn accepted_by_two(bug: ProtocolBug) -> Cluster {
     let budget = Budget { elections: 1, proposals: 1, failures: 0, replacements: 0 };
     let mut interleaving = Interleaving::with_proposal_accepted_by(2, 3, budget, bug);
-    interleaving.take(Step::StartElection(1));
+    interleaving.apply_if_enabled(Step::StartElection(1));
     interleaving.cluster
 }
 
@@ -119,13 +119,13 @@
     /// Node 0 leads `members` nodes, and counts its proposal on one other beside itself.
     fn with_proposal_accepted_by(voter: usize, members: usize, budget: Budget, bug: ProtocolBug) -> Self {
         let mut interleaving = Self::new(Cluster::with_leader(members, 0, budget).with_bug(bug));
-        interleaving.take(Step::Propose(0));
-        interleaving.take(Step::CompleteWrite(0));
+        interleaving.apply_if_enabled(Step::Propose(0));
+        interleaving.apply_if_enabled(Step::CompleteWrite(0));
         interleaving.accepted_by(voter);
         interleaving
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply_if_enabled(&mut self, step: Step) {
         if self.cluster.enabled_steps().contains(&step) {
             let violation = self.cluster.apply(step);
             self.violation = self.violation.take().or(violation);
@@ -136,14 +136,14 @@
     fn deliver(&mut self, from: usize, to: usize) {
         let is_between = |message: &InFlight| (message.from, message.to) == (from, to);
         if let Some(position) = self.cluster.messages().iter().position(is_between) {
-            self.take(Step::Deliver(position));
+            self.apply_if_enabled(Step::Deliver(position));
         }
     }
 
     /// A proposal of node 0 is accepted by another node, and node 0 counts the response.
     fn accepted_by(&mut self, other: usize) {
         self.deliver(0, other);
-        self.take(Step::CompleteWrite(other));
+        self.apply_if_enabled(Step::CompleteWrite(other));
         self.deliver(other, 0);
     }
 }
@@ -160,37 +160,37 @@
 fn violation_by_vote_of_lost_disk(members: usize, acceptance: Acceptance) -> Option<String> {
     let budget = Budget { elections: 1, proposals: 1, failures: 1, replacements: 1 };
     let mut interleaving = Interleaving::with_proposal_accepted_by(1, members, budget, ProtocolBug::None);
-    interleaving.take(Step::LoseDisk(1));
-    interleaving.take(Step::DecideMembership { replaced: 1, successor: 1 });
+    interleaving.apply_if_enabled(Step::LoseDisk(1));
+    interleaving.apply_if_enabled(Step::DecideMembership { replaced: 1, successor: 1 });
     if acceptance == Acceptance::BeforeMembership {
         interleaving.accepted_by(2);
     }
     for other in 1..members {
-        interleaving.take(Step::AdoptMembership(other));
-        interleaving.take(Step::CompleteWrite(other));
+        interleaving.apply_if_enabled(Step::AdoptMembership(other));
+        interleaving.apply_if_enabled(Step::CompleteWrite(other));
     }
     // The leader is the last to transfer its state, if it is needed.
     for other in 2..members {
-        interleaving.take(Step::TransferState { to: 1, from: other });
+        interleaving.apply_if_enabled(Step::TransferState { to: 1, from: other });
     }
     if !interleaving.cluster.votes(1) {
-        interleaving.take(Step::CompleteWrite(1));
+        interleaving.apply_if_enabled(Step::CompleteWrite(1));
     }
     if !interleaving.cluster.votes(1) {
-        interleaving.take(Step::AdoptMembership(0));
-        interleaving.take(Step::CompleteWrite(0));
-        interleaving.take(Step::TransferState { to: 1, from: 0 });
-        interleaving.take(Step::CompleteWrite(1));
+        interleaving.apply_if_enabled(Step::AdoptMembership(0));
+        interleaving.apply_if_enabled(Step::CompleteWrite(0));
+        interleaving.apply_if_enabled(Step::TransferState { to: 1, from: 0 });
+        interleaving.apply_if_enabled(Step::CompleteWrite(1));
     }
     expect_true!(interleaving.cluster.votes(1), "the new replica has joined");
     if acceptance == Acceptance::AfterMembership {
         interleaving.accepted_by(2);
     }
-    interleaving.take(Step::StartElection(1));
-    interleaving.take(Step::CompleteWrite(1));
+    interleaving.apply_if_enabled(Step::StartElection(1));
+    interleaving.apply_if_enabled(Step::CompleteWrite(1));
     for other in (2..members).rev().chain([0]) {
         interleaving.deliver(1, other);
-        interleaving.take(Step::CompleteWrite(other));
+        interleaving.apply_if_enabled(Step::CompleteWrite(other));
         interleaving.deliver(other, 1);
     }
     expect_true!(interleaving.cluster.leads(1), "the new replica leads");
@@ -213,14 +213,14 @@
     /// A message and its response; in between, the receiver's promise or acceptance becomes durable.
     fn exchange(&mut self, from: usize, to: usize) {
         self.deliver(from, to);
-        self.take(Step::CompleteWrite(to));
+        self.apply_if_enabled(Step::CompleteWrite(to));
         self.deliver(to, from);
     }
 
     fn adopted_by_all(&mut self, members: usize) {
         for number in 0..members {
-            self.take(Step::AdoptMembership(number));
-            self.take(Step::CompleteWrite(number));
+            self.apply_if_enabled(Step::AdoptMembership(number));
+            self.apply_if_enabled(Step::CompleteWrite(number));
         }
     }
 }
@@ -230,36 +230,36 @@
 fn violation_without_promises(bug: ProtocolBug) -> Option<String> {
     let budget = Budget { elections: 3, proposals: 2, failures: 1, replacements: 1 };
     let mut interleaving = Interleaving::new(Cluster::with_leader(5, 0, budget).with_bug(bug));
-    interleaving.take(Step::StartElection(1));
-    interleaving.take(Step::CompleteWrite(1));
+    interleaving.apply_if_enabled(Step::StartElection(1));
+    interleaving.apply_if_enabled(Step::CompleteWrite(1));
     interleaving.exchange(1, 2);
     interleaving.exchange(1, 4);
     expect_true!(interleaving.cluster.leads(1));
-    interleaving.take(Step::Propose(1));
-    interleaving.take(Step::CompleteWrite(1));
-    interleaving.take(Step::LoseDisk(4));
-    interleaving.take(Step::DecideMembership { replaced: 4, successor: 4 });
+    interleaving.apply_if_enabled(Step::Propose(1));
+    interleaving.apply_if_enabled(Step::CompleteWrite(1));
+    interleaving.apply_if_enabled(Step::LoseDisk(4));
+    interleaving.apply_if_enabled(Step::DecideMembership { replaced: 4, successor: 4 });
     interleaving.adopted_by_all(5);
     for source in [0, 3, 2] {
-        interleaving.take(Step::TransferState { to: 4, from: source });
+        interleaving.apply_if_enabled(Step::TransferState { to: 4, from: source });
     }
-    interleaving.take(Step::CompleteWrite(4));
+    interleaving.apply_if_enabled(Step::CompleteWrite(4));
     expect_true!(interleaving.cluster.votes(4));
-    interleaving.take(Step::StartElection(0));
-    interleaving.take(Step::CompleteWrite(0));
+    interleaving.apply_if_enabled(Step::StartElection(0));
+    interleaving.apply_if_enabled(Step::CompleteWrite(0));
     interleaving.exchange(0, 3);
     interleaving.exchange(0, 4);
     expect_that!(interleaving.cluster.leads(0), eq(bug == ProtocolBug::IgnoresPromises));
-    interleaving.take(Step::Propose(0));
-    interleaving.take(Step::CompleteWrite(0));
+    interleaving.apply_if_enabled(Step::Propose(0));
+    interleaving.apply_if_enabled(Step::CompleteWrite(0));
     interleaving.exchange(0, 3);
     interleaving.exchange(0, 4);
-    interleaving.take(Step::StartElection(1));
-    interleaving.take(Step::CompleteWrite(1));
+    interleaving.apply_if_enabled(Step::StartElection(1));
+    interleaving.apply_if_enabled(Step::CompleteWrite(1));
     interleaving.exchange(1, 2);
     interleaving.exchange(1, 3);
     expect_true!(interleaving.cluster.leads(1));
-    interleaving.take(Step::CompleteWrite(1));
+    interleaving.apply_if_enabled(Step::CompleteWrite(1));
     interleaving.exchange(1, 2);
     interleaving.exchange(1, 3);
     interleaving.violation
@@ -281,19 +281,19 @@
 fn violation_by_state_transfer(bug: ProtocolBug) -> Option<String> {
     let budget = Budget { elections: 1, proposals: 1, failures: 1, replacements: 1 };
     let mut interleaving = Interleaving::with_proposal_accepted_by(1, 3, budget, bug);
-    interleaving.take(Step::LoseDisk(0));
-    interleaving.take(Step::DecideMembership { replaced: 0, successor: 0 });
+    interleaving.apply_if_enabled(Step::LoseDisk(0));
+    interleaving.apply_if_enabled(Step::DecideMembership { replaced: 0, successor: 0 });
     interleaving.adopted_by_all(3);
     for source in [1, 2] {
-        interleaving.take(Step::TransferState { to: 0, from: source });
+        interleaving.apply_if_enabled(Step::TransferState { to: 0, from: source });
     }
-    interleaving.take(Step::CompleteWrite(0));
+    interleaving.apply_if_enabled(Step::CompleteWrite(0));
     expect_true!(interleaving.cluster.votes(0));
-    interleaving.take(Step::StartElection(0));
-    interleaving.take(Step::CompleteWrite(0));
+    interleaving.apply_if_enabled(Step::StartElection(0));
+    interleaving.apply_if_enabled(Step::CompleteWrite(0));
     interleaving.exchange(0, 2);
     expect_true!(interleaving.cluster.leads(0));
-    interleaving.take(Step::CompleteWrite(0));
+    interleaving.apply_if_enabled(Step::CompleteWrite(0));
     interleaving.exchange(0, 2);
     interleaving.violation
 }
