--- a/simulation/src/oracle/coordination.rs
+++ b/simulation/src/oracle/coordination.rs
@@ -1,8 +1,8 @@
-//! Checks of applications' calls by what their callers have seen: locks, numbers, cells and watches.
+//! Checks of applications' calls (locks, sequence numbers, cells and watches) against the outcomes that their callers received.
 //!
-//! Revisions make the order of the puts of a group explicit, so a history of a cell is linearizable exactly if that order agrees with real
-//! time: a put has a higher revision than each one that was known when it was first sent, and a read returns no lower one than was known
-//! when it was sent. That is checked call by call, without a search over orders.
+//! Revisions make the order of the puts of a group explicit, so the history of a cell is linearizable exactly if that order agrees with
+//! real time: a put has a higher revision than every revision known when the put was first sent, and a read returns no lower revision
+//! than was known when the read was sent. Both conditions are checked call by call, without a search over possible orders.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,30 +11,30 @@
 
 use super::invariant::Invariant;
 
-/// A violated invariant, and what was seen.
+/// A violated invariant, and a description of what was observed.
 pub type CheckFailure = (Invariant, String);
 
-/// One try of a call.
+/// One attempt of a call. A retry of the call is another attempt with the same `first_sent_at`.
 #[derive(Clone, Debug)]
 pub struct CallAttempt {
-    /// The caller.
+    /// The number of the caller, unique among the callers of one oracle.
     pub caller: usize,
-    /// The call.
+    /// The call, identical in all attempts.
     pub call: Call,
-    /// When it was sent.
+    /// When this attempt was sent.
     pub sent_at: Nanos,
-    /// When the first try of the same call was sent.
+    /// When the first attempt of the same call was sent; equal to `sent_at` for a first attempt.
     pub first_sent_at: Nanos,
 }
 
-/// A value with the time from which callers know it.
+/// A value, and the time at which a caller first received it.
 #[derive(Clone, Copy, Debug)]
 struct KnownValue {
     value: u64,
     since: Nanos,
 }
 
-/// Values that rise, with the times from which they were known.
+/// Values that must increase over time, with the times at which callers received them.
 #[derive(Debug, Default)]
 struct RisingValues(Vec<KnownValue>);
 
@@ -43,14 +43,14 @@
         self.0.push(KnownValue { value, since });
     }
 
-    /// The highest value that was known before a moment.
+    /// The highest value that a caller received before `moment`; 0 if there is none.
     fn highest_before(&self, moment: Nanos) -> u64 {
         let known = self.0.iter().filter(|known| known.since < moment);
         known.map(|known| known.value).max().unwrap_or_default()
     }
 }
 
-/// The time in which a caller counts itself holder of a lock.
+/// The lease of a lock as its holder computes it: from the send time of the request and the requested hold time.
 #[derive(Clone, Copy, Debug)]
 struct LockHold {
     ends_at: Nanos,
@@ -58,19 +58,19 @@
 
 #[derive(Debug, Default)]
 struct LockHistory {
-    /// By caller.
+    /// The current or last lease of each caller.
     holds: BTreeMap<usize, LockHold>,
-    /// The fencing tokens that were given, each with its holder and time.
+    /// The fencing tokens that were issued, each with its holder and the time at which the holder received it.
     fences: BTreeMap<u64, (usize, Nanos)>,
 }
 
-/// What became of the tries of a put.
+/// The attempts of one put and their outcomes.
 #[derive(Debug)]
 struct PutHistory {
     cell: String,
     expected_revision: Option<u64>,
     first_sent_at: Nanos,
-    /// Tries that were rejected for certain.
+    /// Attempts with a definite rejection: they did not take effect.
     rejected_attempts: u32,
     attempts: u32,
     revision: Option<u64>,
@@ -79,11 +79,11 @@
 #[derive(Debug, Default)]
 struct GroupHistory {
     revisions: RisingValues,
-    /// The put of each revision that was seen.
+    /// The value that was put under each observed revision.
     puts: BTreeMap<u64, String>,
 }
 
-/// What callers have seen so far.
+/// The history of calls as their callers observed it, and the checks of that history.
 #[derive(Debug, Default)]
 pub struct CoordinationOracle {
     locks: BTreeMap<String, LockHistory>,
@@ -91,22 +91,22 @@
     number_values: BTreeSet<(String, u64)>,
     groups: BTreeMap<String, GroupHistory>,
     cells: BTreeMap<String, RisingValues>,
-    /// By value: values are unique.
+    /// Puts by their value, which is unique within a run.
     puts: BTreeMap<String, PutHistory>,
-    /// Revisions that conflicting puts were given, which some put of the cell must have made.
+    /// The cell and the revision named in each conflict; a put to that cell must have produced the revision.
     conflicts: BTreeSet<(String, u64)>,
-    /// When each watcher was given each revision.
+    /// When a watch response up to each revision of a group was last received.
     delivered: BTreeMap<(String, u64), Nanos>,
     history_span: Nanos,
 }
 
 impl CoordinationOracle {
-    /// An oracle for nodes that keep the history of watches for a span.
+    /// An oracle for nodes that keep the history of cells for at least `history_span`, during which a watch must not expire.
     pub fn new(history_span: Nanos) -> Self {
         Self { history_span, ..Self::default() }
     }
 
-    /// A try of a call is sent.
+    /// Records that a caller sends an attempt.
     pub fn attempt_sent(&mut self, sent: &CallAttempt) {
         match &sent.call {
             Call::PutCell { name, value, expected_revision } => {
@@ -121,7 +121,7 @@
                 put.attempts += 1;
             }
             Call::ReleaseLock { name, .. } => {
-                // A holder counts until it sends the release.
+                // A caller counts as the holder until it sends the release.
                 let holds = self.locks.get_mut(name).and_then(|lock| lock.holds.get_mut(&sent.caller));
                 if let Some(hold) = holds {
                     hold.ends_at = hold.ends_at.min(sent.sent_at);
@@ -131,10 +131,10 @@
         }
     }
 
-    /// The outcome of a try reaches its caller.
+    /// Records that a caller receives the outcome of an attempt, and checks the outcome.
     ///
     /// # Errors
-    /// The invariant that it violates.
+    /// The invariant that the outcome violates.
     pub fn outcome_received(
         &mut self,
         now: Nanos,
@@ -189,7 +189,10 @@
                 self.check_watch(now, group, *after, events, *revision, ended)
             }
             (Call::ReleaseLock { .. }, Reply::LockReleased) => Ok(()),
-            (call, reply) => Err((Invariant::CallIntegrity, format!("{call:?} is answered with {reply:?}"))),
+            (call, reply) => Err((
+                Invariant::CallIntegrity,
+                format!("{call:?} received a reply of another call type: {reply:?}"),
+            )),
         }
     }
 
@@ -206,7 +209,10 @@
             *holder != ended.caller && (**given == fence || (**given > fence && *since < ended.sent_at))
         });
         if let Some((given, (holder, _))) = other {
-            let text = format!("{name}: {} is given {fence} after {holder} was given {given}", ended.caller);
+            let text = format!(
+                "lock {name}: caller {} got fencing token {fence} after caller {holder} got {given}",
+                ended.caller
+            );
             return Err((Invariant::FencingOrder, text));
         }
         fences.insert(fence, (ended.caller, now));
@@ -225,14 +231,15 @@
         let ends_at = ended.sent_at + hold_ms * ivyhatch_protocol::MILLISECOND;
         let holds = &mut self.locks.entry(name.to_owned()).or_default().holds;
         let own = holds.get(&ended.caller).copied();
-        // A renewal that arrives once the caller's time has run out counts for nothing.
+        // A renewal that arrives after the caller's lease has expired has no effect.
         let counts = is_new || own.is_some_and(|own| now < own.ends_at);
         if ends_at <= now || !counts {
             return Ok(());
         }
         let other = holds.iter().find(|(holder, hold)| **holder != ended.caller && hold.ends_at > now);
         if let Some((holder, _)) = other {
-            let text = format!("{name}: both {holder} and {} count themselves holder", ended.caller);
+            let text =
+                format!("lock {name}: callers {holder} and {} hold the lock at the same time", ended.caller);
             return Err((Invariant::MutualExclusion, text));
         }
         let ends_at = own.filter(|own| own.ends_at > now).map_or(ends_at, |own| own.ends_at.max(ends_at));
@@ -252,28 +259,29 @@
         let highest = numbers.highest_before(ended.sent_at);
         let is_new = self.number_values.insert((name.to_owned(), value));
         if value <= highest || !is_new {
-            let text = format!("{name}: {value} is given after {highest}, new: {is_new}");
+            let text = format!("number {name}: received {value} after {highest}, first occurrence: {is_new}");
             return Err((Invariant::NumberOrder, text));
         }
         numbers.record(value, now);
         Ok(())
     }
 
-    /// A caller has seen that a put made a revision: [`Invariant::CellIntegrity`], [`Invariant::RevisionOrder`] and
-    /// [`Invariant::RejectedCallNeverApplied`].
+    /// Checks a value that a caller observed in a cell under a revision: [`Invariant::CellIntegrity`],
+    /// [`Invariant::RevisionOrder`] and [`Invariant::RejectedCallNeverApplied`].
     fn check_put(&mut self, now: Nanos, name: &str, value: &str, revision: u64) -> Result<(), CheckFailure> {
         let Some(put) = self.puts.get_mut(value).filter(|put| put.cell == name) else {
             return Err((
                 Invariant::CellIntegrity,
-                format!("{name} shows {value}, which no one has put to it"),
+                format!("cell {name} has value {value}, which no caller put to this cell"),
             ));
         };
         if put.rejected_attempts == put.attempts {
-            let text = format!("{name} shows {value}, whose {} tries were all rejected", put.attempts);
+            let text =
+                format!("cell {name} has value {value}, whose {} attempts were all rejected", put.attempts);
             return Err((Invariant::RejectedCallNeverApplied, text));
         }
         if put.revision.is_some_and(|known| known != revision) {
-            let text = format!("{name}: {value} is shown under {:?} and {revision}", put.revision);
+            let text = format!("cell {name}: value {value} has revisions {:?} and {revision}", put.revision);
             return Err((Invariant::CellIntegrity, text));
         }
         let is_first = put.revision.replace(revision).is_none();
@@ -281,13 +289,14 @@
         let group = self.groups.entry(group_of(name).to_owned()).or_default();
         let other = group.puts.insert(revision, value.to_owned()).filter(|other| other != value);
         if let Some(other) = other {
-            let text = format!("revision {revision} is that of {other} and of {value}");
+            let text = format!("revision {revision} belongs to both value {other} and value {value}");
             return Err((Invariant::RevisionOrder, text));
         }
         let highest = group.revisions.highest_before(first_sent_at);
         if is_first && revision <= highest {
-            let text =
-                format!("{name}: {value} has {revision}, and was first sent after {highest} was known");
+            let text = format!(
+                "cell {name}: {value} was sent after revision {highest} was known, but has {revision}"
+            );
             return Err((Invariant::RevisionOrder, text));
         }
         group.revisions.record(revision, now);
@@ -299,7 +308,8 @@
         let Some(put) = self.puts.get_mut(value) else { return Ok(()) };
         put.rejected_attempts += 1;
         if put.rejected_attempts == put.attempts && put.revision.is_some() {
-            let text = format!("{value} was shown, and all of its tries are rejected");
+            let text =
+                format!("value {value} was observed in a cell, but all attempts to put it were rejected");
             return Err((Invariant::RejectedCallNeverApplied, text));
         }
         Ok(())
@@ -309,7 +319,7 @@
     fn check_read(&self, name: &str, revision: u64, sent_at: Nanos) -> Result<(), CheckFailure> {
         let known = self.cells.get(name).map_or(0, |cell| cell.highest_before(sent_at));
         if revision < known {
-            let text = format!("{name} is read at {revision} after {known} was known");
+            let text = format!("cell {name}: read revision {revision} after revision {known} was known");
             return Err((Invariant::FreshCellRead, text));
         }
         Ok(())
@@ -328,13 +338,16 @@
         let revisions: Vec<u64> = events.iter().map(|event| event.revision).collect();
         let expected: Vec<u64> = if after == 0 { Vec::new() } else { (after + 1..=revision).collect() };
         if revisions != expected {
-            let text = format!("{group}: a watch after {after} up to {revision} shows {revisions:?}");
+            let text = format!(
+                "group {group}: a watch after {after} up to {revision} returned revisions {revisions:?}"
+            );
             return Err((Invariant::WatchCompleteness, text));
         }
         let known = self.groups.get(group).map_or(0, |known| known.revisions.highest_before(ended.sent_at));
         if after == 0 && revision < known {
-            let text =
-                format!("{group}: the present revision is said to be {revision} after {known} was known");
+            let text = format!(
+                "group {group}: a new watch returned revision {revision} after revision {known} was known"
+            );
             return Err((Invariant::WatchCompleteness, text));
         }
         for event in events {
@@ -344,7 +357,8 @@
         Ok(())
     }
 
-    /// [`Invariant::WatchCompleteness`], for a watch that is not answered with puts.
+    /// [`Invariant::WatchCompleteness`] for a refused watch: only `HistoryExpired` is allowed, and not while the revision was
+    /// delivered within the history span.
     fn check_refused_watch(
         &self,
         now: Nanos,
@@ -354,18 +368,18 @@
     ) -> Result<(), CheckFailure> {
         let delivered = self.delivered.get(&(group.to_owned(), after));
         let is_recent = delivered.is_some_and(|delivered| now < delivered + self.history_span);
-        let text = format!("{group}: a watch goes on after {after}, and gets {refusal:?}");
+        let text = format!("group {group}: a watch after revision {after} was refused: {refusal:?}");
         match refusal {
             Refusal::HistoryExpired { .. } if !is_recent => Ok(()),
             _ => Err((Invariant::WatchCompleteness, text)),
         }
     }
 
-    /// Checks what only the whole history shows: each put follows the revision that it expects ([`Invariant::RevisionOrder`]), and a
-    /// conflict names a revision that the cell has had ([`Invariant::CellIntegrity`]).
+    /// Runs the checks that need the whole history: each put follows the revision that it expects ([`Invariant::RevisionOrder`]), and
+    /// a conflict names a revision that the cell has had ([`Invariant::CellIntegrity`]). Call it once, after the last call.
     ///
     /// # Errors
-    /// The invariant that is violated.
+    /// The first violated invariant.
     pub fn check_history(&self) -> Result<(), CheckFailure> {
         for group in self.groups.values() {
             let mut last_of_cell: BTreeMap<&str, u64> = BTreeMap::new();
@@ -373,12 +387,14 @@
             for (revision, value) in &group.puts {
                 let Some(put) = self.puts.get(value) else { continue };
                 let last = last_of_cell.insert(&put.cell, *revision).unwrap_or_default();
-                // Where puts before it were not seen, the one that it follows is not known.
+                // If no caller observed the preceding revision, the cell's previous revision may be unknown.
                 let is_complete = *revision == previous + 1 || last > 0;
                 previous = *revision;
                 let expected = put.expected_revision.filter(|expected| *expected != last);
                 if let Some(expected) = expected.filter(|expected| is_complete && *expected < last) {
-                    let text = format!("{value} expects {expected} and has {revision}, which follows {last}");
+                    let text = format!(
+                        "{value} at revision {revision} follows revision {last}, expected {expected}"
+                    );
                     return Err((Invariant::RevisionOrder, text));
                 }
             }
@@ -394,7 +410,9 @@
             .find(|(cell, revision)| *revision > 0 && !belongs_to_cell(cell, *revision))
         {
             Some((cell, revision)) => {
-                let text = format!("a conflict names revision {revision}, which is none of {cell}");
+                let text = format!(
+                    "cell {cell}: a conflict names revision {revision}, which belongs to another cell"
+                );
                 Err((Invariant::CellIntegrity, text))
             }
             None => Ok(()),
--- a/simulation/src/oracle/deadlines.rs
+++ b/simulation/src/oracle/deadlines.rs
@@ -1,31 +1,32 @@
-//! Periodic checks of the deadlines: configurations and evacuations in effect at routers, and responses to operators.
+//! Periodic checks of the deadlines by which routers must have acknowledged changes in effect and operators must have responses.
 
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
 use super::{Invariant, Oracle};
 
-/// Deadline of a response while the core is stable (`ack_ms` of the deployments).
+/// Deadline of a definite response to an operator while the core is stable; `ack_ms` in the deployment files.
 const RESPONSE_DEADLINE: Nanos = 5 * SECOND;
-/// Deadline of an acknowledged evacuation at a router in contact (`evacuate_ms` of the deployments).
+/// Time from an evacuation's acknowledgement until routers in contact must have it in effect; `evacuate_ms` in the deployment files.
 const EVACUATION_DEADLINE: Nanos = 5 * SECOND;
-/// Deadline of an acknowledged configuration at a router in contact (`config_ms` of the deployments).
+/// Time from a configuration's acknowledgement until routers in contact must have it in effect; `config_ms` in the deployment files.
 const CONFIGURATION_DEADLINE: Nanos = 2_500 * MILLISECOND;
 
 /// What a router has in effect.
 #[derive(Debug)]
 pub struct RouterView {
-    /// The router.
+    /// The router's number in the plan.
     pub number: usize,
-    /// Its revision of the configuration.
+    /// The configuration revision in effect; 0 if the router has none.
     pub revision: u64,
-    /// For each zone whether it is evacuated.
+    /// Whether each zone is evacuated, indexed by zone number.
     pub evacuated_zones: Vec<bool>,
-    /// Whether it is in contact with the core, so that the deadlines apply.
+    /// Whether the router is in contact with the core, so that the deadlines apply to it.
     pub in_contact: bool,
 }
 
 impl Oracle {
-    /// Checks the deadlines at the present time. `stable_since` is the time from which the core has been stable, if it is.
+    /// Checks the deadlines at the current virtual time. `stable_since` is `None` while the core is not stable; response deadlines
+    /// are then not checked.
     pub fn check_deadlines(&mut self, routers: &[RouterView], stable_since: Option<Nanos>) {
         for router in routers.iter().filter(|router| router.in_contact) {
             self.check_configuration_deadline(router);
@@ -42,8 +43,10 @@
             self.now > newest.acknowledged_at + CONFIGURATION_DEADLINE && router.revision < newest.revision
         });
         if let Some(newest) = overdue {
-            let text =
-                format!("router {} has revision {}, not {}", router.number, router.revision, newest.revision);
+            let text = format!(
+                "router {}: has revision {}, expected {}",
+                router.number, router.revision, newest.revision
+            );
             self.report(Invariant::ConfigurationDeadline, text);
         }
     }
@@ -56,7 +59,7 @@
         });
         if let Some((zone, acknowledged)) = overdue {
             let text =
-                format!("router {}: zone {zone} should be evacuated: {}", router.number, acknowledged.active);
+                format!("router {}: zone {zone}: expected evacuated: {}", router.number, acknowledged.active);
             self.report(Invariant::EvacuationDeadline, text);
         }
     }
--- a/simulation/src/oracle/final_state.rs
+++ b/simulation/src/oracle/final_state.rs
@@ -1,43 +1,43 @@
-//! Checks of the state at the end of a run: convergence, and the durability of what was acknowledged.
+//! Checks of the state at the end of a run: convergence, and durability of acknowledged changes.
 
 use std::collections::BTreeSet;
 
 use super::{Invariant, Oracle};
 use crate::workload::OperationKind;
 
-/// A zone as a node or a router has it.
+/// The evacuation state of a zone at one node or router.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ZoneState {
     /// Whether the zone is evacuated.
     pub evacuated: bool,
-    /// How often that has changed.
+    /// How often the evacuation state has changed.
     pub change_count: u64,
 }
 
-/// What a node or a router has in effect.
+/// The configuration and the evacuations that one node or router has in effect.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AppliedState {
-    /// The revision of the configuration.
+    /// The revision of the configuration; 0 without one.
     pub revision: u64,
-    /// The sequence number of that revision.
+    /// The sequence number under which that revision was committed.
     pub sequence: u64,
-    /// All zones, by their number.
+    /// The state of each zone, indexed by zone number.
     pub zones: Vec<ZoneState>,
 }
 
-/// The states at the end of a run.
+/// The distinct states of all nodes and routers at the end of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FinalState {
-    /// The sequence numbers of all partitions, as the nodes have them: one entry if all agree.
+    /// The distinct vectors of partition sequence numbers among the nodes: one entry if all nodes agree.
     pub partition_sequences: BTreeSet<Vec<u64>>,
-    /// What nodes and routers have in effect, none for one that is down: one entry if all agree.
+    /// The distinct states in effect at nodes and routers: one entry if all agree. `None` stands for a process that is down.
     pub applied: BTreeSet<Option<AppliedState>>,
-    /// Whether a node reads the server list.
+    /// Whether some node holds the role of reading the platform's server list.
     pub server_list_is_read: bool,
 }
 
 impl Oracle {
-    /// Checks the end of a run.
+    /// Checks convergence and durability at the end of a run, after the recovery time.
     pub fn check_final_state(&mut self, state: &FinalState) {
         self.check_convergence(state);
         self.check_acknowledged_history();
@@ -66,7 +66,7 @@
             _ => None,
         });
         if let Some(revision) = lost {
-            let text = format!("revision {revision} was acknowledged and was never in effect");
+            let text = format!("revision {revision} was acknowledged but was never observed in effect");
             self.report(Invariant::Durability, text);
         }
     }
@@ -80,7 +80,7 @@
                 return None;
             };
             let previous = previous.filter(|previous| *previous != base)?;
-            Some(format!("revision {revision} has the base {base}, and follows {previous}"))
+            Some(format!("revision {revision} follows revision {previous}, expected its base {base}"))
         };
         if let Some(text) = self.revision_by_sequence.iter().find_map(misplaced) {
             self.report(Invariant::CompareAndSet, text);
@@ -96,7 +96,10 @@
             state.applied.iter().any(|applied| evacuated(applied, **zone) != Some(acknowledged.active))
         });
         if let Some((zone, acknowledged)) = lost {
-            let text = format!("zone {zone} should be evacuated: {}, as acknowledged", acknowledged.active);
+            let text = format!(
+                "zone {zone}: expected evacuated: {} as acknowledged at every node and router",
+                acknowledged.active
+            );
             self.report(Invariant::Durability, text);
         }
     }
@@ -105,7 +108,8 @@
     fn check_final_revision(&mut self, state: &FinalState) {
         let oldest = state.applied.first().and_then(Option::as_ref).map_or(0, |applied| applied.revision);
         if let Some(newest) = self.newest_revision.filter(|newest| oldest < newest.revision) {
-            let text = format!("revision {} was acknowledged, and {oldest} is in effect", newest.revision);
+            let text =
+                format!("revision {} was acknowledged, but revision {oldest} is in effect", newest.revision);
             self.report(Invariant::Durability, text);
         }
     }
--- a/simulation/src/oracle/invariant.rs
+++ b/simulation/src/oracle/invariant.rs
@@ -1,25 +1,25 @@
 //! The invariants that the oracle checks, and their violations.
 //!
-//! The stored names stand in recorded runs, in the output of a hunt and in the design pages; they stay as they are.
+//! The serialized names occur in recorded runs, in the output of the `hunt` subcommand and in the design pages; they must not change.
 
 use serde::{Deserialize, Serialize};
 
-/// An invariant. The numbers are those of `docs/design/control-safety.md`; those without a number stand in
-/// `docs/design/control-simulation.md` alone.
+/// An invariant of the control plane. The numbers are those of `docs/design/control-safety.md`; invariants without a number are
+/// defined only in `docs/design/control-simulation.md`.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, strum::Display,
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum Invariant {
-    /// Invariant 5: one sequence number of a partition stands for one value.
+    /// Invariant 5: a sequence number of a partition identifies exactly one value.
     #[serde(rename = "OneValueANumber")] // wire name
     #[strum(serialize = "one_value_a_number")] // wire name
     SingleValuePerSequence,
-    /// Invariant 9: no node and no watch client goes back to an older sequence number within one incarnation.
+    /// Invariant 9: the sequence number of a node or a watch client never decreases within one incarnation.
     #[serde(rename = "NoWayBack")] // wire name
     #[strum(serialize = "no_way_back")] // wire name
     MonotonicSequence,
-    /// Invariant 8: at most one change on top of a revision is applied.
+    /// Invariant 8: at most one change with a given base revision is applied.
     #[serde(rename = "OneWinner")] // wire name
     #[strum(serialize = "one_winner")] // wire name
     CompareAndSet,
@@ -39,7 +39,7 @@
     #[serde(rename = "InvalidStaysOut")] // wire name
     #[strum(serialize = "invalid_stays_out")] // wire name
     InvalidNeverApplied,
-    /// The configuration in effect is the one that was sent under its revision.
+    /// The configuration in effect has the content that an operator sent under its revision.
     #[serde(rename = "AsSent")] // wire name
     #[strum(serialize = "as_sent")] // wire name
     ContentIntegrity,
@@ -47,15 +47,16 @@
     #[serde(rename = "FreshRead")] // wire name
     #[strum(serialize = "fresh_read")] // wire name
     LinearizableRead,
-    /// Routers in contact have an acknowledged configuration within its deadline.
+    /// Routers in contact have an acknowledged configuration in effect within its deadline.
     #[serde(rename = "ConfiguredInTime")] // wire name
     #[strum(serialize = "configured_in_time")] // wire name
     ConfigurationDeadline,
-    /// Routers in contact have an acknowledged evacuation, or its end, within its deadline. Also shows a breach of invariant 10.
+    /// Routers in contact have an acknowledged evacuation, or its end, in effect within its deadline. Also detects violations of
+    /// invariant 10.
     #[serde(rename = "EvacuatedInTime")] // wire name
     #[strum(serialize = "evacuated_in_time")] // wire name
     EvacuationDeadline,
-    /// While the core is stable, requests have a definite response within the deadline.
+    /// While the core is stable, operators' requests receive a definite response within the deadline.
     #[serde(rename = "AcknowledgedInTime")] // wire name
     #[strum(serialize = "acknowledged_in_time")] // wire name
     ResponseDeadline,
@@ -63,11 +64,11 @@
     #[serde(rename = "WipedIsSilent")] // wire name
     #[strum(serialize = "wiped_is_silent")] // wire name
     NoVoteAfterDiskLoss,
-    /// One number of the server list stands for one list.
+    /// A version number of the server list identifies exactly one list.
     #[serde(rename = "OneListANumber")] // wire name
     #[strum(serialize = "one_list_a_number")] // wire name
     SingleServerListPerNumber,
-    /// Invariant 2: one generation stands for one membership, and differs from the one before in one voter.
+    /// Invariant 2: a generation identifies exactly one membership, which differs from the previous one in one voter.
     #[serde(rename = "OneMembershipAGeneration")] // wire name
     #[strum(serialize = "one_membership_a_generation")] // wire name
     SingleMembershipPerGeneration,
@@ -77,37 +78,37 @@
     #[serde(rename = "Converges")] // wire name
     #[strum(serialize = "converges")] // wire name
     Convergence,
-    /// At no moment two callers count themselves holder of one lock.
+    /// At no time do two callers both hold the same lock, by the lease that each caller computes for itself.
     MutualExclusion,
-    /// The fencing tokens of a lock rise from holder to holder.
+    /// The fencing tokens of a lock increase from holder to holder.
     FencingOrder,
-    /// The numbers of a name are unique, and above those that were given before they were asked for.
+    /// The numbers issued under a name are unique, and each is higher than those received before it was requested.
     NumberOrder,
-    /// The revisions of a group are unique and rise, and a put follows the revision that it expects.
+    /// The revisions of a group are unique and increase, and a put follows the revision that it expects.
     RevisionOrder,
-    /// A cell is read at no lower revision than was known before.
+    /// A read of a cell returns no lower revision than was known when the read was sent.
     FreshCellRead,
-    /// A cell shows only what was put to it, under one revision.
+    /// A cell holds only values that were put to it, each under one revision.
     CellIntegrity,
-    /// A put whose tries were all rejected is never shown.
+    /// A put whose attempts were all rejected never takes effect.
     RejectedCallNeverApplied,
-    /// A watch shows each put after its revision, in order.
+    /// A watch returns every put after the given revision, in order.
     WatchCompleteness,
-    /// A reply is one to its call.
+    /// The type of a reply matches the type of its call.
     CallIntegrity,
-    /// After the last fault calls are answered.
+    /// After the last fault, calls receive a definite outcome within a deadline.
     CallDeadline,
 }
 
 /// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Violation {
-    /// The invariant that does not hold.
+    /// The violated invariant.
     #[serde(rename = "rule")] // wire name
     pub invariant: Invariant,
-    /// When it was observed, in milliseconds of virtual time.
+    /// When the violation was observed, in milliseconds of virtual time.
     pub at_ms: u64,
-    /// What was observed.
+    /// The observation that violates the invariant, for a human reader.
     #[serde(rename = "text")] // wire name
     pub description: String,
 }
--- a/simulation/src/oracle/mod.rs
+++ b/simulation/src/oracle/mod.rs
@@ -1,5 +1,5 @@
-//! The oracle: checks the invariants of the control plane from outside, by what operators receive and what nodes and routers have
-//! in effect. It knows nothing of how the nodes decide. The first violation ends a run.
+//! The oracle: checks the invariants of the control plane from outside, by the responses that operators receive and the state that
+//! nodes and routers have in effect. The oracle does not use the nodes' consensus state. The first violation ends a run.
 
 mod coordination;
 mod deadlines;
@@ -29,53 +29,53 @@
     acknowledged_at: Nanos,
 }
 
-/// The newest acknowledged evacuation of a zone, or its end.
+/// The newest acknowledged change of a zone's evacuation: its start or its end.
 #[derive(Clone, Copy, Debug)]
 struct AcknowledgedEvacuation {
     active: bool,
     acknowledged_at: Nanos,
 }
 
-/// The state of the oracle: what was sent, acknowledged and observed so far.
+/// The oracle, with the requests sent and the responses and states observed so far.
 #[derive(Debug, Default)]
 pub struct Oracle {
     now: Nanos,
     operations: BTreeMap<usize, TrackedOperation>,
-    /// The operation that sent each revision.
+    /// The number of the operation that sent each revision.
     operation_by_revision: BTreeMap<u64, usize>,
     /// The digest of the value of each sequence number of each partition.
     digests: BTreeMap<(PartitionId, u64), u64>,
-    /// The revision that each sequence number of the configuration stands for.
+    /// The revision committed under each sequence number of the configuration.
     revision_by_sequence: BTreeMap<u64, u64>,
-    /// The newest sequence number of each partition that each process has had.
+    /// The highest sequence number of each partition that was observed at each process.
     sequences: BTreeMap<(ProcessId, PartitionId), u64>,
     server_lists: BTreeMap<ServerListVersion, u64>,
     memberships: BTreeMap<u64, Membership>,
     newest_revision: Option<AcknowledgedRevision>,
-    /// The acknowledged state of each zone; none while a request that changes it is in flight.
+    /// The acknowledged state of each zone; no entry while a request that changes this state is in flight.
     evacuations: BTreeMap<usize, AcknowledgedEvacuation>,
     coordination: CoordinationOracle,
     violation: Option<Violation>,
 }
 
 impl Oracle {
-    /// An oracle for nodes that keep the history of watches for a span.
+    /// An oracle for nodes that keep the history of cells for at least `cell_history`, during which a watch must not expire.
     pub fn new(cell_history: Nanos) -> Self {
         Self { coordination: CoordinationOracle::new(cell_history), ..Self::default() }
     }
 
-    /// A caller sends a try of a call.
+    /// Records that an application's caller sends an attempt of a call.
     pub fn call_sent(&mut self, sent: &CallAttempt) {
         self.coordination.attempt_sent(sent);
     }
 
-    /// A caller receives the outcome of a try that it still waits for.
+    /// Checks the outcome of an attempt. Call this only while the caller still waits for that attempt.
     pub fn call_ended(&mut self, ended: &CallAttempt, outcome: &CallOutcome) {
         let checked = self.coordination.outcome_received(self.now, ended, outcome);
         self.report_failure(checked);
     }
 
-    /// Checks the calls of a whole run.
+    /// Runs the checks that need the calls of the whole run. Call this at its end.
     pub fn check_calls(&mut self) {
         let checked = self.coordination.check_history();
         self.report_failure(checked);
@@ -87,18 +87,18 @@
         }
     }
 
-    /// The first violation, if any.
+    /// The first violation, or `None` so far.
     pub fn violation(&self) -> Option<&Violation> {
         self.violation.as_ref()
     }
 
-    /// Records a violation. Later ones are dropped.
+    /// Records a violation at the current virtual time. Only the first violation is kept.
     pub fn report(&mut self, invariant: Invariant, description: String) {
         let at_ms = self.now / MILLISECOND;
         self.violation.get_or_insert(Violation { invariant, at_ms, description });
     }
 
-    /// Sets the virtual time.
+    /// Sets the virtual time, in nanoseconds since the start of the run.
     pub fn advance_to(&mut self, now: Nanos) {
         self.now = now;
     }
--- a/simulation/src/oracle/responses.rs
+++ b/simulation/src/oracle/responses.rs
@@ -1,4 +1,4 @@
-//! Checks of the responses that operators receive.
+//! Checks of the responses to operators' requests, including responses that are lost on the way.
 
 use ivyhatch_protocol::Nanos;
 use ivyhatch_protocol::configuration::Document;
@@ -7,30 +7,30 @@
 use super::{AcknowledgedEvacuation, AcknowledgedRevision, Invariant, Oracle};
 use crate::workload::{Operation, OperationKind};
 
-/// An operator's operation and its responses so far.
+/// An operator's operation, and the state that its responses so far imply.
 #[derive(Debug)]
 pub(super) struct TrackedOperation {
     pub(super) kind: OperationKind,
-    /// When it was first sent, or when its last lost response was sent.
+    /// When the operation was first sent, or when its last lost response was sent.
     pub(super) started_at: Nanos,
-    /// The newest revision that was acknowledged before it was first sent.
+    /// The newest revision that was acknowledged before the operation was first sent; 0 if there was none.
     newest_revision_before: u64,
     pub(super) acknowledged_at: Option<Nanos>,
-    /// It was acknowledged by a response that was lost.
+    /// The operation was acknowledged by a response that was lost.
     acknowledgement_lost: bool,
     pub(super) is_rejected: bool,
-    /// It has no definite response yet.
+    /// The operation has no definite response yet.
     pub(super) is_pending: bool,
 }
 
 impl TrackedOperation {
-    /// Whether a node has acknowledged it, received or not.
+    /// Whether a node has acknowledged the operation, even if the operator did not receive the response.
     pub(super) fn is_acknowledged(&self) -> bool {
         self.acknowledged_at.is_some() || self.acknowledgement_lost
     }
 }
 
-/// A change of the configuration.
+/// A configuration change of an acknowledged operation.
 #[derive(Clone, Copy)]
 struct Change {
     base: u64,
@@ -39,7 +39,7 @@
 }
 
 impl Oracle {
-    /// Configurations and evacuations whose acknowledgement was received.
+    /// The number of configuration changes and evacuations whose acknowledgement was received.
     pub fn acknowledged_changes(&self) -> u64 {
         let changes = self
             .operations
@@ -48,13 +48,13 @@
         changes.count() as u64
     }
 
-    /// An operator sends an operation for the first time.
+    /// Records that an operator sends an operation for the first time. `number` is its index in the plan.
     pub fn operation_started(&mut self, number: usize, operation: &Operation) {
         match operation.kind {
             OperationKind::SetConfiguration { revision, .. } => {
                 self.operation_by_revision.insert(revision, number);
             }
-            // Until the response both states of the zone are right.
+            // Until the response arrives, the old and the new state of the zone are both correct.
             OperationKind::Evacuate { zone, active } => {
                 if self.evacuations.get(&zone).is_some_and(|acknowledged| acknowledged.active != active) {
                     self.evacuations.remove(&zone);
@@ -74,7 +74,7 @@
         self.operations.insert(number, tracked);
     }
 
-    /// An operator receives a response. Returns whether it is definite; if not, the operator retries.
+    /// Checks a response that an operator receives. Returns whether the response is definite; if not, the operator must retry.
     pub fn response_received(&mut self, number: usize, response: &AdminResponse) -> bool {
         let Some(operation) = self.operations.get_mut(&number) else { return true };
         if matches!(response, AdminResponse::Unavailable(_)) {
@@ -106,13 +106,16 @@
             }
             (OperationKind::Read, AdminResponse::NotConfigured) => self.check_read(0, newest_revision_before),
             (kind, response) => {
-                self.report(Invariant::ContentIntegrity, format!("{kind:?} has the response {response:?}"));
+                self.report(
+                    Invariant::ContentIntegrity,
+                    format!("{kind:?} received an unexpected response: {response:?}"),
+                );
             }
         }
         true
     }
 
-    /// A response is lost on its way to the operator, who will retry; the deadline of the operation starts anew.
+    /// Records that a response is lost on its way to the operator. The operator will retry, so the operation's deadline restarts.
     pub fn response_lost(&mut self, number: usize, response: &AdminResponse) {
         let Some(operation) = self.operations.get_mut(&number) else { return };
         operation.started_at = self.now;
@@ -135,13 +138,14 @@
         }
     }
 
-    /// [`Invariant::InvalidNeverApplied`] and [`Invariant::CompareAndSet`], invariant 8 of `control-safety.md`, of an acknowledgement.
+    /// Checks [`Invariant::InvalidNeverApplied`] and [`Invariant::CompareAndSet`], invariant 8 of `control-safety.md`, for an
+    /// acknowledged change.
     fn check_acknowledged(&mut self, number: usize, change: Change) {
         let Change { base, revision, valid } = change;
         if !valid {
             self.report(
                 Invariant::InvalidNeverApplied,
-                format!("revision {revision} is invalid and was acknowledged"),
+                format!("revision {revision} is invalid but was acknowledged"),
             );
         }
         let competes = |(other, operation): (&usize, &TrackedOperation)| {
@@ -154,35 +158,38 @@
         if self.operations.iter().any(competes) {
             self.report(
                 Invariant::CompareAndSet,
-                format!("two changes on top of revision {base} were acknowledged"),
+                format!(
+                    "two changes with base revision {base} were acknowledged, one of them revision {revision}"
+                ),
             );
         }
     }
 
-    /// [`Invariant::IdempotentRetry`] and [`Invariant::RejectedNeverApplied`], invariant 8 of `control-safety.md`, of a rejection.
+    /// Checks [`Invariant::IdempotentRetry`] and [`Invariant::RejectedNeverApplied`], invariant 8 of `control-safety.md`, for a
+    /// rejected change.
     fn configuration_rejected(&mut self, number: usize, revision: u64) {
         let Some(operation) = self.operations.get_mut(&number) else { return };
         operation.is_rejected = true;
         if operation.acknowledgement_lost {
             self.report(
                 Invariant::IdempotentRetry,
-                format!("revision {revision} was applied, and its retry was rejected"),
+                format!("revision {revision} was applied, but its retry was rejected"),
             );
         }
         if self.revision_by_sequence.values().any(|applied| *applied == revision) {
             self.report(
                 Invariant::RejectedNeverApplied,
-                format!("revision {revision} is in effect and was rejected"),
+                format!("revision {revision} is in effect but was rejected"),
             );
         }
     }
 
-    /// [`Invariant::LinearizableRead`], invariant 7 of `control-safety.md`.
+    /// Checks [`Invariant::LinearizableRead`], invariant 7 of `control-safety.md`.
     fn check_read(&mut self, revision: u64, newest_revision_before: u64) {
         if revision < newest_revision_before {
             self.report(
                 Invariant::LinearizableRead,
-                format!("revision {revision} was read after {newest_revision_before} was acknowledged"),
+                format!("read revision {revision} after revision {newest_revision_before} was acknowledged"),
             );
         }
     }
