--- a/simulation/src/run/call_corruptions.rs
+++ b/simulation/src/run/call_corruptions.rs
@@ -1,4 +1,4 @@
-//! Injected bugs of coordination: a call is altered on its way into a node, or its outcome on its way out.
+//! Injected bugs of coordination: alters a call before a node receives it, or its outcome before the caller receives it.
 
 use ivyhatch_control::RequestId;
 use ivyhatch_protocol::coordination::{Call, CallOutcome, NotStarted, Refusal, Reply};
@@ -7,7 +7,7 @@
 use crate::injected_bugs::InjectedBug;
 
 impl Simulation<'_> {
-    /// Applies the injected bug to a call.
+    /// Returns the call as the injected bug alters it; unchanged if the bug does not concern this call.
     pub(super) fn corrupt_call(&self, mut call: Call) -> Call {
         match (self.injected_bug, &mut call) {
             (
@@ -36,7 +36,7 @@
         call
     }
 
-    /// Applies the injected bug to the outcome of a call.
+    /// Returns the outcome as the injected bug alters it; unchanged if the bug does not concern this call, or the caller has timed out.
     pub(super) fn corrupt_outcome(&mut self, id: RequestId, outcome: CallOutcome) -> CallOutcome {
         let Some(injected_bug) = self.injected_bug else { return outcome };
         let Some(call) = self.call_in_flight(id).cloned() else { return outcome };
@@ -76,7 +76,7 @@
         }
     }
 
-    /// A read as the cache has it, which keeps the first one of eight.
+    /// The outcome of a read from a stale cache: each cell's cached outcome is refreshed only on every eighth read.
     fn cached_read(&mut self, call: &Call, outcome: CallOutcome) -> CallOutcome {
         let Call::ReadCell { name } = call else { return outcome };
         let (reads, cached) = self.cached_reads.entry(name.clone()).or_insert_with(|| (0, outcome.clone()));
--- a/simulation/src/run/callers.rs
+++ b/simulation/src/run/callers.rs
@@ -1,5 +1,5 @@
-//! Applications' callers: each has one call in flight. Some take locks, renew and release them or let them run out; some take numbers; some
-//! put and read cells; some watch a group.
+//! Applications' callers, each with at most one call in flight. By its kind a caller acquires, renews and releases locks or lets them
+//! expire, draws sequence numbers, puts and reads cells, or watches a group.
 
 use std::collections::BTreeMap;
 
@@ -11,17 +11,17 @@
 use super::event::Event;
 use crate::oracle::{CallAttempt, Invariant};
 
-/// A caller turns to another node after this long without an answer, beside what a watch waits for.
+/// A call without an outcome times out after this, plus the wait time of a watch; the caller then tries a random node.
 const CALL_TIMEOUT: Nanos = SECOND;
-/// A put without a clear answer is sent again, with the same value, for this long.
+/// A put without a definite outcome is retried with the same value for this long after its first attempt.
 const PUT_RETRY_PERIOD: Nanos = 6 * SECOND;
-/// Callers begin this long after the start of a run.
+/// The earliest start of a caller's first call, after the start of a run.
 const FIRST_CALL_MS: u64 = 3_000;
 /// The longest pause of a caller between two calls, in milliseconds.
 const LONGEST_PAUSE_MS: u64 = 300;
-/// After the last fault calls are answered within this.
+/// A call must have a definite outcome this long after its first attempt, or after the last fault if that is later.
 const CALL_DEADLINE: Nanos = 8 * SECOND;
-/// The last calls of a run begin this long before its end.
+/// No new call starts later than this before the end of a run.
 const LAST_CALL_BEFORE_END: Nanos = 2 * SECOND;
 const LOCK_COUNT: u64 = 2;
 const NUMBER_COUNT: u64 = 2;
@@ -29,7 +29,7 @@
 const GROUPS: [&str; 2] = ["g.", "h."];
 const HOLDS_MS: [u64; 4] = [150, 500, 1_200, 3_000];
 
-/// What a caller does, by its number.
+/// The kind of calls that a caller makes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallerKind {
     Locks,
@@ -38,11 +38,11 @@
     Watch,
 }
 
-/// The kinds of callers, in turn.
+/// The kinds are assigned to the callers in this order, repeatedly.
 const KINDS: [CallerKind; 5] =
     [CallerKind::Locks, CallerKind::Cells, CallerKind::Locks, CallerKind::Numbers, CallerKind::Watch];
 
-/// A lock that a caller has.
+/// A lock that a caller holds, until its lease ends at `ends_at`.
 #[derive(Clone, Debug)]
 struct HeldLock {
     name: String,
@@ -50,27 +50,27 @@
     ends_at: Nanos,
 }
 
-/// The call of a caller that is in flight.
+/// The attempt that a caller waits for.
 #[derive(Clone, Debug)]
 struct InFlight {
     id: RequestId,
     sent: CallAttempt,
 }
 
-/// A caller.
+/// The state of one caller.
 #[derive(Clone, Debug)]
 struct Caller {
     kind: CallerKind,
     in_flight: Option<InFlight>,
     held: Option<HeldLock>,
-    /// The revision of each cell as the caller knows it.
+    /// The last revision of each cell that the caller received.
     revisions: BTreeMap<&'static str, u64>,
-    /// The revision that a watcher goes on from.
+    /// The revision after which the caller's next watch starts; 0 to start anew.
     watched_revision: u64,
     puts: u64,
 }
 
-/// All callers.
+/// All callers, indexed by their number.
 #[derive(Debug, Default)]
 pub(super) struct Callers(Vec<Caller>);
 
@@ -87,7 +87,7 @@
         Self((0..count).map(caller).collect())
     }
 
-    /// The caller whose call has this id.
+    /// The caller that waits for the attempt with this id.
     fn of_call(&self, id: RequestId) -> Option<usize> {
         let is_its_caller = |caller: &Caller| caller.in_flight.as_ref().is_some_and(|call| call.id == id);
         self.0.iter().position(is_its_caller)
@@ -141,7 +141,7 @@
                 self.callers.0[caller].held = None;
                 Call::ReleaseLock { name, holder, fence }
             }
-            // It takes the lock again that it holds.
+            // Acquires the lock that the caller already holds.
             _ => Call::AcquireLock { name, holder, hold_ms },
         }
     }
@@ -182,8 +182,8 @@
             let outcome = CallOutcome::NotStarted(NotStarted::NoQuorum);
             return self.schedule_after(delay, Event::OutcomeArrives { id, outcome });
         }
-        // A caller that has given up has closed its connection to a suspended process, which does not begin the call when it resumes:
-        // `put_whose_caller_has_left_a_stopped_node_is_not_begun` shows that over sockets.
+        // A caller that has timed out has closed its connection to a suspended process, so the process does not start the call when it
+        // resumes. The test `put_whose_caller_has_left_a_stopped_node_is_not_begun` verifies this over sockets.
         if self.call_in_flight(id).is_none() {
             return;
         }
@@ -195,7 +195,7 @@
         self.input_to_node(machine, Input::Call(id, call));
     }
 
-    /// A node has ended a call. Its caller may have turned elsewhere.
+    /// Sends the outcome of a call to its caller, unless the response is lost. The caller may have timed out meanwhile.
     pub(super) fn send_outcome(&mut self, machine: usize, id: RequestId, outcome: CallOutcome) {
         let outcome = self.corrupt_outcome(id, outcome);
         self.record(|| format!("node {machine} ends {id}: {outcome:?}"));
@@ -206,7 +206,7 @@
         self.schedule_after(delay, Event::OutcomeArrives { id, outcome });
     }
 
-    /// The call that a caller waits for under this id.
+    /// The call with this id, if its caller still waits for it.
     pub(super) fn call_in_flight(&self, id: RequestId) -> Option<&Call> {
         let caller = self.callers.of_call(id)?;
         self.callers.0[caller].in_flight.as_ref().map(|call| &call.sent.call)
@@ -236,16 +236,17 @@
         self.retry_call(sent);
     }
 
-    /// Sends a put again unchanged; other callers decide anew what to do.
+    /// Handles a call without a definite outcome. Schedules an unchanged retry, or pauses the caller, which then draws a new call: after
+    /// lock calls other than a release, after a put whose retry period is over, and at random after reads, number draws and watches.
     fn retry_call(&mut self, sent: CallAttempt) {
         let caller = sent.caller;
         let faults_end = self.plan.faults_end_ms * MILLISECOND;
         if self.now > sent.first_sent_at.max(faults_end) + CALL_DEADLINE {
-            let text = format!("{:?} has no clear answer since the faults have ended", sent.call);
+            let text = format!("{:?} has had no definite outcome since the faults ended", sent.call);
             self.oracle.report(Invariant::CallDeadline, text);
         }
         if let Call::AcquireLock { .. } | Call::RenewLock { .. } = sent.call {
-            // Without a clear answer it does not know whether it holds the lock by that call.
+            // Without a definite outcome the caller does not know whether this call gave it the lock.
             return self.pause(caller);
         }
         let is_put = matches!(sent.call, Call::PutCell { .. });
@@ -286,7 +287,7 @@
             }
             (Call::RenewLock { hold_ms, .. }, Reply::LockRenewed) => {
                 let ends_at = sent.sent_at + hold_ms * MILLISECOND;
-                // It arrives in time, or counts for nothing.
+                // A renewal that arrives after the lease has expired has no effect.
                 this.held.take_if(|held| held.ends_at <= now);
                 if let Some(held) = &mut this.held {
                     held.ends_at = held.ends_at.max(ends_at);
--- a/simulation/src/run/checks.rs
+++ b/simulation/src/run/checks.rs
@@ -1,4 +1,5 @@
-//! What the oracle is given at intervals and at the end of a run, and when the core counts as stable.
+//! Passes the state of nodes and routers to the oracle, periodically and at the end of a run, and decides when the core is stable.
+//! The core is the set of control nodes in the member slots.
 
 use ivyhatch_protocol::Nanos;
 
@@ -35,13 +36,13 @@
         self.oracle.check_calls();
     }
 
-    /// The moment from which the core has been stable, if it is now.
+    /// The time since which the core has been stable; `None` while it is not stable.
     fn stable_since(&self) -> Option<Nanos> {
         let since = self.last_core_event + CONTACT_AFTER;
         (self.slowing_faults == 0 && self.now >= since && self.core_is_connected()).then_some(since)
     }
 
-    /// Whether a majority of the members runs and is connected each with each, in both directions.
+    /// Whether some majority of the members is serving and fully connected in both directions.
     fn core_is_connected(&self) -> bool {
         let members = self.plan.members;
         let is_connected_majority = |subset: u32| {
--- a/simulation/src/run/corruptions.rs
+++ b/simulation/src/run/corruptions.rs
@@ -1,4 +1,4 @@
-//! Injected bugs in what a control node sends: a message is altered, answered at once, or dropped.
+//! Injected bugs in the messages that a control node sends: a message is altered, dropped, or replaced by a forged response.
 
 use ivyhatch_control::{ControlPlane, Input};
 use ivyhatch_protocol::ids::{Ballot, NodeId, PartitionId};
@@ -8,7 +8,7 @@
 use super::{Simulation, index_of};
 use crate::injected_bugs::InjectedBug;
 
-/// A consensus message with the partition and the generation under which it is sent.
+/// A consensus message, with the partition and the membership generation under which it is sent.
 struct Consensus {
     generation: u64,
     partition: PartitionId,
@@ -16,15 +16,15 @@
 }
 
 impl Consensus {
-    /// The same envelope with another message.
+    /// Another message with the same partition and generation.
     fn with(&self, message: ConsensusMessage) -> PeerMessage {
         PeerMessage::Consensus { generation: self.generation, partition: self.partition, message }
     }
 }
 
 impl Simulation<'_> {
-    /// Applies the injected bug to a message. Returns the message to send, none if it is not sent; a response in its place is added
-    /// to `inputs`.
+    /// Applies the injected bug to a message. Returns the message to send, or `None` if nothing is sent; a forged response to the
+    /// dropped message is added to `inputs`, the inputs of the sending node.
     pub(super) fn corrupt(
         &mut self,
         machine: usize,
@@ -83,7 +83,7 @@
         None
     }
 
-    /// A consensus message that is sent, altered where the bug says so.
+    /// Returns the consensus message to send, altered if the injected bug concerns it.
     fn altered_consensus(
         &mut self,
         injected_bug: InjectedBug,
@@ -109,13 +109,13 @@
         PeerMessage::Consensus { generation, partition, message }
     }
 
-    /// The generation that the receiver of a message knows.
+    /// The membership generation that a node knows; `None` if it is down or has no membership.
     fn generation_of(&self, node: NodeId) -> Option<u64> {
         let receiver = self.machines.get(index_of(node))?;
         receiver.node.as_ref()?.membership().map(|membership| membership.generation)
     }
 
-    /// A state transfer from a node, without any state.
+    /// A forged state transfer from a node, without any state; `None` if the node is down or has no replica.
     fn empty_state_transfer(&self, from: NodeId, incarnation: u64, generation: u64) -> Option<PeerMessage> {
         let node = self.machines[index_of(from)].node.as_ref();
         let disk = node.and_then(ControlPlane::replica)?.disk;
@@ -123,7 +123,7 @@
     }
 }
 
-/// The promise of a voter that has accepted nothing newer than the candidate.
+/// A forged promise of a voter that has accepted nothing newer than the candidate.
 fn empty_promise(ballot: Ballot, committed: Option<u64>) -> ConsensusMessage {
     ConsensusMessage::Promise { ballot, accepted: None, committed: committed.unwrap_or_default() }
 }
--- a/simulation/src/run/describe.rs
+++ b/simulation/src/run/describe.rs
@@ -1,10 +1,10 @@
-//! Messages in a few words, for the trace and for descriptions of violations.
+//! Short descriptions of messages, for the trace and for descriptions of violations.
 
 use ivyhatch_protocol::peer::{ConsensusMessage, Heartbeat, PeerMessage};
 use ivyhatch_protocol::registers::StateUpdate;
 use ivyhatch_protocol::watch::{ServerListChange, WatchResponse};
 
-/// A message between control nodes.
+/// Describes a message between control nodes.
 pub(super) fn peer_message(message: &PeerMessage) -> String {
     match message {
         PeerMessage::Heartbeat(heartbeat) => {
@@ -62,7 +62,7 @@
     format!("{} {} {base:?} {} registers", version.ballot, version.sequence, writes.len())
 }
 
-/// A message from a control node to a router.
+/// Describes a message from a control node to a router.
 pub(super) fn watch_response(message: &WatchResponse) -> String {
     match message {
         WatchResponse::Progress { position, has_quorum, .. } => {
--- a/simulation/src/run/event.rs
+++ b/simulation/src/run/event.rs
@@ -1,4 +1,4 @@
-//! The events of a run and their dispatch.
+//! The events of a run, and their dispatch to the handlers.
 
 use ivyhatch_control::server_list::reader::ReadId;
 use ivyhatch_control::{Input, RequestId, SessionId};
@@ -20,20 +20,19 @@
     WatchResponse(SessionId, WatchResponse),
 }
 
-/// A message on its way to one incarnation of its receiver.
+/// A message in flight to one incarnation of its receiver.
 #[derive(Clone, Debug)]
 pub(super) struct Delivery {
     /// The sender's index among machines and routers.
     pub(super) from: usize,
     /// The receiver's index among machines and routers.
     pub(super) to: usize,
-    /// The receiver's incarnation.
+    /// The receiver's incarnation when the message was sent; another incarnation does not receive it.
     pub(super) incarnation: u64,
-    /// The message.
     pub(super) message: LinkMessage,
 }
 
-/// Something that happens at a moment of virtual time. An event with an incarnation is dropped where its process has ended since.
+/// An event at a point of virtual time. An event with an incarnation is dropped if that process has ended in the meantime.
 #[derive(Clone, Debug)]
 pub(super) enum Event {
     NodeStarts(usize),
@@ -68,20 +67,20 @@
         incarnation: u64,
     },
     RouterSettingsReloaded(usize),
-    /// The router's incarnation; the session is with that machine.
+    /// A router's session with a machine is established. `incarnation` is that of the router.
     SessionOpened {
         router: usize,
         incarnation: u64,
         machine: usize,
         session: SessionId,
     },
-    /// The router notices that its session has ended.
+    /// The router detects that its session has ended.
     SessionLost {
         router: usize,
         machine: usize,
         session: SessionId,
     },
-    /// The machine notices that a router's session has ended.
+    /// The machine detects that a router's session has ended. `incarnation` is that of the machine.
     SessionClosed {
         machine: usize,
         incarnation: u64,
@@ -99,7 +98,7 @@
         response: AdminResponse,
     },
     RequestTimeout(RequestId),
-    /// A caller may begin its next call.
+    /// The pause of this caller is over, so it may start its next call.
     CallDue(usize),
     CallArrives {
         id: RequestId,
--- a/simulation/src/run/faults.rs
+++ b/simulation/src/run/faults.rs
@@ -1,4 +1,4 @@
-//! Begins and ends the faults of the plan.
+//! Injects the faults of the plan, and ends them.
 
 use ivyhatch_protocol::{MILLISECOND, Nanos, SECOND};
 
@@ -9,38 +9,38 @@
 use super::processes::ProcessEnd;
 use crate::plan::{DiskLoss, Fault, LinkFaultRates, NodeSet, Replacement, ReplacementKind};
 
-/// The platform kills a process this long after its shutdown signal.
+/// The platform removes a machine this long after the shutdown signal to its process.
 const KILL_AFTER_SHUTDOWN_SIGNAL: Nanos = 8 * SECOND;
 /// The replacement of a partitioned machine starts this long after the partition, or at its end.
 const REPLACEMENT_DELAY: Nanos = SECOND;
-/// The routers' settings name a replacement this long after it has started (`seed_lag_s` of the deployments).
+/// The routers' settings list a replacement machine this long after the replacement begins; `seed_lag_s` in the deployment files.
 const SETTINGS_DELAY: Nanos = 3 * SECOND;
-/// A fault that would exceed the tolerated disk losses is tried again after this.
+/// The interval at which a fault is retried that would exceed the tolerated disk losses.
 const POSTPONED_FAULT_RETRY: Nanos = 250 * MILLISECOND;
 
-/// Whether a fault concerns one router alone, not the core.
+/// Whether a fault affects only a router, not the core.
 fn is_router_fault(fault: Fault) -> bool {
     matches!(fault, Fault::RouterPartition(_) | Fault::RouterKill(_))
 }
 
 impl Simulation<'_> {
-    /// The machines that hold these slots now.
+    /// The machines that currently hold these member slots.
     fn machines_in(&self, members: NodeSet) -> Vec<usize> {
         (0..self.plan.members).filter(|slot| members.contains(*slot)).map(|slot| self.slots[slot]).collect()
     }
 
-    /// How many members lack their state if these machines lose their disks now.
+    /// The number of members without their state if these machines lost their disks now.
     fn lost_disks_with(&self, machines: &[usize]) -> usize {
         let lacks_state = |machine: usize| !may_vote(self.machines[machine].disk.stored());
         self.slots.iter().filter(|machine| machines.contains(machine) || lacks_state(**machine)).count()
     }
 
-    /// Whether a fault would lose more disks at once than are tolerated.
+    /// Whether a fault would exceed the number of disk losses that the plan tolerates at once.
     fn exceeds_tolerated_losses(&self, fault: Fault) -> bool {
         let tolerated = self.plan.tolerated_disk_losses;
         match fault {
             Fault::DiskLoss(loss) => self.lost_disks_with(&self.machines_in(loss.disks)) > tolerated,
-            // A planned replacement loses nothing by itself.
+            // A planned replacement alone loses no state, so one is always allowed.
             Fault::Replace(Replacement { slot, kind: ReplacementKind::Planned }) => {
                 self.lost_disks_with(&[self.slots[slot]]) > tolerated.max(1)
             }
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Ends the processes of these members; each starts again when the fault ends.
+    /// Ends the processes of these members. Each process starts again up to 100 ms after the fault ends, or at the end of all faults.
     fn restart_members(&mut self, members: NodeSet, end: ProcessEnd, duration_ms: u64) {
         for machine in self.machines_in(members) {
             self.restart_machine(machine, end, duration_ms);
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Applies a disk fault to the machines of these members until the fault ends.
+    /// Applies a disk fault to the machines of these members, and records the machines for [`Self::restore_disks`].
     fn impair_disks(&mut self, number: usize, members: NodeSet, begin: impl Fn(&mut Machine)) {
         let machines = self.machines_in(members);
         machines.iter().for_each(|machine| begin(&mut self.machines[*machine]));
@@ -192,7 +192,7 @@
         self.slowing_faults -= 1;
     }
 
-    /// Gives the slot of a machine to a new machine.
+    /// Assigns the slot of a machine to a new machine.
     fn replace(&mut self, number: usize, replacement: Replacement, duration_ms: u64) {
         let Replacement { slot, kind } = replacement;
         let (old, new) = (self.slots[slot], self.next_machine);
@@ -201,7 +201,7 @@
         self.slots[slot] = new;
         self.machines[new].zone = self.machines[old].zone;
         self.machines[new].require_state_transfer();
-        // Routers of a group of one learn of the replacement from the old machine or from their settings.
+        // With a single member, routers learn the replacement's address only from the old machine or from their settings.
         if self.plan.members == 1 {
             for router in 0..self.plan.routers {
                 self.schedule_after(SETTINGS_DELAY, Event::RouterSettingsReloaded(router));
@@ -259,7 +259,8 @@
         self.partition(number, directions);
     }
 
-    /// Partitions directions until the fault ends. Connections of machines break at once, sessions of routers by their timeouts.
+    /// Partitions these directions until the fault ends. Connections between machines break at once; sessions of routers end by their
+    /// timeouts.
     fn partition(&mut self, number: usize, directions: Vec<Direction>) {
         let machines = self.machines.len();
         for direction in &directions {
--- a/simulation/src/run/machine.rs
+++ b/simulation/src/run/machine.rs
@@ -1,4 +1,4 @@
-//! A machine that runs a control node: its process, its disk, its connections, and what the oracle has seen of it.
+//! A machine that runs a control node: its process, its disk, its connections, and the state last reported to the oracle.
 
 use std::collections::BTreeSet;
 
@@ -16,9 +16,9 @@
 use crate::oracle::{AppliedState, ZoneState};
 use crate::workload::zone_name;
 
-/// The hashed partitions and the one of the membership.
+/// The number of hashed partitions, plus the membership partition.
 pub(super) const PARTITION_COUNT: usize = HASHED_PARTITIONS as usize + 1;
-/// The generation of the membership that the first start decides.
+/// The generation of the membership that is decided at the first start of the system.
 const FIRST_GENERATION: u64 = 1;
 
 /// The identity of a replica whose disk was lost, for [`crate::InjectedBug::VotesAfterDiskLoss`].
@@ -28,40 +28,41 @@
     pub(super) joined_generation: Option<u64>,
 }
 
-/// A machine.
+/// A machine, which holds a member slot or held one before its replacement.
 #[derive(Default)]
 pub(super) struct Machine {
-    /// The process, while it runs.
+    /// The process; `None` while it is not running.
     pub(super) node: Option<ControlPlane>,
     /// How often the process has started.
     pub(super) incarnation: u64,
-    /// The end of the present suspension; 0 if the process is not suspended.
+    /// The end of the current suspension; 0 if the process is not suspended.
     pub(super) suspended_until: Nanos,
-    /// Events that a suspended process handles once it resumes.
+    /// Events that arrived during the suspension, to be handled when the process resumes.
     pub(super) deferred_events: Vec<Event>,
     pub(super) disk: Disk,
-    /// The write times of the present faults that slow the disk, in milliseconds.
+    /// The write times of the active slow-disk faults, in milliseconds; the longest one applies.
     pub(super) slow_write_ms: Vec<u64>,
-    /// The present faults that stall the disk.
+    /// The number of active faults that stall the disk.
     pub(super) stall_faults: u32,
-    /// The present faults that fill the disk.
+    /// The number of active faults that fill the disk.
     pub(super) full_disk_faults: u32,
     pub(super) wanted_peers: Vec<NodeId>,
     pub(super) connected_peers: BTreeSet<usize>,
-    /// After the loss of its disk, or on a replacement machine: the machines that have transferred their state. None once they are
-    /// a quorum, so that the replica may vote.
+    /// After a disk loss, or on a replacement machine: the machines that have transferred their state. `None` once they form a
+    /// quorum, so that the replica may vote.
     pub(super) state_sources: Option<BTreeSet<usize>>,
-    /// The number of its zone. A replacement machine has the zone of its predecessor.
+    /// The number of the machine's zone. A replacement machine has the zone of its predecessor.
     pub(super) zone: usize,
-    /// It was removed for good.
+    /// The machine was permanently removed.
     pub(super) is_removed: bool,
     pub(super) lost_replica: Option<LostReplica>,
-    /// The ballot and the sequence number of the last accept message that arrived.
+    /// The ballot and the sequence number of the last accept message that arrived, for
+    /// [`crate::InjectedBug::AcceptsLowerBallot`].
     pub(super) last_accept: Option<(Ballot, u64)>,
     pub(super) observed: ObservedState,
 }
 
-/// What the oracle has been shown of the present incarnation.
+/// The state of the current incarnation that was last reported to the oracle.
 #[derive(Default)]
 pub(super) struct ObservedState {
     pub(super) generation: u64,
@@ -69,8 +70,8 @@
     pub(super) server_list: ServerListPosition,
 }
 
-/// Whether a disk holds the state with which its replica may vote: it has completed its state transfer, or it belongs to a voter of
-/// the first membership.
+/// Whether a disk holds the state that its replica needs to vote: the replica has completed its state transfer, or is a voter of the
+/// first membership.
 pub(super) fn may_vote(stored: &DurableState) -> bool {
     let replica = stored.replica.map(|formatted| formatted.id);
     let voter = replica.zip(stored.membership.as_ref()).and_then(|(replica, known)| known.voter(replica));
@@ -87,29 +88,29 @@
         self.node.is_some()
     }
 
-    /// Whether it counts towards a stable core: it runs, is not suspended, and needs no state transfer.
+    /// Whether the machine counts towards a stable core: its process runs, is not suspended, and needs no state transfer.
     pub(super) fn is_serving(&self) -> bool {
         self.is_running() && self.suspended_until == 0 && self.state_sources.is_none()
     }
 
-    /// From now on it needs the state of a quorum before it may vote.
+    /// Requires a state transfer from a quorum before the replica may vote.
     pub(super) fn require_state_transfer(&mut self) {
         self.state_sources = Some(BTreeSet::new());
     }
 
-    /// The sequence numbers of all partitions; 0 for each where the process is down.
+    /// The committed sequence numbers of all partitions; all 0 if the process is not running.
     pub(super) fn partition_sequences(&self) -> Vec<u64> {
         let sequence =
             |partition: PartitionId| self.node.as_ref().map_or(0, |node| node.committed_state(partition).0);
         PartitionId::all().map(sequence).collect()
     }
 
-    /// The revision of the configuration; 0 without one.
+    /// The revision of the committed configuration; 0 if there is none.
     pub(super) fn revision(&self) -> u64 {
         self.node.as_ref().map_or(0, revision_of)
     }
 
-    /// What the node has in effect, if it runs.
+    /// The state that the node has in effect; `None` if its process is not running.
     pub(super) fn applied_state(&self) -> Option<AppliedState> {
         let node = self.node.as_ref()?;
         Some(AppliedState {
@@ -119,7 +120,7 @@
         })
     }
 
-    /// Whether the node holds the singleton role of reading the platform's server list.
+    /// Whether the node holds the singleton role of reading the platform's server list, as leader of the role's partition.
     pub(super) fn reads_server_list(&self) -> bool {
         self.node
             .as_ref()
--- a/simulation/src/run/mod.rs
+++ b/simulation/src/run/mod.rs
@@ -1,4 +1,4 @@
-//! Plays a plan: one event queue in virtual time, the real state machines behind it, and the oracle beside it.
+//! Plays a plan: an event queue in virtual time drives the real state machines, and the oracle observes them.
 
 mod call_corruptions;
 mod callers;
@@ -38,17 +38,17 @@
 const TICK_INTERVAL: Nanos = 100 * MILLISECOND;
 /// The interval of the oracle's deadline checks.
 const CHECK_INTERVAL: Nanos = 250 * MILLISECOND;
-/// A machine or router counts as in contact this long after its last fault (`contact_ms` of the deployments).
+/// The core or a router counts as in contact this long after its last fault; `contact_ms` in the deployment files.
 const CONTACT_AFTER: Nanos = 4 * SECOND;
 /// Processes start within this time of the start of the run.
 const START_SPREAD_MS: u64 = 300;
-/// The address of the first machine; the other machines and then the routers have the following ones.
+/// The address of the first machine. The other machines, then the routers, have the consecutive addresses.
 const FIRST_ADDRESS: u32 = 0x0a01_0001;
-/// Zones, each with a part of the machines and routers.
+/// The number of zones; machines and routers are distributed over them.
 const ZONE_COUNT: usize = 3;
-/// Seeds in the settings of a node or router, at most.
+/// The maximum number of seeds in the settings of a node or router.
 const SEED_COUNT: usize = 3;
-/// For how long nodes keep the history of watches, beside their margin: shorter than a run.
+/// The history of cells that nodes keep for watches, in addition to a safety margin. Shorter than a run, so that watches can expire.
 const CELL_HISTORY: Nanos = 2 * SECOND;
 
 /// The result of a run.
@@ -56,20 +56,20 @@
 pub struct Outcome {
     /// The first violation, if any.
     pub violation: Option<Violation>,
-    /// Messages that were sent.
+    /// The number of messages that were sent, including those lost on a link.
     pub messages: u64,
-    /// Configurations and evacuations that were acknowledged.
+    /// The number of configuration changes and evacuations whose acknowledgement an operator received.
     pub acknowledged_changes: u64,
     /// A line for each event, with its time in milliseconds; empty unless the run was traced.
     pub trace: Vec<String>,
 }
 
-/// A plan that is being played.
+/// The state of a run.
 struct Simulation<'a> {
     plan: &'a Plan,
     injected_bug: Option<InjectedBug>,
     now: Nanos,
-    /// Events by their time, and by the order in which they were scheduled.
+    /// Scheduled events, ordered by time and then by the order in which they were scheduled.
     queue: BTreeMap<(Nanos, u64), Event>,
     scheduled_events: u64,
     machines: Vec<Machine>,
@@ -77,27 +77,28 @@
     links: Links,
     operators: OperatorClients,
     callers: Callers,
-    /// For [`InjectedBug::ReadsFromCache`]: the reads of each cell, and the outcome that is given out.
+    /// For [`InjectedBug::ReadsFromCache`]: the number of reads of each cell, and the cached outcome.
     cached_reads: BTreeMap<String, (u64, CallOutcome)>,
     oracle: Oracle,
-    /// Random numbers drawn in the order of events.
+    /// The number of random numbers drawn so far in the order of events.
     draws: u64,
-    /// Faults of disks and links that slow the core down at present.
+    /// The number of active disk faults and unreliable-link faults; the core is not stable while there are any.
     slowing_faults: u32,
-    /// When a fault of the core last began or ended.
+    /// When a fault of the core last began or ended, or a control node's process last started, ended or resumed.
     last_core_event: Nanos,
     /// Faults whose trigger has fired.
     triggered_faults: BTreeSet<usize>,
-    /// The machine of each member slot.
+    /// The machine that currently holds each member slot.
     slots: Vec<usize>,
-    /// The seeds of each replacement machine: the machines that held the slots when it came.
+    /// The seeds of each replacement machine: the machines that held the slots when the replacement began.
     seeds: BTreeMap<usize, Vec<usize>>,
-    /// What each present fault has partitioned.
+    /// The directions that each active fault partitions, by the fault's number.
     partitions: BTreeMap<usize, Vec<Direction>>,
-    /// The machines whose disks each present fault affects.
+    /// The machines whose disks each active fault affects, by the fault's number.
     faulty_disks: BTreeMap<usize, Vec<usize>>,
-    /// The next replacement machine.
+    /// The index of the next replacement machine.
     next_machine: usize,
+    /// The trace so far; `None` if the run is not traced.
     trace: Option<Vec<String>>,
 }
 
@@ -209,7 +210,7 @@
         self.queue.insert((at, self.scheduled_events), event);
     }
 
-    /// Adds a line to the trace, if there is one.
+    /// Adds a line to the trace if the run is traced.
     fn record(&mut self, text: impl FnOnce() -> String) {
         let now = self.now;
         if let Some(trace) = &mut self.trace {
@@ -217,13 +218,13 @@
         }
     }
 
-    /// A random number in `0..end` for the present event. The numbers of messages are keyed by themselves, see [`Stream`].
+    /// A random number in `0..end`, the next in the order of events. Message delays and faults have their own streams, see [`Stream`].
     fn random_below(&mut self, end: u64) -> u64 {
         self.draws += 1;
         keyed_random(self.plan.seed, Stream::Events, [self.draws, 0, 0]) % end.max(1)
     }
 
-    /// The time in whole milliseconds.
+    /// The virtual time in whole milliseconds.
     fn now_ms(&self) -> u64 {
         self.now / MILLISECOND
     }
--- a/simulation/src/run/network.rs
+++ b/simulation/src/run/network.rs
@@ -1,5 +1,5 @@
-//! Links between machines and routers. Messages on a partitioned link are lost; others arrive in order unless a fault or a mutation
-//! reorders them.
+//! Links between machines and routers. Messages on a partitioned link are lost; other messages arrive in order unless a fault or a
+//! mutation reorders them.
 
 use std::collections::BTreeMap;
 
@@ -13,9 +13,9 @@
 /// The bounds of a link's base delay.
 const MIN_LINK_DELAY: Nanos = 900_000;
 const MAX_LINK_DELAY: Nanos = 14 * MILLISECOND;
-/// The variation of a message's delay.
+/// The upper bound of the random delay that is added to a link's base delay for each message.
 const DELAY_JITTER: Nanos = 2 * MILLISECOND;
-/// The additional delay of a mutated message: it arrives after the next heartbeats.
+/// The additional delay of a mutated message, long enough that the next heartbeats arrive first.
 const MUTATION_DELAY: Nanos = 450 * MILLISECOND;
 /// The largest additional delay of a reordered message, in milliseconds.
 const REORDER_DELAY_MS: u64 = 2_000;
@@ -29,14 +29,14 @@
     pub(super) to: usize,
 }
 
-/// All links.
+/// All links, with their message counts and active faults.
 #[derive(Debug)]
 pub(super) struct Links {
     endpoints: usize,
-    /// The present faults that partition each direction.
+    /// The number of active faults that partition each direction.
     partition_counts: Vec<u32>,
     message_counts: Vec<u64>,
-    /// When the last message of each direction arrives.
+    /// The latest scheduled arrival of an in-order message in each direction.
     last_arrivals: Vec<Nanos>,
     sent_messages: u64,
     /// The previous message of each direction, for [`MutationKind::Replaced`].
@@ -44,13 +44,13 @@
     pub(super) fault_rates: LinkFaultRates,
 }
 
-/// The random part of a message's fate.
+/// The random numbers that decide the delay and the faults of a message.
 struct MessageDraw {
     delay: Nanos,
     fault_bits: u64,
 }
 
-/// What becomes of a message that is sent.
+/// A sent message with the faults that apply to it.
 struct Transmission {
     message: LinkMessage,
     copies: u64,
@@ -98,7 +98,8 @@
         self.partition_counts[index] = self.partition_counts[index].saturating_sub(1);
     }
 
-    /// Draws the delay of the next message of a direction. Depends on the message's position on its link alone.
+    /// Draws the delay and the faults of the next message in a direction. The result depends only on the seed, the link and the number
+    /// of messages sent on it before.
     fn draw_message(&mut self, seed: u64, from: usize, to: usize) -> MessageDraw {
         let index = self.index(from, to);
         self.message_counts[index] += 1;
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Applies the plan's mutation to the present message, if it is the one.
+    /// Applies the plan's mutation to the message just counted in `sent_messages`, if the mutation names that message.
     fn mutate(
         &mut self,
         mutation: Option<MessageMutation>,
@@ -139,7 +140,7 @@
         transmission
     }
 
-    /// Applies the present fault rates to a message.
+    /// Applies the current fault rates to a message.
     fn apply_fault_rates(&self, transmission: &mut Transmission, fault_bits: u64) {
         let rates = self.fault_rates;
         if fault_bits % 100 < rates.lost_percent {
@@ -156,7 +157,7 @@
 }
 
 impl Simulation<'_> {
-    /// Sends a message to the present incarnation of its receiver.
+    /// Sends a message to the given incarnation of its receiver.
     pub(super) fn send(&mut self, from: usize, to: usize, incarnation: u64, message: LinkMessage) {
         self.links.sent_messages += 1;
         let draw = self.links.draw_message(self.plan.seed, from, to);
@@ -172,7 +173,7 @@
         }
     }
 
-    /// Messages without additional delay arrive in the order in which they are sent.
+    /// The arrival time of a copy of a message. First copies without additional delay arrive in the order in which they are sent.
     fn arrival_time(
         &mut self,
         from: usize,
--- a/simulation/src/run/nodes.rs
+++ b/simulation/src/run/nodes.rs
@@ -15,14 +15,14 @@
 /// The bounds of a sync of an undisturbed disk.
 const MIN_SYNC: Nanos = 2 * MILLISECOND;
 const MAX_SYNC: Nanos = 6 * MILLISECOND;
-/// The retry interval of a write to a full disk.
+/// The interval at which a write to a full disk is retried.
 const FULL_DISK_RETRY: Nanos = 200 * MILLISECOND;
-/// The interval at which a stalled write is looked at again.
+/// The interval at which a write to a stalled disk is retried.
 const STALLED_DISK_RETRY: Nanos = 20 * MILLISECOND;
-/// The platform's list has this many servers; every [`SERVER_ROTATION_INTERVAL`] the first one drains and a new one comes.
+/// The number of servers in the platform's list. Every [`SERVER_ROTATION_INTERVAL`] the oldest server starts to drain and a new one joins.
 const SERVER_COUNT: u64 = 4;
 const SERVER_ROTATION_INTERVAL: Nanos = 3 * SECOND;
-/// One read of the platform's list in this many fails until the last fault has ended.
+/// Until the last fault ends, one in this many reads of the platform's list fails at random.
 const READS_PER_FAILURE: u64 = 20;
 
 impl Simulation<'_> {
@@ -36,7 +36,7 @@
         self.schedule_after(TICK_INTERVAL + jitter, Event::NodeTick { machine, incarnation });
     }
 
-    /// Opens connections to the peers that a node wants and has no connection to, where both are reachable.
+    /// Opens the missing connections to the peers that a node wants, as far as the peer is running and no direction is partitioned.
     fn connect_wanted_peers(&mut self, machine: usize) {
         let this = &self.machines[machine];
         let incarnation = this.incarnation;
@@ -84,14 +84,14 @@
         }
     }
 
-    /// Notes what the checks need to know of a message between control nodes.
+    /// Tracks state transfers and accept messages between control nodes, which the checks and injected bugs depend on.
     fn track_peer_message(&mut self, from: usize, machine: usize, message: &PeerMessage) {
         self.record(|| format!("{from} -> {machine} {}", peer_message(message)));
         let process_id = self.process_id(machine);
         let majority = self.plan.members / 2 + 1;
         let this = &mut self.machines[machine];
         match message {
-            // A majority together knows whatever a quorum has helped to acknowledge.
+            // Any majority includes a member of each quorum, so its members together have every acknowledged change.
             PeerMessage::StateTransfer { incarnation, .. }
             | PeerMessage::RegisterTransfer { incarnation, .. }
                 if *incarnation == process_id =>
@@ -110,7 +110,8 @@
         }
     }
 
-    /// A write has completed, unless a fault of the disk delays it. The disk goes on while its process is suspended.
+    /// Completes the write in progress, unless a disk fault delays the write. The disk keeps writing while its process is suspended; the
+    /// process handles the completion when it resumes.
     pub(super) fn complete_write(&mut self, machine: usize, incarnation: u64) {
         let completed = Event::WriteCompleted { machine, incarnation };
         if !self.accepts_event(machine, Some(incarnation), || completed.clone()) {
@@ -130,7 +131,7 @@
         self.start_write(machine);
     }
 
-    /// Starts the next write of a machine's disk, if there is one and none is in progress.
+    /// Starts the next write of a machine's disk if a write is queued and none is in progress.
     pub(super) fn start_write(&mut self, machine: usize) {
         if !self.machines[machine].disk.start_write() {
             return;
@@ -142,7 +143,7 @@
         self.schedule_after(sync.max(slow_sync), Event::WriteCompleted { machine, incarnation });
     }
 
-    /// The platform's server list at the present time.
+    /// The platform's server list at the current virtual time.
     fn platform_servers(&self) -> Vec<Server> {
         let first = self.now / SERVER_ROTATION_INTERVAL;
         let server = |number: u64| Server {
--- a/simulation/src/run/observation.rs
+++ b/simulation/src/run/observation.rs
@@ -1,4 +1,4 @@
-//! Shows the oracle what a control node has in effect, and under which membership it votes.
+//! Reports the state of a control node and the generations of its votes to the oracle.
 
 use ivyhatch_control::ControlPlane;
 use ivyhatch_control::consensus::partition_state::PartitionState;
@@ -14,7 +14,7 @@
 use crate::workload::document_digest;
 
 impl Simulation<'_> {
-    /// Shows the oracle the vote in a message, if it is one.
+    /// Reports a message to the oracle if the message is a vote.
     pub(super) fn observe_vote(&mut self, machine: usize, message: &PeerMessage) {
         let PeerMessage::Consensus { generation, .. } = message else { return };
         let replica = self.machines[machine].node.as_ref().and_then(ControlPlane::replica);
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Shows the oracle what a node has in effect, as far as it has changed.
+    /// Reports the parts of a node's state that have changed since the last report to the oracle.
     pub(super) fn observe_node(&mut self, machine: usize) {
         self.observe_membership(machine);
         for partition in PartitionId::control() {
--- a/simulation/src/run/operator_clients.rs
+++ b/simulation/src/run/operator_clients.rs
@@ -1,5 +1,5 @@
-//! The operators' clients: each has one operation in flight, and retries it unchanged at another node after a timeout, a refused
-//! connection or an indefinite response.
+//! The operators' clients. Each client has at most one operation in flight, and retries the operation unchanged at another node after
+//! a timeout, a refused connection or an indefinite response.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -16,23 +16,23 @@
 
 /// The timeout of a request.
 const REQUEST_TIMEOUT: Nanos = SECOND;
-/// An operator waits for this long after an evacuation or its end.
+/// An operator pauses for this long after the response to an evacuation or to its end.
 const PAUSE_AFTER_EVACUATION: Nanos = 10 * MILLISECOND;
-/// Operations that are still queued this long after the last fault are dropped, so that the run can end.
+/// An operation that has not started this long after the last fault is dropped, so that the run can end.
 const LATEST_START_AFTER_FAULTS_MS: u64 = 4_000;
 
-/// An operation in flight.
+/// An operation without a definite response yet.
 #[derive(Debug)]
 struct PendingOperation {
     number: usize,
     operation: Operation,
-    /// The id of its latest request.
+    /// The id of the latest attempt of the operation.
     request_id: RequestId,
-    /// The member slots that were tried, as a bit mask.
+    /// A bit mask of the member slots that were tried since all of them had been tried.
     tried_slots: u64,
 }
 
-/// All operators' clients.
+/// The clients of all operators, indexed by operator.
 #[derive(Debug)]
 pub(super) struct OperatorClients {
     workload: Workload,
@@ -53,13 +53,13 @@
         }
     }
 
-    /// A new id for a request or a session, unique within the run.
+    /// A new id for a request, a call or a session, unique within the run.
     pub(super) fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
     }
 
-    /// The operator and its pending operation whose latest request has this id.
+    /// The operator and the pending operation whose latest request has this id.
     fn pending_request(&self, id: RequestId) -> Option<(usize, &PendingOperation)> {
         self.pending
             .iter()
@@ -80,7 +80,7 @@
         self.start_next_operation(operator);
     }
 
-    /// Starts the next operation of an operator that has none in flight.
+    /// Starts an operator's next operation, unless the operator is paused or has one in flight.
     fn start_next_operation(&mut self, operator: usize) {
         if self.operators.pending.contains_key(&operator) || self.operators.paused.contains(&operator) {
             return;
@@ -100,7 +100,7 @@
         self.send_request(operator);
     }
 
-    /// Sends the pending operation to a random member among those that were not tried yet; once all were, among all of them.
+    /// Sends the pending operation to a random member that has not been tried yet, or to any member once all have been tried.
     fn send_request(&mut self, operator: usize) {
         let members = self.plan.members as u64;
         let first_slot = self.random_below(members);
@@ -135,7 +135,8 @@
             let delay = (50 + self.random_below(100)) * MILLISECOND;
             return self.schedule_after(delay, Event::RequestTimeout(id));
         }
-        // The operator has closed its connection to a suspended process. A configuration may be applied all the same.
+        // An operator that timed out has closed its connection to a suspended process, so an evacuation is not started. A configuration
+        // may still be applied.
         let is_evacuation = matches!(request, AdminRequest::Evacuate { .. });
         if is_evacuation && self.operators.pending_request(id).is_none() {
             return;
@@ -149,11 +150,11 @@
         self.input_to_node(machine, Input::Admin(id, request));
     }
 
-    /// Applies the injected bug to a request.
+    /// Returns the request as the injected bug alters it; unchanged if the bug does not concern requests.
     fn corrupt_request(&self, id: RequestId, machine: usize, mut request: AdminRequest) -> AdminRequest {
         if let AdminRequest::Put { base, body } = &mut request {
             match self.injected_bug {
-                // Blanks at the end make another digest of the same configuration.
+                // Trailing blanks give the same configuration another digest, so that its retry is not recognised.
                 Some(InjectedBug::TreatsRetryAsNew) => {
                     body.extend(std::iter::repeat_n(b' ', id as usize % 16));
                 }
@@ -190,14 +191,14 @@
         self.schedule_after(PAUSE_AFTER_EVACUATION, Event::OperatorResumes(operator));
     }
 
-    /// Draws whether the next response to an operator is lost.
+    /// Draws whether the next response to an operator or a caller is lost.
     pub(super) fn draws_lost_response(&mut self) -> bool {
         let faults_may_occur = self.now_ms() < self.plan.faults_end_ms;
         let percent = self.plan.lost_response_percent;
         faults_may_occur && percent > 0 && self.random_below(100) < percent
     }
 
-    /// A response is lost; its operator retries after the request's timeout.
+    /// Reports a lost response to the oracle. The operator retries after the request's timeout.
     pub(super) fn response_lost(&mut self, id: RequestId, response: &AdminResponse) {
         let Some((operator, pending)) = self.operators.pending_request(id) else { return };
         let number = pending.number;
@@ -205,7 +206,7 @@
         self.record(|| format!("operator {operator} does not receive {response:?} for {number}"));
     }
 
-    /// Schedules the faults whose number of acknowledged changes is reached.
+    /// Schedules the faults whose trigger count of acknowledged changes has been reached.
     fn trigger_faults(&mut self) {
         let acknowledged = self.oracle.acknowledged_changes();
         for (number, scheduled) in self.plan.faults.iter().enumerate() {
--- a/simulation/src/run/outputs.rs
+++ b/simulation/src/run/outputs.rs
@@ -1,4 +1,4 @@
-//! Carries out the outputs of control nodes, and shows the oracle the votes among them.
+//! Executes the outputs of control nodes, and reports the votes among them to the oracle.
 
 use ivyhatch_control::{Input, Output};
 use ivyhatch_protocol::MILLISECOND;
@@ -24,7 +24,7 @@
 }
 
 impl Simulation<'_> {
-    /// Gives a node an input and carries out its outputs. Inputs that injected bugs add on the way are handled before it returns.
+    /// Passes an input to a node and executes the resulting outputs. Inputs that injected bugs add are handled in the same call.
     pub(super) fn input_to_node(&mut self, machine: usize, input: Input) {
         let now = self.clock_of(machine);
         let mut inputs = vec![input];
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Sends a message between control nodes; it is lost while there is no connection.
+    /// Sends a message to another control node. The message is lost if there is no connection.
     fn send_to_peer(&mut self, machine: usize, to: usize, message: PeerMessage) {
         self.check_disk_loss(machine, &message);
         self.observe_vote(machine, &message);
@@ -97,7 +97,7 @@
         }
     }
 
-    /// [`Invariant::NoVoteAfterDiskLoss`], invariants 1, 3 and 4 of `docs/design/control-safety.md`: a machine that lacks its state
+    /// Checks [`Invariant::NoVoteAfterDiskLoss`], invariants 1, 3 and 4 of `docs/design/control-safety.md`: a machine without its state
     /// neither votes nor transfers state.
     fn check_disk_loss(&mut self, machine: usize, message: &PeerMessage) {
         let uses_state = is_vote(message)
--- a/simulation/src/run/processes.rs
+++ b/simulation/src/run/processes.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of control nodes' processes and machines: start, suspension, shutdown, loss of the disk and removal.
+//! The lifecycle of control nodes' processes and machines: start, end of suspension, shutdown, disk loss and removal.
 
 use std::collections::BTreeSet;
 
@@ -15,35 +15,35 @@
 use crate::random::{Stream, keyed_random};
 use crate::workload::zone_name;
 
-/// A process that shuts down waits no longer than this for its successor.
+/// The maximum time for which a process that shuts down waits for its successor.
 const SHUTDOWN_GRACE: Nanos = 6_500 * MILLISECOND;
-/// The interval at which the leader of the server list reads it.
+/// The interval at which the server list's leader reads the list from the platform.
 const SERVER_LIST_INTERVAL: Nanos = 500 * MILLISECOND;
-/// Each machine's steady clock is ahead of the previous machine's by this.
+/// The offset between the steady clocks of consecutive machines.
 const CLOCK_OFFSET: Nanos = 100 * SECOND;
 
 /// How a process ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ProcessEnd {
-    /// It is killed; the machine closes its connections.
+    /// The process is killed; the operating system closes its connections, so peers detect the end promptly.
     Killed,
-    /// Its machine loses power; peers notice only by timeouts.
+    /// The machine loses power; peers detect the end only by timeouts.
     PowerLost,
 }
 
 impl Simulation<'_> {
-    /// A machine's own steady clock.
+    /// The time of a machine's own steady clock.
     pub(super) fn clock_of(&self, machine: usize) -> Nanos {
         self.now + (machine as u64 + 1) * CLOCK_OFFSET
     }
 
-    /// The random id of a machine's present process.
+    /// The random id of a machine's current process.
     pub(super) fn process_id(&self, machine: usize) -> u64 {
         let incarnation = self.machines[machine].incarnation;
         keyed_random(self.plan.seed, Stream::ProcessId, [machine as u64, incarnation, 0])
     }
 
-    /// The seeds in a machine's settings: control nodes that were there when it came.
+    /// The seeds in a machine's settings: the first control nodes that held the slots when the machine was added.
     fn seeds_of(&self, machine: usize) -> Vec<NodeId> {
         let seeds = self.seeds.get(&machine).unwrap_or(&self.slots);
         seeds.iter().take(SEED_COUNT).map(|seed| address(*seed)).collect()
@@ -57,7 +57,7 @@
         let this = &mut self.machines[machine];
         this.incarnation += 1;
         let incarnation = this.incarnation;
-        // The first members start together with the whole system.
+        // The first process on each initial member takes part in the first start of the system.
         let first_start = incarnation == 1 && machine < self.plan.members;
         let mut stored = this.disk.stored().clone();
         let needs_state = !first_start && !may_vote(&stored);
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Ends a process. The block that its disk is writing is durable in a third of the cases, unless the disk is full.
+    /// Ends a process. The block in progress becomes durable in a third of the cases, unless the disk is full.
     pub(super) fn stop_node(&mut self, machine: usize, end: ProcessEnd) {
         if !self.machines[machine].is_running() {
             return;
@@ -125,20 +125,20 @@
         self.end_sessions_with(machine, end);
     }
 
-    /// A process has completed its shutdown: the platform takes its machine back.
+    /// Handles the completed shutdown of a process: the platform removes its machine.
     pub(super) fn shutdown_complete(&mut self, machine: usize) {
         let incarnation = self.machines[machine].incarnation;
         self.schedule_after(0, Event::MachineRemoved { machine, incarnation });
     }
 
-    /// Removes a machine and its disk for good.
+    /// Permanently removes a machine and its disk.
     pub(super) fn remove_machine(&mut self, machine: usize) {
         self.stop_node(machine, ProcessEnd::PowerLost);
         self.machines[machine].disk.wipe();
         self.machines[machine].is_removed = true;
     }
 
-    /// Replaces the disk of a machine by an empty one.
+    /// Replaces the disk of a machine with an empty one.
     pub(super) fn wipe_disk(&mut self, machine: usize) {
         let this = &mut self.machines[machine];
         let stored = this.disk.stored();
@@ -151,7 +151,7 @@
         this.require_state_transfer();
     }
 
-    /// Ends a suspension, unless a later one lasts longer. The process handles the deferred events in their order.
+    /// Ends a suspension, unless an overlapping one lasts longer. The process then handles the deferred events in order of arrival.
     pub(super) fn resume_node(&mut self, machine: usize) {
         let now = self.now;
         let this = &mut self.machines[machine];
@@ -166,8 +166,8 @@
         }
     }
 
-    /// Whether a process, of this incarnation if one is given, handles an event now. Where it is suspended the event is deferred;
-    /// where it is not running the event is dropped.
+    /// Whether a machine's process handles an event now. If the process is suspended, the event is deferred and the result is false. If
+    /// the process is not running or is not the given incarnation, the event is dropped.
     pub(super) fn accepts_event(
         &mut self,
         machine: usize,
@@ -180,7 +180,10 @@
             return false;
         }
         if this.suspended_until > 0 {
-            debug_assert!(now <= this.suspended_until, "a suspended process resumes at its time");
+            debug_assert!(
+                now <= this.suspended_until,
+                "a process is suspended beyond the end of its suspension"
+            );
             this.deferred_events.push(event());
             return false;
         }
--- a/simulation/src/run/routers.rs
+++ b/simulation/src/run/routers.rs
@@ -1,4 +1,4 @@
-//! Routers as far as their watch clients go: sessions with control nodes, and what a router has in effect.
+//! Simulated routers, reduced to their watch clients: their sessions with control nodes, and the state that they have in effect.
 
 use std::collections::BTreeMap;
 
@@ -16,32 +16,32 @@
 use crate::oracle::{AppliedState, ProcessId, RouterView, ZoneState};
 use crate::workload::{document_digest, zone_name};
 
-/// A session whose bytes are not acknowledged ends after this.
+/// A session whose sent bytes are not acknowledged ends after this.
 const UNACKNOWLEDGED_TIMEOUT: Nanos = 2_500 * MILLISECOND;
-/// A router ends a session without messages after this, as its host does.
+/// A router ends a session after this long without a message, as the process around the real watch client does.
 const SESSION_TIMEOUT: Nanos = 1_800 * MILLISECOND;
-/// The peer notices the orderly end of a session after this.
+/// The time until a router detects that a control node or its operating system has closed a session.
 const CLOSE_DELAY: Nanos = 10 * MILLISECOND;
-/// A control node notices that a router has closed its session after this.
+/// The time until a control node detects that a router has closed its session.
 const ROUTER_CLOSE_DELAY: Nanos = 20 * MILLISECOND;
-/// The round trip that a watch client is given with each session.
+/// The round-trip time that is reported to a watch client for each session.
 const SESSION_ROUND_TRIP: Nanos = 20 * MILLISECOND;
-/// The routers' steady clocks are ahead of virtual time by this.
+/// The offset of the routers' steady clocks from virtual time.
 const CLOCK_OFFSET: Nanos = 1_000 * SECOND;
 
 /// A router's session with a control node.
 #[derive(Clone, Copy, Debug)]
 struct Session {
     id: SessionId,
-    /// The incarnation of the control node.
+    /// The incarnation of the control node's process.
     incarnation: u64,
     last_received_at: Nanos,
 }
 
-/// A router.
+/// The state of one router.
 #[derive(Debug, Default)]
 pub(super) struct Router {
-    /// The process, while it runs.
+    /// The process; `None` while it is not running.
     watch_client: Option<WatchClient>,
     /// How often the process has started.
     incarnation: u64,
@@ -50,18 +50,18 @@
     observed_sequence: u64,
     /// When a fault of the router or its links last began or ended.
     pub(super) last_fault_at: Nanos,
-    /// The present faults that partition it from control nodes.
+    /// The number of active faults that partition the router from control nodes.
     pub(super) partition_faults: u32,
 }
 
 impl Router {
-    /// Whether it runs and its last fault ended long enough ago for the deadlines to apply.
+    /// Whether the router runs and its last fault ended long enough ago for the deadlines to apply.
     pub(super) fn is_undisturbed(&self, now: Nanos) -> bool {
         let is_undisturbed = self.partition_faults == 0 && now >= self.last_fault_at + CONTACT_AFTER;
         self.watch_client.is_some() && is_undisturbed
     }
 
-    /// What the oracle sees of it.
+    /// The router's state for the oracle's deadline checks.
     pub(super) fn view(&self, number: usize, in_contact: bool) -> RouterView {
         let is_evacuated = |zone: usize| {
             self.watch_client.as_ref().is_some_and(|client| client.evacuation(&zone_name(zone)).active)
@@ -74,7 +74,7 @@
         }
     }
 
-    /// What it has in effect, if it runs.
+    /// The state that the router has in effect; `None` if its process is not running.
     pub(super) fn applied_state(&self) -> Option<AppliedState> {
         let client = self.watch_client.as_ref()?;
         let zone_state = |zone: usize| {
@@ -88,7 +88,7 @@
         })
     }
 
-    /// Its session with a machine, if it is the one of this id.
+    /// The router's session with a machine, if that session has this id.
     fn session(&mut self, machine: usize, id: SessionId) -> Option<&mut Session> {
         self.sessions.get_mut(&machine).filter(|session| session.id == id)
     }
@@ -125,7 +125,7 @@
         self.schedule_after(0, Event::RouterTick { router, incarnation });
     }
 
-    /// A router reads its settings anew: its seeds are the machines that hold the slots now.
+    /// Reloads a router's settings: its seeds become the machines that currently hold the slots.
     pub(super) fn reload_router_settings(&mut self, router: usize) {
         let seeds = self.slots.iter().map(|machine| address(*machine)).collect();
         self.input_to_router(router, Input::Seeds(seeds));
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Opens a session with a machine that a router wants, unless there is one.
+    /// Opens a session between a router and a machine, unless there is one. If the machine is unreachable, the router is notified.
     fn open_session(&mut self, router: usize, machine: usize) {
         if self.routers[router].sessions.contains_key(&machine) {
             return;
@@ -223,7 +223,7 @@
         }
     }
 
-    /// Sessions with a machine whose process has ended are lost, with a delay that depends on how it ended.
+    /// Schedules the loss of all sessions with a machine whose process has ended, with a delay that depends on how the process ended.
     pub(super) fn end_sessions_with(&mut self, machine: usize, end: ProcessEnd) {
         let delay = match end {
             ProcessEnd::Killed => CLOSE_DELAY,
@@ -237,7 +237,7 @@
         }
     }
 
-    /// A partition between a router and a machine ends their session once its bytes are not acknowledged for too long.
+    /// Schedules the loss of the session between a router and a machine that are partitioned: its bytes are no longer acknowledged.
     pub(super) fn partition_session(&mut self, router: usize, machine: usize) {
         if let Some(session) = self.routers[router].sessions.get(&machine) {
             let session = session.id;
@@ -245,7 +245,7 @@
         }
     }
 
-    /// Whether a router has this session.
+    /// Whether any router has this session.
     pub(super) fn has_session(&self, id: SessionId) -> bool {
         self.routers.iter().any(|router| router.sessions.values().any(|session| session.id == id))
     }
@@ -256,7 +256,7 @@
         self.routers.iter().position(owns)
     }
 
-    /// A control node closes a session.
+    /// Handles a session that a control node closes.
     pub(super) fn close_session(&mut self, machine: usize, session: SessionId) {
         if let Some(router) = self.session_owner(machine, session) {
             self.schedule_after(CLOSE_DELAY, Event::SessionLost { router, machine, session });
@@ -285,7 +285,7 @@
         self.input_to_router(router, Input::Message(address(machine), message));
     }
 
-    /// Applies [`InjectedBug::AppliesOverGap`]: a change seems to start at the router's own sequence number.
+    /// Applies [`InjectedBug::AppliesOverGap`]: rewrites a change to start at the router's own sequence number.
     fn corrupt_watch_response(&self, router: usize, message: WatchResponse) -> WatchResponse {
         match (self.injected_bug, message, &self.routers[router].watch_client) {
             (Some(InjectedBug::AppliesOverGap), WatchResponse::Change { to, change, .. }, Some(client)) => {
@@ -295,7 +295,7 @@
         }
     }
 
-    /// Gives a watch client an input and carries out its outputs.
+    /// Passes an input to a watch client and executes the resulting outputs.
     fn input_to_router(&mut self, router: usize, input: Input) {
         let now = self.now + CLOCK_OFFSET;
         let Some(client) = &mut self.routers[router].watch_client else { return };
@@ -335,7 +335,7 @@
         }
     }
 
-    /// Shows the oracle the configuration of a router, if it has changed.
+    /// Reports the configuration of a router to the oracle if it has changed since the last report.
     fn observe_router(&mut self, router: usize) {
         let node = address(self.router_index(router)).0;
         let this = &mut self.routers[router];
