--- a/simulation/src/disk.rs
+++ b/simulation/src/disk.rs
@@ -1,12 +1,12 @@
-//! A simulated disk of records: writes are queued, the queue is written and synced as one block, and after a crash the block in
-//! progress is present as a whole or absent, as its checksum ensures on a real disk.
+//! A simulated disk of records. Writes are queued, and the queue is written and synced as one block. After a crash the block in
+//! progress is either present as a whole or absent; on a real disk the block's checksum ensures this.
 
 use std::collections::VecDeque;
 
 use ivyhatch_control::storage::durable_state::DurableState;
 use ivyhatch_control::{Record, WriteToken};
 
-/// A machine's disk and the writes of its process.
+/// A machine's disk: the durable records, the queued writes and the block in progress.
 #[derive(Debug, Default)]
 pub struct Disk {
     stored: DurableState,
@@ -14,28 +14,28 @@
     block_in_progress: Vec<(WriteToken, Vec<Record>)>,
 }
 
-/// What becomes of the block in progress when the process ends.
+/// The state of the block in progress after the process has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BlockOutcome {
-    /// It reached the disk, though no completion was reported.
+    /// The block is durable, although no completion was reported.
     Durable,
-    /// It is absent or torn, and so discarded.
+    /// The block is absent or torn, and is therefore discarded.
     Lost,
 }
 
 impl Disk {
-    /// The durable records.
+    /// The state that the durable records add up to.
     pub fn stored(&self) -> &DurableState {
         &self.stored
     }
 
-    /// Queues a write.
+    /// Queues a write. Its token is returned by [`Self::complete_write`] once the records are durable.
     pub fn enqueue(&mut self, token: WriteToken, records: Vec<Record>) {
         self.queue.push_back((token, records));
     }
 
-    /// Starts to write the whole queue as one block. Returns whether a write has started: false where one is in progress or the
-    /// queue is empty.
+    /// Starts to write the whole queue as one block. Returns false, without starting a write, if a write is in progress or the queue is
+    /// empty.
     pub fn start_write(&mut self) -> bool {
         if !self.block_in_progress.is_empty() || self.queue.is_empty() {
             return false;
@@ -55,7 +55,7 @@
         tokens
     }
 
-    /// Ends the process: its queue is lost, and the block in progress is durable or lost.
+    /// Handles the end of the process: the queue is lost, and the block in progress is durable or lost according to `fate`.
     pub fn crash(&mut self, fate: BlockOutcome) {
         self.queue.clear();
         match fate {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Replaces the disk by an empty one.
+    /// Replaces the disk with an empty one. The queue and the block in progress are lost as well.
     pub fn wipe(&mut self) {
         *self = Self::default();
     }
--- a/simulation/src/plan/coordination.rs
+++ b/simulation/src/plan/coordination.rs
@@ -1,11 +1,11 @@
-//! Random plans with applications' callers beside the operators: the faults of other plans, and few operations.
+//! Random plans with applications' callers in addition to the operators: faults as in other plans, and few operations of operators.
 
 use super::Plan;
 use crate::random::Random;
 
-/// The most operations of operators beside the calls.
+/// The maximum number of operators' operations in a plan with callers.
 const MAX_OPERATIONS: usize = 8;
-/// Keeps the draws of this module apart from those of the plan that it begins with.
+/// Separates the generator of this module from the one of [`Plan::random`] for the same seed.
 const SEED_MASK: u64 = 0x636f_6f72_6469_6e61;
 
 impl Plan {
--- a/simulation/src/plan/extended.rs
+++ b/simulation/src/plan/extended.rs
@@ -1,5 +1,6 @@
-//! Plans with further faults: routers that restart while they are partitioned, full disks, long bursts of changes, responses that
-//! operators never receive, and members that are away one over another until there is no quorum. They are drawn from a generator of their own, so that [`Plan::random`] keeps the plan of each seed.
+//! Plans with further faults: routers that restart while they are partitioned, full disks, long bursts of changes, lost responses to
+//! operators, and overlapping failures of members until there is no quorum. These faults are drawn from a separate generator, so that
+//! [`Plan::random`] still returns the same plan for each seed.
 
 use super::generate::{FAULTS_BEGIN_MS, SHORTEST_FAULT_MS, random_subset};
 use super::{
@@ -15,9 +16,9 @@
 const BURST_BEGINS_MS: u64 = 4_000;
 /// The time between two changes of a burst, unless the operator waits for a response.
 const BURST_INTERVAL_MS: u64 = 20;
-/// The end of all faults of a plan with a burst: late enough that most changes come before the last fault.
+/// The end of all faults of a plan with a burst, late enough that most changes are sent before the last fault.
 const BURST_FAULTS_END_MS: u64 = 18_000;
-/// Members that are away one over another begin to be so within half of this, and are away for half of it at least.
+/// Overlapping failures of members begin within half of this time of each other, and last for at least half of it.
 const OVERLAP_MS: u64 = 3_000;
 /// The operator that sends the burst.
 const BURST_OPERATOR: usize = 0;
@@ -45,8 +46,8 @@
         plan
     }
 
-    /// A majority of the members is away one over another, each in its own way, with their disks kept: the group rests until they
-    /// are back, and loses nothing.
+    /// Adds overlapping failures of a majority of the members, each of a random kind that keeps the disk. The group has no quorum until
+    /// enough members are back, and must lose no state.
     fn add_overlapping_losses(&mut self, random: &mut Random) {
         let majority = self.members as u64 / 2 + 1;
         let count = random.between(majority, self.members as u64);
@@ -65,8 +66,8 @@
         }
     }
 
-    /// A router is partitioned from some or all members, and its process restarts meanwhile. Sometimes the only members that it
-    /// reaches are partitioned from the others themselves.
+    /// Adds a partition of a router from some or all members, and a restart of its process during the partition. In some plans the only
+    /// members that the router reaches are themselves partitioned from the other members.
     fn add_restart_while_partitioned(&mut self, random: &mut Random) {
         let router = random.below(self.routers as u64) as usize;
         let at_ms = random.between(FAULTS_BEGIN_MS, self.faults_end_ms - 1_500);
@@ -86,7 +87,8 @@
         });
     }
 
-    /// Draws the members that a router cannot reach. Where it reaches a minority, that minority is partitioned from the rest.
+    /// Draws the members that a router cannot reach. In some plans the router reaches only a minority, which is then partitioned from the
+    /// other members as well.
     fn add_unreachable_members(&mut self, random: &mut Random, at_ms: u64, duration_ms: u64) -> NodeSet {
         let minority = self.members.saturating_sub(1) as u64 / 2;
         if minority == 0 || !random.chance_percent(40) {
@@ -112,8 +114,8 @@
         self.faults.push(ScheduledFault { trigger: FaultTrigger::At(at_ms), fault, duration_ms });
     }
 
-    /// One operator sends a long sequence of changes, as fast as they are answered; near its end processes restart, disks are lost or
-    /// a machine is replaced.
+    /// Adds a long sequence of changes by one operator, each sent as soon as the previous one has its response. Near the end of the
+    /// faults, processes restart, disks are lost or a machine is replaced.
     fn add_burst(&mut self, random: &mut Random) {
         self.faults_end_ms = BURST_FAULTS_END_MS;
         self.faults.truncate(1);
--- a/simulation/src/plan/fault.rs
+++ b/simulation/src/plan/fault.rs
@@ -2,7 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Recorded runs store some structs as JSON arrays of their fields. This derives both conversions from the field list.
+/// Implements the conversions of a struct to and from the tuple of its fields, in the order of the field list. Recorded runs store such
+/// a struct as a JSON array.
 macro_rules! stored_as_array {
     ($name:ident($($field:ident: $type:ty),+)) => {
         impl From<($($type),+)> for $name {
@@ -19,7 +20,7 @@
     };
 }
 
-/// A set of member slots, stored as a bit mask.
+/// A set of member slots, stored as a bit mask: bit `n` is slot `n`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct NodeSet(pub u64);
@@ -51,13 +52,13 @@
 /// A fault with its trigger and its duration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScheduledFault {
-    /// When it begins.
+    /// When the fault begins.
     #[serde(rename = "when")] // wire name
     pub trigger: FaultTrigger,
-    /// The fault.
+    /// The kind of fault, with the members or routers that it affects.
     #[serde(rename = "what")] // wire name
     pub fault: Fault,
-    /// How long it lasts; cut short at the plan's `faults_end_ms`.
+    /// The duration in milliseconds; the fault ends no later than the plan's `faults_end_ms`.
     #[serde(rename = "for_ms")] // wire name
     pub duration_ms: u64,
 }
@@ -65,38 +66,39 @@
 /// When a fault begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FaultTrigger {
-    /// At this time, in milliseconds.
+    /// At this virtual time, in milliseconds.
     At(u64),
     /// After a number of acknowledged changes.
     #[serde(rename = "Taken")] // wire name
     AfterAcknowledgements(AcknowledgementTrigger),
 }
 
-/// A trigger that waits for operators' changes (configurations and evacuations) to be acknowledged.
+/// A trigger by the number of acknowledged changes, which are configurations and evacuations of operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct AcknowledgementTrigger {
-    /// Changes that were acknowledged.
+    /// The number of acknowledged changes at which the trigger fires.
     pub count: u64,
-    /// Time from the last of them to the fault.
+    /// The time from the last of these acknowledgements to the fault, in milliseconds.
     pub delay_ms: u64,
 }
 stored_as_array!(AcknowledgementTrigger(count: u64, delay_ms: u64));
 
-/// A fault. Members and routers are numbered from 0; a member's number is its slot, whichever machine holds it.
+/// A kind of fault. Members and routers are numbered from 0. A member's number is its slot, which is independent of the machine that
+/// currently holds the slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Fault {
-    /// The processes are killed; their files stay.
+    /// The processes are killed; their disks are kept.
     Kill(NodeSet),
-    /// The machines lose power: writes that are not synced are lost, and peers notice only by timeouts.
+    /// The machines lose power: unsynced writes are lost, and peers detect the failure only by timeouts.
     #[serde(rename = "Power")] // wire name
     PowerLoss(NodeSet),
-    /// Machines lose their disks, and others their power at the same moment.
+    /// Some machines lose their disks, and others lose power at the same time.
     #[serde(rename = "Wipe")] // wire name
     DiskLoss(DiskLoss),
-    /// The processes are suspended and resumed.
+    /// The processes are suspended, and resume when the fault ends.
     Freeze(NodeSet),
-    /// Messages in one direction between two members are lost.
+    /// All messages in one direction between two members are lost.
     #[serde(rename = "OneWay")] // wire name
     OneWayPartition(Link),
     /// The members are partitioned from all other machines.
@@ -105,7 +107,7 @@
     /// A router is partitioned from some members.
     #[serde(rename = "Aside")] // wire name
     RouterPartition(RouterPartition),
-    /// The process of this router is killed.
+    /// The process of this router is killed, and restarts when the fault ends.
     #[serde(rename = "Follower")] // wire name
     RouterKill(usize),
     /// Writes to some disks are slow.
@@ -117,42 +119,42 @@
     /// These disks are full: each write fails and is retried.
     #[serde(rename = "Full")] // wire name
     FullDisk(NodeSet),
-    /// All links lose, duplicate and reorder messages.
+    /// All links lose, duplicate and reorder messages at these rates.
     #[serde(rename = "Unruly")] // wire name
     UnreliableLinks(LinkFaultRates),
     /// The machine of a slot is replaced by one with an empty disk and another address.
     Replace(Replacement),
 }
 
-/// The members of a disk loss.
+/// The members affected by a disk loss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(NodeSet, NodeSet)", into = "(NodeSet, NodeSet)")]
 pub struct DiskLoss {
-    /// Those that lose their disks, and their power with them.
+    /// The members that lose their disks and their power.
     pub disks: NodeSet,
-    /// Those that lose power alone.
+    /// The members that lose power but keep their disks.
     pub power_only: NodeSet,
 }
 stored_as_array!(DiskLoss(disks: NodeSet, power_only: NodeSet));
 
-/// One direction between two members.
+/// One direction of the link between two members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(usize, usize)", into = "(usize, usize)")]
 pub struct Link {
-    /// The sender.
+    /// The slot of the sending member.
     pub from: usize,
-    /// The receiver.
+    /// The slot of the receiving member.
     pub to: usize,
 }
 stored_as_array!(Link(from: usize, to: usize));
 
-/// A router and the members that it cannot reach, in either direction.
+/// A router, and the members from which it is partitioned in both directions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(usize, NodeSet)", into = "(usize, NodeSet)")]
 pub struct RouterPartition {
-    /// The router.
+    /// The router's number.
     pub router: usize,
-    /// The members.
+    /// The slots of the unreachable members.
     pub members: NodeSet,
 }
 stored_as_array!(RouterPartition(router: usize, members: NodeSet));
@@ -161,14 +163,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(NodeSet, u64)", into = "(NodeSet, u64)")]
 pub struct SlowDisk {
-    /// The members.
+    /// The slots of the members.
     pub members: NodeSet,
-    /// The time of a write.
+    /// The minimum duration of a write, in milliseconds.
     pub write_ms: u64,
 }
 stored_as_array!(SlowDisk(members: NodeSet, write_ms: u64));
 
-/// How unreliable links are.
+/// The fault rates of unreliable links.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64, u64)", into = "(u64, u64, u64)")]
 pub struct LinkFaultRates {
@@ -176,31 +178,31 @@
     pub lost_percent: u64,
     /// The percentage of messages that arrive twice.
     pub duplicated_percent: u64,
-    /// The percentage of messages that are delayed beyond later ones.
+    /// The percentage of messages that are delayed, so that later ones may arrive first.
     pub reordered_percent: u64,
 }
 stored_as_array!(LinkFaultRates(lost_percent: u64, duplicated_percent: u64, reordered_percent: u64));
 
-/// The replacement of a machine.
+/// The replacement of the machine that holds a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(usize, ReplacementKind)", into = "(usize, ReplacementKind)")]
 pub struct Replacement {
     /// The slot whose machine is replaced.
     pub slot: usize,
-    /// In which order the two machines come and go.
+    /// The order in which the old machine stops and the new one starts.
     pub kind: ReplacementKind,
 }
 stored_as_array!(Replacement(slot: usize, kind: ReplacementKind));
 
-/// In which order a machine and its replacement come and go.
+/// The order in which a machine stops and its replacement starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, strum::EnumIter)]
 pub enum ReplacementKind {
-    /// The machine fails without notice, and its replacement starts later.
+    /// The machine fails permanently without a shutdown, and its replacement starts later.
     #[serde(rename = "Gone")] // wire name
     Failed,
-    /// The replacement starts first, then the machine gets a shutdown signal.
+    /// The replacement starts first, then the machine receives a shutdown signal.
     Planned,
-    /// The machine is partitioned from all others, its replacement starts, and later the machine comes back with its disk.
+    /// The machine is partitioned from all others, its replacement starts, and later the machine is reachable again with its disk.
     #[serde(rename = "Returns")] // wire name
     Partitioned,
 }
--- a/simulation/src/plan/generate.rs
+++ b/simulation/src/plan/generate.rs
@@ -7,20 +7,20 @@
 };
 use crate::random::Random;
 
-/// No fault begins earlier: the group has formed by then.
+/// The earliest start of a fault, late enough that the group has formed.
 pub(super) const FAULTS_BEGIN_MS: u64 = 5_000;
-/// A fault begins this long before the end of all faults, or earlier.
+/// A fault begins at least this long before the end of all faults.
 pub(super) const SHORTEST_FAULT_MS: u64 = 500;
-/// The operators go on for this long after the last fault.
+/// Operations are scheduled until this long after the last fault.
 const OPERATIONS_AFTER_FAULTS_MS: u64 = 2_000;
-/// A fault of this duration lasts until the plan's `faults_end_ms`.
+/// A fault duration longer than any plan's faults, so that the fault lasts until the plan's `faults_end_ms`.
 const UNTIL_FAULTS_END_MS: u64 = 20_000;
-/// The operator that reads beside the two that change the configuration.
+/// The operator that only reads the configuration; operators 0 and 1 change it.
 const READING_OPERATOR: usize = 2;
-/// The operator that evacuates a zone and ends the evacuation in turn.
+/// The operator that alternately starts and ends the evacuation of a zone.
 const EVACUATING_OPERATOR: usize = 3;
 
-/// `count` different members out of `members`, at most all of them.
+/// A random set of `count` distinct members out of `members`, or all of them if `count` is larger.
 pub(super) fn random_subset(random: &mut Random, members: usize, count: u64) -> NodeSet {
     let mut mask = 0;
     while u64::from(u64::count_ones(mask)) < count.min(members as u64) {
@@ -29,7 +29,7 @@
     NodeSet(mask)
 }
 
-/// A trigger shortly after a random number of acknowledged changes.
+/// A trigger less than `delay_end_ms` after a random number of acknowledged changes, from 2 to `max_count`.
 fn after_acknowledgements(random: &mut Random, max_count: u64, delay_end_ms: u64) -> FaultTrigger {
     let count = random.between(2, max_count);
     let delay_ms = random.below(delay_end_ms);
@@ -68,8 +68,7 @@
         plan
     }
 
-    /// Faults of a group of several members. A loss that would exceed the tolerated disk losses is postponed while the plan is
-    /// played.
+    /// The faults of a group of several members. A loss that would exceed the tolerated disk losses is postponed during the run.
     fn group_faults(&self, random: &mut Random) -> Vec<ScheduledFault> {
         let count = random.between(1, 5);
         let mut faults: Vec<ScheduledFault> = (0..count).map(|_| self.random_fault(random)).collect();
@@ -85,7 +84,7 @@
         faults
     }
 
-    /// Faults of a group of one, which survives restarts and a planned replacement only.
+    /// The faults of a group with a single member, which keeps its state only through restarts and planned replacements.
     fn single_member_faults(&self, random: &mut Random) -> Vec<ScheduledFault> {
         let kills = random.below(3);
         let mut faults: Vec<ScheduledFault> = (0..kills).map(|_| self.random_restart(random)).collect();
@@ -155,13 +154,13 @@
         }
     }
 
-    /// From one member up to half of them.
+    /// A random set of members, from one member up to half of them.
     fn random_minority(&self, random: &mut Random) -> NodeSet {
         let count = random.between(1, (self.members as u64 / 2).max(1));
         random_subset(random, self.members, count)
     }
 
-    /// A replacement of a random member's machine. A group of one loses its state unless the replacement is planned.
+    /// A replacement of a random member's machine. In a group with a single member the replacement is planned, since others lose state.
     pub(super) fn random_replacement(&self, random: &mut Random) -> ScheduledFault {
         let kinds = [ReplacementKind::Failed, ReplacementKind::Planned, ReplacementKind::Partitioned];
         let drawn = kinds[random.below(3) as usize];
@@ -179,7 +178,7 @@
         ScheduledFault { trigger, fault: Fault::Replace(Replacement { slot, kind }), duration_ms }
     }
 
-    /// A loss of as many disks as are tolerated or fewer; in half of the cases all other members lose power.
+    /// A loss of one up to the tolerated number of disks; in half of the cases all other members lose power at the same time.
     pub(super) fn random_disk_loss(&self, random: &mut Random) -> ScheduledFault {
         let count = random.between(1, self.tolerated_disk_losses.max(1) as u64);
         let disks = random_subset(random, self.members, count);
@@ -205,7 +204,7 @@
     operations
 }
 
-/// Two operators change and read the configuration, often at the same moment.
+/// Adds operations of two operators that change and read the configuration, often at nearly the same time.
 fn add_racing_operations(operations: &mut Vec<ScheduledOperation>, random: &mut Random, end_ms: u64) {
     let mut at_ms = 4_000;
     while at_ms < end_ms {
@@ -225,7 +224,7 @@
     }
 }
 
-/// Reads of an operator of their own, so that some run while another operator's change is in flight.
+/// Adds reads by a separate operator, so that some reads are in flight together with another operator's change.
 fn add_reads(operations: &mut Vec<ScheduledOperation>, random: &mut Random, end_ms: u64) {
     let mut at_ms = 4_500;
     while at_ms < end_ms {
@@ -235,8 +234,8 @@
     }
 }
 
-/// One zone is evacuated and restored in turn. A request that its operator gave up on may still be applied while it is in flight, so
-/// the next one on that zone comes seconds later.
+/// Adds evacuations of one zone and their ends, alternately. A request that timed out at its operator may still be in flight and be
+/// applied, so the next request for that zone is sent seconds later.
 fn add_evacuations(operations: &mut Vec<ScheduledOperation>, random: &mut Random, end_ms: u64) {
     let mut at_ms = random.between(4_000, 7_000);
     let zone = random.below(3) as usize;
--- a/simulation/src/plan/mod.rs
+++ b/simulation/src/plan/mod.rs
@@ -1,7 +1,7 @@
-//! The plan of a run: the size of the system, the operators' operations, and the faults with their times. A plan can be stored as
-//! JSON, read back, and reduced item by item.
+//! The plan of a run, which is one scenario: the size of the system, the operators' operations, and the faults with their triggers. A
+//! plan can be stored as JSON, read back, and shrunk item by item.
 //!
-//! The JSON names are those of recorded runs and stay as they are; where the code has another name, serde renames it.
+//! The JSON names occur in recorded runs and must not change; where the code uses another name, a serde attribute keeps the JSON name.
 
 mod coordination;
 mod extended;
@@ -17,29 +17,29 @@
 };
 pub use mutation::{MessageMutation, MutationKind};
 
-/// After the last fault the system has this long to converge: `recover_s` of the deployments, and the time of the operators' last
-/// operations.
+/// The time from the end of the last fault to the end of the run, in which the system must converge: `recover_s` in the deployment
+/// files, plus the time of the operators' last operations.
 pub const RECOVERY_MS: u64 = 12_000;
 
 /// The plan of one run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Seeds message delays, process ids and everything else that is drawn while the plan is played.
+    /// The seed of message delays, process ids and all other random numbers of the run.
     pub seed: u64,
-    /// Control nodes, each with a disk; they are numbered from 0.
+    /// The number of control nodes, each with a disk; nodes are numbered from 0.
     pub members: usize,
-    /// Disks that may be lost at once.
+    /// The number of disks that may be lost at once without loss of state; faults that exceed it are postponed.
     #[serde(rename = "tolerate")] // wire name
     pub tolerated_disk_losses: usize,
-    /// Routers, each with a watch client; they are numbered from 0.
+    /// The number of routers, each with a watch client; routers are numbered from 0.
     #[serde(rename = "followers")] // wire name
     pub routers: usize,
-    /// All faults have ended by then; the run ends [`RECOVERY_MS`] later.
+    /// The time in milliseconds by which all faults have ended; the run ends [`RECOVERY_MS`] later.
     pub faults_end_ms: u64,
-    /// The operators' operations.
+    /// The operators' operations, with their start times.
     #[serde(rename = "orders")] // wire name
     pub operations: Vec<ScheduledOperation>,
-    /// The faults.
+    /// The faults, with their triggers and durations.
     pub faults: Vec<ScheduledFault>,
     /// The mutation of a single message, if any.
     #[serde(default)]
@@ -47,7 +47,7 @@
     /// The percentage of responses to operators that are lost until `faults_end_ms`.
     #[serde(default, rename = "lost_answers")] // wire name
     pub lost_response_percent: u64,
-    /// Applications' callers; they are numbered from 0. Without any, nodes have no partitions for them.
+    /// The number of applications' callers; callers are numbered from 0. If 0, nodes have no coordination partitions.
     #[serde(default)]
     pub callers: usize,
 }
@@ -55,23 +55,23 @@
 /// An operation and its time. An operator has one operation in flight and retries it until it has a definite response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScheduledOperation {
-    /// The earliest start; the operation waits for the operator's earlier ones.
+    /// The earliest start, in milliseconds; the operation also waits for the operator's earlier operations.
     pub at_ms: u64,
     /// The operator, numbered from 0.
     pub operator: usize,
-    /// The operation.
+    /// What the operator requests.
     #[serde(rename = "what")] // wire name
     pub operation: PlannedOperation,
 }
 
-/// An operation as a plan names it. Its revision and its base follow from the operations before it in the run.
+/// An operation as a plan describes it. Its revision and base are determined during the run, by the operations before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlannedOperation {
     /// Replaces the configuration, on top of the newest revision that any operator knows.
     Put,
     /// Changes one route, on top of the newest revision that any operator knows.
     Patch,
-    /// Replaces the configuration by one whose routes name an unknown service.
+    /// Attempts to replace the configuration with an invalid one, whose routes name an unknown service.
     Invalid,
     /// Reads the configuration.
     Read,
@@ -83,12 +83,12 @@
 }
 
 impl Plan {
-    /// Machines that replace another one during the run.
+    /// The number of machines that replace another one during the run.
     pub fn replacement_count(&self) -> usize {
         self.faults.iter().filter(|scheduled| matches!(scheduled.fault, Fault::Replace(_))).count()
     }
 
-    /// All machines of control nodes: the first members, then the replacements in the order in which they start.
+    /// The number of machines of control nodes: the initial members, then the replacements in the order of their faults' start.
     pub fn machine_count(&self) -> usize {
         self.members + self.replacement_count()
     }
@@ -98,7 +98,7 @@
         Self { faults: Vec::new(), ..self }
     }
 
-    /// The end of the run.
+    /// The end of the run, in milliseconds of virtual time.
     pub fn end_ms(&self) -> u64 {
         self.faults_end_ms + RECOVERY_MS
     }
--- a/simulation/src/plan/mutation.rs
+++ b/simulation/src/plan/mutation.rs
@@ -2,12 +2,12 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A mutation of one message, named by its number in the order in which messages are sent.
+/// A mutation of one message, identified by its number in the order in which messages are sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MessageMutation {
     /// The message's number, from 1.
     pub message: u64,
-    /// What happens to it.
+    /// What happens to the message.
     #[serde(rename = "how")] // wire name
     pub kind: MutationKind,
 }
@@ -15,13 +15,13 @@
 /// What happens to a mutated message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, strum::EnumIter)]
 pub enum MutationKind {
-    /// It is lost.
+    /// The message is lost.
     Dropped,
-    /// It arrives twice.
+    /// The message arrives twice.
     #[serde(rename = "Doubled")] // wire name
     Duplicated,
-    /// It arrives after later ones.
+    /// The message arrives after messages that were sent later.
     Delayed,
-    /// The previous message of its link arrives in its place.
+    /// The previous message in the same direction of the link arrives instead.
     Replaced,
 }
--- a/simulation/src/random.rs
+++ b/simulation/src/random.rs
@@ -10,7 +10,7 @@
 pub struct Random(u64);
 
 impl Random {
-    /// A generator at the start of the seed's sequence.
+    /// A generator at the start of the sequence of `seed`.
     pub fn new(seed: u64) -> Self {
         Self(hash_mix(seed ^ GOLDEN_GAMMA))
     }
@@ -37,23 +37,23 @@
     }
 }
 
-/// What a keyed random number is used for. Each use has numbers of its own, so that leaving out one event of a run does not change
-/// what is drawn for the others.
+/// The use of a keyed random number. Each use has an independent sequence, so leaving out an event of a run does not change the
+/// numbers that are drawn for other events. The discriminants are part of the key and must not change.
 #[derive(Clone, Copy, Debug)]
 pub enum Stream {
-    /// Everything that is drawn in the order of events; the key counts the draws.
+    /// Numbers that are drawn in the order of events; the key is the count of draws.
     Events = 1,
-    /// The variation of a message's delay; the key is its link and its position on that link.
+    /// The jitter of a message's delay; the key is the link and the message's position on that link.
     MessageDelay = 2,
-    /// The base delay of a link; the key is its two ends.
+    /// The base delay of a link; the key is its two endpoints in ascending order.
     LinkDelay = 3,
-    /// Whether a message is lost, duplicated or reordered; the seed is the message's own delay draw.
+    /// Whether a message is lost, duplicated or reordered; the seed is the number drawn for the message's delay.
     MessageFault = 4,
-    /// The random id of a process; the key is its machine and its incarnation.
+    /// The random id of a process; the key is its machine and incarnation.
     ProcessId = 5,
 }
 
-/// A number that is a function of the seed, the stream and the key alone.
+/// A random number that depends only on the seed, the stream and the key.
 pub fn keyed_random(seed: u64, stream: Stream, key: [u64; 3]) -> u64 {
     let [first, second, third] = key;
     [stream as u64, first, second, third]
--- a/simulation/src/randomized_search/shrink.rs
+++ b/simulation/src/randomized_search/shrink.rs
@@ -3,7 +3,7 @@
 use super::{RecordedRun, find_violation};
 use crate::plan::{DiskLoss, Fault, FaultTrigger, Plan, ScheduledFault};
 
-/// Reduces the plan of a recorded run step by step, until no smaller plan violates the same invariant.
+/// Reduces the plan of a recorded run step by step, until no single reduction still violates the same invariant.
 pub fn shrink(recorded: RecordedRun) -> RecordedRun {
     let mut best = recorded;
     while let Some(smaller) = smaller_violation(&best) {
@@ -12,7 +12,7 @@
     best
 }
 
-/// The first smaller plan that violates the same invariant.
+/// The run of the first smaller plan that violates the same invariant; `None` if no smaller plan does.
 fn smaller_violation(recorded: &RecordedRun) -> Option<RecordedRun> {
     let violates = |plan: Plan| {
         find_violation(plan, recorded.injected_bug)
@@ -21,7 +21,7 @@
     smaller_plans(&recorded.plan).into_iter().find_map(violates)
 }
 
-/// All plans that are one reduction smaller, those with the largest reductions first.
+/// All plans that are one reduction smaller: removed operations first, then removed and reduced faults, then other parts.
 fn smaller_plans(plan: &Plan) -> Vec<Plan> {
     let mut smaller = without_operations(plan);
     for number in 0..plan.faults.len() {
@@ -47,7 +47,7 @@
     smaller
 }
 
-/// The plan without runs of consecutive operations: halves first, then quarters, down to single ones.
+/// Plans without some consecutive operations: without each half first, then without each quarter, down to single operations.
 fn without_operations(plan: &Plan) -> Vec<Plan> {
     let mut smaller = Vec::new();
     let count = plan.operations.len();
@@ -69,7 +69,7 @@
     changed
 }
 
-/// A fault with half of its duration, with one member less, or with a trigger without delay.
+/// Variants of a fault: with half of its duration, with one member less, or with a trigger without delay.
 fn smaller_faults(scheduled: &ScheduledFault, members: usize) -> Vec<ScheduledFault> {
     let mut smaller = vec![ScheduledFault { duration_ms: scheduled.duration_ms / 2, ..scheduled.clone() }];
     for slot in 0..members {
--- a/simulation/src/search/cluster.rs
+++ b/simulation/src/search/cluster.rs
@@ -1,4 +1,4 @@
-//! The state of a search: the nodes, the messages in flight, and what was committed.
+//! The state of a search: the nodes, the messages in flight, and the committed contents.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -8,23 +8,23 @@
 use super::member::Member;
 use super::{Budget, FIRST_GENERATION, InFlight, ProtocolBug, Step, replica_id};
 
-/// The nodes of one partition, the messages between them, and what was committed.
+/// A state of the search: the nodes of one partition, the messages in flight between them, and the committed contents.
 #[derive(Clone, Debug)]
 pub struct Cluster {
     pub(super) members: Vec<Member>,
-    /// All memberships that were decided, by generation.
+    /// All decided memberships, in ascending order of their generations.
     pub(super) memberships: Vec<Membership>,
     pub(super) messages: Vec<InFlight>,
-    /// The digest of the contents that were committed with each change.
+    /// The digest of the committed contents after each committed sequence number.
     pub(super) committed: BTreeMap<u64, u64>,
     pub(super) budget: Budget,
-    /// The node that has lost its disk; a search has one at most.
+    /// The node that has lost its disk; an interleaving has at most one such node.
     pub(super) lost_disk: Option<usize>,
     pub(super) bug: ProtocolBug,
 }
 
 impl Cluster {
-    /// A cluster without a leader: `voters` nodes that vote, and `spare_nodes` more that may replace one of them.
+    /// A cluster without a leader, of `voters` nodes that vote and `spare_nodes` additional nodes that may replace a voter.
     pub fn new(voters: usize, spare_nodes: usize, budget: Budget) -> Self {
         let voter = |number| Voter {
             replica: replica_id(number, 1),
@@ -47,7 +47,7 @@
         }
     }
 
-    /// A cluster whose node 0 leads: its election is complete, and no message is in flight.
+    /// A cluster in which node 0 is leader: the election is complete and not charged to `budget`, and no message is in flight.
     pub fn with_leader(voters: usize, spare_nodes: usize, budget: Budget) -> Self {
         let budget_with_election = Budget { elections: budget.elections + 1, ..budget };
         let mut cluster = Self::new(voters, spare_nodes, budget_with_election);
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The same cluster with an injected bug.
+    /// The same cluster with this bug injected.
     #[must_use]
     pub fn with_bug(self, bug: ProtocolBug) -> Self {
         Self { bug, ..self }
@@ -75,29 +75,29 @@
         &self.messages
     }
 
-    /// Whether a node votes now.
+    /// Whether a node may vote now: its replica is a voter and has its state.
     pub fn votes(&self, number: usize) -> bool {
         self.members[number].votes()
     }
 
-    /// Whether a node leads.
+    /// Whether a node is the leader of its partition.
     pub fn leads(&self, number: usize) -> bool {
         self.members[number].partition.leader_ballot().is_some()
     }
 
-    /// Applies an enabled step. Returns the violation that it causes, if any.
+    /// Applies a step that must be in [`Self::enabled_steps`]. Returns a description of the violation that the step causes, if any.
     pub fn apply(&mut self, step: Step) -> Option<String> {
         let violation = self.transition(step);
         self.drop_ineffective_messages();
         violation
     }
 
-    /// The newest membership that was decided.
+    /// The newest decided membership, whether or not any node has adopted it.
     pub(super) fn newest_membership(&self) -> &Membership {
         &self.memberships[self.memberships.len() - 1]
     }
 
-    /// Drops messages that would change nothing on arrival, which keeps the number of states small.
+    /// Drops messages that would have no effect on arrival, to keep the number of states small.
     fn drop_ineffective_messages(&mut self) {
         let (members, bug) = (&self.members, self.bug);
         self.messages.retain(|in_flight| {
@@ -122,7 +122,7 @@
         });
     }
 
-    /// A hash of the state. Equal states have equal fingerprints whatever the order of their messages.
+    /// A hash of the state. The order of the messages in flight does not affect the fingerprint.
     pub(super) fn fingerprint(&self) -> u64 {
         let mut message_hashes: Vec<u64> = self.messages.iter().map(hash_of).collect();
         message_hashes.sort_unstable();
--- a/simulation/src/search/enabled_steps.rs
+++ b/simulation/src/search/enabled_steps.rs
@@ -2,7 +2,7 @@
 
 use super::{Cluster, Step, node_id, node_number};
 
-/// Of the first voters only this many start elections: the others are alike.
+/// Only this many of the first voters start elections; the other first voters are symmetric to them.
 const CANDIDATES: usize = 2;
 
 impl Cluster {
@@ -20,8 +20,8 @@
         steps
     }
 
-    /// The replacements that could be decided now: a replica that is no voter takes the place of its own node's voter, or of any
-    /// other if its node has none.
+    /// The replacements that may be decided now: a replica that is not a voter replaces the voter of its own node, or any voter if its
+    /// node has none.
     fn membership_decisions(&self) -> Vec<Step> {
         let newest = self.newest_membership();
         let is_voter = |number: usize| newest.voter(self.members[number].replica).is_some();
@@ -40,7 +40,7 @@
         steps
     }
 
-    /// Completed writes, proposals and elections of a node.
+    /// Adds the write completions, proposals and elections that are enabled at a node.
     fn add_consensus_steps(&self, number: usize, steps: &mut Vec<Step>) {
         let member = &self.members[number];
         let votes = member.votes();
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Adoption of the newest membership, and state transfers to a node that joins it.
+    /// Adds the adoption of the newest membership by a node, and state transfers to the node if it joins that membership.
     fn add_membership_steps(&self, number: usize, steps: &mut Vec<Step>) {
         let member = &self.members[number];
         let generation = member.membership.generation;
--- a/simulation/src/search/explore.rs
+++ b/simulation/src/search/explore.rs
@@ -4,38 +4,38 @@
 
 use super::{Cluster, Step};
 
-/// The steps to a state that violates an invariant.
+/// The steps from the initial state to a violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Counterexample {
-    /// The steps from the initial state; no shorter sequence violates an invariant.
+    /// The steps from the initial state, including the violating one; no shorter sequence violates an invariant.
     pub steps: Vec<Step>,
-    /// The violation.
+    /// A description of the violation.
     pub violation: String,
 }
 
 /// The result of a search.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SearchResult {
-    /// Different states that were visited.
+    /// The number of distinct states that were visited.
     pub states: usize,
-    /// Steps of the longest interleaving that was visited.
+    /// The number of steps of the longest visited interleaving.
     pub depth: usize,
-    /// The first violation, if any.
+    /// The first violation that was found; `None` if there was none within the limits.
     pub counterexample: Option<Counterexample>,
 }
 
-/// A step of a path, and the index of the step before it; a path begins at a step whose predecessor does not exist.
+/// A step of a path, and the index of the preceding step, or [`NO_PREDECESSOR`] for the first step of a path.
 #[derive(Clone, Copy)]
 struct PathStep {
     predecessor: usize,
     step: Step,
 }
 
-/// The predecessor of the first step of each path.
+/// The predecessor index of the first step of each path; no step has this index.
 const NO_PREDECESSOR: usize = usize::MAX;
 
-/// Visits all states within `max_depth` steps of an initial one, nearest first, until there is a violation or `max_states` were
-/// visited.
+/// Visits all states within `max_depth` steps of `initial` in breadth-first order, until a violation is found or `max_states` states
+/// were visited.
 pub fn search(initial: Cluster, max_depth: usize, max_states: usize) -> SearchResult {
     let mut visited = HashSet::from([initial.fingerprint()]);
     let mut path_steps: Vec<PathStep> = Vec::new();
@@ -64,7 +64,7 @@
     SearchResult { states: visited.len(), depth, counterexample: None }
 }
 
-/// The steps from the initial state up to this one.
+/// The steps from the initial state up to and including `last`.
 fn path_to(path_steps: &[PathStep], last: PathStep) -> Vec<Step> {
     let mut steps = vec![last.step];
     let mut predecessor = last.predecessor;
--- a/simulation/src/search/member.rs
+++ b/simulation/src/search/member.rs
@@ -15,27 +15,27 @@
 /// The incarnation of a node's first process.
 const FIRST_INCARNATION: u64 = 1;
 
-/// A pending write, and the message that is sent once it is durable.
+/// A pending write, and the message that is sent once the write is durable.
 #[derive(Clone, Debug)]
 pub(super) struct PendingWrite {
     pub(super) records: Vec<Record>,
     pub(super) then_send: Option<(NodeId, Envelope)>,
 }
 
-/// A node.
+/// A node with its durable and volatile state.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
     pub(super) replica: ReplicaId,
-    /// The membership that the node knows.
+    /// The membership that the node has adopted.
     pub(super) membership: Membership,
-    /// The generation for which its state transfer is complete.
+    /// The generation for which the node's state transfer is complete and durable.
     pub(super) joined_generation: Option<u64>,
     pub(super) partition: PartitionReplica,
     pub(super) incarnation: u64,
     pub(super) disk: DurableState,
     pub(super) writes: VecDeque<PendingWrite>,
     pub(super) collector: StateCollector,
-    /// The state was collected, though it may not be durable yet.
+    /// The state of a quorum was collected; its write may still be pending.
     pub(super) has_collected: bool,
 }
 
@@ -57,7 +57,7 @@
         member
     }
 
-    /// Starts a new process from the durable state. Its pending writes are lost.
+    /// Starts a new process from the durable state. The pending writes of the previous process are lost.
     pub(super) fn restart(&mut self) {
         self.incarnation += 1;
         self.writes.clear();
@@ -67,7 +67,7 @@
         self.set_membership(self.disk.membership.clone().unwrap_or_default());
     }
 
-    /// Goes on under another membership. A state transfer starts anew.
+    /// Adopts another membership. A state transfer in progress restarts.
     pub(super) fn set_membership(&mut self, membership: Membership) {
         self.membership = membership;
         self.collector = StateCollector::default();
@@ -80,24 +80,24 @@
         self.partition.set_voters(&voters, &mut Vec::new());
     }
 
-    /// Whether the replica has the state with which this voter may vote.
+    /// Whether the replica has the state that it needs to vote as `voter`.
     fn has_state_of(&self, voter: &Voter) -> bool {
         voter.joined_generation == FIRST_GENERATION || self.joined_generation == Some(voter.joined_generation)
     }
 
-    /// Whether the node votes: its replica is a voter of its membership and has its state.
+    /// Whether the node votes: its replica is a voter of the adopted membership and has its state.
     pub(super) fn votes(&self) -> bool {
         self.membership.voter(self.replica).is_some_and(|voter| self.has_state_of(voter))
     }
 
-    /// The generation in which the replica joins, if it is a voter without its state.
+    /// The generation in which the replica joins; `None` if the replica is not a voter or already has its state.
     pub(super) fn joining_generation(&self) -> Option<u64> {
         let voter = self.membership.voter(self.replica)?;
         (!self.has_state_of(voter)).then_some(voter.joined_generation)
     }
 
-    /// Whether the node may transfer its state to a new voter of its membership: it voted in the generation before, and all of its
-    /// state is durable.
+    /// Whether the node may transfer its state to a new voter of its membership: the node was a voter of the previous generation with
+    /// its state, and all of its state is durable.
     pub(super) fn can_transfer_state(&self) -> bool {
         let voter = self.membership.previous_voter(self.replica);
         voter.is_some_and(|voter| self.has_state_of(voter)) && self.writes.is_empty()
--- a/simulation/src/search/mod.rs
+++ b/simulation/src/search/mod.rs
@@ -1,10 +1,10 @@
-//! Exhaustive search of the interleavings of one partition among its voters, to a given depth: every message may arrive at any time
-//! or never, every write may complete late or be lost with its process, processes may crash or lose their disks, leaders change, and
-//! a replica replaces another, with every node learning of the new membership at any time.
+//! Exhaustive search of the interleavings of one partition among its voters, to a given depth. Every message may arrive at any time
+//! or never, every write may complete late or be lost with its process, processes may crash or lose their disks, leaders may change,
+//! and one replica may replace another, where each node adopts the new membership at any time.
 //!
-//! The partition, the records, the membership and the state transfer are the real ones. A membership is decided in one step, which
-//! is all that its consensus amounts to here: nothing depends on it until a node adopts it. Left out: duplicated messages, retries,
-//! rejections (a leader that receives none goes on for longer, which is worse), forwarding, and the confirmation of reads.
+//! The partition, the records, the membership and the state transfer are the production code. A membership is decided in one step
+//! instead of by consensus, because nothing depends on the decision until a node adopts it. Not modelled: duplicated messages, retries,
+//! rejections (a leader that receives none continues for longer, which is the worse case), forwarding, and the confirmation of reads.
 
 mod cluster;
 mod enabled_steps;
@@ -18,7 +18,7 @@
 pub use cluster::Cluster;
 pub use explore::{Counterexample, SearchResult, search};
 
-/// The partition that is searched.
+/// The partition whose interleavings are searched.
 const PARTITION: PartitionId = PartitionId::CONFIGURATION;
 /// The generation of the first membership.
 const FIRST_GENERATION: u64 = 1;
@@ -28,30 +28,30 @@
 pub enum Step {
     /// The node starts an election.
     StartElection(usize),
-    /// The node, a leader that is ready, proposes a value of its own.
+    /// The node, a leader that is ready, proposes a value that no other proposal has.
     Propose(usize),
     /// The message at this position of [`Cluster::messages`] arrives.
     Deliver(usize),
-    /// The node's oldest pending write is durable.
+    /// The node's oldest pending write becomes durable.
     CompleteWrite(usize),
-    /// The node's process ends and starts again with its durable state.
+    /// The node's process ends and restarts with its durable state.
     Crash(usize),
-    /// The node crashes and loses its disk: it starts again as another replica.
+    /// The node crashes and loses its disk, then restarts as another replica.
     LoseDisk(usize),
-    /// The next membership is decided.
+    /// The next membership is decided. Nodes adopt it in steps of their own.
     DecideMembership {
         /// The node whose voter is replaced.
         replaced: usize,
-        /// The node whose present replica becomes a voter; the same node after the loss of its disk.
+        /// The node whose current replica becomes a voter; equal to `replaced` after that node has lost its disk.
         successor: usize,
     },
-    /// The node learns of the newest membership.
+    /// The node adopts the newest decided membership.
     AdoptMembership(usize),
-    /// A new voter receives the state of another node, all of which is durable there.
+    /// A new voter receives the state of another node, which has no pending writes.
     TransferState {
         /// The new voter.
         to: usize,
-        /// The node whose state it is.
+        /// The node that transfers its state.
         from: usize,
     },
 }
@@ -59,9 +59,9 @@
 /// A consensus message and the generation under which it was sent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Envelope {
-    /// The generation.
+    /// The generation of the sender's membership when the message was sent.
     pub generation: u64,
-    /// The message.
+    /// The consensus message.
     pub message: ConsensusMessage,
 }
 
@@ -72,47 +72,48 @@
     pub from: usize,
     /// The receiving node.
     pub to: usize,
-    /// The message.
+    /// The message with its generation.
     pub envelope: Envelope,
 }
 
-/// How many steps of the limited kinds an interleaving may still have.
+/// How many more steps of each limited kind an interleaving may contain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Budget {
-    /// Elections.
+    /// Remaining elections.
     pub elections: usize,
-    /// Proposals.
+    /// Remaining proposals.
     pub proposals: usize,
-    /// Crashes and lost disks.
+    /// Remaining crashes and disk losses together.
     pub failures: usize,
-    /// Replaced voters.
+    /// Remaining replacements of a voter.
     pub replacements: usize,
 }
 
-/// A bug of the protocol that is injected on purpose, to show that the search finds it.
+/// A protocol bug that tests inject to verify that the search detects it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum ProtocolBug {
     /// No bug.
     #[default]
     None,
-    /// A node that has lost its disk goes on as the replica it was, and votes. Violates invariant 3 of
+    /// A node that has lost its disk keeps its replica id and votes. Violates invariant 3 of
     /// `docs/design/control-safety.md`.
     VotesAfterDiskLoss,
     /// A new voter votes before its state transfer is complete. Violates invariant 4.
     VotesBeforeStateTransfer,
-    /// A state transfer holds accepted values and no promises. Violates invariant 4.
+    /// A state transfer contains accepted values but no promises. Violates invariant 4.
     IgnoresPromises,
-    /// A vote of another generation is counted. Violates invariant 1.
+    /// A vote under another generation is counted. Violates invariant 1.
     IgnoresGeneration,
-    /// A promise leaves out a register that the candidate lacks; its digest is that of the whole contents.
+    /// A promise omits a register that the candidate lacks, but its digest covers that register, so the candidate can detect the gap.
     PromiseOmitsRegister,
-    /// The same with a digest that hides it from the candidate. Violates invariant 4.
+    /// A promise omits a register that the candidate lacks, and its digest does too, so the candidate cannot detect the gap. Violates
+    /// invariant 4.
     DigestHidesRegister,
-    /// A state transfer has the number of the last accepted change and the contents before it. Violates invariant 4.
+    /// A state transfer has the sequence number of the last accepted change but the contents before that change. Violates invariant 4.
     SnapshotBetweenAccepts,
 }
 
-/// The address of a node.
+/// The address of the node with this number.
 fn node_id(number: usize) -> NodeId {
     NodeId(number as u32 + 1)
 }
@@ -122,7 +123,7 @@
     node.0 as usize - 1
 }
 
-/// The replica on a node's disk after it was formatted this many times.
+/// The id of the replica on a node's disk after the disk was formatted `times_formatted` times.
 fn replica_id(number: usize, times_formatted: u64) -> ReplicaId {
     ReplicaId { node: node_id(number), disk: times_formatted }
 }
--- a/simulation/src/search/transitions.rs
+++ b/simulation/src/search/transitions.rs
@@ -1,4 +1,4 @@
-//! The effect of each step of a search, and the invariants that are checked after it.
+//! The effect of each step of a search, and the invariants that are checked after the step.
 
 use ivyhatch_control::Record;
 use ivyhatch_control::consensus::partition::{CommitRecord, Effect};
@@ -11,7 +11,7 @@
 use super::{Cluster, Envelope, InFlight, PARTITION, ProtocolBug, Step, node_id, node_number};
 
 impl Cluster {
-    /// Applies a step. Returns the violation that it causes, if any.
+    /// Applies a step. Returns a description of the violation that the step causes, if any.
     pub(super) fn transition(&mut self, step: Step) -> Option<String> {
         match step {
             Step::StartElection(number) => return self.start_election(number),
@@ -80,7 +80,7 @@
         self.restart(number);
     }
 
-    /// Restarts a process. The messages to the process that has ended are lost.
+    /// Restarts a process. The messages in flight to the old process are lost.
     fn restart(&mut self, number: usize) {
         self.members[number].restart();
         self.messages.retain(|in_flight| in_flight.to != number);
@@ -107,7 +107,8 @@
         }
     }
 
-    /// Adds the state of `from` to what `to` has collected; once a quorum's is complete, `to` writes it to its disk.
+    /// Adds the state of node `from` to the states that node `to` has collected. Once `to` has the states of a quorum, it queues a write
+    /// of the merged state.
     fn transfer_state(&mut self, to: usize, from: usize) {
         let source = &self.members[from];
         let known = self.members[to].partition.committed_sequence();
@@ -136,7 +137,7 @@
         member.writes.push_back(PendingWrite { records, then_send: None });
     }
 
-    /// A message arrives. Votes of another generation are dropped; what is committed is learned under any.
+    /// Handles the arrival of a message. Messages of another generation are dropped, except commits, which are valid under any generation.
     fn receive(&mut self, from: usize, to: usize, envelope: Envelope) -> Option<String> {
         let Envelope { generation, message } = envelope;
         let member = &mut self.members[to];
@@ -164,7 +165,7 @@
         None
     }
 
-    /// Alters the contents in a promise where the bug says so.
+    /// Omits a register from the contents in a promise if the injected bug is one that does so.
     fn omit_register(&self, update: &mut StateUpdate) {
         let hides = self.bug == ProtocolBug::DigestHidesRegister;
         if !hides && self.bug != ProtocolBug::PromiseOmitsRegister {
@@ -222,8 +223,8 @@
         None
     }
 
-    /// More is committed at a node. Nothing waits for its record: it is written with the last pending write, or at once where there is
-    /// none, which keeps the number of states small.
+    /// Handles a commit at a node. Nothing waits for the commit record, so it is added to the last pending write, or is durable at once if
+    /// there is none; this keeps the number of states small.
     fn committed(&mut self, number: usize, record: CommitRecord) -> Option<String> {
         let record = match record {
             CommitRecord::Accepted(version) => Record::Committed(PARTITION, version.ballot, version.sequence),
@@ -237,26 +238,26 @@
         self.check_committed(number)
     }
 
-    /// Invariant 5 of `docs/design/control-safety.md`: one sequence number stands for one version of the contents.
+    /// Checks invariant 5 of `docs/design/control-safety.md`: a sequence number identifies one version of the contents.
     fn check_committed(&mut self, number: usize) -> Option<String> {
         let acceptor = self.members[number].partition.acceptor();
         let (sequence, digest) = (acceptor.committed().sequence, acceptor.registers().digest());
         let known = *self.committed.entry(sequence).or_insert(digest);
-        (known != digest).then(|| format!("two values under number {sequence}"))
+        (known != digest).then(|| format!("node {number}: two values under sequence number {sequence}"))
     }
 
-    /// Invariant 6 of `docs/design/control-safety.md`: the leader of the highest ballot knows what was committed before it. An earlier
-    /// leader may still take itself for ready; its proposals are rejected.
+    /// Checks invariant 6 of `docs/design/control-safety.md`: the leader with the highest ballot has every change that was committed
+    /// before. A leader with a lower ballot may still be in the ready state; its proposals are rejected.
     fn check_leader(&self, number: usize) -> Option<String> {
         let member = &self.members[number];
         let committed = self.committed.keys().next_back().copied().unwrap_or_default();
         let known = member.partition.committed_sequence();
         let is_ready = member.partition.can_propose() && member.votes();
         let is_behind = is_ready && known < committed && self.leads_highest_ballot(number);
-        is_behind.then(|| format!("leader {number} is ready at {known}, and {committed} is committed"))
+        is_behind.then(|| format!("leader {number} is ready at {known}, but {committed} is committed"))
     }
 
-    /// Whether a node leads under the newest membership that any node knows, and no node has promised a higher ballot.
+    /// Whether a node is leader under the newest membership that any node has adopted, and no node has promised a higher ballot.
     fn leads_highest_ballot(&self, number: usize) -> bool {
         let member = &self.members[number];
         let Some(ballot) = member.partition.leader_ballot() else { return false };
--- a/simulation/src/workload.rs
+++ b/simulation/src/workload.rs
@@ -1,5 +1,5 @@
-//! The operators' requests. The content of a configuration is a function of its revision and its base, so that an observer can check
-//! whether a configuration is the one that was sent.
+//! The operators' requests. The content of a configuration is a function of its revision and its base, so the oracle can check that a
+//! configuration in effect is the one that was sent.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -10,23 +10,23 @@
 
 use crate::plan::PlannedOperation;
 
-/// Routes of each configuration.
+/// The number of routes in each configuration.
 const ROUTE_COUNT: usize = 6;
 
 /// The service that all routes name.
 const SERVICE: &str = "s";
-/// The service that an invalid configuration defines in place of [`SERVICE`].
+/// The service that an invalid configuration defines instead of [`SERVICE`], so that its routes name an unknown service.
 const OTHER_SERVICE: &str = "t";
 
-/// The time-out of each route; a change sets one of them to its own revision.
+/// The timeout of each route in milliseconds, minus 1. A change sets one of the timeouts to its own revision.
 type RouteTimeouts = [u64; ROUTE_COUNT];
 
-/// An operator's request and its effect.
+/// An operator's request, and the effect that the oracle expects.
 #[derive(Clone, Debug)]
 pub struct Operation {
-    /// The request as it is sent.
+    /// The request; retries send it unchanged.
     pub request: AdminRequest,
-    /// The effect of its acknowledgement.
+    /// The effect of the operation once it is acknowledged.
     pub kind: OperationKind,
 }
 
@@ -35,27 +35,27 @@
 pub enum OperationKind {
     /// Sets the configuration.
     SetConfiguration {
-        /// The revision that it builds on.
+        /// The revision that the change is based on; 0 if there is no configuration yet.
         base: u64,
-        /// The revision that it leads to.
+        /// The revision that the change creates.
         revision: u64,
-        /// The [`document_digest`] of that revision.
+        /// The [`document_digest`] of the configuration at `revision`.
         digest: u64,
         /// Whether the configuration is valid.
         valid: bool,
     },
     /// Reads the configuration.
     Read,
-    /// Evacuates a zone, or ends its evacuation.
+    /// Starts or ends the evacuation of a zone.
     Evacuate {
         /// The zone's number.
         zone: usize,
-        /// Whether the zone is evacuated from then on.
+        /// Whether the operation starts the evacuation; false ends it.
         active: bool,
     },
 }
 
-/// Makes the operators' requests from what any of them knows.
+/// Generates the operators' requests, based on the newest revision that any operator has received.
 #[derive(Debug, Default)]
 pub struct Workload {
     newest_known_revision: u64,
@@ -63,12 +63,12 @@
     timeouts_by_revision: BTreeMap<u64, RouteTimeouts>,
 }
 
-/// The name of a zone.
+/// The name of the zone with this number.
 pub fn zone_name(number: usize) -> String {
     format!("zone-{number}")
 }
 
-/// The digest of a configuration, whatever the order of its items.
+/// The digest of a configuration. The order of its items does not affect the digest.
 pub fn document_digest(document: &Document) -> u64 {
     let item_digest = |section: &str, json: &str| {
         hash_mix(fnv1a_hash(section.as_bytes()) ^ fnv1a_hash(json.as_bytes()).rotate_left(7))
@@ -97,12 +97,13 @@
 }
 
 impl Workload {
-    /// An operator has received the current revision with a response.
+    /// Records that an operator received this revision with a response.
     pub fn observe_revision(&mut self, revision: u64) {
         self.newest_known_revision = self.newest_known_revision.max(revision);
     }
 
-    /// Makes the request of a planned operation. A change raises the highest revision by `revision_step`, at least 1.
+    /// Generates the request of a planned operation. A configuration change raises the highest revision by `revision_step`, or by 1 if
+    /// that is 0.
     pub fn next_operation(&mut self, planned: PlannedOperation, revision_step: u64) -> Operation {
         match planned {
             PlannedOperation::Put | PlannedOperation::Patch | PlannedOperation::Invalid => {
@@ -124,7 +125,7 @@
         self.timeouts_by_revision.insert(revision, timeouts);
         let body = document_json(revision, &timeouts, SERVICE);
         let digest = Document::parse(&body).map_or(0, |document| document_digest(&document));
-        // A patch needs a base: without a configuration the whole one is sent.
+        // A patch needs a base revision; without one, the whole configuration is sent.
         let request = match planned {
             PlannedOperation::Patch if base > 0 => {
                 let route = route_json(changed_route, revision);
--- a/simulation/tests/hunt.rs
+++ b/simulation/tests/hunt.rs
@@ -207,5 +207,8 @@
     expect_that!(read, eq(&found));
     expect_that!(read.play().violation, some(eq(&found.violation)));
     std::fs::remove_dir_all(&folder).expect("the folder is removed");
-    expect_that!(RecordedRun::read(&path), err(displays_as(contains_substring("see to the folder"))));
+    expect_that!(
+        RecordedRun::read(&path),
+        err(displays_as(contains_substring("check the folder or name another")))
+    );
 }
