--- a/simulation/tests/coordination.rs
+++ b/simulation/tests/coordination.rs
@@ -1,4 +1,4 @@
-//! Whole runs with applications' callers: random plans violate no invariant, and injected bugs are found.
+//! Tests of whole runs with applications' callers: random plans violate no invariant, and injected bugs are detected.
 
 use googletest::prelude::*;
 use ivyhatch_simulation::randomized_search::{
@@ -6,18 +6,18 @@
 };
 use ivyhatch_simulation::{InjectedBug, Invariant, Plan, play};
 
-/// Plans that are played where none may violate an invariant.
+/// The number of random plans that are played without an injected bug.
 const CLEAN_PLANS: usize = 200;
-/// A bug is found within so many plans.
+/// The number of plans within which an injected bug must be detected.
 const MAX_PLANS: usize = 60;
-/// The same for bugs that show only where a fault comes at a narrow moment.
+/// The number of plans within which a bug must be detected that shows only if a fault occurs in a short time window.
 const MAX_PLANS_FOR_RARE_BUGS: usize = 1_500;
 
 fn coordination_plans(seed: u64) -> impl Iterator<Item = Plan> {
     plans(LAST_EXTENDED_SEED + seed)
 }
 
-/// The first run that shows a bug, and the number of plans until then.
+/// The first run in which a bug violates an invariant, and the number of plans played up to that run.
 fn first_found(injected_bug: InjectedBug, max_plans: usize) -> Option<(usize, RecordedRun)> {
     let found = |(number, plan)| Some((number + 1, find_violation(plan, Some(injected_bug))?));
     coordination_plans(7).take(max_plans).enumerate().find_map(found)
@@ -31,7 +31,7 @@
     }
 }
 
-/// Each so many messages of a run are lost, doubled, delayed and replaced in turn.
+/// Every message whose number is one more than a multiple of this is mutated, in one run for each kind of mutation.
 const MUTATED_MESSAGE_STEP: u64 = 97;
 
 #[gtest]
--- a/simulation/tests/disk.rs
+++ b/simulation/tests/disk.rs
@@ -1,4 +1,4 @@
-//! Durability of the simulated disk.
+//! Tests which writes of the simulated disk are durable, and what a crash or a wipe leaves.
 
 use googletest::prelude::*;
 use ivyhatch_control::Record;
--- a/simulation/tests/found.rs
+++ b/simulation/tests/found.rs
@@ -1,4 +1,5 @@
-//! Recorded runs that once violated an invariant: with an injected bug they still do, without one they do no longer.
+//! Regression test of recorded runs that once violated an invariant. Runs with an injected bug must still violate the recorded
+//! invariant; runs without one must not violate any.
 
 use std::path::Path;
 
--- a/simulation/tests/hunt.rs
+++ b/simulation/tests/hunt.rs
@@ -1,4 +1,4 @@
-//! Whole runs: equal plans have equal outcomes, random plans violate no invariant, and injected bugs are found.
+//! Tests of whole runs: equal plans have equal outcomes, random plans violate no invariant, and injected bugs are detected.
 
 use googletest::prelude::*;
 use ivyhatch_simulation::plan::{Fault, FaultTrigger, NodeSet, ScheduledFault};
@@ -8,7 +8,7 @@
 use ivyhatch_simulation::run::play_traced;
 use ivyhatch_simulation::{InjectedBug, Invariant, Plan, play};
 
-/// The number of plans until one shows this bug, and that plan's reduced run.
+/// The number of plans played up to the first one that detects this bug, and that plan's shrunk run; `None` if no plan detects it.
 fn found_within(injected_bug: InjectedBug, plan_count: usize) -> Option<(usize, RecordedRun)> {
     let first =
         plans(7).take(plan_count).position(|plan| find_violation(plan, Some(injected_bug)).is_some())?;
@@ -51,7 +51,7 @@
     }
 }
 
-/// A plan of three members without faults.
+/// A plan with three members and without faults.
 fn plan_without_faults() -> Plan {
     plans(5).map(Plan::without_faults).find(|plan| plan.members == 3).expect("most plans have three members")
 }
@@ -72,7 +72,8 @@
         (line.contains(" answers ") && line.contains("Applied")).then_some(at_ms)
     };
     let acknowledged: Vec<f64> = outcome.trace.iter().filter_map(acknowledged_at).collect();
-    // Writes in progress fail first, and after the fault the first ones are retried every 200 ms.
+    // Writes in progress fail when the fault begins. The first 50 ms are excluded, since responses to earlier writes may still be sent.
+    // After the fault, failed writes are retried every 200 ms.
     expect_that!(acknowledged.iter().filter(|at_ms| (6_050.0..9_000.0).contains(*at_ms)).count(), eq(0));
     expect_that!(acknowledged.iter().filter(|at_ms| **at_ms > 9_000.0).count(), gt(0));
 }
@@ -95,7 +96,7 @@
     let found = |plan| find_violation(plan, Some(InjectedBug::TreatsRetryAsNew));
     let runs: Vec<RecordedRun> = plans(1_000_007).take(50).filter_map(found).collect();
     let invariants: Vec<Invariant> = runs.iter().map(|run| run.violation.invariant).collect();
-    // A retry after a lost acknowledgement is rejected, and so is one that comes while its change is in flight.
+    // The bug rejects a retry after a lost acknowledgement, and also a retry that arrives while its change is in flight.
     expect_that!(invariants, contains(eq(&Invariant::IdempotentRetry)));
     expect_that!(invariants, contains(eq(&Invariant::RejectedNeverApplied)));
     let plan = runs.into_iter().next().expect("the bug is found").plan;
--- a/simulation/tests/oracle.rs
+++ b/simulation/tests/oracle.rs
@@ -1,4 +1,4 @@
-//! The oracle by itself: each invariant is violated once, and correct histories pass.
+//! Tests of the oracle without a simulation: histories that violate an invariant are reported, and correct histories pass.
 
 use std::collections::BTreeSet;
 
@@ -42,7 +42,7 @@
     Some(AppliedState { revision, sequence, zones: Vec::new() })
 }
 
-/// An oracle of a history with one revision, 5, acknowledged and in effect.
+/// An oracle whose history has one revision, 5, which is acknowledged and in effect.
 fn oracle_with_acknowledged_revision() -> Oracle {
     let mut oracle = Oracle::default();
     oracle.advance_to(SECOND);
@@ -177,7 +177,7 @@
     oracle.check_deadlines(&[view(5, false, true)], None);
     expect_that!(oracle.violation(), none());
     oracle.advance_to(6 * SECOND + 1);
-    // Once the evacuation is being ended, both states are right.
+    // While the request to end the evacuation is in flight, both states are correct.
     oracle.check_deadlines(&[view(5, true, true)], None);
     oracle.operation_started(3, &evacuate(false));
     oracle.check_deadlines(&[view(5, false, true)], None);
--- a/simulation/tests/search.rs
+++ b/simulation/tests/search.rs
@@ -1,11 +1,11 @@
-//! Exhaustive searches of one partition's interleavings, and single interleavings step by step.
+//! Tests by exhaustive search of one partition's interleavings, and by single interleavings, step by step.
 
 use googletest::prelude::*;
 use ivyhatch_simulation::search::{Budget, Cluster, Counterexample, InFlight, ProtocolBug, Step, search};
 
 #[gtest]
 fn no_interleaving_of_three_voters_violates_an_invariant() {
-    // One more election, two proposals, one crash or lost disk, and the replacement of the replica on a lost disk.
+    // One more election, two proposals, one crash or disk loss, and the replacement of the replica whose disk was lost.
     let budget = Budget { elections: 1, proposals: 2, failures: 1, replacements: 1 };
     let result = search(Cluster::with_leader(3, 0, budget), 14, usize::MAX);
     println!("{} states to a depth of {}", result.states, result.depth);
@@ -24,7 +24,7 @@
 
 #[gtest]
 fn no_interleaving_of_a_replacement_violates_an_invariant() {
-    // A fourth node replaces any voter, with one crash or lost disk of any node and one more election.
+    // A fourth node may replace any voter, with one crash or disk loss of any node and one more election.
     let budget = Budget { elections: 1, proposals: 1, failures: 1, replacements: 1 };
     let result = search(Cluster::with_leader(3, 1, budget), 10, usize::MAX);
     println!("{} states to a depth of {}", result.states, result.depth);
@@ -46,7 +46,8 @@
     expect_that!(violation_found(ProtocolBug::VotesAfterDiskLoss, 0, 14), some(anything()));
 }
 
-/// A value is committed by node 0 and node 2, whose disk is lost then; its new replica becomes a voter.
+/// A cluster in which nodes 0 and 2 have committed a value, node 2 has then lost its disk, and the membership that makes its new
+/// replica a voter is decided.
 fn committed_and_replaced(bug: ProtocolBug, budget: Budget) -> Cluster {
     let mut interleaving = Interleaving::new(Cluster::with_leader(3, 0, budget).with_bug(bug));
     interleaving.apply_if_enabled(Step::Propose(0));
@@ -68,7 +69,7 @@
 
 #[gtest]
 fn no_interleaving_after_a_replacement_violates_an_invariant() {
-    // With one more proposal and a crash of any node.
+    // One more proposal and one more crash of any node.
     let budget = Budget { elections: 1, proposals: 2, failures: 2, replacements: 1 };
     let result = search(committed_and_replaced(ProtocolBug::None, budget), 12, usize::MAX);
     println!("{} states to a depth of {}", result.states, result.depth);
@@ -76,7 +77,7 @@
     expect_that!(result.states, gt(10_000));
 }
 
-/// Node 0 has its proposal on node 2 only beside itself, and node 1 leads next.
+/// A cluster in which only nodes 0 and 2 have accepted the proposal of node 0, and node 1 has started an election.
 fn accepted_by_two(bug: ProtocolBug) -> Cluster {
     let budget = Budget { elections: 1, proposals: 1, failures: 0, replacements: 0 };
     let mut interleaving = Interleaving::with_proposal_accepted_by(2, 3, budget, bug);
@@ -99,13 +100,13 @@
 
 #[gtest]
 fn register_that_a_digest_hides_is_found() {
-    // The next leader proposes contents without it, which do not agree with those that were committed.
+    // The next leader proposes contents without the register, which differ from the committed contents.
     let violation = violation_after_acceptance(ProtocolBug::DigestHidesRegister);
     expect_that!(violation, some(contains_substring("other contents than a sender")));
     expect_that!(violation_after_acceptance(ProtocolBug::None), none());
 }
 
-/// One interleaving step by step; steps that are not enabled are skipped.
+/// One interleaving, applied step by step. Steps that are not enabled are skipped.
 struct Interleaving {
     cluster: Cluster,
     violation: Option<String>,
@@ -116,7 +117,7 @@
         Self { cluster, violation: None }
     }
 
-    /// Node 0 leads `members` nodes, and counts its proposal on one other beside itself.
+    /// Node 0 is leader of `members` nodes, and has counted its own acceptance of its proposal and that of node `voter`.
     fn with_proposal_accepted_by(voter: usize, members: usize, budget: Budget, bug: ProtocolBug) -> Self {
         let mut interleaving = Self::new(Cluster::with_leader(members, 0, budget).with_bug(bug));
         interleaving.apply_if_enabled(Step::Propose(0));
@@ -132,7 +133,7 @@
         }
     }
 
-    /// The first message between these two nodes arrives, if there is one.
+    /// Delivers the first message in flight from one node to the other, if there is one.
     fn deliver(&mut self, from: usize, to: usize) {
         let is_between = |message: &InFlight| (message.from, message.to) == (from, to);
         if let Some(position) = self.cluster.messages().iter().position(is_between) {
@@ -140,7 +141,7 @@
         }
     }
 
-    /// A proposal of node 0 is accepted by another node, and node 0 counts the response.
+    /// Delivers the proposal of node 0 to another node, completes that node's write, and delivers its response to node 0.
     fn accepted_by(&mut self, other: usize) {
         self.deliver(0, other);
         self.apply_if_enabled(Step::CompleteWrite(other));
@@ -148,15 +149,16 @@
     }
 }
 
-/// When node 2 accepts a proposal.
+/// When node 2 accepts the proposal: before or after it adopts the new membership.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Acceptance {
     BeforeMembership,
     AfterMembership,
 }
 
-/// The leader counts what node 1 has accepted before it lost its disk, and node 1 collects its state from nodes other than the leader;
-/// then it leads with nodes that never saw the proposal. Node 2 accepts the proposal before or after it learns of the new membership.
+/// Guards against counting the vote of a replica whose disk was lost. The leader, node 0, counts the acceptance of node 1, which then
+/// loses its disk and collects its state from nodes other than the leader, if these suffice. Then node 1 is elected by nodes that may
+/// never have received the proposal. Node 2 accepts the proposal before or after it adopts the new membership.
 fn violation_by_vote_of_lost_disk(members: usize, acceptance: Acceptance) -> Option<String> {
     let budget = Budget { elections: 1, proposals: 1, failures: 1, replacements: 1 };
     let mut interleaving = Interleaving::with_proposal_accepted_by(1, members, budget, ProtocolBug::None);
@@ -169,7 +171,7 @@
         interleaving.apply_if_enabled(Step::AdoptMembership(other));
         interleaving.apply_if_enabled(Step::CompleteWrite(other));
     }
-    // The leader is the last to transfer its state, if it is needed.
+    // The leader transfers its state last, and only if the states of the other nodes do not suffice.
     for other in 2..members {
         interleaving.apply_if_enabled(Step::TransferState { to: 1, from: other });
     }
@@ -210,7 +212,7 @@
 }
 
 impl Interleaving {
-    /// A message and its response; in between, the receiver's promise or acceptance becomes durable.
+    /// Delivers a message and its response; in between, the receiver's promise or acceptance becomes durable.
     fn exchange(&mut self, from: usize, to: usize) {
         self.deliver(from, to);
         self.apply_if_enabled(Step::CompleteWrite(to));
@@ -225,8 +227,9 @@
     }
 }
 
-/// Of five, node 1 leads with the promise of node 4, and its proposal reaches no other node. Node 4 loses its disk, and node 0 leads
-/// under a lower ballot, unless the new replica of node 4 knows of the promise. Then node 1 leads once more.
+/// Guards against state transfers that lose promises. Among five nodes, node 1 is elected with the promise of node 4, and its proposal
+/// reaches no other node. Node 4 loses its disk. Node 0 then becomes leader under a lower ballot, unless the new replica of node 4 has
+/// received the promise by state transfer. Finally node 1 is elected again.
 fn violation_without_promises(bug: ProtocolBug) -> Option<String> {
     let budget = Budget { elections: 3, proposals: 2, failures: 1, replacements: 1 };
     let mut interleaving = Interleaving::new(Cluster::with_leader(5, 0, budget).with_bug(bug));
@@ -276,8 +279,9 @@
     expect_that!(violation_without_promises(ProtocolBug::None), none());
 }
 
-/// Node 0 commits a proposal with node 1 and loses its disk. Its new replica collects the states of the others, of which only node 1
-/// has the proposal, not knowing that it is committed; then it leads with node 2.
+/// Guards against state transfers that lose an accepted proposal. Node 0 commits a proposal with node 1 and loses its disk. Its new
+/// replica collects the states of the other nodes. Of these only node 1 has the proposal, and does not know that it is committed. Then
+/// node 0 is elected with node 2.
 fn violation_by_state_transfer(bug: ProtocolBug) -> Option<String> {
     let budget = Budget { elections: 1, proposals: 1, failures: 1, replacements: 1 };
     let mut interleaving = Interleaving::with_proposal_accepted_by(1, 3, budget, bug);
