--- a/simulation/tests/oracle.rs
+++ b/simulation/tests/oracle.rs
@@ -79,32 +79,32 @@
         oracle.response_received(number, &applied_response(revision));
     }
     expect_that!(violated(&oracle), some(eq(Invariant::CompareAndSet)));
-    let mut unseen = oracle_with_acknowledged_revision();
-    unseen.operation_started(2, &set(0, 7, true));
-    unseen.observe_configuration(2, 7, 7);
-    expect_that!(violated(&unseen), some(eq(Invariant::CompareAndSet)));
+    let mut unacknowledged = oracle_with_acknowledged_revision();
+    unacknowledged.operation_started(2, &set(0, 7, true));
+    unacknowledged.observe_configuration(2, 7, 7);
+    expect_that!(violated(&unacknowledged), some(eq(Invariant::CompareAndSet)));
 }
 
 #[gtest]
 fn rejected_or_invalid_revision_in_effect_is_a_violation() {
-    let mut before = oracle_with_acknowledged_revision();
-    before.operation_started(2, &set(5, 7, true));
-    before.response_received(2, &AdminResponse::Conflict { revision: 5 });
-    before.observe_configuration(2, 7, 7);
-    expect_that!(violated(&before), some(eq(Invariant::RejectedNeverApplied)));
-    let mut after = oracle_with_acknowledged_revision();
-    after.operation_started(2, &set(5, 7, true));
-    after.observe_configuration(2, 7, 7);
-    after.response_received(2, &AdminResponse::Invalid(String::new()));
-    expect_that!(violated(&after), some(eq(Invariant::RejectedNeverApplied)));
+    let mut rejected_first = oracle_with_acknowledged_revision();
+    rejected_first.operation_started(2, &set(5, 7, true));
+    rejected_first.response_received(2, &AdminResponse::Conflict { revision: 5 });
+    rejected_first.observe_configuration(2, 7, 7);
+    expect_that!(violated(&rejected_first), some(eq(Invariant::RejectedNeverApplied)));
+    let mut applied_first = oracle_with_acknowledged_revision();
+    applied_first.operation_started(2, &set(5, 7, true));
+    applied_first.observe_configuration(2, 7, 7);
+    applied_first.response_received(2, &AdminResponse::Invalid(String::new()));
+    expect_that!(violated(&applied_first), some(eq(Invariant::RejectedNeverApplied)));
     let mut invalid = oracle_with_acknowledged_revision();
     invalid.operation_started(2, &set(5, 7, false));
     invalid.response_received(2, &applied_response(7));
     expect_that!(violated(&invalid), some(eq(Invariant::InvalidNeverApplied)));
-    let mut silent = oracle_with_acknowledged_revision();
-    silent.operation_started(2, &set(5, 7, false));
-    silent.observe_configuration(2, 7, 7);
-    expect_that!(violated(&silent), some(eq(Invariant::InvalidNeverApplied)));
+    let mut invalid_without_response = oracle_with_acknowledged_revision();
+    invalid_without_response.operation_started(2, &set(5, 7, false));
+    invalid_without_response.observe_configuration(2, 7, 7);
+    expect_that!(violated(&invalid_without_response), some(eq(Invariant::InvalidNeverApplied)));
 }
 
 #[gtest]
@@ -124,18 +124,18 @@
     oracle.observe_value(PROCESS, PartitionId(3), 4, 1);
     oracle.observe_value(ProcessId { node: 2, incarnation: 1 }, PartitionId(3), 4, 2);
     expect_that!(violated(&oracle), some(eq(Invariant::SingleValuePerSequence)));
-    let mut back = oracle_with_acknowledged_revision();
-    back.observe_value(PROCESS, PartitionId(3), 4, 1);
+    let mut decreasing = oracle_with_acknowledged_revision();
+    decreasing.observe_value(PROCESS, PartitionId(3), 4, 1);
     // Another incarnation may start from an older value.
-    back.observe_value(ProcessId { node: 1, incarnation: 2 }, PartitionId(3), 3, 1);
-    expect_that!(back.violation(), none());
-    back.observe_value(PROCESS, PartitionId(3), 3, 1);
-    expect_that!(violated(&back), some(eq(Invariant::MonotonicSequence)));
-    let mut lists = oracle_with_acknowledged_revision();
+    decreasing.observe_value(ProcessId { node: 1, incarnation: 2 }, PartitionId(3), 3, 1);
+    expect_that!(decreasing.violation(), none());
+    decreasing.observe_value(PROCESS, PartitionId(3), 3, 1);
+    expect_that!(violated(&decreasing), some(eq(Invariant::MonotonicSequence)));
+    let mut conflicting_lists = oracle_with_acknowledged_revision();
     let version = ServerListVersion { ballot_counter: 1, reader: 2, number: 3 };
-    lists.observe_server_list(version, 4);
-    lists.observe_server_list(version, 5);
-    expect_that!(violated(&lists), some(eq(Invariant::SingleServerListPerNumber)));
+    conflicting_lists.observe_server_list(version, 4);
+    conflicting_lists.observe_server_list(version, 5);
+    expect_that!(violated(&conflicting_lists), some(eq(Invariant::SingleServerListPerNumber)));
 }
 
 #[gtest]
@@ -151,10 +151,10 @@
     oracle.operation_started(4, &read);
     oracle.response_received(4, &document(5));
     expect_that!(violated(&oracle), some(eq(Invariant::LinearizableRead)));
-    let mut nothing = oracle_with_acknowledged_revision();
-    nothing.operation_started(2, &read);
-    nothing.response_received(2, &AdminResponse::NotConfigured);
-    expect_that!(violated(&nothing), some(eq(Invariant::LinearizableRead)));
+    let mut not_configured = oracle_with_acknowledged_revision();
+    not_configured.operation_started(2, &read);
+    not_configured.response_received(2, &AdminResponse::NotConfigured);
+    expect_that!(violated(&not_configured), some(eq(Invariant::LinearizableRead)));
 }
 
 #[gtest]
@@ -219,11 +219,11 @@
     let unread = FinalState { server_list_is_read: false, ..agreed };
     expect_that!(violated_by(unread), some(eq(Invariant::Convergence)));
     expect_that!(violated_by(converged(0, 0, 0)), some(eq(Invariant::Durability)));
-    let mut unseen = oracle_with_acknowledged_revision();
-    unseen.operation_started(2, &set(5, 7, true));
-    unseen.response_received(2, &applied_response(7));
-    unseen.check_final_state(&converged(1, 5, 1));
-    expect_that!(violated(&unseen), some(eq(Invariant::Durability)));
+    let mut never_applied = oracle_with_acknowledged_revision();
+    never_applied.operation_started(2, &set(5, 7, true));
+    never_applied.response_received(2, &applied_response(7));
+    never_applied.check_final_state(&converged(1, 5, 1));
+    expect_that!(violated(&never_applied), some(eq(Invariant::Durability)));
 }
 
 #[gtest]
@@ -231,7 +231,7 @@
     let mut workload = Workload::default();
     let put = workload.next_operation(PlannedOperation::Put, 3);
     let AdminRequest::Put { base: 0, body } = &put.request else { panic!("{put:?}") };
-    let document = Document::parse(body).expect("it reads");
+    let document = Document::parse(body).expect("the body parses");
     expect_that!(document.validate(0), ok(anything()));
     let OperationKind::SetConfiguration { revision: 3, digest: sent, .. } = put.kind else {
         panic!("{put:?}")
@@ -240,12 +240,12 @@
     workload.observe_revision(3);
     let patch = workload.next_operation(PlannedOperation::Patch, 2);
     let AdminRequest::Patch { base: 3, body } = &patch.request else { panic!("{patch:?}") };
-    let change = ivyhatch_protocol::configuration::Change::parse(body).expect("it reads");
+    let change = ivyhatch_protocol::configuration::Change::parse(body).expect("the body parses");
     let OperationKind::SetConfiguration { digest: sent, .. } = patch.kind else { panic!("{patch:?}") };
     expect_that!(document_digest(&document.with_change(&change)), eq(sent));
     let invalid = workload.next_operation(PlannedOperation::Invalid, 1);
     let AdminRequest::Put { body, .. } = &invalid.request else { panic!("{invalid:?}") };
-    expect_that!(Document::parse(body).expect("it reads").validate(3), err(anything()));
+    expect_that!(Document::parse(body).expect("the body parses").validate(3), err(anything()));
 }
 
 fn replica(node: u32, disk: u64) -> ReplicaId {
@@ -305,27 +305,27 @@
     invalid.response_lost(2, &applied_response(7));
     invalid.response_received(2, &AdminResponse::Invalid(String::new()));
     expect_that!(violated(&invalid), some(eq(Invariant::IdempotentRetry)));
-    let mut again = oracle_with_acknowledged_revision();
-    again.operation_started(2, &set(5, 7, true));
-    again.response_lost(2, &applied_response(7));
-    again.observe_configuration(2, 7, 7);
-    again.response_received(2, &applied_response(7));
-    expect_that!(again.violation(), none());
-    let mut refused = oracle_with_acknowledged_revision();
-    refused.operation_started(2, &set(4, 7, true));
-    refused.response_lost(2, &AdminResponse::Conflict { revision: 5 });
-    refused.response_received(2, &AdminResponse::Conflict { revision: 5 });
-    expect_that!(refused.violation(), none());
+    let mut acknowledged_retry = oracle_with_acknowledged_revision();
+    acknowledged_retry.operation_started(2, &set(5, 7, true));
+    acknowledged_retry.response_lost(2, &applied_response(7));
+    acknowledged_retry.observe_configuration(2, 7, 7);
+    acknowledged_retry.response_received(2, &applied_response(7));
+    expect_that!(acknowledged_retry.violation(), none());
+    let mut twice_rejected = oracle_with_acknowledged_revision();
+    twice_rejected.operation_started(2, &set(4, 7, true));
+    twice_rejected.response_lost(2, &AdminResponse::Conflict { revision: 5 });
+    twice_rejected.response_received(2, &AdminResponse::Conflict { revision: 5 });
+    expect_that!(twice_rejected.violation(), none());
 }
 
 #[gtest]
 fn lost_acknowledgement_counts_for_compare_and_set_and_durability() {
-    let mut winners = oracle_with_acknowledged_revision();
-    winners.operation_started(2, &set(5, 7, true));
-    winners.operation_started(3, &set(5, 8, true));
-    winners.response_lost(2, &applied_response(7));
-    winners.response_received(3, &applied_response(8));
-    expect_that!(violated(&winners), some(eq(Invariant::CompareAndSet)));
+    let mut competing = oracle_with_acknowledged_revision();
+    competing.operation_started(2, &set(5, 7, true));
+    competing.operation_started(3, &set(5, 8, true));
+    competing.response_lost(2, &applied_response(7));
+    competing.response_received(3, &applied_response(8));
+    expect_that!(violated(&competing), some(eq(Invariant::CompareAndSet)));
     let mut lost = oracle_with_acknowledged_revision();
     lost.operation_started(2, &set(5, 7, true));
     lost.response_lost(2, &applied_response(7));
