--- a/simulation/src/oracle/coordination.rs
+++ b/simulation/src/oracle/coordination.rs
@@ -107,13 +107,13 @@
     }
 
     /// Records that a caller sends an attempt.
-    pub fn attempt_sent(&mut self, sent: &CallAttempt) {
-        match &sent.call {
+    pub fn attempt_sent(&mut self, attempt: &CallAttempt) {
+        match &attempt.call {
             Call::PutCell { name, value, expected_revision } => {
                 let put = self.puts.entry(value.clone()).or_insert_with(|| PutHistory {
                     cell: name.clone(),
                     expected_revision: *expected_revision,
-                    first_sent_at: sent.first_sent_at,
+                    first_sent_at: attempt.first_sent_at,
                     rejected_attempts: 0,
                     attempts: 0,
                     revision: None,
@@ -122,9 +122,9 @@
             }
             Call::ReleaseLock { name, .. } => {
                 // A caller counts as the holder until it sends the release.
-                let holds = self.locks.get_mut(name).and_then(|lock| lock.holds.get_mut(&sent.caller));
+                let holds = self.locks.get_mut(name).and_then(|lock| lock.holds.get_mut(&attempt.caller));
                 if let Some(hold) = holds {
-                    hold.ends_at = hold.ends_at.min(sent.sent_at);
+                    hold.ends_at = hold.ends_at.min(attempt.sent_at);
                 }
             }
             _ => {}
@@ -138,11 +138,11 @@
     pub fn outcome_received(
         &mut self,
         now: Nanos,
-        ended: &CallAttempt,
+        attempt: &CallAttempt,
         outcome: &CallOutcome,
     ) -> Result<(), CheckFailure> {
-        match (&ended.call, outcome) {
-            (call, CallOutcome::Applied(reply)) => self.check_reply(now, ended, call, reply),
+        match (&attempt.call, outcome) {
+            (call, CallOutcome::Applied(reply)) => self.check_reply(now, attempt, call, reply),
             (Call::PutCell { name, value, .. }, CallOutcome::Refused(refusal)) => {
                 if let Refusal::RevisionConflict { revision } = refusal {
                     self.conflicts.insert((name.clone(), *revision));
@@ -154,7 +154,7 @@
                 self.check_refused_watch(now, group, *after, *refusal)
             }
             (Call::ReadCell { name }, CallOutcome::Refused(Refusal::NoSuchCell)) => {
-                self.check_read(name, 0, ended.sent_at)
+                self.check_read(name, 0, attempt.sent_at)
             }
             _ => Ok(()),
         }
@@ -163,30 +163,30 @@
     fn check_reply(
         &mut self,
         now: Nanos,
-        ended: &CallAttempt,
+        attempt: &CallAttempt,
         call: &Call,
         reply: &Reply,
     ) -> Result<(), CheckFailure> {
         match (call, reply) {
             (Call::AcquireLock { name, hold_ms, .. }, Reply::LockAcquired { fence }) => {
-                self.check_fence(now, name, *fence, ended)?;
-                self.check_hold(now, name, ended, *hold_ms, true)
+                self.check_fence(now, name, *fence, attempt)?;
+                self.check_hold(now, name, attempt, *hold_ms, true)
             }
             (Call::RenewLock { name, hold_ms, .. }, Reply::LockRenewed) => {
-                self.check_hold(now, name, ended, *hold_ms, false)
+                self.check_hold(now, name, attempt, *hold_ms, false)
             }
             (Call::NextNumber { name }, Reply::Number { value }) => {
-                self.check_number(now, name, *value, ended)
+                self.check_number(now, name, *value, attempt)
             }
             (Call::PutCell { name, value, .. }, Reply::CellPut { revision }) => {
                 self.check_put(now, name, value, *revision)
             }
             (Call::ReadCell { name }, Reply::Cell { value, revision }) => {
-                self.check_read(name, *revision, ended.sent_at)?;
+                self.check_read(name, *revision, attempt.sent_at)?;
                 self.check_put(now, name, value, *revision)
             }
             (Call::WatchGroup { group, after, .. }, Reply::Events { events, revision }) => {
-                self.check_watch(now, group, *after, events, *revision, ended)
+                self.check_watch(now, group, *after, events, *revision, attempt)
             }
             (Call::ReleaseLock { .. }, Reply::LockReleased) => Ok(()),
             (call, reply) => Err((
@@ -202,20 +202,20 @@
         now: Nanos,
         name: &str,
         fence: u64,
-        ended: &CallAttempt,
+        attempt: &CallAttempt,
     ) -> Result<(), CheckFailure> {
         let fences = &mut self.locks.entry(name.to_owned()).or_default().fences;
         let other = fences.iter().find(|(given, (holder, since))| {
-            *holder != ended.caller && (**given == fence || (**given > fence && *since < ended.sent_at))
+            *holder != attempt.caller && (**given == fence || (**given > fence && *since < attempt.sent_at))
         });
         if let Some((given, (holder, _))) = other {
             let text = format!(
                 "lock {name}: caller {} got fencing token {fence} after caller {holder} got {given}",
-                ended.caller
+                attempt.caller
             );
             return Err((Invariant::FencingOrder, text));
         }
-        fences.insert(fence, (ended.caller, now));
+        fences.insert(fence, (attempt.caller, now));
         Ok(())
     }
 
@@ -224,26 +224,28 @@
         &mut self,
         now: Nanos,
         name: &str,
-        ended: &CallAttempt,
+        attempt: &CallAttempt,
         hold_ms: u64,
         is_new: bool,
     ) -> Result<(), CheckFailure> {
-        let ends_at = ended.sent_at + hold_ms * ivyhatch_protocol::MILLISECOND;
+        let ends_at = attempt.sent_at + hold_ms * ivyhatch_protocol::MILLISECOND;
         let holds = &mut self.locks.entry(name.to_owned()).or_default().holds;
-        let own = holds.get(&ended.caller).copied();
+        let own = holds.get(&attempt.caller).copied();
         // A renewal that arrives after the caller's lease has expired has no effect.
         let counts = is_new || own.is_some_and(|own| now < own.ends_at);
         if ends_at <= now || !counts {
             return Ok(());
         }
-        let other = holds.iter().find(|(holder, hold)| **holder != ended.caller && hold.ends_at > now);
+        let other = holds.iter().find(|(holder, hold)| **holder != attempt.caller && hold.ends_at > now);
         if let Some((holder, _)) = other {
-            let text =
-                format!("lock {name}: callers {holder} and {} hold the lock at the same time", ended.caller);
+            let text = format!(
+                "lock {name}: callers {holder} and {} hold the lock at the same time",
+                attempt.caller
+            );
             return Err((Invariant::MutualExclusion, text));
         }
         let ends_at = own.filter(|own| own.ends_at > now).map_or(ends_at, |own| own.ends_at.max(ends_at));
-        holds.insert(ended.caller, LockHold { ends_at });
+        holds.insert(attempt.caller, LockHold { ends_at });
         Ok(())
     }
 
@@ -253,10 +255,10 @@
         now: Nanos,
         name: &str,
         value: u64,
-        ended: &CallAttempt,
+        attempt: &CallAttempt,
     ) -> Result<(), CheckFailure> {
         let numbers = self.numbers.entry(name.to_owned()).or_default();
-        let highest = numbers.highest_before(ended.sent_at);
+        let highest = numbers.highest_before(attempt.sent_at);
         let is_new = self.number_values.insert((name.to_owned(), value));
         if value <= highest || !is_new {
             let text = format!("number {name}: received {value} after {highest}, first occurrence: {is_new}");
@@ -333,7 +335,7 @@
         after: u64,
         events: &[CellEvent],
         revision: u64,
-        ended: &CallAttempt,
+        attempt: &CallAttempt,
     ) -> Result<(), CheckFailure> {
         let revisions: Vec<u64> = events.iter().map(|event| event.revision).collect();
         let expected: Vec<u64> = if after == 0 { Vec::new() } else { (after + 1..=revision).collect() };
@@ -343,7 +345,7 @@
             );
             return Err((Invariant::WatchCompleteness, text));
         }
-        let known = self.groups.get(group).map_or(0, |known| known.revisions.highest_before(ended.sent_at));
+        let known = self.groups.get(group).map_or(0, |known| known.revisions.highest_before(attempt.sent_at));
         if after == 0 && revision < known {
             let text = format!(
                 "group {group}: a new watch returned revision {revision} after revision {known} was known"
--- a/simulation/src/oracle/mod.rs
+++ b/simulation/src/oracle/mod.rs
@@ -65,13 +65,13 @@
     }
 
     /// Records that an application's caller sends an attempt of a call.
-    pub fn call_sent(&mut self, sent: &CallAttempt) {
-        self.coordination.attempt_sent(sent);
+    pub fn call_sent(&mut self, attempt: &CallAttempt) {
+        self.coordination.attempt_sent(attempt);
     }
 
     /// Checks the outcome of an attempt. Call this only while the caller still waits for that attempt.
-    pub fn call_ended(&mut self, ended: &CallAttempt, outcome: &CallOutcome) {
-        let checked = self.coordination.outcome_received(self.now, ended, outcome);
+    pub fn call_ended(&mut self, attempt: &CallAttempt, outcome: &CallOutcome) {
+        let checked = self.coordination.outcome_received(self.now, attempt, outcome);
         self.report_failure(checked);
     }
 
--- a/simulation/src/run/callers.rs
+++ b/simulation/src/run/callers.rs
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug)]
 struct InFlight {
     id: RequestId,
-    sent: CallAttempt,
+    attempt: CallAttempt,
 }
 
 /// The state of one caller.
@@ -160,17 +160,17 @@
         Call::PutCell { name, value, expected_revision: expects.then_some(known) }
     }
 
-    fn send_call(&mut self, sent: CallAttempt) {
+    fn send_call(&mut self, attempt: CallAttempt) {
         let id = self.operators.next_id();
         let slot = self.random_below(self.plan.members as u64) as usize;
         let machine = self.slots[slot];
-        self.record(|| format!("caller {} sends {id} to {machine}: {:?}", sent.caller, sent.call));
-        self.oracle.call_sent(&sent);
+        self.record(|| format!("caller {} sends {id} to {machine}: {:?}", attempt.caller, attempt.call));
+        self.oracle.call_sent(&attempt);
         let delay = (1 + self.random_below(10)) * MILLISECOND;
-        let limit = CALL_TIMEOUT + sent.call.wait_ms() * MILLISECOND;
-        let call = sent.call.clone();
-        let caller = sent.caller;
-        self.callers.0[caller].in_flight = Some(InFlight { id, sent });
+        let limit = CALL_TIMEOUT + attempt.call.wait_ms() * MILLISECOND;
+        let call = attempt.call.clone();
+        let caller = attempt.caller;
+        self.callers.0[caller].in_flight = Some(InFlight { id, attempt });
         self.schedule_after(delay, Event::CallArrives { id, machine, call });
         self.schedule_after(limit, Event::CallTimeout(id));
     }
@@ -209,22 +209,22 @@
     /// The call with this id, if its caller still waits for it.
     pub(super) fn call_in_flight(&self, id: RequestId) -> Option<&Call> {
         let caller = self.callers.of_call(id)?;
-        self.callers.0[caller].in_flight.as_ref().map(|call| &call.sent.call)
+        self.callers.0[caller].in_flight.as_ref().map(|call| &call.attempt.call)
     }
 
     pub(super) fn outcome_arrives(&mut self, id: RequestId, outcome: &CallOutcome) {
         let Some(caller) = self.callers.of_call(id) else { return };
-        let Some(InFlight { sent, .. }) = self.callers.0[caller].in_flight.take() else { return };
+        let Some(InFlight { attempt, .. }) = self.callers.0[caller].in_flight.take() else { return };
         self.record(|| format!("caller {caller} receives for {id}: {outcome:?}"));
-        self.oracle.call_ended(&sent, outcome);
+        self.oracle.call_ended(&attempt, outcome);
         match outcome {
-            CallOutcome::Unknown | CallOutcome::NotStarted(_) => self.retry_call(sent),
+            CallOutcome::Unknown | CallOutcome::NotStarted(_) => self.retry_call(attempt),
             CallOutcome::Applied(reply) => {
-                self.apply_reply(caller, &sent, reply);
+                self.apply_reply(caller, &attempt, reply);
                 self.pause(caller);
             }
             CallOutcome::Refused(refusal) => {
-                self.apply_refusal(caller, &sent, *refusal);
+                self.apply_refusal(caller, &attempt, *refusal);
                 self.pause(caller);
             }
         }
@@ -232,40 +232,40 @@
 
     pub(super) fn call_timed_out(&mut self, id: RequestId) {
         let Some(caller) = self.callers.of_call(id) else { return };
-        let Some(InFlight { sent, .. }) = self.callers.0[caller].in_flight.take() else { return };
-        self.retry_call(sent);
+        let Some(InFlight { attempt, .. }) = self.callers.0[caller].in_flight.take() else { return };
+        self.retry_call(attempt);
     }
 
     /// Handles a call without a definite outcome. Schedules an unchanged retry, or pauses the caller, which then draws a new call: after
     /// lock calls other than a release, after a put whose retry period is over, and at random after reads, number draws and watches.
-    fn retry_call(&mut self, sent: CallAttempt) {
-        let caller = sent.caller;
+    fn retry_call(&mut self, attempt: CallAttempt) {
+        let caller = attempt.caller;
         let faults_end = self.plan.faults_end_ms * MILLISECOND;
-        if self.now > sent.first_sent_at.max(faults_end) + CALL_DEADLINE {
-            let text = format!("{:?} has had no definite outcome since the faults ended", sent.call);
+        if self.now > attempt.first_sent_at.max(faults_end) + CALL_DEADLINE {
+            let text = format!("{:?} has had no definite outcome since the faults ended", attempt.call);
             self.oracle.report(Invariant::CallDeadline, text);
         }
-        if let Call::AcquireLock { .. } | Call::RenewLock { .. } = sent.call {
+        if let Call::AcquireLock { .. } | Call::RenewLock { .. } = attempt.call {
             // Without a definite outcome the caller does not know whether this call gave it the lock.
             return self.pause(caller);
         }
-        let is_put = matches!(sent.call, Call::PutCell { .. });
-        if is_put && self.now > sent.first_sent_at + PUT_RETRY_PERIOD {
+        let is_put = matches!(attempt.call, Call::PutCell { .. });
+        if is_put && self.now > attempt.first_sent_at + PUT_RETRY_PERIOD {
             return self.pause(caller);
         }
-        if let Call::ReadCell { .. } | Call::NextNumber { .. } | Call::WatchGroup { .. } = sent.call
+        if let Call::ReadCell { .. } | Call::NextNumber { .. } | Call::WatchGroup { .. } = attempt.call
             && self.random_below(4) == 0
         {
             return self.pause(caller);
         }
         let delay = (5 + self.random_below(60)) * MILLISECOND;
-        self.schedule_after(delay, Event::CallRetried(sent));
+        self.schedule_after(delay, Event::CallRetried(attempt));
     }
 
-    pub(super) fn call_retried(&mut self, sent: CallAttempt) {
-        if self.callers.0[sent.caller].in_flight.is_none() {
+    pub(super) fn call_retried(&mut self, attempt: CallAttempt) {
+        if self.callers.0[attempt.caller].in_flight.is_none() {
             let now = self.now;
-            self.send_call(CallAttempt { sent_at: now, ..sent });
+            self.send_call(CallAttempt { sent_at: now, ..attempt });
         }
     }
 
@@ -276,17 +276,17 @@
         self.schedule_after(delay, Event::CallDue(caller));
     }
 
-    fn apply_reply(&mut self, caller: usize, sent: &CallAttempt, reply: &Reply) {
+    fn apply_reply(&mut self, caller: usize, attempt: &CallAttempt, reply: &Reply) {
         let now = self.now;
         let this = &mut self.callers.0[caller];
-        match (&sent.call, reply) {
+        match (&attempt.call, reply) {
             (Call::AcquireLock { name, hold_ms, .. }, Reply::LockAcquired { fence }) => {
-                let ends_at = sent.sent_at + hold_ms * MILLISECOND;
+                let ends_at = attempt.sent_at + hold_ms * MILLISECOND;
                 let held = HeldLock { name: name.clone(), fence: *fence, ends_at };
                 this.held = Some(held).filter(|held| now < held.ends_at);
             }
             (Call::RenewLock { hold_ms, .. }, Reply::LockRenewed) => {
-                let ends_at = sent.sent_at + hold_ms * MILLISECOND;
+                let ends_at = attempt.sent_at + hold_ms * MILLISECOND;
                 // A renewal that arrives after the lease has expired has no effect.
                 this.held.take_if(|held| held.ends_at <= now);
                 if let Some(held) = &mut this.held {
@@ -300,9 +300,9 @@
         }
     }
 
-    fn apply_refusal(&mut self, caller: usize, sent: &CallAttempt, refusal: Refusal) {
+    fn apply_refusal(&mut self, caller: usize, attempt: &CallAttempt, refusal: Refusal) {
         let this = &mut self.callers.0[caller];
-        match (&sent.call, refusal) {
+        match (&attempt.call, refusal) {
             (_, Refusal::LockLost | Refusal::LockHeld) => this.held = None,
             (Call::PutCell { name, .. }, Refusal::RevisionConflict { revision }) => {
                 this.set_known(name, revision);
--- a/simulation/src/run/event.rs
+++ b/simulation/src/run/event.rs
@@ -159,7 +159,7 @@
             Event::CallArrives { id, machine, call } => self.call_arrives(id, machine, call),
             Event::OutcomeArrives { id, outcome } => self.outcome_arrives(id, &outcome),
             Event::CallTimeout(id) => self.call_timed_out(id),
-            Event::CallRetried(sent) => self.call_retried(sent),
+            Event::CallRetried(attempt) => self.call_retried(attempt),
             Event::FaultBegins(number) => self.begin_fault(number),
             Event::FaultEnds(number) => self.end_fault(number),
             Event::DeadlineCheck => {
