--- a/simulation/tests/found.rs
+++ b/simulation/tests/found.rs
@@ -1,9 +1,10 @@
-//! Recorded runs that once violated an invariant: with an injected bug they still do, without one they do no longer.
+//! Regression test of recorded runs that once violated an invariant. Runs with an injected bug must still violate the recorded
+//! invariant; runs without one must not violate any.
 
 use std::path::Path;
 
 use googletest::prelude::*;
-use ivyhatch_simulation::hunt::RecordedRun;
+use ivyhatch_simulation::randomized_search::RecordedRun;
 
 #[gtest]
 fn recorded_runs_violate_an_invariant_only_with_their_injected_bug() {
