--- a/simulation/src/run/callers.rs
+++ b/simulation/src/run/callers.rs
@@ -57,7 +57,6 @@
     attempt: CallAttempt,
 }
 
-/// The state of one caller.
 #[derive(Clone, Debug)]
 struct Caller {
     kind: CallerKind,
--- a/simulation/src/run/routers.rs
+++ b/simulation/src/run/routers.rs
@@ -38,7 +38,6 @@
     last_received_at: Nanos,
 }
 
-/// The state of one router.
 #[derive(Debug, Default)]
 pub(super) struct Router {
     /// The process; `None` while it is not running.
--- a/simulation/src/search/member.rs
+++ b/simulation/src/search/member.rs
@@ -22,7 +22,6 @@
     pub(super) then_send: Option<(NodeId, Envelope)>,
 }
 
-/// A node with its durable and volatile state.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
     pub(super) replica: ReplicaId,
