--- a/node-settings/src/lib.rs
+++ b/node-settings/src/lib.rs
@@ -1,12 +1,12 @@
-//! Reads the operator's settings of a node: a JSON object, for every program that embeds `ivyhatch-balancer`.
+//! Parses the operator's settings of a node, a JSON object, for programs that embed `ivyhatch-balancer`.
 //!
-//! The balancer knows zones, request classes, machine kinds and tenants by number. [`NodeSettings`] has the
-//! balancer's settings, and the [`NameTable`] by which the embedder translates the names on the wire.
+//! The balancer identifies zones, request classes, machine kinds and tenants by number. [`NodeSettings`] has the
+//! balancer's settings, and the [`NameTable`] with which the embedder translates names on the wire to numbers.
 //!
-//! - `parse`: the settings object
+//! - `parse`: parses the settings object
 //! - `name_table`: names and their numbers
 //! - `fields`: access to the fields of a JSON object
-//! - `error`: why the settings are rejected
+//! - `error`: the errors for which settings are rejected
 
 mod error;
 mod fields;
--- a/node-settings/src/name_table.rs
+++ b/node-settings/src/name_table.rs
@@ -1,11 +1,11 @@
-//! The names of the settings, and the numbers by which the balancer knows them.
+//! The names in the settings, and the numbers by which the balancer identifies them.
 
 use std::collections::HashMap;
 
 use ivyhatch_balancer::ZoneId;
 
-/// The most names of one kind. Further ones share the last number, so that membership lists with ever new
-/// names, which may come for as long as a node runs, take bounded memory.
+/// The most zones, and the most machine kinds. Further names share the last number, so that memory stays bounded
+/// if membership lists bring new names for as long as a node runs.
 pub(crate) const MAX_NAMES: usize = 1024;
 
 /// The numbers of zones, request classes, machine kinds and tenants.
@@ -17,35 +17,35 @@
 }
 
 impl NameTable {
-    /// The number of a zone. A zone that the settings do not list gets the next number.
+    /// The number of a zone. A new zone, which the settings do not list, gets the next number.
     pub fn zone(&mut self, name: &str) -> ZoneId {
         ZoneId(number_of(&mut self.zones, name))
     }
 
-    /// The name of a zone; none for a number without a name.
+    /// The name of a zone; `None` for a number without a name.
     pub fn zone_name(&self, zone: ZoneId) -> Option<&str> {
         self.zones.get(zone.0 as usize).map(String::as_str)
     }
 
-    /// The number of a machine kind. A kind that the settings do not list gets the next number.
+    /// The number of a machine kind. A new kind, which the settings do not list, gets the next number.
     pub fn kind(&mut self, name: &str) -> u32 {
         number_of(&mut self.kinds, name)
     }
 
-    /// The number of a request's tenant; none for a request without one, and for one that the settings do not
-    /// list.
+    /// The number of a request's tenant; `None` if the request has no tenant or the settings do not list the
+    /// tenant.
     pub fn tenant(&self, name: Option<&str>) -> Option<u32> {
         let index = name.and_then(|name| self.tenants.iter().position(|known| known == name));
         index.map(|index| index as u32)
     }
 
-    /// The number of a request class; none for one that the settings do not list.
+    /// The number of a request class; `None` if the settings do not list the class.
     pub fn class(&self, name: &str) -> Option<u32> {
         self.classes.get(name).copied()
     }
 }
 
-/// The index of a name, which is appended if it is new and there are less than [`MAX_NAMES`].
+/// The index of a name. A new name is appended if there are fewer than [`MAX_NAMES`], or else gets the last index.
 pub(crate) fn number_of(names: &mut Vec<String>, name: &str) -> u32 {
     let index = names.iter().position(|known| known == name).unwrap_or_else(|| {
         if names.len() < MAX_NAMES {
--- a/node-settings/src/name_table_tests.rs
+++ b/node-settings/src/name_table_tests.rs
@@ -1,4 +1,4 @@
-//! The bound on names.
+//! Tests of the bound on the number of names.
 
 use super::{MAX_NAMES, number_of};
 
--- a/node-settings/src/parse.rs
+++ b/node-settings/src/parse.rs
@@ -1,4 +1,4 @@
-//! The settings object.
+//! Parses the settings object.
 
 use std::collections::HashMap;
 
@@ -12,36 +12,36 @@
 use crate::fields::Fields;
 use crate::name_table::NameTable;
 
-/// The quantum of time if the settings have none, in nanoseconds.
+/// The quantum of time if the settings don't set it, in nanoseconds.
 const DEFAULT_QUANTUM: Nanos = 1_000_000;
-/// The idle timeout of backends if the settings have none, in nanoseconds.
+/// The idle timeout of backends if the settings don't set it, in nanoseconds.
 const DEFAULT_IDLE_TIMEOUT: Nanos = 15_000_000_000;
-/// The connect timeout if the settings have none, in nanoseconds.
+/// The connect timeout if the settings don't set it, in nanoseconds.
 const DEFAULT_CONNECT_TIMEOUT: Nanos = 250_000_000;
 
-/// Settings of connections to backends, for embedders with sockets.
+/// The settings of connections to backends, for embedders that use sockets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionSettings {
-    /// A backend may close a connection that was idle for so many nanoseconds.
+    /// A backend may close a connection that has been idle for this time, in nanoseconds.
     pub idle_timeout: Nanos,
-    /// A connection that is not established after so many nanoseconds has failed.
+    /// A connect that takes longer than this time, in nanoseconds, has failed.
     pub connect_timeout: Nanos,
 }
 
-/// The settings of a node.
+/// The parsed settings of a node.
 pub struct NodeSettings {
     /// The settings of the balancer.
     pub balancer: Settings,
-    /// The names that the settings list, and their numbers.
+    /// The names in the settings, and their numbers.
     pub names: NameTable,
-    /// The settings of connections.
+    /// The settings of connections to backends.
     pub connections: ConnectionSettings,
 }
 
-/// Parses the settings object. The first field that is wrong is reported.
+/// Parses the settings object. The values are not checked further: the balancer validates its own settings.
 ///
 /// # Errors
-/// [`SettingsError`] names the field.
+/// [`SettingsError`] names the first field that is missing or of the wrong type.
 pub fn parse(settings: &Value) -> Result<NodeSettings, SettingsError> {
     let map = settings.as_object().ok_or(SettingsError::NotAnObject)?;
     let fields = Fields { object: "settings", map };
@@ -78,7 +78,7 @@
     Ok(NodeSettings { balancer, names, connections })
 }
 
-/// The numbers of the classes by name, and the classes by number.
+/// The numbers of the request classes by name, and the settings of the classes by number.
 fn parse_classes(fields: &Fields) -> Result<(HashMap<String, u32>, Vec<ClassSettings>), SettingsError> {
     let classes = fields.array("classes")?.iter().map(parse_class).collect::<Result<Vec<_>, _>>()?;
     let (names, classes): (Vec<String>, Vec<ClassSettings>) = classes.into_iter().unzip();
@@ -117,7 +117,7 @@
     }
 }
 
-/// The names and the quotas of the tenants, in requests per second.
+/// The names of the tenants and their quotas in requests per second, both by number; empty if the settings have no tenants.
 fn parse_tenants(fields: &Fields) -> Result<(Vec<String>, Vec<f64>), SettingsError> {
     if !fields.map.contains_key("projects") {
         return Ok((Vec::new(), Vec::new()));
@@ -158,7 +158,8 @@
     nested(map, "prices", "probe").map_or(Ok(0.0), |price| price.as_f64().ok_or(SettingsError::ProbePrice))
 }
 
-/// The longest pause that a rejected client is asked to make, in nanoseconds; 0 if none is to be asked for.
+/// The longest time, in nanoseconds, for which a rejected client is asked to wait before a retry; 0 if rejections
+/// contain no such time.
 fn parse_max_retry_after(limits: &Fields) -> Result<Nanos, FieldError> {
     if flag(limits, "retry-after") { limits.unsigned_or("max-retry-after-ns", 0) } else { Ok(0) }
 }
@@ -197,7 +198,7 @@
     fields.map.get(field).and_then(Value::as_bool).unwrap_or(false)
 }
 
-/// A field of an object that is a field itself; `None` if either is missing.
+/// The value of `field` in the object that is the value of `object`; `None` if either is missing.
 fn nested<'a>(map: &'a Map<String, Value>, object: &str, field: &str) -> Option<&'a Value> {
     map.get(object)?.get(field)
 }
--- a/node-settings/tests/golden.rs
+++ b/node-settings/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The settings object's field names, default values and error texts stay as they are: whole files are kept
-//! in `golden/`.
+//! Guards the field names, default values and error texts of the settings object against changes: `golden/` has
+//! a file with every field, and one with the required fields only.
 
 use ivyhatch_balancer::{Discovery, Idempotency, IdempotencyScope, LoadReporting, Weights, ZoneId};
 use ivyhatch_node_settings::{NodeSettings, parse};
@@ -9,18 +9,18 @@
 const REQUIRED_FIELDS: &str = include_str!("golden/required-fields.json");
 
 fn json_of(text: &str) -> Value {
-    serde_json::from_str(text).expect("a golden file of JSON")
+    serde_json::from_str(text).expect("the golden file is valid JSON")
 }
 
 fn node_settings(text: &str) -> NodeSettings {
-    parse(&json_of(text)).expect("settings that can be read")
+    parse(&json_of(text)).expect("the settings are valid")
 }
 
-/// The error text for the file with every field, where the value at a path is another one.
+/// The error text for the file with every field, with the value at `pointer` replaced by `value`.
 fn error_with(pointer: &str, value: Value) -> String {
     let mut settings = json_of(EVERY_FIELD);
-    *settings.pointer_mut(pointer).expect("a field of the file") = value;
-    parse(&settings).err().expect("settings that are refused").to_string()
+    *settings.pointer_mut(pointer).expect("the golden file has the field") = value;
+    parse(&settings).err().expect("the settings are rejected").to_string()
 }
 
 #[test]
@@ -131,7 +131,7 @@
 fn words_that_choose_among_values_choose_the_same_ones() {
     let with = |pointer: &str, value: &str| {
         let mut settings = json_of(EVERY_FIELD);
-        *settings.pointer_mut(pointer).expect("a field of the file") = value.into();
+        *settings.pointer_mut(pointer).expect("the golden file has the field") = value.into();
         node_settings(&settings.to_string()).balancer
     };
     assert_eq!(with("/discovery", "pushed").discovery, Discovery::Pushed);
@@ -145,7 +145,7 @@
 fn each_limit_that_is_switched_off_switches_off_that_one() {
     let limits_without = |pointer: &str| {
         let mut settings = json_of(EVERY_FIELD);
-        *settings.pointer_mut(pointer).expect("a field of the file") = json!(false);
+        *settings.pointer_mut(pointer).expect("the golden file has the field") = json!(false);
         let limits = node_settings(&settings.to_string()).balancer.limits;
         [limits.hedging, limits.probes, limits.cancellation, limits.max_retry_after > 0]
     };
@@ -180,5 +180,8 @@
     assert_eq!(error_with("/rules/fall-ns", json!(null)), wrong("rules: field fall-ns"));
     assert_eq!(error_with("/goal", json!(null)), wrong("settings: field goal"));
     assert_eq!(error_with("/prices/probe", json!("free")), "prices: field probe is of the wrong type");
-    assert_eq!(parse(&json!([])).err().expect("refused").to_string(), "settings: not an object");
+    assert_eq!(
+        parse(&json!([])).err().expect("the settings are rejected").to_string(),
+        "settings: not an object"
+    );
 }
