--- a/node/src/client_listener.rs
+++ b/node/src/client_listener.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections and serves HTTP/1 on them. The response to a request is left to a [`RequestHandler`].
+//! Accepts client connections and serves HTTP/1 on them. A [`RequestHandler`] produces the response to each request.
 
 use std::convert::Infallible;
 use std::future::{Future, poll_fn};
@@ -26,25 +26,25 @@
 use crate::stream_observer::ObservedStream;
 use crate::tcp_options::set_nodelay_if_possible;
 
-/// Wait after a failed accept: out of descriptors, the next one would fail at once.
+/// The wait after a failed accept: while the process is out of descriptors, the next accept would fail at once as well.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The phase of a graceful shutdown or a drain.
+/// The phase of a graceful shutdown or a drain. Later phases compare as greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DrainPhase {
-    /// In service.
+    /// In service: no drain is in progress.
     Serving,
-    /// Accepts connections and requests; each response closes its connection.
+    /// Connections and requests are accepted, and each response closes its connection.
     Draining,
-    /// Closes connections without a request, and still accepts new ones.
+    /// Connections without a request are closed, and new ones are still accepted.
     ClosingIdle,
-    /// Accepts no more connections.
+    /// No more connections are accepted.
     Closed,
 }
 
-/// Handles requests, and notifies the connection of each one's progress.
+/// Handles requests, and notifies the [`ClientConnection`] of the progress of each request.
 pub trait RequestHandler {
-    /// The body of a response.
+    /// The type of the body of a response.
     type Body: Body<Data = Bytes, Error: std::error::Error + Send + Sync> + 'static;
 
     /// Handles one request and returns its response.
@@ -116,7 +116,7 @@
         biased;
         () = permit.connection().close_requested() => {}
         result = serve_connection(stream, &*handler, permit.connection(), phase, max_head_bytes) => {
-            result.unwrap_or_else(|error| tracing::debug!("client connection: {error}"));
+            result.unwrap_or_else(|error| tracing::debug!("client connection failed: {error}"));
         }
     }
 }
@@ -137,8 +137,8 @@
     max_head_bytes: usize,
 ) -> Result<(), ConnectionError> {
     set_nodelay_if_possible(&stream);
-    // A connection accepted during a shutdown is closed by its first response. Closing it sooner would lose the request for
-    // which it was opened.
+    // A connection accepted during a drain or a shutdown is closed by its first response. Closing the connection sooner would
+    // lose the request for which the client opened it.
     let accepted_while_draining = *phase.borrow() != DrainPhase::Serving;
     let handler_phase = phase.clone();
     let service = service_fn(|request| {
@@ -153,7 +153,7 @@
     let (mut is_closing_idle, mut shutdown_started) = (false, false);
     let result = poll_fn(|cx| {
         loop {
-            // First: pending bytes are read before anything is closed.
+            // The connection is polled first, so that pending bytes are read before it is closed.
             if let Poll::Ready(result) = Pin::new(&mut connection).poll(cx) {
                 return Poll::Ready(Some(result));
             }
@@ -162,7 +162,7 @@
             }
             is_closing_idle =
                 is_closing_idle || (!accepted_while_draining && closing_idle.as_mut().poll(cx).is_ready());
-            // A request of which a part has arrived is read to its end, and its response closes the connection.
+            // A request that has arrived in part is read to its end, and its response closes the connection.
             if !is_closing_idle || shutdown_started || state.is_receiving_request() {
                 return Poll::Pending;
             }
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -8,31 +8,31 @@
 use crate::discovery::BackendList;
 use crate::start_error::{ConfigurationUnavailable, StartError};
 
-/// Reads the configuration's text, in the form of the file that `EDGE_CONFIG` names; called at the start and at each SIGHUP.
+/// Returns the configuration as JSON text, in the format of the file that `EDGE_CONFIG` names. Called at the start and at each SIGHUP.
 pub type ConfigurationSource = Box<dyn Fn() -> Result<Vec<u8>, ConfigurationUnavailable>>;
 
-/// The configuration, as its file has it.
+/// The configuration in the form of its JSON file.
 #[derive(Deserialize)]
 pub struct Config {
-    /// The node's name.
+    /// The node's name, for log lines and the control socket.
     pub name: String,
-    /// Where it listens for clients.
+    /// The address at which the node listens for clients.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// Hexadecimal, 64 bits.
+    /// The seed of the node's random decisions: 64 bits, hexadecimal.
     seed: String,
-    /// The limits of the process.
+    /// The limits of the node's process.
     pub limits: Limits,
-    /// The last list of backends that is known, which may be old.
+    /// The last known list of backends, which may be stale; `None` if no list is known.
     pub known: Option<BackendList>,
     settings: serde_json::Value,
 }
 
-/// The limits of the process.
+/// The limits of the node's process.
 #[derive(Deserialize)]
 pub struct Limits {
-    /// How many file descriptors it may have.
+    /// How many file descriptors the process may have open.
     pub sockets: usize,
 }
 
@@ -40,15 +40,15 @@
     /// Reads and parses the configuration.
     ///
     /// # Errors
-    /// [`StartError`] if it can't be read or is not of the expected form.
+    /// [`StartError`] if the configuration can't be read or is not JSON of the expected form.
     pub fn read(source: &ConfigurationSource) -> Result<Self, StartError> {
         Ok(serde_json::from_slice(&source()?)?)
     }
 
-    /// The settings, validated.
+    /// Parses the settings and checks the type of each field.
     ///
     /// # Errors
-    /// [`StartError::Settings`] names the setting that is wrong.
+    /// [`StartError::Settings`] names the first setting that is missing or of the wrong type.
     pub fn node_settings(&self) -> Result<NodeSettings, StartError> {
         Ok(ivyhatch_node_settings::parse(&self.settings)?)
     }
@@ -56,7 +56,7 @@
     /// The seed of the node's random decisions.
     ///
     /// # Errors
-    /// [`StartError::Seed`] if it is no hexadecimal number of 64 bits.
+    /// [`StartError::Seed`] if the configured seed is not a hexadecimal number of 64 bits.
     pub fn seed(&self) -> Result<u64, StartError> {
         u64::from_str_radix(&self.seed, 16).map_err(|_| StartError::Seed(self.seed.clone()))
     }
--- a/node/src/connection_limits/connection.rs
+++ b/node/src/connection_limits/connection.rs
@@ -1,4 +1,4 @@
-//! The state of one client connection, and how long it may stay in each.
+//! The state of one client connection, and how long the connection may stay in each state.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -29,7 +29,7 @@
     Lingering,
 }
 
-/// Whether input may still arrive that belongs to a request that is already answered.
+/// Whether more input may arrive of a request that already has its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnreadInput {
     /// The request was read to its end.
@@ -45,17 +45,17 @@
     since: Instant,
 }
 
-/// How many connections are idle, and from how many on a connection is closed with its response.
+/// How many connections are idle, and the number of idle ones from which on each response closes its connection.
 pub(super) struct IdleCount {
     pub(super) current: Cell<usize>,
     pub(super) limit: usize,
 }
 
-/// One client connection, as the request handler and the limiter see it.
+/// The state of one client connection, shared by the request handler, the socket's observer and the limiter.
 pub struct ClientConnection {
     state: Cell<ConnectionState>,
     state_since: Cell<Instant>,
-    /// The last request head names its length more than once.
+    /// Whether the head of the last request has more than one `content-length`.
     duplicate_content_length: Cell<bool>,
     unread_input: Cell<UnreadInput>,
     close: Notify,
@@ -84,15 +84,15 @@
         self.idle_count.current.set(self.idle_count.current.get() + is_idle - was_idle);
     }
 
-    /// Whether so many connections are idle that this one should be closed with its response.
+    /// Whether so many connections are idle that the response should close this connection.
     pub fn exceeds_idle_limit(&self) -> bool {
         self.idle_count.current.get() >= self.idle_count.limit
     }
 
-    /// Notes that bytes have been read. True if they start a request.
+    /// Records that bytes have been read. Returns whether these bytes start a request.
     pub(super) fn bytes_received(&self) -> bool {
         match self.state.get() {
-            // The timeout of the first request runs from the connect, so the time of the state stays.
+            // The timeout of the first request runs from the connect, so `state_since` is not reset.
             ConnectionState::AwaitingFirstByte => self.state.set(ConnectionState::ReceivingRequest),
             ConnectionState::Idle => self.enter(ConnectionState::ReceivingRequest),
             _ => return false,
@@ -106,19 +106,19 @@
     }
 
     /// Whether the request's head has more than one `content-length`. The HTTP parser accepts repeated ones without notice,
-    /// and two peers that choose differently disagree on where the request ends (RFC 9112, section 11.2).
+    /// and two peers that use different ones disagree on where the request ends (RFC 9112, section 11.2).
     pub fn has_duplicate_content_length(&self) -> bool {
         self.duplicate_content_length.get()
     }
 
-    /// Notes that all pending writes have been handed to the operating system.
+    /// Records that all pending writes have been handed to the operating system.
     pub(super) fn writes_flushed(&self) {
         if self.state.get() == ConnectionState::SendingResponse {
             self.enter(ConnectionState::Idle);
         }
     }
 
-    /// Notes that a request's head is complete. Returns when its body has to be complete.
+    /// Records that a request's head is complete. Returns when the request's body has to be complete.
     pub fn request_arriving(&self) -> Instant {
         if self.state.get() != ConnectionState::ReceivingRequest {
             self.enter(ConnectionState::ReceivingRequest);
@@ -126,12 +126,12 @@
         self.state_since.get() + self.timeouts.get().request_read
     }
 
-    /// Notes that the request has been accepted and is owed a response.
+    /// Records that the request has been accepted, so that a response must follow.
     pub fn request_accepted(&self) {
         self.enter(ConnectionState::Processing);
     }
 
-    /// Whether a part of a request has arrived.
+    /// Whether a request has arrived in part and is not yet accepted or rejected.
     pub fn is_receiving_request(&self) -> bool {
         self.state.get() == ConnectionState::ReceivingRequest
     }
@@ -141,7 +141,7 @@
         self.state.get() == ConnectionState::Processing
     }
 
-    /// Notes that the response is being written.
+    /// Records that the response is being written.
     pub fn response_started(&self, unread_input: UnreadInput) {
         self.unread_input.set(unread_input);
         self.enter(ConnectionState::SendingResponse);
@@ -165,7 +165,7 @@
         self.close.notified().await;
     }
 
-    /// Whether the connection has been in its state for longer than that state allows.
+    /// Whether the connection has been in its state for longer than the state's timeout.
     pub(super) fn is_overdue(&self, now: Instant, shutting_down: bool) -> bool {
         let max_duration = match self.state.get() {
             ConnectionState::AwaitingFirstByte if shutting_down => SILENT_TIMEOUT_AT_SHUTDOWN,
@@ -180,7 +180,7 @@
         now.saturating_duration_since(self.state_since.get()) >= max_duration
     }
 
-    /// The rank for eviction, or none for a connection that may not be closed.
+    /// The rank for eviction; `None` for a connection that must not be evicted now.
     pub(super) fn eviction_rank(&self, now: Instant) -> Option<EvictionRank> {
         let (class, min_age) = match self.state.get() {
             ConnectionState::Lingering => (0, Duration::ZERO),
@@ -197,7 +197,7 @@
 
 impl Drop for ClientConnection {
     fn drop(&mut self) {
-        // Takes an idle connection out of the count.
+        // Leaving the idle state removes the connection from the idle count.
         self.enter(ConnectionState::Lingering);
     }
 }
--- a/node/src/connection_limits/mod.rs
+++ b/node/src/connection_limits/mod.rs
@@ -1,5 +1,5 @@
-//! Client connection limits: bounds how many connections are open, evicts idle ones to make room and closes overdue ones. A
-//! connection with a request in progress is never evicted.
+//! Limits of client connections: bounds how many connections are open, evicts idle ones to make room, and closes those that have
+//! exceeded a timeout. A connection with a request in progress is never evicted.
 
 mod connection;
 mod request_head;
@@ -22,12 +22,13 @@
 use crate::stream_observer::ObservedStream;
 use connection::IdleCount;
 
-/// With one in so many of the allowed connections idle, a connection is closed with its response. Clients that keep a
-/// connection and send no more requests would hold all that the system before the node has for it, and leave none to others.
+/// Once the idle connections reach the maximum number of connections over this divisor, each response closes its connection.
+/// Otherwise clients that keep a connection open without sending requests could use up all the connections that the system in
+/// front of the node opens to it, and leave none to other clients.
 const IDLE_LIMIT_DIVISOR: usize = 2;
-/// How often connections are checked for overdue ones.
+/// How often the connections are checked against their timeouts.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
-/// The wait for room where no connection can be evicted yet.
+/// The longest wait between two attempts to evict a connection for a new one.
 const EVICTION_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 const LINGER_BUFFER_BYTES: usize = 16 * 1024;
 
@@ -38,13 +39,13 @@
     next_number: Cell<u64>,
     max_connections: usize,
     timeouts: Rc<Cell<ConnectionTimeouts>>,
-    /// The listener has closed.
+    /// Whether the listener has closed.
     shutting_down: Cell<bool>,
     released: Notify,
 }
 
 impl ConnectionLimiter {
-    /// A limiter for at most `max_connections` open at a time.
+    /// A limiter that allows at most `max_connections` open connections.
     pub fn new(max_connections: usize, timeouts: ConnectionTimeouts) -> Rc<Self> {
         let limit = max_connections / IDLE_LIMIT_DIVISOR;
         Rc::new(Self {
@@ -58,21 +59,21 @@
         })
     }
 
-    /// Replaces the timeouts, also of connections that are open.
+    /// Replaces the timeouts, including those of open connections.
     pub fn set_timeouts(&self, timeouts: ConnectionTimeouts) {
         self.timeouts.set(timeouts);
     }
 
-    /// The timeouts in force.
+    /// The timeouts that apply now.
     pub fn timeouts(&self) -> ConnectionTimeouts {
         self.timeouts.get()
     }
 
-    /// Admits a new connection once there is room, evicting others for it.
+    /// Waits until there is room for a new connection, evicting others if needed, and admits the new one.
     pub async fn admit(self: &Rc<Self>) -> ConnectionPermit {
         while self.connections.borrow().len() >= self.max_connections {
             self.evict_one();
-            // A connection may end meanwhile, or become old enough to be evicted.
+            // Meanwhile a connection may close, or become old enough to be evicted.
             let _ = timeout(EVICTION_RETRY_INTERVAL, self.released.notified()).await;
         }
         let number = self.next_number.get();
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Closes connections that have been in one state for too long; never returns.
+    /// Periodically closes connections that have been in one state for longer than allowed; never returns.
     pub async fn close_overdue_connections(self: Rc<Self>) {
         loop {
             sleep(SWEEP_INTERVAL).await;
@@ -106,8 +107,8 @@
         }
     }
 
-    /// Waits until all connections have closed. Call once the listener has closed: from then on connections that never sent
-    /// a byte are closed early.
+    /// Waits until all connections have closed. To be called after the listener has closed: from then on a shorter timeout
+    /// applies to connections on which no byte has arrived.
     pub async fn wait_until_all_closed(&self) {
         self.shutting_down.set(true);
         while !self.connections.borrow().is_empty() {
@@ -116,7 +117,7 @@
     }
 }
 
-/// Permission for one open connection; dropping it makes room for another.
+/// Permission for one open connection; dropping the permit makes room for another connection.
 pub struct ConnectionPermit {
     limiter: Rc<ConnectionLimiter>,
     number: u64,
@@ -137,12 +138,12 @@
     }
 }
 
-/// Closes after the last response: shuts the sending side down and drops further input until the client closes or the
-/// connection is overdue. A socket that is closed with unread input resets its connection, and the client may lose the
-/// response (RFC 9112, section 9.6).
+/// Closes a connection after its last response: shuts the sending side down and discards further input until the client closes
+/// the connection or the linger timeout ends. Closing a socket with unread input resets the connection, and the client may lose
+/// the response (RFC 9112, section 9.6).
 pub(crate) async fn linger_and_close(mut socket: ObservedStream<RequestHeadObserver, ReadAheadStream>) {
     socket.observer.connection().start_lingering();
-    // The socket may have been shut down already, or be broken: then the read below ends at once.
+    // If the socket has been shut down already or has failed, the read below ends at once.
     let _ = socket.stream.shutdown().await;
     let mut dropped = vec![0; LINGER_BUFFER_BYTES];
     while socket.stream.read(&mut dropped).await.is_ok_and(|length| length > 0) {}
--- a/node/src/connection_limits/request_head.rs
+++ b/node/src/connection_limits/request_head.rs
@@ -1,18 +1,19 @@
-//! Observes a client's socket: tracks the connection's state, and what the HTTP parser does not report of a request's head.
+//! Observes a client's socket: tracks the connection's state, and detects repeated `content-length` headers, which the HTTP
+//! parser does not report.
 
 use std::rc::Rc;
 
 use super::connection::ClientConnection;
 use crate::stream_observer::StreamObserver;
 
-/// So much of a head is searched for its length; the parser accepts no longer one.
+/// How much of a request's head is searched for `content-length`; the parser accepts no longer head.
 const MAX_OBSERVED_HEAD_BYTES: usize = 32 * 1024;
 const CONTENT_LENGTH: &[u8] = b"content-length:";
 
-/// Keeps a [`ClientConnection`] up to date by the reads and flushes of its socket.
+/// Updates a [`ClientConnection`] at each read and flush of its socket.
 pub struct RequestHeadObserver {
     connection: Rc<ClientConnection>,
-    /// The head that is arriving.
+    /// What has arrived of a request's head; `None` while no head is arriving.
     head: Option<Vec<u8>>,
 }
 
@@ -33,7 +34,7 @@
             self.head = Some(Vec::new());
         }
         let Some(head) = &mut self.head else { return };
-        // The end of the head may lie across two reads.
+        // The end of the head may be split between two reads.
         let search_from = head.len().saturating_sub(3);
         head.extend_from_slice(bytes);
         if contains_head_end(&head[search_from..]) || head.len() > MAX_OBSERVED_HEAD_BYTES {
--- a/node/src/control_socket.rs
+++ b/node/src/control_socket.rs
@@ -1,5 +1,5 @@
-//! The control socket: shows the node's state and takes commands from its own machine, over a Unix socket. One JSON object a
-//! line in, one out. Off where no path is given.
+//! The control socket: a Unix socket over which operators on the same machine show the node's state and drain the node. Each
+//! command is one line with a JSON object, and so is each response. Disabled if no path is given.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -27,27 +27,28 @@
 #[derive(Deserialize)]
 #[serde(tag = "op", rename_all = "snake_case", deny_unknown_fields)]
 enum Command {
-    /// Shows the node as a whole.
+    /// Shows the state of the node and a summary of each zone.
     State {},
-    /// Shows each server.
+    /// Shows each backend, with what the balancer knows of its load.
     Servers {},
-    /// Drains the node until an undrain: nothing new where another node can serve it.
+    /// Drains the node until an undrain: readiness fails and each response closes its connection, so that clients move to other
+    /// nodes.
     Drain {},
     /// Ends a drain.
     Undrain {},
 }
 
-/// What the control socket shows and commands.
+/// Executes the commands of the control socket.
 pub struct ControlSocket {
     name: String,
     listen: SocketAddr,
     node: Node,
     phase: watch::Sender<DrainPhase>,
-    /// The process shuts down, which can't be undone.
+    /// Whether the process is shutting down, which can't be undone.
     shutting_down: Cell<bool>,
-    /// How long after the start of a drain idle connections are closed.
+    /// The delay between the start of a drain and the closing of idle connections.
     idle_close_delay: Duration,
-    /// Counts drains and undrains, so that a timer of an earlier drain is recognised.
+    /// Counts drains and undrains, so that the timer of an earlier drain is recognised as stale.
     drain_generation: Cell<u32>,
     started_at: Instant,
 }
@@ -79,7 +80,7 @@
         ivyhatch_admin_protocol::serve(listener, LIMITS, move |command| self.execute(command)).await;
     }
 
-    /// From now on drains and undrains are rejected.
+    /// Rejects all further drains and undrains.
     pub fn start_shutdown(&self) {
         self.shutting_down.set(true);
     }
@@ -106,8 +107,8 @@
         }
     }
 
-    /// As at a shutdown, connections are accepted for a while; then idle ones are closed. Connections accepted after that serve
-    /// one request each.
+    /// Starts a drain. As at a shutdown, idle connections are closed after a delay. Connections are still accepted, and those
+    /// accepted during the drain serve one request each.
     fn drain(self: &Rc<Self>) {
         let drains = self.phase.send_if_modified(|phase| {
             let was_serving = *phase == DrainPhase::Serving;
@@ -138,7 +139,7 @@
         }
     }
 
-    /// True if the phase has changed.
+    /// Sets the phase. Returns whether the phase has changed.
     fn enter(&self, phase: DrainPhase) -> bool {
         self.phase.send_if_modified(|current| std::mem::replace(current, phase) != phase)
     }
@@ -152,7 +153,7 @@
             (false, DrainPhase::Serving) => "serving",
             (false, _) => "draining",
         };
-        // Drained once idle connections have been closed and no request is open.
+        // The node is drained once idle connections have been closed and no request is open.
         let drained = phase_name == "draining" && phase == DrainPhase::ClosingIdle && view.open_requests == 0;
         json!({"name": self.name, "pid": std::process::id(), "version": env!("CARGO_PKG_VERSION"),
             "listen": self.listen.to_string(), "phase": phase_name, "drained": drained,
--- a/node/src/descriptor_budget.rs
+++ b/node/src/descriptor_budget.rs
@@ -1,28 +1,29 @@
-//! How the process's file descriptors are divided.
+//! Divides the process's file descriptors between client connections and backend connections.
 
 use crate::start_error::StartError;
 use crate::upstream::ConnectionBudget;
 
-/// Three standard streams, the runtime's three and two for signals, the listener, a client that waits for admission, discovery
-/// (two while it moves), the configuration as it is reloaded; and some to spare.
+/// The descriptors that the node needs beside its connections: three standard streams, three of the runtime and two for signals,
+/// the listener, one accepted client that waits for admission, the connection to discovery (two while discovery moves), the
+/// configuration file while it is reloaded, and a reserve.
 const OWN_DESCRIPTORS: usize = 16;
 
-/// The connections that the descriptors allow for.
+/// How many connections the file descriptors allow for.
 #[derive(Clone, Copy, Debug)]
 pub struct DescriptorBudget {
-    /// Connections from clients.
+    /// The number of connections from clients.
     pub clients: usize,
-    /// Connections to backends.
+    /// The number of connections to backends.
     pub backends: ConnectionBudget,
 }
 
 impl DescriptorBudget {
-    /// Divides `descriptors`. Beside the node's own, half are for clients and three eighths for backends, of which a ninth are
-    /// connections that have been dropped and are not closed yet; the rest is for probes, and slack. Probes come out of the
-    /// slack, never out of what requests need (docs/incidents/narrow-moments.md).
+    /// Divides `descriptors`. Of those left beside the node's own, half are for clients and three eighths for backends; a ninth of
+    /// the backends' part is for connections that have been dropped and are not closed yet. The rest is for probes, and slack.
+    /// Probes take descriptors of the slack, never those that requests need (docs/incidents/narrow-moments.md).
     ///
     /// # Errors
-    /// [`StartError::TooFewDescriptors`] if the node itself needs half of them or more.
+    /// [`StartError::TooFewDescriptors`] if there are fewer than twice the descriptors that the node needs beside its connections.
     pub fn divide(descriptors: usize) -> Result<Self, StartError> {
         if descriptors < 2 * OWN_DESCRIPTORS {
             return Err(StartError::TooFewDescriptors(descriptors));
--- a/node/src/discovery/client.rs
+++ b/node/src/discovery/client.rs
@@ -1,4 +1,4 @@
-//! One call to discovery over HTTP/1.
+//! The HTTP/1 client for calls to discovery.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,58 +14,58 @@
 use crate::http_client::{ConnectError, connect, start_http1};
 use crate::tcp_options::set_nodelay_if_possible;
 
-/// The path of the list.
+/// The path of the list of backends.
 pub const LIST_PATH: &str = "/registry/instances";
-/// A list of thousands of backends fits.
+/// The largest list that is accepted; enough for thousands of backends.
 const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
-/// Why a call to discovery brought no list.
+/// Why a call to discovery returned no list.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// The connect failed.
     #[error(transparent)]
     Connect(#[from] ConnectError),
     /// The connection failed during the call.
-    #[error("the call failed: {0}")]
+    #[error("connection failed: {0}")]
     Connection(#[from] hyper::Error),
-    /// The body broke off or was too long.
-    #[error("the response broke off or was too long: {0}")]
+    /// The body of the response was truncated or larger than [`MAX_LIST_BYTES`].
+    #[error("response body truncated or too large: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    /// Discovery rejected the call.
+    /// Discovery responded with another status than 200.
     #[error("response status {0}")]
     Status(StatusCode),
-    /// The body is no list.
+    /// The body of the response is not a valid list.
     #[error("malformed list: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// No response arrived in time.
+    /// No response arrived within the call's timeout.
     #[error("no response in time")]
     TimedOut,
-    /// The target is no valid URI.
+    /// The target of the call is not a valid URI.
     #[error("invalid request: {0}")]
     Request(#[from] hyper::http::Error),
 }
 
-/// The connection to discovery at one address, opened as needed.
+/// The connection to discovery at one address, opened when a call needs it.
 pub struct DiscoveryConnection {
     at: SocketAddr,
     sender: Option<SendRequest<Empty<Bytes>>>,
 }
 
 impl DiscoveryConnection {
-    /// A connection to `at` that is not open yet.
+    /// A connection to `at`, opened by the first call.
     pub fn new(at: SocketAddr) -> Self {
         Self { at, sender: None }
     }
 
-    /// Closes the connection; the next call opens another.
+    /// Closes the connection; the next call opens a new one.
     pub fn close(&mut self) {
         self.sender = None;
     }
 
-    /// Asks for the list at `target`. Reuses the connection of the last call if that succeeded.
+    /// Requests the list at `target`. Reuses the connection of the last call if that call succeeded.
     ///
     /// # Errors
-    /// [`CallError`] where no list arrives; the call has no overall timeout of its own.
+    /// [`CallError`] if no list arrives. The call has no overall timeout: the caller must limit its duration.
     pub async fn fetch(&mut self, target: &str, connect_timeout: Duration) -> Result<BackendList, CallError> {
         let mut sender = match self.sender.take().filter(|sender| !sender.is_closed()) {
             Some(sender) => sender,
@@ -85,7 +85,7 @@
     }
 }
 
-/// Speaks HTTP/1 to discovery over `stream`.
+/// Starts HTTP/1 to discovery over `stream`.
 pub(super) async fn open_over(stream: TcpStream) -> hyper::Result<SendRequest<Empty<Bytes>>> {
     set_nodelay_if_possible(&stream);
     start_http1(Builder::new(), stream, "discovery", ()).await
--- a/node/src/discovery/list.rs
+++ b/node/src/discovery/list.rs
@@ -1,4 +1,4 @@
-//! The list of backends in the form in which discovery sends it.
+//! The list of backends in discovery's wire format.
 
 use std::net::SocketAddr;
 
@@ -7,12 +7,12 @@
 
 use crate::driver::BackendRecord;
 
-/// A list, or the changes since an earlier one.
+/// A full list of backends, or the changes since an earlier revision.
 #[derive(Deserialize)]
 pub struct BackendList {
-    /// The list's revision. Revisions of different addresses don't compare.
+    /// The list's revision. Revisions from different discovery addresses can't be compared.
     pub rev: u64,
-    /// Whether it has all backends, or only those that have changed.
+    /// Whether the list has all backends, or only those that have changed.
     pub all: bool,
     targets: Vec<Target>,
 }
@@ -41,17 +41,17 @@
 }
 
 impl BackendList {
-    /// How many backends it names.
+    /// The number of backends in the list.
     pub fn len(&self) -> usize {
         self.targets.len()
     }
 
-    /// Whether it has all backends or changes.
+    /// Whether the list has all backends or only changes.
     pub fn scope(&self) -> ListScope {
         if self.all { ListScope::Full } else { ListScope::Changes }
     }
 
-    /// Its backends.
+    /// Converts the list to the driver's records of its backends.
     pub fn into_records(self) -> Vec<BackendRecord> {
         self.targets.into_iter().map(BackendRecord::from).collect()
     }
--- a/node/src/discovery/mod.rs
+++ b/node/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Follows discovery's list of backends: one watch, renewed at once and for ever.
+//! Follows discovery's list of backends by a watch: a long poll that is renewed as soon as it ends.
 
 mod client;
 mod list;
@@ -22,20 +22,20 @@
 pub struct DiscoveryWatch {
     node: Node,
     connection: DiscoveryConnection,
-    /// The revision of the last list from this address.
+    /// The revision of the last list from the current address; `None` if the full list is needed.
     revision: Option<u64>,
     schedule: DiscoverySchedule,
-    /// The schedule's times count from then.
+    /// The origin of the schedule's times.
     started_at: Instant,
 }
 
-/// A list and how long its call took.
+/// A received list and the duration of its call.
 struct Fetched {
     list: BackendList,
     elapsed: Duration,
 }
 
-/// When a site's nodes call discovery. `seed` should differ from node to node.
+/// The schedule of calls to discovery for a node with these settings. `seed` should differ between nodes.
 pub fn schedule_for(settings: &Settings, seed: u64) -> DiscoverySchedule {
     let rules = &settings.rules;
     match settings.discovery {
@@ -48,7 +48,7 @@
 }
 
 impl DiscoveryWatch {
-    /// A watch at `at` that continues from `cached`, which may be old.
+    /// A watch of the discovery service at `at` that starts from `cached`, a list that may be stale.
     pub fn new(node: Node, at: SocketAddr, cached: Option<BackendList>, schedule: DiscoverySchedule) -> Self {
         let revision = cached.as_ref().map(|list| list.rev);
         if let Some(list) = cached {
@@ -58,7 +58,7 @@
         Self { node, connection, revision, schedule, started_at: Instant::now() }
     }
 
-    /// Watches at the latest `address`; never returns.
+    /// Watches the discovery service at the latest `address`; never returns.
     pub async fn run(mut self, mut address: watch::Receiver<SocketAddr>) {
         let mut log_limiter = LogRateLimiter::default();
         loop {
@@ -106,8 +106,8 @@
         timeout(timeouts.call, call).await.map_err(|_| CallError::TimedOut)?
     }
 
-    /// Continues at another address. Revisions count at one address only, so the full list is asked for; the backends that are
-    /// known stay, as they keep their names.
+    /// Continues at another address. Revisions are valid at one address only, so the full list is requested next. The known
+    /// backends are kept until then: they have the same names in the lists of the new address.
     fn move_to(&mut self, at: SocketAddr) {
         self.connection = DiscoveryConnection::new(at);
         self.revision = None;
--- a/node/src/discovery/schedule.rs
+++ b/node/src/discovery/schedule.rs
@@ -1,39 +1,41 @@
-//! Decides when to call discovery, how long a call may wait there, and when a silent call is abandoned. No I/O: the caller
-//! supplies the time and reports how calls ended.
+//! Decides when to call discovery, how long a call's long poll is, and when a call without a response times out. No I/O: the
+//! caller supplies the time and reports how calls ended.
 //!
-//! Where one discovery service serves all nodes they start together and are rejected together, so each waits for a random part
-//! of a span (full jitter; docs/incidents/fleet-herd.md). Watches that fall silent do so together as well; the silence is
-//! detected at the end of their long polls, whose lengths are random for the same reason (docs/incidents/narrow-moments.md).
-//! What a watch missed counts as notified from a known moment on, whether or not it arrived: until then another call is worth
-//! more than a lower load on discovery, and delays are cut short.
+//! If one discovery service serves all nodes, nodes that start together call together and are rejected together, so each node
+//! waits for a random part of a span (full jitter; docs/incidents/fleet-herd.md). Watches also become unresponsive all at
+//! once; this is detected at the end of their long polls, whose lengths are random for the same reason
+//! (docs/incidents/narrow-moments.md). A change that a watch has missed counts as notified from a known time on, whether or not
+//! the node has received it: until then another call matters more than a low load on discovery, and delays are shortened.
 
 use std::time::Duration;
 
 use ivyhatch_balancer::hash_mix;
 
-/// What each node adds to the span over which calls are spread: a call takes a single service some hundredths of a second, and
-/// it serves one node after the other. Three nodes hardly wait; a hundred that start together spread over five seconds.
+/// The time that each node adds to the span over which calls are spread: a discovery service needs some hundredths of a second
+/// per call, and serves one call after the other. Three nodes hardly wait; the calls of a hundred nodes that start together are
+/// spread over five seconds.
 const SPREAD_PER_NODE: Duration = Duration::from_millis(50);
-/// The longest long poll at an agent on the node's own machine, where a call costs nothing and silence should be detected soon.
-/// The shortest is half of it.
+/// The longest long poll at an agent on the node's own machine, where a call costs little and an unresponsive agent should be
+/// detected soon. The shortest long poll is half as long.
 const MAX_LONG_POLL_LOCAL: Duration = Duration::from_secs(3);
-/// The longest long poll where all nodes call one service.
+/// The longest long poll if all nodes call one service. The shortest is half as long.
 const MAX_LONG_POLL_SHARED: Duration = Duration::from_secs(20);
-/// The protocol: what a silent call misses counts as notified so long after it fell silent, and
-/// [`NOTIFIED_AFTER_LONG_POLL`] after its long poll was over if that is later.
+/// Set by the discovery protocol: a change that an unresponsive call misses counts as notified this long after the call became
+/// unresponsive, or [`NOTIFIED_AFTER_LONG_POLL`] after the end of its long poll if that is later.
 const NOTIFIED_AFTER_SILENCE: Duration = Duration::from_secs(6);
 const NOTIFIED_AFTER_LONG_POLL: Duration = Duration::from_secs(2);
-/// The protocol: what has changed when discovery moves counts as notified so long after the move.
+/// Set by the discovery protocol: a change during a move of discovery counts as notified this long after the move.
 const NOTIFIED_AFTER_MOVE: Duration = Duration::from_secs(4);
-/// A watch without a response so long after its long poll was over gets none any more. Discovery ends long polls to the
-/// millisecond; a quarter of what is left until the change counts as notified is for a slow network, the rest for the next call.
+/// A watch times out this long after the end of its long poll. Discovery ends long polls to the millisecond. A quarter of the time
+/// until a missed change counts as notified is left for a slow network, the rest for the next call.
 const LONG_POLL_OVERDUE_AFTER: Duration = Duration::from_millis(500);
-/// A call for the full list may wait in discovery's queue, which rejects calls that have waited for a second or two.
+/// The timeout of a call for the full list. The call may wait in discovery's queue, which rejects calls that have waited for a
+/// second or two.
 const FULL_LIST_TIMEOUT: Duration = Duration::from_secs(3);
-/// A connection that is not up by then is abandoned.
+/// The longest time that a connect to discovery may take.
 const MAX_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The first and the last delay after failures in a row, doubled in between.
+/// The first and the longest delay of the exponential backoff after consecutive failures.
 #[derive(Clone, Copy)]
 struct BackoffBounds {
     initial: Duration,
@@ -42,22 +44,22 @@
 
 const BACKOFF_LOCAL: BackoffBounds =
     BackoffBounds { initial: Duration::from_millis(50), max: Duration::from_millis(800) };
-/// Longer, as all nodes call one service.
+/// Longer than [`BACKOFF_LOCAL`], as all nodes call one service.
 const BACKOFF_SHARED: BackoffBounds =
     BackoffBounds { initial: Duration::from_millis(300), max: Duration::from_millis(4800) };
-/// The exponent of the backoff stops here, far above every bound.
+/// The largest exponent of the backoff; prevents an overflow, and is far above the exponents at which the bounds are reached.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// What ended a call without a list.
+/// Why a call ended without a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
-    /// The call was rejected, its connection failed, or it brought no list.
+    /// The call was rejected, its connection failed, or its response was no list.
     Error,
-    /// No response arrived in time.
+    /// No response arrived within the call's timeout.
     TimedOut,
 }
 
-/// What a call asks for.
+/// What a call requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
     /// The changes since a revision, by a long poll.
@@ -71,45 +73,45 @@
 pub struct CallTimeouts {
     /// How long a watch asks discovery to wait for a change.
     pub long_poll: Duration,
-    /// When the call is abandoned, from its start.
+    /// The timeout of the call, from its start.
     pub call: Duration,
 }
 
-/// Schedules a node's calls. All times are since some fixed moment.
+/// Schedules a node's calls to discovery. All times are since an origin that the caller chooses.
 pub struct DiscoverySchedule {
     max_long_poll: Duration,
     backoff: BackoffBounds,
-    /// The span over which calls of all nodes are spread.
+    /// The span over which the calls of all nodes are spread.
     spread: Duration,
     max_spread: Duration,
-    /// Whether a call has been made.
+    /// Whether a call has been made or discovery has moved.
     has_called: bool,
     consecutive_failures: u32,
-    /// The last call was a watch, and has not failed with an error.
+    /// Whether the last call was a watch that has not failed with an error.
     last_watch_silent: bool,
-    /// When what the current call may miss counts as notified.
+    /// When changes that the current call may miss count as notified.
     current_call_notified_at: Duration,
-    /// When what has been missed counts as notified.
+    /// When changes that a call or a move has missed count as notified; `None` if nothing was missed.
     missed_notified_at: Option<Duration>,
     random_state: u64,
 }
 
 impl DiscoverySchedule {
-    /// For one of `nodes` that share a discovery service and must call at least every `max_poll_interval`. `seed` should differ
-    /// from node to node.
+    /// A schedule for one of `nodes` nodes that share a discovery service and must call at least every `max_poll_interval`. `seed`
+    /// should differ between nodes.
     pub fn for_shared_service(nodes: u32, max_poll_interval: Duration, seed: u64) -> Self {
         let max_spread = max_poll_interval / 2;
         let spread = (SPREAD_PER_NODE * nodes.saturating_sub(1)).min(max_spread);
-        // The lists of a node whose call has failed expire after four times `max_poll_interval`: it must have tried again by
-        // then. The delay never reaches zero: calls that are rejected at once must not make a tight loop.
+        // The list of a node whose call has failed expires after four times `max_poll_interval`: the node must have called again
+        // by then. The delay never reaches zero, so that calls that are rejected at once make no tight loop.
         let bounded = |delay: Duration| delay.min(max_spread).max(BACKOFF_LOCAL.initial);
         let backoff =
             BackoffBounds { initial: bounded(BACKOFF_SHARED.initial), max: bounded(BACKOFF_SHARED.max) };
         Self::new(MAX_LONG_POLL_SHARED, backoff, spread, max_spread, seed)
     }
 
-    /// For an agent on the node's own machine. It is retried so often that a list it has once it is back arrives well within
-    /// `drain_grace`, after which nothing may be sent to a backend that drains by that list.
+    /// A schedule for a discovery agent on the node's own machine. Failed calls are retried so often that the first list of a
+    /// restarted agent arrives well within `drain_grace`; after that nothing may be sent to a backend that drains by that list.
     pub fn for_local_agent(drain_grace: Duration, seed: u64) -> Self {
         let max = (drain_grace / 4).clamp(BACKOFF_LOCAL.initial, BACKOFF_LOCAL.max);
         let backoff = BackoffBounds { initial: BACKOFF_LOCAL.initial, max };
@@ -137,12 +139,12 @@
         }
     }
 
-    /// How long a connect to discovery may take: no longer than the longest delay between two calls.
+    /// The timeout of a connect to discovery: no longer than the longest backoff delay.
     pub fn connect_timeout(&self) -> Duration {
         MAX_CONNECT_TIMEOUT.min(self.backoff.max)
     }
 
-    /// A call starts.
+    /// Records the start of a call, and returns the call's timeouts.
     pub fn start_call(&mut self, now: Duration, kind: CallKind) -> CallTimeouts {
         self.has_called = true;
         let long_poll = self.max_long_poll.mul_f64(0.5 + 0.5 * self.random());
@@ -158,13 +160,13 @@
         CallTimeouts { long_poll, call }
     }
 
-    /// The call has brought a list.
+    /// Records that the call has returned a list.
     pub fn call_succeeded(&mut self) {
         self.consecutive_failures = 0;
         self.missed_notified_at = None;
     }
 
-    /// The call has brought no list.
+    /// Records that the call has returned no list.
     pub fn call_failed(&mut self, failure: CallFailure) {
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         self.last_watch_silent &= failure == CallFailure::TimedOut;
@@ -173,18 +175,18 @@
         }
     }
 
-    /// Discovery has another address now.
+    /// Records that discovery has moved to another address.
     pub fn discovery_moved(&mut self, now: Duration) {
         self.has_called = true;
         self.consecutive_failures = 0;
         self.missed_notified_at = Some(now + NOTIFIED_AFTER_MOVE);
     }
 
-    /// How long to wait before the next call.
+    /// The delay before the next call.
     pub fn next_delay(&mut self, now: Duration) -> Duration {
         if self.consecutive_failures == 0 {
-            // A list is followed by the next call at once: for 200 ms its watch counts as continued, and what changes in that
-            // time as notified. The same goes for a move.
+            // The next call follows a list at once: discovery counts a watch as continued for 200 ms after its end, and changes
+            // within that time as notified. The same applies to a move.
             return if self.has_called { Duration::ZERO } else { self.spread.mul_f64(self.random()) };
         }
         if self.consecutive_failures == 1 && self.last_watch_silent {
@@ -192,13 +194,13 @@
         }
         let delay = self.backoff_delay();
         match self.missed_notified_at.and_then(|notified_at| notified_at.checked_sub(now)) {
-            // Half of what is left is for the call itself.
+            // Half of the remaining time is left for the call itself.
             Some(left) => delay.min((left / 2).mul_f64(self.random()).max(self.backoff.initial)),
             None => delay,
         }
     }
 
-    /// Exponential backoff, with the growing spread of all nodes' calls on top.
+    /// Exponential backoff with jitter, plus a random part of the nodes' spread, which grows with each failure.
     fn backoff_delay(&mut self) -> Duration {
         let doubled = |span: Duration, times: u32| span.saturating_mul(1 << times.min(MAX_DOUBLINGS));
         let BackoffBounds { initial, max } = self.backoff;
@@ -208,7 +210,7 @@
         backoff + spread.mul_f64(self.random())
     }
 
-    /// A uniform number from 0 to 1, by SplitMix64.
+    /// A uniform random number from 0 up to, but not including, 1, by SplitMix64.
     fn random(&mut self) -> f64 {
         self.random_state = self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         (hash_mix(self.random_state) >> 11) as f64 / (1u64 << 53) as f64
--- a/node/src/driver/attempts.rs
+++ b/node/src/driver/attempts.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at one backend, as it passes between the driver and the transport.
+//! The types of an attempt of a request at one backend, and of its result, which the driver and the transport exchange.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,15 +19,15 @@
 
 /// An attempt to be made.
 pub struct AttemptStart {
-    /// Goes back with the result.
+    /// Identifies the attempt when its result is reported.
     pub key: AttemptKey,
     /// The backend to send to.
     pub backend: BackendId,
-    /// Where the backend listens.
+    /// The address at which the backend listens.
     pub endpoint: SocketAddr,
-    /// What to send.
+    /// The request to send.
     pub forwarded: Rc<ForwardedRequest>,
-    /// When the attempt times out.
+    /// When the attempt times out; not later than `not_after`.
     pub timeout_at: Nanos,
     /// When the client stops waiting.
     pub not_after: Nanos,
@@ -37,9 +37,9 @@
 
 /// How an attempt or a probe ended.
 pub struct AttemptResult {
-    /// What happened.
+    /// The outcome, which the balancer is notified of.
     pub outcome: Outcome,
-    /// The load report that the response carried.
+    /// The load report in the response; empty if there was none.
     pub report: LoadReport,
     /// The body of the response, if the outcome is [`Outcome::Served`].
     pub body: Bytes,
@@ -59,16 +59,16 @@
 }
 
 impl InFlight {
-    /// Also returns what resolves once it is cancelled.
+    /// Starts an attempt or a probe. The receiver resolves once it has been cancelled.
     pub(super) fn start(now: Nanos) -> (Self, oneshot::Receiver<()>) {
         let (cancel, cancelled) = oneshot::channel();
         (Self { started_at: now, cancel: Some(cancel) }, cancelled)
     }
 
-    /// Asks the transport to end it; its result follows. Only the first call counts.
+    /// Asks the transport to end the attempt or probe. Calls after the first one have no effect.
     pub(super) fn cancel(&mut self) {
         if let Some(cancel) = self.cancel.take() {
-            // One that has ended meanwhile no longer listens: its own result is on the way.
+            // Sending fails if the attempt or probe has just ended; its result is then about to be reported.
             let _ = cancel.send(());
         }
     }
--- a/node/src/driver/backend_directory.rs
+++ b/node/src/driver/backend_directory.rs
@@ -1,4 +1,4 @@
-//! The backends that discovery lists: their numbers, addresses and drains.
+//! The backends that discovery lists: their numbers, addresses and drain states.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -8,44 +8,44 @@
 
 use super::ids::ExpiringMap;
 
-/// A backend that has left keeps its number for this long: by the number the balancer finds the notice by which the backend left,
-/// and lets no older list revoke that notice. As long as the notice is valid in the balancer (`balancer/src/removal_notices.rs`).
+/// A removed backend keeps its number for this long. By the number the balancer finds the removal notice of the backend, so that no
+/// older list can revoke the notice. Equals the time for which the balancer keeps a notice (`balancer/src/removal_notices.rs`).
 const NUMBER_RETENTION: Nanos = 300_000_000_000;
-/// At most so many numbers are retained; a fleet replaced many times over in five minutes loses the oldest.
+/// The most numbers of removed backends that are retained. If more are removed within [`NUMBER_RETENTION`], the oldest are evicted.
 pub(super) const MAX_RETAINED_NUMBERS: usize = 4096;
 const NANOS_PER_MILLISECOND: Nanos = 1_000_000;
 
-/// One backend as discovery lists it.
+/// A backend in discovery's list.
 pub struct BackendRecord {
-    /// The backend's name.
+    /// The backend's name, which identifies it across lists.
     pub uid: String,
-    /// Where it listens.
+    /// The address at which the backend listens.
     pub endpoint: SocketAddr,
-    /// Its zone.
+    /// The name of the backend's zone.
     pub zone: String,
-    /// Its machine kind.
+    /// The name of the backend's machine kind.
     pub machine_kind: String,
-    /// Its cell.
+    /// The number of the backend's cell.
     pub cell: u64,
-    /// Whether it is in service.
+    /// Whether the backend is in service, draining or removed.
     pub state: BackendState,
-    /// Its capacity relative to the others.
+    /// The backend's capacity relative to other backends.
     pub weight: f64,
-    /// When it last started, in milliseconds of Unix time; 0 for long ago.
+    /// When the backend last started, in milliseconds of Unix time; 0 if the start is unknown or long ago.
     pub boot_ms: u64,
 }
 
 struct Backend {
     endpoint: SocketAddr,
     boot_ms: u64,
-    /// When the node learned that it drains.
+    /// When this node learned that the backend drains; `None` while the backend is in service.
     draining_since: Option<Nanos>,
 }
 
-/// What a record has changed.
+/// The result of registering a record.
 pub(super) struct Registration {
     pub(super) member: Member,
-    /// The backend drains, has moved or has restarted: its idle connections are of no more use.
+    /// Whether to close the idle connections to the backend: it drains, has moved or has restarted.
     pub(super) close_connections: bool,
 }
 
@@ -69,12 +69,13 @@
         }
     }
 
-    /// The names that the settings list.
+    /// The numbers of zones, request classes, machine kinds and tenants.
     pub(super) fn names(&self) -> &NameTable {
         &self.names
     }
 
-    /// The names of backends that `list` removes: those whose state is `Removed`, and, by a full list, those that are missing from it.
+    /// The names of the backends that `list` removes: those whose state is `Removed` and, unless the list has changes only, those
+    /// that are missing from it.
     pub(super) fn removed_by(&self, scope: ListScope, list: &[BackendRecord]) -> Vec<String> {
         let mut removed: Vec<String> = Vec::new();
         if scope != ListScope::Changes {
@@ -86,7 +87,7 @@
         removed
     }
 
-    /// Adds or updates a backend. None for a removed one that is not known.
+    /// Adds or updates a backend. `None` for a removed backend that was not listed.
     pub(super) fn register(&mut self, record: BackendRecord, now: Nanos) -> Option<Registration> {
         let is_removed = record.state == BackendState::Removed;
         let backend = match self.ids.get(&record.uid) {
@@ -115,7 +116,7 @@
         Some(Registration { member, close_connections: draining || replaced })
     }
 
-    /// A new number, or the one that the backend had before it left.
+    /// Assigns a new number, or the retained number of a backend that was removed.
     fn assign_id(&mut self, uid: String, now: Nanos) -> BackendId {
         let id = self.departed.take(&uid, now).unwrap_or(BackendId(self.next_id));
         self.next_id = self.next_id.max(id.0 + 1);
@@ -123,8 +124,8 @@
         id
     }
 
-    /// Notes which backends drain. A full list can be older than the notice that a backend leaves, so `is_in_service` has the
-    /// balancer's decision on which of the two holds.
+    /// Updates which backends drain. A full list can be older than a backend's drain or removal notice; `is_in_service` returns
+    /// the balancer's decision on which of the two applies.
     pub(super) fn update_draining(&mut self, is_in_service: impl Fn(BackendId) -> bool, now: Nanos) {
         for (id, backend) in &mut self.backends {
             backend.draining_since = match is_in_service(*id) {
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Removes a backend and retains its number.
+    /// Removes a backend and retains its number. Returns the number; `None` if the backend was not listed.
     pub(super) fn remove(&mut self, uid: String, now: Nanos) -> Option<BackendId> {
         let id = self.ids.remove(&uid)?;
         self.backends.remove(&id);
@@ -142,27 +143,27 @@
         Some(id)
     }
 
-    /// The number of a backend.
+    /// The number of a listed backend.
     pub(super) fn id(&self, uid: &str) -> Option<BackendId> {
         self.ids.get(uid).copied()
     }
 
-    /// The names by number.
+    /// The names of the listed backends by number.
     pub(super) fn names_by_id(&self) -> HashMap<BackendId, &str> {
         self.ids.iter().map(|(name, id)| (*id, name.as_str())).collect()
     }
 
-    /// Where a backend listens.
+    /// The address at which a backend listens; `None` for a backend that is not listed.
     pub(super) fn endpoint(&self, id: BackendId) -> Option<SocketAddr> {
         self.backends.get(&id).map(|backend| backend.endpoint)
     }
 
-    /// Whether a backend drains; none for one that is not listed.
+    /// Whether a backend drains; `None` for a backend that is not listed.
     pub(super) fn is_draining(&self, id: BackendId) -> Option<bool> {
         self.backends.get(&id).map(|backend| backend.draining_since.is_some())
     }
 
-    /// Whether a backend is listed, and has drained for less than `grace` if it drains.
+    /// Whether a backend is listed, and either in service or draining for less than `grace`.
     pub(super) fn may_write_to(&self, id: BackendId, now: Nanos, grace: Nanos) -> bool {
         self.backends.get(&id).is_some_and(|backend| {
             backend.draining_since.is_none_or(|since| now < since.saturating_add(grace))
@@ -180,7 +181,7 @@
     }
 }
 
-/// How much the directory holds.
+/// The number of entries in each table of the directory.
 #[cfg(test)]
 pub(super) struct DirectorySizes {
     pub(super) ids: usize,
--- a/node/src/driver/clock.rs
+++ b/node/src/driver/clock.rs
@@ -1,11 +1,11 @@
-//! The node's clock: monotonic, and comparable with the clocks of other machines.
+//! The node's clock: monotonic, and based on Unix time, so that times from other machines can be compared with it.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use ivyhatch_balancer::Nanos;
 
-/// Nanoseconds that never step back, counted from the Unix time at the start, so that times reported by other machines
-/// compare with them.
+/// A monotonic clock in nanoseconds of Unix time: the system clock is read once, at the start, and later changes of the system
+/// clock have no effect. Times reported by other machines can be compared with its times.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started_at: Instant,
@@ -13,18 +13,18 @@
 }
 
 impl Clock {
-    /// A clock that starts at the present time.
+    /// Starts a clock at the system clock's present time.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self { started_at: Instant::now(), unix_offset: to_nanos(unix) }
     }
 
-    /// The present.
+    /// The present time.
     pub fn now(&self) -> Nanos {
         self.unix_offset.saturating_add(to_nanos(self.started_at.elapsed()))
     }
 
-    /// The runtime's instant for `at`, a time of this clock.
+    /// Converts `at`, a time of this clock, to an instant of the runtime.
     pub fn instant(&self, at: Nanos) -> tokio::time::Instant {
         (self.started_at + Duration::from_nanos(at.saturating_sub(self.unix_offset))).into()
     }
--- a/node/src/driver/dispatch.rs
+++ b/node/src/driver/dispatch.rs
@@ -17,30 +17,30 @@
 use super::requests::{ClientRequest, Reply};
 use super::timers::TimerTable;
 
-/// How long past a request's deadline the driver waits for the balancer before it replies by itself: longer than the
-/// balancer's own housekeeping interval, well inside the slack that the rules leave.
+/// How long after a request's deadline the driver fails the request if the balancer has given no reply: longer than the
+/// balancer's housekeeping interval, and well below the grace that the rules allow for late responses.
 const REPLY_BACKSTOP_DELAY: Nanos = 20_000_000;
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// The balancer asked for it, with this token.
+    /// A timer that the balancer has set, with the balancer's token.
     Balancer(u64),
-    /// Fails a request that the balancer left without a reply.
+    /// Fails a request to which the balancer has given no reply.
     ReplyBackstop(RequestId),
 }
 
-/// Work that an event leaves to be done once the driver's state is no longer borrowed.
+/// Work that results from an event and is carried out once the driver's state is no longer borrowed.
 #[derive(Default)]
 pub(super) struct Outputs {
     pub(super) attempts: Vec<AttemptStart>,
-    /// Backends whose idle connections are of no more use.
+    /// Backends whose idle connections are to be closed.
     pub(super) close_connections_to: Vec<BackendId>,
     pub(super) probes: Vec<ProbeStart>,
-    /// Backends that the balancer wanted probed and that are not.
+    /// Backends for which the balancer asked for a probe that is not made.
     pub(super) skipped_probes: Vec<BackendId>,
-    /// Attempts at a backend that has left the list meanwhile.
+    /// Attempts at a backend that is no longer listed.
     pub(super) unsendable_attempts: Vec<AttemptKey>,
-    /// A timer is due before the one that is waited for.
+    /// Whether a new timer is due before the one that the timer task waits for.
     pub(super) rearm_timer: bool,
 }
 
@@ -52,7 +52,7 @@
     pub(super) backends: BackendDirectory,
     pub(super) timers: TimerTable<Timer>,
     pub(super) probes: ProbeTable,
-    /// The balancer asked for the full list.
+    /// Whether the balancer has asked for the full list and the list has not been requested yet.
     pub(super) full_list_wanted: bool,
 }
 
@@ -75,7 +75,7 @@
         })
     }
 
-    /// Feeds an event to the balancer and carries out its actions.
+    /// Passes an event to the balancer and carries out the resulting actions.
     pub(super) fn handle(&mut self, event: Event, outputs: &mut Outputs) {
         let mut actions = Vec::new();
         self.balancer.handle(self.clock.now(), event, &mut actions);
@@ -93,7 +93,7 @@
             Action::Fail { request } => self.reply(request, Reply::Failed),
             Action::Cancel { request, attempt } => self.requests.cancel_attempt(request, attempt),
             Action::Probe { backend } => self.start_probe(backend, outputs),
-            // The discovery client renews its watch by itself.
+            // No action: the discovery client always renews its watch.
             Action::Watch => {}
             Action::Fetch => self.full_list_wanted = true,
             Action::Timer { after, token } => {
@@ -119,17 +119,17 @@
         }
     }
 
-    /// Fails a request whose client's time is over and that the balancer has left without a reply.
+    /// Fails a request whose deadline has passed and to which the balancer has given no reply.
     fn fail_unanswered(&mut self, request: RequestId, outputs: &mut Outputs) {
         if self.requests.awaits_reply(request) {
-            tracing::warn!("request failed: the balancer gave no reply by its deadline");
+            tracing::warn!("request failed: the balancer gave no reply by the request's deadline");
             self.reply(request, Reply::Failed);
             self.handle(Event::ClientDisconnected { request }, outputs);
             self.requests.remove_if_complete(request, self.clock.now());
         }
     }
 
-    /// Opens a request. None if its client's id is in use.
+    /// Opens a request. `None` if the client's id of the request is in use.
     pub(super) fn submit(
         &mut self,
         request: ClientRequest,
@@ -205,7 +205,7 @@
         self.requests.remove_if_complete(request, self.clock.now());
     }
 
-    /// Gives the final reply. Only the first one of a request is sent.
+    /// Gives the final reply to a request. Only the first reply to a request is sent.
     fn reply(&mut self, request: RequestId, reply: Reply) {
         if let Some(not_after) = self.requests.reply(request, reply) {
             self.timers.remove(backstop_at(not_after), Timer::ReplyBackstop(request));
@@ -230,7 +230,7 @@
         }
     }
 
-    /// Takes a probe's result. That of a cancelled one has been reported already.
+    /// Passes a probe's result to the balancer. The end of a cancelled probe has been reported already.
     pub(super) fn probe_ended(&mut self, key: ProbeKey, result: AttemptResult, outputs: &mut Outputs) {
         let Some(elapsed) = self.probes.end(key, self.clock.now()) else { return };
         let AttemptResult { outcome, report, .. } = result;
@@ -238,7 +238,7 @@
         self.handle(Event::ProbeEnded { backend, outcome, elapsed, report }, outputs);
     }
 
-    /// Cancels the probe of a backend, if one is in flight, and reports to the balancer that there is no result.
+    /// Cancels the probe of a backend, if one is in flight, and reports the probe to the balancer as cancelled.
     pub(super) fn cancel_probe(&mut self, backend: BackendId, outputs: &mut Outputs) {
         let elapsed = self.probes.cancel(backend, self.clock.now()).unwrap_or(0);
         let (outcome, report) = (Outcome::Cancelled, LoadReport::default());
@@ -258,7 +258,7 @@
         let members = list.into_iter().filter_map(|record| self.apply_record(record, now, outputs)).collect();
         self.handle(Event::Membership { scope, members }, outputs);
         self.backends.update_draining(|id| self.balancer.is_in_service(id), now);
-        // What an earlier incarnation, or an earlier address, would still answer is of no use.
+        // Responses of a backend's previous incarnation, or from its previous address, are of no use.
         let mut outdated = outputs.close_connections_to.clone();
         outdated.extend(removed.iter().filter_map(|uid| self.backends.id(uid)));
         for backend in outdated {
@@ -271,7 +271,7 @@
         }
     }
 
-    /// Applies one backend's record; none for a removed backend that is not known.
+    /// Applies one backend's record; `None` for a removed backend that was not listed.
     pub(super) fn apply_record(
         &mut self,
         record: BackendRecord,
--- a/node/src/driver/health_checks.rs
+++ b/node/src/driver/health_checks.rs
@@ -16,7 +16,7 @@
 }
 
 impl ProbeKey {
-    /// The backend that is probed.
+    /// The probed backend.
     pub fn backend(&self) -> BackendId {
         self.backend
     }
@@ -24,9 +24,9 @@
 
 /// A probe to be made.
 pub struct ProbeStart {
-    /// Goes back with the result.
+    /// Identifies the probe when its result is reported.
     pub key: ProbeKey,
-    /// Where the backend listens.
+    /// The address at which the backend listens.
     pub endpoint: SocketAddr,
     /// Resolves once the probe has been cancelled.
     pub cancelled: oneshot::Receiver<()>,
@@ -42,12 +42,12 @@
 pub(super) struct ProbeTable {
     probes: HashMap<BackendId, ProbeInFlight>,
     next_number: u64,
-    /// The node shuts down: no more probes are made.
+    /// Whether probing has stopped because the node shuts down.
     stopped: bool,
 }
 
 impl ProbeTable {
-    /// Starts a probe. None if one to this backend is in flight, or if probing has stopped.
+    /// Starts a probe. `None` if a probe of this backend is in flight, or if probing has stopped.
     pub(super) fn start(
         &mut self,
         backend: BackendId,
@@ -64,13 +64,13 @@
         Some(ProbeStart { key: ProbeKey { backend, number }, endpoint, cancelled })
     }
 
-    /// Ends a probe. Returns how long it took, or none if it was cancelled meanwhile.
+    /// Ends a probe. Returns how long the probe took; `None` if it had been cancelled.
     pub(super) fn end(&mut self, key: ProbeKey, now: Nanos) -> Option<Nanos> {
         self.probes.get(&key.backend).filter(|probe| probe.number == key.number)?;
         self.probes.remove(&key.backend).map(|probe| probe.in_flight.elapsed(now))
     }
 
-    /// Cancels the probe to a backend. Returns how long it took, or none if none was in flight.
+    /// Cancels the probe of a backend. Returns the time since the probe's start; `None` if no probe was in flight.
     pub(super) fn cancel(&mut self, backend: BackendId, now: Nanos) -> Option<Nanos> {
         let mut probe = self.probes.remove(&backend)?;
         probe.in_flight.cancel();
@@ -81,7 +81,7 @@
         self.probes.contains_key(&backend)
     }
 
-    /// Allows no more probes. Returns the backends to which one is in flight.
+    /// Stops probing: no more probes are started. Returns the backends with a probe in flight.
     pub(super) fn stop(&mut self) -> Vec<BackendId> {
         self.stopped = true;
         self.probes.keys().copied().collect()
--- a/node/src/driver/ids.rs
+++ b/node/src/driver/ids.rs
@@ -1,21 +1,22 @@
-//! Ids that stay reserved for a while after their owner has gone.
+//! Ids that stay reserved for some time after their request has ended or their backend was removed.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
 use ivyhatch_balancer::Nanos;
 
-/// A client's request id is not accepted again for this long after its request has ended: a copy of an open request's id may
-/// cross the response to that request.
+/// A client's request id is not accepted again for this long after its request has ended: a second request with the same id may
+/// be sent before the response to the first one arrives, and be received after the first one has ended.
 const REQUEST_ID_RETENTION: Nanos = 1_000_000_000;
-/// At most so many ids of ended requests are retained: more come only from clients that are rejected at once, over and over.
+/// The most ids of ended requests that are retained: more requests end within the retention only if clients repeat requests that
+/// are rejected at once.
 pub(super) const MAX_RETAINED_REQUEST_IDS: usize = 4096;
 
-/// Values by key, each of which expires a fixed time after it was inserted. Bounded: the oldest is evicted first.
+/// A bounded map in which each value expires a fixed time after its insertion. If the map is full, the oldest value is evicted.
 pub(super) struct ExpiringMap<V> {
     retention: Nanos,
     max_entries: usize,
     entries: HashMap<Box<str>, Entry<V>>,
-    /// Keys in the order of insertion; some have been taken out of `entries` since.
+    /// Keys in the order of insertion, including keys that have been removed from `entries` since.
     insertions: VecDeque<Insertion>,
 }
 
@@ -40,12 +41,12 @@
         self.entries.insert(key, Entry { inserted_at: now, value });
     }
 
-    /// Whether `key` is there and has not expired.
+    /// Whether `key` has a value that has not expired.
     pub(super) fn contains(&self, key: &str, now: Nanos) -> bool {
         self.entries.get(key).is_some_and(|entry| !self.is_expired(entry.inserted_at, now))
     }
 
-    /// Removes the value of `key`; none if it has expired.
+    /// Removes and returns the value of `key`; `None` if there is none or it has expired.
     pub(super) fn take(&mut self, key: &str, now: Nanos) -> Option<V> {
         let entry = self.entries.remove(key)?;
         (!self.is_expired(entry.inserted_at, now)).then_some(entry.value)
@@ -57,7 +58,7 @@
         self.entries.len()
     }
 
-    /// Number of insertions that are remembered, those of values that were taken included.
+    /// Number of insertions that are remembered, including those of values that were taken.
     #[cfg(test)]
     pub(super) fn remembered_insertions(&self) -> usize {
         self.insertions.len()
@@ -67,7 +68,7 @@
         now.saturating_sub(inserted_at) >= self.retention
     }
 
-    /// Removes what has expired, and the oldest where there is no room for one more.
+    /// Removes the expired values, and the oldest value if there is no room for another.
     fn evict(&mut self, now: Nanos) {
         while let Some(oldest) = self.insertions.front()
             && (self.is_expired(oldest.at, now) || self.insertions.len() >= self.max_entries)
@@ -88,18 +89,18 @@
 }
 
 impl RequestIds {
-    /// Reserves an id. False if a request has it now, or had it within [`REQUEST_ID_RETENTION`].
+    /// Reserves an id. False if an open request has the id, or a request with the id has ended within [`REQUEST_ID_RETENTION`].
     pub(super) fn reserve(&mut self, id: &str, now: Nanos) -> bool {
         !self.ended.contains(id, now) && self.open.insert(id.into())
     }
 
-    /// Notes that the request with this id has ended.
+    /// Records that the request with this id has ended; the id stays reserved for [`REQUEST_ID_RETENTION`].
     pub(super) fn release(&mut self, id: Box<str>, now: Nanos) {
         self.open.remove(&id);
         self.ended.insert(id, (), now);
     }
 
-    /// Number of ids that are reserved, and of those the ones whose request has ended.
+    /// The number of reserved ids, and how many of them are of ended requests.
     #[cfg(test)]
     pub(super) fn reserved_and_ended(&self) -> (usize, usize) {
         (self.open.len() + self.ended.len(), self.ended.remembered_insertions())
--- a/node/src/driver/mod.rs
+++ b/node/src/driver/mod.rs
@@ -1,5 +1,5 @@
-//! Connects the sans-I/O [`Balancer`](ivyhatch_balancer::Balancer) to the sockets: events go in, actions come out, and what an
-//! action asks of the network is left to a [`Transport`]. Nothing is decided here.
+//! Connects the sans-I/O [`Balancer`](ivyhatch_balancer::Balancer) to the sockets: passes events to the balancer, and carries out
+//! the balancer's actions, those on the network by a [`Transport`]. Routing decisions are made in the balancer only.
 
 mod attempts;
 mod backend_directory;
--- a/node/src/driver/node.rs
+++ b/node/src/driver/node.rs
@@ -1,4 +1,4 @@
-//! The handle on the driver through which the server, the transport and the discovery client use it.
+//! [`Node`], the handle through which the server, the transport and the discovery client use the driver.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -21,13 +21,13 @@
 use super::request_table::ReplyCounts;
 use super::requests::{ClientRequest, Reply};
 
-/// Carries out on the network what the balancer asks for.
+/// Carries out the balancer's actions on the network.
 pub trait Transport {
-    /// Starts an attempt; its result comes back by [`Node::attempt_ended`], exactly once.
+    /// Starts an attempt. The transport reports the attempt's result by [`Node::attempt_ended`], exactly once.
     fn start_attempt(&self, node: &Node, attempt: AttemptStart);
-    /// Closes the idle connections to a backend that has left, moved or restarted.
+    /// Closes the idle connections to a backend that drains or has left, moved or restarted.
     fn close_idle_connections(&self, backend: BackendId);
-    /// Starts a probe; its result comes back by [`Node::probe_ended`], exactly once.
+    /// Starts a probe. The transport reports the probe's result by [`Node::probe_ended`], exactly once.
     fn start_probe(&self, node: &Node, probe: ProbeStart);
 }
 
@@ -40,46 +40,46 @@
     clock: Clock,
 }
 
-/// A backend as it is shown to operators.
+/// The state of a backend, for operators.
 pub struct BackendView {
-    /// Its name in discovery's list.
+    /// The backend's name in discovery's list.
     pub uid: String,
-    /// Its zone's name.
+    /// The name of the backend's zone; `?` for a zone without a name.
     pub zone: String,
-    /// Where it listens.
+    /// The address at which the backend listens.
     pub endpoint: SocketAddr,
-    /// Whether it drains.
+    /// Whether the backend is draining.
     pub draining: bool,
-    /// What the balancer knows of it.
+    /// The balancer's state of the backend.
     pub snapshot: BackendSnapshot,
 }
 
-/// The node's open requests and backends as they are shown to operators.
+/// The state of the node, for operators.
 pub struct NodeView {
-    /// How many requests are open.
+    /// How many requests the balancer has open.
     pub open_requests: usize,
-    /// Each backend.
+    /// The state of each listed backend.
     pub backends: Vec<BackendView>,
 }
 
-/// What the settings say of a class of requests.
+/// The settings of a request class.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestClass {
-    /// Its number.
+    /// The class's number in the balancer's settings.
     pub number: u32,
-    /// The longest that its clients wait.
+    /// The longest time that clients wait for a response to a request of the class.
     pub deadline: Nanos,
-    /// Whether its requests may be repeated.
+    /// Whether requests of the class may be sent again after an attempt that may have run.
     pub idempotency: Idempotency,
 }
 
-/// The settings list no such tenant.
+/// The error for a tenant that the settings do not list.
 #[derive(Debug, thiserror::Error)]
 #[error("unknown tenant")]
 pub struct UnknownTenant;
 
 impl Node {
-    /// A node with no backends yet. The error names the setting that the balancer rejects.
+    /// A node without backends. The error names the setting that the balancer rejects.
     pub fn new(
         settings: Settings,
         names: NameTable,
@@ -93,7 +93,7 @@
         Ok(node)
     }
 
-    /// How many requests have had which final reply.
+    /// The number of requests by their final reply.
     pub fn reply_counts(&self) -> ReplyCounts {
         self.driver.borrow().requests.reply_counts()
     }
@@ -124,7 +124,7 @@
         self.clock
     }
 
-    /// A class by name, or none where the settings do not list it.
+    /// A request class by its name; `None` if the settings do not list the class.
     pub fn class(&self, name: &str) -> Option<RequestClass> {
         let driver = self.driver.borrow();
         let number = driver.backends.names().class(name)?;
@@ -132,10 +132,10 @@
         Some(RequestClass { number, deadline: class.deadline, idempotency: class.idempotency })
     }
 
-    /// A tenant's number; none on a site without tenants.
+    /// A tenant's number; `None` if the settings list no tenants.
     ///
     /// # Errors
-    /// [`UnknownTenant`] for a name that the settings of a site with tenants do not list.
+    /// [`UnknownTenant`] if the settings list tenants and `name` is `None` or not among them.
     pub fn tenant(&self, name: Option<&str>) -> Result<Option<u32>, UnknownTenant> {
         let driver = self.driver.borrow();
         if driver.settings.tenant_quotas.is_empty() {
@@ -144,53 +144,54 @@
         driver.backends.names().tenant(name).map(Some).ok_or(UnknownTenant)
     }
 
-    /// The longest that any client waits.
+    /// The longest deadline of all request classes.
     pub fn longest_deadline(&self) -> Duration {
         let driver = self.driver.borrow();
         Duration::from_nanos(driver.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0))
     }
 
-    /// Accepts a request; the reply comes through what is returned. Dropping that first means that the client has
-    /// disconnected. None where its id is in use: forwarded, it would count as another attempt of that request.
+    /// Accepts a request and returns its pending reply. Dropping the [`PendingReply`] before the reply means that the client has
+    /// disconnected. `None` if the request's id is in use: a backend would count the new request as another attempt of the
+    /// request that has the id.
     pub fn submit(&self, request: ClientRequest) -> Option<PendingReply> {
         let (sender, reply) = oneshot::channel();
         let request = self.call(|driver, outputs| driver.submit(request, sender, outputs))?;
         Some(PendingReply { node: self.clone(), request, reply })
     }
 
-    /// Whether an attempt may still be written: a connect can outlast its request, the window in which an earlier attempt's
-    /// idempotency key is recognised, or the grace of a backend that has begun to drain.
+    /// Whether an attempt may still be written to its connection. A connect can take longer than the request's deadline, the
+    /// window in which backends recognise the idempotency key of an earlier attempt, or the drain grace of the backend.
     pub fn may_write(&self, key: AttemptKey) -> bool {
         let driver = self.driver.borrow();
         let now = driver.clock.now();
-        // Half the grace: the drain was announced before the list was read here, and the bytes take a while to arrive
-        // (docs/incidents/narrow-moments.md).
+        // Half the grace: the drain was announced before this node read the list, and the request takes a while to arrive at
+        // the backend (docs/incidents/narrow-moments.md).
         let grace = driver.settings.rules.drain_grace / 2;
         driver.requests.may_write(key, now) && driver.backends.may_write_to(key.backend, now, grace)
     }
 
-    /// Whether a backend is in service, and at this address.
+    /// Whether a backend is in service at `endpoint`.
     pub fn serves_at(&self, backend: BackendId, endpoint: SocketAddr) -> bool {
         let backends = &self.driver.borrow().backends;
         backends.endpoint(backend) == Some(endpoint) && backends.is_draining(backend) == Some(false)
     }
 
-    /// Takes the result of an attempt.
+    /// Reports the result of an attempt. A second result of the same attempt is ignored.
     pub fn attempt_ended(&self, key: AttemptKey, result: AttemptResult) {
         self.call(|driver, outputs| driver.attempt_ended(key, result, outputs));
     }
 
-    /// Takes the result of a probe.
+    /// Reports the result of a probe. The result of a cancelled probe is ignored.
     pub fn probe_ended(&self, key: ProbeKey, result: AttemptResult) {
         self.call(|driver, outputs| driver.probe_ended(key, result, outputs));
     }
 
-    /// A probe that the balancer asked for is not made.
+    /// Reports to the balancer that a probe it asked for is not made.
     fn skip_probe(&self, backend: BackendId) {
         self.call(|driver, outputs| driver.cancel_probe(backend, outputs));
     }
 
-    /// Cancels all probes and makes no more: a node that shuts down has nothing to decide by their reports.
+    /// Cancels all probes and makes no more: a node that shuts down has no use for load reports.
     pub fn stop_probing(&self) {
         self.call(Driver::stop_probing);
     }
@@ -200,17 +201,17 @@
         self.call(|driver, outputs| driver.apply_list(scope, list, outputs));
     }
 
-    /// A call to discovery has failed.
+    /// Reports to the balancer that a call to discovery has failed.
     pub fn discovery_failed(&self) {
         self.call(|driver, outputs| driver.handle(Event::DiscoveryFailed, outputs));
     }
 
-    /// Whether the balancer wants the full list next; the call resets it.
+    /// Whether the balancer has requested the full list since the last call of this function.
     pub fn take_full_list_wanted(&self) -> bool {
         std::mem::take(&mut self.driver.borrow_mut().full_list_wanted)
     }
 
-    /// Runs the timers; never returns.
+    /// Waits for each timer and handles it when it is due; never returns.
     pub async fn run_timers(&self) {
         loop {
             let next = self.driver.borrow().timers.next_at();
@@ -227,7 +228,7 @@
         }
     }
 
-    /// One call into the driver; its outputs are carried out once the borrow has ended.
+    /// Runs `call` on the driver, and carries out the resulting outputs after the driver's borrow has ended.
     fn call<T>(&self, call: impl FnOnce(&mut Driver, &mut Outputs) -> T) -> T {
         let mut outputs = Outputs::default();
         let result = call(&mut self.driver.borrow_mut(), &mut outputs);
@@ -253,7 +254,7 @@
     }
 }
 
-/// A request that is owed its reply.
+/// An accepted request that has no reply yet. Dropping it means that the client has disconnected.
 pub struct PendingReply {
     node: Node,
     request: RequestId,
@@ -261,15 +262,16 @@
 }
 
 impl PendingReply {
-    /// The final reply.
+    /// Waits for the final reply.
     pub async fn reply(mut self) -> Reply {
-        // The sender is dropped unused only if the request has vanished, of which nothing can be promised.
+        // The sender is dropped unused only if the request has been removed without a reply; it may have run.
         (&mut self.reply).await.unwrap_or(Reply::Failed)
     }
 }
 
 impl Drop for PendingReply {
-    /// A client that disconnects takes its connection's task with it, and so this: the one place that notices.
+    /// When a client disconnects, its connection's task ends and drops the pending reply. This is the only place where the
+    /// driver is notified of the disconnect.
     fn drop(&mut self) {
         let request = self.request;
         self.node.call(|driver, outputs| driver.client_disconnected(request, outputs));
--- a/node/src/driver/request_table.rs
+++ b/node/src/driver/request_table.rs
@@ -10,14 +10,14 @@
 use super::ids::RequestIds;
 use super::requests::{ForwardedRequest, Reply};
 
-/// How many requests have had which final reply.
+/// The number of requests by their final reply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReplyCounts {
-    /// Served by a backend.
+    /// Requests served by a backend.
     pub served: u64,
-    /// Rejected without having run.
+    /// Requests rejected without having run.
     pub rejected: u64,
-    /// Failed.
+    /// Requests that failed and may have run.
     pub failed: u64,
 }
 
@@ -31,14 +31,14 @@
     }
 }
 
-/// What the table keeps of a request that is opened.
+/// A request to be added to the table.
 pub(super) struct NewRequest {
     pub(super) client_id: Box<str>,
     pub(super) forwarded: Rc<ForwardedRequest>,
     pub(super) reply: oneshot::Sender<Reply>,
     /// When the client stops waiting.
     pub(super) not_after: Nanos,
-    /// How long after a first run backends recognise a repeat by its idempotency key, if the class has one.
+    /// How long after a first run backends recognise a retry by its idempotency key; `None` for a class without keys.
     pub(super) idempotency_window: Option<Nanos>,
 }
 
@@ -47,16 +47,17 @@
     forwarded: Rc<ForwardedRequest>,
     client_id: Box<str>,
     not_after: Nanos,
-    /// Attempts by number; none where the result is known.
+    /// The attempts by number; `None` for an attempt that has ended.
     attempts: Vec<Option<InFlight>>,
-    /// When the first of the ended attempts that may have run was started.
+    /// The earliest start of the ended attempts that may have run; `None` if there is none.
     pub(super) first_run_at: Option<Nanos>,
     idempotency_window: Option<Nanos>,
     replied: bool,
 }
 
 impl OpenRequest {
-    /// Whether backends would still recognise the request as a repeat if this attempt were written now.
+    /// Whether backends would still recognise the request as a retry if the attempt `attempt` were written now. True if there
+    /// is no other attempt that may have run, and for a class without idempotency keys.
     fn is_within_idempotency_window(&self, attempt: u32, now: Nanos) -> bool {
         let others = self.attempts.iter().zip(0..).filter(|(_, number)| *number != attempt);
         let in_flight = others.filter_map(|(other, _)| other.as_ref()).map(|other| other.started_at);
@@ -77,7 +78,7 @@
     pub(super) cancelled: oneshot::Receiver<()>,
 }
 
-/// The open requests, and how many have been replied to.
+/// The open requests, and the counts of the replies given.
 #[derive(Default)]
 pub(super) struct RequestTable {
     requests: HashMap<RequestId, OpenRequest>,
@@ -87,7 +88,7 @@
 }
 
 impl RequestTable {
-    /// Adds a request. None if its client id is in use.
+    /// Adds a request. `None` if its client id is in use.
     pub(super) fn open(&mut self, new: NewRequest, now: Nanos) -> Option<RequestId> {
         if !self.client_ids.reserve(&new.client_id, now) {
             return None;
@@ -108,7 +109,7 @@
         Some(id)
     }
 
-    /// Adds an attempt of a request, if that is open.
+    /// Adds an attempt of a request; `None` if the request is not in the table.
     pub(super) fn start_attempt(
         &mut self,
         request: RequestId,
@@ -122,7 +123,7 @@
         Some(NewAttempt { key, forwarded: open.forwarded.clone(), not_after: open.not_after, cancelled })
     }
 
-    /// Cancels an attempt that is in flight; its result follows.
+    /// Cancels an attempt if it is in flight; the transport still reports the attempt's result.
     pub(super) fn cancel_attempt(&mut self, request: RequestId, attempt: u32) {
         let open = self.requests.get_mut(&request);
         let slot = open.and_then(|open| open.attempts.get_mut(attempt as usize));
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Ends an attempt. Returns how long it took, or none if it had ended already.
+    /// Ends an attempt. Returns how long the attempt took; `None` if it had ended already.
     pub(super) fn end_attempt(&mut self, key: AttemptKey, outcome: Outcome, now: Nanos) -> Option<Nanos> {
         let open = self.requests.get_mut(&key.request)?;
         let in_flight = open.attempts.get_mut(key.attempt as usize).and_then(Option::take)?;
@@ -141,32 +142,32 @@
         Some(in_flight.elapsed(now))
     }
 
-    /// Whether an attempt may be written: its request waits for a reply and is within its idempotency window.
+    /// Whether an attempt may be written: its request has no reply yet, and is within its deadline and its idempotency window.
     pub(super) fn may_write(&self, key: AttemptKey, now: Nanos) -> bool {
         self.requests.get(&key.request).is_some_and(|open| {
             !open.replied && now < open.not_after && open.is_within_idempotency_window(key.attempt, now)
         })
     }
 
-    /// Gives the final reply; only the first one of a request is sent. Returns when the client stops waiting, or none if the
+    /// Gives the final reply to a request; only the first reply is sent. Returns when the client stops waiting; `None` if the
     /// request is not in the table.
     pub(super) fn reply(&mut self, request: RequestId, reply: Reply) -> Option<Nanos> {
         let open = self.requests.get_mut(&request)?;
         if let Some(sender) = open.reply.take() {
             self.reply_counts.count(&reply);
-            // The client may have disconnected at this very moment.
+            // Sending fails if the client has disconnected in the meantime.
             let _ = sender.send(reply);
         }
         open.replied = true;
         Some(open.not_after)
     }
 
-    /// Whether the request is in the table and waits for its reply.
+    /// Whether the request is in the table and has no reply yet.
     pub(super) fn awaits_reply(&self, request: RequestId) -> bool {
         self.requests.get(&request).is_some_and(|open| !open.replied)
     }
 
-    /// Removes a request that has its reply and no attempt in flight.
+    /// Removes a request if it has its reply and no attempt in flight.
     pub(super) fn remove_if_complete(&mut self, request: RequestId, now: Nanos) {
         if self.requests.get(&request).is_some_and(OpenRequest::is_complete)
             && let Some(open) = self.requests.remove(&request)
--- a/node/src/driver/timers.rs
+++ b/node/src/driver/timers.rs
@@ -1,23 +1,24 @@
-//! A table of timers, ordered by when they are due.
+//! A table of timers, ordered by the time at which they are due.
 
 use std::collections::BTreeSet;
 
 use ivyhatch_balancer::Nanos;
 
-/// Timers of type `T` by the time at which they are due. The same timer at the same time is kept once.
+/// Timers of type `T`, ordered by the time at which they are due. Inserting the same timer for the same time again has no effect.
 pub struct TimerTable<T> {
     timers: BTreeSet<(Nanos, T)>,
 }
 
 impl<T: Copy + Ord> TimerTable<T> {
-    /// Adds a timer. True if it is due before all others, so that the task that waits for the next one has to wake earlier.
+    /// Adds a timer. Returns whether it is due before all others, so that the task that waits for the next timer must wake up
+    /// earlier.
     pub fn insert(&mut self, at: Nanos, timer: T) -> bool {
         let is_next = self.next_at().is_none_or(|next| at < next);
         self.timers.insert((at, timer));
         is_next
     }
 
-    /// Removes a timer, if it is still there.
+    /// Removes a timer, if it is still in the table.
     pub fn remove(&mut self, at: Nanos, timer: T) {
         self.timers.remove(&(at, timer));
     }
@@ -28,7 +29,7 @@
         self.timers.pop_first().map(|(_, timer)| timer)
     }
 
-    /// When the next timer is due.
+    /// When the next timer is due; `None` if there are no timers.
     pub fn next_at(&self) -> Option<Nanos> {
         self.timers.first().map(|(at, _)| *at)
     }
--- a/node/src/hop_by_hop.rs
+++ b/node/src/hop_by_hop.rs
@@ -15,8 +15,9 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// The headers that are forwarded: all but those that concern one connection, and those that the `connection` header
-/// names. The sender adds its own framing. Headers in `preserved` are kept even if `connection` names them.
+/// Removes the hop-by-hop headers and those that the `connection` header names, and returns the rest, which is forwarded.
+/// The HTTP library adds the framing headers of the forwarded message. Headers in `preserved` (lower case) are kept even if
+/// `connection` names them.
 pub fn without_hop_by_hop_headers(mut headers: HeaderMap, preserved: &[&str]) -> HeaderMap {
     let connection_options: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
--- a/node/src/http_client.rs
+++ b/node/src/http_client.rs
@@ -1,4 +1,4 @@
-//! HTTP/1 client connections over TCP, whatever is sent on them.
+//! HTTP/1 client connections over TCP, with any type of request body.
 
 use std::fmt::Display;
 use std::io;
@@ -17,9 +17,9 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
     /// The operating system reported an error.
-    #[error("no connection: {0}")]
+    #[error("connect failed: {0}")]
     Io(#[from] io::Error),
-    /// The connect took too long.
+    /// The connect exceeded its timeout.
     #[error("connect timed out")]
     TimedOut,
 }
@@ -27,7 +27,7 @@
 /// Connects to `at` within `connect_timeout`.
 ///
 /// # Errors
-/// [`ConnectError`] if the connection is refused, fails or takes too long.
+/// [`ConnectError`] if the connection is refused, fails or takes longer than `connect_timeout`.
 pub async fn connect(at: SocketAddr, connect_timeout: Duration) -> Result<TcpStream, ConnectError> {
     match timeout(connect_timeout, TcpStream::connect(at)).await {
         Ok(connected) => Ok(connected?),
@@ -35,11 +35,11 @@
     }
 }
 
-/// Speaks HTTP/1 over `stream` in a task of its own, which ends with the connection and keeps `guard` until then. `peer` names
-/// the other end in the log.
+/// Runs HTTP/1 over `stream` in a task of its own, which ends with the connection and drops `guard` at its end. `peer` names
+/// the remote end in the log.
 ///
 /// # Errors
-/// The HTTP library's, if the connection is not ready for requests.
+/// The HTTP library's error if the connection does not get ready for requests.
 pub async fn start_http1<S, B, G>(
     builder: Builder,
     stream: S,
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -1,7 +1,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
-//! ivyhatch-node, a load-balancing node: carries out the decisions of `ivyhatch-balancer` on real sockets. Parts of it are a
-//! library for other programs that serve HTTP clients: [`client_listener`], [`connection_limits`] and [`hop_by_hop`].
+//! ivyhatch-node, a load-balancing node: carries out the decisions of `ivyhatch-balancer` on real sockets. Three of its modules are
+//! a library for other programs that serve HTTP clients: [`client_listener`], [`connection_limits`] and [`hop_by_hop`].
 
 pub mod client_listener;
 mod config;
@@ -36,17 +36,17 @@
 use config::{Config, read_file_from_environment};
 use start_error::StartError;
 
-/// Where a node's configuration comes from, how it logs and where it is administered.
+/// Options of [`run_with`]: where a node's configuration comes from, how the node logs, and where its control socket is.
 pub struct RunOptions {
-    /// Reads the configuration.
+    /// Reads the configuration: at the start, and again at each SIGHUP.
     pub configuration: ConfigurationSource,
-    /// The least severe level that is logged.
+    /// The least severe level that is logged; events below this level are dropped.
     pub log_level: tracing::Level,
     /// The form of log lines.
     pub log_format: LogFormat,
-    /// The instance name that every log line carries, if any.
+    /// The instance name in every log line; with `None` log lines carry no instance name.
     pub instance: Option<String>,
-    /// The path of the control socket, if there is to be one.
+    /// The path of the control socket; with `None` the node has no control socket.
     pub control_socket: Option<PathBuf>,
 }
 
@@ -65,7 +65,7 @@
 /// Runs a node in the foreground until SIGTERM or SIGINT. Called once, from the process's first thread.
 pub fn run_with(options: RunOptions) -> ExitCode {
     init_logging(options.log_level, options.log_format);
-    // All of the node runs in this thread, so that the span is on all of its log lines.
+    // The whole node runs in this thread, so the span applies to every log line of the node.
     let span = options.instance.as_ref().map(|instance| tracing::error_span!("node", instance).entered());
     let result = serve_in_this_thread(options.configuration, options.control_socket);
     drop(span);
--- a/node/src/limits.rs
+++ b/node/src/limits.rs
@@ -1,4 +1,4 @@
 //! Limits on the size of messages.
 
-/// No body is larger, of a request or of a response.
+/// The largest body of a request or a response; larger ones are rejected.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
--- a/node/src/log_rate_limit.rs
+++ b/node/src/log_rate_limit.rs
@@ -1,11 +1,11 @@
-//! Log rate limiter: repeated warnings of one kind must not fill the log, nor cost the time of writing them.
+//! Log rate limiter: repeated warnings of one kind must neither fill the log nor take time to write.
 
 use std::time::{Duration, Instant};
 
-/// At most one line of a kind is written in this span.
+/// At most one line of a kind is written per interval.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Lets one line through per [`LOG_INTERVAL`] and counts those that it suppresses.
+/// Writes at most one line per [`LOG_INTERVAL`] and counts the suppressed ones. Each kind of line needs its own limiter.
 #[derive(Default)]
 pub struct LogRateLimiter {
     last_logged_at: Option<Instant>,
@@ -13,8 +13,8 @@
 }
 
 impl LogRateLimiter {
-    /// Calls `write_line` with the number of lines suppressed since the last one, unless that one was written less than
-    /// [`LOG_INTERVAL`] ago.
+    /// Calls `write_line` with the number of lines suppressed since the last written line, unless that line was written less
+    /// than [`LOG_INTERVAL`] ago.
     pub fn log(&mut self, write_line: impl FnOnce(u64)) {
         if self.last_logged_at.is_some_and(|at| at.elapsed() < LOG_INTERVAL) {
             self.suppressed += 1;
--- a/node/src/logging.rs
+++ b/node/src/logging.rs
@@ -1,4 +1,4 @@
-//! The process's log.
+//! Set-up of the process's log.
 
 /// The form of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -9,7 +9,7 @@
     Json,
 }
 
-/// Sends this process's log to standard error. Called once.
+/// Sends this process's log to standard error. Panics if it is called twice.
 pub fn init_logging(level: tracing::Level, format: LogFormat) {
     let log = tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr);
     match format {
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -1,5 +1,5 @@
 #![forbid(unsafe_code)]
-//! One node in the foreground.
+//! Runs one node in the foreground, configured by the file that `EDGE_CONFIG` names.
 
 fn main() -> std::process::ExitCode {
     ivyhatch_node::run()
--- a/node/src/read_ahead.rs
+++ b/node/src/read_ahead.rs
@@ -10,19 +10,19 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// At most so many bytes are read ahead of the parser: no request is longer. Of a client that sends more behind an open
-/// request the disconnect is not detected.
+/// At most this many bytes are read ahead of the parser: no request is longer. If a client sends more behind an open request,
+/// its disconnect is not detected.
 const MAX_READ_AHEAD_BYTES: usize = 128 * 1024;
 const READ_CHUNK_BYTES: usize = 4096;
 
 struct BufferedSocket {
     stream: TcpStream,
-    /// Bytes that were read ahead and that the parser has not taken yet.
+    /// Bytes that were read ahead and that the parser has not consumed yet.
     buffered: BytesMut,
 }
 
-/// A client's socket that can be read ahead of the parser. With bytes pending behind a request the parser reads no further
-/// and would not detect that the client has disconnected. Clones are handles on one socket and must stay in one task.
+/// A client's socket that can be read ahead of the parser. While bytes are pending behind a request the parser doesn't read, and
+/// so wouldn't detect that the client has disconnected. Clones are handles on one socket and must stay in one task.
 #[derive(Clone)]
 pub struct ReadAheadStream(Rc<RefCell<BufferedSocket>>);
 
@@ -32,7 +32,8 @@
         Self(Rc::new(RefCell::new(BufferedSocket { stream, buffered: BytesMut::new() })))
     }
 
-    /// Reads ahead, and is ready once the client has closed its side or the connection has failed.
+    /// Reads ahead into the buffer. Ready once the client has closed its sending side or the connection has failed; pending
+    /// while the buffer is full.
     pub fn poll_disconnected(&self, cx: &mut Context<'_>) -> Poll<()> {
         let BufferedSocket { stream, buffered } = &mut *self.0.borrow_mut();
         let mut chunk = [0; READ_CHUNK_BYTES];
--- a/node/src/response_byte_observer.rs
+++ b/node/src/response_byte_observer.rs
@@ -1,4 +1,4 @@
-//! Observes when the first bytes of a response arrive, which the HTTP library shows only once the head is complete.
+//! Observes when the first bytes of a response arrive; the HTTP library reports a response only once its head is complete.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,10 +12,10 @@
 
 #[derive(Default)]
 struct ResponseState {
-    /// Bytes have arrived since the last request.
+    /// Whether bytes have arrived since the last request or interim response.
     started: AtomicBool,
     first_bytes: Notify,
-    /// What has arrived was an interim (1xx) response.
+    /// Whether an interim (1xx) response has arrived.
     interim: AtomicBool,
 }
 
@@ -33,7 +33,7 @@
     }
 
     /// Resolves once a response has started to arrive and was not complete after `max_duration`. Interim responses
-    /// (RFC 9110, section 15.2) don't count: the final one that they announce may take its time.
+    /// (RFC 9110, section 15.2) don't count: the final response that follows an interim one may take longer.
     pub async fn stalled(&self, max_duration: Duration) {
         loop {
             while !self.0.started.load(Ordering::Relaxed) {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Whether any bytes have arrived since the last request.
+    /// Whether any bytes have arrived since the last request or interim response.
     pub fn has_received_bytes(&self) -> bool {
         self.0.started.load(Ordering::Relaxed)
     }
--- a/node/src/server/mod.rs
+++ b/node/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! The clients' side: routes requests, submits them to the driver and responds with the final reply.
+//! The HTTP server for clients: routes requests, submits them to the driver and responds with the final reply.
 
 mod rejection;
 mod request;
@@ -24,7 +24,8 @@
 
 const MAX_REQUEST_HEAD_BYTES: usize = 32 * 1024;
 
-/// Serves until the phase is [`DrainPhase::Closed`] and all connections have ended. At most `max_connections` are open.
+/// Serves clients until the phase is [`DrainPhase::Closed`] and all connections have closed. At most `max_connections` are open at
+/// a time.
 pub async fn serve(
     listener: TcpListener,
     node: Node,
@@ -51,7 +52,7 @@
             "/health/ready" => readiness(request.method(), is_serving()),
             _ => Routed::rejected(plain_response(StatusCode::NOT_FOUND, "no such path")),
         };
-        // Behind a rejected request there is no telling where the next one begins.
+        // After a rejected request the start of the next one is unknown, as the rejected one was not read to its end.
         let is_rejected = unread_input == UnreadInput::Possible;
         if is_rejected || !is_serving() || connection.exceeds_idle_limit() {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
--- a/node/src/server/rejection.rs
+++ b/node/src/server/rejection.rs
@@ -1,8 +1,8 @@
-//! Why a request is rejected before it is submitted, and the response that says so.
+//! The errors for which a request is rejected before it is submitted, and the statuses of their responses.
 
 use hyper::{Method, StatusCode};
 
-/// What is wrong with a request.
+/// Why a request is rejected. The error text is the body of the response.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
     /// A required header is missing.
@@ -14,10 +14,10 @@
     /// The settings do not list the class or tenant that a header names.
     #[error("{0} is not known")]
     UnknownName(&'static str),
-    /// The class does not allow the method.
+    /// The request's class requires this method.
     #[error("this class takes {0} only")]
     MethodNotAllowed(Method),
-    /// The class does not allow this part of a request.
+    /// The request's class does not allow this header or a body.
     #[error("{0} does not go with this class")]
     NotAllowedForClass(&'static str),
     /// The body exceeds [`MAX_BODY_BYTES`](crate::limits::MAX_BODY_BYTES).
--- a/node/src/server/request.rs
+++ b/node/src/server/request.rs
@@ -14,7 +14,7 @@
 use crate::hop_by_hop::without_hop_by_hop_headers;
 use crate::limits::MAX_BODY_BYTES;
 
-/// The client's id of the request.
+/// The header with the client's id of the request.
 pub const CALL_ID: &str = "x-call-id";
 const CALL_CLASS: &str = "x-call-class";
 const CALLER: &str = "x-caller";
@@ -23,18 +23,18 @@
 const EXPECTED_WORK: &str = "x-call-cost";
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Ids are retained for a while; no client's is longer.
+/// The longest accepted id of a request; ids are retained for some time after their requests, so their length is bounded.
 const MAX_ID_BYTES: usize = 256;
-/// A client counts its time from its send to the last byte of the response, so the time on the network comes off: a response
-/// that leaves as the budget ends reaches a client that has just given up.
+/// Deducted from a client's budget for the time on the network: the client measures from its send to the last byte of the
+/// response, so a response sent at the end of the budget would arrive after the client has timed out.
 const NETWORK_ALLOWANCE: Nanos = 4_000_000;
 const NANOS_PER_MILLISECOND: Nanos = 1_000_000;
 const NANOS_PER_MICROSECOND: Nanos = 1_000;
 
-/// Reads a request to its end, which must come by `complete_by`.
+/// Reads and validates a request, whose body must be complete by `complete_by`.
 ///
 /// # Errors
-/// [`RequestError`] says what is wrong with the request.
+/// [`RequestError`] if the request is malformed, not allowed by its class, too large or incomplete in time.
 pub async fn read_request(
     node: &Node,
     connection: &ClientConnection,
@@ -67,8 +67,9 @@
     Ok(ClientRequest { id, class: class.number, tenant, expected_work, is_retry, budget, forwarded })
 }
 
-/// Transfer codings are rejected altogether: where a request has a length as well, the parser drops it unnoticed, in either order,
-/// and what one side takes for a body is a request of its own to the other (RFC 9112, section 11.2).
+/// Checks the framing of a request. Transfer codings are rejected altogether: if a request has a `content-length` as well, in
+/// either order, the HTTP parser drops the length without an error, and what one peer reads as a body is a separate request to the
+/// other (RFC 9112, section 11.2).
 fn check_framing(
     headers: &HeaderMap,
     body: &Incoming,
@@ -99,7 +100,7 @@
     node.class(name).ok_or(RequestError::UnknownName(CALL_CLASS))
 }
 
-/// The class decides on the method, and on whether there is an idempotency key.
+/// Checks that the method, and the presence of an idempotency key, are those that the class requires.
 fn check_form(method: &Method, headers: &HeaderMap, idempotency: Idempotency) -> Result<(), RequestError> {
     let expected = if idempotency == Idempotency::Idempotent { Method::GET } else { Method::POST };
     if *method != expected {
@@ -112,7 +113,7 @@
     }
 }
 
-/// The client's estimate of the work. No work takes as long as the client's whole time; such an estimate is ignored.
+/// Reads the client's estimate of the work. An estimate above the class's deadline is not plausible and is ignored.
 fn read_expected_work(headers: &HeaderMap, deadline: Nanos) -> Result<Option<Nanos>, RequestError> {
     let Some(text) = single(headers, EXPECTED_WORK)? else { return Ok(None) };
     let expected_work = parse_integer(EXPECTED_WORK, text)?.saturating_mul(NANOS_PER_MICROSECOND);
@@ -127,13 +128,14 @@
     }
 }
 
-/// What is left here, in nanoseconds, of a budget in milliseconds; no client waits for longer than its class's deadline.
+/// The remaining time for a request, in nanoseconds: the client's budget in milliseconds, capped at the class's deadline, less the
+/// time elapsed here and the allowance for the network.
 pub(super) fn remaining_budget(budget_ms: u64, deadline: Nanos, elapsed: Nanos) -> Nanos {
     let budget = budget_ms.saturating_mul(NANOS_PER_MILLISECOND).min(deadline);
     budget.saturating_sub(elapsed.saturating_add(NETWORK_ALLOWANCE))
 }
 
-/// The value of a header that may be there once at most.
+/// The value of a header that may occur at most once; `None` if the header is missing.
 fn single<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, RequestError> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else { return Ok(None) };
--- a/node/src/server/response.rs
+++ b/node/src/server/response.rs
@@ -1,4 +1,4 @@
-//! The responses that clients get.
+//! The responses that are sent to clients.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -25,7 +25,7 @@
 fn rejection(retry_after: Nanos) -> FullResponse {
     let mut response = plain_response(StatusCode::SERVICE_UNAVAILABLE, "refused; trying again does no harm");
     if retry_after > 0 {
-        // Never sooner than the balancer said: decimals are cut off, so round up.
+        // Rounded up, so that no client retries before the time that the balancer has set.
         let seconds = format!("{:.3}", retry_after.div_ceil(NANOS_PER_MILLISECOND) as f64 / 1000.0);
         if let Ok(value) = HeaderValue::from_str(&seconds) {
             response.headers_mut().insert(header::RETRY_AFTER, value);
@@ -34,7 +34,7 @@
     response
 }
 
-/// A response of the node's own, with a line of text.
+/// A response that the node itself generates, with a line of text as its body.
 pub fn plain_response(status: StatusCode, text: &str) -> FullResponse {
     let mut response = Response::new(Full::new(Bytes::copy_from_slice(text.as_bytes())));
     *response.status_mut() = status;
--- a/node/src/server/server_tests.rs
+++ b/node/src/server/server_tests.rs
@@ -4,7 +4,7 @@
 
 const MS: Nanos = 1_000_000;
 
-/// Guards against responses that leave when the client's time is up and so arrive too late.
+/// Guards against responses that are sent at the client's deadline and so arrive after it.
 #[test]
 fn time_on_the_network_is_deducted_from_the_budget() {
     assert_eq!(remaining_budget(200, 500 * MS, 0), 196 * MS);
--- a/node/src/serving.rs
+++ b/node/src/serving.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of the node, serves until a signal to stop, and shuts down.
+//! Starts the components of the node, serves until SIGTERM or SIGINT, and shuts down gracefully.
 
 use std::io;
 use std::net::SocketAddr;
@@ -24,9 +24,9 @@
 use crate::start_error::StartError;
 use crate::upstream::BackendTransport;
 
-/// After SIGTERM, and after the start of a drain, idle connections are kept for so long: clients in service may still be sending.
+/// How long idle connections are kept after SIGTERM or the start of a drain: clients may still be sending requests on them.
 const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(500);
-/// Connections that cross the closing of idle ones are accepted for so long after that.
+/// How long new connections are still accepted after the idle ones were closed: clients may have connected in the meantime.
 const LAST_ACCEPT_PERIOD: Duration = Duration::from_millis(100);
 const LISTEN_BACKLOG: u32 = 1024;
 const NANOS_PER_MILLISECOND: Nanos = 1_000_000;
@@ -40,7 +40,7 @@
     configuration: ConfigurationSource,
     control_path: Option<PathBuf>,
 ) -> Result<(), StartError> {
-    // Caught before anything else: SIGHUP's default action ends the process.
+    // The SIGHUP handler is installed before anything else: the signal's default action ends the process.
     let hangup = signal(SignalKind::hangup())?;
     let node_settings = config.node_settings()?;
     let seed = config.seed()?;
@@ -81,7 +81,7 @@
     Ok(())
 }
 
-/// Drains the node and waits until all connections have ended.
+/// Drains the node and waits until all connections have closed, or until the last response must have been written.
 async fn shut_down(node: &Node, phase: &watch::Sender<DrainPhase>, server: JoinHandle<()>) {
     phase.send_replace(DrainPhase::Draining);
     node.stop_probing();
@@ -89,14 +89,14 @@
     phase.send_replace(DrainPhase::ClosingIdle);
     sleep(LAST_ACCEPT_PERIOD).await;
     phase.send_replace(DrainPhase::Closed);
-    // Every connection ends by itself: a request of which a part has arrived by the last accept may still be completed, have all
-    // of its time, and its client some more to read the response (docs/incidents/narrow-moments.md).
+    // Every connection closes by itself within this time: a request that had arrived in part by the last accept may still be
+    // completed and use its whole deadline, and its client has some more time to read the response (docs/incidents/narrow-moments.md).
     let last_response = REQUEST_READ_TIMEOUT + node.longest_deadline() + RESPONSE_WRITE_TIMEOUT;
     let _ = timeout(last_response, server).await;
 }
 
-/// Reloads the configuration at each SIGHUP. Discovery's address takes effect at once, all else at the next start. With a
-/// configuration that can't be used everything stays as it is.
+/// Reloads the configuration at each SIGHUP. Discovery's address takes effect at once, all other settings at the next start. An
+/// invalid configuration is logged and changes nothing.
 async fn reload_on_hangup(
     mut hangup: Signal,
     discovery_address: watch::Sender<SocketAddr>,
@@ -113,14 +113,14 @@
     }
 }
 
-/// Discovery's address, by a configuration whose settings are valid.
+/// Reads the configuration, checks its settings and returns discovery's address.
 fn reload(configuration: &ConfigurationSource) -> Result<SocketAddr, StartError> {
     let config = Config::read(configuration)?;
     config.node_settings()?;
     Ok(config.discovery)
 }
 
-/// What a reader of the log's other lines needs to know of the settings.
+/// A line for the log with the settings that are needed to interpret its other lines.
 fn summarise(settings: &Settings) -> String {
     let ms = |nanos: Nanos| nanos / NANOS_PER_MILLISECOND;
     let classes: Vec<String> = settings
@@ -145,7 +145,7 @@
 
 fn listen(at: SocketAddr) -> io::Result<TcpListener> {
     let socket = if at.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
-    // A restart must not wait until the previous process's connections leave TIME_WAIT.
+    // A restarted node must be able to bind while connections of the previous process are in TIME_WAIT.
     socket.set_reuseaddr(true)?;
     socket.bind(at)?;
     socket.listen(LISTEN_BACKLOG)
@@ -162,7 +162,7 @@
         Ok(Self { terminate: signal(SignalKind::terminate())?, interrupt: signal(SignalKind::interrupt())? })
     }
 
-    /// Resolves at the first of them.
+    /// Resolves at the first SIGTERM or SIGINT.
     async fn received(mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
--- a/node/src/start_error.rs
+++ b/node/src/start_error.rs
@@ -1,4 +1,4 @@
-//! Why a node can't start.
+//! The errors for which a node can't start.
 
 use std::env::VarError;
 use std::error::Error;
@@ -15,12 +15,12 @@
     /// The file can't be read.
     #[error("configuration {path}: {source}")]
     File {
-        /// Its path.
+        /// The path of the configuration file.
         path: String,
         /// The operating system's error.
         source: io::Error,
     },
-    /// Another source has none; the error is one line that names the file or the setting.
+    /// Another configuration source failed; the error is one line that names the file or the setting.
     #[error(transparent)]
     Other(Box<dyn Error + Send + Sync>),
 }
@@ -31,38 +31,38 @@
     /// The configuration could not be read.
     #[error(transparent)]
     Unavailable(#[from] ConfigurationUnavailable),
-    /// It is no JSON, or not of the expected form.
+    /// The configuration is not JSON, or not of the expected form.
     #[error("configuration: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// The seed can't be parsed.
+    /// The configured seed can't be parsed.
     #[error("configuration: seed {0:?} is not a hexadecimal number of 64 bits")]
     Seed(String),
-    /// There are fewer file descriptors than the node itself needs.
+    /// `limits.sockets` is less than twice the descriptors that the node needs beside its connections.
     #[error("configuration: limits.sockets: {0} descriptors are too few")]
     TooFewDescriptors(usize),
-    /// A setting is malformed; the error names it.
+    /// A setting is missing or of the wrong type; the error names the setting.
     #[error("configuration: {0}")]
     Settings(#[from] ivyhatch_node_settings::SettingsError),
-    /// The balancer rejects a setting; the error names it.
+    /// The balancer rejects a setting; the error names the setting.
     #[error("configuration: {0}")]
     BalancerSettings(#[from] ivyhatch_balancer::SettingsError),
     /// The client listener can't be bound.
-    #[error("can't listen at {at}: {source}")]
+    #[error("can't listen for clients at {at}: {source}")]
     Listen {
-        /// The address.
+        /// The configured address of the listener.
         at: SocketAddr,
         /// The operating system's error.
         source: io::Error,
     },
     /// The control socket can't be bound.
-    #[error("can't control at {at}: {source}")]
+    #[error("can't listen on control socket {at}: {source}")]
     Control {
-        /// Its path.
+        /// The path of the control socket.
         at: PathBuf,
         /// The operating system's error.
         source: io::Error,
     },
-    /// The operating system denies something else.
+    /// Another call of the operating system failed: setting up the runtime, a signal handler or a socket.
     #[error("can't start: {0}")]
     System(#[from] io::Error),
 }
--- a/node/src/stream_observer.rs
+++ b/node/src/stream_observer.rs
@@ -7,20 +7,20 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Is notified of what happens on a socket.
+/// Is notified of reads and flushes on a socket.
 pub trait StreamObserver {
-    /// `bytes` have been read.
+    /// Called after a read that returned `bytes`, which are never empty.
     fn on_read(&mut self, bytes: &[u8]);
 
-    /// All pending writes have been handed to the operating system.
+    /// Called when a flush has ended: all pending writes have been handed to the operating system, or the flush has failed.
     fn on_flush(&mut self) {}
 }
 
-/// A socket and its observer.
+/// A socket whose reads and flushes are reported to an observer.
 pub struct ObservedStream<O, S = TcpStream> {
-    /// The socket.
+    /// The underlying socket.
     pub stream: S,
-    /// Is notified of each read and each completed flush.
+    /// The observer that is notified of each read and each completed flush.
     pub observer: O,
 }
 
--- a/node/src/upstream/attempt.rs
+++ b/node/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! Carries out one attempt over the pool. Whether there is another one is not decided here, and nothing is sent twice.
+//! Carries out one attempt over the connection pool. The request is written at most once; retries are the balancer's decision.
 
 use std::cell::Cell;
 use std::pin::pin;
@@ -18,20 +18,20 @@
 use super::response::{outcome_of_error, read_response};
 use crate::driver::{AttemptResult, AttemptStart, Node};
 
-/// A response is complete this long after it has started to arrive, or it is invalid: backends send it in one go, and the time
-/// is better used for another attempt.
+/// A response that is not complete this long after its first byte is invalid: backends send a response in one go, and the
+/// remaining time is better used for another attempt.
 const MAX_RESPONSE_DURATION: Duration = Duration::from_millis(100);
-/// A response that arrives this long after its client's time leaves its connection fit for reuse: clients with little time
-/// would cost a handshake each.
+/// How long a response may arrive after its client's deadline so that its connection can be reused: otherwise each request with a
+/// short deadline would cost a handshake.
 const LATE_RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 const BUDGET: &str = "x-budget-ms";
 const NANOS_PER_MILLISECOND: Nanos = 1_000_000;
 
-/// Carries out an attempt and reports its result to `node`.
+/// Carries out an attempt and reports its result to `node`, exactly once.
 pub async fn run_attempt(pool: &ConnectionPool, node: Node, mut start: AttemptStart) {
     let written = Cell::new(false);
     let cancelled = std::mem::replace(&mut start.cancelled, oneshot::channel().1);
-    // Never written, the request never ran: the balancer may still reject it then.
+    // A request that was never written has not run, so the balancer may still reject it.
     let unless_unwritten = |outcome| if written.get() { outcome } else { Outcome::NotSent };
     let mut attempt = pin!(send_over_pool(pool, &node, &start, &written));
     let result = tokio::select! {
@@ -42,7 +42,7 @@
             AttemptResult::without_response(unless_unwritten(Outcome::TimedOut))
         }
     };
-    // With the client's time over no other attempt can follow this one, so its response may still arrive.
+    // After the client's deadline there are no more attempts. The late response is read only to keep the connection reusable.
     let may_finish_late = result.outcome == Outcome::TimedOut && start.timeout_at >= start.not_after;
     node.attempt_ended(start.key, result);
     if may_finish_late && pool.has_spare_connections() {
@@ -50,9 +50,9 @@
     }
 }
 
-/// What became of an attempt on one connection.
+/// The result of sending an attempt on one connection.
 enum Sent {
-    /// The attempt has its result.
+    /// The attempt has ended.
     Ended(AttemptResult),
     /// The connection was found dead before anything was written to it.
     DeadConnection,
@@ -65,9 +65,9 @@
     written: &Cell<bool>,
 ) -> AttemptResult {
     let address = backend_address(start);
-    // A pooled connection that is found dead before anything was written to it costs nothing: the next one is tried.
+    // If a pooled connection is found dead before anything was written to it, the next one is tried.
     while let Some(ReusedConnection { connection, idle_time }) = pool.take(address) {
-        // A close or stray bytes that the operating system has already got are seen first.
+        // Lets the connection's task process a close or unsolicited bytes that the operating system has already received.
         yield_now().await;
         if let Sent::Ended(result) = send_on(pool, node, start, connection, Some(idle_time), written).await {
             return result;
@@ -81,7 +81,7 @@
     }
 }
 
-/// Sends the request on one connection. `idle_time` is how long a reused one had been idle.
+/// Sends the request on one connection. `idle_time` is how long a reused connection had been idle; `None` for a new one.
 async fn send_on(
     pool: &ConnectionPool,
     node: &Node,
@@ -93,7 +93,7 @@
     if connection.sender.ready().await.is_err() {
         return Sent::DeadConnection;
     }
-    // The connect may have outlasted the request, or the backend may have left the list meanwhile.
+    // The request may have ended during the connect, or the backend may have been drained or removed from the list.
     if !node.may_write(start.key) {
         pool.put_back(node, backend_address(start), connection);
         return Sent::Ended(AttemptResult::without_response(Outcome::NotSent));
@@ -123,7 +123,7 @@
     sent
 }
 
-/// One request and its response.
+/// Sends a request and reads its response. Returns the connection to the pool if it can be reused.
 async fn exchange(
     pool: &ConnectionPool,
     node: &Node,
@@ -139,7 +139,7 @@
             }
             Sent::Ended(response.result)
         }
-        // The library returns a request of which no byte was written.
+        // The HTTP library returns the request if no byte of it was written.
         Err(mut error) => match error.take_message() {
             Some(_) => Sent::DeadConnection,
             None => Sent::Ended(AttemptResult::without_response(outcome_of_error(error.error()))),
@@ -147,7 +147,7 @@
     }
 }
 
-/// The request as it goes to the backend, with what is left of the client's time. None if the endpoint is no valid host.
+/// The request that is sent to the backend, with the remaining budget. `None` if the endpoint is no valid `host` header.
 fn forwarded_request(pool: &ConnectionPool, start: &AttemptStart) -> Option<Request<Full<Bytes>>> {
     let forwarded = &start.forwarded;
     let ends_at = start.timeout_at.min(start.not_after);
--- a/node/src/upstream/connection.rs
+++ b/node/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a backend, and the count of those that are open.
+//! One connection to a backend, and the count of open connections.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -16,32 +16,32 @@
 use crate::stream_observer::ObservedStream;
 use crate::tcp_options::set_nodelay_if_possible;
 
-/// No response's head is larger, nor has more lines.
+/// The largest head of a response; responses with a larger head are invalid.
 const MAX_RESPONSE_HEAD_BYTES: usize = 16 * 1024;
 const MAX_RESPONSE_HEADERS: usize = 64;
-/// An idle connection is kept for this fraction (one over the divisor) of the time after which backends close it: one that is
-/// written to as its backend closes it is reset, and what was sent on it may have run.
+/// An idle connection is kept for the backends' idle timeout over this divisor. If a request is written to a connection while its
+/// backend closes it, the connection is reset, and the request may have run.
 const IDLE_TIMEOUT_DIVISOR: u64 = 2;
 
 /// A backend at one address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct BackendAddress {
-    /// The backend.
+    /// The number of the backend.
     pub backend: BackendId,
-    /// Where it listens.
+    /// The address at which the backend listens.
     pub endpoint: SocketAddr,
 }
 
 /// A connection to a backend.
 pub struct BackendConnection {
-    /// Sends requests on it.
+    /// Sends requests on the connection.
     pub sender: SendRequest<Full<Bytes>>,
-    /// Observes the responses on it.
+    /// Observes the responses on the connection.
     pub observer: ResponseByteObserver,
 }
 
 impl BackendConnection {
-    /// Opens a connection, which counts as open until its task has ended. None if that fails or takes longer than
+    /// Opens a connection, which counts as open until its task has ended. `None` if the connect fails or takes longer than
     /// `connect_timeout`.
     pub async fn open(
         endpoint: SocketAddr,
@@ -71,46 +71,46 @@
 pub struct IdleConnection {
     /// The connection.
     pub connection: BackendConnection,
-    /// Since when it is idle.
+    /// When the connection became idle.
     pub idle_since: Nanos,
 }
 
 impl IdleConnection {
-    /// Whether it is open and so young that its backend has not closed it. `backend_idle_timeout` is the time after which
-    /// backends may close.
+    /// Whether the connection is open and has been idle so briefly that its backend doesn't close it yet. `backend_idle_timeout`
+    /// is the time after which backends may close an idle connection.
     pub fn is_usable(&self, now: Nanos, backend_idle_timeout: Nanos) -> bool {
         !self.connection.sender.is_closed() && is_within_idle_timeout(self.age(now), backend_idle_timeout)
     }
 
-    /// How long it has been idle.
+    /// How long the connection has been idle.
     pub fn age(&self, now: Nanos) -> Nanos {
         now.saturating_sub(self.idle_since)
     }
 }
 
-/// Whether a connection that has been idle for `age` is still used.
+/// Whether a connection that has been idle for `age` may be reused.
 pub fn is_within_idle_timeout(age: Nanos, backend_idle_timeout: Nanos) -> bool {
     age < backend_idle_timeout / IDLE_TIMEOUT_DIVISOR
 }
 
-/// How many connections are open, idle or not.
+/// Counts the open connections, both idle and in use. Clones share their count.
 #[derive(Clone, Default)]
 pub struct OpenConnections(Rc<Cell<usize>>);
 
 impl OpenConnections {
-    /// How many there are.
+    /// The number of open connections.
     pub fn count(&self) -> usize {
         self.0.get()
     }
 
-    /// Counts one more until the guard is dropped.
+    /// Counts one more open connection until the guard is dropped.
     pub fn add(&self) -> OpenConnectionGuard {
         self.0.set(self.0.get() + 1);
         OpenConnectionGuard(self.0.clone())
     }
 }
 
-/// Counts one open connection.
+/// Counts one connection as open until it is dropped.
 pub struct OpenConnectionGuard(Rc<Cell<usize>>);
 
 impl Drop for OpenConnectionGuard {
--- a/node/src/upstream/mod.rs
+++ b/node/src/upstream/mod.rs
@@ -1,5 +1,5 @@
-//! The backends' side: carries out attempts and probes on bounded sets of connections. What happened to an attempt becomes an
-//! [`Outcome`](ivyhatch_balancer::Outcome).
+//! The transport to the backends: carries out attempts and probes on bounded sets of connections, and classifies the result of
+//! each as an [`Outcome`](ivyhatch_balancer::Outcome).
 
 mod attempt;
 mod connection;
@@ -21,19 +21,19 @@
 use pool::ConnectionPool;
 use prober::Prober;
 
-/// How often idle connections are checked.
+/// How often stale idle connections are closed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How many connections to backends may be open at a time.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionBudget {
-    /// For requests.
+    /// The most connections for requests.
     pub requests: usize,
-    /// For probes.
+    /// The most connections for probes; one is always allowed.
     pub probes: usize,
 }
 
-/// Carries out attempts over a pool of connections, and probes beside it. Cheap to clone.
+/// Carries out attempts over a pool of connections, and probes over connections of their own. Cheap to clone.
 #[derive(Clone)]
 pub struct BackendTransport {
     pool: Rc<ConnectionPool>,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Closes what has been idle for too long; never returns.
+    /// Periodically closes connections that have been idle for too long; never returns.
     pub async fn close_stale_connections(self) {
         loop {
             sleep(SWEEP_INTERVAL).await;
--- a/node/src/upstream/pool.rs
+++ b/node/src/upstream/pool.rs
@@ -14,10 +14,12 @@
 use super::idle_resets::IdleResetRates;
 use crate::driver::{Clock, Node};
 
-/// A connection is not reused before it has been idle for this long. Bytes that arrive behind a response would pass for the
-/// next one's; while the connection is idle they show as unsolicited, and it is dropped. So does a close.
+/// A connection is not reused before it has been idle for this long. Extra bytes behind a response could be taken for the next
+/// response; if they arrive while the connection is idle, they are detected as unsolicited and the connection is dropped. A close
+/// by the backend is detected in the same way.
 const MIN_IDLE_TIME: Nanos = 10_000_000;
-/// Connections that have been dropped and are not closed yet may exceed the limit by one in so many, and at least by two.
+/// Connections that have been dropped and are not closed yet may exceed the limit by the limit over this divisor, and at least by
+/// [`MIN_CLOSING_ALLOWANCE`].
 const CLOSING_ALLOWANCE_DIVISOR: usize = 8;
 const MIN_CLOSING_ALLOWANCE: usize = 2;
 
@@ -25,11 +27,11 @@
 pub struct ReusedConnection {
     /// The connection.
     pub connection: BackendConnection,
-    /// How long it had been idle.
+    /// How long the connection had been idle.
     pub idle_time: Nanos,
 }
 
-/// Connections to the backends.
+/// The connections for requests to all backends.
 pub struct ConnectionPool {
     idle: RefCell<HashMap<BackendAddress, Vec<IdleConnection>>>,
     open: OpenConnections,
@@ -46,23 +48,23 @@
         Self { idle, open, max_open, settings, clock, idle_resets: IdleResetRates::default() }
     }
 
-    /// The clock by which connections age.
+    /// The clock that measures idle times.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// What is known of connections that were lost while idle.
+    /// The shares of reused connections that were reset, by idle time.
     pub fn idle_resets(&self) -> &IdleResetRates {
         &self.idle_resets
     }
 
-    /// Whether at least a quarter of the connections may still be opened.
+    /// Whether more than a quarter of the allowed connections are not open.
     pub fn has_spare_connections(&self) -> bool {
         self.open.count() < self.max_open / 4 * 3
     }
 
-    /// Takes the idle connection that was used last, so that those in excess grow old. None if there is none that is fit for
-    /// use.
+    /// Takes the idle connection that was used last, so that surplus connections reach the idle timeout. `None` if there is no
+    /// idle connection or it should not be reused.
     pub fn take(&self, address: BackendAddress) -> Option<ReusedConnection> {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
@@ -76,7 +78,7 @@
         is_usable.then_some(ReusedConnection { connection: taken.connection, idle_time })
     }
 
-    /// Keeps a connection for the next attempt, unless its backend has left or moved meanwhile.
+    /// Keeps a connection for the next attempt, unless its backend drains, has left or has moved.
     pub fn put_back(&self, node: &Node, address: BackendAddress, connection: BackendConnection) {
         if !connection.sender.is_closed() && node.serves_at(address.backend, address.endpoint) {
             let idle = IdleConnection { connection, idle_since: self.clock.now() };
@@ -84,13 +86,13 @@
         }
     }
 
-    /// Opens a connection, in place of the one that has been idle for longest if the pool is full. None if there is no room or
-    /// the connect fails.
+    /// Opens a connection; if the pool is full, drops the one that has been idle for longest. `None` if there is no room or the
+    /// connect fails.
     pub async fn connect(&self, endpoint: SocketAddr) -> Option<BackendConnection> {
         if self.open.count() >= self.max_open {
             self.drop_oldest();
         }
-        // A connection that was dropped is closed a moment later, by its own task; until then it still holds its descriptor.
+        // A dropped connection is closed a moment later by its own task; until then it still holds its descriptor.
         let closing_allowance = (self.max_open / CLOSING_ALLOWANCE_DIVISOR).max(MIN_CLOSING_ALLOWANCE);
         if self.open.count() >= self.max_open + closing_allowance {
             return None;
--- a/node/src/upstream/prober.rs
+++ b/node/src/upstream/prober.rs
@@ -1,5 +1,5 @@
-//! Probes for load reports: `GET` on the report's path, over connections of their own, so that no request waits for a probe and
-//! none is held up by one that hangs. Whom to probe and when is the balancer's decision.
+//! Probes for load reports: `GET` on the report's path, over separate connections, so that no request waits for a probe, even if
+//! the probe hangs. The balancer decides which backends to probe and when.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -23,13 +23,13 @@
 
 /// The path of the load report.
 const LOAD_REPORT_PATH: &str = "/stats";
-/// A report that arrives later than this is outdated; and a backend that takes so long over some bytes is
-/// not reachable.
+/// A report that arrives later than this is outdated, and a backend that takes longer to send a few bytes counts as
+/// unreachable.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
-/// No report is larger: a few numbers.
+/// The largest load report that is accepted; a report has a few numbers.
 const MAX_REPORT_BYTES: usize = 4 * 1024;
 
-/// Makes probes, and keeps a connection to each backend that answered one.
+/// Makes probes, and keeps one idle connection to each backend that responded to a probe.
 pub struct Prober {
     idle: RefCell<HashMap<BackendAddress, IdleConnection>>,
     open: OpenConnections,
@@ -39,19 +39,20 @@
 }
 
 impl Prober {
-    /// At most `max_open` connections, and at least one, are open at a time; they are no part of those for requests.
+    /// A prober that has at most `max_open` connections open at a time, or one if `max_open` is 0. Connections for requests are
+    /// not included.
     pub fn new(settings: ConnectionSettings, clock: Clock, max_open: usize) -> Self {
         let (idle, open) = (RefCell::default(), OpenConnections::default());
         Self { idle, open, max_open: max_open.max(1), settings, clock }
     }
 
-    /// Starts a probe; its result comes back by [`Node::probe_ended`], exactly once.
+    /// Starts a probe, and reports its result by [`Node::probe_ended`], exactly once.
     pub fn start(self: &Rc<Self>, node: &Node, mut start: ProbeStart) {
         let (prober, node) = (self.clone(), node.clone());
         spawn_local(async move {
             let cancelled = std::mem::replace(&mut start.cancelled, oneshot::channel().1);
             let address = BackendAddress { backend: start.key.backend(), endpoint: start.endpoint };
-            // A probe that is not awaited to its end is dropped here, and its connection with it.
+            // A probe that is cancelled or times out is dropped here together with its connection.
             let result = tokio::select! {
                 biased;
                 _ = cancelled => AttemptResult::without_response(Outcome::Cancelled),
@@ -81,8 +82,8 @@
     async fn probe(&self, address: BackendAddress, node: &Node) -> AttemptResult {
         if let Some(connection) = self.take_idle(address) {
             match self.exchange(address, connection, node).await {
-                // Closed as it was written to, as idle connections are: that is no sign of a fault. The backend may have
-                // counted it as a probe, so there is no other one for it.
+                // The backend closed the idle connection while the probe was written, which is no sign of a fault. The
+                // backend may have counted the probe, so it is not made again.
                 Some(result) if result.outcome == Outcome::Reset => {
                     return AttemptResult::without_response(Outcome::NotSent);
                 }
@@ -91,7 +92,7 @@
             }
         }
         if !self.make_room() {
-            // No room for another connection is this node's own fault.
+            // A lack of room for another connection is this node's fault, not the backend's.
             return AttemptResult::without_response(Outcome::NotSent);
         }
         let connect_failed = AttemptResult::without_response(Outcome::ConnectFailed);
@@ -101,7 +102,7 @@
         self.exchange(address, connection, node).await.unwrap_or(connect_failed)
     }
 
-    /// One probe and its response. None if not a byte of it was written.
+    /// Sends a probe and reads its response. `None` if no byte of the probe was written.
     async fn exchange(
         &self,
         address: BackendAddress,
@@ -135,14 +136,14 @@
         }
     }
 
-    /// Whether one more connection may be opened, if need be in place of the one that has been idle for longest.
+    /// Whether another connection may be opened. If all allowed ones are open, drops the one that has been idle for longest.
     fn make_room(&self) -> bool {
         if self.open.count() < self.max_open {
             return true;
         }
         let mut idle = self.idle.borrow_mut();
         let oldest = idle.iter().min_by_key(|(_, idle)| idle.idle_since).map(|(address, _)| *address);
-        // Its task ends, and releases its descriptor, a moment later.
+        // The task of the dropped connection ends and releases its descriptor a moment later.
         oldest.is_some_and(|address| idle.remove(&address).is_some())
     }
 }
--- a/node/src/upstream/response.rs
+++ b/node/src/upstream/response.rs
@@ -17,20 +17,20 @@
 
 /// A response that has been read.
 pub struct ReadResponse {
-    /// What it means for the attempt.
+    /// The result of the attempt or probe.
     pub result: AttemptResult,
-    /// Whether it was read to its end, so that its connection can be reused.
+    /// Whether the response was read to its end, so that its connection can be reused.
     pub is_connection_reusable: bool,
 }
 
 impl ReadResponse {
-    /// A response that broke off or can't be used.
+    /// A response that was truncated or is invalid.
     pub fn unusable(outcome: Outcome) -> Self {
         Self { result: AttemptResult::without_response(outcome), is_connection_reusable: false }
     }
 }
 
-/// Reads a response to a request.
+/// Reads the response to a request and classifies it.
 pub async fn read_response(response: Response<Incoming>) -> ReadResponse {
     let (head, body) = response.into_parts();
     if !is_framing_acceptable(&head, &body) {
@@ -45,8 +45,8 @@
     ReadResponse { result, is_connection_reusable: true }
 }
 
-/// With neither a length nor chunks a response ends with its connection, and one that was cut short looks complete (RFC 9112,
-/// section 6.3).
+/// Whether a response's framing and size are acceptable. A response with neither a length nor chunks ends with its connection, so
+/// a truncated one would look complete (RFC 9112, section 6.3).
 fn is_framing_acceptable(head: &Parts, body: &Incoming) -> bool {
     let is_delimited = body.size_hint().exact().is_some() || head.headers.contains_key(TRANSFER_ENCODING);
     is_delimited && body.size_hint().lower() <= MAX_BODY_BYTES as u64 && !head.status.is_informational()
@@ -65,19 +65,19 @@
     match head.status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_rejected => Outcome::Rejected,
         StatusCode::OK => Outcome::Served,
-        // A fault of the request is not the backend's and must not eject it.
+        // A client error is a fault of the request and must not eject the backend.
         status if status.is_client_error() => Outcome::InvalidResponse,
-        // Whatever the status says, the request may have run.
+        // With any other status the request may have run.
         _ => Outcome::Error,
     }
 }
 
-/// The outcome of a request whose connection failed: it ended, or brought what is no HTTP response.
+/// The outcome of a request whose connection failed: the connection ended, or the backend sent no valid HTTP response.
 pub fn outcome_of_error(error: &hyper::Error) -> Outcome {
     if error.is_parse() { Outcome::InvalidResponse } else { Outcome::Reset }
 }
 
-/// A backend's load report, under either of the names in use.
+/// A backend's load report. Each field has two names on the wire.
 #[derive(Default, Deserialize)]
 struct LoadReportFields {
     #[serde(alias = "load_share")]
@@ -92,7 +92,7 @@
     parse_load_report(headers.get(LOAD_REPORT).map(HeaderValue::as_bytes).unwrap_or_default())
 }
 
-/// Parses a load report. One that can't be parsed reports nothing and is no fault.
+/// Parses a load report. A report that can't be parsed is treated as empty, not as a fault of the backend.
 pub fn parse_load_report(text: &[u8]) -> LoadReport {
     let fields: LoadReportFields = serde_json::from_slice(text).unwrap_or_default();
     LoadReport { utilisation: fields.util, requests_per_second: fields.qps, in_flight: fields.inflight }
