--- a/node/src/discovery/discovery_tests.rs
+++ b/node/src/discovery/discovery_tests.rs
@@ -6,8 +6,8 @@
 use super::client::{LIST_PATH, open_over};
 use crate::tcp_options::tests::stream_that_rejects_nodelay;
 
-/// Two thirds of a fleet's calls ended before they were made, and no node learned of the servers that had gone
-/// (docs/incidents/fleet-zone.md).
+/// Nodes could not set `TCP_NODELAY`, so two thirds of a fleet's calls to discovery failed before they were sent, and no node was
+/// notified of the servers that had been removed (docs/incidents/fleet-zone.md).
 #[tokio::test]
 async fn call_goes_out_on_a_connection_that_rejects_nodelay() {
     let (ours, mut theirs) = stream_that_rejects_nodelay();
--- a/node/src/discovery/schedule_tests.rs
+++ b/node/src/discovery/schedule_tests.rs
@@ -13,14 +13,14 @@
     (0..1000).map(|_| schedule.next_delay(ZERO)).max().unwrap_or_default()
 }
 
-/// The largest number of these times that lie within one second.
+/// The largest number of `times` that lie within one second.
 fn max_calls_in_one_second(times: &[Duration]) -> usize {
     let count_from = |&from: &Duration| times.iter().filter(|&&at| at >= from && at < from + SECOND).count();
     times.iter().map(count_from).max().unwrap_or_default()
 }
 
-/// A hundred nodes called at their start and at each change of the list, all in one moment: of the first hundred calls 85 were
-/// rejected, and a restarted node routed for ten seconds by the list of its previous incarnation (docs/incidents/fleet-herd.md).
+/// A hundred nodes called discovery at the same time, at their start and at each change of the list: 85 of the first hundred calls
+/// were rejected, and a restarted node routed by the list of its previous incarnation for ten seconds (docs/incidents/fleet-herd.md).
 #[test]
 fn calls_of_a_hundred_nodes_that_start_together_are_spread() {
     let calls: Vec<Duration> = (0..100)
@@ -47,8 +47,8 @@
     assert!(longest_delay(&mut schedule) <= 2 * SPREAD_PER_NODE);
 }
 
-/// A restarted node asks for the list at once, and after a failure again within a part of the grace in which a draining backend
-/// may still be sent to.
+/// A restarted node requests the list at once. After a failure it must call again well before the drain grace ends, during which
+/// requests may still be sent to a draining backend.
 #[test]
 fn local_agent_is_called_at_once_and_again_well_within_the_drain_grace() {
     for grace in [ZERO, SECOND / 4, SECOND / 2, SECOND, 10 * SECOND] {
@@ -70,8 +70,8 @@
     );
 }
 
-/// Six watches fell silent in one moment. They were abandoned together, 21 s later, and stood in discovery's queue for up to
-/// 1.9 s, while drains counted as notified from 22 s on (docs/incidents/narrow-moments.md).
+/// Six watches became unresponsive at the same time. They timed out together, 21 s later, and their next calls waited in
+/// discovery's queue for up to 1.9 s, while drains counted as notified from 22 s on (docs/incidents/narrow-moments.md).
 #[test]
 fn watches_that_fell_silent_together_are_renewed_at_different_times_before_changes_count_as_notified() {
     for nodes in [6, 100] {
@@ -89,13 +89,13 @@
             );
             renewals.push(next);
         }
-        // A tenth of a second for each of the nodes' calls is what ten seconds are for a hundred.
+        // The long polls of a hundred nodes end within a span of ten seconds: a tenth of a second for each node's call.
         assert!(max_calls_in_one_second(&renewals) <= (nodes as usize / 4).max(3), "{renewals:?}");
     }
 }
 
-/// Each call is rejected: they follow each other soon until what was missed counts as notified, but never at once, and as
-/// rarely as ever from then on.
+/// Discovery rejects each call. Until the missed changes count as notified, calls follow each other soon, but never without a
+/// delay; after that they are as rare as after any other failure.
 #[test]
 fn missed_changes_are_asked_for_often_until_they_count_as_notified_and_rarely_afterwards() {
     enum Missed {
@@ -148,7 +148,7 @@
     (0..100).map(|_| schedule.next_delay(now)).max().unwrap_or_default()
 }
 
-/// However often a node must poll: it has called again before its list expires.
+/// After failed calls a node must call again before its list expires, whatever the poll interval in the settings.
 #[test]
 fn failed_calls_are_retried_within_the_poll_interval_of_the_settings() {
     for interval in [SECOND, 3 * SECOND, MAX_POLL_INTERVAL, 60 * SECOND] {
@@ -160,7 +160,7 @@
     }
 }
 
-/// Settings that ask for a poll at every moment, and discovery rejects each call.
+/// The settings allow a poll interval near zero, and discovery rejects each call.
 #[test]
 fn failed_calls_make_no_tight_loop_with_a_poll_interval_near_zero() {
     for interval in [ZERO, Duration::from_millis(1), SECOND / 20] {
@@ -172,7 +172,7 @@
     }
 }
 
-/// A call for the full list does not wait at discovery, so what it misses counts as notified sooner than for a watch.
+/// A call for the full list has no long poll, so changes that it misses count as notified sooner than those that a watch misses.
 #[test]
 fn silent_call_for_the_full_list_is_abandoned_with_time_for_another() {
     for mut schedule in [
--- a/node/src/driver/driver_tests.rs
+++ b/node/src/driver/driver_tests.rs
@@ -22,7 +22,7 @@
 const SECOND: Nanos = 1_000_000_000;
 const WINDOW: Nanos = 60 * SECOND;
 
-/// Records what it is asked to do.
+/// Records the attempts, probes and closes that the driver asks for, and carries none of them out.
 #[derive(Default)]
 struct RecordingTransport {
     attempts: RefCell<Vec<AttemptStart>>,
@@ -93,7 +93,8 @@
     }
 }
 
-/// A connect can outlast the window in which backends recognise an idempotency key: written after it, a repeat would run twice.
+/// A connect can take longer than the window in which backends recognise an idempotency key. A retry written after the window
+/// would run a second time.
 #[test]
 fn repeat_is_not_written_once_the_idempotency_window_is_over() {
     for (outcome, known) in [(Outcome::Error, false), (Outcome::Reset, false), (Outcome::Rejected, true)] {
@@ -108,7 +109,7 @@
         node.attempt_ended(first.key, AttemptResult::without_response(outcome));
         let again = transport.attempts.borrow_mut().pop().expect("another attempt");
         assert!(node.may_write(again.key), "{outcome:?}: within the window");
-        // As if the connect had taken all of it.
+        // Simulates a connect that has taken the whole window.
         let mut driver = node.driver.borrow_mut();
         let open = driver.requests.get_mut(again.key.request).expect("it is open");
         open.first_run_at = open.first_run_at.map(|first_run_at| first_run_at - WINDOW);
@@ -142,7 +143,7 @@
     assert!(!node.driver.borrow().timers.iter().any(is_backstop));
 }
 
-/// A connect can outlast its request: what is written after the reply would be a send too many.
+/// A connect can take longer than its request is open. An attempt must not be written after the client has disconnected.
 #[test]
 fn nothing_is_written_for_a_request_whose_client_has_disconnected() {
     let (node, transport) = node(SECOND);
@@ -156,7 +157,7 @@
     assert_eq!(open_requests(&node), (0, 0));
 }
 
-/// A connect can outlast the grace of a draining backend, and its stay on the list.
+/// A connect can take longer than the drain grace of its backend, and the backend can be removed from the list meanwhile.
 #[test]
 fn nothing_is_written_to_a_draining_backend_past_its_grace() {
     for (grace, state, may_write) in [
@@ -178,9 +179,9 @@
     }
 }
 
-/// A full list can be older than the notice of a drain or a removal that came before it. An attempt started before the notice
-/// and still in its connect was written then, however long after; and a removed backend came back under another number, for
-/// which no notice was known, and was sent to.
+/// A full list can be older than the drain or removal notice that arrived before it. After such a list an attempt that had been
+/// started before the notice and was still connecting was written at any later time; and a removed backend got a new number, for
+/// which there was no notice, so that requests were sent to it.
 #[test]
 fn older_full_list_does_not_revoke_a_removal_notice() {
     for state in [BackendState::Draining, BackendState::Removed] {
@@ -191,13 +192,13 @@
         assert!(node.may_write(attempt.key), "{state:?}: there is no notice yet");
         node.apply_list(ListScope::Changes, vec![record("s", state)]);
         node.apply_list(ListScope::Full, vec![record("s", BackendState::InService)]);
-        assert!(!node.may_write(attempt.key), "{state:?}: the notice binds");
+        assert!(!node.may_write(attempt.key), "{state:?}: the notice still applies");
         assert!(
             !node.serves_at(attempt.backend, attempt.endpoint),
             "{state:?}: its connections are not kept"
         );
         let _other = node.submit(request(SECOND)).expect("a new id");
-        assert!(transport.attempts.borrow().is_empty(), "{state:?}: nothing new");
+        assert!(transport.attempts.borrow().is_empty(), "{state:?}: no new attempt");
         // A later start revokes the notice.
         let boot_ms = node.clock().now() / 1_000_000 - 60_000;
         node.apply_list(
@@ -210,7 +211,7 @@
     }
 }
 
-/// The attempt never ends, so the balancer has no event to act on: the driver replies at the client's deadline.
+/// The attempt never ends, so the balancer gets no event for the request: the driver fails the request at its deadline.
 #[test]
 fn request_without_a_reply_from_the_balancer_fails_at_its_deadline() {
     let (node, transport) = node(SECOND);
@@ -228,7 +229,8 @@
     assert!(!node.may_write(attempt.key));
 }
 
-/// A restarted backend is in slow start again, by the node's own clock, and connections to its previous incarnation are dead.
+/// A restarted backend is in slow start again, measured by the node's clock, and connections to its previous incarnation are
+/// unusable.
 #[test]
 fn restart_under_the_same_name_is_reported_and_drops_connections() {
     let (node, transport) = node(SECOND);
@@ -246,7 +248,7 @@
     assert!(transport.attempts.borrow().is_empty());
 }
 
-/// What a long day brings: ever new backends, some at old addresses, and ever new ids. None of them may leave anything behind.
+/// Guards against memory that grows while a node runs for days: replaced backends and ended requests must leave no state behind.
 #[test]
 fn churn_of_backends_and_requests_leaves_no_state_behind() {
     let (node, transport) = node(SECOND);
--- a/node/src/driver/ids_tests.rs
+++ b/node/src/driver/ids_tests.rs
@@ -27,7 +27,7 @@
     assert_eq!((map.len(), map.remembered_insertions()), (2, 2));
 }
 
-/// The insertion of a value that was taken is still remembered: its eviction must not remove the value that has its key now.
+/// The insertion of a value that was taken stays in the queue: its eviction must not remove a later value with the same key.
 #[test]
 fn key_that_is_inserted_again_outlives_its_first_insertion() {
     let mut map = map(8);
--- a/node/src/log_rate_limit_tests.rs
+++ b/node/src/log_rate_limit_tests.rs
@@ -2,7 +2,7 @@
 
 use super::{LOG_INTERVAL, LogRateLimiter};
 
-/// Guards the log against a warning that comes with every request.
+/// Guards against a log filled by a warning that is raised for every request.
 #[test]
 fn burst_of_warnings_writes_one_line_and_counts_the_suppressed_ones() {
     let (mut limiter, mut lines) = (LogRateLimiter::default(), Vec::new());
--- a/node/src/upstream/upstream_tests.rs
+++ b/node/src/upstream/upstream_tests.rs
@@ -10,8 +10,8 @@
 use super::response::read_response;
 use crate::tcp_options::tests::stream_that_rejects_nodelay;
 
-/// A fleet's nodes could not set the option on connections that worked, and took every server that they probed for one that
-/// can't be reached (docs/incidents/fleet-zone.md).
+/// Nodes could not set `TCP_NODELAY` on connections that otherwise worked, and treated every probed backend as unreachable
+/// (docs/incidents/fleet-zone.md).
 #[tokio::test]
 async fn connection_that_rejects_nodelay_carries_its_exchange() {
     let (ours, mut theirs) = stream_that_rejects_nodelay();
--- a/node/tests/client_disconnects.rs
+++ b/node/tests/client_disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect while their request waits: it is forwarded no more.
+//! Clients that disconnect while their request waits: the request must not be forwarded any more.
 
 mod common;
 
@@ -14,15 +14,15 @@
 };
 use serde_json::json;
 
-/// So long after its client has disconnected a request may not be forwarded any more.
+/// The time within which a node must detect a disconnect: after it the client's request must not be forwarded any more.
 const DETECTION_TIME: Duration = Duration::from_millis(300);
 
-/// The bytes that are pending behind a request when its client disconnects.
+/// Bytes that may be pending behind a request when its client disconnects.
 fn pipelined_inputs() -> [String; 4] {
     [String::new(), "\r\n".to_owned(), get("behind", ""), "noise".repeat(20_000)]
 }
 
-/// A node with these backends, whose connect timeout is longer than any test here takes.
+/// A node with a backend at `at` and the backends `more`, and with a connect timeout longer than any test here.
 fn patient_node(at: std::net::SocketAddr, more: &[&Backend]) -> (NodeProcess, Discovery) {
     let listed = std::iter::once(at).chain(more.iter().map(|backend| backend.address));
     let targets: Vec<_> =
@@ -35,8 +35,8 @@
     (node, discovery)
 }
 
-/// The connection to the backend is established after the client has disconnected. With bytes behind the request the parser read
-/// no further, so that the disconnect was not detected, and the request was sent.
+/// The connection to the backend is established after the client has disconnected. With bytes behind the request the parser stopped
+/// reading, so that the disconnect was not detected and the request was sent.
 #[test]
 fn request_waiting_for_a_connect_is_not_sent_after_its_client_disconnected() {
     let cases: Vec<_> = pipelined_inputs()
@@ -48,14 +48,14 @@
                 let (node, _discovery) = patient_node(listener.address(), &[]);
                 let mut client = Client::connect(node.address);
                 client.write(&(get("gone", "") + &behind));
-                wait_until("the connect is on its way", || node.pending_connects_to(listener.address()) > 0);
+                wait_until("the connect is in progress", || node.pending_connects_to(listener.address()) > 0);
                 drop(client);
                 thread::sleep(DETECTION_TIME);
                 let filling = listener.filling();
                 let backend = listener.open(|_| BackendReply::Write(ok("yes")));
                 assert_eq!(node.round_trip(&get("stays", "")).status(), 200, "case {n}");
-                // The first connection is established by a TCP retransmission, a second or more after it began.
-                wait_until("it is up", || backend.connections.load(Ordering::SeqCst) as usize >= filling + 2);
+                // The first connection is established by a TCP retransmission, a second or more after the start of its connect.
+                wait_until("both up", || backend.connections.load(Ordering::SeqCst) as usize >= filling + 2);
                 thread::sleep(DETECTION_TIME);
                 assert_eq!(node.round_trip(&get("later", "")).status(), 200, "case {n}");
                 let ids: Vec<_> =
@@ -64,10 +64,11 @@
             })
         })
         .collect();
-    cases.into_iter().for_each(|case| case.join().expect("a case holds"));
+    cases.into_iter().for_each(|case| case.join().expect("the case passes"));
 }
 
-/// Rejected by one backend after its client has disconnected, the request goes to no other. With its client there it is retried.
+/// A request is rejected by one backend after its client has disconnected: it must not be retried at another backend. While the
+/// client is connected, it is retried.
 #[test]
 fn request_between_two_attempts_is_not_retried_after_its_client_disconnected() {
     for (n, behind) in pipelined_inputs().into_iter().enumerate() {
@@ -90,7 +91,7 @@
             client.write(&(post("pay", "first", "", "") + &behind));
             let mut got = 0;
             let mut ids = |wanted: usize| {
-                wait_until("it comes", || {
+                wait_until("the requests have arrived", || {
                     got += backends.iter().map(Backend::drain_requests).sum::<usize>();
                     got >= wanted
                 });
@@ -101,18 +102,18 @@
                 disconnect(client);
                 thread::sleep(DETECTION_TIME);
                 gate.open();
-                // The response to another request comes after whatever the end of the first one has caused.
+                // Once another request has its response, any retry of the first one would have been sent.
                 assert_eq!(node.round_trip(&post("pay", "other", "", "")).status(), 200);
                 assert_eq!(ids(2), 2, "case {n}");
             } else {
                 gate.open();
-                wait_until("it has gone to both", || ids(2) >= 2);
+                wait_until("the request was sent to both backends", || ids(2) >= 2);
             }
         }
     }
 }
 
-/// A client that pipelines requests gets the responses in order, whatever it has sent behind the first request.
+/// A client that pipelines requests gets the responses in order, also if requests have been read ahead of the parser.
 #[test]
 fn pipelined_requests_are_answered_in_order() {
     let gate = Arc::new(Gate::default());
@@ -129,7 +130,7 @@
     let mut client = Client::connect(node.address);
     client.write(&get("p1", ""));
     backend.next_request();
-    // In two parts, so that one is read ahead of the other.
+    // The second request is sent in two parts, so that the first part is read ahead separately.
     let next = get("p2", "");
     let (head, tail) = next.split_at(40);
     client.write(head);
@@ -142,7 +143,7 @@
     }
 }
 
-/// A client that shuts down its sending side has disconnected as well as one that closes: its request is cancelled.
+/// A client that shuts down its sending side counts as disconnected, like one that closes its socket: its request is cancelled.
 #[test]
 fn client_that_shuts_down_its_sending_side_is_disconnected() {
     for behind in pipelined_inputs() {
@@ -152,6 +153,6 @@
         client.write(&(get("h1", "") + &behind));
         backend.next_request();
         client.stream().shutdown(Shutdown::Write).unwrap();
-        assert!(client.is_closed(), "its connection is closed, long before its deadline");
+        assert!(client.is_closed(), "the connection is closed long before the request's deadline");
     }
 }
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A node as a process between scripted peers.
+//! Runs a node as a process, with scripted clients, backends and discovery services as its peers.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader};
@@ -12,13 +12,13 @@
 use ivyhatch_socket_lab::scripted::{Backend, BackendReply, Client, Discovery, Message, ok};
 use serde_json::{Value, json};
 
-/// A line of discovery's list.
+/// One backend in discovery's list.
 pub fn discovery_target(uid: &str, at: SocketAddr, state: &str) -> Value {
     json!({"uid": uid, "endpoint": at.to_string(), "az": "a", "model": "k", "pod_group": 0, "state": state,
         "capacity_hint": 1.0, "boot_ms": 0})
 }
 
-/// The settings of a site with three classes of requests.
+/// Settings with three request classes: an idempotent one, a keyed one and a non-idempotent one.
 pub fn settings() -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "key-scope": "zone", "window-ns": 10_000_000_000u64,
@@ -35,7 +35,7 @@
             "start-capacity": 0.1, "tip-multiple": 2.5, "warm-after-ns": 20_000_000_000u64}})
 }
 
-/// A node's configuration, with `known` as its last known list.
+/// A node's configuration, with `known` as the last known list of backends.
 pub fn config(discovery: SocketAddr, known: Value) -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
         "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
@@ -46,13 +46,13 @@
 pub struct NodeProcess {
     /// The process.
     pub child: Child,
-    /// Where it listens for clients.
+    /// The address at which the node listens for clients.
     pub address: SocketAddr,
     log: Arc<Mutex<String>>,
     file: PathBuf,
 }
 
-/// Starts the program with this text as its configuration file, whose path is returned.
+/// Starts a node with the text `config` as its configuration file. Returns the process and the path of the file.
 pub fn spawn(config: &str) -> (Child, PathBuf) {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::SeqCst);
@@ -94,7 +94,7 @@
         Self { child, address, log, file }
     }
 
-    /// A node whose discovery lists these backends, as `s-0`, `s-1` and so on.
+    /// Starts a node whose discovery lists `backends` under the names `s-0`, `s-1` and so on, and waits until the node has the list.
     pub fn with_backends(backends: &[&Backend]) -> (Self, Discovery) {
         let targets: Vec<Value> = (0..)
             .zip(backends)
@@ -106,22 +106,22 @@
         (node, discovery)
     }
 
-    /// Whether the text is in its log.
+    /// Whether the node's log contains `text`.
     pub fn has_logged(&self, text: &str) -> bool {
         self.log_count(text) > 0
     }
 
-    /// How often the text is in its log.
+    /// How often `text` occurs in the node's log.
     pub fn log_count(&self, text: &str) -> usize {
         self.log.lock().unwrap().matches(text).count()
     }
 
-    /// Where it listens, and its log so far.
+    /// The address at which the node listens, and the node's log so far.
     pub fn named_log(&self) -> (SocketAddr, String) {
         (self.address, self.log.lock().unwrap().clone())
     }
 
-    /// Replaces the configuration file and sends SIGHUP.
+    /// Replaces the configuration file atomically and sends SIGHUP.
     pub fn reconfigure(&self, config: &str) {
         let new = self.file.with_extension("new");
         std::fs::write(&new, config).unwrap();
@@ -129,17 +129,17 @@
         self.signal("-HUP");
     }
 
-    /// Sends a signal, by its `kill` option.
+    /// Sends a signal, given as an option of `kill`, such as `-TERM`.
     pub fn signal(&self, name: &str) {
         let done = Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap();
         assert!(done.success());
     }
 
-    /// How many connects to this address are in progress on the machine.
+    /// How many connects to the port of `at` are in progress in the node's network namespace.
     pub fn pending_connects_to(&self, at: SocketAddr) -> usize {
         let table = std::fs::read_to_string(format!("/proc/{}/net/tcp", self.child.id())).unwrap();
         let port = format!(":{:04X}", at.port());
-        // The third field is the remote address, the fourth the state: 2 is SYN_SENT.
+        // The third field is the remote address, the fourth the state: 02 is SYN_SENT.
         let is_pending = |line: &&str| {
             let fields: Vec<&str> = line.split_whitespace().collect();
             fields.get(2).is_some_and(|to| to.ends_with(&port)) && fields.get(3) == Some(&"02")
@@ -147,7 +147,7 @@
         table.lines().filter(is_pending).count()
     }
 
-    /// Sends one request on a connection of its own.
+    /// Sends one request on a new connection and reads its response.
     pub fn round_trip(&self, text: &str) -> Message {
         Client::connect(self.address).round_trip(text).expect("an answer")
     }
@@ -160,12 +160,12 @@
     }
 }
 
-/// A backend that serves each request with this body.
+/// A backend that serves each request with `body`.
 pub fn backend_serving(body: &'static str) -> Backend {
     Backend::new(move |_| BackendReply::Write(ok(body)))
 }
 
-/// A request of the idempotent class.
+/// A request of the idempotent class, with the header lines `more`.
 pub fn get(id: &str, more: &str) -> String {
     format!(
         "GET /api?x=1 HTTP/1.1\r\nHost: origin.svc\r\nX-Call-Id: {id}\r\nX-Call-Class: read\r\nX-Caller: acme\r\n\
@@ -173,7 +173,7 @@
     )
 }
 
-/// A request of another class, with a body.
+/// A request of the class `class`, with the header lines `more` and a body.
 pub fn post(class: &str, id: &str, more: &str, body: &str) -> String {
     format!(
         "POST /api HTTP/1.1\r\nHost: origin.svc\r\nX-Call-Id: {id}\r\nX-Call-Class: {class}\r\nX-Caller: acme\r\n\
--- a/node/tests/concurrent_events.rs
+++ b/node/tests/concurrent_events.rs
@@ -1,5 +1,5 @@
-//! Events that cross: a drain notice during a connect, a connect that completes after its attempt has ended, an older list
-//! behind a notice, a shutdown while a client still reads its response.
+//! Concurrent events: a drain notice during a connect, a connect that completes after its attempt has ended, a stale list after a
+//! notice, a shutdown while a client still reads its response.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use ivyhatch_socket_lab::scripted::{BackendReply, Client, Discovery, FullBacklogListener, ok, wait_until};
 use serde_json::{Value, json};
 
-/// A node whose discovery has this list, with this connect timeout and this grace for drains.
+/// A node whose discovery lists `targets`, with the connect timeout `connect_ms` and the drain grace `grace_ms`.
 fn node_with_list(targets: Value, connect_ms: u64, grace_ms: u64) -> (NodeProcess, Discovery) {
     let discovery = Discovery::new(targets);
     let mut config = config(discovery.address, json!([]));
@@ -22,18 +22,18 @@
     (node, discovery)
 }
 
-/// Accepts connections, waits until one of the node's is established and a while longer, and returns the ids of the requests
-/// that arrived.
+/// Accepts connections, waits until a connection of the node is established and another 300 ms for requests, and returns the ids
+/// of those that arrived.
 fn requests_after_accepting(listener: FullBacklogListener) -> Vec<String> {
     let filling = listener.filling();
     let backend = listener.open(|_| BackendReply::Write(ok("late")));
-    wait_until("a connection is up", || backend.connections.load(Ordering::SeqCst) as usize > filling);
+    wait_until("a connection is open", || backend.connections.load(Ordering::SeqCst) as usize > filling);
     thread::sleep(Duration::from_millis(300));
     backend.requests.try_iter().filter_map(|message| message.value("x-call-id").map(str::to_owned)).collect()
 }
 
-/// The backend was picked before the notice, and the connection is established long after the grace: nothing is written there,
-/// and the request is served elsewhere.
+/// A backend was selected before its drain notice, and the connection to it is established long after the drain grace: the request
+/// must not be written to it.
 #[test]
 fn request_waiting_for_a_connect_is_not_written_after_a_drain_notice() {
     for state in ["Terminating", "Gone"] {
@@ -42,7 +42,7 @@
             node_with_list(json!([discovery_target("s-0", listener.address(), "Ready")]), 8000, 100);
         let mut client = Client::connect(node.address);
         client.write(&post("pay", "chosen", "", ""));
-        wait_until("the connect is on its way", || node.pending_connects_to(listener.address()) > 0);
+        wait_until("the connect is in progress", || node.pending_connects_to(listener.address()) > 0);
         let other = backend_serving("other");
         discovery.set(json!([
             discovery_target("s-0", listener.address(), state),
@@ -51,13 +51,13 @@
         discovery.wait_for_watch_from(discovery.revision());
         assert!(requests_after_accepting(listener).is_empty(), "{state}: written past the grace");
         let answer = client.read().expect("an answer");
-        // Unsent it may go elsewhere, or be refused; it has not failed.
+        // A request that was not written may be sent to another backend or be rejected; it must not fail.
         assert!([200, 503].contains(&answer.status()), "{state}: {answer:?}");
     }
 }
 
-/// The connect timeout ends the attempt, which never ran, and the request goes elsewhere. A connection that is established later
-/// carries nothing.
+/// The connect timeout ends an attempt, which has not run, and the request is sent to another backend. Nothing may be written to a
+/// connection that is established later.
 #[test]
 fn connection_established_after_its_attempt_timed_out_carries_nothing() {
     let (listener, other) = (FullBacklogListener::new(), backend_serving("other"));
@@ -73,7 +73,7 @@
         assert_eq!(client.read().expect("an answer").status(), 200, "request {n}");
         pending_connects += node.pending_connects_to(listener.address());
     }
-    // Connects that timed out are closed: none is pending.
+    // Connects that have timed out are closed, so none is pending.
     assert_eq!(pending_connects, 0);
     assert_eq!(other.drain_requests(), 6);
     let filling = listener.filling();
@@ -84,7 +84,7 @@
     assert!(ids.iter().all(|id| id == "next"), "{ids:?} of {filling} fillers");
 }
 
-/// A change says that a server drains or is removed; a full list from a replica that lags says otherwise.
+/// A list of changes has a server as draining or removed. A later full list, from a stale replica, has it in service.
 #[test]
 fn older_full_list_behind_a_notice_returns_no_backend_to_service() {
     for state in ["Terminating", "Gone"] {
@@ -106,7 +106,7 @@
     }
 }
 
-/// The client reads its response only after the node has stopped accepting connections: the response is complete.
+/// A client reads its response only after the node has exited: the response must be complete.
 #[test]
 fn response_that_is_read_after_the_shutdown_is_complete() {
     let body: &'static str = Box::leak("x".repeat(60 * 1024).into_boxed_str());
--- a/node/tests/health_checks.rs
+++ b/node/tests/health_checks.rs
@@ -1,4 +1,4 @@
-//! Load reports by probe: when probes are sent, how their responses are used, and that failing probes do no harm.
+//! Load reports by probe: when probes are sent, how their responses are used, and that failing probes affect no requests.
 
 mod common;
 
@@ -14,7 +14,7 @@
 };
 use serde_json::{Value, json};
 
-/// The configuration of a site whose servers report only when probed.
+/// A configuration in which servers report their load only in response to probes.
 fn config_with_probes(discovery: SocketAddr, known: Value) -> Value {
     let mut config = config(discovery, known);
     config["settings"]["report"] = json!({"how": "pull", "fields": ["load_share"]});
@@ -27,7 +27,7 @@
     message.start_line.starts_with("GET /stats ")
 }
 
-/// A backend that answers probes with `answer` and requests with its name; and how many probes it received.
+/// A backend that responds to probes with `answer` and to requests with `name`, and the count of probes it has received.
 fn probed_backend(name: &'static str, answer: String) -> (Backend, Arc<AtomicU32>) {
     let probes = Arc::new(AtomicU32::new(0));
     let counted = probes.clone();
@@ -51,8 +51,8 @@
     target
 }
 
-/// Three servers of the home zone report nearly full utilisation, three of the next zone hardly any: without probes all requests
-/// stayed in the home zone.
+/// Three servers of the home zone report nearly full utilisation, three of the other zone nearly none: requests must go to the other
+/// zone. Without probes all of them stayed in the home zone.
 #[test]
 fn requests_leave_a_home_zone_that_reports_full_utilisation() {
     let full: Vec<_> = (0..3).map(|_| probed_backend("home", report("0.97"))).collect();
@@ -92,7 +92,7 @@
     }
 }
 
-/// Invalid reports are ignored: the home zone serves as though nothing had been reported.
+/// Invalid reports must be ignored: the home zone serves requests as if no report had arrived.
 #[test]
 fn invalid_reports_are_ignored() {
     let huge = format!(r#"{{"util":0.99,"pad":"{}"}}"#, "x".repeat(64 * 1024));
@@ -105,23 +105,23 @@
         let (away, _) = probed_backend("away", report("0.05"));
         let discovery = Discovery::new(json!([in_zone("s-0", &home, "a"), in_zone("s-1", &away, "b")]));
         let node = NodeProcess::start(&config_with_probes(discovery.address, json!([])));
-        // The second one shows that the first has been processed.
+        // The second probe is sent only after the response to the first one has been processed.
         wait_until("two probes", || probes.load(Ordering::SeqCst) >= 2);
         let answer = node.round_trip(&get("r0", ""));
         assert_eq!(String::from_utf8_lossy(&answer.body), "home", "{:.60}", text);
     }
 }
 
-/// What a backend observes of probes.
+/// An event at a backend that hangs on probes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProbeEvent {
     /// A probe has arrived.
     Received,
-    /// The node has closed a connection on which a probe hung.
+    /// The node has closed a connection on which a probe had no response.
     ConnectionClosed,
 }
 
-/// A backend that serves requests and never answers probes.
+/// A backend that serves requests and never responds to probes.
 fn backend_hanging_on_probes() -> (SocketAddr, Receiver<ProbeEvent>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -149,7 +149,7 @@
     (address, events)
 }
 
-/// A server hangs on probes and serves requests: at most one probe is in flight, and none delays a request.
+/// A server hangs on probes and serves requests: at most one probe may be in flight, and it must not delay requests.
 #[test]
 fn hanging_probes_delay_no_request() {
     let (address, events) = backend_hanging_on_probes();
@@ -165,7 +165,7 @@
         assert_eq!(
             events.recv_timeout(TEST_TIMEOUT),
             Ok(ProbeEvent::ConnectionClosed),
-            "abandoned before there is another"
+            "a hanging probe is closed before the next one"
         );
     }
 }
@@ -178,12 +178,12 @@
     assert_eq!(events.recv_timeout(TEST_TIMEOUT), Ok(ProbeEvent::Received));
     node.signal("-TERM");
     assert_eq!(events.recv_timeout(TEST_TIMEOUT), Ok(ProbeEvent::ConnectionClosed));
-    assert!(node.child.wait().expect("its end").success());
+    assert!(node.child.wait().expect("the node ends").success());
     assert!(!events.try_iter().any(|event| event == ProbeEvent::Received), "a probe after the signal");
 }
 
-/// A probe to a server that drains, or restarts under its name, is cancelled: its response would describe the previous
-/// incarnation. The new one is probed again.
+/// A probe of a server that drains, or that restarts under the same name, must be cancelled: its response would describe the
+/// previous incarnation. A restarted server is probed again.
 #[test]
 fn probe_is_cancelled_when_its_server_drains_or_restarts() {
     let (address, events) = backend_hanging_on_probes();
--- a/node/tests/hostile_clients.rs
+++ b/node/tests/hostile_clients.rs
@@ -1,4 +1,4 @@
-//! Hostile and broken clients: others are served beside them, and they are rejected in time.
+//! Hostile and broken clients: they must be rejected in time, and other clients must still be served.
 
 mod common;
 
@@ -19,7 +19,7 @@
     Backend::new(|_| BackendReply::Write(ok("yes")))
 }
 
-/// A node that admits few connections, a third of what these tests open: sixteen beside the node's own descriptors.
+/// A node that admits 16 client connections, a third of the 48 that these tests open.
 fn small_node(backend: &Backend) -> NodeProcess {
     let discovery = Discovery::new(json!([discovery_target("s-0", backend.address, "Ready")]));
     let mut config = config(discovery.address, json!([discovery_target("s-0", backend.address, "Ready")]));
@@ -37,10 +37,10 @@
     let node = small_node(&backend);
     let mut crowd = silent_clients(&node, 48);
     assert_eq!(node.round_trip(&get("s0", "")).status(), 200);
-    crowd.iter_mut().for_each(|client| assert!(client.is_closed(), "a silent one is closed"));
+    crowd.iter_mut().for_each(|client| assert!(client.is_closed(), "a silent connection was not closed"));
 }
 
-/// Clients that send one request and keep their connection make room for others.
+/// Connections of clients that have sent one request and stay idle must be evicted for other clients.
 #[test]
 fn idle_connections_are_evicted_for_new_clients() {
     let backend = yes_backend();
@@ -53,7 +53,7 @@
     }
 }
 
-/// The system before a node has room for fewer connections than the node: it must not fill up with idle ones.
+/// The system in front of a node may allow fewer connections than the node: idle ones must not use up all of them.
 #[test]
 fn connections_close_with_their_response_while_many_are_idle() {
     let backend = yes_backend();
@@ -67,11 +67,11 @@
         (client, answer.value("connection").is_some_and(|value| value == "close"))
     };
     let kept: Vec<(Client, bool)> = (0..8).map(|_| ask()).collect();
-    assert!(kept.iter().all(|(_, closes)| !closes), "there is room");
+    assert!(kept.iter().all(|(_, closes)| !closes), "there are few idle connections");
     let (mut surplus, closes) = ask();
     assert!(closes && surplus.is_closed());
     drop(kept);
-    wait_until("there is room again", || !ask().1);
+    wait_until("connections are kept open again", || !ask().1);
 }
 
 #[test]
@@ -89,7 +89,7 @@
     assert_eq!(open.read().expect("an answer").body, b"late");
 }
 
-/// Bytes that trickle in do not prolong the time that a request has to be complete.
+/// Bytes that trickle in must not extend the time within which a request has to be complete.
 #[test]
 fn request_that_never_becomes_complete_times_out() {
     let backend = yes_backend();
@@ -111,12 +111,13 @@
         }
         assert!(client.is_closed());
     }
-    // Either is owed a response or a close within 3 s; the margin is for slow machines.
+    // Each of the two must get a response or a close within 3 s; the margin is for slow machines.
     assert!(started.elapsed() < Duration::from_secs(8));
     assert_eq!(backend.drain_requests(), 0);
 }
 
-/// A request with two lengths may smuggle another one: each side would see a different end (RFC 9112, section 11.2).
+/// A request with both a length and a transfer coding may smuggle another request: two peers may disagree on where it ends (RFC
+/// 9112, section 11.2).
 #[test]
 fn transfer_codings_are_rejected_with_or_without_a_length() {
     let backend = yes_backend();
@@ -129,7 +130,7 @@
         let text = post("pay", "c1", "", "").replace("Content-Length: 0\r\n", &headers) + &chunked;
         let mut client = Client::connect(node.address);
         assert_eq!(client.round_trip(&text).expect("an answer").status(), 411, "{headers}");
-        assert!(client.is_closed(), "nothing behind it is parsed as a request");
+        assert!(client.is_closed(), "no request is parsed from the bytes behind the rejected one");
     }
     assert_eq!(backend.drain_requests(), 0);
 }
@@ -157,7 +158,7 @@
     assert_eq!(backend.drain_requests(), 0);
 }
 
-/// The error is not lost in a reset while the client still sends.
+/// The response must not be lost by a reset of the connection while the client is still sending.
 #[test]
 fn rejection_reaches_a_client_that_is_still_sending_a_large_body() {
     let backend = yes_backend();
@@ -167,14 +168,14 @@
     let length = 60_000_000;
     let text = post("pay", "b1", "", "").replace("Length: 0", &format!("Length: {length}"));
     stream.write_all(text.as_bytes()).unwrap();
-    // All of it is sent before the response is read.
+    // The client sends the whole body before it reads the response.
     stream.write_all(&vec![b'x'; length]).expect("the node reads on");
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("no reset");
     assert!(answer.starts_with("HTTP/1.1 413 "), "{answer}");
 }
 
-/// Backends distinguish requests by their ids: a second open one with the same id must not reach them.
+/// Backends identify requests by their ids: a second request with the id of an open one must not reach them.
 #[test]
 fn request_with_the_id_of_an_open_one_is_rejected() {
     let gate = Arc::new(Gate::default());
--- a/node/tests/lifecycle.rs
+++ b/node/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! A node's start, its list of backends, its reloads and its shutdown.
+//! The start of a node, its list of backends, configuration reloads and the shutdown.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use ivyhatch_socket_lab::scripted::{Backend, BackendReply, Client, Discovery, Gate, ok, wait_until};
 use serde_json::json;
 
-/// An address without a listener.
+/// An address at which nothing listens.
 fn unused_address() -> std::net::SocketAddr {
     std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
@@ -50,7 +50,7 @@
     assert_eq!(node.round_trip(&get("b9", "")).body, b"other");
 }
 
-/// Where discovery is polled, a failed call is made again.
+/// A node that polls discovery must call again after a failed call.
 #[test]
 fn discovery_is_polled_again_after_a_failed_call() {
     let backend = backend_serving("yes");
@@ -95,7 +95,8 @@
     }
 }
 
-/// During a planned restart requests keep arriving: on connections from before, and on new ones.
+/// During a planned restart requests keep arriving, on connections opened before the signal and on new ones: each must get its
+/// response.
 #[test]
 fn sigterm_ends_the_node_with_every_request_answered() {
     let gate = Arc::new(Gate::default());
@@ -110,7 +111,7 @@
     assert_eq!(idle.round_trip(&get("i0", "")).expect("an answer").status(), 200);
     assert_eq!(kept.round_trip(&get("k0", "")).expect("an answer").status(), 200);
     slow.write(&get("slow", ""));
-    wait_until("the slow one is out", || {
+    wait_until("the slow request is sent", || {
         backend.requests.try_iter().any(|m| m.value("x-call-id") == Some("slow"))
     });
     node.signal("-TERM");
@@ -124,12 +125,12 @@
     }
     assert!(idle.read().is_none(), "an idle connection is closed");
     gate.open();
-    let answer = slow.read().expect("the slow one is answered");
+    let answer = slow.read().expect("a response to the slow request");
     assert_eq!((answer.status(), answer.body.as_slice()), (200, b"slow".as_slice()));
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
 }
 
-/// The next process binds the address at once, with the last one's connections still in TIME_WAIT.
+/// A restarted node must bind its address at once, while connections of the previous process are still in TIME_WAIT.
 #[test]
 fn restarted_node_binds_its_address_at_once() {
     let backend = backend_serving("yes");
@@ -180,7 +181,7 @@
     }
 }
 
-/// With few descriptors the node keeps serving the clients it has, and admits others as descriptors come free.
+/// A node with few descriptors must keep serving its connected clients, and admit others when connections close.
 #[test]
 fn more_clients_than_descriptors_are_served_in_turn() {
     let backend = backend_serving("yes");
@@ -189,7 +190,7 @@
     let node = NodeProcess::start(&config);
     let at = node.address;
     let mut clients: Vec<Client> = Vec::new();
-    // Each has sent its request before the next one connects: a silent one would be evicted.
+    // Each client sends its request before the next one connects: a silent connection would be evicted.
     for n in 0..16 {
         clients.push(Client::connect(at));
         assert_eq!(clients[n].round_trip(&get(&format!("c{n}"), "")).expect("an answer").status(), 200);
@@ -200,7 +201,7 @@
     assert_eq!(last.join().unwrap(), 200);
 }
 
-/// With all client connections admitted, all backend connections open and discovery silent the node stays within its descriptors:
+/// With all client and backend connections open and discovery unreachable the node must stay within its limit of descriptors, as
 /// the operating system denies more.
 #[test]
 fn node_at_full_load_stays_within_its_descriptors() {
@@ -221,19 +222,19 @@
             max_descriptors = max_descriptors
                 .max(std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).unwrap().count());
         }
-        wait_until("requests are out", || backend.connections.load(Ordering::SeqCst) > 0);
+        wait_until("requests are sent", || backend.connections.load(Ordering::SeqCst) > 0);
         max_descriptors =
             max_descriptors.max(std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).unwrap().count());
         assert!(max_descriptors <= sockets, "{max_descriptors} of {sockets}");
         assert!(
             max_descriptors >= (sockets - 16) / 2,
-            "{max_descriptors} of {sockets}: its client connections were never used up"
+            "{max_descriptors} of {sockets}: the client connections were never all in use"
         );
         gate.open();
     }
 }
 
-/// The watch moves at once, and revisions of the old address mean nothing at the new one.
+/// The watch must move at once and request the full list: revisions of the old address are not valid at the new one.
 #[test]
 fn sighup_moves_the_watch_to_another_discovery() {
     let (old, new) = (backend_serving("old"), backend_serving("new"));
@@ -245,13 +246,14 @@
     second.wait_for_watch_from(1);
     assert_eq!(second.watch_requests.lock().unwrap()[0], "GET /registry/instances HTTP/1.1");
     assert_eq!(node.round_trip(&get("h0", "")).body, b"new");
-    // Once more, and then SIGTERM: handling one signal must not disable the other.
+    // Another SIGHUP, and then SIGTERM: handling one signal must not disable the other.
     node.reconfigure(&config(first.address, json!([])).to_string());
     node.signal("-TERM");
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
 }
 
-/// Signals in quick succession: the last address counts, and a reload that names it again interrupts no watch.
+/// After several SIGHUPs in quick succession the last address must be used, and a reload with the same address must not interrupt
+/// the watch.
 #[test]
 fn several_sighups_end_at_the_last_address_without_interrupting_its_watch() {
     let (old, new) = (backend_serving("old"), backend_serving("new"));
@@ -259,19 +261,19 @@
     let second = Discovery::new(json!([discovery_target("s-1", new.address, "Ready")]));
     for (n, at) in [second.address, first.address, second.address].into_iter().enumerate() {
         node.reconfigure(&config(at, json!([])).to_string());
-        wait_until("it is read", || node.log_count("configuration reloaded") == n + 1);
+        wait_until("the configuration is reloaded", || node.log_count("configuration reloaded") == n + 1);
     }
-    // A revision that only the last move can see: during the first one a watch had reached the address as well.
+    // A revision that only a watch after the last move can get: the first move had also started a watch at this address.
     second.set(json!([discovery_target("s-1", new.address, "Ready")]));
     second.wait_for_watch_from(2);
-    // A watch that was started again would ask for the full list.
+    // A watch that is started anew would request the full list.
     let full_list_calls =
         || second.watch_requests.lock().unwrap().iter().filter(|call| !call.contains("from=")).count();
     let calls_before = full_list_calls();
     node.reconfigure(&config(second.address, json!([])).to_string());
-    wait_until("it is read", || node.log_count("configuration reloaded") == 4);
+    wait_until("the configuration is reloaded", || node.log_count("configuration reloaded") == 4);
     assert_eq!(node.round_trip(&get("s0", "")).body, b"new");
-    assert_eq!(full_list_calls(), calls_before, "the watch continues");
+    assert_eq!(full_list_calls(), calls_before, "the watch was interrupted");
 }
 
 #[test]
@@ -282,7 +284,7 @@
     unusable["settings"] = json!({});
     for (n, text) in ["{".to_owned(), unusable.to_string()].into_iter().enumerate() {
         node.reconfigure(&text);
-        wait_until("it is logged", || node.log_count("configuration reload failed") == n + 1);
+        wait_until("the failed reload is logged", || node.log_count("configuration reload failed") == n + 1);
         assert_eq!(node.round_trip(&get(&format!("u{n}"), "")).status(), 200);
     }
     let other = backend_serving("other");
--- a/node/tests/requests.rs
+++ b/node/tests/requests.rs
@@ -1,4 +1,4 @@
-//! What clients and backends observe of a node in service.
+//! Requests and responses as clients and backends of a running node observe them.
 
 mod common;
 
@@ -70,8 +70,8 @@
     assert_eq!(backend.drain_requests(), 0);
 }
 
-/// Each of these may have run. A request that is not idempotent is then neither retried nor rejected, which would signal to the
-/// client that a retry does no harm.
+/// With each of these replies the request may have run. If it is not idempotent, it must neither be retried nor be rejected: a
+/// rejection signals to the client that a retry is safe.
 #[test]
 fn non_idempotent_request_that_may_have_run_fails() {
     let invalid_replies = [
@@ -95,8 +95,8 @@
     }
 }
 
-/// Rejected by its backend it never ran, so even a request that is not idempotent goes elsewhere, or is rejected where there is
-/// no other backend.
+/// A request that its backend has rejected has not run. Even if it is not idempotent, it is sent to another backend, or rejected
+/// if there is none.
 #[test]
 fn non_idempotent_request_that_never_ran_goes_elsewhere() {
     let away = |code| backend_replying(BackendReply::Write(status(code, "X-Rejected: 1\r\n")));
@@ -111,10 +111,10 @@
     assert_eq!(node.round_trip(&post("pay", "p9", "", "")).status(), 503);
 }
 
-/// A process that has died refuses connections: nothing ran, and another backend is tried.
+/// The address of a crashed backend refuses connections: the request has not run, and another backend must be tried.
 #[test]
 fn dead_backend_costs_no_request() {
-    // Bound and not listening: a released port could become that of another test's backend.
+    // The socket is bound and not listening: a released port could be reused by another test's backend.
     let dead = tokio::net::TcpSocket::new_v4().unwrap();
     dead.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let at = dead.local_addr().unwrap();
@@ -131,19 +131,19 @@
     assert_eq!(serves.drain_requests(), 8);
 }
 
-/// A silent backend must not keep a request past its client's deadline.
+/// A backend that doesn't respond must not delay the response beyond the client's deadline.
 #[test]
 fn attempt_at_a_silent_backend_times_out() {
     let backend = backend_replying(BackendReply::Never);
     let (node, _discovery) = NodeProcess::with_backends(&[&backend]);
     let answer = node.round_trip(&get("s1", "").replace("3000", "200"));
     assert_ne!(answer.status(), 200);
-    // Nothing that is left of it delays the next.
+    // The timed-out attempt must not delay the next request.
     assert_ne!(node.round_trip(&get("s2", "").replace("3000", "200")).status(), 200);
 }
 
-/// The backend closes after each response without notice: the pooled connection is dead by the next request, and writing to it
-/// would turn a request that is not idempotent into one that may have run.
+/// The backend closes its connection after each response without a `connection: close` header, so the pooled connection is dead at
+/// the next request. If a non-idempotent request were written to it, the request might have run and could not be retried.
 #[test]
 fn connection_closed_while_idle_is_not_reused() {
     let backend = backend_replying(BackendReply::WriteThenClose(ok("paid")));
@@ -157,7 +157,7 @@
     assert_eq!(backend.connections.load(Ordering::SeqCst), 20);
 }
 
-/// Connections are reused: a new one costs the backend work.
+/// Connections must be reused: a new connection costs the backend a handshake.
 #[test]
 fn connections_are_reused() {
     let backend = backend_replying(BackendReply::Write(ok("yes")));
@@ -165,10 +165,10 @@
     let mut client = Client::connect(node.address);
     for n in 0..10 {
         assert_eq!(client.round_trip(&get(&format!("k{n}"), "")).expect("an answer").status(), 200);
-        // After a response a connection is not reused at once.
+        // A connection is not reused until it has been idle for a short time.
         thread::sleep(Duration::from_millis(50));
     }
-    // Not one for each, however slow the machine is.
+    // Even on a slow machine there must be fewer connections than requests.
     assert!(backend.connections.load(Ordering::SeqCst) <= 5);
 }
 
@@ -184,7 +184,7 @@
     }
 }
 
-/// A client that disconnects must leave no state behind, and its response must not go to another.
+/// A client that disconnects must leave no state behind, and its response must not be sent to another client.
 #[test]
 fn disconnected_client_does_not_affect_the_next_request() {
     let gate = Arc::new(Gate::default());
@@ -206,8 +206,8 @@
     assert_eq!(backend.drain_requests(), 0);
 }
 
-/// An invalid response is a failed attempt that may have run; its connection is not reused, and the request does not wait for
-/// what will never arrive.
+/// An invalid response ends its attempt as failed, and the request may have run. The connection must not be reused, and the request
+/// must not wait for the rest of the response.
 #[test]
 fn invalid_response_ends_the_attempt_at_once_and_is_retried() {
     let lines = "X-Pad: pppppppppppppppp\r\n";
@@ -233,15 +233,15 @@
         };
         let backend = Backend::new(reply);
         let (node, _discovery) = NodeProcess::with_backends(&[&backend]);
-        // The connection stays open on the backend's side: only the node can end the wait. Most of the
-        // client's time is left for the other attempt.
+        // The backend keeps the connection open, so only the node can end the wait. Most of the client's budget must be left
+        // for the second attempt.
         let answer = node.round_trip(&get("s1", ""));
         assert_eq!((answer.status(), answer.body.as_slice()), (200, b"good".as_slice()), "case {n}");
         assert_eq!(backend.connections.load(Ordering::SeqCst), 2, "case {n}");
     }
 }
 
-/// Bytes behind a response affect neither that response nor the next.
+/// Extra bytes behind a response must affect neither that response nor the next one.
 #[test]
 fn bytes_behind_a_response_are_not_taken_for_the_next() {
     for behind in [ok("mine"), "noise".to_owned(), "HTTP/1.1 200 OK\r\n".to_owned()] {
@@ -260,7 +260,7 @@
     }
 }
 
-/// Interim responses announce the final one, which may take its time (RFC 9110, section 15.2).
+/// An interim response precedes the final one, which may take longer than the timeout of a response (RFC 9110, section 15.2).
 #[test]
 fn interim_responses_are_skipped() {
     let interim = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
@@ -273,14 +273,14 @@
     let mut client = Client::connect(node.address);
     client.write(&post("pay", "i1", "", ""));
     backend.next_request();
-    // Longer than a response that has started to arrive may take to be complete.
+    // Longer than the time within which a response must be complete after its first byte.
     thread::sleep(Duration::from_millis(300));
     gate.open();
     let answer = client.read().expect("an answer");
     assert_eq!((answer.status(), answer.body.as_slice()), (200, b"real".as_slice()));
 }
 
-/// Requests that backends reject as invalid must not eject good backends.
+/// Client errors (status 4xx) are faults of the requests and must not eject the backends.
 #[test]
 fn client_errors_eject_no_backend() {
     let backend = Backend::new(|message| match message.value("x-call-id") {
@@ -295,7 +295,7 @@
     assert!(!node.has_logged("ejected"));
 }
 
-/// Clients with little time must not cost a handshake each: the late response releases the connection.
+/// A request with a short budget must not cost a handshake: after its late response the connection is reused.
 #[test]
 fn late_response_leaves_its_connection_reusable() {
     let (gate, first) = (Arc::new(Gate::default()), AtomicBool::new(true));
@@ -312,8 +312,8 @@
     assert_eq!(backend.connections.load(Ordering::SeqCst), 1);
 }
 
-/// Some networks drop an idle connection without notice. The node learns after what time, and opens a new one rather than have a
-/// request reset.
+/// Some networks drop idle connections without closing them. The node must learn after which idle time this happens, and open a new
+/// connection rather than have a request reset.
 #[test]
 fn connections_are_not_reused_after_an_idle_time_that_kills_them() {
     let (opened, seen, broken) =
@@ -335,7 +335,7 @@
         assert_eq!((answer.status(), answer.body.as_slice()), (200, b"yes".as_slice()));
         thread::sleep(Duration::from_millis(150));
     }
-    // Three resets suffice for each class of idle times; a slow machine may learn about two classes.
+    // Three resets suffice for each class of idle times; on a slow machine the idle times may fall into two classes.
     let broken = broken.load(Ordering::SeqCst);
     assert!((1..=8).contains(&broken), "{broken} of 14 were reset");
 }
--- a/node/tests/rolling_restart.rs
+++ b/node/tests/rolling_restart.rs
@@ -1,4 +1,4 @@
-//! A small fleet on real sockets: nodes are restarted by tenths while their servers are replaced and discovery moves.
+//! A fleet of ten nodes on real sockets: the nodes are restarted one by one while their servers are replaced and discovery moves.
 
 mod common;
 
@@ -14,10 +14,10 @@
 
 const NODES: usize = 10;
 const SERVERS: usize = 4;
-/// Discovery moves with this replacement.
+/// The number of the replacement with which discovery moves.
 const REPLACEMENT_WITH_MOVE: usize = 3;
 
-/// So many nodes to a zone that each keeps to its concurrency windows, and a discovery that is polled.
+/// A configuration with so many nodes to a zone that each node limits its concurrency, and with a discovery that is polled.
 fn fleet_config(discovery: SocketAddr, known: &Value) -> Value {
     let mut config = config(discovery, known.clone());
     config["settings"]["n-instances"] = json!(2 * NODES);
@@ -26,7 +26,7 @@
     config
 }
 
-/// The list once `replaced` servers drain and as many new ones have joined.
+/// Discovery's list when `replaced` servers drain and as many new ones have joined.
 fn list(old: &[Backend], new: &[Backend], replaced: usize) -> Value {
     let state = |n| if n < replaced { "Terminating" } else { "Ready" };
     let before =
@@ -37,20 +37,20 @@
     before.chain(after).collect()
 }
 
-/// What the clients of all nodes share.
+/// The state that the clients of all nodes share.
 #[derive(Default)]
 struct SharedState {
     stop: AtomicBool,
     next_id: AtomicU64,
-    /// Requests that a node accepted and never answered.
+    /// The ids of requests that a node accepted without ever sending a response.
     lost: Mutex<Vec<String>>,
     /// Responses other than 200.
     unserved: Mutex<Vec<String>>,
 }
 
-/// A client of one node: sends one request after another, on one connection where that stays open.
+/// A client of one node: sends one request after another, on the same connection as long as the node keeps it open.
 struct LoadClient {
-    /// Where the node listens; none while it restarts.
+    /// The address at which the node listens; `None` while the node restarts.
     node_address: Arc<Mutex<Option<SocketAddr>>>,
     served: Arc<AtomicU64>,
     thread: thread::JoinHandle<()>,
@@ -84,14 +84,14 @@
             Some((kept_address, client)) if kept_address == address => client,
             _ => match TcpStream::connect(address) {
                 Ok(stream) => Client::from_stream(stream),
-                // Between two processes of a node there is no listener.
+                // There is no listener between the end of a node's process and the start of the next one.
                 Err(_) => continue,
             },
         };
         let sent_at = Instant::now();
         match client.try_round_trip(&get(&id, "")) {
             Some(answer) => {
-                // The nodes' logs, which say why, are printed once all have stopped.
+                // The nodes' logs, which show the cause, are printed after all clients have stopped.
                 if answer.status() != 200 {
                     let after = sent_at.elapsed();
                     let text = format!(
@@ -105,7 +105,7 @@
                     kept = Some((address, client));
                 }
             }
-            // An idle connection may be closed as it is written to; a new one is accepted with its request.
+            // An idle connection may be closed while a request is written to it; a request on a new one must get a response.
             None if is_new_connection => shared.lost.lock().unwrap().push(id),
             None => {}
         }
@@ -154,7 +154,7 @@
     }
 
     fn move_discovery(&mut self, known: &Value) {
-        // The new address has revisions that the old one never had.
+        // The revisions at the new address are unrelated to those at the old one.
         self.discovery = Discovery::new(known.clone());
         for node in &self.nodes {
             node.reconfigure(&fleet_config(self.discovery.address, known).to_string());
@@ -166,7 +166,7 @@
         for number in self.restarted..count {
             self.nodes[number].signal("-TERM");
             wait_until("the shutdown has started", || self.nodes[number].has_logged("shutting down"));
-            // The system in front of the node sends no more new requests; those in progress are answered.
+            // Like the system in front of the node, the client sends no more requests; those in progress get their responses.
             *self.clients[number].node_address.lock().unwrap() = None;
             assert_eq!(self.nodes[number].child.wait().unwrap().code(), Some(0));
             self.ended_logs.push(self.nodes[number].named_log());
@@ -176,7 +176,7 @@
         self.restarted = count;
     }
 
-    /// Prints the logs of all nodes, also of those that have been replaced.
+    /// Prints the logs of all nodes, including those that have been replaced.
     fn print_logs(&self) {
         for (address, log) in
             self.ended_logs.iter().cloned().chain(self.nodes.iter().map(NodeProcess::named_log))
@@ -188,7 +188,7 @@
     fn stop_clients(&mut self) {
         self.shared.stop.store(true, Ordering::SeqCst);
         for client in self.clients.drain(..) {
-            client.thread.join().expect("clients got answers");
+            client.thread.join().expect("the client did not panic");
         }
     }
 }
@@ -207,7 +207,7 @@
             fleet.discovery.set(known.clone());
         }
         fleet.wait_for_list();
-        // What had been sent before has ended by then.
+        // After these requests all that were sent before the list have ended.
         fleet.wait_for_requests();
         for server in &old[..replaced] {
             server.drain_requests();
@@ -215,7 +215,7 @@
         fleet.restart_until(NODES * replaced / SERVERS, &known);
         fleet.wait_for_requests();
         let after: usize = old[..replaced].iter().map(Backend::drain_requests).sum();
-        assert_eq!(after, 0, "sent to servers that every node knew to drain");
+        assert_eq!(after, 0, "sent to servers of whose drain every node had been notified");
     }
     fleet.stop_clients();
     assert_eq!(fleet.restarted, NODES);
@@ -223,8 +223,8 @@
     if !unserved.is_empty() {
         fleet.print_logs();
     }
-    assert!(unserved.is_empty(), "answered, and not served: {unserved:#?}");
+    assert!(unserved.is_empty(), "requests got a response other than 200: {unserved:#?}");
     let lost = fleet.shared.lost.lock().unwrap();
-    assert!(lost.is_empty(), "accepted and never answered: {lost:?}");
-    assert!(new.iter().all(|server| server.drain_requests() > 0), "all new servers are used");
+    assert!(lost.is_empty(), "accepted requests got no response: {lost:?}");
+    assert!(new.iter().all(|server| server.drain_requests() > 0), "a new server got no request");
 }
--- a/node/tests/settings_variants.rs
+++ b/node/tests/settings_variants.rs
@@ -1,4 +1,4 @@
-//! The same exchanges under several settings: the node's behaviour follows from the settings alone.
+//! Runs the same exchanges with several settings: the node's behaviour must depend on the settings alone.
 
 mod common;
 
@@ -10,18 +10,18 @@
 use ivyhatch_socket_lab::scripted::{Backend, BackendReply, Client, Discovery, Message, ok, status};
 use serde_json::{Value, json};
 
-/// What settings differ in.
+/// The settings in which the variants differ.
 #[derive(Clone, Copy)]
 struct SettingsVariant {
     name: &'static str,
-    /// Of the class that is not idempotent: its effect, and which backends recognise its repeats.
+    /// The `effect` of the class `order`. With `by_key`, `scope` is the group of backends that recognise its retries.
     effect: &'static str,
     scope: &'static str,
     deadline_ms: u64,
     attempts: u64,
     tenants: bool,
     zones: usize,
-    /// Probes, cancels and hedged requests are allowed.
+    /// Whether probes, cancellations and hedged requests are allowed.
     all_allowed: bool,
     retry_after: bool,
     discovery: &'static str,
@@ -138,7 +138,7 @@
         config
     }
 
-    /// A node with these backends; the second one is in another zone and another cell where there is one.
+    /// A node with `backends`. Each one is in a cell of its own; with two zones all but the first are in the second zone.
     fn node(&self, backends: &[&Backend]) -> (NodeProcess, Discovery) {
         let listed = |(n, backend): (usize, &&Backend)| {
             let mut target = discovery_target(&format!("s-{n}"), backend.address, "Ready");
@@ -230,7 +230,7 @@
     });
 }
 
-/// A request without time is rejected at once, and forwarded nowhere.
+/// A request whose budget is used up by the allowance for the network must be rejected at once, without being forwarded.
 #[test]
 fn request_without_budget_is_rejected_at_once() {
     for_each_variant(|variant| {
@@ -244,7 +244,8 @@
     });
 }
 
-/// Rejected by its backend it never ran: it goes to the other one where another attempt is allowed, and is rejected otherwise.
+/// A request that its backend has rejected has not run: it may be sent to the other backend if another attempt is allowed, and is
+/// rejected otherwise.
 #[test]
 fn request_that_never_ran_may_go_elsewhere() {
     for_each_variant(|variant| {
@@ -261,7 +262,7 @@
     });
 }
 
-/// A request that may have run is retried only where its class allows it, and is rejected only where a retry does no harm.
+/// A request that may have run must be retried only if its class allows it, and be rejected only if a retry by the client is safe.
 #[test]
 fn request_that_may_have_run_is_retried_only_as_its_class_allows() {
     for (n, reply) in [BackendReply::Write(status(500, "")), BackendReply::WriteThenClose(String::new())]
@@ -273,10 +274,10 @@
             let (node, _discovery) = variant.node(&[&first, &second]);
             let answer = node.round_trip(&variant.order("m1", variant.deadline_ms));
             let (at_first, at_second) = (first.drain_requests(), second.drain_requests());
-            assert!(at_first + at_second >= 1, "{} {n}: it was sent", variant.name);
-            assert!(variant.effect != "once" || at_first + at_second == 1, "{} {n}: twice", variant.name);
+            assert!(at_first + at_second >= 1, "{} {n}: the request was not sent", variant.name);
+            assert!(variant.effect != "once" || at_first + at_second == 1, "{} {n}: resent", variant.name);
             let crossed = at_first > 0 && at_second > 0;
-            assert!(!crossed || variant.may_repeat(), "{} {n}: outside its group", variant.name);
+            assert!(!crossed || variant.may_repeat(), "{} {n}: retried outside its scope", variant.name);
             assert!((at_first + at_second) as u64 <= variant.attempts, "{} {n}", variant.name);
             match answer.status() {
                 502 => {}
@@ -289,7 +290,7 @@
     }
 }
 
-/// No backend responds: each client gets its one response within its budget and the time on the network.
+/// The backend never responds: each client must get exactly one response, within its budget plus an allowance.
 #[test]
 fn request_to_a_silent_backend_is_answered_in_time() {
     for_each_variant(|variant| {
@@ -302,11 +303,11 @@
             let answer = client.round_trip(&text).expect("an answer");
             let took = asked.elapsed();
             assert_ne!(answer.status(), 200, "{}", variant.name);
-            // The rules' slack on sockets is 70 ms here; a loaded machine gets more.
+            // The rules allow 70 ms of delay on sockets; the test allows 500 ms for a loaded machine.
             assert!(took < Duration::from_millis(budget + 500), "{}: {took:?} of {budget} ms", variant.name);
             assert!(
                 client.round_trip("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n").is_some(),
-                "one response, complete"
+                "the connection can be used for another request"
             );
         }
         assert!(backend.drain_requests() <= 2, "{}", variant.name);
--- a/node/tests/shutdown.rs
+++ b/node/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! SIGTERM at awkward moments: accepted requests are answered, and partly received ones are read to their end.
+//! SIGTERM while requests are in progress: accepted requests get their responses, and partly received ones are read to their end.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use ivyhatch_socket_lab::scripted::{Backend, BackendReply, Client, Discovery, Gate, ok, wait_until};
 use serde_json::json;
 
-/// A client whose connection is idle.
+/// A client whose connection is idle after one served request.
 fn idle_client(node: &NodeProcess, id: &str) -> Client {
     let mut client = Client::connect(node.address);
     assert_eq!(client.round_trip(&get(id, "")).expect("an answer").status(), 200);
@@ -27,8 +27,8 @@
     wait_until("the listener is gone", || TcpStream::connect(node.address).is_err());
 }
 
-/// A part of the request has arrived when idle connections are closed. The node closed that connection too, and the client could
-/// not know whether its request had been read.
+/// A request has arrived in part when idle connections are closed. The node used to close its connection as well, so that the
+/// client could not know whether the request had been read.
 #[test]
 fn partly_received_request_is_read_to_its_end_and_answered() {
     let text = post("pay", "half", "", "stakes");
@@ -39,7 +39,7 @@
         let (mut bystander, mut client) = (idle_client(&node, "i0"), idle_client(&node, "i1"));
         let (part, rest) = text.split_at(end);
         client.write(part);
-        // The node reads what had arrived before it handles the signal: the response on the other connection is younger.
+        // Ensures that the node has read the part before the signal: the other connection's request was sent after the part.
         assert_eq!(bystander.round_trip(&get("i2", "")).expect("an answer").status(), 200);
         start_shutdown(&node);
         assert!(bystander.read().is_none(), "idle connections are closed");
@@ -50,8 +50,8 @@
     }
 }
 
-/// The servers hang and deadlines are short: the last request's own deadline passes after the node has stopped accepting
-/// connections, and it is answered then.
+/// The servers hang and deadlines are short: the deadline of the last request passes after the node has stopped accepting
+/// connections, and the request must get its response then.
 #[test]
 fn last_request_has_its_full_deadline_where_servers_hang_and_deadlines_are_short() {
     for (class, wanted) in [("read", 503), ("pay", 502)] {
@@ -74,18 +74,18 @@
         assert_eq!(bystander.round_trip(&get("i2", "")).expect("an answer").status(), 200);
         start_shutdown(&node);
         wait_until_listener_closes(&node);
-        // Well after the node has begun to wait for its last requests, and well within the time that a request may take to arrive.
+        // Well after the start of the node's wait for its last requests, and well within the time for a request to arrive.
         std::thread::sleep(Duration::from_millis(200));
         let asked = Instant::now();
         let answer = client.round_trip(rest).unwrap_or_else(|| panic!("{class}: no answer"));
         assert_eq!(answer.status(), wanted);
-        // It can't be sooner for the class that may run only once: the request may have run.
+        // A non-idempotent request that may have run can't fail before its deadline.
         assert!(class == "read" || asked.elapsed() > Duration::from_millis(300), "{:?}", asked.elapsed());
         assert_eq!(node.child.wait().unwrap().code(), Some(0));
     }
 }
 
-/// Neither another SIGTERM nor a new configuration ends the node sooner or loses a request.
+/// Neither further SIGTERMs and SIGINTs nor a new configuration may end the node sooner or lose a request.
 #[test]
 fn further_signals_during_the_shutdown_lose_no_request() {
     let gate = Arc::new(Gate::default());
@@ -105,12 +105,12 @@
     wait_until_listener_closes(&node);
     node.signal("-TERM");
     gate.open();
-    let answer = slow.read().expect("the slow one is answered");
+    let answer = slow.read().expect("a response to the slow request");
     assert_eq!((answer.status(), answer.body.as_slice()), (200, b"slow".as_slice()));
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
 }
 
-/// SIGTERM in the process's first moment, before or after its handlers are installed: the process ends and does not hang.
+/// SIGTERM right after the start of the process, before or after its handlers are installed: the process must end, not hang.
 #[test]
 fn sigterm_before_the_node_is_ready_ends_the_process() {
     for _ in 0..20 {
@@ -118,18 +118,18 @@
         let pid = child.id().to_string();
         assert!(std::process::Command::new("kill").args(["-TERM", &pid]).status().unwrap().success());
         let mut status = None;
-        wait_until("it ends", || {
+        wait_until("the process ends", || {
             status = child.try_wait().unwrap();
             status.is_some()
         });
-        let status = status.expect("it has ended");
-        // With its handler installed it exits well; before that the operating system ends it.
+        let status = status.expect("the process has ended");
+        // With its handler installed the process exits with 0; before that the signal ends it.
         let ended = status.code().or(std::os::unix::process::ExitStatusExt::signal(&status));
         assert!([Some(0), Some(15)].contains(&ended), "{status:?}");
     }
 }
 
-/// A node that shuts down keeps following drains.
+/// A node that shuts down must still follow drains in discovery's list.
 #[test]
 fn backend_list_is_followed_during_the_shutdown() {
     let (old, new) = (backend_serving("old"), backend_serving("new"));
@@ -145,14 +145,14 @@
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
 }
 
-/// A peer that connects and sends nothing does not delay a shutdown: requests follow their connects at once.
+/// A peer that connects and sends nothing must not delay a shutdown: clients send a request at once after the connect.
 #[test]
 fn silent_peer_does_not_delay_the_shutdown() {
     let backend = backend_serving("yes");
     let (mut node, _discovery) = NodeProcess::with_backends(&[&backend]);
     start_shutdown(&node);
     let mut silent = Client::connect(node.address);
-    // Accepted in the same order, so that the silent one has been accepted by then.
+    // Connections are accepted in order, so the silent one has been accepted once this request is served.
     assert_eq!(node.round_trip(&get("s0", "")).status(), 200);
     wait_until_listener_closes(&node);
     let from = Instant::now();
