--- a/node-settings/tests/golden.rs
+++ b/node-settings/tests/golden.rs
@@ -26,8 +26,8 @@
 #[test]
 fn classes_and_tenants_of_a_file_with_every_field_are_read() {
     let node = node_settings(EVERY_FIELD);
-    let keyed = |group: IdempotencyScope, window: u64| Idempotency::Keyed { scope: group, window };
-    let effects = [
+    let keyed = |key_scope: IdempotencyScope, window: u64| Idempotency::Keyed { scope: key_scope, window };
+    let idempotencies = [
         Idempotency::Idempotent,
         Idempotency::NonIdempotent,
         keyed(IdempotencyScope::All, 6_000_000_000),
@@ -37,7 +37,7 @@
     let times = [(150_000_000, 900_000_000), (700_000_000, 3_000_000_000), (1, 2), (3, 4), (5, 6)];
     let worths = [(2.5, 0.5), (1.0, 0.0), (1.0, 0.0), (1.0, 0.0), (1.0, 0.0)];
     let classes = &node.balancer.classes;
-    assert_eq!(classes.iter().map(|class| class.idempotency).collect::<Vec<_>>(), effects);
+    assert_eq!(classes.iter().map(|class| class.idempotency).collect::<Vec<_>>(), idempotencies);
     assert_eq!(classes.iter().map(|class| (class.latency_target, class.deadline)).collect::<Vec<_>>(), times);
     assert_eq!(classes.iter().map(|class| (class.value, class.late_value_share)).collect::<Vec<_>>(), worths);
     for class in classes {
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn words_that_choose_among_values_choose_the_same_ones() {
+fn named_values_are_parsed_as_before() {
     let with = |pointer: &str, value: &str| {
         let mut settings = json_of(EVERY_FIELD);
         *settings.pointer_mut(pointer).expect("the golden file has the field") = value.into();
--- a/node/src/control_socket.rs
+++ b/node/src/control_socket.rs
@@ -110,14 +110,14 @@
     /// Starts a drain. As at a shutdown, idle connections are closed after a delay. Connections are still accepted, and those
     /// accepted during the drain serve one request each.
     fn drain(self: &Rc<Self>) {
-        let drains = self.phase.send_if_modified(|phase| {
+        let drain_started = self.phase.send_if_modified(|phase| {
             let was_serving = *phase == DrainPhase::Serving;
             if was_serving {
                 *phase = DrainPhase::Draining;
             }
             was_serving
         });
-        if !drains {
+        if !drain_started {
             return;
         }
         tracing::info!("{} draining", self.name);
--- a/node/src/serving.rs
+++ b/node/src/serving.rs
@@ -59,8 +59,8 @@
     let (phase, phases) = watch::channel(DrainPhase::Serving);
     let control = ControlSocket::new(config.name.clone(), at, node.clone(), phase.clone(), IDLE_CLOSE_DELAY);
     if let Some(path) = &control_path {
-        let unbound = |source| StartError::Control { at: path.clone(), source };
-        let listener = ivyhatch_admin_protocol::listen(path).map_err(unbound)?;
+        let bind_error = |source| StartError::Control { at: path.clone(), source };
+        let listener = ivyhatch_admin_protocol::listen(path).map_err(bind_error)?;
         spawn_local(control.clone().run(listener));
     }
     tracing::info!("{} listening on {at}", config.name);
--- a/node/tests/client_disconnects.rs
+++ b/node/tests/client_disconnects.rs
@@ -23,7 +23,7 @@
 }
 
 /// A node with a backend at `at` and the backends `more`, and with a connect timeout longer than any test here.
-fn patient_node(at: std::net::SocketAddr, more: &[&Backend]) -> (NodeProcess, Discovery) {
+fn node_with_long_connect_timeout(at: std::net::SocketAddr, more: &[&Backend]) -> (NodeProcess, Discovery) {
     let listed = std::iter::once(at).chain(more.iter().map(|backend| backend.address));
     let targets: Vec<_> =
         (0..).zip(listed).map(|(n, at)| discovery_target(&format!("s-{n}"), at, "Ready")).collect();
@@ -45,7 +45,7 @@
         .map(|(n, behind)| {
             thread::spawn(move || {
                 let listener = FullBacklogListener::new();
-                let (node, _discovery) = patient_node(listener.address(), &[]);
+                let (node, _discovery) = node_with_long_connect_timeout(listener.address(), &[]);
                 let mut client = Client::connect(node.address);
                 client.write(&(get("gone", "") + &behind));
                 wait_until("the connect is in progress", || node.pending_connects_to(listener.address()) > 0);
@@ -117,11 +117,11 @@
 #[test]
 fn pipelined_requests_are_answered_in_order() {
     let gate = Arc::new(Gate::default());
-    let waits = gate.clone();
+    let reply_gate = gate.clone();
     let backend = Backend::new(move |message| {
         let id = message.value("x-call-id").unwrap_or_default().to_owned();
         if id == "p1" {
-            BackendReply::WriteAtGate(waits.clone(), ok(&id))
+            BackendReply::WriteAtGate(reply_gate.clone(), ok(&id))
         } else {
             BackendReply::Write(ok(&id))
         }
--- a/node/tests/concurrent_events.rs
+++ b/node/tests/concurrent_events.rs
@@ -89,14 +89,14 @@
 fn older_full_list_behind_a_notice_returns_no_backend_to_service() {
     for state in ["Terminating", "Gone"] {
         let (old, other) = (backend_serving("old"), backend_serving("other"));
-        let (ready, there) =
+        let (first, second) =
             (discovery_target("s-0", old.address, "Ready"), discovery_target("s-1", other.address, "Ready"));
-        let (node, discovery) = node_with_list(json!([ready, there]), 1000, 500);
+        let (node, discovery) = node_with_list(json!([first, second]), 1000, 500);
         let notice =
             json!({"rev": 2, "all": false, "targets": [discovery_target("s-0", old.address, state)]});
         discovery.set_text(2, notice.to_string());
         discovery.wait_for_watch_from(2);
-        let older = json!({"rev": 3, "all": true, "targets": [ready, there]});
+        let older = json!({"rev": 3, "all": true, "targets": [first, second]});
         discovery.set_text(3, older.to_string());
         discovery.wait_for_watch_from(3);
         for n in 0..12 {
--- a/node/tests/hostile_clients.rs
+++ b/node/tests/hostile_clients.rs
@@ -77,8 +77,8 @@
 #[test]
 fn connection_with_an_open_request_is_not_evicted() {
     let gate = Arc::new(Gate::default());
-    let waits = gate.clone();
-    let backend = Backend::new(move |_| BackendReply::WriteAtGate(waits.clone(), ok("late")));
+    let reply_gate = gate.clone();
+    let backend = Backend::new(move |_| BackendReply::WriteAtGate(reply_gate.clone(), ok("late")));
     let node = small_node(&backend);
     let mut open = Client::connect(node.address);
     open.write(&get("o0", ""));
@@ -179,8 +179,8 @@
 #[test]
 fn request_with_the_id_of_an_open_one_is_rejected() {
     let gate = Arc::new(Gate::default());
-    let waits = gate.clone();
-    let backend = Backend::new(move |_| BackendReply::WriteAtGate(waits.clone(), ok("mine")));
+    let reply_gate = gate.clone();
+    let backend = Backend::new(move |_| BackendReply::WriteAtGate(reply_gate.clone(), ok("mine")));
     let (node, _discovery) = NodeProcess::with_backends(&[&backend]);
     let mut owner = Client::connect(node.address);
     owner.write(&post("pay", "d1", "", "mine"));
--- a/node/tests/lifecycle.rs
+++ b/node/tests/lifecycle.rs
@@ -100,9 +100,9 @@
 #[test]
 fn sigterm_ends_the_node_with_every_request_answered() {
     let gate = Arc::new(Gate::default());
-    let waits = gate.clone();
+    let reply_gate = gate.clone();
     let backend = Backend::new(move |message| match message.value("x-call-id") {
-        Some("slow") => BackendReply::WriteAtGate(waits.clone(), ok("slow")),
+        Some("slow") => BackendReply::WriteAtGate(reply_gate.clone(), ok("slow")),
         _ => BackendReply::Write(ok("yes")),
     });
     let (mut node, _discovery) = NodeProcess::with_backends(&[&backend]);
@@ -207,8 +207,8 @@
 fn node_at_full_load_stays_within_its_descriptors() {
     for sockets in [32, 64, 256] {
         let gate = Arc::new(Gate::default());
-        let waits = gate.clone();
-        let backend = Backend::new(move |_| BackendReply::WriteAtGate(waits.clone(), ok("late")));
+        let reply_gate = gate.clone();
+        let backend = Backend::new(move |_| BackendReply::WriteAtGate(reply_gate.clone(), ok("late")));
         let mut config = config(unused_address(), json!([discovery_target("s-0", backend.address, "Ready")]));
         config["limits"]["sockets"] = json!(sockets);
         config["settings"]["n-instances"] = json!(1);
--- a/node/tests/requests.rs
+++ b/node/tests/requests.rs
@@ -99,9 +99,9 @@
 /// if there is none.
 #[test]
 fn non_idempotent_request_that_never_ran_goes_elsewhere() {
-    let away = |code| backend_replying(BackendReply::Write(status(code, "X-Rejected: 1\r\n")));
+    let rejecting = |code| backend_replying(BackendReply::Write(status(code, "X-Rejected: 1\r\n")));
     let serves = backend_replying(BackendReply::Write(ok("paid")));
-    let (full, other) = (away(503), away(504));
+    let (full, other) = (rejecting(503), rejecting(504));
     let (node, _discovery) = NodeProcess::with_backends(&[&full, &serves]);
     for n in 0..8 {
         assert_eq!(node.round_trip(&post("pay", &format!("p{n}"), "", "")).status(), 200);
@@ -189,9 +189,9 @@
 fn disconnected_client_does_not_affect_the_next_request() {
     let gate = Arc::new(Gate::default());
     let first = AtomicBool::new(true);
-    let waits = gate.clone();
+    let reply_gate = gate.clone();
     let backend = Backend::new(move |_| match first.swap(false, Ordering::SeqCst) {
-        true => BackendReply::WriteAtGate(waits.clone(), ok("late")),
+        true => BackendReply::WriteAtGate(reply_gate.clone(), ok("late")),
         false => BackendReply::Write(ok("yes")),
     });
     let (node, _discovery) = NodeProcess::with_backends(&[&backend]);
@@ -265,9 +265,9 @@
 fn interim_responses_are_skipped() {
     let interim = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
     let gate = Arc::new(Gate::default());
-    let waits = gate.clone();
+    let reply_gate = gate.clone();
     let backend = Backend::new(move |_| {
-        BackendReply::WriteThenWriteAtGate(interim.to_owned(), waits.clone(), ok("real"))
+        BackendReply::WriteThenWriteAtGate(interim.to_owned(), reply_gate.clone(), ok("real"))
     });
     let (node, _discovery) = NodeProcess::with_backends(&[&backend]);
     let mut client = Client::connect(node.address);
@@ -299,9 +299,9 @@
 #[test]
 fn late_response_leaves_its_connection_reusable() {
     let (gate, first) = (Arc::new(Gate::default()), AtomicBool::new(true));
-    let waits = gate.clone();
+    let reply_gate = gate.clone();
     let backend = Backend::new(move |_| match first.swap(false, Ordering::SeqCst) {
-        true => BackendReply::WriteAtGate(waits.clone(), ok("late")),
+        true => BackendReply::WriteAtGate(reply_gate.clone(), ok("late")),
         false => BackendReply::Write(ok("good")),
     });
     let (node, _discovery) = NodeProcess::with_backends(&[&backend]);
@@ -315,16 +315,16 @@
 /// Some networks drop idle connections without closing them. The node must learn after which idle time this happens, and open a new
 /// connection rather than have a request reset.
 #[test]
-fn connections_are_not_reused_after_an_idle_time_that_kills_them() {
+fn connections_are_not_reused_after_idle_times_that_lead_to_resets() {
     let (opened, seen, broken) =
         (Arc::new(OnceLock::<Arc<AtomicU32>>::new()), AtomicU32::new(0), Arc::new(AtomicU32::new(0)));
-    let (count, breaks) = (opened.clone(), broken.clone());
+    let (count, reset_count) = (opened.clone(), broken.clone());
     let backend = Backend::new(move |_| {
         let now = count.get().expect("set before the first request").load(Ordering::SeqCst);
         if seen.swap(now, Ordering::SeqCst) != now {
             return BackendReply::Write(ok("yes"));
         }
-        breaks.fetch_add(1, Ordering::SeqCst);
+        reset_count.fetch_add(1, Ordering::SeqCst);
         BackendReply::WriteThenClose(String::new())
     });
     opened.set(backend.connections.clone()).unwrap();
--- a/node/tests/settings_variants.rs
+++ b/node/tests/settings_variants.rs
@@ -299,9 +299,9 @@
         let budget = variant.deadline_ms.min(600);
         for text in [variant.order("s1", budget), variant.look("s2", budget)] {
             let mut client = Client::connect(node.address);
-            let asked = Instant::now();
+            let sent_at = Instant::now();
             let answer = client.round_trip(&text).expect("an answer");
-            let took = asked.elapsed();
+            let took = sent_at.elapsed();
             assert_ne!(answer.status(), 200, "{}", variant.name);
             // The rules allow 70 ms of delay on sockets; the test allows 500 ms for a loaded machine.
             assert!(took < Duration::from_millis(budget + 500), "{}: {took:?} of {budget} ms", variant.name);
--- a/node/tests/shutdown.rs
+++ b/node/tests/shutdown.rs
@@ -76,11 +76,11 @@
         wait_until_listener_closes(&node);
         // Well after the start of the node's wait for its last requests, and well within the time for a request to arrive.
         std::thread::sleep(Duration::from_millis(200));
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let answer = client.round_trip(rest).unwrap_or_else(|| panic!("{class}: no answer"));
         assert_eq!(answer.status(), wanted);
         // A non-idempotent request that may have run can't fail before its deadline.
-        assert!(class == "read" || asked.elapsed() > Duration::from_millis(300), "{:?}", asked.elapsed());
+        assert!(class == "read" || sent_at.elapsed() > Duration::from_millis(300), "{:?}", sent_at.elapsed());
         assert_eq!(node.child.wait().unwrap().code(), Some(0));
     }
 }
@@ -89,9 +89,9 @@
 #[test]
 fn further_signals_during_the_shutdown_lose_no_request() {
     let gate = Arc::new(Gate::default());
-    let waits = gate.clone();
+    let reply_gate = gate.clone();
     let backend = Backend::new(move |message| match message.value("x-call-id") {
-        Some("slow") => BackendReply::WriteAtGate(waits.clone(), ok("slow")),
+        Some("slow") => BackendReply::WriteAtGate(reply_gate.clone(), ok("slow")),
         _ => BackendReply::Write(ok("yes")),
     });
     let (mut node, discovery) = NodeProcess::with_backends(&[&backend]);
