--- a/node/src/driver/attempts.rs
+++ b/node/src/driver/attempts.rs
@@ -37,7 +37,7 @@
 
 /// How an attempt or a probe ended.
 pub struct AttemptResult {
-    /// The outcome, which the balancer is notified of.
+    /// The outcome, which is reported to the balancer.
     pub outcome: Outcome,
     /// The load report in the response; empty if there was none.
     pub report: LoadReport,
--- a/node/src/driver/node.rs
+++ b/node/src/driver/node.rs
@@ -50,7 +50,7 @@
     pub endpoint: SocketAddr,
     /// Whether the backend is draining.
     pub draining: bool,
-    /// The balancer's state of the backend.
+    /// The load and health of the backend as the balancer has them.
     pub snapshot: BackendSnapshot,
 }
 
--- a/node/src/start_error.rs
+++ b/node/src/start_error.rs
@@ -10,10 +10,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigurationUnavailable {
     /// The environment variable that names the file is not set, or is not Unicode.
-    #[error("EDGE_CONFIG is not set")]
+    #[error("EDGE_CONFIG can't be read: {0}")]
     NoPath(#[from] VarError),
     /// The file can't be read.
-    #[error("configuration {path}: {source}")]
+    #[error("can't read configuration file {path}: {source}")]
     File {
         /// The path of the configuration file.
         path: String,
