--- a/admin-protocol/src/client.rs
+++ b/admin-protocol/src/client.rs
@@ -1,4 +1,4 @@
-//! The client side: one request over a connection of its own.
+//! The client side: each request uses a connection of its own.
 
 use std::io;
 use std::path::Path;
@@ -9,34 +9,35 @@
 use tokio::net::UnixStream;
 use tokio::time;
 
-/// The longest response, in bytes.
+/// The longest response that is accepted, in bytes, including its newline.
 const MAX_RESPONSE_BYTES: u64 = 8 << 20;
 
-/// Why there is no response. After any error but [`CallError::Unreachable`] the request may have been carried
-/// out.
+/// Why a call has no response. After any error but [`CallError::Unreachable`] the server may have executed the
+/// request.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No process listens on the socket, or it can't be connected to.
+    /// Connecting to the socket failed: no process listens on it, or this user may not connect. The request was not
+    /// sent.
     #[error("nobody answers: {0}")]
     Unreachable(io::Error),
-    /// The connection broke off.
+    /// The connection failed, or the server closed it before sending a response.
     #[error("it broke off: {0}")]
     ConnectionLost(io::Error),
-    /// There was no response within this time.
+    /// No complete response arrived within this timeout.
     #[error("no answer within {0:?}")]
     TimedOut(Duration),
-    /// The response is longer than is accepted, or was cut off.
+    /// The response was cut off before its newline, or is longer than 8 MiB.
     #[error("it answered what is no answer: a line without an end")]
     UnterminatedResponse,
-    /// The response is no JSON.
+    /// The response is not valid JSON.
     #[error("it answered what is no answer: {0}")]
     MalformedResponse(serde_json::Error),
 }
 
-/// Sends a request and waits for the response.
+/// Connects to `socket`, sends a request and waits for the response. `timeout` covers all three steps.
 ///
 /// # Errors
-/// See [`CallError`].
+/// See [`CallError`]. A response with an `error` field is not an error here.
 pub async fn call(socket: &Path, request: &Value, timeout: Duration) -> Result<Value, CallError> {
     let response = exchange(socket, request);
     time::timeout(timeout, response).await.unwrap_or(Err(CallError::TimedOut(timeout)))
--- a/admin-protocol/src/lib.rs
+++ b/admin-protocol/src/lib.rs
@@ -1,13 +1,13 @@
-//! Requests and responses of JSON over a Unix socket, between a node, the agent of its machine and the
-//! command-line tool.
+//! Request-response protocol in JSON over a Unix socket. A node, the agent of its machine and the command-line tool
+//! communicate by it.
 //!
-//! A message is one JSON object on one line. A client sends a request and waits for the response before it
-//! sends the next one. Each side bounds the length of a line and the time that it waits for one, so a peer
-//! that sends garbage or nothing can't block it.
+//! A message is one JSON object on one line. Responses come in the order of their requests. Each side limits the
+//! length of a line and the time to wait for one, so that a peer that sends malformed data or nothing can't block
+//! the other side.
 //!
 //! - [`call`]: sends one request
 //! - [`listen`], [`serve`]: accept connections and answer requests
-//! - [`CallError`]: why there is no response
+//! - [`CallError`]: why a call has no response
 
 mod client;
 mod server;
--- a/admin-protocol/src/server.rs
+++ b/admin-protocol/src/server.rs
@@ -1,4 +1,4 @@
-//! The server side: a listener and its connections.
+//! The server side: the listening socket, and the connections that it accepts.
 
 use std::fs::{self, Permissions};
 use std::io::{self, ErrorKind};
@@ -17,32 +17,35 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// The socket's file permissions: read and write, for its owner alone.
+/// File permissions of the socket: only its owner may connect.
 const SOCKET_MODE: u32 = 0o600;
-/// The pause after the system has failed to accept a connection, which it does when it lacks descriptors.
+/// Pause after `accept` has failed, as it does while the process is out of file descriptors; a retry at once would
+/// spin.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The limits of a server's connections.
+/// Limits on a server's connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// The longest request, in bytes. A longer one ends its connection.
+    /// The longest request, in bytes, including its newline. A longer request closes its connection without a response.
     pub max_line_bytes: u64,
-    /// The longest time until a request is complete, and until a response is written. The connection ends
-    /// after that.
+    /// Timeout for receiving a complete request, counted from the previous response, and for writing a response.
+    /// The connection is closed when it expires.
     pub idle_timeout: Duration,
-    /// The number of concurrent connections; further ones wait to be accepted.
+    /// Maximum number of concurrent connections; further clients wait in the socket's backlog.
     pub max_connections: usize,
 }
 
-/// Listens on a socket that only this user may connect to. A socket file that an earlier process has left is
-/// replaced.
+/// Listens on a socket that only this user may connect to. A stale socket file of an earlier process is replaced.
 ///
 /// # Errors
-/// `AddrInUse` if another process accepts connections there; any error of the system in removing the old
-/// file, binding the socket or setting its permissions.
+/// `AddrInUse` if another process already accepts connections on `path`; otherwise the I/O error of removing the
+/// stale file, binding the socket or setting its permissions.
 pub fn listen(path: &Path) -> io::Result<UnixListener> {
     if BlockingStream::connect(path).is_ok() {
-        return Err(io::Error::new(ErrorKind::AddrInUse, "somebody answers there already"));
+        return Err(io::Error::new(
+            ErrorKind::AddrInUse,
+            "another process already accepts connections on this socket",
+        ));
     }
     match fs::remove_file(path) {
         Err(error) if error.kind() != ErrorKind::NotFound => return Err(error),
@@ -53,8 +56,8 @@
     Ok(listener)
 }
 
-/// Answers requests for as long as it is polled, in a `LocalSet`. A request that is no `Q` gets a response
-/// with an `error` field.
+/// Accepts connections and answers each request with `answer`, until the future is dropped. Has to run in a
+/// `LocalSet`. A request that can't be deserialized to `Q` gets a response with an `error` field.
 pub async fn serve<Q: DeserializeOwned + 'static>(
     listener: UnixListener,
     limits: ConnectionLimits,
@@ -68,7 +71,7 @@
             Ok((stream, _)) => {
                 let answer = answer.clone();
                 spawn_local(async move {
-                    // An error ends this connection only.
+                    // An I/O error or timeout closes this connection only.
                     let _ = serve_connection(stream, limits, &*answer).await;
                     drop(permit);
                 });
--- a/admin-protocol/tests/socket.rs
+++ b/admin-protocol/tests/socket.rs
@@ -18,7 +18,7 @@
 
 const LIMITS: ConnectionLimits =
     ConnectionLimits { max_line_bytes: 64, idle_timeout: Duration::from_secs(10), max_connections: 4 };
-/// Longer than any exchange of these tests takes.
+/// Timeout that no successful call of these tests reaches.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
 #[derive(Deserialize)]
@@ -42,7 +42,7 @@
     spawn_local(serve(listener, LIMITS, |request: Double| json!({"doubled": 2 * request.number})));
 }
 
-/// Accepts one connection, reads a request, and sends these bytes.
+/// Starts a server that accepts one connection, reads a request, and sends `response` as it is.
 fn start_scripted_server(path: &Path, response: &'static [u8]) {
     let listener = UnixListener::bind(path).expect("a socket");
     spawn_local(async move {
@@ -103,7 +103,7 @@
         let (_directory, path) = socket_path();
         let error = call(&path, &json!({}), TIMEOUT).await.expect_err("no server");
         assert!(matches!(error, CallError::Unreachable(_)), "{error}");
-        let _listener = UnixListener::bind(&path).expect("a socket that nothing is accepted on");
+        let _listener = UnixListener::bind(&path).expect("a socket on which no connection is accepted");
         let error = call(&path, &json!({}), Duration::from_millis(50)).await.expect_err("no response");
         assert_eq!(error.to_string(), "no answer within 50ms");
         assert!(matches!(error, CallError::TimedOut(_)), "{error}");
@@ -117,7 +117,7 @@
         assert!(matches!(error, CallError::ConnectionLost(_)), "{error}");
         let error = call_scripted_server(b"{\"cut\":").await.expect_err("a response that is cut off");
         assert!(matches!(error, CallError::UnterminatedResponse), "{error}");
-        let error = call_scripted_server(b"not JSON\n").await.expect_err("a response that is no JSON");
+        let error = call_scripted_server(b"not JSON\n").await.expect_err("a response that is not JSON");
         assert!(matches!(error, CallError::MalformedResponse(_)), "{error}");
     });
 }
--- a/simulator-adapter/src/adapter.rs
+++ b/simulator-adapter/src/adapter.rs
@@ -1,4 +1,4 @@
-//! The state between lines: the instances, the lists, and the clock of a batch.
+//! The state that is kept from line to line: the instances, the server lists, and the simulated time of the batch.
 
 use std::collections::BTreeMap;
 
@@ -15,18 +15,18 @@
 pub(crate) enum Progress {
     /// More lines of the batch follow.
     BatchContinues,
-    /// The batch has to be replied to.
+    /// The batch has ended; the simulator waits for the reply.
     BatchComplete,
 }
 
-/// All instances behind one connection to the simulator.
+/// All instances that the simulator has opened in this process, and the reply to the current batch.
 #[derive(Default)]
 pub(crate) struct Adapter {
     instances: BTreeMap<i64, Instance>,
     manifests: Manifests,
     now: Nanos,
     reply: Reply,
-    /// Reused for each event.
+    /// Buffer for a balancer's actions, reused for each event.
     actions: Vec<Action>,
     has_warned_of_unknown_event: bool,
 }
@@ -58,18 +58,20 @@
         Ok(Progress::BatchContinues)
     }
 
-    /// Takes the reply to the batch.
+    /// Returns the reply to the batch, with the line that ends it, and starts an empty one.
     pub(crate) fn take_reply(&mut self) -> String {
         self.reply.take()
     }
 
     fn warn_of_unknown_event(&mut self, tag: &str, line: u64) {
         if !std::mem::replace(&mut self.has_warned_of_unknown_event, true) {
-            eprintln!("line {line}: skipped an unknown event {tag}");
+            eprintln!(
+                "line {line}: skipped a message with the unknown tag {tag}; further ones are skipped silently"
+            );
         }
     }
 
-    /// Starts an instance. Settings that it can't start with are replied to, and are no error of the line.
+    /// Starts an instance. Invalid settings are not an error of the line: the reply reports them to the simulator.
     fn open_instance(&mut self, fields: &Fields) -> Result<(), FieldError> {
         let instance_id = fields.integer("who")?;
         let seed = fields.unsigned("nonce64")?;
@@ -87,7 +89,7 @@
         Ok(())
     }
 
-    /// Gives an instance a message. Messages to instances that have exited are dropped unread.
+    /// Passes a message to its instance. Messages to instances that have exited are dropped without further parsing.
     fn notify_instance(&mut self, fields: &Fields) -> Result<(), FieldError> {
         let instance_id = fields.integer("who")?;
         let Some(instance) = self.instances.get_mut(&instance_id) else { return Ok(()) };
@@ -101,7 +103,7 @@
         Ok(())
     }
 
-    /// Gives an instance's balancer an event, and replies with its actions.
+    /// Passes an event to an instance's balancer, and adds the resulting actions to the reply.
     fn handle(&mut self, instance_id: i64, event: Event) {
         let Some(instance) = self.instances.get_mut(&instance_id) else { return };
         instance.balancer.handle(self.now, event, &mut self.actions);
--- a/simulator-adapter/src/error.rs
+++ b/simulator-adapter/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the adapter ends before its input does.
+//! Errors that end the adapter before the end of its input.
 
 use std::io;
 
@@ -7,18 +7,18 @@
 /// An error that ends the adapter.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum AdapterError {
-    /// Standard input failed.
+    /// Reading standard input failed.
     #[error("standard input: {0}")]
     Input(#[source] io::Error),
-    /// Standard output failed.
+    /// Writing standard output failed.
     #[error("standard output: {0}")]
     Output(#[source] io::Error),
     /// A line is malformed.
     #[error("line {line}: {error}")]
     Line {
-        /// Number of the line, from 1.
+        /// Number of the line, counted from 1.
         line: u64,
-        /// What is wrong with it.
+        /// Why the line is malformed.
         error: LineError,
     },
 }
@@ -26,19 +26,19 @@
 /// Why a line is malformed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum LineError {
-    /// It is not JSON.
+    /// The line is not valid JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// It is not an object with one key, the message's tag.
-    #[error("not an object with a single key")]
+    /// The line is not an object with exactly one key, the message's tag.
+    #[error("expected an object with a single key, the message's tag")]
     NoSingleKey,
-    /// The message's body is not an object.
-    #[error("{tag}: not an object")]
+    /// The value of the tag, the message's body, is not an object.
+    #[error("{tag}: the message's body is not an object")]
     BodyNotObject {
         /// The message's tag.
         tag: String,
     },
-    /// A field is missing or invalid.
+    /// A field of the body is missing or invalid.
     #[error(transparent)]
     Field(#[from] FieldError),
 }
--- a/simulator-adapter/src/events.rs
+++ b/simulator-adapter/src/events.rs
@@ -1,4 +1,4 @@
-//! Messages to an instance, translated to events of its balancer.
+//! Translation of messages to an instance into events of its balancer.
 
 use std::collections::HashMap;
 
@@ -9,17 +9,18 @@
 use crate::input::{ManifestEntry, load_report, outcome};
 use crate::instance::{Instance, RequestChange};
 
-/// Bits of a request's `options`.
+/// Bits of the `options` field of a request: bit 0 says that `weight-hint-ns` is set, bit 1 that the request is a retry.
 const OPTION_HAS_WORK_HINT: u64 = 1;
 const OPTION_IS_RETRY: u64 = 2;
 
-/// The lists, by number; a later list of a number replaces the earlier one.
+/// Server lists by number. A later list with the same number replaces the earlier one.
 pub(crate) type Manifests = HashMap<i64, Vec<ManifestEntry>>;
 
-/// A message as the balancer's event.
+/// The event that a message is translated to.
 pub(crate) struct TranslatedEvent {
     pub(crate) event: Event,
-    /// Applied after the event: while it handles the event, the balancer may still refer to the request.
+    /// Change of a tracked request. It has to be applied after the event: while handling the event, the balancer may
+    /// still refer to the request.
     pub(crate) change: Option<RequestChange>,
 }
 
@@ -29,7 +30,7 @@
     }
 }
 
-/// Translates a message to an instance. `None` if the message is about a request that is not tracked any more.
+/// Translates a message to an instance. `None` if the message is about a request that is no longer tracked.
 ///
 /// # Errors
 /// For the first field that is missing or invalid.
--- a/simulator-adapter/src/input.rs
+++ b/simulator-adapter/src/input.rs
@@ -1,4 +1,4 @@
-//! A line of input, and the values that several messages have.
+//! Parsing of an input line, and of the values that several kinds of messages have in common.
 
 use ivyhatch_balancer::{BackendState, LoadReport, Nanos, Outcome};
 use ivyhatch_node_settings::{FieldError, Fields};
@@ -6,17 +6,17 @@
 
 use crate::error::LineError;
 
-/// Tag of the message with a list of servers.
+/// Tag of the message that defines a server list.
 pub(crate) const MANIFEST: &str = "MANIFEST";
 
-/// A message: an object with one key, the tag, whose value has the fields.
+/// A message: a JSON object with one key, the tag, whose value is the object of the message's fields.
 pub(crate) struct Message<'a> {
     pub(crate) tag: &'a str,
     pub(crate) fields: Fields<'a>,
 }
 
 impl<'a> Message<'a> {
-    /// Takes a message apart.
+    /// Splits a message into its tag and its fields.
     ///
     /// # Errors
     /// If the value is not an object with one key, or the key's value is not an object.
@@ -46,10 +46,10 @@
     })
 }
 
-/// The load report of a response; empty if there is none.
+/// The load report in the `usage` field; empty if the field is missing or null.
 ///
 /// # Errors
-/// If the field is not an object.
+/// If the field is neither null nor an object.
 pub(crate) fn load_report(fields: &Fields) -> Result<LoadReport, FieldError> {
     let Some(usage) = fields.map.get("usage").filter(|usage| !usage.is_null()) else {
         return Ok(LoadReport::default());
@@ -63,7 +63,7 @@
     })
 }
 
-/// An entry of a list, with the wire's names.
+/// An entry of a server list: one backend, with names as the message has them.
 pub(crate) struct ManifestEntry {
     pub(crate) backend: String,
     pub(crate) zone: String,
@@ -74,7 +74,7 @@
     pub(crate) online_since: Option<Nanos>,
 }
 
-/// The entries of a list.
+/// The entries of a server list.
 ///
 /// # Errors
 /// For the first field that is missing or invalid.
--- a/simulator-adapter/src/instance.rs
+++ b/simulator-adapter/src/instance.rs
@@ -1,4 +1,5 @@
-//! One instance of the balancer, with the wire's names for its numbers. Instances share nothing.
+//! One instance of the balancer, with the mapping between names in messages and the balancer's numeric ids. Instances
+//! share no state.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -7,22 +8,22 @@
 
 use crate::input::ManifestEntry;
 
-/// A request that the balancer may still refer to.
+/// A request to which the balancer may still refer: it has not ended, or an attempt is in flight.
 struct TrackedRequest {
     name: String,
     attempts_in_flight: u32,
     has_ended: bool,
 }
 
-/// What a message changes of a request, once the balancer has handled its event.
+/// Change of a tracked request by a message, applied once the balancer has handled the message's event.
 pub(crate) enum RequestChange {
-    /// An attempt has ended, and perhaps the request with it.
+    /// An attempt has ended; the request has ended as well if `request_ended` is set.
     AttemptEnded { request: RequestId, request_ended: bool },
     /// The request has ended.
     Ended { request: RequestId },
 }
 
-/// An instance.
+/// A balancer with its name tables and its tracked requests.
 pub(crate) struct Instance {
     pub(crate) balancer: Balancer,
     pub(crate) names: NameTable,
@@ -34,7 +35,7 @@
 }
 
 impl Instance {
-    /// An instance with these settings and this seed for its random numbers.
+    /// Creates an instance. `seed` is that of the balancer's random numbers, `now` the simulated time.
     ///
     /// # Errors
     /// If the balancer rejects the settings.
@@ -50,7 +51,7 @@
         })
     }
 
-    /// The id of a backend's name, assigned at its first use.
+    /// The id of the backend with this name. The first use of a name assigns the id.
     pub(crate) fn backend_id(&mut self, name: &str) -> BackendId {
         if let Some(&id) = self.backend_ids.get(name) {
             return id;
@@ -61,12 +62,12 @@
         id
     }
 
-    /// The name of a backend that the balancer knows from this instance.
+    /// The name of a backend. Panics for an id that [`Self::backend_id`] has not assigned.
     pub(crate) fn backend_name(&self, id: BackendId) -> &str {
         &self.backend_names[id.0 as usize]
     }
 
-    /// A list, with this instance's ids.
+    /// Converts the entries of a server list to members with this instance's ids.
     pub(crate) fn members(&mut self, entries: &[ManifestEntry]) -> Vec<Member> {
         let member = |entry: &ManifestEntry| Member {
             backend: self.backend_id(&entry.backend),
@@ -80,7 +81,7 @@
         entries.iter().map(member).collect()
     }
 
-    /// Tracks a new request. Returns its id.
+    /// Starts tracking a request, and returns the id assigned to it.
     pub(crate) fn track_request(&mut self, name: &str) -> RequestId {
         let id = RequestId(self.next_request);
         self.next_request += 1;
@@ -90,27 +91,27 @@
         id
     }
 
-    /// The id of a tracked request's name.
+    /// The id of the tracked request with this name; `None` if the request is not tracked.
     pub(crate) fn request_id(&self, name: &str) -> Option<RequestId> {
         self.request_ids.get(name).copied()
     }
 
-    /// The name of a request; empty if it is not tracked any more.
+    /// The name of a request; empty if the request is no longer tracked.
     pub(crate) fn request_name(&self, id: RequestId) -> &str {
         self.requests.get(&id).map_or("", |request| &request.name)
     }
 
-    /// The balancer has sent an attempt.
+    /// Records that the balancer has sent an attempt of a request.
     pub(crate) fn attempt_sent(&mut self, id: RequestId) {
         self.update_request(id, |request| request.attempts_in_flight += 1);
     }
 
-    /// A request has its final response, or needs none.
+    /// Records that a request has its final response, or needs none any more.
     pub(crate) fn request_ended(&mut self, id: RequestId) {
         self.update_request(id, |request| request.has_ended = true);
     }
 
-    /// Applies what a message changes of a request.
+    /// Applies the change of a request that a message has caused.
     pub(crate) fn apply(&mut self, change: &RequestChange) {
         match *change {
             RequestChange::AttemptEnded { request, request_ended } => {
@@ -123,7 +124,8 @@
         }
     }
 
-    /// Changes a request, and drops it if the balancer can't refer to it any more.
+    /// Changes a tracked request. Stops tracking a request that has ended and has no attempt in flight, as the balancer
+    /// can no longer refer to it.
     fn update_request(&mut self, id: RequestId, change: impl FnOnce(&mut TrackedRequest)) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         change(request);
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,15 +1,15 @@
 #![forbid(unsafe_code)]
-//! Puts `ivyhatch-balancer` on the simulator's wire: reads batches of JSON lines from standard input and writes replies to
-//! standard output. It translates messages and decides nothing.
+//! Connects `ivyhatch-balancer` to the simulator: reads batches of JSON lines from standard input and writes the replies to
+//! standard output. The adapter only translates messages; all decisions are the balancer's.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `adapter` | the instances, the lists and the clock of a batch |
-//! | `instance` | one balancer, with the wire's names for its numbers |
-//! | `events` | messages to an instance, translated to the balancer's events |
-//! | `replies` | the balancer's actions, translated to messages |
-//! | `input` | a line of input, and the values that several messages have |
-//! | `error` | why the input is rejected |
+//! | `adapter` | the instances, the server lists and the simulated time of a batch |
+//! | `instance` | one balancer, with the mapping between names in messages and its numeric ids |
+//! | `events` | translation of messages into the balancer's events |
+//! | `replies` | translation of the balancer's actions into messages |
+//! | `input` | parsing of an input line, and of values that several kinds of messages have in common |
+//! | `error` | errors that end the adapter |
 
 mod adapter;
 mod error;
@@ -25,10 +25,10 @@
 use error::{AdapterError, LineError};
 use input::Message;
 
-/// Reads batches until the input ends.
+/// Processes batches until the end of the input.
 ///
 /// # Errors
-/// If the input or output fails, or a line is malformed. The batch of a malformed line gets no reply.
+/// If standard input or output fails, or a line is malformed. A batch with a malformed line gets no reply.
 fn run() -> Result<(), AdapterError> {
     let mut input = io::stdin().lock();
     let mut output = BufWriter::new(io::stdout().lock());
--- a/simulator-adapter/src/replies.rs
+++ b/simulator-adapter/src/replies.rs
@@ -1,14 +1,14 @@
-//! The balancer's actions, translated to messages.
+//! Translation of the balancer's actions into messages of the reply.
 
 use ivyhatch_balancer::Action;
 use serde_json::{Value, json};
 
 use crate::instance::Instance;
 
-/// The line that ends a reply.
+/// The last line of each reply.
 const END_OF_REPLY: &str = "{\"YIELD\":{}}\n";
 
-/// The reply to a batch: one message a line.
+/// The reply to a batch: one message per line.
 #[derive(Default)]
 pub(crate) struct Reply {
     text: String,
@@ -21,7 +21,7 @@
         self.text.push('\n');
     }
 
-    /// Takes the finished reply; the next one begins empty.
+    /// Returns the complete reply, and starts an empty one for the next batch.
     pub(crate) fn take(&mut self) -> String {
         self.text.push_str(END_OF_REPLY);
         std::mem::take(&mut self.text)
@@ -35,12 +35,12 @@
 }
 
 impl OutputMessage {
-    /// The message that an instance can't start.
+    /// The message that an instance can't start, with the reason.
     pub(crate) fn instance_failed(instance_id: i64, reason: &str) -> Self {
         Self { tag: "DIE", body: json!({"who": instance_id, "note-text": reason}) }
     }
 
-    /// Translates an action of an instance, and tracks what it does to its request.
+    /// Translates an action of an instance, and updates the tracked request that the action is about.
     pub(crate) fn from_action(instance_id: i64, instance: &mut Instance, action: Action) -> Self {
         let who = instance_id;
         let (tag, body) = match action {
--- a/simulator-adapter/tests/process.rs
+++ b/simulator-adapter/tests/process.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process, on small batches.
+//! Runs the adapter as a process on small batches, and checks its replies and errors.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
