--- a/agent/src/agent/api.rs
+++ b/agent/src/agent/api.rs
@@ -1,4 +1,4 @@
-//! The requests on the agent's socket, as JSON: status, commands, restarts, logs and the audit log.
+//! Handling of the JSON requests on the agent's socket: status, commands, restarts, logs and the audit log.
 
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -14,16 +14,16 @@
 use super::supervised_instance::SupervisedInstance;
 use super::supervisor::Supervisor;
 
-/// The most lines of a log in one response.
+/// Maximum number of log lines in one response.
 const MAX_LOG_LINES: usize = 10_000;
 
-/// A request. The names of its fields are those of the first release.
+/// A request on the agent's socket. The field names in the JSON are those of the first release.
 #[derive(Deserialize)]
 #[serde(tag = "op", rename_all = "snake_case", deny_unknown_fields, rename = "Ask")]
 pub(super) enum Request {
-    /// The status of one instance, or of all.
+    /// The status of one instance, or of all if `instance` is `None`. An unknown instance gives an empty list.
     Status { instance: Option<String> },
-    /// A command that sets desired states.
+    /// A command that sets desired states. Idempotent by `id`.
     Apply {
         id: String,
         #[serde(rename = "by")]
@@ -32,19 +32,19 @@
         base_revision: u64,
         changes: Vec<Change>,
     },
-    /// A restart of one instance. It is not stored: the desired state stays.
+    /// A restart of one instance. Not stored, as the desired state does not change.
     Restart {
         instance: String,
         #[serde(rename = "by")]
         requested_by: String,
     },
-    /// The audit records from a number on.
+    /// The audit records with this number and higher ones; they are numbered from 0.
     Audit { from: u64 },
-    /// The last lines of an instance's log.
+    /// The last lines of an instance's log, at most `lines` and at most [`MAX_LOG_LINES`].
     Logs { instance: String, lines: usize },
 }
 
-/// Why a request is answered with an error.
+/// Why a request gets a response with an `error` field.
 #[derive(Debug, thiserror::Error)]
 enum RequestError {
     #[error("there is no instance {0:?} here")]
@@ -64,7 +64,7 @@
         Self { supervisor, store }
     }
 
-    /// The response to a request.
+    /// Handles a request and returns the response; a failure is a response with an `error` field.
     pub(super) fn handle(&self, request: Request) -> Value {
         self.respond(request).unwrap_or_else(|error| json!({ "error": error.to_string() }))
     }
@@ -93,7 +93,7 @@
         instance.ok_or_else(|| RequestError::UnknownInstance(name.to_owned()))
     }
 
-    /// Stores a command, and passes the desired states on to the instances.
+    /// Stores a command, and passes the desired states that it has set to the instances.
     fn apply(&self, command: &Command) -> Result<Outcome, RequestError> {
         for change in &command.changes {
             self.instance(&change.instance)?;
@@ -101,7 +101,7 @@
         let outcome = self.store.apply(command)?;
         tracing::info!(command = command.id, by = command.requested_by, "{outcome:?}");
         if matches!(outcome, Outcome::Applied { .. }) {
-            // From the store and not from this command: one that has come again may be older than the stored state.
+            // The states come from the store, not from this command: a repeated command may be older than the stored state.
             for change in &command.changes {
                 if let Some(entry) = self.store.entry(&change.instance)? {
                     self.instance(&change.instance)?.add_input(Input::DesiredStateSet(entry.desired_state));
@@ -118,7 +118,7 @@
         Ok(json!({ "done": { "starts": instance.starts(), "pid": instance.pid() } }))
     }
 
-    /// The agent's status with one instance, or with all.
+    /// The agent's status, with the instance of this name or with all.
     fn status(&self, name: Option<&str>) -> Result<AgentStatus, RequestError> {
         let now = self.supervisor.now();
         let selected = self.supervisor.instances.values();
--- a/agent/src/agent/error.rs
+++ b/agent/src/agent/error.rs
@@ -1,4 +1,4 @@
-//! Why an agent can't run.
+//! Errors with which an agent fails to start.
 
 use std::io;
 use std::path::Path;
@@ -8,12 +8,12 @@
 /// Why an agent can't run.
 #[derive(Debug, thiserror::Error)]
 pub enum AgentError {
-    /// A file or socket can't be used.
+    /// A folder, file or socket of the agent can't be created or opened.
     #[error("{path}: {error}")]
     File {
-        /// Its path.
+        /// Path of the folder, file or socket.
         path: String,
-        /// The system's error.
+        /// The operating system's error.
         error: io::Error,
     },
     /// The store can't be opened or read.
@@ -22,7 +22,7 @@
 }
 
 impl AgentError {
-    /// Adds the path to a system's error, for `map_err`.
+    /// Adds the path to an I/O error, for `map_err`.
     pub(super) fn at(path: &Path) -> impl FnOnce(io::Error) -> Self {
         let path = path.display().to_string();
         move |error| Self::File { path, error }
--- a/agent/src/agent/mod.rs
+++ b/agent/src/agent/mod.rs
@@ -1,4 +1,4 @@
-//! The agent: keeps each instance in its desired state, and answers requests on its socket.
+//! The agent: brings each instance into its desired state, and answers requests on its socket.
 
 mod api;
 mod error;
--- a/agent/src/agent/options.rs
+++ b/agent/src/agent/options.rs
@@ -1,18 +1,18 @@
-//! How an agent runs.
+//! Options of an agent.
 
 use std::path::PathBuf;
 
 use ivyhatch_config::Config;
 
-/// How an agent runs.
+/// Options of an agent, fixed from its start to its end.
 #[derive(Clone, Debug)]
 pub struct AgentOptions {
-    /// The configuration.
+    /// The loaded configuration.
     pub config: Config,
-    /// The configuration's file: nodes read it themselves.
+    /// The file of the configuration. Its path is passed to the nodes, which load it themselves.
     pub file: PathBuf,
-    /// The program that runs a node by `node --config FILE --instance NAME --control SOCKET`.
+    /// The program that is started for each node, as `PROGRAM node --instance NAME --config FILE --control SOCKET`.
     pub program: PathBuf,
-    /// The agent's socket.
+    /// Path of the socket on which the agent answers requests.
     pub socket: PathBuf,
 }
--- a/agent/src/agent/runner.rs
+++ b/agent/src/agent/runner.rs
@@ -1,4 +1,4 @@
-//! Start of an agent: its files, its store, its supervised instances and its socket.
+//! Start of an agent: creates its folders, opens its store, and starts the supervision of the instances and the socket.
 
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -21,17 +21,17 @@
 use super::supervisor::Supervisor;
 
 const NANOS_PER_MS: Nanos = 1_000_000;
-/// Commands over a large fleet open a connection for each instance, all at once.
+/// The number of connections is not limited: a command over a large fleet opens one for each instance, all at once.
 const CONNECTION_LIMITS: ConnectionLimits = ConnectionLimits {
     max_line_bytes: 1 << 20,
     idle_timeout: Duration::from_secs(30),
     max_connections: Semaphore::MAX_PERMITS,
 };
 
-/// Runs an agent until the future is dropped. Its nodes go on after that, and the next agent adopts them.
+/// Runs an agent until the future is dropped. The nodes' processes outlive the agent, and the next agent adopts them.
 ///
 /// # Errors
-/// Where its files, its store or its socket can't be used, or another agent uses them.
+/// If the state folder, the store or the socket can't be used, or another agent uses them.
 pub async fn run(options: AgentOptions) -> Result<(), AgentError> {
     LocalSet::new().run_until(run_local(options)).await
 }
@@ -42,7 +42,7 @@
         let folder = state_folder.join(folder);
         std::fs::create_dir_all(&folder).map_err(AgentError::at(&folder))?;
     }
-    // The store is the lock as well: two agents on one state folder would start every node twice.
+    // The store also serves as the lock of the state folder: two agents on one folder would start every node twice.
     let store = Store::open(&state_folder.join("asked.redb"))?;
     let desired = store.desired()?;
     let listener = listen(&options.socket).map_err(AgentError::at(&options.socket))?;
@@ -59,13 +59,16 @@
     let instances = supervised.collect();
     let supervisor = Rc::new(Supervisor::new(options, instances));
     for name in desired.instances.keys().filter(|name| !supervisor.instances.contains_key(*name)) {
-        tracing::warn!(instance = name, "commands name an instance that the configuration does not have");
+        tracing::warn!(
+            instance = name,
+            "the store has a desired state for an instance that is not in the configuration; it is ignored"
+        );
     }
     for instance in supervisor.instances.values() {
         spawn_local(supervisor.clone().supervise(instance.clone()));
     }
     let socket = supervisor.options.socket.display();
-    tracing::info!("supervises {} instances; socket {socket}", supervisor.instances.len());
+    tracing::info!("agent supervises {} instances; socket {socket}", supervisor.instances.len());
     let api = Api::new(supervisor, store);
     serve(listener, CONNECTION_LIMITS, move |request| api.handle(request)).await;
     Ok(())
@@ -84,7 +87,7 @@
     }
 }
 
-/// A seed for the jitter of the back-offs: it need not be reproducible, and two agents' must differ.
+/// Seed for the jitter of the back-offs. Agents must have different seeds; the seed need not be reproducible.
 fn jitter_seed() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |now| now.as_nanos() as u64);
     now ^ (u64::from(std::process::id()) << 32)
--- a/agent/src/agent/status.rs
+++ b/agent/src/agent/status.rs
@@ -1,4 +1,4 @@
-//! The status that the agent shows on its socket, as JSON. The names in the JSON are those of the first release.
+//! The status that the agent reports on its socket, as JSON. The field names in the JSON are those of the first release.
 
 use std::collections::BTreeMap;
 
@@ -10,28 +10,28 @@
 /// The status of an instance.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct InstanceStatus {
-    /// Its name.
+    /// The instance's name.
     pub name: String,
-    /// Its zone.
+    /// The zone of the instance's node.
     pub zone: String,
-    /// The labels by which commands select it.
+    /// The labels by which commands select the instance.
     pub labels: BTreeMap<String, String>,
-    /// Its desired state.
+    /// The state that operators have asked for last, or the configuration's default. The state machine may not have handled it yet.
     #[serde(rename = "wanted")]
     pub desired_state: DesiredState,
-    /// The phase that it is in.
+    /// The current phase of the lifecycle.
     pub phase: Phase,
-    /// Why it is in that phase.
+    /// Why the instance is in that phase, in one line.
     pub reason: String,
-    /// How long it has been in that phase, in milliseconds.
+    /// Time since the instance entered the phase, in milliseconds.
     pub since_ms: u64,
-    /// Whether it drains and no request is open.
+    /// Whether the node drains and has no request in flight.
     pub drained: bool,
-    /// Its process.
+    /// PID of the node's process; `None` if there is no process.
     pub pid: Option<i32>,
-    /// How often this agent has started a process for it.
+    /// Number of processes that this agent has started for the instance; adopted ones don't count.
     pub starts: u64,
-    /// The last state that its node has reported, and how long ago that was in milliseconds.
+    /// The state that the node has reported last, and its age in milliseconds. `None` until the node's process has reported.
     #[serde(rename = "said")]
     pub node_state: Option<(Value, u64)>,
 }
@@ -41,10 +41,10 @@
 pub struct AgentStatus {
     /// The fleet's name.
     pub fleet: String,
-    /// The agent's process.
+    /// PID of the agent's process.
     pub pid: u32,
-    /// The number of commands that were applied.
+    /// Revision of the store: the number of commands applied so far.
     pub revision: u64,
-    /// The instances, by name.
+    /// The selected instances, sorted by name.
     pub instances: Vec<InstanceStatus>,
 }
--- a/agent/src/agent/supervised_instance.rs
+++ b/agent/src/agent/supervised_instance.rs
@@ -1,4 +1,4 @@
-//! A supervised instance: its configuration and files, its state machine, and what the agent knows of its process.
+//! A supervised instance: its configuration, files and state machine, and the process data that its status shows.
 
 use std::cell::{Cell, RefCell};
 use std::path::Path;
@@ -15,13 +15,13 @@
 
 const NANOS_PER_MS: Nanos = 1_000_000;
 
-/// A state that a node has reported, and when.
+/// The last state that a node has reported, and the time of the report.
 struct NodeState {
     state: Value,
     reported_at: Instant,
 }
 
-/// An instance with what the agent knows of it.
+/// An instance under supervision. Its supervisor task and the API of the agent's socket share it.
 pub(super) struct SupervisedInstance {
     pub(super) config: InstanceSettings,
     pub(super) files: InstanceFiles,
@@ -29,9 +29,10 @@
     pid: Cell<Option<i32>>,
     starts: Cell<u64>,
     node_state: RefCell<Option<NodeState>>,
-    /// The state that operators asked for last. The state machine has it later where its supervisor waits for the node.
+    /// The state that operators have asked for last. While the supervisor waits for a response of the node, the state machine still
+    /// has the previous one.
     desired_state: Cell<DesiredState>,
-    /// Inputs of operators that are not handled yet.
+    /// Inputs from operators that the supervisor has not handled yet.
     pending_inputs: RefCell<Vec<Input>>,
     input_added: Notify,
 }
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Adds an input of an operator, to be handled at once.
+    /// Queues an input from an operator and wakes the supervisor.
     pub(super) fn add_input(&self, input: Input) {
         if let Input::DesiredStateSet(desired_state) = &input {
             self.desired_state.set(*desired_state);
@@ -93,44 +94,44 @@
         }
     }
 
-    /// Notes that a process has been started.
+    /// Records that this agent has started a process for the instance.
     pub(super) fn record_start(&self, pid: i32) {
         self.pid.set(Some(pid));
         self.starts.set(self.starts.get() + 1);
     }
 
-    /// Notes that the process of an earlier agent has been adopted.
+    /// Records that the process of an earlier agent has been adopted.
     pub(super) fn record_adoption(&self, pid: i32) {
         self.pid.set(Some(pid));
     }
 
-    /// Notes that the process has exited.
+    /// Records that the process has exited, and discards the state that its node reported.
     pub(super) fn record_exit(&self) {
         self.pid.set(None);
         self.node_state.take();
     }
 
-    /// Keeps the state that the node has reported, for the instance's status.
+    /// Stores the state that the node has reported, for the instance's status.
     pub(super) fn record_node_state(&self, state: Value) {
         *self.node_state.borrow_mut() = Some(NodeState { state, reported_at: Instant::now() });
     }
 
-    /// The inputs that operators have added since the last call.
+    /// Removes and returns the queued inputs, in the order in which they were added.
     pub(super) fn take_inputs(&self) -> Vec<Input> {
         self.pending_inputs.take()
     }
 
-    /// Waits until an operator adds an input.
+    /// Waits until an input is queued.
     pub(super) async fn input_added(&self) {
         self.input_added.notified().await;
     }
 
-    /// When a `Tick` is due at the latest, in the time of the supervisor; none while no timeout is running.
+    /// When the next `Tick` is due, in nanoseconds since the agent's start; `None` while no timeout is running.
     pub(super) fn next_deadline(&self) -> Option<Nanos> {
         self.lifecycle.borrow().next_deadline()
     }
 
-    /// Takes one input; returns what is to be done. A change of the phase is logged.
+    /// Feeds one input to the state machine, and returns the outputs that the caller has to carry out. Logs a change of the phase.
     pub(super) fn handle(&self, now: Nanos, input: Input) -> Vec<Output> {
         let mut lifecycle = self.lifecycle.borrow_mut();
         let previous = lifecycle.phase();
@@ -143,7 +144,7 @@
         outputs
     }
 
-    /// Whether a state that came from the instance's socket is that of its process.
+    /// Whether a state that was received on the instance's socket was reported by the instance's current process.
     pub(super) fn is_own_state(&self, state: &Value) -> bool {
         state["name"] == self.config.name && state["pid"].as_i64() == self.pid.get().map(i64::from)
     }
--- a/agent/src/agent/supervised_instance_tests.rs
+++ b/agent/src/agent/supervised_instance_tests.rs
@@ -32,7 +32,8 @@
     SupervisedInstance::new(config, Path::new("state"), settings, DesiredState::Running, 1)
 }
 
-/// The supervisor may be waiting for the node: a client that has asked for the change would take the old state for another order.
+/// Guards against a status that still shows the old desired state while the supervisor waits for a response of the node: the client
+/// that has sent the command would take the old state for a conflicting command.
 #[test]
 fn status_shows_an_accepted_order_before_the_state_machine_has_it() {
     let instance = instance();
--- a/agent/src/agent/supervisor.rs
+++ b/agent/src/agent/supervisor.rs
@@ -1,5 +1,5 @@
-//! Supervision of the instances: feeds each one's state machine with what its process does and what operators ask, and carries out
-//! what the state machine decides.
+//! Supervision of the instances: feeds process events and operators' commands to the state machine of each instance, and carries out
+//! the outputs of the state machine.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -17,11 +17,11 @@
 use super::options::AgentOptions;
 use super::supervised_instance::SupervisedInstance;
 
-/// A node is polled so many times within the time after which it is unresponsive.
+/// Number of polls of a node within the silence timeout; fewer or more where the poll interval is clamped.
 const POLLS_PER_SILENCE_TIMEOUT: u64 = 6;
 const MIN_POLL_INTERVAL_MS: u64 = 20;
 const MAX_POLL_INTERVAL_MS: u64 = 1000;
-/// The loop of an instance does not spin where a deadline has passed already.
+/// Keeps the loop of an instance from spinning when a deadline has already passed.
 const MIN_SLEEP: Duration = Duration::from_millis(1);
 
 /// All instances of an agent.
@@ -40,12 +40,12 @@
         Self { options, instances, started_at: Instant::now(), poll_interval }
     }
 
-    /// The time since the agent's start.
+    /// Time since the agent's start: the clock of all state machines.
     pub(super) fn now(&self) -> Nanos {
         self.started_at.elapsed().as_nanos() as Nanos
     }
 
-    /// Supervises one instance for as long as the agent runs.
+    /// Supervises one instance until the agent ends.
     pub(super) async fn supervise(self: Rc<Self>, instance: Rc<SupervisedInstance>) {
         let mut process = self.adopt(&instance).await;
         let mut poll_at = Instant::now();
@@ -84,7 +84,8 @@
         deadline.min(poll_at).max(Instant::now() + MIN_SLEEP)
     }
 
-    /// Adopts the process of an earlier agent: by the record of that agent, or by what answers on the node's socket.
+    /// Adopts the process that an earlier agent has started, if it still runs: by the record that the earlier agent has stored, or by
+    /// the PID that the node reports on its socket.
     async fn adopt(&self, instance: &SupervisedInstance) -> Option<Process> {
         let state = self.ask_node(instance, "state").await;
         let process = Process::find(&instance.files).or_else(|| {
@@ -100,7 +101,7 @@
         adopted
     }
 
-    /// Asks the node for its state. An answer that is no state, or another process's, is ignored.
+    /// Polls the node for its state. A response that is not a state, or is that of another process, is ignored.
     async fn poll_node(&self, instance: &SupervisedInstance, process: &mut Option<Process>) {
         let Some(state) = self.ask_node(instance, "state").await else { return };
         if !instance.is_own_state(&state) {
@@ -121,12 +122,13 @@
         }
     }
 
-    /// Sends a request without arguments to the instance's node; none where it does not answer in time.
+    /// Sends a request without arguments to the instance's node. `None` if the call fails or exceeds the poll interval.
     async fn ask_node(&self, instance: &SupervisedInstance, operation: &str) -> Option<Value> {
         call(&instance.files.socket, &json!({ "op": operation }), self.poll_interval).await.ok()
     }
 
-    /// Feeds an input to the instance's state machine and carries out its outputs, with the inputs that follow from these.
+    /// Feeds an input to the instance's state machine and carries out the outputs. An output may result in a further input, which is fed
+    /// in turn.
     async fn feed(&self, instance: &SupervisedInstance, process: &mut Option<Process>, input: Input) {
         let mut next_input = Some(input);
         while let Some(input) = next_input.take() {
@@ -145,7 +147,7 @@
     ) -> Option<Input> {
         match output {
             Output::Start => return Some(self.start(instance, process)),
-            // A node that does not answer is asked again once it reports its state.
+            // A failed request is not retried here: the state machine repeats it when the node reports a state that does not match.
             Output::Drain => drop(self.ask_node(instance, "drain").await),
             Output::Undrain => drop(self.ask_node(instance, "undrain").await),
             Output::Terminate => process.iter().for_each(Process::terminate),
--- a/agent/src/instance_files.rs
+++ b/agent/src/instance_files.rs
@@ -1,15 +1,15 @@
-//! The files of an instance in the agent's state folder.
+//! Paths of an instance's files in the agent's state folder.
 
 use std::path::{Path, PathBuf};
 
 /// The paths of an instance's files.
 #[derive(Clone, Debug)]
 pub(crate) struct InstanceFiles {
-    /// The record of its process.
+    /// The record that identifies the instance's process, for the next agent to adopt it.
     pub(crate) process_record: PathBuf,
-    /// The socket on which its node answers.
+    /// The control socket on which the instance's node answers the agent.
     pub(crate) socket: PathBuf,
-    /// Its node's output.
+    /// The log with the node's standard output and standard error.
     pub(crate) log: PathBuf,
 }
 
--- a/agent/src/lib.rs
+++ b/agent/src/lib.rs
@@ -1,10 +1,10 @@
-//! The agent of a machine: supervises the node processes of its instances, and stores what operators have asked of them durably.
+//! The agent of a machine: supervises the node processes of its instances, and stores operators' commands durably.
 //!
 //! | module | concern |
 //! | --- | --- |
 //! | `lifecycle` | the lifecycle of one instance: a state machine that does no I/O |
-//! | `store` | commands, their outcomes and the desired states, on disk |
-//! | `process`, `instance_files`, `log_file` | a node's process, its files and its log |
+//! | `store` | the durable store of commands, their outcomes and the desired states |
+//! | `process`, `instance_files`, `log_file` | the process of a node, its files and its log |
 //! | `agent` | the supervision of all instances, and the agent's socket |
 
 mod agent;
--- a/agent/src/lifecycle/crash_history.rs
+++ b/agent/src/lifecycle/crash_history.rs
@@ -1,4 +1,4 @@
-//! The crashes of an instance: exponential back-off with jitter, and detection of a crash loop.
+//! Crash handling of an instance: exponential back-off with jitter, and detection of a crash loop.
 
 use std::collections::VecDeque;
 
@@ -8,41 +8,42 @@
 
 use super::settings::{LifecycleSettings, Nanos};
 
-/// How often the back-off doubles at most; far beyond any limit of the settings.
+/// Maximum number of doublings of the back-off. It keeps the shift from overflowing; the maximum back-off of the settings is reached
+/// long before.
 const MAX_DOUBLINGS: u32 = 30;
 
-/// What follows on a crash.
+/// What an instance does after a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AfterCrash {
-    /// The instance is started again after this time.
+    /// The instance is restarted after this time.
     BackOff(Nanos),
-    /// It is in a crash loop, after so many crashes within the window.
+    /// The instance is in a crash loop and is not restarted; `crashes` is the number of crashes within the window.
     CrashLoop { crashes: usize },
 }
 
-/// The crashes within the window.
+/// The crashes of an instance within the crash-loop window, and the state of the back-off.
 #[derive(Clone, Debug)]
 pub(super) struct CrashHistory {
     crashed_at: VecDeque<Nanos>,
-    /// Crashes without a long service in between, for the back-off.
+    /// Crashes since the last reset of the back-off, which doubles with each of them.
     consecutive: u32,
     random: ChaCha8Rng,
 }
 
 impl CrashHistory {
-    /// No crashes. `seed` is for the jitter.
+    /// Creates a history without crashes. `seed` is that of the jitter.
     pub(super) fn new(seed: u64) -> Self {
         let random = ChaCha8Rng::seed_from_u64(seed);
         Self { crashed_at: VecDeque::new(), consecutive: 0, random }
     }
 
-    /// Forgets all crashes.
+    /// Discards all crashes and resets the back-off.
     pub(super) fn clear(&mut self) {
         self.consecutive = 0;
         self.crashed_at.clear();
     }
 
-    /// Begins with the first back-off again; crashes within the window still count.
+    /// Resets the back-off to its initial value. Crashes within the window still count towards a crash loop.
     pub(super) fn reset_backoff(&mut self) {
         self.consecutive = 0;
     }
@@ -60,7 +61,7 @@
         AfterCrash::BackOff(self.next_backoff(settings))
     }
 
-    /// Half to all of the back-off: instances that crashed of one cause must not come back at the same moment.
+    /// The next back-off, with jitter from half to all of it: instances that crashed from a common cause must not restart simultaneously.
     fn next_backoff(&mut self, settings: &LifecycleSettings) -> Nanos {
         let doublings = self.consecutive.min(MAX_DOUBLINGS);
         let backoff = settings.initial_backoff.saturating_mul(1 << doublings).min(settings.max_backoff);
--- a/agent/src/lifecycle/instance.rs
+++ b/agent/src/lifecycle/instance.rs
@@ -1,5 +1,5 @@
-//! The state machine of an instance. Inputs come in with a time, outputs go out; the caller has the process, the clock and the
-//! timers. No second process is asked for while there may be a first one.
+//! The state machine of an instance. It takes inputs with their time and returns outputs; the caller owns the process, the clock and
+//! the timers. No second process is requested while a first one may exist.
 
 use super::crash_history::{AfterCrash, CrashHistory};
 use super::messages::{Input, Output};
@@ -17,24 +17,24 @@
     reason: String,
     phase_since: Nanos,
     now: Nanos,
-    /// There is a process, or one was asked for.
+    /// Whether a process exists, or its start has been requested.
     has_process: bool,
-    /// Whether the process drains, by its last report.
+    /// Whether the process was draining at its last report.
     reported_draining: bool,
     has_drained: bool,
-    /// When a process that drains before its exit is asked to exit.
+    /// When a process that drains before its exit is terminated, drained or not.
     drain_deadline: Nanos,
     last_report_at: Nanos,
-    /// When the next timeout is due.
+    /// When the current timeout expires; `None` while no timeout is running.
     next_deadline: Option<Nanos>,
-    /// Why the process was killed, for the phase that follows.
+    /// Why the process was killed. Replaces the exit status as the reason of the phase after the exit.
     kill_reason: Option<String>,
     restart_requested: bool,
     crashes: CrashHistory,
 }
 
 impl InstanceLifecycle {
-    /// An instance without a process. `seed` is for the jitter of its back-off.
+    /// Creates an instance without a process. `seed` is that of the jitter of its back-off.
     pub fn new(settings: LifecycleSettings, desired_state: DesiredState, seed: u64, now: Nanos) -> Self {
         Self {
             settings,
@@ -55,42 +55,42 @@
         }
     }
 
-    /// The phase that it is in.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Why it is in that phase, in one line.
+    /// Why the instance is in the current phase, in one line.
     pub fn reason(&self) -> &str {
         &self.reason
     }
 
-    /// When it entered the phase.
+    /// When the instance entered the current phase, on the clock of the inputs.
     pub fn phase_since(&self) -> Nanos {
         self.phase_since
     }
 
-    /// The desired state.
+    /// The desired state that was set last.
     pub fn desired_state(&self) -> DesiredState {
         self.desired_state
     }
 
-    /// Whether there is, or may be, a process.
+    /// Whether a process exists or may exist.
     pub fn has_process(&self) -> bool {
         self.has_process
     }
 
-    /// Whether it drains and no request is open.
+    /// Whether the process drains and has no request in flight.
     pub fn is_drained(&self) -> bool {
         self.phase == Phase::Draining && self.has_drained
     }
 
-    /// When a `Tick` is due at the latest; none while no timeout is running.
+    /// When the next `Tick` is due; `None` while no timeout is running.
     pub fn next_deadline(&self) -> Option<Nanos> {
         self.next_deadline
     }
 
-    /// Takes one input and adds what the caller has to do to `outputs`.
+    /// Handles one input, and appends the resulting outputs to `outputs`; the caller has to carry them out in order.
     pub fn handle(&mut self, now: Nanos, input: Input, outputs: &mut Vec<Output>) {
         self.now = now.max(self.now);
         match input {
@@ -121,12 +121,12 @@
                 self.enter(Phase::Stopped, "asked to stop", None);
             }
             (Phase::Stopped, _) if previous != desired_state => self.start_process("asked to run", outputs),
-            // An operator who asks again wants a full series of attempts, and not one that ends at the first crash.
+            // A new command gets a full series of restarts, not one that ends at the first crash.
             (Phase::Crashed, _) => {
                 self.crashes.clear();
                 self.start_process("asked to run", outputs);
             }
-            // A process that does not serve has nothing to drain.
+            // A process that does not serve has no requests to drain.
             (Phase::Starting | Phase::Unresponsive, DesiredState::Stopped) => {
                 self.terminate("asked to stop", outputs)
             }
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Asks for a process; only called where there is none.
+    /// Requests the start of a process. Must only be called while there is none.
     fn start_process(&mut self, reason: &str, outputs: &mut Vec<Output>) {
         debug_assert!(!self.has_process, "a second process");
         self.has_process = true;
@@ -225,7 +225,7 @@
         self.restart_requested || self.desired_state == DesiredState::Stopped
     }
 
-    /// Goes on draining, or asks the process to exit where it is to exit and no request is open.
+    /// Continues to drain, or terminates the process if it is to exit and has no request in flight.
     fn continue_draining(&mut self, outputs: &mut Vec<Output>) {
         match (self.exits_after_drain(), self.has_drained) {
             (true, true) => self.terminate("drained", outputs),
@@ -243,7 +243,7 @@
         self.enter(Phase::Stopping, reason, Some(self.settings.stop_timeout));
     }
 
-    /// Kills the process, and again until its exit is reported: a signal may be lost, and no process may be left behind.
+    /// Kills the process. The kill is repeated until the exit is reported: a signal may be lost, and no process may be left behind.
     fn kill(&mut self, reason: String, outputs: &mut Vec<Output>) {
         outputs.push(Output::Kill);
         self.next_deadline = Some(self.now.saturating_add(self.settings.stop_timeout));
@@ -255,7 +255,7 @@
         self.last_report_at.saturating_add(self.settings.silence_timeout)
     }
 
-    /// Acts on the deadline of the phase, if it has passed.
+    /// Handles the timeout of the current phase, if its deadline has passed.
     fn handle_deadline(&mut self, outputs: &mut Vec<Output>) {
         if self.next_deadline.is_none_or(|deadline| deadline > self.now) {
             return;
@@ -280,7 +280,8 @@
         }
     }
 
-    /// A process that hangs while it drains has no request that it could complete.
+    /// Terminates a draining process at the drain deadline, or earlier at the silence deadline: a hung process can't complete its
+    /// requests.
     fn handle_drain_deadline(&mut self, outputs: &mut Vec<Output>) {
         let silence_deadline = self.silence_deadline();
         if self.now >= self.drain_deadline {
@@ -319,7 +320,7 @@
             return self.enter(Phase::Stopped, reason, None);
         }
         if self.phase == Phase::Stopping {
-            // It was asked to exit for a restart, or is to run again by now.
+            // The process was terminated for a restart, or the desired state has changed while the process exited.
             let reason = if restart_requested { "asked to restart" } else { "asked to run" };
             return self.start_process(reason, outputs);
         }
@@ -327,7 +328,7 @@
     }
 
     fn process_crashed(&mut self, reason: String) {
-        // A long time in service makes up for the crashes before.
+        // A crash after a long time in service does not continue the back-off of earlier crashes.
         let time_in_phase = self.now.saturating_sub(self.phase_since);
         if self.phase != Phase::Starting && time_in_phase >= self.settings.crash_loop_window {
             self.crashes.reset_backoff();
--- a/agent/src/lifecycle/messages.rs
+++ b/agent/src/lifecycle/messages.rs
@@ -1,40 +1,40 @@
-//! What goes into an instance's state machine and what comes out.
+//! Inputs and outputs of an instance's state machine.
 
 use super::state::DesiredState;
 
-/// What happens to an instance.
+/// An input of the state machine: a command of an operator, an event of the process, or the passing of time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
     /// An operator has set the desired state.
     DesiredStateSet(DesiredState),
-    /// An operator wants a new process, also of an instance in a crash loop.
+    /// An operator has requested a restart. An instance in a crash loop is started by it as well.
     RestartRequested,
     /// The process has been started.
     Started,
-    /// The process could not be started: why.
+    /// The process could not be started, for this reason.
     StartFailed(String),
-    /// The process of an earlier agent was found.
+    /// The running process of an earlier agent has been adopted.
     Adopted {
-        /// It has reported that it serves.
+        /// Whether the process has reported that it serves or drains.
         is_ready: bool,
-        /// It accepts no new requests.
+        /// Whether the process drains: it accepts no new requests.
         is_draining: bool,
     },
-    /// The process reports that it serves. It may have missed a request to drain while it hung: it is asked again where its report
-    /// does not agree with the phase.
+    /// The process reports that it serves or drains. It may have missed `Drain` or `Undrain` while it hung, so the output is repeated if
+    /// the report does not match the phase.
     Reported {
-        /// It accepts no new requests.
+        /// Whether the process drains: it accepts no new requests.
         is_draining: bool,
     },
-    /// The process reports that it drains and that no request is open.
+    /// The process reports that it drains and has no request in flight.
     Drained,
-    /// The process has exited: how.
+    /// The process has exited; the text is its exit status in words.
     Exited(String),
-    /// Time has passed; due at the latest at the next deadline.
+    /// Time has passed. Due at the next deadline; earlier ticks are harmless.
     Tick,
 }
 
-/// What the caller has to do.
+/// An output of the state machine: an action that the caller has to carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Start a process, and report `Started` or `StartFailed`.
@@ -45,6 +45,6 @@
     Undrain,
     /// Ask the process to exit (SIGTERM).
     Terminate,
-    /// End the process (SIGKILL).
+    /// Kill the process (SIGKILL).
     Kill,
 }
--- a/agent/src/lifecycle/mod.rs
+++ b/agent/src/lifecycle/mod.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of one instance: a state machine without clocks, processes or sockets of its own.
+//! The lifecycle of one instance: a deterministic state machine that does no I/O and reads no clock.
 
 mod crash_history;
 mod instance;
--- a/agent/src/lifecycle/settings.rs
+++ b/agent/src/lifecycle/settings.rs
@@ -1,25 +1,27 @@
-//! Timeouts and limits of an instance's lifecycle.
+//! Settings of an instance's lifecycle.
 
-/// A time or span in nanoseconds, on a monotonic clock. A time before an earlier one counts as that one.
+/// A time on a monotonic clock, or a duration, in nanoseconds. An input with an earlier time than the input before is handled as if its
+/// time were the same.
 pub type Nanos = u64;
 
-/// Timeouts and limits, as the configuration gives them.
+/// Timeouts and limits of an instance's lifecycle, from the `agent` section of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LifecycleSettings {
-    /// A process that does not serve within this time after its start is killed.
+    /// Time from the start of a process until it must serve; it is killed otherwise.
     pub ready_timeout: Nanos,
-    /// A process that is to exit and has not drained within this time is asked to exit all the same.
+    /// Time for a process to drain before it exits; it is terminated after that, even with requests in flight.
     pub drain_timeout: Nanos,
-    /// A process that does not exit within this time after it was asked to is killed.
+    /// Time for a process to exit after its termination (SIGTERM); it is killed after that.
     pub stop_timeout: Nanos,
-    /// A process that does not report for this time is unresponsive; after twice that it is killed.
+    /// Time without a report after which a process is unresponsive. It is killed when it stays unresponsive for twice this time.
     pub silence_timeout: Nanos,
-    /// The back-off after the first crash; it doubles with each further one.
+    /// The back-off after the first crash; it doubles with each further crash.
     pub initial_backoff: Nanos,
-    /// The longest back-off.
+    /// Upper limit of the back-off.
     pub max_backoff: Nanos,
-    /// So many crashes within the window are a crash loop.
+    /// Number of crashes within the window that make a crash loop.
     pub crash_loop_threshold: usize,
-    /// The window in which crashes are counted. An instance that served for so long starts with the first back-off again.
+    /// The window in which crashes are counted. For an instance that was up at least this long before a crash, the back-off restarts at
+    /// its initial value.
     pub crash_loop_window: Nanos,
 }
--- a/agent/src/lifecycle/state.rs
+++ b/agent/src/lifecycle/state.rs
@@ -1,16 +1,16 @@
-//! The states of an instance: the desired one, and the phase that it is in.
+//! The states of an instance: the desired state, and the current phase.
 
 use serde::{Deserialize, Serialize};
 
-/// What an operator wants of an instance.
+/// The state that operators have asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DesiredState {
-    /// It serves.
+    /// The instance's process serves requests.
     Running,
-    /// Its process runs and accepts no new requests.
+    /// The instance's process runs and accepts no new requests.
     Drained,
-    /// It has no process.
+    /// The instance has no process.
     Stopped,
 }
 
@@ -18,20 +18,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// No process, and none desired.
+    /// No process, and none is to be started.
     Stopped,
-    /// A process that does not serve yet.
+    /// A process has been started and does not serve yet.
     Starting,
-    /// It serves.
+    /// The process serves requests.
     Ready,
-    /// It accepts no new requests, and may have completed the open ones.
+    /// The process accepts no new requests; those in flight may or may not have completed.
     Draining,
-    /// It was asked to exit.
+    /// The process was asked to exit and has not exited yet.
     Stopping,
-    /// No process; it is started again after a back-off.
+    /// No process; the instance is restarted after a back-off.
     BackingOff,
-    /// No process; it is in a crash loop, and is started again only on request.
+    /// No process; the instance is in a crash loop, and is started only by a new command.
     Crashed,
-    /// A process that does not report its state any more.
+    /// The process has stopped reporting its state.
     Unresponsive,
 }
--- a/agent/src/log_file.rs
+++ b/agent/src/log_file.rs
@@ -1,22 +1,23 @@
-//! The log file of a node: its rotation, and its last lines.
+//! The log file of a node: rotation, and reading of the last lines.
 
 use std::fs::{File, OpenOptions};
 use std::io::{Read, Result, Seek, SeekFrom};
 use std::path::Path;
 
-/// A longer log is rotated, in bytes; the one before is kept as `NAME.log.1`.
+/// Size in bytes above which a log is rotated. One earlier log is kept, as `NAME.log.1`.
 const MAX_LOG_BYTES: u64 = 8 << 20;
-/// The end of a log in which its last lines are looked for, in bytes.
+/// Bytes at the end of a log that are read for its last lines.
 const TAIL_BYTES: u64 = 1 << 20;
 
-/// Rotates a log that has grown too long. It is copied and truncated, as the process goes on appending to its open file.
+/// Rotates a log that is larger than [`MAX_LOG_BYTES`]. The file is copied and truncated instead of renamed, as the process goes on
+/// appending to its open file. A failure is logged; the next poll tries again.
 pub(crate) fn rotate_if_large(log: &Path) {
     let is_large = std::fs::metadata(log).is_ok_and(|file| file.len() > MAX_LOG_BYTES);
     if !is_large {
         return;
     }
     if let Err(error) = copy_and_truncate(log) {
-        tracing::warn!("{}: {error}", log.display());
+        tracing::warn!("{}: the log can't be rotated: {error}", log.display());
     }
 }
 
@@ -25,7 +26,7 @@
     OpenOptions::new().write(true).open(log)?.set_len(0)
 }
 
-/// At most `count` of the last lines of a log, as far as its last megabyte goes; none where it can't be read.
+/// The last lines of a log, at most `count`, out of its last MiB. Empty if the log can't be read.
 pub(crate) fn last_lines(log: &Path, count: usize) -> Vec<String> {
     let tail = read_tail(log).unwrap_or_default();
     let text = String::from_utf8_lossy(&tail);
--- a/agent/src/process.rs
+++ b/agent/src/process.rs
@@ -1,5 +1,5 @@
-//! A node's process. It is identified by its number and its start time, as numbers are reused. It has a process group of its own,
-//! so that it outlives the agent, and its children end with it.
+//! The process of a node. It is identified by its PID and its start time, as PIDs are reused. It has a process group of its own, so
+//! that it outlives the agent, and is killed together with its children.
 
 use std::fs::OpenOptions;
 use std::io::{Result, Write};
@@ -12,17 +12,17 @@
 
 use crate::instance_files::InstanceFiles;
 
-/// What identifies a process, as it is stored for the next agent.
+/// The identity of a process, stored as a JSON file so that the next agent can adopt the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 struct ProcessId {
     pid: i32,
-    /// Clock ticks from the machine's boot to the start of the process; the file's name of it is that of the first release.
+    /// Start time of the process, in clock ticks since the machine's boot. The key in the file is that of the first release.
     #[serde(rename = "began")]
     start_ticks: u64,
 }
 
 impl ProcessId {
-    /// The running process with this number.
+    /// The identity of the running process with this PID; `None` if there is none.
     fn of_running(pid: i32) -> Option<Self> {
         Some(Self { pid, start_ticks: start_ticks(pid)? })
     }
@@ -32,21 +32,24 @@
     }
 }
 
-/// A process that has been started or found.
+/// The process of a node, either started by this agent or adopted from an earlier one.
 pub(crate) struct Process {
     id: ProcessId,
-    /// None for the process of an earlier agent: its exit can be noticed, but not its status.
+    /// `None` for an adopted process. It is not a child of this agent, so that its exit can be detected but its exit status can't be
+    /// read.
     child: Option<Child>,
 }
 
-/// The start time of a running process; none for one that has exited and is not reaped yet.
+/// The start time of a running process, in clock ticks since boot; `None` if there is no such process, or it has exited and is not
+/// reaped yet.
 fn start_ticks(pid: i32) -> Option<u64> {
     let stat = procfs::process::Process::new(pid).ok()?.stat().ok()?;
     (!matches!(stat.state, 'Z' | 'X')).then_some(stat.starttime)
 }
 
 impl Process {
-    /// Starts a process with its output appended to the instance's log, and stores its identity.
+    /// Starts a process whose output is appended to the instance's log, and stores the identity of the process. A failure to store
+    /// the identity is logged only.
     pub(crate) fn start(mut command: Command, files: &InstanceFiles) -> Result<Self> {
         let log = OpenOptions::new().create(true).append(true).open(&files.log)?;
         let child = command
@@ -59,9 +62,12 @@
         let pid = child.id().map_or(0, |id| id as i32);
         let id = ProcessId { pid, start_ticks: start_ticks(pid).unwrap_or(0) };
         let process = Self { id, child: Some(child) };
-        // Without the record, the process is still found by its node's socket.
+        // Without the record, the next agent can still adopt the process by the PID that its node reports on the socket.
         if let Err(error) = process.write_record(&files.process_record) {
-            tracing::warn!("{}: {error}", files.process_record.display());
+            tracing::warn!(
+                "{}: the process record can't be written: {error}",
+                files.process_record.display()
+            );
         }
         Ok(process)
     }
@@ -74,16 +80,16 @@
         Ok(())
     }
 
-    /// The process that an earlier agent has stored, if it still runs.
+    /// Adopts the process whose identity an earlier agent has stored, if that process still runs.
     pub(crate) fn find(files: &InstanceFiles) -> Option<Self> {
         let id: ProcessId = serde_json::from_slice(&std::fs::read(&files.process_record).ok()?).ok()?;
         id.is_running().then_some(Self { id, child: None })
     }
 
-    /// The process with the number that it has reported itself, if it runs.
+    /// Adopts the process with the PID that its node has reported on the socket, if that process runs.
     pub(crate) fn adopt(pid: i32, files: &InstanceFiles) -> Option<Self> {
         let process = Self { id: ProcessId::of_running(pid)?, child: None };
-        // Without the record, it is found by its node's socket once more.
+        // Without the record, the next agent can adopt the process by its node's socket again.
         let _ = process.write_record(&files.process_record);
         Some(process)
     }
@@ -92,7 +98,7 @@
         self.id.pid
     }
 
-    /// How it exited, if it has.
+    /// How the process exited, in words for operators; `None` while it runs.
     pub(crate) fn exit(&mut self) -> Option<String> {
         match &mut self.child {
             Some(child) => match child.try_wait() {
@@ -104,7 +110,7 @@
         }
     }
 
-    /// Waits for its exit; for ever where it is no child of this agent.
+    /// Waits for the exit of the process. Never completes for an adopted process, whose exit only [`Self::exit`] detects.
     pub(crate) async fn wait(&mut self) {
         match &mut self.child {
             Some(child) => drop(child.wait().await),
@@ -112,18 +118,18 @@
         }
     }
 
-    /// Asks it to exit.
+    /// Asks the process to exit (SIGTERM).
     pub(crate) fn terminate(&self) {
         self.signal(kill_process, Signal::TERM);
     }
 
-    /// Ends it, with its children.
+    /// Kills the process and its children (SIGKILL to the process group).
     pub(crate) fn kill(&self) {
         self.signal(kill_process_group, Signal::KILL);
         self.signal(kill_process, Signal::KILL);
     }
 
-    /// Sends a signal, but never to another process that has got the number meanwhile.
+    /// Sends a signal, unless the process has exited: another process may have the PID by now.
     fn signal(&self, send: fn(Pid, Signal) -> rustix::io::Result<()>, signal: Signal) {
         if self.id.is_running()
             && let Some(pid) = Pid::from_raw(self.id.pid)
--- a/agent/src/store/database.rs
+++ b/agent/src/store/database.rs
@@ -1,5 +1,5 @@
-//! The store's database. Each command is one transaction of one writer, durable before it is acknowledged, so that a crash leaves it
-//! applied completely or not at all.
+//! The store's database. Each command is one transaction of a single writer, and is durable before it is acknowledged, so that after
+//! a crash the command is applied completely or not at all.
 
 use std::path::Path;
 
@@ -10,24 +10,24 @@
 
 use super::records::{AuditRecord, Change, Command, DesiredEntry, DesiredStates, Outcome, Rejection};
 
-/// Desired entries by instance.
+/// Entries of desired states as JSON, by instance name.
 const DESIRED: TableDefinition<&str, &str> = TableDefinition::new("desired");
-/// Audit records by command id.
+/// Audit records as JSON, by command id. Detects repeated ids.
 const COMMANDS: TableDefinition<&str, &str> = TableDefinition::new("commands");
-/// Audit records by their number: one for each command, also for those that were rejected.
+/// Audit records as JSON, numbered from 0: one for each command id, also for rejected commands.
 const AUDIT: TableDefinition<u64, &str> = TableDefinition::new("audit");
 const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
 /// The key of the revision in [`META`].
 const REVISION: &str = "revision";
 
-/// Why the store fails. What was acknowledged before is not affected.
+/// Why an operation of the store fails. Commands acknowledged earlier are not affected.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The file or the disk fails.
-    #[error("the record of what was asked: {0}; nothing was changed")]
+    /// The database reports an error: the file or the disk fails, or another process has the store open.
+    #[error("command store: {0}; nothing was changed")]
     Storage(#[from] redb::Error),
-    /// A record is not this program's.
-    #[error("the record of what was asked can't be understood: {0}")]
+    /// A stored record can't be decoded: this program has not written it.
+    #[error("command store: a record can't be decoded: {0}")]
     MalformedRecord(#[from] serde_json::Error),
 }
 
@@ -42,20 +42,20 @@
 }
 from_redb!(DatabaseError, TransactionError, TableError, StorageError, CommitError);
 
-/// The store. One process at a time has it open.
+/// The durable store of an agent. Only one process at a time can have a store open.
 pub struct Store(Database);
 
 impl Store {
-    /// Opens the store in a file, and creates it where there is none. After a crash it is as after the last acknowledged command, or
-    /// as after the one that was being written then.
+    /// Opens the store in a file, and creates the file if it is missing. After a crash the store has the state after the last
+    /// acknowledged command, or after the command that was being written at the crash.
     ///
     /// # Errors
-    /// Where the file can't be used, or another process has it open.
+    /// If the file can't be used, or another process has it open.
     pub fn open(path: &Path) -> Result<Self, StoreError> {
         Self::create_tables(Database::create(path)?)
     }
 
-    /// Opens the store on another storage backend.
+    /// Opens the store on a storage backend in place of a file.
     ///
     /// # Errors
     /// As [`Store::open`].
@@ -73,10 +73,11 @@
         Ok(Self(database))
     }
 
-    /// Applies or rejects a command. When this returns, the outcome is on disk.
+    /// Applies or rejects a command. On return the outcome is on disk. A repeated command (same id and content) gets its first outcome
+    /// and is not applied again.
     ///
     /// # Errors
-    /// Where the disk fails. The command is not applied then, and may be repeated with its id.
+    /// If the disk fails. The command is not applied then, and may be retried with the same id.
     pub fn apply(&self, command: &Command) -> Result<Outcome, StoreError> {
         let transaction = self.0.begin_write()?;
         if let Some(outcome) = earlier_outcome(&transaction, command)? {
@@ -91,7 +92,7 @@
         Ok(outcome)
     }
 
-    /// The number of commands that were applied.
+    /// The revision: the number of commands applied so far.
     ///
     /// # Errors
     /// Where the file can't be read.
@@ -99,7 +100,7 @@
         read_revision(&self.0.begin_read()?)
     }
 
-    /// The desired state of one instance; none where no command has set it.
+    /// The desired state of one instance; `None` if no command has set it.
     ///
     /// # Errors
     /// Where the file can't be read.
@@ -109,7 +110,7 @@
         Ok(entry.map(|entry| serde_json::from_str(entry.value())).transpose()?)
     }
 
-    /// All desired states.
+    /// All desired states that commands have set.
     ///
     /// # Errors
     /// Where the file can't be read.
@@ -124,7 +125,7 @@
         Ok(desired)
     }
 
-    /// The audit records from this number on, in the order in which the commands were decided.
+    /// The audit records with this number and higher ones, in the order in which the commands were applied or rejected.
     ///
     /// # Errors
     /// Where the file can't be read.
@@ -140,12 +141,13 @@
     Ok(transaction.open_table(META)?.get(REVISION)?.map_or(0, |revision| revision.value()))
 }
 
-/// The outcome of the command that came with this id before, if any: of this one, or of another that took the id.
+/// The outcome for a command whose id has been used before, `None` for a new id. A repeated command gets its first outcome; another
+/// command with the same id is rejected.
 fn earlier_outcome(transaction: &WriteTransaction, command: &Command) -> Result<Option<Outcome>, StoreError> {
     let commands = transaction.open_table(COMMANDS)?;
     let Some(record) = commands.get(command.id.as_str())? else { return Ok(None) };
     let record: AuditRecord = serde_json::from_str(record.value())?;
-    // The time is the agent's, and differs when the command comes again.
+    // The time is set by the agent and differs when a command is repeated, so it is left out of the comparison.
     let repeated = Command { at_unix_ms: record.command.at_unix_ms, ..command.clone() };
     if repeated == record.command {
         return Ok(Some(record.outcome));
@@ -154,7 +156,7 @@
     Ok(Some(Outcome::Rejected(Rejection::IdTaken { requested_by })))
 }
 
-/// Why a command has to be rejected, if it has to.
+/// Checks a command against the stored state; returns why it has to be rejected, or `None` if it can be applied.
 fn check(transaction: &WriteTransaction, command: &Command) -> Result<Option<Rejection>, StoreError> {
     let meta = transaction.open_table(META)?;
     let revision = meta.get(REVISION)?.map_or(0, |revision| revision.value());
@@ -165,7 +167,7 @@
     for Change { instance, desired_state } in &command.changes {
         let Some(entry) = desired.get(instance.as_str())? else { continue };
         let other: DesiredEntry = serde_json::from_str(entry.value())?;
-        // Commands that set the same state agree, whichever came first.
+        // A later command that has set the same state is not a conflict.
         if other.revision > command.base_revision && other.desired_state != *desired_state {
             return Ok(Some(Rejection::Conflict { instance: instance.clone(), other }));
         }
@@ -173,7 +175,7 @@
     Ok(None)
 }
 
-/// Writes the changes of a command under the next revision, and returns that.
+/// Writes the changes of a command under the next revision, and returns that revision.
 fn write_changes(transaction: &WriteTransaction, command: &Command) -> Result<u64, StoreError> {
     let mut meta = transaction.open_table(META)?;
     let mut desired = transaction.open_table(DESIRED)?;
--- a/agent/src/store/records.rs
+++ b/agent/src/store/records.rs
@@ -1,5 +1,5 @@
-//! Commands and what is stored of them, as JSON. The names in the JSON are those of the first release: stored data stays readable,
-//! and so do the lines on the agent's socket.
+//! Commands and the records stored for them, as JSON. The names in the JSON are those of the first release, so that stored data stays
+//! readable and the messages on the agent's socket stay compatible.
 
 use std::collections::BTreeMap;
 
@@ -7,45 +7,46 @@
 
 use crate::lifecycle::DesiredState;
 
-/// A change of one instance.
+/// A change of the desired state of one instance.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct Change {
     /// The instance's name.
     pub instance: String,
-    /// The state that it is to have.
+    /// The new desired state.
     #[serde(rename = "wanted")]
     pub desired_state: DesiredState,
 }
 
-/// An operator's command. It is idempotent by its id.
+/// An operator's command that sets desired states. Idempotent by its id.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct Command {
-    /// Chosen by the client. A command that comes again with the same id gets the same outcome, and is not applied again.
+    /// Unique id, chosen by the client. A command that is repeated with the same id gets the same outcome, and is not applied again.
     pub id: String,
-    /// The operator.
+    /// The operator who has sent the command.
     #[serde(rename = "by")]
     pub requested_by: String,
-    /// The revision that the operator has seen: a later change of the same instances is in conflict with this command (optimistic
-    /// concurrency control).
+    /// The revision that the operator has seen. A later change of the same instances to another state conflicts with this command
+    /// (optimistic concurrency control).
     #[serde(rename = "against")]
     pub base_revision: u64,
-    /// The changes; all are applied or none.
+    /// The changes; either all of them are applied or none.
     pub changes: Vec<Change>,
-    /// When it came, in milliseconds since 1970, by the agent's clock. For people only: nothing is decided by it.
+    /// Time of receipt by the agent's wall clock, in milliseconds since the Unix epoch. For the audit log only; no decision depends on
+    /// it.
     pub at_unix_ms: u64,
 }
 
-/// The desired state of an instance, and the command that has set it.
+/// The desired state of an instance, and the command that has set this state.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct DesiredEntry {
     /// The desired state.
     #[serde(rename = "wanted")]
     pub desired_state: DesiredState,
-    /// The revision of the command.
+    /// The revision that the command has created.
     pub revision: u64,
-    /// The id of the command.
+    /// Id of the command.
     pub command: String,
-    /// The operator.
+    /// The operator who has sent the command.
     #[serde(rename = "by")]
     pub requested_by: String,
 }
@@ -53,9 +54,9 @@
 /// All desired states that commands have set.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct DesiredStates {
-    /// The number of commands that were applied.
+    /// Revision of the store: the number of commands applied so far.
     pub revision: u64,
-    /// By instance.
+    /// The desired states, by instance name.
     pub instances: BTreeMap<String, DesiredEntry>,
 }
 
@@ -63,22 +64,22 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rejection {
-    /// A command after the base revision has set another state.
+    /// A command that was applied after the base revision has set another state.
     Conflict {
-        /// The instance.
+        /// The instance on which the commands conflict.
         instance: String,
-        /// What the other command has set.
+        /// The state that the other command has set.
         other: DesiredEntry,
     },
-    /// The base revision has not been reached yet: it is another store's.
+    /// The base revision is higher than the store's, so that it must be from another store.
     #[serde(rename = "ahead")]
     UnknownBaseRevision {
-        /// The store's revision.
+        /// The store's current revision.
         revision: u64,
     },
-    /// The id is that of another command.
+    /// The id has been used by a command with other content.
     IdTaken {
-        /// The operator of that command.
+        /// The operator who has sent that command.
         #[serde(rename = "by")]
         requested_by: String,
     },
@@ -88,13 +89,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// It is applied and on disk.
+    /// The command is applied and on disk.
     #[serde(rename = "done")]
     Applied {
-        /// The revision that it has made.
+        /// The revision that the command has created.
         revision: u64,
     },
-    /// It is rejected; nothing has changed.
+    /// The command is rejected; no desired state has changed.
     #[serde(rename = "refused")]
     Rejected(Rejection),
 }
@@ -102,8 +103,8 @@
 /// A record of the audit log.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct AuditRecord {
-    /// The command.
+    /// The command, as received.
     pub command: Command,
-    /// Its outcome.
+    /// The command's outcome.
     pub outcome: Outcome,
 }
--- a/agent/tests/golden_socket.rs
+++ b/agent/tests/golden_socket.rs
@@ -1,5 +1,5 @@
-//! The lines on the agent's socket and on its nodes' sockets, and the files in its state folder, held fixed by golden files.
-//! An agent runs in this process, with a shell as its program and stand-ins for its nodes' sockets.
+//! Golden tests of the agent's wire format: the lines on its socket and on the nodes' sockets, and the files in its state folder.
+//! The agent runs in the test process, with a shell script as its program and fake servers on the nodes' sockets.
 
 #[path = "../../cli/tests/golden/mod.rs"]
 mod golden;
@@ -19,14 +19,14 @@
 use tempfile::TempDir;
 use tokio::sync::oneshot;
 
-/// Nothing that is awaited takes so long.
+/// Timeout of each wait; only reached by a failing test.
 const TIMEOUT: Duration = Duration::from_secs(20);
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Fields whose values differ from run to run.
+/// Fields whose values differ from run to run; they are masked in the golden files.
 const VARIABLE_FIELDS: [&str; 4] = ["pid", "since_ms", "at_unix_ms", "began"];
 
-/// A program that says a word and stays.
+/// The agent's program: prints its arguments and keeps running.
 const PROGRAM: &str = "#!/bin/sh\necho \"$1 $2 $3 $4 $6\"\nexec sleep 600\n";
 
 const FILE: &str = r#"
@@ -54,7 +54,7 @@
 enabled = false
 "#;
 
-/// Waits for a condition.
+/// Polls until a condition holds; panics with `what` after [`TIMEOUT`].
 fn until(what: &str, mut is_done: impl FnMut() -> bool) {
     let end = Instant::now() + TIMEOUT;
     while !is_done() {
@@ -63,17 +63,17 @@
     }
 }
 
-/// An agent in this process.
+/// An agent that runs on a thread of the test process.
 struct RunningAgent {
     folder: TempDir,
-    /// Lines that the agent has sent to the node of `a-1`.
+    /// Request lines that the agent has sent to the fake node of `a-1`.
     node_lines: Arc<Mutex<BTreeSet<String>>>,
-    /// Ends the agent, and its thread.
+    /// Stops the agent, and joins its thread.
     running: Option<(oneshot::Sender<()>, JoinHandle<()>)>,
 }
 
 impl RunningAgent {
-    /// Starts an agent of two instances: `a-1` has a node that answers, `b-1` is not enabled.
+    /// Starts an agent with two instances: `a-1` has a fake node that answers, `b-1` is not enabled.
     fn start() -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         let program = folder.path().join("program");
@@ -84,7 +84,7 @@
         let state = agent.state();
         std::fs::write(&file, FILE.replace("STATE", state.to_str().expect("text"))).expect("written");
         std::fs::create_dir_all(state.join("run")).expect("a folder");
-        let read = ivyhatch_config::load(&file, std::iter::empty()).expect("a sound file");
+        let read = ivyhatch_config::load(&file, std::iter::empty()).expect("a valid file");
         let options = AgentOptions { config: read.config, file, program, socket: agent.socket() };
         agent.answer_as_node("a-1");
         let (stop, stopped) = oneshot::channel();
@@ -110,13 +110,13 @@
         self.state().join("agent.sock")
     }
 
-    /// The process that the agent has written down for an instance.
+    /// The process record that the agent has written for an instance; `None` if there is none.
     fn known_process(&self, instance: &str) -> Option<Value> {
         let text = std::fs::read_to_string(self.state().join("run").join(format!("{instance}.json"))).ok()?;
         serde_json::from_str(&text).ok()
     }
 
-    /// Answers on a node's socket as a node would that has this instance's process.
+    /// Starts a fake node on an instance's socket, which answers as the instance's process would.
     fn answer_as_node(&self, instance: &'static str) {
         let socket = self.state().join("run").join(format!("{instance}.sock"));
         let listener = UnixListener::bind(socket).expect("a socket");
@@ -131,7 +131,7 @@
         });
     }
 
-    /// Sends a line to the agent; returns the line that it answers.
+    /// Sends a request line to the agent, and returns the response line.
     fn ask(&self, line: &str) -> String {
         let mut stream = UnixStream::connect(self.socket()).expect("the agent listens");
         stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
@@ -141,7 +141,7 @@
         answer.trim_end_matches('\n').to_owned()
     }
 
-    /// Waits until the node of an instance says that it is in a phase, and the agent shows it.
+    /// Waits until the agent's status shows an instance in `phase`, with `phase_of_node` as the phase that the node has reported.
     fn until_said(&self, instance: &str, phase_of_node: &str, phase: &str) {
         until(&format!("{instance} is {phase}"), || {
             let line = self.ask(&json!({"op": "status", "instance": instance}).to_string());
@@ -186,7 +186,7 @@
             let _ = stop.send(());
             let _ = thread.join();
         }
-        // Its process outlives the agent.
+        // The process of `a-1` outlives the agent.
         let pid = self.known_process("a-1").and_then(|known| known["pid"].as_i64());
         if let Some(pid) = pid {
             let _ = std::process::Command::new("kill").args(["-KILL", &pid.to_string()]).status();
@@ -222,7 +222,7 @@
     }
 }
 
-/// Writes 0 for each value that differs from run to run, and for the age of what a node said.
+/// Replaces by 0 each value that differs from run to run, and the age of the state that a node has reported.
 fn mask(value: &mut Value) {
     match value {
         Value::Object(fields) => {
@@ -240,15 +240,15 @@
     }
 }
 
-/// A line in which nothing differs from run to run. The order of its fields stays.
+/// A line with its variable values masked. The order of its fields is kept.
 fn masked(line: &str) -> String {
     let mut value: Value = serde_json::from_str(line).expect("JSON");
-    assert_eq!(value.to_string(), line, "it is written as this program writes JSON");
+    assert_eq!(value.to_string(), line, "the line is formatted as serde_json formats it");
     mask(&mut value);
     value.to_string()
 }
 
-/// Requests and responses, one line each.
+/// A transcript of requests and responses, one line each.
 struct Transcript<'a> {
     agent: &'a RunningAgent,
     text: String,
@@ -327,7 +327,7 @@
     assert_golden("agent_state.txt", &text);
 }
 
-/// Asserts that the types that clients use decode each response, and encode it as it was.
+/// Asserts that the response types of clients decode each response, and encode it to the same JSON.
 fn assert_responses_are_decoded(transcript: &str) {
     let mut lines = transcript.lines();
     let mut decoded = BTreeSet::new();
@@ -355,7 +355,7 @@
     assert_eq!(decoded.into_iter().collect::<Vec<_>>(), ["apply", "audit", "status"]);
 }
 
-/// The words for what is wanted of an instance and for where it stands.
+/// Guards the JSON words of desired states and phases, which are in stored data and on the agent's socket.
 #[test]
 fn words_for_states_stay() {
     let wanted = [DesiredState::Running, DesiredState::Drained, DesiredState::Stopped];
--- a/agent/tests/golden_store.rs
+++ b/agent/tests/golden_store.rs
@@ -1,5 +1,5 @@
-//! The agent's durable store, held fixed by golden files: its tables as text, what is read from them, and a file that an earlier
-//! build wrote.
+//! Golden tests of the agent's durable store: its tables as text, the content read from them, and a store file that an earlier build
+//! has written.
 
 #[path = "../../cli/tests/golden/mod.rs"]
 mod golden;
@@ -17,11 +17,11 @@
 const AUDIT_TABLE: &str = "audit";
 const META_TABLE: &str = "meta";
 
-/// The tables as text.
+/// Golden file with the tables as text.
 const TABLES_FILE: &str = "store_tables.txt";
-/// What is read from the tables.
+/// Golden file with the content that is read from the tables.
 const CONTENT_FILE: &str = "store_content.txt";
-/// A store that the build wrote which wrote the golden files.
+/// Golden store file, written by the same build as the golden texts.
 const STORE_FILE: &str = "store.redb";
 
 fn command(id: &str, by: &str, against: u64, changes: &[(&str, DesiredState)]) -> Command {
@@ -51,7 +51,7 @@
     ]
 }
 
-/// Writes a store by the product's code.
+/// Writes a store with the product's code.
 fn write_store(path: &Path) {
     let store = Store::open(path).expect("it opens");
     for command in commands() {
@@ -119,7 +119,7 @@
     transaction.commit().expect("committed");
 }
 
-/// What the product's code reads from a store.
+/// The content of a store as the product's code reads it, and the outcomes of repeated commands.
 fn content(path: &Path) -> String {
     let store = Store::open(path).expect("it opens");
     let mut text = format!("revision {}\n", store.revision().expect("it is read"));
@@ -132,7 +132,7 @@
             text += &format!("audit from {from} {}\n", json!(line));
         }
     }
-    // A command that comes again has its outcome; under the id of another one it has not.
+    // A repeated command gets its first outcome; another command with a used id is rejected.
     for command in commands() {
         let outcome = store.apply(&command).expect("it is read");
         text += &format!("again {} {}\n", command.id, json!(outcome));
@@ -142,7 +142,7 @@
     text
 }
 
-/// The golden texts of the tables and of their content; rewritten first where that is asked for.
+/// The golden texts of the tables and of their content; an update run rewrites the golden files first.
 fn golden_texts() -> &'static (String, String) {
     static TEXTS: OnceLock<(String, String)> = OnceLock::new();
     TEXTS.get_or_init(|| {
@@ -188,12 +188,12 @@
     golden_texts();
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("store.redb");
-    // A copy: opening a store may write to it.
+    // The test opens a copy, as opening a store may write to its file.
     std::fs::copy(golden_path(STORE_FILE), &path).expect("a golden file: write it with UPDATE_GOLDEN=1");
     assert_golden_store(&path);
 }
 
-/// Each kind of entry, as JSON, decoded and encoded.
+/// Encodes and decodes each kind of entry as JSON.
 #[test]
 fn entries_are_encoded_as_before() {
     let entry = DesiredEntry {
--- a/agent/tests/lifecycle.rs
+++ b/agent/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! An instance's lifecycle with a simulated process: one that hangs, crashes, never becomes ready or ignores signals.
+//! The lifecycle of an instance with a simulated process that hangs, crashes, never becomes ready or ignores signals.
 
 use ivyhatch_agent::{DesiredState, Input, InstanceLifecycle, LifecycleSettings, Nanos, Output, Phase};
 use proptest::prelude::*;
@@ -20,7 +20,7 @@
     ready: bool,
     draining: bool,
     hung: bool,
-    /// Exits with the next step.
+    /// Whether the process exits at the next step.
     exits: bool,
 }
 
@@ -60,13 +60,13 @@
         let has_timeout = !matches!(self.instance.phase(), Phase::Stopped | Phase::Crashed);
         assert!(
             !has_timeout || self.instance.next_deadline().is_some(),
-            "nothing would ever be due: {:#?}",
+            "no timeout is running: {:#?}",
             self.log
         );
         assert_eq!(self.instance.has_process(), self.process.is_some(), "{:#?}", self.log);
     }
 
-    /// The process exits, or reports its state.
+    /// Lets the process exit if it is to exit, or report its state if it does not hang.
     fn step(&mut self) {
         match &mut self.process {
             Some(process) if process.exits => {
@@ -90,7 +90,7 @@
         self.feed(Input::Tick);
     }
 
-    /// No faults for a minute.
+    /// Runs for a minute without faults.
     fn settle(&mut self) {
         for _ in 0..600 {
             if let Some(process) = &mut self.process {
@@ -144,7 +144,7 @@
     harness.process.as_mut().unwrap().hung = true;
     harness.feed(Input::DesiredStateSet(DesiredState::Stopped));
     assert_eq!(harness.phase(), Phase::Draining);
-    // It reports, and a request stays open on it.
+    // The process reports that it drains, with a request still in flight.
     for _ in 0..49 {
         harness.advance(100);
         harness.feed(Input::Reported { is_draining: true });
@@ -152,7 +152,7 @@
     harness.advance(99);
     assert_eq!(harness.phase(), Phase::Draining);
     harness.advance(1);
-    assert_eq!(harness.phase(), Phase::Stopping, "the time to drain is up");
+    assert_eq!(harness.phase(), Phase::Stopping, "the drain deadline has passed");
     harness.advance(799);
     assert!(!harness.process.as_ref().unwrap().exits);
     harness.advance(1);
@@ -161,7 +161,7 @@
     assert_eq!((harness.phase(), harness.instance.reason()), (Phase::Stopped, "did not end within 800 ms"));
 }
 
-/// A hung process can complete no request: its restart does not wait for the drain timeout.
+/// A hung process can't complete its requests: its restart must not wait for the drain timeout.
 #[test]
 fn process_that_hangs_while_draining_is_terminated_early() {
     let mut harness = Harness::new(DesiredState::Running);
@@ -216,7 +216,7 @@
     assert!(!harness.process.as_ref().unwrap().draining);
 }
 
-/// A clock that steps back must neither end anything early nor hang it up.
+/// A clock that steps back must neither end a timeout early nor keep it from expiring.
 #[test]
 fn clock_that_steps_back_counts_as_unchanged() {
     let mut harness = Harness::new(DesiredState::Running);
@@ -227,7 +227,7 @@
     assert_eq!(harness.phase(), Phase::Starting);
     harness.now = 51_000 * MS;
     harness.advance(0);
-    assert!(harness.process.as_ref().unwrap().exits, "its time to get ready is up");
+    assert!(harness.process.as_ref().unwrap().exits, "the ready timeout has expired");
 }
 
 #[derive(Clone, Debug)]
@@ -257,8 +257,8 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(600))]
-    /// Under any faults there is never a second process, and a timeout is always running. Without faults the instance converges
-    /// to the desired state, or stays in a crash loop until it is asked for again.
+    /// Under any faults there is never a second process, and an instance that is neither stopped nor in a crash loop always has a
+    /// timeout running. Once the faults end, the instance converges to the desired state, or stays in a crash loop until a new command.
     #[test]
     fn instance_converges_to_the_desired_state(steps in proptest::collection::vec(any_step(), 0..60)) {
         let mut harness = Harness::new(DesiredState::Running);
--- a/agent/tests/store.rs
+++ b/agent/tests/store.rs
@@ -1,4 +1,4 @@
-//! The durable store: crashes between any two writes, and operators with conflicting commands.
+//! The durable store: crashes between any two writes, a full disk, and operators with conflicting commands.
 
 use std::sync::{Arc, Mutex};
 
@@ -32,7 +32,7 @@
         command("c-2", "ops-2", 0, &[("b-1", DesiredState::Stopped), ("a-2", DesiredState::Stopped)]);
     assert_eq!(store.apply(&first).unwrap(), Outcome::Applied { revision: 1 });
     let Outcome::Rejected(Rejection::Conflict { instance, other }) = store.apply(&second).unwrap() else {
-        panic!("it conflicts");
+        panic!("the second command has to be rejected as a conflict");
     };
     assert_eq!(
         (instance.as_str(), other.requested_by.as_str(), other.command.as_str(), other.revision),
@@ -40,7 +40,7 @@
     );
     let desired = store.desired().unwrap();
     assert_eq!((desired.revision, desired.instances.len()), (1, 2), "nothing of the second was applied");
-    // A command based on the first is applied, and so is one for other instances or with the same state.
+    // A command based on the revision of the first is applied, and so is one that sets the same state or other instances.
     assert_eq!(
         store.apply(&Command { id: "c-3".into(), base_revision: 1, ..second.clone() }).unwrap(),
         Outcome::Applied { revision: 2 }
@@ -81,7 +81,7 @@
     );
 }
 
-/// A disk with a write cache that is lost in a crash.
+/// A simulated disk whose write cache is lost in a crash.
 #[derive(Debug, Default)]
 struct Disk {
     synced: Vec<u8>,
@@ -142,7 +142,7 @@
     }
 
     fn set_len(&self, len: u64) -> std::io::Result<()> {
-        // The length is part of the file system, and synced at once.
+        // The file's length is metadata of the file system, here synced at once.
         self.write_operation(|disk| {
             disk.current.resize(len as usize, 0);
             disk.synced.resize(len as usize, 0);
@@ -172,8 +172,8 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(150))]
-    /// The machine crashes after any number of writes, and any of the unsynced ones are lost. What was acknowledged is there, and
-    /// possibly the one command that was being written.
+    /// Guards against losing acknowledged commands: the machine crashes after any number of writes, and any subset of the unsynced
+    /// writes is lost. The store then has all acknowledged commands, and possibly the one that was being written.
     #[test]
     fn acknowledged_commands_survive_a_crash_after_any_write(crash_after in 0usize..260, lost in proptest::collection::vec(any::<bool>(), 1..9)) {
         let machine = disk(usize::MAX);
@@ -200,7 +200,7 @@
         prop_assert_eq!(desired.revision, audit.len() as u64);
         let newest = desired.instances.values().map(|entry| entry.revision).max().unwrap_or(0);
         prop_assert_eq!(newest, desired.revision, "a command is applied completely");
-        // Repeated with their ids, all have the outcome that they had or would have had.
+        // Retried with their ids, all commands get the outcome that they had or would have had.
         for (number, command) in commands.iter().enumerate() {
             prop_assert_eq!(store.apply(command).unwrap(), Outcome::Applied { revision: number as u64 + 1 });
         }
--- a/config/src/config.rs
+++ b/config/src/config.rs
@@ -1,4 +1,4 @@
-//! The types of the configuration. Fields are named as in the file; their ranges and defaults are in the schema. Times are in
+//! The types of the configuration. Fields have the names of the file; ranges and defaults are in the schema. Times are in
 //! milliseconds.
 
 use std::collections::BTreeMap;
@@ -13,47 +13,47 @@
 pub struct Config {
     /// The version of the schema.
     pub version: u64,
-    /// What all nodes share.
+    /// Settings common to all nodes.
     pub fleet: FleetSettings,
-    /// The resources of a node, and what it may do.
+    /// Resource limits of a node, and limits on its attempts and probes.
     pub limits: LimitSettings,
-    /// The rules that a node keeps.
+    /// Rules that a node must observe, and the behaviour of servers that it may assume.
     pub rules: RuleSettings,
-    /// What nodes and the agent log.
+    /// Log settings of the nodes and the agent.
     pub log: LogSettings,
     /// How the agent supervises its instances.
     pub agent: AgentSettings,
     /// The classes of requests.
     #[serde(rename = "class")]
     pub classes: Vec<RequestClass>,
-    /// The tenants whose requests come.
+    /// The tenants that send requests.
     #[serde(rename = "tenant")]
     pub tenants: Vec<Tenant>,
-    /// The nodes.
+    /// The instances, one node each.
     #[serde(rename = "instance")]
     pub instances: Vec<InstanceSettings>,
 }
 
 impl Config {
-    /// The instance with this name.
+    /// The instance with this name; `None` if there is none.
     pub fn instance(&self, name: &str) -> Option<&InstanceSettings> {
         self.instances.iter().find(|instance| instance.name == name)
     }
 }
 
-/// What all nodes share.
+/// Settings common to all nodes.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSettings {
-    /// The fleet's name.
+    /// Name of the fleet, in logs and reports.
     pub name: String,
     /// All zones of servers and nodes.
     pub zones: Vec<String>,
     /// The kinds of machines, as the server list names them.
     pub kinds: Vec<String>,
-    /// The address of the server discovery.
+    /// Address of the discovery service, which has the server list.
     pub discovery: SocketAddr,
-    /// How the server list comes: `on_request` or `pushed`.
+    /// How nodes get the server list: `on_request` or `pushed`.
     pub list: String,
     /// How servers report their load: `pull`, `piggyback` or `silent`.
     pub reports: String,
@@ -61,13 +61,13 @@
     pub probe_price: f64,
     /// Whether clients mark their retries.
     pub marks_repeats: bool,
-    /// Weight of the worst-served class in the goal, from 0 to 1.
+    /// Weight of the worst-served class in the objective, from 0 to 1.
     pub worst_class: f64,
-    /// What a class's value counts for: each `request`, or its `work`.
+    /// Unit to which the `worth` of a class applies: each `request`, or its `work`.
     pub worth_by: String,
 }
 
-/// The resources of a node, and what it may do.
+/// Resource limits of a node, and limits on its attempts and probes.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct LimitSettings {
@@ -77,41 +77,41 @@
     pub memory_mb: u64,
     /// File descriptors of one node.
     pub sockets: u64,
-    /// The most attempts for one request.
+    /// Maximum number of attempts of one request.
     pub attempts: u64,
-    /// Whether attempts without a waiting client are cancelled.
+    /// Whether attempts are cancelled once no client waits for their response.
     pub may_cancel: bool,
-    /// Whether requests are hedged: a request may have two attempts in flight.
+    /// Whether requests may be hedged: a request may have two attempts in flight.
     pub second_copies: bool,
-    /// Whether servers are probed for their load.
+    /// Whether servers may be probed for their load.
     pub probes: bool,
     /// The longest `Retry-After` (RFC 9110, section 10.2.3); 0 for none.
     pub longest_pause_ms: u64,
     /// Idle time after which servers close a connection.
     pub idle_ms: u64,
-    /// Connect timeout.
+    /// Timeout for establishing a connection.
     pub connect_ms: u64,
 }
 
-/// The rules that a node keeps.
+/// Rules that a node must observe, and the behaviour of servers that it may assume.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RuleSettings {
-    /// How late a final response may be.
+    /// How long after the deadline a final response may still arrive.
     pub answer_slack_ms: u64,
-    /// A draining server gets no new request so long after its notice.
+    /// Time after a server's drain notice from which it must not get new requests.
     pub drain_grace_ms: u64,
-    /// Capacity of a server at the beginning of its slow start, as a part of its full capacity.
+    /// Capacity of a server at the beginning of its slow start, as a fraction of its full capacity.
     pub start_capacity: f64,
-    /// The end of a server's slow start.
+    /// Duration of a server's slow start.
     pub warm_after_ms: u64,
-    /// A server in slow start collapses at so many times its present capacity.
+    /// Load at which a server in slow start collapses, as a multiple of its current capacity.
     pub tip_multiple: f64,
     /// How long a server stays collapsed.
     pub fall_ms: u64,
 }
 
-/// What nodes and the agent log.
+/// Log settings of the nodes and the agent.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct LogSettings {
@@ -125,21 +125,21 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct AgentSettings {
-    /// The folder of what outlives the agent.
+    /// Folder of the agent's durable state: the command store, process records, sockets and logs.
     pub state: PathBuf,
-    /// A node that is not ready so long after its start is killed.
+    /// Time from a node's start until it must be ready; it is killed otherwise.
     pub ready_ms: u64,
-    /// Drain timeout.
+    /// Time for a node to drain before its exit; it is terminated after that.
     pub drain_ms: u64,
-    /// A node that does not exit so long after it was asked to is killed.
+    /// Time for a node to exit after its termination; it is killed after that.
     pub stop_ms: u64,
-    /// A node that does not report for so long is unresponsive.
+    /// Time without a report after which a node is unresponsive.
     pub silent_ms: u64,
-    /// The back-off after a first crash.
+    /// Back-off after the first crash; it doubles with each further crash.
     pub first_wait_ms: u64,
-    /// The longest back-off; it doubles with each crash.
+    /// Upper limit of the back-off.
     pub longest_wait_ms: u64,
-    /// So many crashes within `crashes_ms` are a crash loop.
+    /// Number of crashes within `crashes_ms` that make a crash loop.
     pub crashes: u64,
     /// The window in which crashes are counted.
     pub crashes_ms: u64,
@@ -149,52 +149,52 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestClass {
-    /// Its name, as in the `X-Call-Class` header.
+    /// Name of the class, as in the `X-Call-Class` header.
     pub name: String,
-    /// Its idempotency: `repeatable`, `by_key` or `once`.
+    /// Idempotency: `repeatable`, `by_key` or `once`.
     pub effect: String,
-    /// For `by_key`, which servers discard a repeated key: `all`, those of a `zone`, or those of a `cell`.
+    /// Servers that deduplicate requests by their key: `all`, those of a `zone`, or those of a `cell`. Set for `by_key` only.
     pub key_scope: Option<String>,
-    /// For `by_key`, how long they remember a key.
+    /// How long these servers remember a key. Set for `by_key` only.
     pub window_ms: Option<u64>,
     /// Latency target: a response within this time counts in full.
     pub aim_ms: u64,
-    /// Deadline: a client waits no longer.
+    /// Deadline: the time after which a client stops waiting.
     pub deadline_ms: u64,
-    /// Value of a response in time.
+    /// Value of a response within the latency target.
     pub worth: f64,
-    /// Value of a late response, as a part of that, from 0 to 1.
+    /// Value of a late response as a fraction of `worth`, from 0 to 1.
     pub late_worth: f64,
 }
 
-/// A tenant.
+/// A tenant: a client with a quota.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name, as in the `X-Caller` header.
+    /// Name of the tenant, as in the `X-Caller` header.
     pub name: String,
-    /// Its quota in requests a second, over all nodes.
+    /// Quota in requests per second, over all nodes.
     pub quota: f64,
 }
 
-/// A node.
+/// An instance: the settings of one node.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceSettings {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: String,
-    /// The address on which it listens for clients; port 0 for any free one.
+    /// Address on which the node listens for clients; port 0 for any free port.
     pub listen: SocketAddr,
-    /// Overrides `fleet.discovery`.
+    /// Overrides `fleet.discovery` if set.
     pub discovery: Option<SocketAddr>,
-    /// Overrides `limits.sockets`.
+    /// Overrides `limits.sockets` if set.
     pub sockets: Option<u64>,
-    /// Overrides `limits.memory_mb`.
+    /// Overrides `limits.memory_mb` if set.
     pub memory_mb: Option<u64>,
-    /// The labels by which commands select it.
+    /// Labels by which commands select the instance.
     pub labels: BTreeMap<String, String>,
-    /// Whether the agent runs it as long as no command says otherwise.
+    /// Whether the agent runs the instance if no command has set its desired state.
     pub enabled: bool,
 }
--- a/config/src/diagnostic.rs
+++ b/config/src/diagnostic.rs
@@ -1,4 +1,4 @@
-//! Diagnostics: each with its place, and with what would be right.
+//! Diagnostics: errors of a configuration, each with its origin and the expected value.
 
 use std::fmt;
 
@@ -6,18 +6,18 @@
 
 use crate::origin::Origin;
 
-/// An error in the configuration. The names in its JSON are those of the first release.
+/// An error in the configuration. The names in the JSON are those of the first release.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Diagnostic {
-    /// Where the value was given, or the table in which it is missing.
+    /// Where the invalid value was given, or the table in which a value is missing.
     #[serde(rename = "at")]
     pub origin: Origin,
-    /// The field; empty where a file as a whole can't be read.
+    /// Path of the field; empty if a file as a whole can't be read.
     pub field: String,
-    /// What is wrong, or the value that was given.
+    /// The problem, or the invalid value itself.
     #[serde(rename = "what")]
     pub problem: String,
-    /// What would be right.
+    /// What was expected, or how to correct the error.
     #[serde(rename = "mend")] // wire name
     pub expected: String,
 }
@@ -32,7 +32,7 @@
     }
 }
 
-/// Collects diagnostics: the operator gets all of them at once.
+/// Collects diagnostics, so that all errors can be reported at once.
 #[derive(Debug, Default)]
 pub(crate) struct Diagnostics(Vec<Diagnostic>);
 
--- a/config/src/effective_settings.rs
+++ b/config/src/effective_settings.rs
@@ -1,4 +1,4 @@
-//! The values in force, with their origins.
+//! The effective settings: the value of each field with its origin.
 
 use serde::Serialize;
 
@@ -7,18 +7,18 @@
 use crate::origin::Origin;
 use crate::schema::{FILE, Field, Kind};
 
-/// A value in force.
+/// The effective value of a field.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Setting {
-    /// The path of its field, as in `limits.sockets` or `instance[n0].zone`.
+    /// Path of the field, as in `limits.sockets` or `instance[n0].zone`.
     pub field: String,
-    /// The value.
+    /// The effective value.
     pub value: serde_json::Value,
-    /// Where it was given.
+    /// Where the value was given.
     pub origin: Origin,
 }
 
-/// All values in force, in the order of the schema.
+/// The effective values of all fields that have one, in the order of the schema.
 pub(crate) fn effective_settings(root: &Node) -> Vec<Setting> {
     let mut settings = Vec::new();
     collect(root, FILE, "", &mut settings);
--- a/config/src/environment.rs
+++ b/config/src/environment.rs
@@ -1,4 +1,4 @@
-//! Overrides by environment variables: `IVYHATCH_LIMITS__SOCKETS` is `limits.sockets`, and `IVYHATCH_INSTANCE__n0__LISTEN` is
+//! Overrides by environment variables: `IVYHATCH_LIMITS__SOCKETS` sets `limits.sockets`, and `IVYHATCH_INSTANCE__n0__LISTEN` sets
 //! `listen` of the instance `n0`.
 
 use crate::diagnostic::Diagnostics;
@@ -8,19 +8,19 @@
 use crate::schema::{FILE, Field, Kind};
 use crate::suggestion::closest;
 
-/// Variables with this prefix override fields.
+/// Environment variables with this prefix override fields.
 pub const ENVIRONMENT_PREFIX: &str = "IVYHATCH_";
 /// Separates the names of nested fields in a variable's name.
 const SEPARATOR: &str = "__";
 
-/// Why a variable does not override a field.
+/// Why a variable can't override a field.
 struct OverrideError {
     field: String,
     problem: &'static str,
     expected: String,
 }
 
-/// Sets the field that a variable names.
+/// Sets the field that a variable names, or reports a diagnostic.
 pub(crate) fn apply_override(root: &mut Node, variable: &str, value: &str, diagnostics: &mut Diagnostics) {
     let origin = Origin::Environment(variable.to_owned());
     if let Err(error) = set_field(root, variable, value, &origin) {
@@ -36,7 +36,7 @@
         let segment = segment.to_ascii_lowercase();
         let field = find_field(fields, &segment, &path)?;
         path = join(&path, &segment);
-        // A value in the place of a table is reported by the validation.
+        // Validation reports the value that was given in place of a table.
         let NodeValue::Table(table) = &mut node.value else { return Ok(()) };
         match &field.kind {
             Kind::Table(inner) => {
@@ -80,7 +80,7 @@
     Err(OverrideError { field: join(path, name), problem: "unknown field", expected })
 }
 
-/// The table of a list with this name.
+/// The table in a list of tables whose `name` field has this value.
 fn find_entry<'a>(list: Option<&'a mut Node>, name: &str, path: &str) -> Result<&'a mut Node, OverrideError> {
     let entries = match list.map(|node| &mut node.value) {
         Some(NodeValue::List(list)) => list.as_mut_slice(),
@@ -97,7 +97,8 @@
     })
 }
 
-/// A value as in TOML. A word without quotation marks is text where text is expected, whatever it looks like.
+/// Parses a value in TOML notation. If the field's kind is text, a value without quotation marks is taken literally, even if it looks
+/// like a number.
 fn parse_value(value: &str, kind: &Kind, origin: &Origin) -> Node {
     let is_quoted = value.starts_with(['"', '\'']);
     if kind.is_text() && !is_quoted {
--- a/config/src/files.rs
+++ b/config/src/files.rs
@@ -1,4 +1,4 @@
-//! Configuration files, and those that they include.
+//! Reading of configuration files and the files that they include.
 
 use std::io;
 use std::path::{Component, Path, PathBuf};
@@ -10,22 +10,22 @@
 use crate::node::{Node, NodeValue};
 use crate::origin::{Origin, Source};
 
-/// The largest file, in bytes.
+/// Maximum size of a file, in bytes.
 const MAX_FILE_BYTES: u64 = 16 << 20;
 
-/// Reads files.
+/// Reads a configuration file and the files that it includes, and collects their diagnostics.
 #[derive(Debug, Default)]
 pub(crate) struct FileReader {
     pub(crate) diagnostics: Diagnostics,
-    /// All files that were read, in their order.
+    /// All files that were read, in the order of reading.
     pub(crate) files: Vec<PathBuf>,
-    /// The files that include the current one, by their canonical paths: a cycle has no end.
+    /// Canonical paths of the files that directly or indirectly include the current one, to detect cycles.
     including: Vec<PathBuf>,
 }
 
 impl FileReader {
-    /// Reads a file and what it includes; `included_at` is where another file includes it. None where it can't be read, which is
-    /// reported.
+    /// Reads a file and the files that it includes. `included_at` is the place of the inclusion, `None` for the main file. Returns `None`
+    /// if the file can't be read or parsed; a diagnostic is reported then.
     pub(crate) fn read(&mut self, file: &Path, included_at: Option<&Origin>) -> Option<Node> {
         let start = Origin::File { file: file.to_owned(), line: 1, column: 1 };
         let text = self.read_text(file, included_at.unwrap_or(&start), included_at.is_some())?;
@@ -50,7 +50,7 @@
         Some(root)
     }
 
-    /// The text of a file that is there and does not include itself.
+    /// Reads the text of a file. Returns `None` and reports a diagnostic if the file can't be read or includes itself.
     fn read_text(&mut self, file: &Path, origin: &Origin, is_included: bool) -> Option<String> {
         let field = if is_included { "include" } else { "" };
         let text = match read_limited(file) {
@@ -100,7 +100,7 @@
     std::fs::canonicalize(file).unwrap_or_else(|_| file.to_owned())
 }
 
-/// The path without `.` components, as it is shown.
+/// The path without `.` components, as messages display it.
 fn without_dots(path: &Path) -> PathBuf {
     path.components().filter(|component| !matches!(component, Component::CurDir)).collect()
 }
--- a/config/src/lib.rs
+++ b/config/src/lib.rs
@@ -1,14 +1,14 @@
-//! The operators' configuration. Files include files, the environment overrides both, all errors are reported at once, each with its
-//! place and what would be right, and every value knows its origin.
+//! The operators' configuration. Files can include files, and environment variables override both. All errors are reported at once, each
+//! with its place and the expected value. The origin of every value is recorded.
 //!
 //! | module | concern |
 //! | --- | --- |
 //! | `schema` | the fields: kind, range, default and purpose |
-//! | `origin`, `node` | values with their origins |
-//! | `files`, `environment` | where values come from: files with their inclusions, and variables |
-//! | `validate` | every error, and defaults |
-//! | `loader` | all of these in their order |
-//! | `config`, `node_configuration` | the configuration's types, and the configuration of a node from them |
+//! | `origin`, `node` | the tree of values with their origins |
+//! | `files`, `environment` | sources of values: files with their inclusions, and environment variables |
+//! | `validate` | validation against the schema, and defaults |
+//! | `loader` | the steps of loading: read, override, validate, convert |
+//! | `config`, `node_configuration` | the types of the configuration, and their conversion into the configuration of a node |
 
 mod config;
 mod diagnostic;
--- a/config/src/loader.rs
+++ b/config/src/loader.rs
@@ -1,4 +1,5 @@
-//! Loads a configuration: files, overrides by the environment, validation, and conversion to its types.
+//! Loading of a configuration: reads the files, applies overrides from the environment, validates, and converts to the types of the
+//! configuration.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -17,17 +18,18 @@
 pub struct LoadedConfig {
     /// The configuration.
     pub config: Config,
-    /// Each value in force and its origin, in the order of the schema.
+    /// The effective settings with their origins, in the order of the schema.
     pub settings: Vec<Setting>,
-    /// The files that it was read from, the named one first.
+    /// The files that were read, in order; the first is the one passed to [`load`].
     pub files: Vec<PathBuf>,
 }
 
-/// Loads a file, those that it includes, and the overrides among these variables. The environment takes precedence over files, a
-/// file over what it includes, and an earlier inclusion over a later one. Lists of tables (`[[instance]]`) are concatenated.
+/// Loads a file, the files that it includes, and the overrides among the variables of `environment` (see [`ENVIRONMENT_PREFIX`]). The
+/// environment takes precedence over files, a file over the files that it includes, and an earlier inclusion over a later one. Lists of
+/// tables (`[[instance]]`) are concatenated.
 ///
 /// # Errors
-/// All errors of the configuration, in the order of their places.
+/// All errors of the configuration, sorted by file, line and column.
 pub fn load(
     file: &Path,
     environment: impl Iterator<Item = (String, String)>,
@@ -49,7 +51,7 @@
     Ok(LoadedConfig { config, settings: effective_settings(&root), files })
 }
 
-/// By file and place; what is not from a file comes last.
+/// Sorts diagnostics by file, line and column. Those without a place in a file come last.
 fn in_order_of_place(diagnostics: Diagnostics, files: &[PathBuf]) -> Vec<Diagnostic> {
     let mut diagnostics = diagnostics.into_vec();
     diagnostics.sort_by_key(|diagnostic| match &diagnostic.origin {
@@ -62,7 +64,8 @@
     diagnostics
 }
 
-/// The configuration's types from a valid tree. An error is one of this crate: the schema has let through what the types have not.
+/// Converts a valid tree to the types of the configuration. An error here is a bug in this crate: the schema accepts a value that the
+/// types do not.
 fn convert(root: &Node) -> Result<Config, Vec<Diagnostic>> {
     serde_json::from_value(root.to_json()).map_err(|error| {
         let mut diagnostics = Diagnostics::default();
--- a/config/src/node.rs
+++ b/config/src/node.rs
@@ -1,4 +1,4 @@
-//! The tree of values that files and the environment give, each value with its origin.
+//! The tree of values from files and the environment, each value with its origin.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -8,17 +8,17 @@
 use crate::name::is_name;
 use crate::origin::{Origin, Source};
 
-/// The longest text in a message, in characters.
+/// Maximum number of characters of a text value in a message; the rest is cut off.
 const MAX_DISPLAYED_CHARS: usize = 80;
 
-/// A value, and where it was given.
+/// A value with its origin.
 #[derive(Clone, Debug)]
 pub(crate) struct Node {
     pub(crate) origin: Origin,
     pub(crate) value: NodeValue,
 }
 
-/// A value of any kind.
+/// A value of any TOML type.
 #[derive(Clone, Debug)]
 pub(crate) enum NodeValue {
     Boolean(bool),
@@ -27,7 +27,7 @@
     Text(String),
     List(Vec<Node>),
     Table(BTreeMap<String, Node>),
-    /// A kind that the schema does not have, as it was written.
+    /// A value of a type that the schema does not use, such as a date, as text.
     Other(String),
 }
 
@@ -41,7 +41,7 @@
         Self { origin, value: NodeValue::Text(text.to_owned()) }
     }
 
-    /// A value that is written as in TOML; what is not is taken as text.
+    /// Parses a value in TOML notation; a value that is not valid TOML is taken as text.
     pub(crate) fn from_literal(text: &str, origin: Origin) -> Self {
         match text.parse::<toml_edit::Value>() {
             Ok(value) => {
@@ -52,10 +52,10 @@
         }
     }
 
-    /// A table of a TOML document.
+    /// Converts a table of a TOML document.
     pub(crate) fn from_toml_table(table: &dyn TableLike, origin: Origin, source: &Rc<Source>) -> Self {
         let entry = |(key, item): (&str, &Item)| {
-            // An error in a field is shown at its key, as a value may span many lines.
+            // The origin of a field is its key, as a value may span many lines.
             let span = table.key(key).and_then(toml_edit::Key::span).or_else(|| item.span());
             (key.to_owned(), Self::from_toml_item(item, source.origin(span), source))
         };
@@ -98,7 +98,7 @@
         Self { origin, value }
     }
 
-    /// Takes what another node has and this one has not. Lists of tables are concatenated.
+    /// Adds the values of another node that this one does not have; existing values take precedence. Lists of tables are concatenated.
     pub(crate) fn merge(&mut self, other: Node) {
         match (&mut self.value, other.value) {
             (NodeValue::Table(own), NodeValue::Table(others)) => {
@@ -134,7 +134,7 @@
         }
     }
 
-    /// A field of a table.
+    /// A field of this table; `None` if the field is missing or this node is not a table.
     pub(crate) fn field(&self, name: &str) -> Option<&Node> {
         match &self.value {
             NodeValue::Table(table) => table.get(name),
@@ -142,7 +142,7 @@
         }
     }
 
-    /// The entries of a list that is a field of a table; none where there is no such list.
+    /// The entries of the list in a field of this table; empty if there is no such list.
     pub(crate) fn entries(&self, name: &str) -> &[Node] {
         match self.field(name).map(|node| &node.value) {
             Some(NodeValue::List(list)) => list,
@@ -150,13 +150,13 @@
         }
     }
 
-    /// How a table of a list is named in a path: by its name where it has a valid one, by its index otherwise.
+    /// The label of a table of a list in a path: its `name` if that is valid, its index otherwise.
     pub(crate) fn label(&self, index: usize) -> String {
         let name = self.field("name").and_then(Node::text).filter(|name| is_name(name));
         name.map_or_else(|| index.to_string(), str::to_owned)
     }
 
-    /// What was written, short enough for a message.
+    /// The value as written, shortened for a message.
     pub(crate) fn display(&self) -> String {
         match &self.value {
             NodeValue::Boolean(boolean) => boolean.to_string(),
@@ -173,7 +173,7 @@
         }
     }
 
-    /// The value as JSON, without its origins.
+    /// The value as JSON, without origins.
     pub(crate) fn to_json(&self) -> serde_json::Value {
         match &self.value {
             NodeValue::Boolean(boolean) => (*boolean).into(),
--- a/config/src/node_configuration.rs
+++ b/config/src/node_configuration.rs
@@ -1,4 +1,5 @@
-//! The configuration of a node, as the platform gives it in `EDGE_CONFIG`, from the operators' configuration.
+//! Conversion of the operators' configuration into the configuration of a node, which has the format that the platform passes in
+//! `EDGE_CONFIG`.
 
 use serde_json::{Value, json};
 
@@ -11,7 +12,7 @@
 }
 
 impl Config {
-    /// The configuration of an instance's node. `seed` is that of its random numbers, and is for this start alone.
+    /// The configuration of an instance's node. `seed` is that of the node's random numbers; each start has to pass a new one.
     pub fn node_configuration(&self, instance: &InstanceSettings, seed: u64) -> Value {
         let discovery = instance.discovery.unwrap_or(self.fleet.discovery);
         json!({
--- a/config/src/origin.rs
+++ b/config/src/origin.rs
@@ -1,4 +1,4 @@
-//! Where a value was given.
+//! Origins of values.
 
 use std::fmt;
 use std::ops::Range;
@@ -10,18 +10,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Origin {
-    /// Nowhere: it is the default.
+    /// The value was not given; it is the schema's default.
     Default,
-    /// In a file, at a line and column that count from 1.
+    /// In a file, at a line and column, both counted from 1.
     File {
-        /// The file, by the path by which it was named.
+        /// Path of the file; not canonical, so that operators recognize it.
         file: PathBuf,
-        /// The line.
+        /// The line, counted from 1.
         line: usize,
-        /// The column, in characters.
+        /// The column in characters, counted from 1.
         column: usize,
     },
-    /// In the environment, by a variable of this name.
+    /// In the environment variable with this name.
     Environment(String),
 }
 
@@ -35,11 +35,11 @@
     }
 }
 
-/// The text of a file, with what it takes to turn a parser's spans into lines and columns.
+/// The text of a file, with an index of its lines to convert a parser's byte offsets into lines and columns.
 pub(crate) struct Source {
     pub(crate) file: PathBuf,
     pub(crate) text: String,
-    /// The offset of each line, in bytes.
+    /// The offset of the start of each line, in bytes.
     line_offsets: Vec<usize>,
 }
 
@@ -50,7 +50,7 @@
         Self { file, text, line_offsets }
     }
 
-    /// The place where a span begins; without one, that where the file begins.
+    /// The place of the start of a span; the start of the file if there is no span.
     pub(crate) fn origin(&self, span: Option<Range<usize>>) -> Origin {
         let offset = span.map_or(0, |span| span.start).min(self.text.len());
         let line = self.line_offsets.partition_point(|line_offset| *line_offset <= offset);
--- a/config/src/schema/field_info.rs
+++ b/config/src/schema/field_info.rs
@@ -1,27 +1,27 @@
-//! The schema as operators see it.
+//! The schema as a list of fields, for operators.
 
 use serde::Serialize;
 
 use super::fields::FILE;
 use super::kind::{Field, Kind, Presence};
 
-/// A field of the schema. The names in its JSON are those of the first release.
+/// A field of the schema as operators see it. The names in the JSON are those of the first release.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct FieldInfo {
-    /// Its path, as in `limits.sockets` or `instance[].zone`.
+    /// Path of the field, as in `limits.sockets` or `instance[].zone`.
     pub field: String,
-    /// What a value must be.
+    /// Kind and range of valid values, in words.
     #[serde(rename = "wanted")]
     pub expected: String,
-    /// Its default, as in TOML; none where it is required or optional.
+    /// Default value in TOML notation; `None` for required and optional fields.
     pub default: Option<&'static str>,
-    /// Whether it is required.
+    /// Whether a configuration without the field is invalid.
     pub required: bool,
-    /// Its purpose.
+    /// Purpose of the field, in a few words.
     pub purpose: &'static str,
 }
 
-/// All fields of the schema, in its order.
+/// All fields of the schema that hold values, in the order of the schema. Tables are not listed themselves.
 pub fn fields() -> Vec<FieldInfo> {
     let mut found = Vec::new();
     list_fields(FILE, "", &mut found);
--- a/config/src/schema/fields.rs
+++ b/config/src/schema/fields.rs
@@ -1,4 +1,5 @@
-//! The fields of the configuration file. The purposes are shown to operators, and stay as they are.
+//! The fields of the configuration file. Their purposes are printed for operators and matched by golden files, so their texts stay
+//! unchanged.
 
 use super::kind::Field;
 use super::kind::Kind::{
@@ -136,10 +137,10 @@
     field("enabled", Boolean, Default("true"), "whether the agent runs it until told otherwise"), // wire name
 ];
 
-/// The version of the schema.
+/// The only version of the schema that this program reads.
 pub(crate) const VERSION: u64 = 1;
 
-/// The fields of the file.
+/// The top-level fields of the configuration file.
 pub(crate) const FILE: &[Field] = &[
     field("version", Integer(VERSION, VERSION), Required, "of this form"),
     field("fleet", Table(FLEET), Default("{}"), "what all nodes share"),
--- a/config/src/schema/kind.rs
+++ b/config/src/schema/kind.rs
@@ -1,4 +1,4 @@
-//! What a field is: the kind of its values, and whether it may be left out.
+//! Properties of a field: the kind of its values, and whether it may be omitted.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,32 +9,32 @@
 /// The kind of a field's values.
 pub(crate) enum Kind {
     Boolean,
-    /// An integer from the first to the second.
+    /// An integer between these bounds, inclusive.
     Integer(u64, u64),
-    /// A number from the first to the second.
+    /// A number between these bounds, inclusive; integers are accepted as well.
     Number(f64, f64),
-    /// Letters, digits and `- _ .`, 64 at most, the first one a letter or digit.
+    /// ASCII letters, digits and `- _ .`, at most 64, the first one a letter or digit.
     Name,
     Path,
     OneOf(&'static [&'static str]),
     /// An IP address with a port.
     Address,
-    /// Names without repetition.
+    /// A list of distinct names.
     NameList,
-    /// Labels: a name and a word each.
+    /// A table of labels; keys and values have the form of a name.
     Labels,
     Table(&'static [Field]),
-    /// Any number of tables, each with a `name`.
+    /// Any number of tables (`[[...]]`), each with a `name`.
     TableList(&'static [Field]),
 }
 
-/// What goes where a field is left out.
+/// What happens if a field is omitted.
 pub(crate) enum Presence {
-    /// It must not be left out.
+    /// The omission is an error.
     Required,
-    /// It has no value.
+    /// The field has no value.
     Optional,
-    /// This value, as in TOML.
+    /// The field has this value, in TOML notation.
     Default(&'static str),
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl Kind {
-    /// Whether a value is of this kind. A table is not looked into.
+    /// Whether a value is of this kind. Always false for `Table` and `TableList`, whose fields are validated one by one.
     pub(crate) fn accepts(&self, value: &NodeValue) -> bool {
         match (self, value) {
             (Self::Boolean, NodeValue::Boolean(_)) => true,
@@ -67,12 +67,12 @@
         }
     }
 
-    /// Whether values are text, so that a value without quotation marks is taken as such.
+    /// Whether values are text, so that an environment variable may give a value without quotation marks.
     pub(crate) fn is_text(&self) -> bool {
         matches!(self, Self::Name | Self::Path | Self::OneOf(_) | Self::Address)
     }
 
-    /// What a value must be, in words for the operator.
+    /// Description of valid values, for operators.
     pub(crate) fn expected(&self) -> String {
         match self {
             Self::Boolean => "true or false".into(),
--- a/config/src/schema/mod.rs
+++ b/config/src/schema/mod.rs
@@ -1,4 +1,5 @@
-//! The schema: every field with its kind, range, default and purpose. Validation, defaults and the operators' page come from it.
+//! The schema: every field with its kind, range, default and purpose. Validation, defaults and the operators' reference of fields
+//! are derived from it.
 
 mod field_info;
 mod fields;
--- a/config/src/validate/mod.rs
+++ b/config/src/validate/mod.rs
@@ -1,4 +1,4 @@
-//! Validation: compares what was given with the schema, fills in defaults, and reports every error.
+//! Validation: checks the given values against the schema, fills in defaults, and reports every error.
 
 mod relations;
 
@@ -11,9 +11,9 @@
 use crate::schema::{FILE, Field, Kind, Presence, VERSION};
 use crate::suggestion::closest;
 
-/// Validates a configuration and fills in what was left out.
+/// Validates a configuration and fills in the defaults of omitted fields.
 pub(crate) fn validate(root: &mut Node, diagnostics: &mut Diagnostics) {
-    // Another version may mean other things by the same words: nothing else of it is judged.
+    // In another version the same fields may have another meaning, so nothing else is validated.
     if let Some(node) = root.field("version")
         && let Some(version) = node.integer().filter(|version| *version != VERSION as i64)
     {
@@ -67,11 +67,11 @@
     }
 }
 
-/// The value of a field that was left out, if it has one.
+/// The default of an omitted field; `None` if the field is required or optional.
 fn default_value(field: &Field, table_origin: &Origin) -> Option<Node> {
     let Presence::Default(text) = field.presence else { return None };
     Some(match field.kind {
-        // Fields of the table are validated as well: some may be required.
+        // The empty table is validated in turn: some of its fields may be required.
         Kind::Table(_) => Node::empty_table(table_origin.clone()),
         _ => Node::from_literal(text, Origin::Default),
     })
@@ -99,7 +99,7 @@
     }
 }
 
-/// What a value must be in place of this one.
+/// The expected value in place of an invalid one, with a suggestion if a valid word is similar.
 fn expected_instead(node: &Node, kind: &Kind) -> String {
     let suggestion = match kind {
         Kind::OneOf(words) => node.text().and_then(|text| closest(text, words.iter().copied())),
--- a/config/src/validate/relations.rs
+++ b/config/src/validate/relations.rs
@@ -1,4 +1,4 @@
-//! Rules between fields: unique names, known zones, and what the fields of a class have to do with each other.
+//! Rules between fields: unique names and addresses, known zones, and the rules between the fields of a request class.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
     for list in ["class", "tenant", "instance"] {
         validate_unique(root, list, "name", |_| true, diagnostics);
     }
-    // Port 0 stands for any free port.
+    // Port 0 means any free port, so several instances may have it.
     validate_unique(root, "instance", "listen", |address| !address.ends_with(":0"), diagnostics);
     if root.entries("class").is_empty() {
         let expected = "at least one [[class]], for what clients ask";
@@ -48,7 +48,7 @@
     }
 }
 
-/// Each instance stands in a zone of the fleet.
+/// The zone of each instance has to be a zone of the fleet.
 fn validate_zones(root: &Node, diagnostics: &mut Diagnostics) {
     let fleet_zones = root.field("fleet").map_or(&[][..], |fleet| fleet.entries("zones"));
     let zones: Vec<&str> = fleet_zones.iter().filter_map(Node::text).collect();
@@ -64,7 +64,7 @@
     }
 }
 
-/// A class's latency target is not beyond its deadline.
+/// The latency target of a class must not exceed its deadline.
 fn validate_latency_target(class: &Node, path: &str, diagnostics: &mut Diagnostics) {
     let (Some(target), Some(deadline)) = (class.field("aim_ms"), class.field("deadline_ms")) else { return };
     let (Some(target_ms), Some(deadline_ms)) = (target.integer(), deadline.integer()) else { return };
@@ -74,7 +74,7 @@
     }
 }
 
-/// Classes that are idempotent by key, and only these, say where and how long keys are remembered.
+/// Classes that are idempotent by key, and only these, have to set the scope and the time window of their keys.
 fn validate_idempotency_key(class: &Node, path: &str, diagnostics: &mut Diagnostics) {
     let is_keyed = class.field("effect").and_then(Node::text) == Some("by_key");
     for name in ["key_scope", "window_ms"] {
--- a/config/tests/config.rs
+++ b/config/tests/config.rs
@@ -1,4 +1,4 @@
-//! Configurations with every kind of error, and valid ones.
+//! Loading of valid configurations, and of configurations with every kind of error.
 
 use std::path::{Path, PathBuf};
 
@@ -23,7 +23,7 @@
         load(&self.path("main.toml"), variables)
     }
 
-    /// The errors as text, without the folder's name.
+    /// The errors of loading as text, without the path of the temporary folder.
     fn errors(&self, environment: &[(&str, &str)]) -> Vec<String> {
         let folder = format!("{}/", self.0.path().display());
         let diagnostics = self.load(environment).expect_err("it has errors");
@@ -214,7 +214,8 @@
     );
 }
 
-/// The node configuration of the repository's own file is what the settings' parser accepts, figure by figure.
+/// The parser of the node settings must accept the node configurations generated from the repository's deploy file, with the values
+/// converted to nanoseconds.
 #[test]
 fn node_configuration_of_the_deploy_file_is_accepted_by_node_settings() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/ivyhatch.toml");
@@ -240,7 +241,7 @@
     }
 }
 
-/// The time to load a configuration; printed, without a bound.
+/// Prints the time to load configurations of 100 to 10,000 instances; asserts no limit.
 #[test]
 #[ignore = "a measurement"]
 fn loading_cost() {
@@ -254,7 +255,7 @@
 }
 
 proptest! {
-    /// Any file is loaded, or its errors are reported with places within it.
+    /// Any text is loaded, or its errors are reported at places within the file, each on one line.
     #[test]
     fn any_text_is_loaded_or_reported_within_the_file(cut in 0..VALID.len(), insert in "[\\[\\]a-z=\"0-9 .\n{}-]{0,12}") {
         let text = format!("{}{insert}{}", &VALID[..cut], &VALID[cut..]);
