--- a/admin-protocol/src/server.rs
+++ b/admin-protocol/src/server.rs
@@ -42,10 +42,7 @@
 /// stale file, binding the socket or setting its permissions.
 pub fn listen(path: &Path) -> io::Result<UnixListener> {
     if BlockingStream::connect(path).is_ok() {
-        return Err(io::Error::new(
-            ErrorKind::AddrInUse,
-            "another process already accepts connections on this socket",
-        ));
+        return Err(io::Error::new(ErrorKind::AddrInUse, "another process already listens on this socket"));
     }
     match fs::remove_file(path) {
         Err(error) if error.kind() != ErrorKind::NotFound => return Err(error),
--- a/config/src/environment.rs
+++ b/config/src/environment.rs
@@ -46,14 +46,14 @@
             Kind::TableList(inner) => {
                 let Some(entry_name) = segments.next() else {
                     let expected = format!("{variable}{SEPARATOR}NAME{SEPARATOR}FIELD");
-                    return Err(OverrideError { field: path, problem: "no single value", expected });
+                    return Err(OverrideError { field: path, problem: "can't be set as a whole", expected });
                 };
                 let list = table.get_mut(&segment);
                 (node, fields) = (find_entry(list, entry_name, &path)?, inner);
                 path = format!("{path}[{entry_name}]");
             }
             kind if segments.next().is_some() => {
-                let (problem, expected) = ("has no fields of its own", kind.expected());
+                let (problem, expected) = ("not a table: it has no fields", kind.expected());
                 return Err(OverrideError { field: path, problem, expected });
             }
             kind => {
@@ -65,7 +65,7 @@
     let names: Vec<&str> = fields.iter().map(|field| field.name).collect();
     let names = names.join(", ").to_ascii_uppercase();
     let expected = format!("{variable}{SEPARATOR}FIELD, one of {names}");
-    Err(OverrideError { field: path, problem: "no single value", expected })
+    Err(OverrideError { field: path, problem: "can't be set as a whole", expected })
 }
 
 fn find_field(fields: &'static [Field], name: &str, path: &str) -> Result<&'static Field, OverrideError> {
@@ -93,7 +93,7 @@
             Some(closest) => format!("did you mean \"{closest}\"?"),
             None => format!("one of {}", known.join(", ")),
         };
-        OverrideError { field: join(path, name), problem: "there is none of this name", expected }
+        OverrideError { field: join(path, name), problem: "no entry has this name", expected }
     })
 }
 
--- a/config/src/files.rs
+++ b/config/src/files.rs
@@ -62,8 +62,8 @@
             }
         };
         if self.including.contains(&canonical(file)) {
-            let problem = format!("{} includes itself in the end", file.display());
-            let expected = "files that do not include one another in a ring";
+            let problem = format!("{} includes itself, directly or through other files", file.display());
+            let expected = "files without a cycle of inclusions";
             self.diagnostics.report(origin, field, problem, expected);
             return None;
         }
@@ -91,7 +91,9 @@
 fn read_limited(file: &Path) -> io::Result<String> {
     let size = std::fs::metadata(file)?.len();
     if size > MAX_FILE_BYTES {
-        return Err(io::Error::other(format!("{size} bytes; {MAX_FILE_BYTES} at most")));
+        return Err(io::Error::other(format!(
+            "the file has {size} bytes; at most {MAX_FILE_BYTES} are accepted"
+        )));
     }
     std::fs::read_to_string(file)
 }
--- a/config/src/loader.rs
+++ b/config/src/loader.rs
@@ -69,7 +69,7 @@
 fn convert(root: &Node) -> Result<Config, Vec<Diagnostic>> {
     serde_json::from_value(root.to_json()).map_err(|error| {
         let mut diagnostics = Diagnostics::default();
-        diagnostics.report(&root.origin, "", error.to_string(), "please report this");
+        diagnostics.report(&root.origin, "", error.to_string(), "please report this bug");
         diagnostics.into_vec()
     })
 }
--- a/config/src/validate/mod.rs
+++ b/config/src/validate/mod.rs
@@ -18,9 +18,8 @@
         && let Some(version) = node.integer().filter(|version| *version != VERSION as i64)
     {
         let problem = format!("this program can't read version {version}");
-        let expected = format!(
-            "it reads version {VERSION}; use a program of the version that wrote this, or rewrite it"
-        );
+        let expected =
+            format!("version {VERSION}; use a release that reads this version, or convert the file");
         return diagnostics.report(&node.origin, "version", problem, expected);
     }
     validate_table(root, FILE, "", diagnostics);
@@ -29,7 +28,7 @@
 
 fn validate_table(node: &mut Node, fields: &'static [Field], path: &str, diagnostics: &mut Diagnostics) {
     let NodeValue::Table(table) = &mut node.value else {
-        let problem = format!("{} stands for a table", node.display());
+        let problem = format!("{} in place of a table", node.display());
         return diagnostics.report(&node.origin, path, problem, Kind::Table(fields).expected());
     };
     report_unknown_fields(table, fields, path, diagnostics);
--- a/config/src/validate/relations.rs
+++ b/config/src/validate/relations.rs
@@ -40,8 +40,8 @@
         match seen.get(text) {
             Some(first) => {
                 let path = format!("{list}[{}].{field}", entry.label(index));
-                let expected = format!("another one: {first} has it already");
-                diagnostics.report(&given.origin, &path, format!("{text:?} once more"), expected);
+                let expected = format!("a unique value: {first} has the same one");
+                diagnostics.report(&given.origin, &path, format!("{text:?} is used twice"), expected);
             }
             None => drop(seen.insert(text, &given.origin)),
         }
@@ -81,11 +81,11 @@
         let path = format!("{path}.{name}");
         match (is_keyed, class.field(name)) {
             (true, None) => {
-                let expected = "classes with effect = \"by_key\" need it";
+                let expected = "a value, as the class has effect = \"by_key\"";
                 diagnostics.report(&class.origin, &path, "missing", expected);
             }
             (false, Some(given)) => {
-                let expected = "only classes with effect = \"by_key\" have it";
+                let expected = "no value, as the class does not have effect = \"by_key\"";
                 diagnostics.report(&given.origin, &path, given.display(), expected);
             }
             _ => {}
