--- a/experiments/src/bootstrap.rs
+++ b/experiments/src/bootstrap.rs
@@ -5,9 +5,9 @@
 use rand_chacha::rand_core::SeedableRng;
 use serde::Serialize;
 
-/// Resamples of a bootstrap.
+/// Number of resamples of a bootstrap.
 const RESAMPLES: usize = 2000;
-/// Smaller samples have no interval worth the name.
+/// Smaller samples get no interval: the bootstrap is not meaningful for so few values.
 const MIN_SAMPLE_SIZE: usize = 5;
 /// The quantiles of the resampled means that bound the interval.
 const LOW_QUANTILE: f64 = 0.025;
@@ -23,19 +23,19 @@
 }
 
 impl Interval {
-    /// Whether all of it is on one side of 0.
+    /// Whether both bounds are on the same side of 0.
     pub fn excludes_zero(self) -> bool {
         self.low > 0.0 || self.high < 0.0
     }
 }
 
-/// The mean of a sample; 0 for an empty one.
+/// The mean of a sample; 0 for an empty sample.
 pub(crate) fn mean(sample: &[f64]) -> f64 {
     sample.iter().sum::<f64>() / sample.len().max(1) as f64
 }
 
-/// The confidence interval of a mean; none for samples of fewer than 5. The resampling is seeded by the purpose, so that equal samples
-/// have equal intervals.
+/// The confidence interval of a sample's mean; `None` for samples of fewer than 5 values. The resampling is seeded from `purpose`, so
+/// that equal samples with the same purpose have equal intervals.
 pub(crate) fn confidence_interval(sample: &[f64], purpose: &str) -> Option<Interval> {
     if sample.len() < MIN_SAMPLE_SIZE {
         return None;
--- a/experiments/src/hunt/mod.rs
+++ b/experiments/src/hunt/mod.rs
@@ -1,7 +1,8 @@
-//! The hunt: looks for worlds in which the balancer does worst against the reference policies, and shrinks what it finds.
+//! The hunt: a search for worlds in which the balancer performs worst against the reference policies. The world found is shrunk.
 //!
-//! A stochastic beam search: the worst worlds so far are kept, and each round runs random changes of them. A violated rule counts for
-//! more than any gap. The size of a round does not depend on the number of threads, so that equal seeds find equal worlds.
+//! The hunt is a stochastic beam search: the worst worlds so far are kept, and each round runs random mutations of these worlds. A
+//! violated rule weighs more than any gap. The size of a round does not depend on the number of threads, so that equal seeds find
+//! equal worlds.
 
 mod mutate;
 mod score;
@@ -15,65 +16,66 @@
 use score::{Score, scores};
 use shrink::smaller_worlds;
 
-/// Worlds that each round tries.
+/// Number of worlds that each round generates.
 const WORLDS_PER_ROUND: usize = 16;
-/// Of these, the ones that are changes of the worst worlds so far; the others are changes of the initial world.
+/// Number of worlds of a round that are mutations of the worst worlds so far; the others are mutations of the initial world.
 const DESCENDANTS_PER_ROUND: usize = 3 * WORLDS_PER_ROUND / 4;
-/// Worlds that are kept after each round.
+/// Number of worlds that are kept after each round.
 const BEAM_WIDTH: usize = 6;
-/// The part of the gap that a shrunk world must still have.
+/// Fraction of the original gap that a shrunk world must retain.
 const MIN_SHRUNK_GAP: f64 = 0.8;
 
-/// What a hunt looks for, and for how long.
+/// The parameters of a hunt.
 #[derive(Clone, Debug)]
 pub struct HuntConfig {
-    /// The initial world.
+    /// The world from which the search starts.
     pub initial: World,
-    /// The policies that the balancer is compared with; in each world the best of them counts.
+    /// The policies that the balancer is compared with; in each world the best of these policies counts.
     pub references: Vec<Policy>,
-    /// Rounds; each tries 16 worlds with three seeds.
+    /// Number of rounds; each runs up to 16 worlds with three seeds each.
     pub rounds: u32,
-    /// The seed of the search.
+    /// The seed of the search's random choices; simulations have seeds of their own.
     pub seed: u64,
-    /// Threads that run simulations.
+    /// Number of threads that run simulations; 0 counts as 1.
     pub threads: usize,
-    /// The smallest gap between shares served that counts as a finding.
+    /// The smallest gap between served shares that counts as a finding; a violated rule adds 1 to the gap.
     pub min_gap: f64,
 }
 
-/// The share that a reference policy serves.
+/// A reference policy and the share that it serves.
 #[derive(Clone, Copy, Debug)]
 pub struct ReferenceShare {
     /// The policy.
     pub policy: Policy,
-    /// Its mean share served, 0 to 1.
+    /// The policy's mean served share over the seeds, 0 to 1.
     pub share: f64,
 }
 
-/// A world in which the balancer does badly.
+/// A world in which the balancer performs worse than a reference policy or violates rules.
 #[derive(Clone, Debug)]
 pub struct Finding {
-    /// The world, shrunk.
+    /// The world after shrinking.
     pub world: World,
-    /// The mean share that the balancer serves in it, 0 to 1.
+    /// The mean share that the balancer serves in this world, 0 to 1.
     pub balancer_share: f64,
-    /// The best reference policy.
+    /// The best reference policy in this world.
     pub best: ReferenceShare,
-    /// Rules that the balancer has violated.
+    /// Number of rules that the balancer violated, summed over the seeds.
     pub rules_broken: usize,
-    /// Worlds that were run.
+    /// Number of worlds that the search and the shrinking ran.
     pub worlds_run: usize,
 }
 
-/// A world that was run.
+/// A world that was run, with its score.
 struct Candidate {
     gap: f64,
     score: Score,
     world: World,
 }
 
-/// Hunts. `progress` is called after each round with the number of rounds that are complete, the number of all rounds, and the largest
-/// gap so far; shrinking follows them. Returns none where no gap reaches [`HuntConfig::min_gap`].
+/// Searches for the world with the largest gap and shrinks it. `progress` is called after each round with the number of complete
+/// rounds, the number of all rounds, and the largest gap so far; shrinking follows the last round without further calls. Returns
+/// `None` if no gap reaches [`HuntConfig::min_gap`].
 pub fn hunt(config: &HuntConfig, progress: &mut dyn FnMut(u32, u32, f64)) -> Option<Finding> {
     let mut random = ChaCha8Rng::seed_from_u64(config.seed);
     let mut beam: Vec<Candidate> = Vec::new();
@@ -84,7 +86,7 @@
         worlds_run += worlds.len();
         let candidates = scores.into_iter().zip(worlds);
         beam.extend(candidates.map(|(score, world)| Candidate { gap: score.gap(), score, world }));
-        // The sort is stable: of equal gaps the older world stays.
+        // The sort is stable: among equal gaps the older world is kept.
         beam.sort_by(|one, other| other.gap.total_cmp(&one.gap));
         beam.truncate(BEAM_WIDTH);
         progress(round + 1, config.rounds, beam.first().map_or(0.0, |worst| worst.gap));
@@ -93,7 +95,7 @@
     Some(shrunk(worst, config, worlds_run))
 }
 
-/// The worlds of the next round.
+/// Generates the worlds of the next round; invalid mutations are dropped.
 fn next_worlds(random: &mut ChaCha8Rng, beam: &[Candidate], initial: &World) -> Vec<World> {
     let next_world = |number: usize| {
         let parent = beam.get(number % BEAM_WIDTH).filter(|_| number < DESCENDANTS_PER_ROUND);
@@ -102,7 +104,7 @@
     (0..WORLDS_PER_ROUND).map(next_world).filter(|world| world.check().is_ok()).collect()
 }
 
-/// Shrinks a world step by step while it keeps most of its gap.
+/// Applies reductions to a world, one at a time, as long as one retains [`MIN_SHRUNK_GAP`] of the original gap.
 fn shrunk(worst: Candidate, config: &HuntConfig, worlds_run: usize) -> Finding {
     let min_gap = MIN_SHRUNK_GAP * worst.gap;
     let Candidate { mut score, mut world, .. } = worst;
--- a/experiments/src/hunt/mutate.rs
+++ b/experiments/src/hunt/mutate.rs
@@ -1,26 +1,26 @@
-//! Random changes of a world.
+//! Random mutations of a world.
 
 use ivyhatch_lab::{Fault, FaultKind, World};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// A changed world has no more requests than this, so that a hunt can try many worlds.
+/// Limit of the requests of a mutated world, so that a hunt can run many worlds.
 const MAX_REQUESTS: f64 = 8_000.0;
-/// The probability that a random fault names a given server or node.
+/// The probability that a random fault targets a given server or node.
 const TARGET_PROBABILITY: f64 = 0.3;
 
-/// A number rounded to three significant digits.
+/// Rounds to three significant digits.
 pub(super) fn rounded(value: f64) -> f64 {
     let scale = 10f64.powi(2 - value.abs().max(1e-9).log10().floor() as i32);
     (value * scale).round() / scale
 }
 
-/// A number multiplied by a random factor between a half and two, within bounds.
+/// Multiplies a value by a random factor between 0.5 and 2, and clamps the product to the bounds.
 fn scaled(random: &mut ChaCha8Rng, value: f64, min: f64, max: f64) -> f64 {
     rounded((value * 2f64.powf(random.random_range(-1.0..1.0))).clamp(min, max))
 }
 
-/// A random fault of a random kind, with random targets.
+/// A fault of a random kind, with a random period and random targets.
 fn random_fault(random: &mut ChaCha8Rng, world: &World) -> Fault {
     let kind = FaultKind::ALL[random.random_range(0..FaultKind::ALL.len())];
     let from = rounded(world.seconds * random.random_range(0.0..0.7));
@@ -41,7 +41,7 @@
     }
 }
 
-/// A world with one to three random changes, valid as far as faults and load go.
+/// A copy of a world with one to three random mutations. Its fault targets and its load are valid; the rest is not checked.
 pub(super) fn mutated(random: &mut ChaCha8Rng, world: &World) -> World {
     let mut world = world.clone();
     for _ in 0..random.random_range(1..=3) {
@@ -86,7 +86,7 @@
     }
 }
 
-/// Removes nodes and zones that are gone from the faults.
+/// Makes the targets of faults valid again: drops nodes that no longer exist, and wraps zone numbers into the range.
 fn restore_fault_targets(world: &mut World) {
     for fault in &mut world.faults {
         fault.nodes.retain(|node| *node < world.nodes);
@@ -94,7 +94,7 @@
     }
 }
 
-/// Lowers the request rate so that the world has no more than [`MAX_REQUESTS`], bursts included.
+/// Caps the request rate so that the world has at most [`MAX_REQUESTS`] requests, bursts included.
 fn limit_requests(world: &mut World) {
     let bursts = world.faults.iter().filter(|fault| fault.kind == FaultKind::Burst);
     let burst_factor = bursts.fold(1.0, |factor, burst| factor * burst.rate_multiplier.max(1.0));
--- a/experiments/src/hunt/score.rs
+++ b/experiments/src/hunt/score.rs
@@ -1,4 +1,4 @@
-//! Scores of worlds: what the balancer serves, and what the best reference policy serves.
+//! Scores of worlds: the share that the balancer serves, and the share that the best reference policy serves.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -6,22 +6,22 @@
 
 use super::{HuntConfig, ReferenceShare};
 
-/// Seeds that each world runs with: a gap with one seed alone may be chance.
+/// Number of seeds that each world runs with: a gap with a single seed may be chance.
 const SEEDS: u64 = 3;
 
-/// How the balancer does in a world.
+/// The balancer's performance in a world, and the best reference policy's.
 #[derive(Clone, Copy)]
 pub(super) struct Score {
-    /// The mean share that the balancer serves.
+    /// The mean share that the balancer serves, 0 to 1.
     pub(super) balancer_share: f64,
-    /// The reference policy that serves most.
+    /// The reference policy with the highest served share.
     pub(super) best: ReferenceShare,
-    /// Rules that the balancer has violated.
+    /// Number of rules that the balancer violated, summed over the seeds.
     pub(super) rules_broken: usize,
 }
 
 impl Score {
-    /// What the hunt maximises: the gap to the best reference, and 1 more for violated rules.
+    /// The value that the hunt maximises: the best reference's share minus the balancer's, plus 1 if any rule was violated.
     pub(super) fn gap(&self) -> f64 {
         self.best.share - self.balancer_share + self.rules_broken.min(1) as f64
     }
@@ -43,7 +43,7 @@
     Score { balancer_share, best, rules_broken }
 }
 
-/// Scores worlds in parallel. The scores are in the order of the worlds.
+/// Scores worlds in parallel. The scores are in the order of `worlds`.
 pub(super) fn scores(worlds: &[World], config: &HuntConfig) -> Vec<Score> {
     let next = AtomicUsize::new(0);
     let score_some = || {
--- a/experiments/src/hunt/shrink.rs
+++ b/experiments/src/hunt/shrink.rs
@@ -1,17 +1,17 @@
-//! Reductions of a world.
+//! Reductions of a world: single steps that make it smaller or simpler.
 
 use ivyhatch_lab::{DiscoverySettings, World};
 
 use super::mutate::rounded;
 
-/// Collects the valid worlds that differ from one by a single reduction.
+/// Collects the valid worlds that differ from `world` by a single reduction.
 struct Reductions<'a> {
     world: &'a World,
     reduced: Vec<World>,
 }
 
 impl Reductions<'_> {
-    /// Adds the world with one reduction, if that is valid and changes anything.
+    /// Adds the world with one reduction applied, if the result is valid and differs from the original.
     fn add(&mut self, reduce: impl FnOnce(&mut World)) {
         let mut reduced = self.world.clone();
         reduce(&mut reduced);
@@ -43,7 +43,7 @@
 fn simplify_servers(reductions: &mut Reductions) {
     let groups = reductions.world.servers.len();
     for number in 0..groups {
-        // Faults name servers by number, so that only the last group can be removed without a change of their targets.
+        // Faults target servers by number, so that only the last group can be removed without renumbering the targets.
         if number + 1 == groups && number > 0 {
             reductions.add(remove_last_group);
         }
--- a/experiments/src/lib.rs
+++ b/experiments/src/lib.rs
@@ -1,16 +1,16 @@
-//! Experiments in the lab: worlds, seeds and variants go in; results, a summary with confidence intervals and an HTML report come
-//! out. Beside them the hunt for worlds in which the balancer does worst.
+//! Experiments in the lab: runs each variant in each world with each seed, stores the results, and derives a summary with confidence
+//! intervals and an HTML report. Also contains a search (`hunt`) for the worlds in which the balancer performs worst.
 //!
-//! | module | its one job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `spec`, `world_spec` | the experiment as its TOML file words it, validated |
-//! | `plan` | the runs of an experiment and their keys |
-//! | `run` | runs what has no result yet, in parallel |
-//! | `results` | results on disk |
-//! | `measure`, `latencies` | the measures of a run |
+//! | `spec`, `world_spec` | the experiment as parsed from its TOML file, and its validation |
+//! | `plan` | the runs of an experiment, and the keys of their results |
+//! | `run` | executes the runs that have no result yet, in parallel |
+//! | `results` | storage of results in a file |
+//! | `measure`, `latencies` | the measures of a run, computed from its report |
 //! | `summary`, `bootstrap` | means and differences with confidence intervals |
-//! | `report` | the report: one HTML file with its plots inside |
-//! | `hunt` | looks for worlds in which the balancer does worst, and shrinks them |
+//! | `report` | the report: one HTML file with embedded plots |
+//! | `hunt` | searches for worlds in which the balancer performs worst, and shrinks them |
 
 mod bootstrap;
 mod fingerprint;
@@ -38,7 +38,7 @@
 pub use spec::{Experiment, SpecError, Variant, WorldSpec};
 pub use summary::{Cell, Summary, Verdict, summarise};
 
-/// The built-in experiments: name and TOML text.
+/// The built-in experiments: the name and the TOML text of each.
 pub const BUILT_IN: [(&str, &str); 2] = [
     ("policies", include_str!("../../lab/experiments/policies.toml")),
     ("paper", include_str!("../../lab/experiments/paper.toml")),
--- a/experiments/src/measure.rs
+++ b/experiments/src/measure.rs
@@ -1,21 +1,21 @@
-//! The measures of a run, taken from its report.
+//! The measures of a run, computed from its report.
 
 use ivyhatch_lab::{ClassReport, Report};
 use serde::Deserialize;
 
 use crate::latencies::run_latencies;
 
-/// A measure of a run. The names are those of experiment files.
+/// A measure of a run. Experiment files have the names of the variants in snake case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Measure {
-    /// The value served in time over the value requested, 0 to 1.
+    /// The value of the requests served in time over the value of all requests, 0 to 1.
     Served,
-    /// The share of requests served in time, in the worst class.
+    /// The share of requests served in time in the worst class, 0 to 1.
     WorstClass,
-    /// The share of requests served in time, in the worst zone.
+    /// The share of requests served in time in the worst zone, 0 to 1.
     WorstZone,
-    /// Requests served a second, in time or late.
+    /// Requests served per second, in time or late.
     Throughput,
     /// The mean latency of served requests in milliseconds, over all classes.
     MeanMs,
@@ -23,26 +23,26 @@
     P50Ms,
     /// The 99th percentile of the latency of served requests in milliseconds.
     P99Ms,
-    /// Attempts for each request.
+    /// Mean number of attempts per request.
     Attempts,
-    /// The share of attempts that left their node's zone, 0 to 1.
+    /// The share of attempts sent to a server outside the node's zone, 0 to 1.
     Crossed,
-    /// Probes for each request.
+    /// Mean number of probes per request.
     Probes,
-    /// How often a server was overloaded to a standstill.
+    /// Number of times that overload brought a server to a standstill.
     Chokes,
-    /// The share of requests that were rejected for good, 0 to 1.
+    /// The share of requests whose final outcome is a rejection, 0 to 1.
     Refused,
-    /// Violated rules.
+    /// Number of rule violations.
     RulesBroken,
-    /// The most requests that one node had in flight.
+    /// The highest number of requests that one node had in flight.
     MostOpen,
-    /// The most connections to servers that one node had.
+    /// The highest number of connections to servers that one node had.
     MostConnections,
 }
 
 impl Measure {
-    /// Its name in experiment files and reports.
+    /// The measure's name in experiment files and reports.
     pub fn name(self) -> &'static str {
         match self {
             Self::Served => "served",
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Whether more of it is better; none where neither direction is.
+    /// Whether a higher value is better; `None` if neither direction is better.
     pub fn more_is_better(self) -> Option<bool> {
         match self {
             Self::Served | Self::WorstClass | Self::WorstZone | Self::Throughput => Some(true),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The measure of a run.
+    /// Computes the measure from the report of a run.
     pub fn of(self, report: &Report) -> f64 {
         let requests: u64 = report.classes.iter().map(|class| class.asked).sum();
         let per_request = |count: u64| count as f64 / requests.max(1) as f64;
@@ -96,12 +96,13 @@
     }
 }
 
-/// Requests served in time or late.
+/// Number of requests served, in time or late.
 fn served_requests(report: &Report) -> u64 {
     report.classes.iter().map(|class| class.in_time + class.late).sum()
 }
 
-/// The lowest share served in time, among the parts with requests whose clients stayed.
+/// The lowest share of requests served in time among the classes or zones. Requests whose clients disconnected don't count; parts
+/// without other requests are skipped. 1 if no part is left.
 fn worst_share(parts: &[ClassReport]) -> f64 {
     let counted = parts.iter().filter(|part| part.asked > part.left);
     counted.map(|part| part.in_time as f64 / (part.asked - part.left) as f64).fold(1.0, f64::min)
--- a/experiments/src/plan.rs
+++ b/experiments/src/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of an experiment: its worlds, variants and seeds, and the key under which each run's result is stored.
+//! The plan of an experiment: its resolved worlds, variants and seeds, and the key under which each run's result is stored.
 
 use std::path::{Path, PathBuf};
 
@@ -8,9 +8,9 @@
 use crate::measure::Measure;
 use crate::spec::{Experiment, SpecError, WorldSpec};
 
-/// The measures of an experiment that names none.
+/// The measures of an experiment whose file lists none.
 const DEFAULT_MEASURES: [Measure; 4] = [Measure::Served, Measure::P99Ms, Measure::Crossed, Measure::Chokes];
-/// The most seeds of an experiment.
+/// Limit of the number of seeds of an experiment.
 const MAX_SEEDS: u32 = 100_000;
 
 /// One run of an experiment.
@@ -20,38 +20,38 @@
     pub world: usize,
     /// The variant's position in [`Experiment::variants`].
     pub variant: usize,
-    /// The seed.
+    /// The seed of the simulation.
     pub seed: u64,
 }
 
-/// A validated experiment with everything that it refers to.
+/// A validated experiment with its worlds and programs resolved.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The experiment.
+    /// The specification, with defaults filled in.
     pub experiment: Experiment,
-    /// Its worlds with their changed fields, in its order and under its names.
+    /// The worlds with the specification's changed fields applied, in its order and under its names.
     pub worlds: Vec<World>,
-    /// The position of the variant that others are compared with.
+    /// The position in [`Experiment::variants`] of the variant that the others are compared with.
     pub baseline: usize,
-    /// The program of each variant that has one.
+    /// The program of each variant; `None` for variants that run in this build.
     pub(crate) programs: Vec<Option<PathBuf>>,
-    /// What stands for each world and each variant in a run's key.
+    /// The part of a run's key that identifies each world, and the part that identifies each variant.
     pub(crate) world_keys: Vec<String>,
     pub(crate) variant_keys: Vec<String>,
 }
 
 impl Experiment {
-    /// Validates the experiment and reads the files that it names, relative to `folder`. `build` stands for the running build:
-    /// results of another build do not count.
+    /// Validates the experiment and reads the files that it names, relative to `folder`. `build` identifies the running build and
+    /// is part of the keys, so that results of another build are not reused.
     ///
     /// # Errors
-    /// The first field, file or world that is wrong.
+    /// [`SpecError`] for the first invalid field, unreadable file or invalid world.
     pub fn plan(mut self, folder: &Path, build: &str) -> Result<Plan, SpecError> {
         if self.seeds == 0 || self.seeds > MAX_SEEDS {
-            return Err(SpecError::field("seeds", self.seeds.to_string(), "1 to 100000"));
+            return Err(SpecError::field("seeds", self.seeds.to_string(), "expected 1 to 100000"));
         }
         if self.variants.is_empty() {
-            return Err(SpecError::field("variant", "none", "at least one"));
+            return Err(SpecError::field("variant", "none", "expected at least one"));
         }
         if self.worlds.is_empty() {
             self.worlds.push(WorldSpec { name: "evening".into(), ..WorldSpec::default() });
--- a/experiments/src/report/format.rs
+++ b/experiments/src/report/format.rs
@@ -1,10 +1,10 @@
-//! Numbers, texts and colours of the report.
+//! Formatting of numbers, texts and colours in the report.
 
 use plotters::style::RGBColor;
 
 use crate::bootstrap::Interval;
 
-/// The colours of variants; they repeat where there are more variants.
+/// The colours of variants, reused cyclically if there are more variants.
 const COLOURS: [RGBColor; 8] = [
     RGBColor(0x1b, 0x4f, 0x9c),
     RGBColor(0xc4, 0x4e, 0x14),
@@ -21,12 +21,12 @@
     COLOURS[variant % COLOURS.len()]
 }
 
-/// A text with the characters of HTML markup escaped.
+/// Escapes the characters that are special in HTML.
 pub(super) fn escaped(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
 }
 
-/// A number with three significant digits or more.
+/// Formats a number with at least three significant digits; below 1, with three decimal places.
 pub(super) fn number(value: f64) -> String {
     match value.abs() {
         size if size >= 100.0 => format!("{value:.0}"),
@@ -36,7 +36,7 @@
     }
 }
 
-/// The bounds of an interval in brackets; empty without an interval.
+/// The bounds of an interval in brackets, as HTML; empty without an interval.
 pub(super) fn bounds(interval: Option<Interval>) -> String {
     interval.map_or(String::new(), |interval| {
         format!(" <small>[{}, {}]</small>", number(interval.low), number(interval.high))
--- a/experiments/src/report/mod.rs
+++ b/experiments/src/report/mod.rs
@@ -1,5 +1,5 @@
-//! The report of an experiment: one HTML file that needs no other. Equal results give equal bytes. Writing to a string does not fail,
-//! so the results of `write!` are dropped.
+//! The report of an experiment: one self-contained HTML file. Equal results give equal bytes. Writing to a string does not fail, so
+//! the results of `write!` are dropped.
 
 mod format;
 mod plots;
@@ -21,7 +21,7 @@
 td:first-child,th:first-child{text-align:left}.better{color:#1b6e20}.worse{color:#b3261e}.plots{display:flex;flex-wrap:wrap}\
 .plots svg{max-width:100%}small{color:#666}.key span{margin-right:1.2em;white-space:nowrap}";
 
-/// Renders the report of an experiment over the runs that have a result.
+/// Renders the HTML report of an experiment from the runs that have a result. `summary` is the summary of the same results.
 pub fn render_report(plan: &Plan, results: &Results, summary: &Summary) -> String {
     let mut page = String::new();
     write_heading(plan, summary, &mut page);
--- a/experiments/src/report/plots.rs
+++ b/experiments/src/report/plots.rs
@@ -1,4 +1,4 @@
-//! The plots of the report, each an SVG image. The drawing backend writes into memory, which does not fail, so its results are dropped.
+//! The plots of the report, each an SVG image. The drawing backend writes to memory, which does not fail, so its results are dropped.
 
 use std::ops::Range;
 
@@ -15,12 +15,12 @@
 use crate::results::Results;
 use crate::summary::{Cell, reports};
 
-/// The width of each plot, and the height of plots of lines, in pixels.
+/// The width of each plot, and the height of line plots, in pixels.
 const WIDTH: u32 = 560;
 const HEIGHT: u32 = 300;
 /// The font of captions.
 const CAPTION_FONT: (&str, i32) = ("sans-serif", 15);
-/// The last quantile that is plotted has this many nines, times ten.
+/// Ten times the number of nines of the last quantile that is plotted: 40 stands for 0.9999.
 const MAX_TENTHS_OF_NINES: f64 = 40.0;
 
 /// The line of one variant.
@@ -35,18 +35,18 @@
     x: &'a str,
     y: &'a str,
     y_range: Range<f64>,
-    /// The label of a position on the x axis.
+    /// Formats the label of a position on the x axis.
     x_label: &'a dyn Fn(f64) -> String,
 }
 
-/// A row of the plot of differences.
+/// A row of the plot of differences: one variant's difference from the baseline.
 struct DifferenceRow {
     variant: usize,
     interval: Interval,
     difference: f64,
 }
 
-/// Draws lines. Empty where they span no range of x.
+/// Draws a line plot. The result is empty if the points have fewer than two distinct values of x.
 fn plot_lines(axes: Axes, lines: &[Line]) -> String {
     let mut svg = String::new();
     let xs = || lines.iter().flat_map(|line| &line.points).map(|point| point.0);
@@ -82,7 +82,7 @@
     svg
 }
 
-/// The share served over time: all seeds of a variant together, by the time of a request's first attempt.
+/// The share served over time, summed over all seeds of a variant, by the time of a request's first attempt.
 pub(super) fn served_over_time(plan: &Plan, results: &Results, world: usize) -> String {
     let mut lines = Vec::new();
     for variant in 0..plan.experiment.variants.len() {
@@ -106,7 +106,7 @@
     plot_lines(axes, &lines)
 }
 
-/// Latencies by quantile, on an axis on which each further nine takes the same width.
+/// Latencies by quantile, on an axis with the same width for each additional nine.
 pub(super) fn latency_quantiles(plan: &Plan, results: &Results, world: usize) -> String {
     let mut lines = Vec::new();
     let mut max_ms: f64 = 1.0;
@@ -117,7 +117,7 @@
             let nines = f64::from(tenths) / 10.0;
             (nines, latencies.value_at_quantile(quantile(nines)) as f64 / 1000.0)
         };
-        // Beyond this quantile there is less than one request.
+        // Fewer than one request is beyond this quantile.
         let last = ((latencies.len() as f64).log10() * 10.0).min(MAX_TENTHS_OF_NINES) as i32;
         let points: Vec<(f64, f64)> = (0..=last).map(point).collect();
         max_ms = points.iter().map(|point| point.1).fold(max_ms, f64::max);
@@ -133,12 +133,13 @@
     plot_lines(axes, &lines)
 }
 
-/// The quantile with a number of nines: 0.9 for one, 0.99 for two.
+/// The quantile with `nines` nines: 0.9 for one, 0.99 for two.
 fn quantile(nines: f64) -> f64 {
     1.0 - 10f64.powf(-nines)
 }
 
-/// The differences of a measure to the baseline with their intervals, one row for each variant. Empty without differences.
+/// Draws the differences of a measure from the baseline with their confidence intervals, one row per variant. The result is empty if
+/// there are no differences, or all of them are 0.
 pub(super) fn differences(plan: &Plan, cells: &[&Cell], measure: Measure) -> String {
     let rows = difference_rows(plan, cells, measure);
     let reach =
--- a/experiments/src/report/tables.rs
+++ b/experiments/src/report/tables.rs
@@ -10,13 +10,13 @@
 use crate::results::Results;
 use crate::summary::{Cell, SeedReport, Verdict, reports};
 
-/// Columns of the table of classes or zones; nobody reads a table of a thousand zones.
+/// Limit of the columns of the table of classes or zones: a table of a thousand zones would not be readable.
 const MAX_COLUMNS: usize = 12;
 
-/// The classes or the zones of a report.
+/// Selects the classes or the zones of a report.
 type Parts = fn(&Report) -> &Vec<ClassReport>;
 
-/// The table of a world's measures: a row for each variant, a column for each measure.
+/// Writes the table of a world's measures: one row per variant, one column per measure.
 pub(super) fn measures(plan: &Plan, cells: &[&Cell], page: &mut String) {
     let measures = &plan.experiment.measures;
     let _ = write!(page, "<table><tr><th>variant</th>");
@@ -45,7 +45,7 @@
     let _ = write!(page, "<td class=\"{class}\">{}{}</td>", number(cell.mean), bounds(cell.interval));
 }
 
-/// Two tables of a world, by class and by zone: the share served in time and the 99th percentile of the latency.
+/// Writes two tables of a world, one by class and one by zone: the share served in time and the 99th percentile of the latency.
 pub(super) fn classes_and_zones(plan: &Plan, results: &Results, world: usize, page: &mut String) {
     let variants = 0..plan.experiment.variants.len();
     let runs: Vec<Vec<SeedReport>> = variants.map(|variant| reports(plan, results, world, variant)).collect();
@@ -53,7 +53,7 @@
     part_table(plan, &runs, "zone", |report| &report.zones, page);
 }
 
-/// A table with a row for each variant and a column for each class or zone. Nothing where no run has a result.
+/// Writes a table with one row per variant and one column per class or zone; nothing if no run has a result.
 fn part_table(plan: &Plan, runs: &[Vec<SeedReport>], kind: &str, parts: Parts, page: &mut String) {
     let Some(first) = runs.iter().flatten().next() else { return };
     let names: Vec<String> =
@@ -75,7 +75,7 @@
     let _ = writeln!(page, "</table>");
 }
 
-/// The cell of a class or zone, over all runs of a variant.
+/// Writes the cell of one class or zone, merged over all runs of a variant.
 fn part_cell(parts: &[&ClassReport], page: &mut String) {
     let requests: u64 = parts.iter().map(|part| part.asked - part.left).sum();
     let in_time: u64 = parts.iter().map(|part| part.in_time).sum();
--- a/experiments/src/results.rs
+++ b/experiments/src/results.rs
@@ -1,5 +1,5 @@
-//! Results on disk, one JSON line for each run. Opening a file truncates an incomplete last line, which an interruption may leave, so
-//! that readers see whole lines only.
+//! Results on disk, one JSON line per run. Opening a file truncates an incomplete last line, which an interrupted write may leave, so
+//! that readers see complete lines only.
 
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions, TryLockError};
@@ -9,14 +9,14 @@
 use ivyhatch_lab::Report;
 use serde::{Deserialize, Serialize};
 
-/// The result of one run. The field names are those of the file.
+/// The result of one run. The field names are the JSON keys of the file.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ResultLine {
     /// The run's key; see [`crate::Plan::key`].
     pub run: String,
-    /// The variant's name, for human readers; the world's name and the seed are in the report.
+    /// The variant's name, for human readers only; the world's name and the seed are in the report.
     pub variant: String,
-    /// The report of the run.
+    /// The report of the simulation.
     pub report: Report,
 }
 
@@ -26,26 +26,28 @@
     /// The file cannot be read or written.
     #[error("{0}")]
     File(#[from] std::io::Error),
-    /// Another process has the file open.
-    #[error("another experiment is writing to it; wait for that, or name another folder")]
+    /// Another process has the file locked.
+    #[error(
+        "the file of results is locked by another experiment; wait until that ends, or choose another folder"
+    )]
     Busy,
 }
 
-/// The results of an experiment so far, and their file, which stays locked until this is dropped.
+/// The results of an experiment so far, and their file. The file stays locked until this value is dropped.
 pub struct Results {
     file: File,
     lines: BTreeMap<String, ResultLine>,
-    /// Complete lines that are not results; they stay in the file.
+    /// Number of complete lines that could not be parsed as results; these lines stay in the file.
     pub unreadable_lines: usize,
-    /// Bytes of an incomplete last line that were truncated.
+    /// Number of bytes of an incomplete last line that were truncated.
     pub truncated_bytes: usize,
 }
 
 impl Results {
-    /// Opens a file of results, and creates it if need be.
+    /// Opens and locks a file of results, and creates the file if it does not exist.
     ///
     /// # Errors
-    /// [`ResultsError::File`] where the file cannot be read and written, [`ResultsError::Busy`] where another process has it open.
+    /// [`ResultsError::File`] if the file cannot be read or written, [`ResultsError::Busy`] if another process has it locked.
     pub fn open(path: &Path) -> Result<Self, ResultsError> {
         let mut file = OpenOptions::new().read(true).append(true).create(true).open(path)?;
         match file.try_lock() {
@@ -71,17 +73,17 @@
         Ok(Self { file, lines, unreadable_lines, truncated_bytes: bytes.len() - complete_length })
     }
 
-    /// The result of a run, by its key.
+    /// The result of a run by its key; `None` if the run has no result yet.
     pub fn get(&self, key: &str) -> Option<&ResultLine> {
         self.lines.get(key)
     }
 
-    /// Stores a result, on disk before in memory.
+    /// Stores a result, first on disk, then in memory.
     ///
     /// # Errors
-    /// [`ResultsError::File`] where the file cannot be written.
+    /// [`ResultsError::File`] if the file cannot be written.
     pub fn append(&mut self, line: ResultLine) -> Result<(), ResultsError> {
-        let mut text = serde_json::to_string(&line).expect("a report is plain data");
+        let mut text = serde_json::to_string(&line).expect("a report serialises to JSON");
         text.push('\n');
         self.file.write_all(text.as_bytes())?;
         self.lines.insert(line.run.clone(), line);
--- a/experiments/src/run.rs
+++ b/experiments/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs what has no result yet, in parallel.
+//! Executes the runs of a plan that have no result yet, in parallel.
 
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -11,14 +11,14 @@
 use crate::plan::{Plan, Run};
 use crate::results::{ResultLine, Results, ResultsError};
 
-/// Is called with the number of runs that have a result or have failed, and the number of all runs.
+/// A callback that gets the number of runs that have a result or have failed, and the number of all runs.
 pub type Progress<'a> = &'a mut dyn FnMut(usize, usize);
 
-/// Why a run has no result. Only the program of another build can fail.
+/// Why a run has no result. Only runs by the program of another build can fail.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The program cannot be started, or its world cannot be written to a file.
-    #[error("{}: {source}", program.display())]
+    /// The program cannot be started, or the world that is its input cannot be written to a file.
+    #[error("{} could not be run: {source}", program.display())]
     Start {
         /// The program.
         program: PathBuf,
@@ -26,17 +26,17 @@
         source: std::io::Error,
     },
     /// The program ended without a report.
-    #[error("{}: {status}: {stderr}", program.display())]
+    #[error("{} ended without a report: {status}: {stderr}", program.display())]
     NoReport {
         /// The program.
         program: PathBuf,
-        /// How it ended.
+        /// The program's exit status.
         status: ExitStatus,
-        /// What it wrote to its standard error.
+        /// The program's standard error output, trimmed.
         stderr: String,
     },
-    /// The program's report is not one of this version.
-    #[error("{}: its report can't be read: {source}", program.display())]
+    /// The program's report does not have the form that this version expects.
+    #[error("{} wrote a report that can't be parsed: {source}", program.display())]
     UnreadableReport {
         /// The program.
         program: PathBuf,
@@ -50,18 +50,18 @@
 pub struct Failure {
     /// The run.
     pub run: Run,
-    /// Why.
+    /// Why the run has no result.
     pub error: RunError,
 }
 
-/// Runs what has no result yet on some threads, and stores each result as soon as it is there. Returns the runs that failed, in the
-/// order of the plan.
+/// Executes the runs that have no result yet on `threads` threads, and stores each result as soon as its run ends. Returns the runs
+/// that failed, in the order of the plan.
 ///
 /// # Errors
-/// [`ResultsError`] where a result cannot be stored; the other results stay.
+/// [`ResultsError`] if a result cannot be stored; results stored before are kept.
 ///
 /// # Panics
-/// Where a simulation panics.
+/// If a simulation panics.
 pub fn run_missing(
     plan: &Plan,
     results: &mut Results,
@@ -77,7 +77,7 @@
     let mut failures = Vec::new();
     let mut stored = Ok(());
     std::thread::scope(|scope| {
-        // The bound limits how many results wait to be stored.
+        // The channel's bound limits the number of results that wait to be stored.
         let (sender, receiver) = mpsc::sync_channel(threads.max(1));
         for _ in 0..threads.clamp(1, missing.len().max(1)) {
             let (sender, next, missing) = (sender.clone(), &next, &missing);
@@ -119,7 +119,7 @@
     Ok(simulate_with(world, &policy, run.seed, &mut |_| {}))
 }
 
-/// Runs a world by the command line of another build.
+/// Runs a world with the command-line program of another build.
 fn execute_other_build(program: &Path, world: &World, seed: u64) -> Result<Report, RunError> {
     let start_error = |source: std::io::Error| RunError::Start { program: program.to_owned(), source };
     let mut file = tempfile::Builder::new().suffix(".toml").tempfile().map_err(start_error)?;
@@ -127,7 +127,7 @@
     let mut command = Command::new(program);
     command.arg("lab").arg(file.path()).args(["--json", "--seed", &seed.to_string()]);
     let output = command.output().map_err(start_error)?;
-    // The exit status does not count: a run with violated rules has a report and a status of its own.
+    // The exit status is not checked: a run with rule violations writes a report and exits with a status of its own.
     let stdout = String::from_utf8_lossy(&output.stdout);
     let Some(report) = stdout.lines().next() else {
         let stderr = String::from_utf8_lossy(&output.stderr).trim().to_owned();
--- a/experiments/src/spec.rs
+++ b/experiments/src/spec.rs
@@ -1,4 +1,4 @@
-//! The specification of an experiment, as its TOML file words it, and its validation.
+//! The specification of an experiment, as parsed from its TOML file, and its validation.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -9,26 +9,26 @@
 use crate::fingerprint::fingerprint;
 use crate::measure::Measure;
 
-/// An experiment.
+/// The specification of an experiment. The fields are the keys of its TOML file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Its name in the report.
+    /// The experiment's name in the report.
     pub name: String,
-    /// How many seeds each variant runs with in each world.
+    /// Number of seeds that each variant runs with in each world, 1 to 100000.
     pub seeds: u32,
-    /// The first seed; the others follow it.
+    /// The first seed, by default 1; the other seeds are the numbers that follow.
     #[serde(default = "default_first_seed")]
     pub first_seed: u64,
-    /// The name of the variant that others are compared with; by default the first.
+    /// The name of the variant that the others are compared with; by default the first variant.
     pub baseline: Option<String>,
-    /// The measures; by default `served`, `p99_ms`, `crossed` and `chokes`.
+    /// The measures to report; by default `served`, `p99_ms`, `crossed` and `chokes`.
     #[serde(default)]
     pub measures: Vec<Measure>,
-    /// The worlds; by default the built-in `evening`.
+    /// The worlds to run; by default the built-in `evening`.
     #[serde(rename = "world", default)]
     pub worlds: Vec<WorldSpec>,
-    /// The variants that are compared.
+    /// The variants to compare; at least one.
     #[serde(rename = "variant")]
     pub variants: Vec<Variant>,
 }
@@ -37,17 +37,17 @@
     1
 }
 
-/// A world and the fields that are changed in it.
+/// A world, and the fields that the experiment changes in this world.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorldSpec {
-    /// Its name in the report.
+    /// The world's name in the report.
     pub name: String,
-    /// Its file, relative to the experiment's folder.
+    /// The world's file, relative to the experiment's folder.
     pub file: Option<PathBuf>,
-    /// The name of a built-in world in place of a file; `evening` without either.
+    /// The name of a built-in world, used if there is no file; `evening` if neither is set.
     pub built_in: Option<String>,
-    /// The changed fields by their path: `"clients.rate" = 165.0`, `"servers[0].count" = 3`.
+    /// The changed fields by their paths: `"clients.rate" = 165.0`, `"servers[0].count" = 3`.
     #[serde(default)]
     pub set: BTreeMap<String, toml::Value>,
 }
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Variant {
-    /// Its name in the report.
+    /// The variant's name in the report.
     pub name: String,
     /// The policy; by default the balancer.
     #[serde(default)]
@@ -71,7 +71,8 @@
     /// See [`PolicyConfig::hedging`].
     #[serde(rename = "second_copies")]
     pub hedging: Option<bool>,
-    /// The `ivyhatch` program of another build, which runs its own balancer: its path, relative to the experiment's folder.
+    /// The path of the `ivyhatch` program of another build, relative to the experiment's folder. The program runs its own balancer.
+    /// `None` runs the variant in this build.
     pub program: Option<PathBuf>,
 }
 
@@ -86,25 +87,25 @@
 /// Why an experiment cannot be run.
 #[derive(Debug, thiserror::Error)]
 pub enum SpecError {
-    /// The text is not an experiment; the source has line and column.
+    /// The text is not a valid experiment; the parser's error has line and column.
     #[error("{0}")]
     Text(#[from] toml::de::Error),
-    /// A field has a wrong value.
+    /// A field has an invalid value.
     #[error("{field}: {value}: {wanted}")]
     Field {
-        /// The field.
+        /// The path of the field.
         field: String,
-        /// Its value.
+        /// The value, or the name of the entry that has the field.
         value: String,
-        /// What would be right.
+        /// What is expected, or why the value is rejected.
         wanted: String,
     },
     /// A file that a field names cannot be read.
     #[error("{field}: {path}: {error}")]
     File {
-        /// The field.
+        /// The path of the field that names the file.
         field: String,
-        /// The file.
+        /// The path of the file.
         path: String,
         /// The error of the file system.
         error: std::io::Error,
@@ -114,7 +115,7 @@
     World {
         /// The world's name.
         name: String,
-        /// What is wrong with it.
+        /// Why the world is invalid.
         error: WorldError,
     },
 }
@@ -134,7 +135,7 @@
         Ok(toml::from_str(text)?)
     }
 
-    /// Names of worlds and of variants are unique.
+    /// Checks that the names of worlds are unique, and those of variants.
     pub(crate) fn check_names(&self) -> Result<(), SpecError> {
         let worlds = self.worlds.iter().map(|world| ("world", &world.name));
         let variants = self.variants.iter().map(|variant| ("variant", &variant.name));
@@ -142,7 +143,7 @@
         for (number, (kind, name)) in names.iter().enumerate() {
             if names[..number].contains(&(kind, name)) {
                 let field = format!("{kind}.name");
-                return Err(SpecError::field(field, *name, "another name: two have this one"));
+                return Err(SpecError::field(field, *name, "duplicate name, expected a unique one"));
             }
         }
         Ok(())
@@ -151,32 +152,33 @@
     pub(crate) fn baseline_position(&self) -> Result<usize, SpecError> {
         let Some(name) = &self.baseline else { return Ok(0) };
         let position = self.variants.iter().position(|variant| variant.name == *name);
-        position.ok_or_else(|| SpecError::field("baseline", name, "the name of a variant"))
+        position.ok_or_else(|| SpecError::field("baseline", name, "expected the name of a variant"))
     }
 }
 
 impl Variant {
-    /// Validates the policy and returns the path of the program, if there is one.
+    /// Validates the policy and returns the path of the program; `None` if the variant runs in this build.
     pub(crate) fn program(&self, number: usize, folder: &Path) -> Result<Option<PathBuf>, SpecError> {
         if let Err(PolicyConfigError { field, wanted }) = self.policy_config().check() {
             return Err(SpecError::field(format!("variant[{number}].{field}"), &self.name, wanted));
         }
         let program = self.program.as_ref().map(|program| folder.join(program));
         if program.is_some() && self.policy_config() != PolicyConfig::default() {
-            let wanted = "with a program, neither a policy nor settings: it plays its own module";
+            let wanted =
+                "expected neither a policy nor settings beside a program, which runs its own balancer";
             return Err(SpecError::field(format!("variant[{number}].program"), &self.name, wanted));
         }
         Ok(program)
     }
 
-    /// What stands for the variant in the keys of its runs: its policy and its build.
+    /// The part of a run's key that identifies the variant: its policy and its build.
     pub(crate) fn key(
         &self,
         number: usize,
         program: Option<&Path>,
         build: &str,
     ) -> Result<String, SpecError> {
-        let policy = serde_json::to_string(&self.policy_config()).expect("a policy is plain data");
+        let policy = serde_json::to_string(&self.policy_config()).expect("a policy serialises to JSON");
         let build = match program {
             None => build.to_owned(),
             Some(path) => fingerprint(&std::fs::read(path).map_err(|error| SpecError::File {
--- a/experiments/src/summary.rs
+++ b/experiments/src/summary.rs
@@ -1,4 +1,4 @@
-//! The summary of an experiment: means, differences to the baseline, and their confidence intervals.
+//! The summary of an experiment: means, differences from the baseline, and their confidence intervals.
 
 use std::fmt;
 
@@ -10,23 +10,23 @@
 use crate::plan::Plan;
 use crate::results::Results;
 
-/// What a difference to the baseline means.
+/// The interpretation of a difference from the baseline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The difference is an improvement.
     Better,
     /// The difference is a regression.
     Worse,
-    /// There is more of a measure of which neither direction is better.
+    /// The value is higher, for a measure of which neither direction is better.
     More,
-    /// There is less of a measure of which neither direction is better.
+    /// The value is lower, for a measure of which neither direction is better.
     Less,
     /// The confidence interval of the difference includes 0.
     NoDifference,
 }
 
 impl Verdict {
-    /// The verdict in reports and in JSON.
+    /// The verdict's text in reports and in JSON.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Better => "better",
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The verdict on the difference of a measure.
+    /// The verdict on the confidence interval of a measure's difference.
     pub(crate) fn of(measure: Measure, difference: Interval) -> Self {
         let is_more = difference.low > 0.0;
         match measure.more_is_better() {
@@ -62,7 +62,7 @@
     }
 }
 
-/// One measure of one variant in one world. The field names are those of the JSON summary.
+/// One measure of one variant in one world. The field names are the keys of the JSON summary.
 #[derive(Clone, Debug, Serialize)]
 pub struct Cell {
     /// The world's name.
@@ -71,44 +71,45 @@
     pub variant: String,
     /// The measure's name.
     pub measure: &'static str,
-    /// Runs that have a result.
+    /// Number of runs that have a result.
     pub seeds: usize,
-    /// Their mean.
+    /// The mean of the measure over these runs; 0 without runs.
     pub mean: f64,
-    /// The confidence interval of the mean; none with fewer than 5 runs.
+    /// The confidence interval of the mean; `None` with fewer than 5 runs.
     pub interval: Option<Interval>,
-    /// The mean of the differences to the baseline, seed by seed; none for the baseline itself.
+    /// The mean of the differences from the baseline, paired by seed; `None` for the baseline itself, and without seeds in common.
     pub difference: Option<f64>,
-    /// The confidence interval of that mean; none with fewer than 5 seeds in common.
+    /// The confidence interval of the mean difference; `None` with fewer than 5 seeds in common.
     pub difference_interval: Option<Interval>,
-    /// What the difference means; none without its interval.
+    /// The interpretation of the difference; `None` without its confidence interval.
     pub verdict: Option<Verdict>,
 }
 
-/// The summary of an experiment. The field names are those of the JSON summary.
+/// The summary of an experiment. The field names are the keys of the JSON summary.
 #[derive(Clone, Debug, Serialize)]
 pub struct Summary {
     /// The experiment's name.
     pub name: String,
-    /// The baseline's name.
+    /// The name of the baseline variant.
     pub baseline: String,
-    /// Runs of the plan.
+    /// Number of runs of the plan.
     pub planned: usize,
-    /// Runs that have a result.
+    /// Number of runs that have a result.
     pub played: usize,
-    /// Rules that the balancer of this or another build has violated in all runs; reference policies may violate them.
+    /// Number of rule violations by the balancer, of this or another build, over all runs. Violations by reference policies are
+    /// allowed and not counted.
     pub module_rules_broken: usize,
-    /// World by world, variant by variant, measure by measure.
+    /// The cells, ordered by world, then variant, then measure.
     pub cells: Vec<Cell>,
 }
 
-/// The report of a run, with the run's seed.
+/// The report of a run and its seed.
 pub(crate) struct SeedReport<'a> {
     pub(crate) seed: u64,
     pub(crate) report: &'a Report,
 }
 
-/// The reports of one variant in one world, of the runs that have a result, in the order of their seeds.
+/// The reports of those runs of one variant in one world that have a result, in the order of their seeds.
 pub(crate) fn reports<'a>(
     plan: &Plan,
     results: &'a Results,
@@ -149,7 +150,7 @@
 }
 
 impl Cell {
-    /// The cell of some runs, compared with those of the baseline if it is another variant.
+    /// The cell of the runs of one variant. `baseline` has the runs of the baseline; `None` if the variant is the baseline.
     fn new(
         world: &str,
         variant: &str,
@@ -175,7 +176,7 @@
     }
 }
 
-/// The differences of a measure to the baseline, for the seeds that both have.
+/// The differences of a measure from the baseline, for the seeds for which both have a result.
 fn differences(measure: Measure, runs: &[SeedReport], baseline: &[SeedReport]) -> Vec<f64> {
     let difference = |run: &SeedReport| {
         let other = baseline.iter().find(|other| other.seed == run.seed)?;
--- a/experiments/src/world_spec.rs
+++ b/experiments/src/world_spec.rs
@@ -1,4 +1,4 @@
-//! Resolves a world of an experiment: reads it and sets its changed fields.
+//! Resolves a world of an experiment: reads the world's text and applies the changed fields.
 
 use std::path::Path;
 
@@ -6,14 +6,14 @@
 
 use crate::spec::{SpecError, WorldSpec};
 
-/// The built-in world of a specification that names none.
+/// The built-in world of a specification that names neither a file nor a built-in world.
 const DEFAULT_BUILT_IN: &str = "evening";
 
 impl WorldSpec {
-    /// The world with its changed fields.
+    /// Reads the world and applies the changed fields. `folder` is the experiment's folder.
     ///
     /// # Errors
-    /// Where the file cannot be read, a path leads nowhere, or the world is invalid.
+    /// [`SpecError`] if the file cannot be read, the built-in world is unknown, a path matches no field, or the world is invalid.
     pub(crate) fn resolve(&self, folder: &Path) -> Result<World, SpecError> {
         let text = self.text(folder)?;
         let mut world = if self.set.is_empty() {
@@ -41,7 +41,7 @@
         found.map(|(_, text)| (*text).to_owned()).ok_or_else(|| {
             let names: Vec<&str> = BUILT_IN_WORLDS.iter().map(|(name, _)| *name).collect();
             let field = format!("world {:?}: built_in", self.name);
-            SpecError::field(field, built_in, &format!("one of {}", names.join(", ")))
+            SpecError::field(field, built_in, &format!("expected one of {}", names.join(", ")))
         })
     }
 
@@ -49,7 +49,7 @@
         let mut table = toml::from_str::<toml::Value>(text).map_err(|error| self.invalid(error.into()))?;
         for (path, value) in &self.set {
             set_field(&mut table, path, value).ok_or_else(|| {
-                let wanted = "a path into the world such as clients.rate or servers[0].count";
+                let wanted = "expected a path into the world such as clients.rate or servers[0].count";
                 SpecError::field(format!("world {:?}: set", self.name), path, wanted)
             })?;
         }
@@ -63,8 +63,8 @@
     }
 }
 
-/// Sets a field by its path. Its last key may be new, so that a field that a file leaves out can be set. None where the path leads
-/// nowhere.
+/// Sets a field by its path. The last key of the path may be new, so that a field that the file omits can be set. `None` if the path
+/// does not match the structure of `root`.
 fn set_field(root: &mut toml::Value, path: &str, value: &toml::Value) -> Option<()> {
     let (parents, last) = path.rsplit_once('.').map_or((None, path), |(parents, last)| (Some(parents), last));
     let mut parent = root;
@@ -84,7 +84,7 @@
     Some(())
 }
 
-/// One step of a path: a key, and the index of an array's entry behind it.
+/// Parses one step of a path: a key, optionally followed by an array index in brackets. `None` if the index is malformed.
 fn key_and_index(step: &str) -> Option<(&str, Option<usize>)> {
     match step.split_once('[') {
         None => Some((step, None)),
--- a/experiments/tests/experiments.rs
+++ b/experiments/tests/experiments.rs
@@ -1,4 +1,5 @@
-//! Whole experiments: completed after any interruption, equal on any number of threads, with missing results named.
+//! End-to-end tests of experiments: interrupted experiments are completed, reports do not depend on the number of threads, and missing
+//! results are reported.
 
 use std::path::Path;
 
@@ -30,18 +31,21 @@
 "#;
 
 fn plan() -> Plan {
-    Experiment::read(TEXT).and_then(|experiment| experiment.plan(Path::new(""), "test")).expect("sound")
+    Experiment::read(TEXT)
+        .and_then(|experiment| experiment.plan(Path::new(""), "test"))
+        .expect("the experiment is valid")
 }
 
+/// Executes the missing runs. Returns the results and the number of runs that had a result before.
 fn played(path: &Path, threads: usize) -> (Results, usize) {
-    let mut results = Results::open(path).expect("a file");
+    let mut results = Results::open(path).expect("the file can be opened");
     let (plan, mut first) = (plan(), None);
     let failures = run_missing(&plan, &mut results, threads, &mut |done, _| {
         first.get_or_insert(done);
     })
-    .expect("kept");
+    .expect("all results are stored");
     assert!(failures.is_empty());
-    (results, first.expect("progress reports the results that were there"))
+    (results, first.expect("progress is called first with the number of existing results"))
 }
 
 fn report(results: &Results) -> String {
@@ -56,13 +60,14 @@
     assert_eq!(one, report(&played(&folder.path().join("four"), 4).0));
     assert!(
         one.contains("small &lt;one&gt;") && one.contains("12 of 12 plays"),
-        "names are escaped, all is played"
+        "names are escaped, and all runs have a result"
     );
-    // Two worlds, each with its course, its answer times, and no interval from three seeds.
+    // Two plots in each of two worlds: served share over time, and latencies. Three seeds are too few for the plot of differences.
     assert_eq!(one.matches("<svg").count(), 4);
 }
 
-/// Whatever an interruption leaves of the file, complete lines are kept, the rest is run, and the report is equal.
+/// Wherever an interruption truncates the file, complete lines are kept, only the other runs are executed, and the report is that of
+/// an experiment without interruption.
 #[test]
 fn results_truncated_at_any_byte_are_completed() {
     let folder = tempfile::tempdir().unwrap();
@@ -71,7 +76,7 @@
     let bytes = std::fs::read(&path).unwrap();
     let lines = bytes.iter().filter(|byte| **byte == b'\n').count();
     assert_eq!(lines, 12);
-    // Near the ends of lines each byte, elsewhere some: a play takes its time.
+    // Truncates at every byte near the ends of lines, elsewhere at every 997th only, since runs take time.
     let ends: Vec<usize> =
         bytes.iter().enumerate().filter(|(_, byte)| **byte == b'\n').map(|(at, _)| at).collect();
     for cut in 0..bytes.len() {
@@ -82,18 +87,18 @@
         let path = folder.path().join(format!("cut-{cut}"));
         std::fs::write(&path, &bytes[..cut]).unwrap();
         let there = bytes[..cut].iter().filter(|byte| **byte == b'\n').count();
-        let results = Results::open(&path).expect("a file");
+        let results = Results::open(&path).expect("the file can be opened");
         assert_eq!(results.unreadable_lines, 0);
         assert_eq!(
             std::fs::metadata(&path).unwrap().len() as usize,
             cut - results.truncated_bytes,
-            "cut to whole lines"
+            "the file is truncated to complete lines"
         );
         drop(results);
         if near {
             let (results, first) = played(&path, 4);
-            assert_eq!(first, there, "cut at {cut}: what was whole is not played again");
-            assert_eq!(report(&results), whole, "cut at {cut}");
+            assert_eq!(first, there, "truncated at {cut}: runs with complete lines are not repeated");
+            assert_eq!(report(&results), whole, "truncated at {cut}");
         }
     }
 }
@@ -103,14 +108,14 @@
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("results");
     std::fs::write(&path, "{\"run\": 5}\nnot even JSON\n").unwrap();
-    let results = Results::open(&path).expect("a file");
+    let results = Results::open(&path).expect("the file can be opened");
     assert_eq!((results.unreadable_lines, results.truncated_bytes), (2, 0));
     assert!(matches!(Results::open(&path), Err(ResultsError::Busy)));
     drop(results);
-    assert!(Results::open(&path).is_ok(), "free again");
+    assert!(Results::open(&path).is_ok(), "the lock is released on drop");
 }
 
-/// What changes a result changes its key: the world, the variant, the seed, the build.
+/// Keys differ if any input of the run differs: the world, the variant, the seed or the build.
 #[test]
 fn results_of_another_build_or_world_have_other_keys() {
     let of = |text: &str, build: &str| {
@@ -124,7 +129,7 @@
     assert_eq!(
         keys.intersection(&of(&TEXT.replace("400.0", "401.0"), "test")).count(),
         6,
-        "the calm ones stay"
+        "the keys of the unchanged world `calm` are equal"
     );
     assert_eq!(keys.intersection(&of(&TEXT.replace("round_robin", "random"), "test")).count(), 6);
 }
@@ -132,39 +137,55 @@
 #[test]
 fn invalid_experiment_is_rejected_with_the_field_and_what_it_should_be() {
     for (from, to, says) in [
-        ("seeds = 3", "seeds = 0", "seeds: 0: 1 to 100000"),
+        ("seeds = 3", "seeds = 0", "seeds: 0: expected 1 to 100000"),
         ("\"served\"", "\"severed\"", "unknown variant `severed`"),
-        ("\"clients.rate\"", "\"client.rate\"", "world \"crowded\": set: client.rate: a path into the world"),
-        ("servers[0]", "servers[9]", "set: servers[9].count: a path into the world"),
+        (
+            "\"clients.rate\"",
+            "\"client.rate\"",
+            "world \"crowded\": set: client.rate: expected a path into the world",
+        ),
+        ("servers[0]", "servers[9]", "set: servers[9].count: expected a path into the world"),
         ("400.0", "-4.0", "world \"crowded\": clients.rate: -4: above 0"),
-        ("name = \"turns\"", "name = \"module\"", "variant.name: module: another name: two have this one"),
+        (
+            "name = \"turns\"",
+            "name = \"module\"",
+            "variant.name: module: duplicate name, expected a unique one",
+        ),
         (
             "round_robin\"",
             "round_robin\"\nprobes = true",
             "variant[1].probes, second_copies: turns: only policy",
         ),
         ("policy = \"round_robin\"", "program = \"no-such\"", "variant[1].program: no-such: No such file"),
-        ("seeds = 3", "seeds = 3\nbaseline = \"none\"", "baseline: none: the name of a variant"),
-        ("name = \"calm\"", "name = \"calm\"\nbuilt_in = \"moon\"", "built_in: moon: one of evening, paper"),
+        ("seeds = 3", "seeds = 3\nbaseline = \"none\"", "baseline: none: expected the name of a variant"),
+        (
+            "name = \"calm\"",
+            "name = \"calm\"\nbuilt_in = \"moon\"",
+            "built_in: moon: expected one of evening, paper",
+        ),
     ] {
         let text = TEXT.replacen(from, to, 1);
-        assert_ne!(text, TEXT, "{from} is there");
+        assert_ne!(text, TEXT, "{from} occurs in the text");
         let error = Experiment::read(&text).and_then(|experiment| experiment.plan(Path::new(""), "test"));
         let error = error.expect_err(to).to_string();
         assert!(error.contains(says), "{to}: {error}");
     }
 }
 
-/// A program that is no build, or fails, is a failure; the other results stay.
+/// A run whose program writes no report is returned as a failure; the results of the other runs are kept.
 #[test]
 fn program_without_a_report_is_a_failure_and_other_results_stay() {
     let folder = tempfile::tempdir().unwrap();
     let text = TEXT.replace("policy = \"round_robin\"", "program = \"/bin/false\"");
     let plan = Experiment::read(&text).and_then(|experiment| experiment.plan(folder.path(), "test")).unwrap();
     let mut results = Results::open(&folder.path().join("results")).unwrap();
-    let failures = run_missing(&plan, &mut results, 2, &mut |_, _| {}).expect("kept");
+    let failures = run_missing(&plan, &mut results, 2, &mut |_, _| {}).expect("the results are stored");
     assert_eq!(failures.len(), 6);
-    assert!(failures[0].error.to_string().starts_with("/bin/false: exit status: 1"), "{}", failures[0].error);
+    assert!(
+        failures[0].error.to_string().starts_with("/bin/false ended without a report: exit status: 1"),
+        "{}",
+        failures[0].error
+    );
     let summary = summarise(&plan, &results);
     assert_eq!((summary.played, summary.planned), (6, 12));
     assert!(render_report(&plan, &results, &summary).contains("not played"));
@@ -179,12 +200,12 @@
     }
 }
 
-/// The paper's finding, on its cluster: delay between workers costs round robin most of its throughput, and the rule
-/// hardly any.
+/// The result of the paper, reproduced on its cluster: a higher latency between workers costs round robin and random most of their
+/// throughput, and the paper's rule hardly any.
 #[test]
 fn delay_costs_round_robin_throughput_and_the_papers_rule_hardly_any() {
-    let (_, text) = BUILT_IN.iter().find(|(name, _)| *name == "paper").expect("built in");
-    let mut experiment = Experiment::read(text).expect("sound");
+    let (_, text) = BUILT_IN.iter().find(|(name, _)| *name == "paper").expect("the experiment is built in");
+    let mut experiment = Experiment::read(text).expect("the experiment is valid");
     experiment.seeds = 1;
     experiment
         .worlds
@@ -193,10 +214,10 @@
     for world in &mut experiment.worlds {
         world.set.insert("seconds".into(), 2.0.into());
     }
-    let plan = experiment.plan(Path::new(""), "test").expect("sound");
+    let plan = experiment.plan(Path::new(""), "test").expect("the experiment is valid");
     let folder = tempfile::tempdir().unwrap();
     let mut results = Results::open(&folder.path().join("results")).unwrap();
-    run_missing(&plan, &mut results, 2, &mut |_, _| {}).expect("kept");
+    run_missing(&plan, &mut results, 2, &mut |_, _| {}).expect("the results are stored");
     let summary = summarise(&plan, &results);
     let throughput = |world: &str, variant: &str| {
         let of = |cell: &&ivyhatch_experiments::Cell| {
@@ -204,7 +225,7 @@
                 && cell.variant == variant
                 && cell.measure == Measure::Throughput.name()
         };
-        summary.cells.iter().find(of).expect("measured").mean
+        summary.cells.iter().find(of).expect("the summary has the cell").mean
     };
     for policy in ["round robin", "random"] {
         assert!(throughput("delay 18", policy) < 0.3 * throughput("delay 3 ", policy), "{policy}");
@@ -213,10 +234,10 @@
     assert!(throughput("delay 3 ", "paper at 0.9") > 1.1 * throughput("delay 3 ", "round robin"));
 }
 
-/// A hunt finds a gap to the reference policies, shrinks its world, and finds the same with another number of threads.
+/// A hunt finds a world with a gap to the reference policies, shrinks it, and finds the same world with another number of threads.
 #[test]
 fn hunt_is_deterministic_and_shrinks_its_finding() {
-    let mut initial = World::read(DEFAULT_WORLD).expect("sound");
+    let mut initial = World::read(DEFAULT_WORLD).expect("the default world is valid");
     initial.seconds = 4.0;
     initial.faults.clear();
     let hunted = |threads, min_gap| {
@@ -225,10 +246,10 @@
         let config = HuntConfig { initial, references, rounds: 2, seed: 5, threads, min_gap };
         hunt(&config, &mut |_, _, _| {})
     };
-    let found = hunted(1, 0.0).expect("some gap");
-    let again = hunted(4, 0.0).expect("the same");
+    let found = hunted(1, 0.0).expect("a world with a gap");
+    let again = hunted(4, 0.0).expect("the same world");
     assert_eq!(found.world.write(), again.world.write());
     assert!(found.best.share > found.balancer_share && found.rules_broken == 0);
-    World::read(&found.world.write()).expect("a world that can be kept");
+    World::read(&found.world.write()).expect("the written world can be read back");
     assert!(hunted(4, 1.0).is_none(), "no gap is that large");
 }
