--- a/experiments/src/summary_tests.rs
+++ b/experiments/src/summary_tests.rs
@@ -19,7 +19,7 @@
             (interval.low..=interval.high).contains(&0.5)
         })
         .count();
-    // The percentile bootstrap of a sample of 20 is slightly too narrow: the literature has a coverage of 92 to 95 %.
+    // The percentile bootstrap of a sample of 20 is slightly too narrow: the literature reports a coverage of 92 to 95 %.
     assert!((360..=390).contains(&covers), "{covers} of 400 intervals contain the mean, expected 360 to 390");
 }
 
--- a/socket-lab/src/clients/exchange.rs
+++ b/socket-lab/src/clients/exchange.rs
@@ -1,4 +1,4 @@
-//! One attempt of a client: a request to a node, and its response.
+//! One attempt of a client: a request to a node, and the node's response.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,23 +20,23 @@
 use crate::run_state::{Body, PendingRequest, RunState};
 use crate::server_requests::REQUEST_ID_HEADER;
 
-/// A response later than the slack is awaited for this time more, to be seen as late.
+/// Additional time for which a client waits after the slack, so that a late response is observed as late.
 const LATE_RESPONSE_WAIT: Duration = Duration::from_millis(200);
 
-/// How an attempt of a client ends.
+/// The result of a client's attempt.
 pub(super) enum ExchangeResult {
     Served,
     Rejected {
         retry_after: Nanos,
     },
     Failed,
-    /// The node ended, or no node was running.
+    /// The connection failed, or no node was running.
     ConnectionLost,
-    /// The client disconnected.
+    /// The client disconnected before the response.
     Disconnected,
 }
 
-/// Whether an attempt is a client's first one.
+/// Whether an attempt is the client's first one or a retry.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum RetryMark {
     First,
@@ -47,7 +47,7 @@
 pub(super) struct Exchange<'a> {
     pub(super) run: &'a Rc<RunState>,
     pub(super) request: &'a ClientRequest,
-    /// When the client times out.
+    /// The time on the world's clock at which the client times out.
     pub(super) not_after: Nanos,
     pub(super) mark: RetryMark,
 }
@@ -59,7 +59,7 @@
         &self.run.world.clients.classes[self.request.class]
     }
 
-    /// Sends the request and awaits the response.
+    /// Sends the request and waits for the response.
     pub(super) async fn perform(&self) -> ExchangeResult {
         let run = self.run;
         let Some(node) = select_node(run, self.request.zone) else { return ExchangeResult::ConnectionLost };
@@ -116,8 +116,8 @@
         }
     }
 
-    /// The result for the client, with the events for the invariants. `is_owed` is whether the node was not killed
-    /// meanwhile.
+    /// Determines the client's result, and records the corresponding event for the invariants. `is_owed` is false if the node was
+    /// killed while the request was in flight.
     fn classify(&self, node: usize, id: u64, response: &ReceivedResponse, is_owed: bool) -> ExchangeResult {
         let now = self.run.clock.now();
         let mut invariants = self.run.invariants.borrow_mut();
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Keeps the request's id until no attempt of it can be on its way any more.
+    /// Removes the request's id after the class's deadline, when none of the request's attempts can be in flight any more.
     fn forget_later(&self, header_id: String) {
         let (run, deadline_ms) = (self.run.clone(), self.class().deadline_ms);
         spawn_local(async move {
@@ -168,14 +168,14 @@
     }
 }
 
-/// Removes a request from those that its node owes a response. `false` if the node was killed since it was sent.
+/// Removes a request from those in flight at a node. `false` if the node was killed after the request was sent.
 fn take_open_request(run: &RunState, node: usize, id: u64) -> bool {
     let mut node = run.nodes[node].borrow_mut();
     let index = node.open_requests.iter().position(|open| *open == id);
     index.map(|index| node.open_requests.swap_remove(index)).is_some()
 }
 
-/// A running node of the client's zone, or any running one.
+/// Selects a random running node of the client's zone, or of any zone if none runs there. `None` if no node runs.
 fn select_node(run: &RunState, zone: u32) -> Option<usize> {
     let draw = run.random.node_choices.borrow_mut().unit();
     let is_running = |node: &usize| run.nodes[*node].borrow().address.is_some();
@@ -194,7 +194,7 @@
     Ok(Response::from_parts(parts, body.collect().await?.to_bytes()))
 }
 
-/// An idle connection that is still open, or a new one. `None` if the node does not accept one.
+/// Takes an idle connection that is still open, or opens a new one. `None` if the node does not accept a connection.
 async fn connect(run: &RunState, node: usize) -> Option<SendRequest<Body>> {
     loop {
         let Some(mut idle) = run.nodes[node].borrow_mut().idle_connections.pop() else { break };
@@ -204,11 +204,11 @@
     }
     let address = run.nodes[node].borrow().address?;
     let stream = TcpStream::connect(address).await.ok()?;
-    // Costs latency alone if it fails.
+    // A failure is harmless: it only adds latency.
     let _ = stream.set_nodelay(true);
     let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
     spawn_local(async move {
-        // The sender reports the connection's errors.
+        // The error is dropped here, since `sender` reports the connection's errors.
         let _ = connection.await;
     });
     Some(sender)
--- a/socket-lab/src/clients/lifecycle.rs
+++ b/socket-lab/src/clients/lifecycle.rs
@@ -1,4 +1,4 @@
-//! One client: its attempts, its retries and its outcome.
+//! The lifecycle of one client: attempts, retries and outcome.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,8 +10,8 @@
 use crate::clock::NANOS_PER_MS;
 use crate::run_state::RunState;
 
-/// Runs a client from its first attempt to its outcome. Returns the pause after which a closed-loop client sends its next
-/// request.
+/// Runs a client from the first attempt to the outcome. Returns the time that a closed-loop client waits before the next
+/// request, in nanoseconds.
 pub(super) async fn run_client(run: Rc<RunState>, request: ClientRequest) -> Nanos {
     run.outcomes.borrow_mut().request_arrived(&request);
     let workload = &run.world.clients;
--- a/socket-lab/src/clients/mod.rs
+++ b/socket-lab/src/clients/mod.rs
@@ -1,5 +1,5 @@
-//! The clients: open-loop ones, which arrive by themselves, and closed-loop ones, which send the next request as soon as
-//! they have a response.
+//! The clients: open-loop clients, which arrive independently of responses, and closed-loop clients, which send the next request
+//! once the previous one has its outcome.
 
 mod exchange;
 mod lifecycle;
@@ -16,15 +16,15 @@
 use crate::run_state::RunState;
 use lifecycle::run_client;
 
-/// Closed-loop clients start within this time, in nanoseconds.
+/// The starts of closed-loop clients are spread over this time, in nanoseconds.
 const CLOSED_CLIENT_START_WINDOW: f64 = 100e6;
 
-/// Runs all clients until each request has its outcome.
+/// Runs all clients. Returns when the world's time is over and each request has its outcome.
 pub(crate) async fn run_all(run: &Rc<RunState>, arrivals: &mut Arrivals<'_>) {
     let (returns, mut returning) = mpsc::unbounded_channel();
     let end = (run.world.seconds * NANOS_PER_SECOND) as Nanos;
     start_closed_clients(run, &returns);
-    // Each client holds a sender: when the last one is done, the channel closes.
+    // Each client holds a sender, so that the channel closes when the last client is done.
     let mut returns = Some(returns);
     let mut next_arrival = arrivals.next();
     loop {
@@ -52,7 +52,7 @@
                 spawn_local(async move {
                     let pause = run_client(run, request).await;
                     sleep(Duration::from_nanos(pause)).await;
-                    // Nobody receives it once the run is over.
+                    // The send fails if the run is over and the receiver has been dropped.
                     let _ = returns.send(zone);
                 });
             }
@@ -66,7 +66,7 @@
         let returns = returns.clone();
         spawn_local(async move {
             sleep(Duration::from_nanos(delay as Nanos)).await;
-            // Nobody receives it once the run is over.
+            // The send fails if the run is over and the receiver has been dropped.
             let _ = returns.send(zone);
         });
     }
--- a/socket-lab/src/discovery.rs
+++ b/socket-lab/src/discovery.rs
@@ -1,5 +1,5 @@
-//! The discovery service: long polls for the list of servers. Each node has its own, since addresses differ and the
-//! receiver of each notification has to be known.
+//! The discovery service: long polls (watches) for the list of servers. Each node has a service of its own, since the servers'
+//! addresses differ by node, and the invariants need to know which node receives each notification.
 
 use std::convert::Infallible;
 use std::net::Ipv4Addr;
@@ -22,14 +22,14 @@
 use crate::error::SocketLabError;
 use crate::run_state::{Body, RunState, zone_name};
 
-/// Longest time that a watch is held.
+/// Limit of the time that a watch is held.
 const MAX_HOLD_MS: u64 = 60_000;
 
-/// A call for the list, from its query.
+/// A request for the list, parsed from the query string.
 struct ListCall {
-    /// The revision that the caller has; `None` or 0 asks for the full list.
+    /// The revision that the caller has; `None` or 0 requests the full list.
     known_revision: Option<u64>,
-    /// How long the call may wait for a later revision.
+    /// How long the response may be held until there is a later revision.
     hold: Duration,
 }
 
@@ -43,13 +43,13 @@
         Self { known_revision: number("from"), hold: Duration::from_millis(hold_ms) }
     }
 
-    /// The revision after which changes are asked for; `None` for the full list.
+    /// The revision after which changes are requested; `None` if the full list is requested.
     fn changes_since(&self) -> Option<u64> {
         self.known_revision.filter(|revision| *revision > 0)
     }
 }
 
-/// The entries of a list, as the protocol has them.
+/// The entries of a list in the discovery protocol's form, with the servers' addresses for `node`.
 pub(crate) fn targets(run: &RunState, node: usize, endpoints: &[Endpoint]) -> Vec<Value> {
     let addresses = run.server_addresses.borrow();
     let target = |endpoint: &Endpoint| {
@@ -70,12 +70,12 @@
 /// Starts a service for each node.
 ///
 /// # Errors
-/// If the system gives no socket.
+/// If the operating system provides no socket.
 pub(crate) async fn listen_all(run: &Rc<RunState>) -> Result<(), SocketLabError> {
     for node in 0..run.nodes.len() {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await;
-        let listener = listener.map_err(SocketLabError::system("discovery's listener"))?;
-        let address = listener.local_addr().map_err(SocketLabError::system("discovery's listener"))?;
+        let listener = listener.map_err(SocketLabError::system("a discovery listener"))?;
+        let address = listener.local_addr().map_err(SocketLabError::system("a discovery listener"))?;
         run.nodes[node].borrow_mut().discovery_address = Some(address);
         let run = run.clone();
         spawn_local(async move {
@@ -92,7 +92,7 @@
         let run = run.clone();
         async move { Ok::<_, Infallible>(respond(&run, node, &request).await) }
     });
-    // A broken connection concerns its node alone.
+    // The error is dropped: a broken connection affects its node only.
     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
 }
 
@@ -100,7 +100,7 @@
     let call = ListCall::parse(request.uri().query().unwrap_or_default());
     let mut revisions = run.list_revision.subscribe();
     if let Some(known) = call.known_revision {
-        // After the hold time the response has no changes.
+        // A timeout needs no handling: the response then has no changes.
         let _ = timeout(call.hold, revisions.wait_for(|revision| *revision > known)).await;
     }
     if run.endpoint_list.borrow().outages > 0 {
--- a/socket-lab/src/endpoint_list.rs
+++ b/socket-lab/src/endpoint_list.rs
@@ -1,38 +1,38 @@
-//! The list of servers that discovery serves, with the revision of each change.
+//! The list of servers that discovery publishes, with the revision of each change.
 
 use ivyhatch_lab::{ListedServer, Nanos, ServerState};
 
-/// A server as the list shows it.
+/// A server's entry in the list.
 #[derive(Clone, Copy)]
 pub(crate) struct Endpoint {
     /// The server's number.
     pub(crate) server: usize,
     pub(crate) state: ServerState,
     pub(crate) started: Option<Nanos>,
-    /// The list's revision of the last change.
+    /// The list's revision at the last change of this entry.
     revision: u64,
 }
 
 impl Endpoint {
-    /// The same as the invariant checker needs it.
+    /// Converts the entry to the form that the invariant checker takes.
     pub(crate) fn as_listed(&self) -> ListedServer {
         let in_service = self.state == ServerState::Serving;
         ListedServer { server: self.server as u32, in_service, started: self.started }
     }
 }
 
-/// What full lists show during staleness faults.
+/// The content of full lists during staleness faults.
 struct StaleList {
-    /// Number of faults that keep it stale.
+    /// Number of active staleness faults.
     faults: u32,
     endpoints: Vec<Endpoint>,
 }
 
-/// The list of servers, and its faults.
+/// The list of servers, and the state of discovery's faults.
 pub(crate) struct EndpointList {
     revision: u64,
     endpoints: Vec<Endpoint>,
-    /// Number of faults that keep discovery down.
+    /// Number of active faults that make discovery unavailable.
     pub(crate) outages: u32,
     stale: Option<StaleList>,
 }
@@ -55,25 +55,25 @@
         self.revision
     }
 
-    /// The full list, without servers that are gone.
+    /// The full list, without servers that have no process. During a staleness fault, the list as of the fault's start.
     pub(crate) fn full(&self) -> Vec<Endpoint> {
         let endpoints = self.stale.as_ref().map_or(&self.endpoints, |stale| &stale.endpoints);
         endpoints.iter().copied().filter(|endpoint| endpoint.state != ServerState::Gone).collect()
     }
 
-    /// The entries that have changed after a revision.
+    /// The entries that have changed since a revision, servers without a process included. Staleness faults don't apply.
     pub(crate) fn changes_since(&self, revision: u64) -> Vec<Endpoint> {
         self.endpoints.iter().copied().filter(|endpoint| endpoint.revision > revision).collect()
     }
 
-    /// A staleness fault starts.
+    /// Starts a staleness fault: full lists stay as they are now.
     pub(crate) fn freeze(&mut self) {
         let current = &self.endpoints;
         let stale = self.stale.get_or_insert_with(|| StaleList { faults: 0, endpoints: current.clone() });
         stale.faults += 1;
     }
 
-    /// A staleness fault ends.
+    /// Ends a staleness fault. Full lists are current again once no such fault is left.
     pub(crate) fn unfreeze(&mut self) {
         if let Some(stale) = &mut self.stale {
             stale.faults -= 1;
--- a/socket-lab/src/endpoint_list_tests.rs
+++ b/socket-lab/src/endpoint_list_tests.rs
@@ -1,4 +1,4 @@
-//! The list of servers: revisions, changes, servers that are gone, and staleness faults.
+//! Tests of the list of servers: revisions, changes, servers without a process, and staleness faults.
 
 use ivyhatch_lab::ServerState;
 
@@ -37,7 +37,7 @@
     assert_eq!(servers(&list.full()), [0, 1]);
     assert_eq!(servers(&list.changes_since(before)), [0]);
     list.unfreeze();
-    assert_eq!(servers(&list.full()), [0, 1], "one fault is left");
+    assert_eq!(servers(&list.full()), [0, 1], "one fault is still active");
     list.unfreeze();
     assert_eq!(servers(&list.full()), [1]);
 }
--- a/socket-lab/src/error.rs
+++ b/socket-lab/src/error.rs
@@ -1,40 +1,42 @@
-//! Why a world can't run on sockets.
+//! The errors of a run on sockets.
 
 use std::io;
 
-/// An error of a run on sockets.
+/// Why a world can't be run on sockets.
 #[derive(Debug, thiserror::Error)]
 pub enum SocketLabError {
-    /// The system gave no socket, file or process.
-    #[error("{what}: {error}")]
+    /// The operating system provided no socket, file or process.
+    #[error("cannot open or start {what}: {error}")]
     System {
-        /// What it was for.
+        /// What could not be opened or started: a listener, a file or a program.
         what: String,
-        /// The system's error.
+        /// The error of the operating system.
         error: io::Error,
     },
     /// A node's process ended before it listened, or did not listen in time.
-    #[error("node {node} ended before it served: {log}")]
+    #[error("node {node} ended or timed out before it was listening; its log: {log}")]
     Node {
         /// The node's number.
         node: usize,
-        /// Its log so far.
+        /// The log that the node wrote until then.
         log: String,
     },
-    /// The world needs more listeners than one process should hold.
-    #[error("{servers} servers x {nodes} nodes: at most {limit} listeners on sockets")]
+    /// The world needs more listeners than the limit of one process: one for each pair of a server and a node.
+    #[error(
+        "a world of {servers} servers x {nodes} nodes needs too many listeners: at most {limit} listeners on sockets"
+    )]
     TooManyListeners {
-        /// Servers of the world.
+        /// Number of servers of the world.
         servers: usize,
-        /// Nodes of the world.
+        /// Number of nodes of the world.
         nodes: u32,
-        /// Limit of the product of both.
+        /// Limit of the product of `servers` and `nodes`.
         limit: usize,
     },
 }
 
 impl SocketLabError {
-    /// Converts a system's error, for use with `map_err`.
+    /// Returns a function that converts an error of the operating system, for use with `map_err`.
     pub(crate) fn system(what: impl Into<String>) -> impl FnOnce(io::Error) -> Self {
         let what = what.into();
         move |error| Self::System { what, error }
--- a/socket-lab/src/faults.rs
+++ b/socket-lab/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults: started and ended at their times.
+//! Starts and ends the world's faults, each at its time.
 
 use std::rc::Rc;
 
@@ -18,13 +18,13 @@
 }
 
 struct FaultChange {
-    /// Since the world's start.
+    /// Time since the world's start.
     at: Nanos,
     fault: Fault,
     phase: FaultPhase,
 }
 
-/// Applies all faults of the world, each change at its time.
+/// Starts and ends all faults of the world, each at its time.
 pub(crate) async fn run_faults(run: Rc<RunState>, command: NodeCommand) {
     let mut changes: Vec<FaultChange> = Vec::new();
     for fault in &run.world.faults {
@@ -38,32 +38,34 @@
         let description = describe(&fault);
         run.log_fault_event(match phase {
             FaultPhase::Start => description,
-            FaultPhase::End => format!("over: {description}"),
+            FaultPhase::End => format!("ended: {description}"),
         });
         apply(&run, &fault, phase, &command);
     }
 }
 
-/// The fault in words, for observers.
+/// A description of the fault for observers.
 fn describe(fault: &Fault) -> String {
     let Fault { servers, nodes, zone, .. } = fault;
     let percent = fault.fraction * 100.0;
     match fault.kind {
         FaultKind::NoisyNeighbour => format!("a neighbour takes {percent:.0} % of servers {servers:?}"),
-        FaultKind::FalseReadiness => format!("servers {servers:?} refuse all and report no load"),
+        FaultKind::FalseReadiness => format!("servers {servers:?} reject all requests and report no load"),
         FaultKind::Drain => format!("servers {servers:?} drain"),
         FaultKind::Restart => format!("servers {servers:?} are down"),
         FaultKind::ZonePartition => format!("zone {zone} is cut off"),
-        FaultKind::Burst => format!("{} times the usual load", fault.rate_multiplier),
-        FaultKind::Errors => format!("{percent:.0} % of the answers of servers {servers:?} are errors"),
-        FaultKind::Hang => format!("servers {servers:?} answer nothing"),
-        FaultKind::ProbeTimeout => format!("servers {servers:?} answer no probe"),
-        FaultKind::AddedLatency => format!("zone {zone} is {} ms farther away", fault.added_latency_ms),
-        FaultKind::PacketLoss => format!("{percent:.0} % loss to and from zone {zone}"),
+        FaultKind::Burst => format!("the request rate is multiplied by {}", fault.rate_multiplier),
+        FaultKind::Errors => format!("{percent:.0} % of the responses of servers {servers:?} are errors"),
+        FaultKind::Hang => format!("servers {servers:?} do not respond"),
+        FaultKind::ProbeTimeout => format!("servers {servers:?} do not respond to probes"),
+        FaultKind::AddedLatency => {
+            format!("the latency to and from zone {zone} is {} ms higher", fault.added_latency_ms)
+        }
+        FaultKind::PacketLoss => format!("{percent:.0} % packet loss to and from zone {zone}"),
         FaultKind::DiscoveryDown => "discovery is down".into(),
-        FaultKind::DiscoveryStale => "whole lists are stale".into(),
+        FaultKind::DiscoveryStale => "full lists of discovery are stale".into(),
         FaultKind::NodeCrash => format!("nodes {nodes:?} are killed"),
-        FaultKind::NodeShutdown => format!("nodes {nodes:?} stop"),
+        FaultKind::NodeShutdown => format!("nodes {nodes:?} shut down"),
     }
 }
 
@@ -73,7 +75,7 @@
     let zone = fault.zone as usize;
     let count = |faults: &mut u32| *faults = if starts { *faults + 1 } else { *faults - 1 };
     match fault.kind {
-        // Part of the arrival process.
+        // A burst changes the arrival process, which reads it from the world itself.
         FaultKind::Burst => {}
         FaultKind::NoisyNeighbour => each_server(run, fault, |server| server.neighbour_load = fraction),
         FaultKind::Errors => each_server(run, fault, |server| server.extra_error_ratio = fraction),
@@ -116,7 +118,7 @@
     fault.servers.iter().for_each(|server| change(&mut run.servers[*server as usize].borrow_mut()));
 }
 
-/// Kills or starts a node's process, or takes it from its clients.
+/// Kills or restarts a node's process, or, at the start of a shutdown, makes the node unavailable to new clients.
 async fn change_node(
     run: Rc<RunState>,
     node: usize,
@@ -125,7 +127,7 @@
     command: NodeCommand,
 ) {
     if phase == FaultPhase::Start && kind == FaultKind::NodeShutdown {
-        // New clients don't reach it any more; it finishes what is in flight.
+        // New requests don't reach the node any more; the node completes the requests in flight.
         run.nodes[node].borrow_mut().address = None;
         return;
     }
--- a/socket-lab/src/jobs.rs
+++ b/socket-lab/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs on the model servers, carried out in real time.
+//! Jobs on the model servers, executed in real time.
 
 use std::rc::Rc;
 
@@ -11,7 +11,7 @@
 use crate::run_state::RunState;
 use crate::server_processes::stop_server;
 
-/// A server's job, cancelled when this is dropped before the job is done.
+/// A queued or running job of a server. Dropping this value before the job is done cancels the job.
 pub(crate) struct RunningJob {
     run: Rc<RunState>,
     server: usize,
@@ -19,7 +19,7 @@
     done: oneshot::Receiver<()>,
 }
 
-/// The server's process has ended before the job was done.
+/// The error of a job whose server's process ended before the job was done.
 #[derive(Debug)]
 pub(crate) struct ServerStopped;
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// Offers a request's work to a server. `None` if the server rejects it or crashes under it.
+/// Submits a request's work to a server. `None` if the server rejects the work, or is overloaded by it and crashes.
 pub(crate) fn submit_request(
     run: &Rc<RunState>,
     server: usize,
@@ -52,7 +52,7 @@
     admitted(run, server, id, admission)
 }
 
-/// Gives a server the work of a probe's response. `None` if the server rejects it.
+/// Submits the work of a probe's response to a server. `None` if the server rejects the work.
 pub(crate) fn submit_probe(run: &Rc<RunState>, server: usize) -> Option<RunningJob> {
     let id = run.next_id();
     let admission = run.servers[server].borrow_mut().admit_probe(id, run.clock.now());
@@ -77,7 +77,7 @@
     Some(RunningJob { run: run.clone(), server, id, done })
 }
 
-/// Lets a core work on a job until its end, and then on the next.
+/// Occupies a core with a job until the job's end, then with the server's next queued job.
 fn carry_out(run: &Rc<RunState>, server: usize, job: Option<StartedJob>) {
     let Some(StartedJob { id, finishes_at }) = job else { return };
     let run = run.clone();
@@ -87,7 +87,7 @@
         if finished.was_running
             && let Some(notify_done) = run.jobs.borrow_mut().remove(&id)
         {
-            // The receiver may have been dropped at the same moment.
+            // The send fails if the receiver has just been dropped.
             let _ = notify_done.send(());
         }
         carry_out(&run, server, finished.next);
--- a/socket-lab/src/lib.rs
+++ b/socket-lab/src/lib.rs
@@ -1,19 +1,19 @@
-//! The lab's worlds in real time: model servers behind real sockets, a discovery service and clients over HTTP/1.1, and
-//! nodes as processes. Everything is on loopback, on free ports, in one thread. The invariants are checked against the
-//! messages on the sockets.
+//! Runs the lab's worlds in real time: model servers behind real sockets, a discovery service and clients over HTTP/1.1, and
+//! nodes as processes. All sockets are on loopback, on free ports, and all parts but the nodes run in one thread. The
+//! invariants are checked against the messages on the sockets.
 //!
-//! | module | concern |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `run_state`, `clock`, `network` | what all parts share: state, clock, latency and partitions |
+//! | `run_state`, `clock`, `network` | the state, clock, latency and partitions that all parts share |
 //! | `servers`, `server_path`, `server_requests`, `jobs`, `server_processes` | the model servers on sockets |
-//! | `endpoint_list`, `discovery` | the list of servers, and the service that nodes poll |
+//! | `endpoint_list`, `discovery` | the list of servers, and the discovery service that nodes poll |
 //! | `node_config`, `node_processes` | the nodes' configuration and processes |
 //! | `clients` | the clients and their connections |
-//! | `faults` | faults, at their times |
+//! | `faults` | applies the world's faults, each at its time |
 //! | `resource_usage` | the resources that the nodes' processes use |
-//! | `snapshot` | what an observer sees during a run |
+//! | `snapshot` | the state of a run as shown to an observer |
 //!
-//! Besides, [`scripted`] has peers whose every byte a test decides.
+//! In addition, [`scripted`] has peers whose messages a test determines byte by byte.
 
 mod clients;
 mod clock;
@@ -49,16 +49,17 @@
 pub use node_processes::NodeCommand;
 pub use snapshot::{AttemptCounts, Snapshot, ZoneSnapshot};
 
-/// Limit of listeners in one process.
+/// Limit of the model servers' listeners in one process.
 const MAX_LISTENERS: usize = 600;
 /// Time between two snapshots.
 const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Runs a world once, in real time. `observe` gets a snapshot about twice a second. All processes and tasks have ended when
-/// this returns or is dropped.
+/// the future completes or is dropped.
 ///
 /// # Errors
-/// If the world needs too many listeners, the system gives no socket, file or process, or a node does not start.
+/// [`SocketLabError`] if the world needs too many listeners, the operating system provides no socket, file or process, or a
+/// node does not start.
 pub async fn run(
     world: &World,
     seed: u64,
--- a/socket-lab/src/network.rs
+++ b/socket-lab/src/network.rs
@@ -1,4 +1,4 @@
-//! The network between nodes and servers: latency, loss and partitions, as in the simulation.
+//! The network between nodes and servers: latency, loss and partitions, modelled as in the simulation.
 
 use std::time::Duration;
 
@@ -6,9 +6,9 @@
 
 use crate::run_state::RunState;
 
-/// A lost message is sent again after this time.
+/// Time after which a lost message is sent again.
 const RETRANSMISSION_TIMEOUT_MS: f64 = 200.0;
-/// A message is lost twice at most: a longer loss is a fault of its own, a partition.
+/// A message is lost at most twice: longer loss is modelled by a fault of its own, the partition.
 const MAX_RETRANSMISSIONS: usize = 2;
 
 impl RunState {
--- a/socket-lab/src/node_config.rs
+++ b/socket-lab/src/node_config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a node's process, for a world.
+//! The configuration of a node's process, derived from the world.
 
 use ivyhatch_lab::{
     ANSWER_SLACK, COLD_START_CAPACITY, DRAIN_GRACE, OVERLOAD_CRASH_MULTIPLE, OVERLOAD_WINDOW, RequestClass,
@@ -18,7 +18,7 @@
         "importance": class.value})
 }
 
-/// The name of a tenant in settings and headers.
+/// The name of a tenant in the node's settings and in request headers.
 pub(crate) fn tenant_name(number: usize) -> String {
     format!("t{number}")
 }
@@ -45,7 +45,7 @@
             "tip-multiple": OVERLOAD_CRASH_MULTIPLE, "warm-after-ns": WARM_UP_PERIOD}})
 }
 
-/// The configuration of a node that starts with this list of servers.
+/// The configuration of a node whose initial list of servers is `known`.
 pub(crate) fn node_config(run: &RunState, node: usize, known: &[Endpoint]) -> Value {
     let discovery = run.nodes[node].borrow().discovery_address.expect("discovery listens before nodes start");
     let seed = format!("{:016x}", run.random.node_seeds.borrow_mut().seed());
--- a/socket-lab/src/node_processes.rs
+++ b/socket-lab/src/node_processes.rs
@@ -1,4 +1,4 @@
-//! The nodes' processes: started with a configuration file, ended with a signal.
+//! The nodes' processes: started with a configuration file, and killed with a signal.
 
 use std::ffi::OsString;
 use std::io::Write;
@@ -19,19 +19,19 @@
 use crate::node_config::node_config;
 use crate::run_state::RunState;
 
-/// A node that does not listen within this time has failed.
+/// Time within which a node must listen; otherwise its start has failed.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 /// Environment variable with the path of a node's configuration.
 const CONFIG_VARIABLE: &str = "EDGE_CONFIG";
-/// What stands before the address in the log line of a node that listens.
+/// The text before the address in the log line of a node that listens.
 const LISTENING_PREFIX: &str = "listening on ";
 
 /// The command that runs a node.
 #[derive(Clone, Debug)]
 pub struct NodeCommand {
-    /// The program.
+    /// The path of the program.
     pub program: PathBuf,
-    /// Its arguments.
+    /// The program's arguments; the configuration is passed in an environment variable.
     pub arguments: Vec<OsString>,
 }
 
@@ -49,7 +49,7 @@
 /// Starts a node's process and waits until it listens.
 ///
 /// # Errors
-/// If the system gives no file or process, or the process ends or does not listen in time.
+/// If the operating system provides no file or process, or the process ends before it listens or does not listen in time.
 pub(crate) async fn start(
     run: &Rc<RunState>,
     node: usize,
@@ -63,7 +63,7 @@
         known.iter().for_each(|endpoint| invariants.server_listed(node, endpoint.as_listed(), now));
     }
     let config_file = write_config(&node_config(run, node, &known))
-        .map_err(SocketLabError::system("a node's configuration"))?;
+        .map_err(SocketLabError::system("a node's configuration file"))?;
     let mut process = spawn(command, &config_file)
         .map_err(SocketLabError::system(command.program.display().to_string()))?;
     let stderr = process.stderr.take().expect("the process was spawned with a pipe");
@@ -72,7 +72,7 @@
     let Ok(Some(address)) = timeout(START_TIMEOUT, listening_address(&mut log_lines, &mut log)).await else {
         return Err(SocketLabError::Node { node, log });
     };
-    // The log has to be read on, or the process would block on a full pipe.
+    // The rest of the log is read and dropped: the process would block on a full pipe otherwise.
     spawn_local(async move { while let Ok(Some(_)) = log_lines.next_line().await {} });
     let mut state = run.nodes[node].borrow_mut();
     state.process = Some(process);
@@ -98,7 +98,8 @@
         .spawn()
 }
 
-/// The address from the log line that says that the node listens; the lines before it are kept. `None` if the log ends.
+/// The address from the log line that says that the node listens; the lines before are appended to `log`. `None` if the log
+/// ends first, or the address is malformed.
 async fn listening_address(
     log_lines: &mut Lines<BufReader<ChildStderr>>,
     log: &mut String,
@@ -113,7 +114,7 @@
     None
 }
 
-/// Kills a node's process. Its requests are lost with it.
+/// Kills a node's process, if there is one. The requests in flight at the node are recorded as lost.
 pub(crate) async fn kill(run: &Rc<RunState>, node: usize) {
     let (process, open_requests) = {
         let mut state = run.nodes[node].borrow_mut();
@@ -123,7 +124,7 @@
     };
     open_requests.into_iter().for_each(|request| run.invariants.borrow_mut().request_lost(node, request));
     if let Some(mut process) = process {
-        // It may have ended by itself.
+        // An error means that the process has ended by itself.
         let _ = process.kill().await;
     }
 }
--- a/socket-lab/src/run_state.rs
+++ b/socket-lab/src/run_state.rs
@@ -1,4 +1,4 @@
-//! The state that all parts of a run share. A run has one thread, so that cells suffice.
+//! The state that all parts of a run share. A run has a single thread, so that cells suffice and no locks are needed.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -18,35 +18,35 @@
 use crate::endpoint_list::EndpointList;
 use crate::snapshot::{AttemptCounts, Snapshot, ZoneSnapshot};
 
-/// The body of all messages.
+/// The body type of all requests and responses that the lab sends.
 pub(crate) type Body = Full<Bytes>;
 
-/// Tolerance of the invariants for a real clock on a shared machine: as much as the protocol allows.
+/// Tolerance of the invariants' times for a real clock on a shared machine: 50 ms, as much as the protocol allows.
 const LEEWAY: Nanos = 50_000_000;
 
-/// A node's process, and what its clients know of it.
+/// A node's process, and the state that the node's clients and discovery service need.
 #[derive(Default)]
 pub(crate) struct Node {
     pub(crate) process: Option<Child>,
-    /// Where it accepts clients; `None` while it is down.
+    /// Address on which the node accepts clients; `None` while the node is down or shutting down.
     pub(crate) address: Option<SocketAddr>,
-    /// The clients' idle connections to it.
+    /// The clients' idle connections to the node.
     pub(crate) idle_connections: Vec<SendRequest<Body>>,
-    /// Address of its discovery service.
+    /// Address of the node's discovery service; `None` until the service listens.
     pub(crate) discovery_address: Option<SocketAddr>,
     pub(crate) config_file: Option<tempfile::TempPath>,
-    /// Ids of the requests that it owes a response.
+    /// Ids of the requests in flight at the node.
     pub(crate) open_requests: Vec<u64>,
 }
 
-/// What servers need to know of a client's request, by the id in its header.
+/// The properties of a client's request that the servers look up by the id in the request's header.
 #[derive(Clone, Copy)]
 pub(crate) struct PendingRequest {
     pub(crate) id: u64,
     /// Nanoseconds of work on a core of speed 1.
     pub(crate) work: f64,
     pub(crate) downstream_wait: Nanos,
-    /// Attempts that have reached a server.
+    /// Number of attempts that servers have received.
     pub(crate) attempts: u32,
 }
 
@@ -56,13 +56,13 @@
     }
 }
 
-/// The network's faults that add to latency and loss, by zone.
+/// Latency and loss that faults add to the network, by zone.
 pub(crate) struct LinkFaults {
     pub(crate) added_latency_ms: Vec<f64>,
     pub(crate) added_loss: Vec<f64>,
 }
 
-/// One stream for each purpose. The purposes' names are those of the simulation: both see the same clients.
+/// One random stream per purpose. The purposes have the same names as in the simulation, so that both draw the same clients.
 pub(crate) struct RandomStreams {
     pub(crate) network: RefCell<RandomStream>,
     pub(crate) load_noise: RefCell<RandomStream>,
@@ -86,7 +86,7 @@
     }
 }
 
-/// The highest use of resources by one node's process.
+/// The highest resource usage of any node's process.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct PeakUsage {
     pub(crate) descriptors: u64,
@@ -98,20 +98,20 @@
     pub(crate) world: Rc<World>,
     pub(crate) clock: Clock,
     pub(crate) servers: Vec<RefCell<Server>>,
-    /// Counts each server's processes: connections of an earlier one are reset.
+    /// The number of starts and stops of each server's process: a change resets the connections of the process before.
     pub(crate) incarnations: Vec<watch::Sender<u32>>,
-    /// Where each server listens for each node.
+    /// The address on which each server listens for each node, by server and node.
     pub(crate) server_addresses: RefCell<Vec<Vec<SocketAddr>>>,
-    /// Queued and running jobs, by id, with what to notify at their end.
+    /// The channels that signal the end of queued and running jobs, by the job's id.
     pub(crate) jobs: RefCell<HashMap<u64, oneshot::Sender<()>>>,
     last_id: Cell<u64>,
     pub(crate) nodes: Vec<RefCell<Node>>,
-    /// Requests by the id in their header.
+    /// Requests of which attempts may be in flight, by the id in their header.
     pub(crate) pending_requests: RefCell<HashMap<String, PendingRequest>>,
     pub(crate) endpoint_list: RefCell<EndpointList>,
-    /// The list's revision, for watches that wait for the next one.
+    /// The list's revision, for watches that wait for a later revision.
     pub(crate) list_revision: watch::Sender<u64>,
-    /// Number of partitions that separate each zone from all others.
+    /// Number of active partitions that separate each zone from all other zones.
     pub(crate) partitions: watch::Sender<Vec<u32>>,
     pub(crate) link_faults: RefCell<LinkFaults>,
     pub(crate) invariants: RefCell<InvariantChecker>,
@@ -153,7 +153,7 @@
         })
     }
 
-    /// An id that nothing else in the run has.
+    /// A new id, unique among the requests and jobs of the run.
     pub(crate) fn next_id(&self) -> u64 {
         self.last_id.set(self.last_id.get() + 1);
         self.last_id.get()
@@ -182,7 +182,7 @@
         }
     }
 
-    /// The present state for an observer. Its fault events are those since the snapshot before.
+    /// The current state for an observer, with the fault events since the previous snapshot.
     pub(crate) fn snapshot(&self) -> Snapshot {
         let now = self.clock.now();
         Snapshot {
@@ -196,7 +196,7 @@
         }
     }
 
-    /// The report at the end of the run.
+    /// Takes the recorded outcomes and invariants, and returns the report of the run.
     pub(crate) fn finish(&self, seed: u64) -> Report {
         let mut report = self.outcomes.replace(OutcomeRecorder::new(&self.world)).finish(seed);
         let invariants = self.invariants.take();
@@ -214,7 +214,7 @@
     }
 }
 
-/// The name of a zone in lists and settings.
+/// The name of a zone in endpoint lists and settings.
 pub(crate) fn zone_name(zone: usize) -> String {
     format!("z{zone}")
 }
--- a/socket-lab/src/scripted/backend.rs
+++ b/socket-lab/src/scripted/backend.rs
@@ -11,12 +11,12 @@
 use super::TEST_TIMEOUT;
 use super::message::{Message, read_message};
 
-/// How a backend replies to one request.
+/// A backend's reply to one request.
 #[derive(Clone)]
 pub enum BackendReply {
     /// Writes these bytes and keeps the connection open.
     Write(String),
-    /// Writes these bytes and shuts down its side of the connection.
+    /// Writes these bytes and shuts down the backend's side of the connection.
     WriteThenClose(String),
     /// Writes a response and further bytes in a single write.
     WriteWithTrailingBytes(String, String),
@@ -28,17 +28,17 @@
     WriteAtGate(Arc<Gate>, String),
 }
 
-/// A 200 response with this body.
+/// Formats a 200 response with this body.
 pub fn ok(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// A response without a body. `headers` are complete header lines, each with its line end.
+/// Formats a response without a body. `headers` consists of complete header lines, each ending in CRLF.
 pub fn status(code: u16, headers: &str) -> String {
     format!("HTTP/1.1 {code} X\r\n{headers}Content-Length: 0\r\n\r\n")
 }
 
-/// A latch: it opens once and stays open.
+/// A latch that is opened once and stays open.
 #[derive(Default)]
 pub struct Gate {
     is_open: Mutex<bool>,
@@ -63,27 +63,27 @@
         let is_open = self.is_open.lock().expect("no waiter panics with the lock held");
         let waited = self.changed.wait_timeout_while(is_open, TEST_TIMEOUT, |is_open| !*is_open);
         let (_guard, result) = waited.expect("no waiter panics with the lock held");
-        assert!(!result.timed_out(), "the gate never opened");
+        assert!(!result.timed_out(), "the gate was not opened within {TEST_TIMEOUT:?}");
     }
 }
 
-/// A backend server: the test scripts its replies and receives its requests.
+/// A backend server whose replies a test determines and whose requests the test receives.
 pub struct Backend {
-    /// Address of its listener.
+    /// Address on which the backend listens.
     pub address: SocketAddr,
-    /// Requests in the order of their arrival.
+    /// Requests received, in the order of their arrival.
     pub requests: Receiver<Message>,
-    /// Number of connections accepted.
+    /// Number of connections accepted so far.
     pub connections: Arc<AtomicU32>,
-    /// Number of connections that the backend shut down first and that the peer has closed since.
+    /// Number of connections that the backend shut down first and the peer has then closed.
     pub closed: Arc<AtomicU32>,
 }
 
 impl Backend {
-    /// Starts a backend on a free port that replies to each request as `reply` says.
+    /// Starts a backend on a free port. `reply` returns the reply to each request.
     ///
     /// # Panics
-    /// If the system has no free port.
+    /// If the operating system has no free port.
     pub fn new(reply: impl Fn(&Message) -> BackendReply + Send + Sync + 'static) -> Self {
         Self::on(TcpListener::bind("127.0.0.1:0").expect("loopback has a free port"), reply)
     }
@@ -114,12 +114,12 @@
     /// Receives the next request.
     ///
     /// # Panics
-    /// If none arrives within [`TEST_TIMEOUT`].
+    /// If no request arrives within [`TEST_TIMEOUT`].
     pub fn next_request(&self) -> Message {
-        self.requests.recv_timeout(TEST_TIMEOUT).expect("a request reaches the backend")
+        self.requests.recv_timeout(TEST_TIMEOUT).expect("a request reaches the backend in time")
     }
 
-    /// Receives and counts all requests that have arrived and were not received before.
+    /// Removes all requests that have arrived from the queue, and returns their number.
     pub fn drain_requests(&self) -> usize {
         self.requests.try_iter().count()
     }
@@ -165,13 +165,13 @@
     }
 }
 
-/// How long one attempt to fill the backlog may take: less than the second after which the kernel sends a SYN again.
+/// Timeout of a connection that fills the backlog: less than the second after which the kernel retransmits a SYN.
 const FILL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A listener whose accept backlog is full: new connections to it complete some time after it has been opened.
+/// A listener whose accept backlog is full: new connections complete only some time after [`FullBacklogListener::open`].
 pub struct FullBacklogListener {
     listener: TcpListener,
-    /// The connections that fill the backlog.
+    /// The connections that fill the accept backlog.
     filling: Vec<TcpStream>,
 }
 
@@ -179,12 +179,12 @@
     /// Binds a listener on a free port and fills its backlog.
     ///
     /// # Panics
-    /// If the system gives no socket.
+    /// If the operating system provides no socket.
     pub fn new() -> Self {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_io()
             .build()
-            .expect("the system gives an event queue");
+            .expect("the operating system provides an event queue");
         let _context = runtime.enter();
         let socket = tokio::net::TcpSocket::new_v4().expect("the process has a free descriptor");
         socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("loopback has a free port");
@@ -192,13 +192,13 @@
             socket.listen(1).and_then(tokio::net::TcpListener::into_std).expect("a bound socket listens");
         listener.set_nonblocking(false).expect("a listener can block");
         let address = listener.local_addr().expect("a bound listener has an address");
-        // A connection that has room completes at once; one that has none is dropped and repeats its SYN later.
+        // A connection that fits into the backlog completes at once; the SYN of any other one is dropped and retransmitted later.
         let filling =
             std::iter::from_fn(|| TcpStream::connect_timeout(&address, FILL_TIMEOUT).ok()).collect();
         Self { listener, filling }
     }
 
-    /// Address of the listener.
+    /// Address on which the listener is bound.
     ///
     /// # Panics
     /// Never: the listener is bound.
@@ -211,7 +211,7 @@
         self.filling.len()
     }
 
-    /// Empties the backlog and serves from now on as a [`Backend`].
+    /// Closes the connections that fill the backlog, and serves the listener as a [`Backend`] from now on.
     pub fn open(self, reply: impl Fn(&Message) -> BackendReply + Send + Sync + 'static) -> Backend {
         drop(self.filling);
         Backend::on(self.listener, reply)
--- a/socket-lab/src/scripted/client.rs
+++ b/socket-lab/src/scripted/client.rs
@@ -1,4 +1,4 @@
-//! A scripted client's connection.
+//! A client connection whose bytes a test writes and reads.
 
 use std::io::{BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,7 +7,7 @@
 use super::TEST_TIMEOUT;
 use super::message::{Message, read_message};
 
-/// A client's connection; reads from it time out after [`TEST_TIMEOUT`].
+/// A client's connection. Reads time out after [`TEST_TIMEOUT`].
 pub struct Client {
     writer: TcpStream,
     reader: BufReader<TcpStream>,
@@ -32,7 +32,7 @@
         Self { writer, reader }
     }
 
-    /// Another handle of the socket.
+    /// A second handle to the same socket.
     ///
     /// # Panics
     /// If the process has no free descriptor.
@@ -43,13 +43,13 @@
     /// Closes the connection with a TCP reset.
     ///
     /// # Panics
-    /// If the socket takes no linger option.
+    /// If the socket does not support the linger option.
     pub fn reset(self) {
         let socket = socket2::SockRef::from(&self.writer);
         socket.set_linger(Some(Duration::ZERO)).expect("a TCP socket takes the linger option");
     }
 
-    /// Writes these bytes.
+    /// Writes a text to the connection as it is.
     ///
     /// # Panics
     /// If the connection is closed.
@@ -57,7 +57,7 @@
         self.writer.write_all(text.as_bytes()).expect("the connection is open");
     }
 
-    /// Reads the next response. `None` if the connection ends first.
+    /// Reads the next response. `None` if the connection ends, or a read times out, before the response is complete.
     pub fn read(&mut self) -> Option<Message> {
         read_message(&mut self.reader)
     }
@@ -71,7 +71,7 @@
         self.read()
     }
 
-    /// Like [`Client::round_trip`], but `None` if the connection was closed before.
+    /// Like [`Client::round_trip`], but returns `None` if the connection was closed before the request is written.
     pub fn try_round_trip(&mut self, request: &str) -> Option<Message> {
         self.writer.write_all(request.as_bytes()).ok()?;
         self.read()
--- a/socket-lab/src/scripted/discovery.rs
+++ b/socket-lab/src/scripted/discovery.rs
@@ -1,4 +1,4 @@
-//! A scripted discovery service: one endpoint list, and the long polls that watch it.
+//! A scripted discovery service: one endpoint list, and the long polls (watches) that wait for its changes.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,39 +13,39 @@
 use super::message::{Message, read_message};
 use super::wait_until;
 
-/// Pause between two bytes of a trickled response.
+/// Delay between two bytes of a response that is written byte by byte.
 const TRICKLE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A discovery service whose list and faults are set by the test.
 #[derive(Clone)]
 pub struct Discovery {
-    /// Address of its listener.
+    /// Address on which the service listens.
     pub address: SocketAddr,
     published: Arc<(Mutex<PublishedList>, Condvar)>,
-    /// Request lines of all watches so far, answered or pending.
+    /// Request lines of all watches so far, both answered and pending.
     pub watch_requests: Arc<Mutex<Vec<String>>>,
     faults: Arc<ConnectionFaults>,
 }
 
-/// The list that watches get.
+/// The list that is sent in response to watches.
 struct PublishedList {
     revision: u64,
-    /// The response's body.
+    /// The body of the response, valid or not.
     text: String,
 }
 
-/// What is wrong with the service's connections.
+/// Faults of the service's connections.
 #[derive(Default)]
 struct ConnectionFaults {
-    /// Connections accepted so far.
+    /// Number of connections accepted so far.
     connections: AtomicU32,
-    /// Connections up to this number send nothing.
+    /// The service sends nothing on connections with a number up to this one; the first connection is number 1.
     silent_up_to: AtomicU32,
-    /// Responses are written byte by byte.
+    /// Whether responses are written byte by byte.
     trickles: AtomicBool,
 }
 
-/// The number after `key=` in a request line.
+/// The number after `key` in a request line, where `key` includes the equals sign. `None` if there is no such number.
 fn query_number(request_line: &str, key: &str) -> Option<u64> {
     let value = request_line.split(key).nth(1)?;
     value.split(['&', ' ']).next()?.parse().ok()
@@ -55,7 +55,7 @@
     /// Starts a service on a free port with the first revision of a list.
     ///
     /// # Panics
-    /// If the system has no free port.
+    /// If the operating system has no free port.
     pub fn new(targets: Value) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
         let first = PublishedList { revision: 1, text: full_list(1, &targets) };
@@ -76,13 +76,13 @@
         discovery
     }
 
-    /// Keeps all open connections, and the next `more`, open without a further byte on them.
+    /// From now on, sends nothing on the connections accepted so far and on the next `more` ones, but keeps them open.
     pub fn fall_silent(&self, more: u32) {
         let up_to = self.faults.connections.load(Ordering::SeqCst) + more;
         self.faults.silent_up_to.store(up_to, Ordering::SeqCst);
     }
 
-    /// Whether responses are written byte by byte, a tenth of a second apart.
+    /// Sets whether responses are written byte by byte, 100 ms apart.
     pub fn trickle(&self, trickles: bool) {
         self.faults.trickles.store(trickles, Ordering::SeqCst);
     }
@@ -104,7 +104,7 @@
         while let Some(message) = read_message(&mut reader) {
             let body = self.await_change(&message);
             if self.faults.silent_up_to.load(Ordering::SeqCst) >= number {
-                // Until the peer closes the connection.
+                // Reads and drops all bytes until the peer closes the connection.
                 let _ = std::io::copy(&mut reader, &mut std::io::sink());
                 return;
             }
@@ -114,7 +114,7 @@
         }
     }
 
-    /// The body of the response to a watch, after a change of the list or the end of the watch's hold time.
+    /// Waits for a change of the list or the end of the watch's hold time, and returns the body of the response.
     fn await_change(&self, message: &Message) -> String {
         let request_line = message.start_line.clone();
         let known_revision = query_number(&request_line, "from=");
@@ -134,31 +134,31 @@
         self.published.0.lock().expect("no watch panics with the lock held")
     }
 
-    /// Replaces the list; pending watches get the full list.
+    /// Publishes a new list under the next revision; pending watches get the full list.
     pub fn set(&self, targets: Value) {
         let revision = self.revision() + 1;
         self.set_text(revision, full_list(revision, &targets));
     }
 
-    /// Sets the body that watches get next, valid or not.
+    /// Publishes a body, valid or not, under a revision; pending watches get this body.
     pub fn set_text(&self, revision: u64, text: String) {
         *self.lock_list() = PublishedList { revision, text };
         self.published.1.notify_all();
     }
 
-    /// Waits for a watch from this revision: its client has applied the revision's list.
+    /// Waits until a watch from this revision arrives, which shows that the client has applied this revision's list.
     ///
     /// # Panics
-    /// If none comes within [`super::TEST_TIMEOUT`].
+    /// If no such watch arrives within [`super::TEST_TIMEOUT`].
     pub fn wait_for_watch_from(&self, revision: u64) {
         let query = format!("from={revision}&");
-        wait_until("the watch goes on", || {
+        wait_until("a watch from the given revision arrives", || {
             let requests = self.watch_requests.lock().expect("no watch panics with the lock held");
             requests.iter().any(|request| request.contains(&query))
         });
     }
 
-    /// The revision that watches get now.
+    /// The current revision of the list.
     pub fn revision(&self) -> u64 {
         self.lock_list().revision
     }
--- a/socket-lab/src/scripted/message.rs
+++ b/socket-lab/src/scripted/message.rs
@@ -3,12 +3,12 @@
 use std::io::{BufRead, BufReader, Read};
 use std::net::TcpStream;
 
-/// A header as it was written, without the white space round its value.
+/// A header field as received, without the white space around its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// Name in the sender's case.
+    /// Field name in the sender's case.
     pub name: String,
-    /// Value without leading and trailing white space.
+    /// Field value without leading and trailing white space.
     pub value: String,
 }
 
@@ -19,23 +19,23 @@
     pub start_line: String,
     /// All header fields in the order of the message.
     pub headers: Vec<Header>,
-    /// As many bytes as `Content-Length` declares.
+    /// The body, with the length that `Content-Length` declares; empty without that header.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// All values of a header, whose name is compared without case (RFC 9110, section 5.1).
+    /// All values of a header, in the order of the message. Names are case-insensitive (RFC 9110, section 5.1).
     pub fn values(&self, name: &str) -> Vec<&str> {
         let matching = self.headers.iter().filter(|header| header.name.eq_ignore_ascii_case(name));
         matching.map(|header| header.value.as_str()).collect()
     }
 
-    /// The first value of a header.
+    /// The first value of a header; `None` if the message does not have the header.
     pub fn value(&self, name: &str) -> Option<&str> {
         self.values(name).first().copied()
     }
 
-    /// The status code; 0 if the start line has none.
+    /// The status code; 0 if the start line has no status code.
     pub fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0)
     }
--- a/socket-lab/src/scripted/mod.rs
+++ b/socket-lab/src/scripted/mod.rs
@@ -1,6 +1,6 @@
 //! Peers for tests that follow a script byte by byte: a server that writes half a response, a discovery service with a
-//! malformed list, a client that sends nothing. They use threads and blocking sockets, so that a test reads from top to
-//! bottom, and panic when an awaited event does not come within [`TEST_TIMEOUT`].
+//! malformed list, a client that sends nothing. The peers use threads and blocking sockets, so that the steps of a test are in
+//! sequence, and panic when an awaited event does not occur within [`TEST_TIMEOUT`].
 
 mod backend;
 mod client;
@@ -15,15 +15,15 @@
 pub use discovery::Discovery;
 pub use message::{Header, Message, read_message};
 
-/// Time after which a wait fails its test.
+/// Time after which a wait panics and so fails the test.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time between two checks of a condition.
+/// Time between two checks of a condition in [`wait_until`].
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Waits until a condition holds.
 ///
 /// # Panics
-/// If it does not hold within [`TEST_TIMEOUT`]; `what` names the condition.
+/// If the condition does not hold within [`TEST_TIMEOUT`]; `what` describes the condition in the panic message.
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     for _ in 0..TEST_TIMEOUT.as_millis() / POLL_INTERVAL.as_millis() {
         if condition() {
@@ -31,5 +31,5 @@
         }
         thread::sleep(POLL_INTERVAL);
     }
-    panic!("in vain: {what}");
+    panic!("condition not met within {TEST_TIMEOUT:?}: {what}");
 }
--- a/socket-lab/src/server_path.rs
+++ b/socket-lab/src/server_path.rs
@@ -1,4 +1,4 @@
-//! The path between a node and a server.
+//! The network path between a node and a server.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 
 use crate::run_state::RunState;
 
-/// The path between a node and a server, from the server's side.
+/// The network path between a node and a server, as used by the server's listener for this node.
 #[derive(Clone)]
 pub(crate) struct Path {
     pub(crate) run: Rc<RunState>,
--- a/socket-lab/src/server_processes.rs
+++ b/socket-lab/src/server_processes.rs
@@ -1,4 +1,4 @@
-//! The processes of the model servers: their ends and starts, and the notification of discovery.
+//! The processes of the model servers: starting, draining and stopping them, and the publication of their states in discovery.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 use crate::run_state::RunState;
 
-/// Publishes a server's present state in the list, after discovery's lag.
+/// Publishes a server's current state in the endpoint list, after discovery's lag.
 pub(crate) fn announce(run: &Rc<RunState>, server: usize) {
     let (state, started) = {
         let server = run.servers[server].borrow();
@@ -23,21 +23,21 @@
     });
 }
 
-/// Ends a server's process, with its connections.
+/// Ends a server's process and closes the server's connections.
 pub(crate) fn stop_server(run: &Rc<RunState>, server: usize) {
     run.servers[server].borrow_mut().stop(run.clock.now());
     run.incarnations[server].send_modify(|incarnation| *incarnation += 1);
     announce(run, server);
 }
 
-/// Starts a new process of a server.
+/// Starts a new process for a server.
 pub(crate) fn start_server(run: &Rc<RunState>, server: usize) {
     run.servers[server].borrow_mut().restart(run.clock.now());
     run.incarnations[server].send_modify(|incarnation| *incarnation += 1);
     announce(run, server);
 }
 
-/// Lets a server drain, if it is in service.
+/// Starts draining a server, if the server is in service.
 pub(crate) fn drain_server(run: &Rc<RunState>, server: usize) {
     let is_serving = run.servers[server].borrow().state == ServerState::Serving;
     if is_serving {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Ends the process of a server that drains, unless it has ended before.
+/// Ends the process of a draining server. Does nothing if the server is not draining any more.
 pub(crate) fn stop_drained_server(run: &Rc<RunState>, server: usize) {
     let is_draining = run.servers[server].borrow().state == ServerState::Draining;
     if is_draining {
--- a/socket-lab/src/server_requests.rs
+++ b/socket-lab/src/server_requests.rs
@@ -1,4 +1,4 @@
-//! Requests and probes at a model server: HTTP in front of the simulation's server.
+//! Requests and probes at a model server: an HTTP interface to the simulation's server model.
 
 use std::future::pending;
 use std::rc::Rc;
@@ -23,7 +23,7 @@
 const STATS_PATH: &str = "/stats";
 const HEALTH_PATH: &str = "/health/live";
 
-/// An attempt of a client's request, as its server sees it.
+/// An attempt of a client's request, as received by a server.
 #[derive(Clone, Copy)]
 struct Attempt {
     request: PendingRequest,
@@ -35,7 +35,7 @@
     response.expect("a status and a body make a valid response")
 }
 
-/// The response of a server that rejects a request before any work.
+/// The response to a request that the server rejects before any work.
 pub(crate) fn rejected() -> Response<Body> {
     let response = Response::builder()
         .status(StatusCode::SERVICE_UNAVAILABLE)
@@ -44,14 +44,14 @@
     response.expect("a status and a header make a valid response")
 }
 
-/// Across a partition nothing arrives: the connection stays open without a further byte.
+/// Never returns if a partition separates the path: nothing arrives, and the connection stays open without a further byte.
 async fn hang_if_partitioned(path: &Path) {
     if path.is_partitioned() {
         pending::<()>().await;
     }
 }
 
-/// Responds to a request or probe, with the network's latency to both sides.
+/// Responds to a request or probe, after the network's latency in each direction.
 pub(crate) async fn respond(path: &Path, request: Request<Incoming>) -> Response<Body> {
     let (parts, body) = request.into_parts();
     if body.collect().await.is_err() {
@@ -76,8 +76,8 @@
     response
 }
 
-/// Counts an attempt of the request with this id, at the moment at which its node has sent it. `None` if no client has
-/// sent such a request.
+/// Counts an attempt of the request with this id, before the network's latency, and so at the time at which the node sent the
+/// attempt. `None` if no client's request has this id.
 fn count_attempt(path: &Path, id: &str) -> Option<Attempt> {
     let attempt = {
         let mut requests = path.run.pending_requests.borrow_mut();
@@ -109,7 +109,7 @@
     }
     let report = load_report(run, server);
     if let Some(mut job) = submit_probe(run, server) {
-        // If the process ends, so does the connection.
+        // The error can be ignored: if the process ends, the connection is closed.
         let _ = job.finished().await;
     }
     response(StatusCode::OK, report)
@@ -128,7 +128,7 @@
         return rejected();
     };
     if job.finished().await.is_err() {
-        // The process has ended, and the connection ends with it.
+        // The server's process has ended, and its connections are about to be closed.
         pending::<()>().await;
     }
     sleep(Duration::from_nanos(request.downstream_wait)).await;
@@ -144,7 +144,7 @@
     response
 }
 
-/// Whether a response is an error.
+/// Draws whether a response is an error.
 fn draw_error(run: &RunState, server: usize) -> bool {
     let error_ratio = {
         let server = run.servers[server].borrow();
--- a/socket-lab/src/servers.rs
+++ b/socket-lab/src/servers.rs
@@ -1,5 +1,5 @@
-//! The model servers' listeners and connections. Each server has a listener for each node, so that each pair has its own
-//! latency and partitions, and the sender of a request is known.
+//! The model servers' listeners and connections. Each server has one listener per node, so that latency and partitions apply to
+//! each pair, and the listener identifies the node that sent a request.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -21,19 +21,19 @@
 use crate::server_path::Path;
 use crate::server_requests::{rejected, respond};
 
-/// Backlog of a listener that accepts connections.
+/// Accept backlog of a listener outside partitions.
 const BACKLOG: u32 = 512;
-/// Pause before a listener that could not be bound is bound again.
+/// Delay before the next attempt to bind a listener.
 const REBIND_DELAY: Duration = Duration::from_millis(20);
-/// Connections that are tried to fill a backlog of length 0: the kernel holds one or two.
+/// Limit of the connections opened to fill a backlog of length 0: the kernel holds one or two.
 const MAX_FILLING_CONNECTIONS: usize = 4;
-/// Time after which a connection does not complete because the backlog is full.
+/// Time after which a connection attempt counts as blocked by a full backlog.
 const FILL_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Opens all listeners.
+/// Opens all listeners, and starts tasks that serve them.
 ///
 /// # Errors
-/// If the system gives no socket.
+/// If the operating system provides no socket.
 pub(crate) async fn listen_all(run: &Rc<RunState>) -> Result<(), SocketLabError> {
     for server in 0..run.servers.len() {
         for node in 0..run.nodes.len() {
@@ -47,8 +47,8 @@
     Ok(())
 }
 
-/// Accepts connections while the server has a process and no partition separates it. Without a process nothing listens,
-/// so that the kernel refuses connections; across a partition no connection completes.
+/// Accepts connections while the server has a process and no partition separates the server from the node. Without a process
+/// the listener is closed, so that the kernel refuses connections; across a partition no connection completes.
 async fn serve(path: Path, listener: TcpListener) {
     let mut partitions = path.run.partitions.subscribe();
     let mut incarnation = path.run.incarnations[path.server].subscribe();
@@ -76,7 +76,7 @@
                     _ = incarnation.changed() => {}
                 }
             }
-            // Cannot fail where the first call on the same socket did not.
+            // Cannot fail: the first `listen` on the same socket succeeded.
             let _ = SockRef::from(open).listen(BACKLOG as i32);
             continue;
         }
@@ -97,8 +97,8 @@
     socket.listen(BACKLOG).ok()
 }
 
-/// Fills a listener's backlog, so that the kernel drops further SYNs as a partition would. Lasts as long as the returned
-/// connections are kept.
+/// Fills a listener's backlog, so that the kernel drops further SYNs, as a partition would. The backlog stays full until the
+/// returned connections are dropped.
 async fn fill_backlog(listener: &TcpListener) -> Vec<TcpStream> {
     let mut filling = Vec::new();
     let Ok(address) = listener.local_addr() else { return filling };
@@ -115,7 +115,7 @@
 
 /// Serves one connection until either side closes it or the server's process ends.
 async fn serve_connection(path: Path, stream: TcpStream) {
-    // The end of a process resets its connections.
+    // Closing the socket sends a reset, as the end of a process does.
     let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
     let _ = stream.set_nodelay(true);
     let mut incarnation = path.run.incarnations[path.server].subscribe();
@@ -143,7 +143,7 @@
     }
 }
 
-/// A new connection costs its first request a round trip, and the server work.
+/// Delays the first request of a new connection by a round trip, and submits a job to the server if handshakes cost work.
 async fn handshake(path: &Path) {
     sleep(2 * path.latency()).await;
     let handshake_ms = path.run.servers[path.server].borrow().group.handshake_ms;
--- a/socket-lab/src/snapshot.rs
+++ b/socket-lab/src/snapshot.rs
@@ -1,22 +1,22 @@
-//! What an observer sees of a run while it goes on.
+//! Snapshots: the state of a run in progress, as shown to an observer.
 
 use ivyhatch_lab::OutcomeCounts;
 
-/// Attempts that servers have received.
+/// Numbers of attempts, counted as the requests arrive at the servers' sockets.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptCounts {
-    /// All of them.
+    /// Number of all attempts.
     pub total: u64,
-    /// Those to a server in another zone than the node's.
+    /// Number of attempts to a server in another zone than the node's.
     pub cross_zone: u64,
 }
 
-/// One zone's servers.
+/// The state of one zone's servers.
 #[derive(Clone, Copy, Debug)]
 pub struct ZoneSnapshot {
-    /// Servers that accept requests.
+    /// Number of servers that accept requests.
     pub servers_in_service: usize,
-    /// Mean utilisation of these servers, 0 to 1; 0 if there are none.
+    /// Mean utilisation of the servers that accept requests, 0 to 1; 0 if there are none.
     pub mean_utilisation: f64,
     /// Whether a partition separates the zone from the others.
     pub partitioned: bool,
@@ -25,18 +25,18 @@
 /// The state of a run at one moment.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
-    /// Seconds since the first client could come.
+    /// Seconds since the world's start; 0 before.
     pub seconds: f64,
     /// Outcomes of the clients' requests so far.
     pub outcomes: OutcomeCounts,
-    /// Attempts so far.
+    /// Numbers of attempts so far.
     pub attempts: AttemptCounts,
-    /// The zones in the order of their numbers.
+    /// The zones, in the order of their numbers.
     pub zones: Vec<ZoneSnapshot>,
-    /// Nodes that accept requests.
+    /// Number of nodes that accept requests.
     pub nodes: usize,
-    /// Violations of invariants so far.
+    /// Number of violations of invariants so far.
     pub rules_broken: usize,
-    /// Descriptions of the faults that have started or ended since the snapshot before.
+    /// Descriptions of the faults that have started or ended since the previous snapshot.
     pub fault_events: Vec<String>,
 }
