--- a/experiments/src/hunt/score.rs
+++ b/experiments/src/hunt/score.rs
@@ -46,7 +46,7 @@
 /// Scores worlds in parallel. The scores are in the order of `worlds`.
 pub(super) fn scores(worlds: &[World], config: &HuntConfig) -> Vec<Score> {
     let next = AtomicUsize::new(0);
-    let score_some = || {
+    let score_remaining = || {
         let mut scored = Vec::new();
         loop {
             let number = next.fetch_add(1, Ordering::Relaxed);
@@ -56,7 +56,7 @@
     };
     let mut scored: Vec<(usize, Score)> = std::thread::scope(|scope| {
         let threads: Vec<_> =
-            (0..config.threads.clamp(1, worlds.len().max(1))).map(|_| scope.spawn(score_some)).collect();
+            (0..config.threads.clamp(1, worlds.len().max(1))).map(|_| scope.spawn(score_remaining)).collect();
         threads.into_iter().flat_map(|thread| thread.join().expect("a simulation does not panic")).collect()
     });
     scored.sort_by_key(|(number, _)| *number);
--- a/experiments/src/report/plots.rs
+++ b/experiments/src/report/plots.rs
@@ -142,9 +142,9 @@
 /// there are no differences, or all of them are 0.
 pub(super) fn differences(plan: &Plan, cells: &[&Cell], measure: Measure) -> String {
     let rows = difference_rows(plan, cells, measure);
-    let reach =
+    let max_abs_bound =
         rows.iter().map(|row| row.interval.low.abs().max(row.interval.high.abs())).fold(0.0, f64::max);
-    if reach == 0.0 {
+    if max_abs_bound == 0.0 {
         return String::new();
     }
     let mut svg = String::new();
@@ -159,7 +159,7 @@
             .margin(8)
             .x_label_area_size(30)
             .y_label_area_size(52)
-            .build_cartesian_2d(-reach * 1.1..reach * 1.1, 0.0..rows.len() as f64);
+            .build_cartesian_2d(-max_abs_bound * 1.1..max_abs_bound * 1.1, 0.0..rows.len() as f64);
         if let Ok(mut chart) = chart {
             let _ = chart.configure_mesh().disable_y_axis().disable_y_mesh().light_line_style(WHITE).draw();
             let zero = vec![(0.0, 0.0), (0.0, rows.len() as f64)];
--- a/experiments/src/summary_tests.rs
+++ b/experiments/src/summary_tests.rs
@@ -9,12 +9,12 @@
 use crate::summary::Verdict;
 
 #[test]
-fn interval_covers_the_mean_about_as_often_as_it_says() {
+fn interval_covers_the_mean_at_about_its_nominal_rate() {
     let mut random = ChaCha8Rng::seed_from_u64(3);
     let covers = (0..400)
         .filter(|number| {
-            let figures: Vec<f64> = (0..20).map(|_| random.random::<f64>()).collect();
-            let interval = confidence_interval(&figures, &format!("{number}"))
+            let values: Vec<f64> = (0..20).map(|_| random.random::<f64>()).collect();
+            let interval = confidence_interval(&values, &format!("{number}"))
                 .expect("20 values are enough for an interval");
             (interval.low..=interval.high).contains(&0.5)
         })
@@ -25,11 +25,11 @@
 
 #[test]
 fn verdict_names_a_difference_only_where_the_interval_excludes_zero() {
-    let figures = |shift: f64| (0..10).map(|n| f64::from(n % 5) - 2.0 + shift).collect::<Vec<_>>();
+    let values = |shift: f64| (0..10).map(|n| f64::from(n % 5) - 2.0 + shift).collect::<Vec<_>>();
     let of = |shift, measure| {
         Verdict::of(
             measure,
-            confidence_interval(&figures(shift), "x").expect("10 values are enough for an interval"),
+            confidence_interval(&values(shift), "x").expect("10 values are enough for an interval"),
         )
         .as_str()
     };
@@ -38,8 +38,8 @@
     assert_eq!((of(-3.0, Measure::Served), of(3.0, Measure::Crossed)), ("worse", "more"));
     assert_eq!(confidence_interval(&[1.0; 4], "x"), None, "4 values are too few for an interval");
     assert_eq!(
-        confidence_interval(&figures(1.0), "x"),
-        confidence_interval(&figures(1.0), "x"),
+        confidence_interval(&values(1.0), "x"),
+        confidence_interval(&values(1.0), "x"),
         "equal samples have equal intervals"
     );
 }
--- a/experiments/tests/experiments.rs
+++ b/experiments/tests/experiments.rs
@@ -37,7 +37,7 @@
 }
 
 /// Executes the missing runs. Returns the results and the number of runs that had a result before.
-fn played(path: &Path, threads: usize) -> (Results, usize) {
+fn run_to_completion(path: &Path, threads: usize) -> (Results, usize) {
     let mut results = Results::open(path).expect("the file can be opened");
     let (plan, mut first) = (plan(), None);
     let failures = run_missing(&plan, &mut results, threads, &mut |done, _| {
@@ -56,8 +56,8 @@
 #[test]
 fn report_is_equal_on_one_thread_and_on_four() {
     let folder = tempfile::tempdir().unwrap();
-    let one = report(&played(&folder.path().join("one"), 1).0);
-    assert_eq!(one, report(&played(&folder.path().join("four"), 4).0));
+    let one = report(&run_to_completion(&folder.path().join("one"), 1).0);
+    assert_eq!(one, report(&run_to_completion(&folder.path().join("four"), 4).0));
     assert!(
         one.contains("small &lt;one&gt;") && one.contains("12 of 12 plays"),
         "names are escaped, and all runs have a result"
@@ -71,8 +71,8 @@
 #[test]
 fn results_truncated_at_any_byte_are_completed() {
     let folder = tempfile::tempdir().unwrap();
-    let path = folder.path().join("whole");
-    let whole = report(&played(&path, 2).0);
+    let path = folder.path().join("uninterrupted");
+    let uninterrupted = report(&run_to_completion(&path, 2).0);
     let bytes = std::fs::read(&path).unwrap();
     let lines = bytes.iter().filter(|byte| **byte == b'\n').count();
     assert_eq!(lines, 12);
@@ -86,7 +86,7 @@
         }
         let path = folder.path().join(format!("cut-{cut}"));
         std::fs::write(&path, &bytes[..cut]).unwrap();
-        let there = bytes[..cut].iter().filter(|byte| **byte == b'\n').count();
+        let complete_lines = bytes[..cut].iter().filter(|byte| **byte == b'\n').count();
         let results = Results::open(&path).expect("the file can be opened");
         assert_eq!(results.unreadable_lines, 0);
         assert_eq!(
@@ -96,9 +96,12 @@
         );
         drop(results);
         if near {
-            let (results, first) = played(&path, 4);
-            assert_eq!(first, there, "truncated at {cut}: runs with complete lines are not repeated");
-            assert_eq!(report(&results), whole, "truncated at {cut}");
+            let (results, first) = run_to_completion(&path, 4);
+            assert_eq!(
+                first, complete_lines,
+                "truncated at {cut}: runs with complete lines are not repeated"
+            );
+            assert_eq!(report(&results), uninterrupted, "truncated at {cut}");
         }
     }
 }
@@ -136,7 +139,7 @@
 
 #[test]
 fn invalid_experiment_is_rejected_with_the_field_and_what_it_should_be() {
-    for (from, to, says) in [
+    for (from, to, expected) in [
         ("seeds = 3", "seeds = 0", "seeds: 0: expected 1 to 100000"),
         ("\"served\"", "\"severed\"", "unknown variant `severed`"),
         (
@@ -168,7 +171,7 @@
         assert_ne!(text, TEXT, "{from} occurs in the text");
         let error = Experiment::read(&text).and_then(|experiment| experiment.plan(Path::new(""), "test"));
         let error = error.expect_err(to).to_string();
-        assert!(error.contains(says), "{to}: {error}");
+        assert!(error.contains(expected), "{to}: {error}");
     }
 }
 
@@ -240,16 +243,16 @@
     let mut initial = World::read(DEFAULT_WORLD).expect("the default world is valid");
     initial.seconds = 4.0;
     initial.faults.clear();
-    let hunted = |threads, min_gap| {
+    let run_hunt = |threads, min_gap| {
         let references = vec![Policy::Paper, Policy::LeastRequests];
         let initial = initial.clone();
         let config = HuntConfig { initial, references, rounds: 2, seed: 5, threads, min_gap };
         hunt(&config, &mut |_, _, _| {})
     };
-    let found = hunted(1, 0.0).expect("a world with a gap");
-    let again = hunted(4, 0.0).expect("the same world");
+    let found = run_hunt(1, 0.0).expect("a world with a gap");
+    let again = run_hunt(4, 0.0).expect("the same world");
     assert_eq!(found.world.write(), again.world.write());
     assert!(found.best.share > found.balancer_share && found.rules_broken == 0);
     World::read(&found.world.write()).expect("the written world can be read back");
-    assert!(hunted(4, 1.0).is_none(), "no gap is that large");
+    assert!(run_hunt(4, 1.0).is_none(), "no gap is that large");
 }
--- a/socket-lab/src/clients/exchange.rs
+++ b/socket-lab/src/clients/exchange.rs
@@ -74,8 +74,8 @@
         run.invariants.borrow_mut().request_accepted(node, id, terms, now);
         run.nodes[node].borrow_mut().open_requests.push(id);
         let response = timeout(self.response_wait(now), receive(&mut connection, request)).await;
-        let is_owed = take_open_request(run, node, id);
-        let result = self.classify(node, id, &response, is_owed);
+        let was_in_flight = take_open_request(run, node, id);
+        let result = self.classify(node, id, &response, was_in_flight);
         if matches!(response, Ok(Ok(_))) {
             run.nodes[node].borrow_mut().idle_connections.push(connection);
         }
@@ -116,9 +116,15 @@
         }
     }
 
-    /// Determines the client's result, and records the corresponding event for the invariants. `is_owed` is false if the node was
+    /// Determines the result, and records the corresponding event for the invariants. `was_in_flight` is false if the node was
     /// killed while the request was in flight.
-    fn classify(&self, node: usize, id: u64, response: &ReceivedResponse, is_owed: bool) -> ExchangeResult {
+    fn classify(
+        &self,
+        node: usize,
+        id: u64,
+        response: &ReceivedResponse,
+        was_in_flight: bool,
+    ) -> ExchangeResult {
         let now = self.run.clock.now();
         let mut invariants = self.run.invariants.borrow_mut();
         match response {
@@ -128,7 +134,7 @@
             }
             Err(_) => ExchangeResult::Failed,
             Ok(Err(_)) => {
-                if !is_owed {
+                if !was_in_flight {
                     invariants.request_lost(node, id);
                 }
                 ExchangeResult::ConnectionLost
--- a/socket-lab/src/clients/mod.rs
+++ b/socket-lab/src/clients/mod.rs
@@ -21,30 +21,30 @@
 
 /// Runs all clients. Returns when the world's time is over and each request has its outcome.
 pub(crate) async fn run_all(run: &Rc<RunState>, arrivals: &mut Arrivals<'_>) {
-    let (returns, mut returning) = mpsc::unbounded_channel();
+    let (ready, mut ready_zones) = mpsc::unbounded_channel();
     let end = (run.world.seconds * NANOS_PER_SECOND) as Nanos;
-    start_closed_clients(run, &returns);
+    start_closed_clients(run, &ready);
     // Each client holds a sender, so that the channel closes when the last client is done.
-    let mut returns = Some(returns);
+    let mut ready = Some(ready);
     let mut next_arrival = arrivals.next();
     loop {
         if next_arrival.is_none() && run.clock.elapsed() >= end {
-            returns = None;
+            ready = None;
         }
         let at = next_arrival.as_ref().map_or(end, |request| request.arrives_at);
         tokio::select! {
-            () = sleep_until(run.clock.instant(at)), if returns.is_some() => {
-                let (Some(request), Some(returns)) = (next_arrival.take(), returns.clone()) else { continue };
+            () = sleep_until(run.clock.instant(at)), if ready.is_some() => {
+                let (Some(request), Some(ready)) = (next_arrival.take(), ready.clone()) else { continue };
                 let run = run.clone();
                 spawn_local(async move {
                     run_client(run, request).await;
-                    drop(returns);
+                    drop(ready);
                 });
                 next_arrival = arrivals.next();
             }
-            zone = returning.recv() => {
+            zone = ready_zones.recv() => {
                 let Some(zone) = zone else { return };
-                let (now, Some(returns)) = (run.clock.elapsed(), returns.clone()) else { continue };
+                let (now, Some(ready)) = (run.clock.elapsed(), ready.clone()) else { continue };
                 if now >= end {
                     continue;
                 }
@@ -53,21 +53,21 @@
                     let pause = run_client(run, request).await;
                     sleep(Duration::from_nanos(pause)).await;
                     // The send fails if the run is over and the receiver has been dropped.
-                    let _ = returns.send(zone);
+                    let _ = ready.send(zone);
                 });
             }
         }
     }
 }
 
-fn start_closed_clients(run: &Rc<RunState>, returns: &mpsc::UnboundedSender<u32>) {
+fn start_closed_clients(run: &Rc<RunState>, ready: &mpsc::UnboundedSender<u32>) {
     for zone in run.world.clients.closed_client_zones(run.world.zones) {
         let delay = run.random.node_choices.borrow_mut().unit() * CLOSED_CLIENT_START_WINDOW;
-        let returns = returns.clone();
+        let ready = ready.clone();
         spawn_local(async move {
             sleep(Duration::from_nanos(delay as Nanos)).await;
             // The send fails if the run is over and the receiver has been dropped.
-            let _ = returns.send(zone);
+            let _ = ready.send(zone);
         });
     }
 }
--- a/socket-lab/src/discovery.rs
+++ b/socket-lab/src/discovery.rs
@@ -26,14 +26,14 @@
 const MAX_HOLD_MS: u64 = 60_000;
 
 /// A request for the list, parsed from the query string.
-struct ListCall {
+struct ListRequest {
     /// The revision that the caller has; `None` or 0 requests the full list.
     known_revision: Option<u64>,
     /// How long the response may be held until there is a later revision.
     hold: Duration,
 }
 
-impl ListCall {
+impl ListRequest {
     fn parse(query: &str) -> Self {
         let number = |name: &str| {
             let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -97,18 +97,18 @@
 }
 
 async fn respond(run: &Rc<RunState>, node: usize, request: &Request<Incoming>) -> Response<Body> {
-    let call = ListCall::parse(request.uri().query().unwrap_or_default());
+    let list_request = ListRequest::parse(request.uri().query().unwrap_or_default());
     let mut revisions = run.list_revision.subscribe();
-    if let Some(known) = call.known_revision {
+    if let Some(known) = list_request.known_revision {
         // A timeout needs no handling: the response then has no changes.
-        let _ = timeout(call.hold, revisions.wait_for(|revision| *revision > known)).await;
+        let _ = timeout(list_request.hold, revisions.wait_for(|revision| *revision > known)).await;
     }
     if run.endpoint_list.borrow().outages > 0 {
         let unavailable = Response::builder().status(StatusCode::SERVICE_UNAVAILABLE).body(Full::default());
         return unavailable.expect("a status makes a valid response");
     }
     let revision = run.endpoint_list.borrow().revision();
-    let changes_since = call.changes_since();
+    let changes_since = list_request.changes_since();
     let endpoints = match changes_since {
         Some(since) => run.endpoint_list.borrow().changes_since(since),
         None => run.endpoint_list.borrow().full(),
--- a/socket-lab/src/faults.rs
+++ b/socket-lab/src/faults.rs
@@ -77,11 +77,11 @@
     match fault.kind {
         // A burst changes the arrival process, which reads it from the world itself.
         FaultKind::Burst => {}
-        FaultKind::NoisyNeighbour => each_server(run, fault, |server| server.neighbour_load = fraction),
-        FaultKind::Errors => each_server(run, fault, |server| server.extra_error_ratio = fraction),
-        FaultKind::FalseReadiness => each_server(run, fault, |server| server.false_readiness = starts),
-        FaultKind::Hang => each_server(run, fault, |server| server.hangs = starts),
-        FaultKind::ProbeTimeout => each_server(run, fault, |server| server.ignores_probes = starts),
+        FaultKind::NoisyNeighbour => update_servers(run, fault, |server| server.neighbour_load = fraction),
+        FaultKind::Errors => update_servers(run, fault, |server| server.extra_error_ratio = fraction),
+        FaultKind::FalseReadiness => update_servers(run, fault, |server| server.false_readiness = starts),
+        FaultKind::Hang => update_servers(run, fault, |server| server.hangs = starts),
+        FaultKind::ProbeTimeout => update_servers(run, fault, |server| server.ignores_probes = starts),
         FaultKind::ZonePartition => run.partitions.send_modify(|partitions| count(&mut partitions[zone])),
         FaultKind::AddedLatency => {
             let change = if starts { fault.added_latency_ms } else { -fault.added_latency_ms };
@@ -114,7 +114,7 @@
 }
 
 /// Changes each server that a fault affects.
-fn each_server(run: &RunState, fault: &Fault, change: impl Fn(&mut Server)) {
+fn update_servers(run: &RunState, fault: &Fault, change: impl Fn(&mut Server)) {
     fault.servers.iter().for_each(|server| change(&mut run.servers[*server as usize].borrow_mut()));
 }
 
