--- a/agent/src/agent/supervised_instance_tests.rs
+++ b/agent/src/agent/supervised_instance_tests.rs
@@ -35,7 +35,7 @@
 /// Guards against a status that still shows the old desired state while the supervisor waits for a response of the node: the client
 /// that has sent the command would take the old state for a conflicting command.
 #[test]
-fn status_shows_an_accepted_order_before_the_state_machine_has_it() {
+fn status_shows_an_accepted_command_before_the_state_machine_handles_it() {
     let instance = instance();
     assert_eq!(instance.status(0).desired_state, DesiredState::Running);
     instance.add_input(Input::DesiredStateSet(DesiredState::Stopped));
--- a/agent/src/agent/supervisor.rs
+++ b/agent/src/agent/supervisor.rs
@@ -53,7 +53,7 @@
         loop {
             let wake_at = self.next_wake_up(&instance, poll_at);
             tokio::select! {
-                () = exit(&mut process) => {}
+                () = wait_for_exit(&mut process) => {}
                 () = instance.input_added() => {}
                 () = sleep_until(wake_at) => {}
             }
@@ -171,7 +171,7 @@
     }
 }
 
-async fn exit(process: &mut Option<Process>) {
+async fn wait_for_exit(process: &mut Option<Process>) {
     match process {
         Some(process) => process.wait().await,
         None => std::future::pending().await,
--- a/agent/tests/golden_socket.rs
+++ b/agent/tests/golden_socket.rs
@@ -55,7 +55,7 @@
 "#;
 
 /// Polls until a condition holds; panics with `what` after [`TIMEOUT`].
-fn until(what: &str, mut is_done: impl FnMut() -> bool) {
+fn wait_until(what: &str, mut is_done: impl FnMut() -> bool) {
     let end = Instant::now() + TIMEOUT;
     while !is_done() {
         assert!(Instant::now() < end, "timed out: {what}");
@@ -98,7 +98,7 @@
             });
         });
         agent.running = Some((stop, thread));
-        until("the agent listens", || UnixStream::connect(agent.socket()).is_ok());
+        wait_until("the agent listens", || UnixStream::connect(agent.socket()).is_ok());
         agent
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// The process record that the agent has written for an instance; `None` if there is none.
-    fn known_process(&self, instance: &str) -> Option<Value> {
+    fn process_record(&self, instance: &str) -> Option<Value> {
         let text = std::fs::read_to_string(self.state().join("run").join(format!("{instance}.json"))).ok()?;
         serde_json::from_str(&text).ok()
     }
@@ -120,13 +120,13 @@
     fn answer_as_node(&self, instance: &'static str) {
         let socket = self.state().join("run").join(format!("{instance}.sock"));
         let listener = UnixListener::bind(socket).expect("a socket");
-        let known = self.state().join("run").join(format!("{instance}.json"));
+        let record = self.state().join("run").join(format!("{instance}.json"));
         let lines = self.node_lines.clone();
         let is_draining = Arc::new(Mutex::new(false));
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (known, lines, is_draining) = (known.clone(), lines.clone(), is_draining.clone());
-                thread::spawn(move || answer_node_lines(stream, instance, &known, &lines, &is_draining));
+                let (record, lines, is_draining) = (record.clone(), lines.clone(), is_draining.clone());
+                thread::spawn(move || answer_node_lines(stream, instance, &record, &lines, &is_draining));
             }
         });
     }
@@ -142,8 +142,8 @@
     }
 
     /// Waits until the agent's status shows an instance in `phase`, with `phase_of_node` as the phase that the node has reported.
-    fn until_said(&self, instance: &str, phase_of_node: &str, phase: &str) {
-        until(&format!("{instance} is {phase}"), || {
+    fn wait_for_phase(&self, instance: &str, phase_of_node: &str, phase: &str) {
+        wait_until(&format!("{instance} is {phase}"), || {
             let line = self.ask(&json!({"op": "status", "instance": instance}).to_string());
             let status: Value = serde_json::from_str(&line).expect("JSON");
             let shown = &status["instances"][0];
@@ -155,13 +155,13 @@
     }
 
     /// Waits until `a-1` serves.
-    fn until_ready(&self) {
-        self.until_said("a-1", "serving", "ready");
+    fn wait_until_ready(&self) {
+        self.wait_for_phase("a-1", "serving", "ready");
     }
 
     /// Waits until `a-1` is drained.
-    fn until_drained(&self) {
-        self.until_said("a-1", "draining", "draining");
+    fn wait_until_drained(&self) {
+        self.wait_for_phase("a-1", "draining", "draining");
     }
 
     /// Files in the state folder.
@@ -187,7 +187,7 @@
             let _ = thread.join();
         }
         // The process of `a-1` outlives the agent.
-        let pid = self.known_process("a-1").and_then(|known| known["pid"].as_i64());
+        let pid = self.process_record("a-1").and_then(|record| record["pid"].as_i64());
         if let Some(pid) = pid {
             let _ = std::process::Command::new("kill").args(["-KILL", &pid.to_string()]).status();
         }
@@ -197,7 +197,7 @@
 fn answer_node_lines(
     stream: UnixStream,
     name: &str,
-    known: &Path,
+    record: &Path,
     lines: &Mutex<BTreeSet<String>>,
     is_draining: &Mutex<bool>,
 ) {
@@ -211,9 +211,9 @@
             Some("undrain") => *is_draining = false,
             _ => {}
         }
-        let known: Option<Value> =
-            std::fs::read_to_string(known).ok().and_then(|text| serde_json::from_str(&text).ok());
-        let pid = known.map_or(Value::Null, |known| known["pid"].clone());
+        let record: Option<Value> =
+            std::fs::read_to_string(record).ok().and_then(|text| serde_json::from_str(&text).ok());
+        let pid = record.map_or(Value::Null, |record| record["pid"].clone());
         let phase = if *is_draining { "draining" } else { "serving" };
         let state = json!({"name": name, "pid": pid, "phase": phase, "drained": *is_draining});
         if writer.write_all(format!("{state}\n").as_bytes()).is_err() {
@@ -264,7 +264,7 @@
 #[test]
 fn agent_answers_each_request() {
     let agent = RunningAgent::start();
-    agent.until_ready();
+    agent.wait_until_ready();
     let mut transcript = Transcript { agent: &agent, text: String::new() };
     transcript.ask(r#"{"op":"status"}"#);
     transcript.ask(r#"{"op":"status","instance":"b-1"}"#);
@@ -272,7 +272,7 @@
     let drain = r#"{"op":"apply","id":"c-1","by":"ops-1","against":0,"changes":[{"instance":"a-1","wanted":"drained"}]}"#;
     transcript.ask(drain);
     transcript.ask(drain);
-    agent.until_drained();
+    agent.wait_until_drained();
     transcript.ask(r#"{"op":"status","instance":"a-1"}"#);
     for line in [
         r#"{"op":"apply","id":"c-1","by":"ops-2","against":1,"changes":[]}"#,
@@ -283,7 +283,7 @@
     ] {
         transcript.ask(line);
     }
-    agent.until_ready();
+    agent.wait_until_ready();
     transcript.ask(r#"{"op":"status","instance":"a-1"}"#);
     transcript.ask(r#"{"op":"audit","from":0}"#);
     transcript.ask(r#"{"op":"audit","from":3}"#);
@@ -311,18 +311,18 @@
 #[test]
 fn agent_asks_its_nodes_and_keeps_its_files() {
     let agent = RunningAgent::start();
-    agent.until_ready();
+    agent.wait_until_ready();
     agent.ask(r#"{"op":"apply","id":"c-1","by":"ops","against":0,"changes":[{"instance":"a-1","wanted":"drained"}]}"#);
-    agent.until_drained();
+    agent.wait_until_drained();
     agent.ask(r#"{"op":"apply","id":"c-2","by":"ops","against":1,"changes":[{"instance":"a-1","wanted":"running"}]}"#);
-    agent.until_ready();
-    let known = std::fs::read_to_string(agent.state().join("run/a-1.json")).expect("a file");
+    agent.wait_until_ready();
+    let record = std::fs::read_to_string(agent.state().join("run/a-1.json")).expect("a file");
     let lines = agent.node_lines.lock().expect("no test has failed").clone();
     let text = format!(
         "## lines to a node\n{}\n## files\n{}\n## run/a-1.json\n{}\n",
         lines.iter().map(|line| format!("{line}\n")).collect::<String>(),
         agent.files().iter().map(|file| format!("{file}\n")).collect::<String>(),
-        masked(&known),
+        masked(&record),
     );
     assert_golden("agent_state.txt", &text);
 }
--- a/agent/tests/golden_store.rs
+++ b/agent/tests/golden_store.rs
@@ -24,17 +24,17 @@
 /// Golden store file, written by the same build as the golden texts.
 const STORE_FILE: &str = "store.redb";
 
-fn command(id: &str, by: &str, against: u64, changes: &[(&str, DesiredState)]) -> Command {
+fn command(id: &str, requested_by: &str, base: u64, changes: &[(&str, DesiredState)]) -> Command {
     let change = |&(instance, desired_state): &(&str, DesiredState)| Change {
         instance: instance.to_owned(),
         desired_state,
     };
     Command {
         id: id.to_owned(),
-        requested_by: by.to_owned(),
-        base_revision: against,
+        requested_by: requested_by.to_owned(),
+        base_revision: base,
         changes: changes.iter().map(change).collect(),
-        at_unix_ms: 1_700_000_000_000 + against,
+        at_unix_ms: 1_700_000_000_000 + base,
     }
 }
 
@@ -210,8 +210,8 @@
         Outcome::Rejected(Rejection::UnknownBaseRevision { revision: 8 }),
         Outcome::Rejected(Rejection::IdTaken { requested_by: "ops-2".to_owned() }),
     ];
-    let wanted = [DesiredState::Running, DesiredState::Drained, DesiredState::Stopped];
-    let mut text = wanted.map(|wanted| format!("{}\n", json!(wanted))).concat();
+    let desired_states = [DesiredState::Running, DesiredState::Drained, DesiredState::Stopped];
+    let mut text = desired_states.map(|state| format!("{}\n", json!(state))).concat();
     text += &format!("{}\n", json!(entry));
     for outcome in outcomes {
         let written = AuditRecord { command: commands()[0].clone(), outcome };
@@ -222,11 +222,11 @@
     assert_golden("store_entries.txt", &text);
     let golden = read_golden("store_entries.txt");
     let lines: Vec<&str> = golden.lines().collect();
-    for (line, wanted) in lines.iter().zip(wanted) {
-        assert_eq!(serde_json::from_str::<DesiredState>(line).expect("the JSON is decoded"), wanted);
+    for (line, state) in lines.iter().zip(desired_states) {
+        assert_eq!(serde_json::from_str::<DesiredState>(line).expect("the JSON is decoded"), state);
     }
     assert_eq!(
-        serde_json::from_str::<DesiredEntry>(lines[wanted.len()]).expect("the JSON is decoded"),
+        serde_json::from_str::<DesiredEntry>(lines[desired_states.len()]).expect("the JSON is decoded"),
         entry
     );
 }
--- a/agent/tests/lifecycle.rs
+++ b/agent/tests/lifecycle.rs
@@ -123,9 +123,9 @@
         "4 crashes in a row within the span; the last: not ready within 1000 ms"
     );
     assert_eq!(harness.starts.len(), SETTINGS.crash_loop_threshold);
-    let waits: Vec<Nanos> = harness.starts.windows(2).map(|two| (two[1] - two[0]) / MS - 1000).collect();
-    for (wait, most) in waits.iter().zip([100, 200, 400]) {
-        assert!((most / 2..=most + 30).contains(wait), "jittered and doubled: {waits:?}");
+    let backoffs: Vec<Nanos> = harness.starts.windows(2).map(|two| (two[1] - two[0]) / MS - 1000).collect();
+    for (backoff, limit) in backoffs.iter().zip([100, 200, 400]) {
+        assert!((limit / 2..=limit + 30).contains(backoff), "jittered and doubled: {backoffs:?}");
     }
     harness.feed(Input::DesiredStateSet(DesiredState::Running));
     assert_eq!(
--- a/agent/tests/store.rs
+++ b/agent/tests/store.rs
@@ -20,13 +20,13 @@
     }
 }
 
-fn memory() -> Store {
+fn in_memory_store() -> Store {
     Store::with_backend(redb::backends::InMemoryBackend::new()).expect("the store opens")
 }
 
 #[test]
 fn conflicting_command_is_rejected_and_the_rejection_names_the_other() {
-    let store = memory();
+    let store = in_memory_store();
     let first = command("c-1", "ops-1", 0, &[("a-1", DesiredState::Drained), ("a-2", DesiredState::Drained)]);
     let second =
         command("c-2", "ops-2", 0, &[("b-1", DesiredState::Stopped), ("a-2", DesiredState::Stopped)]);
@@ -58,7 +58,7 @@
 
 #[test]
 fn repeated_command_is_applied_once() {
-    let store = memory();
+    let store = in_memory_store();
     let first = command("c-1", "ops-1", 0, &[("a-1", DesiredState::Drained)]);
     assert_eq!(store.apply(&first).unwrap(), Outcome::Applied { revision: 1 });
     let undo = command("c-2", "ops-1", 1, &[("a-1", DesiredState::Running)]);
--- a/config/src/validate/mod.rs
+++ b/config/src/validate/mod.rs
@@ -94,12 +94,12 @@
         _ => {}
     }
     if !kind.accepts(&node.value) {
-        diagnostics.report(&node.origin, path, node.display(), expected_instead(node, kind));
+        diagnostics.report(&node.origin, path, node.display(), expected_with_suggestion(node, kind));
     }
 }
 
 /// The expected value in place of an invalid one, with a suggestion if a valid word is similar.
-fn expected_instead(node: &Node, kind: &Kind) -> String {
+fn expected_with_suggestion(node: &Node, kind: &Kind) -> String {
     let suggestion = match kind {
         Kind::OneOf(words) => node.text().and_then(|text| closest(text, words.iter().copied())),
         _ => None,
--- a/simulator-adapter/tests/process.rs
+++ b/simulator-adapter/tests/process.rs
@@ -56,7 +56,7 @@
     )
 }
 
-fn placed(reply: &str, who: u32) -> Vec<String> {
+fn placements(reply: &str, who: u32) -> Vec<String> {
     let instance = format!("\"who\":{who}");
     reply
         .lines()
@@ -73,9 +73,9 @@
 #[test]
 fn list_number_used_twice_in_a_batch_is_read_in_order() {
     let lines = [open(1), open(2), manifest(0, "b-one"), fleet(1, 0), manifest(0, "b-two"), fleet(2, 0)];
-    let asks = [incoming(1, "r1"), incoming(2, "r2")];
-    let out = reply(&(batch(0, &lines) + &batch(1_000_000, &asks)));
-    assert!(placed(&out, 1)[0].contains("b-one") && placed(&out, 2)[0].contains("b-two"), "{out}");
+    let requests = [incoming(1, "r1"), incoming(2, "r2")];
+    let out = reply(&(batch(0, &lines) + &batch(1_000_000, &requests)));
+    assert!(placements(&out, 1)[0].contains("b-one") && placements(&out, 2)[0].contains("b-two"), "{out}");
 }
 
 #[test]
@@ -84,24 +84,27 @@
     let exit = "{\"EXIT\":{\"who\":1}}\n".to_owned();
     let second = [exit, open(1), manifest(1, "b-new"), fleet(1, 1), incoming(1, "r")];
     let out = reply(&(batch(0, &first) + &batch(1_000_000, &second)));
-    assert_eq!(placed(&out, 1).len(), 1);
-    assert!(placed(&out, 1)[0].contains("b-new"), "{out}");
+    assert_eq!(placements(&out, 1).len(), 1);
+    assert!(placements(&out, 1)[0].contains("b-new"), "{out}");
 }
 
 #[test]
 fn instances_in_one_process_act_as_in_processes_of_their_own() {
     let lines = |who: u32| {
         let start = vec![open(who), manifest(0, "b-one"), fleet(who, 0)];
-        let asks: Vec<String> = (0..5).map(|n| incoming(who, &format!("r{who}{n}"))).collect();
-        (start, asks)
+        let requests: Vec<String> = (0..5).map(|n| incoming(who, &format!("r{who}{n}"))).collect();
+        (start, requests)
     };
-    let ((start1, asks1), (start2, asks2)) = (lines(1), lines(2));
-    let apart = |start: &[String], asks: &[String]| reply(&(batch(0, start) + &batch(1_000_000, asks)));
-    let mixed: Vec<String> = asks1.iter().zip(&asks2).flat_map(|(a, b)| [a.clone(), b.clone()]).collect();
-    let both = reply(&(batch(0, &[start1.clone(), start2.clone()].concat()) + &batch(1_000_000, &mixed)));
-    assert_eq!(placed(&both, 1), placed(&apart(&start1, &asks1), 1));
-    assert_eq!(placed(&both, 2), placed(&apart(&start2, &asks2), 2));
-    assert_eq!(placed(&both, 1).len(), 5);
+    let ((start1, requests1), (start2, requests2)) = (lines(1), lines(2));
+    let separate_reply =
+        |start: &[String], requests: &[String]| reply(&(batch(0, start) + &batch(1_000_000, requests)));
+    let interleaved: Vec<String> =
+        requests1.iter().zip(&requests2).flat_map(|(a, b)| [a.clone(), b.clone()]).collect();
+    let combined_reply =
+        reply(&(batch(0, &[start1.clone(), start2.clone()].concat()) + &batch(1_000_000, &interleaved)));
+    assert_eq!(placements(&combined_reply, 1), placements(&separate_reply(&start1, &requests1), 1));
+    assert_eq!(placements(&combined_reply, 2), placements(&separate_reply(&start2, &requests2), 2));
+    assert_eq!(placements(&combined_reply, 1).len(), 5);
 }
 
 #[test]
