--- a/agent/src/lifecycle/settings.rs
+++ b/agent/src/lifecycle/settings.rs
@@ -21,7 +21,7 @@
     pub max_backoff: Nanos,
     /// Number of crashes within the window that make a crash loop.
     pub crash_loop_threshold: usize,
-    /// The window in which crashes are counted. For an instance that was up at least this long before a crash, the back-off restarts at
-    /// its initial value.
+    /// The window in which crashes are counted. For an instance that served at least this long before a crash, the back-off restarts
+    /// at its initial value.
     pub crash_loop_window: Nanos,
 }
--- a/agent/tests/golden_socket.rs
+++ b/agent/tests/golden_socket.rs
@@ -92,7 +92,7 @@
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             runtime.expect("a runtime").block_on(async {
                 tokio::select! {
-                    ended = ivyhatch_agent::run(options) => ended.expect("it runs until it is dropped"),
+                    ended = ivyhatch_agent::run(options) => ended.expect("the agent runs until dropped"),
                     _ = stopped => {}
                 }
             });
@@ -135,7 +135,7 @@
     fn ask(&self, line: &str) -> String {
         let mut stream = UnixStream::connect(self.socket()).expect("the agent listens");
         stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
-        stream.write_all(format!("{line}\n").as_bytes()).expect("it is written");
+        stream.write_all(format!("{line}\n").as_bytes()).expect("the request is written");
         let mut answer = String::new();
         BufReader::new(stream).read_line(&mut answer).expect("an answer");
         answer.trim_end_matches('\n').to_owned()
--- a/agent/tests/golden_store.rs
+++ b/agent/tests/golden_store.rs
@@ -55,14 +55,14 @@
 fn write_store(path: &Path) {
     let store = Store::open(path).expect("the store opens");
     for command in commands() {
-        store.apply(&command).expect("it is written");
+        store.apply(&command).expect("the command is written");
     }
 }
 
 /// The tables of a store as text, read without the product's code: a line for each table and each entry.
 fn tables(path: &Path) -> String {
     let database = Database::open(path).expect("the store opens");
-    let transaction = database.begin_read().expect("it can be read");
+    let transaction = database.begin_read().expect("the database can be read");
     let mut text = String::new();
     for name in [DESIRED_TABLE, COMMANDS_TABLE] {
         let table = transaction.open_table(TableDefinition::<&str, &str>::new(name)).expect("a table");
@@ -89,8 +89,8 @@
 
 /// Writes tables from their text, without the product's code.
 fn write_tables(path: &Path, text: &str) {
-    let database = Database::create(path).expect("it can be made");
-    let transaction = database.begin_write().expect("it can be written");
+    let database = Database::create(path).expect("the database can be created");
+    let transaction = database.begin_write().expect("the database can be written");
     let mut table_name = "";
     for line in text.lines() {
         if let Some(name) = line.strip_prefix('[').and_then(|rest| rest.strip_suffix(']')) {
@@ -151,7 +151,7 @@
             let folder = tempfile::tempdir().expect("a folder");
             let path = folder.path().join("store.redb");
             write_store(&path);
-            Database::open(&path).expect("the store opens").compact().expect("it is compacted");
+            Database::open(&path).expect("the store opens").compact().expect("the store is compacted");
             assert_golden(TABLES_FILE, &tables(&path));
             std::fs::copy(&path, golden_path(STORE_FILE)).expect("the golden file can be written");
             assert_golden(CONTENT_FILE, &content(&path));
--- a/config/src/origin.rs
+++ b/config/src/origin.rs
@@ -14,7 +14,7 @@
     Default,
     /// In a file, at a line and column, both counted from 1.
     File {
-        /// Path of the file; not canonical, so that operators recognize it.
+        /// Path of the file as it was named; not canonical.
         file: PathBuf,
         /// The line, counted from 1.
         line: usize,
