--- a/agent/tests/golden_store.rs
+++ b/agent/tests/golden_store.rs
@@ -24,17 +24,17 @@
 /// Golden store file, written by the same build as the golden texts.
 const STORE_FILE: &str = "store.redb";
 
-fn command(id: &str, by: &str, against: u64, changes: &[(&str, DesiredState)]) -> Command {
+fn command(id: &str, requested_by: &str, base: u64, changes: &[(&str, DesiredState)]) -> Command {
     let change = |&(instance, desired_state): &(&str, DesiredState)| Change {
         instance: instance.to_owned(),
         desired_state,
     };
     Command {
         id: id.to_owned(),
-        requested_by: by.to_owned(),
-        base_revision: against,
+        requested_by: requested_by.to_owned(),
+        base_revision: base,
         changes: changes.iter().map(change).collect(),
-        at_unix_ms: 1_700_000_000_000 + against,
+        at_unix_ms: 1_700_000_000_000 + base,
     }
 }
 
@@ -55,14 +55,14 @@
 fn write_store(path: &Path) {
     let store = Store::open(path).expect("the store opens");
     for command in commands() {
-        store.apply(&command).expect("it is written");
+        store.apply(&command).expect("the command is written");
     }
 }
 
 /// The tables of a store as text, read without the product's code: a line for each table and each entry.
 fn tables(path: &Path) -> String {
     let database = Database::open(path).expect("the store opens");
-    let transaction = database.begin_read().expect("it can be read");
+    let transaction = database.begin_read().expect("the database can be read");
     let mut text = String::new();
     for name in [DESIRED_TABLE, COMMANDS_TABLE] {
         let table = transaction.open_table(TableDefinition::<&str, &str>::new(name)).expect("a table");
@@ -89,8 +89,8 @@
 
 /// Writes tables from their text, without the product's code.
 fn write_tables(path: &Path, text: &str) {
-    let database = Database::create(path).expect("it can be made");
-    let transaction = database.begin_write().expect("it can be written");
+    let database = Database::create(path).expect("the database can be created");
+    let transaction = database.begin_write().expect("the database can be written");
     let mut table_name = "";
     for line in text.lines() {
         if let Some(name) = line.strip_prefix('[').and_then(|rest| rest.strip_suffix(']')) {
@@ -151,7 +151,7 @@
             let folder = tempfile::tempdir().expect("a folder");
             let path = folder.path().join("store.redb");
             write_store(&path);
-            Database::open(&path).expect("the store opens").compact().expect("it is compacted");
+            Database::open(&path).expect("the store opens").compact().expect("the store is compacted");
             assert_golden(TABLES_FILE, &tables(&path));
             std::fs::copy(&path, golden_path(STORE_FILE)).expect("the golden file can be written");
             assert_golden(CONTENT_FILE, &content(&path));
@@ -210,8 +210,8 @@
         Outcome::Rejected(Rejection::UnknownBaseRevision { revision: 8 }),
         Outcome::Rejected(Rejection::IdTaken { requested_by: "ops-2".to_owned() }),
     ];
-    let wanted = [DesiredState::Running, DesiredState::Drained, DesiredState::Stopped];
-    let mut text = wanted.map(|wanted| format!("{}\n", json!(wanted))).concat();
+    let desired_states = [DesiredState::Running, DesiredState::Drained, DesiredState::Stopped];
+    let mut text = desired_states.map(|state| format!("{}\n", json!(state))).concat();
     text += &format!("{}\n", json!(entry));
     for outcome in outcomes {
         let written = AuditRecord { command: commands()[0].clone(), outcome };
@@ -222,11 +222,11 @@
     assert_golden("store_entries.txt", &text);
     let golden = read_golden("store_entries.txt");
     let lines: Vec<&str> = golden.lines().collect();
-    for (line, wanted) in lines.iter().zip(wanted) {
-        assert_eq!(serde_json::from_str::<DesiredState>(line).expect("the JSON is decoded"), wanted);
+    for (line, state) in lines.iter().zip(desired_states) {
+        assert_eq!(serde_json::from_str::<DesiredState>(line).expect("the JSON is decoded"), state);
     }
     assert_eq!(
-        serde_json::from_str::<DesiredEntry>(lines[wanted.len()]).expect("the JSON is decoded"),
+        serde_json::from_str::<DesiredEntry>(lines[desired_states.len()]).expect("the JSON is decoded"),
         entry
     );
 }
