--- a/socket-lab/src/error.rs
+++ b/socket-lab/src/error.rs
@@ -23,7 +23,7 @@
     },
     /// The world needs more listeners than the limit of one process: one for each pair of a server and a node.
     #[error(
-        "a world of {servers} servers x {nodes} nodes needs too many listeners: at most {limit} listeners on sockets"
+        "{servers} servers x {nodes} nodes need too many listeners: at most {limit} listeners on sockets"
     )]
     TooManyListeners {
         /// Number of servers of the world.
