--- a/socket-lab/src/faults.rs
+++ b/socket-lab/src/faults.rs
@@ -58,9 +58,7 @@
         FaultKind::Errors => format!("{percent:.0} % of the responses of servers {servers:?} are errors"),
         FaultKind::Hang => format!("servers {servers:?} do not respond"),
         FaultKind::ProbeTimeout => format!("servers {servers:?} do not respond to probes"),
-        FaultKind::AddedLatency => {
-            format!("the latency to and from zone {zone} is {} ms higher", fault.added_latency_ms)
-        }
+        FaultKind::AddedLatency => format!("zone {zone} has {} ms more latency", fault.added_latency_ms),
         FaultKind::PacketLoss => format!("{percent:.0} % packet loss to and from zone {zone}"),
         FaultKind::DiscoveryDown => "discovery is down".into(),
         FaultKind::DiscoveryStale => "full lists of discovery are stale".into(),
