--- a/cli/tests/lab.rs
+++ b/cli/tests/lab.rs
@@ -39,7 +39,7 @@
     std::fs::remove_file(&path).unwrap();
     assert_eq!(wrong.status.code(), Some(3));
     let error = text_of(&wrong.stderr);
-    assert!(error.contains("nodes: 0: 1 to 10000") && error.contains(".toml"), "{error}");
+    assert!(error.contains("nodes: got 0, expected 1 to 10000") && error.contains(".toml"), "{error}");
     assert_eq!(ivyhatch(&["lab", "--seeds", "0"]).status.code(), Some(2), "wrong use");
 }
 
--- a/lab/src/arrivals.rs
+++ b/lab/src/arrivals.rs
@@ -1,19 +1,19 @@
-//! The arrival process: which requests clients send, and when. It depends on the world and the seed alone, never on nodes
-//! or servers, so that a simulation and a run on sockets see the same clients.
+//! The arrival process: which requests clients send, and when. The process depends only on the world and the seed, not
+//! on nodes or servers, so that a simulation and a run on sockets have the same clients.
 
 use crate::random::RandomStream;
 use crate::time::{Nanos, nanos_from_seconds};
 use crate::world::{FaultKind, World};
 
-/// Nanoseconds of a second, as a rate's numerator.
+/// Divided by a rate per second, gives the mean time between arrivals in nanoseconds.
 const NANOS_PER_SECOND: f64 = 1e9;
 
-/// What one client asks for.
+/// The request of one client.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// When the client first sends it, since the start of the world.
+    /// When the client first sends the request, since the start of the world.
     pub arrives_at: Nanos,
-    /// The zone whose nodes the client prefers.
+    /// Number of the zone whose nodes the client prefers.
     pub zone: u32,
     /// The tenant's number; `None` in a world without tenants.
     pub tenant: Option<u32>,
@@ -21,9 +21,9 @@
     pub class: usize,
     /// Nanoseconds of work on a core of speed 1.
     pub work: f64,
-    /// Time that the response waits for downstream services, whatever the load.
+    /// Time that the response waits for downstream services, independent of the server's load.
     pub downstream_wait: Nanos,
-    /// When the client disconnects early, as a fraction of its timeout; `None` if it stays.
+    /// When the client disconnects before a response, as a fraction of its timeout; `None` if it waits for the response.
     pub disconnect_fraction: Option<f64>,
 }
 
@@ -38,7 +38,7 @@
     tenants: RandomStream,
 }
 
-/// Draws an index with a probability in proportion to its weight.
+/// Draws an index; each has a probability in proportion to its weight.
 fn weighted_index(stream: &mut RandomStream, weights: impl Iterator<Item = f64> + Clone) -> usize {
     let mut left = stream.unit() * weights.clone().sum::<f64>();
     let last = weights.clone().count().saturating_sub(1);
@@ -51,7 +51,7 @@
 }
 
 impl<'a> Arrivals<'a> {
-    /// The arrivals of a world for one seed.
+    /// The arrivals of a world for one seed, from the world's start.
     pub fn new(world: &'a World, seed: u64) -> Self {
         let stream = |purpose| RandomStream::new(seed, purpose, 0);
         Self {
@@ -65,7 +65,8 @@
         }
     }
 
-    /// The product of the bursts at a time: of one tenant's bursts, or of those that affect all requests.
+    /// The product of the rate multipliers of the bursts that are active at a time: of one tenant's bursts, or, if `tenant` is
+    /// `None`, of those that affect all requests.
     fn burst_multiplier(&self, tenant: Option<u32>, at: Nanos) -> f64 {
         let bursts =
             self.world.faults.iter().filter(|fault| fault.kind == FaultKind::Burst && fault.tenant == tenant);
@@ -73,7 +74,7 @@
         active.map(|fault| fault.rate_multiplier).product()
     }
 
-    /// The tenants' weights at a time, bursts included.
+    /// The tenants' weights at a time, including active bursts.
     fn tenant_weights(&self, at: Nanos) -> impl Iterator<Item = f64> + Clone + '_ {
         let tenants = self.world.clients.tenants.iter().zip(0..);
         tenants.map(move |(tenant, number)| tenant.share * self.burst_multiplier(Some(number), at))
@@ -87,7 +88,8 @@
         weighted_index(&mut self.zones, zone_shares.iter().copied()) as u32
     }
 
-    /// Draws the request of a client that arrives at a time: in this zone, or in one drawn by the zones' shares.
+    /// Draws the request of a client that arrives at a time. If `zone` is `None`, the client's zone is drawn in proportion to
+    /// the zones' shares.
     pub fn draw(&mut self, arrives_at: Nanos, zone: Option<u32>) -> ClientRequest {
         let clients = &self.world.clients;
         let tenant_weights: Vec<f64> = self.tenant_weights(arrives_at).collect();
@@ -104,7 +106,7 @@
         ClientRequest { arrives_at, zone, tenant, class, work, downstream_wait, disconnect_fraction }
     }
 
-    /// Requests a second at a time, bursts included.
+    /// Requests per second at a time, including active bursts.
     fn rate_at(&self, at: Nanos) -> f64 {
         let clients = &self.world.clients;
         let usual_weight: f64 = clients.tenants.iter().map(|tenant| tenant.share).sum();
--- a/lab/src/invariants.rs
+++ b/lab/src/invariants.rs
@@ -1,5 +1,5 @@
-//! The invariants of a run, checked from the outside: by the messages between nodes, clients and servers, without any
-//! statement of the balancer about itself.
+//! The invariants of a run, checked only on the messages between nodes, clients and servers: the checker uses no data that
+//! the balancer reports about itself.
 
 use std::collections::{HashMap, HashSet};
 
@@ -7,40 +7,41 @@
 
 use crate::time::{MS, Nanos};
 
-/// A response this much after the client's timeout still counts as in time.
+/// A response that is late by at most this much after the client's timeout still satisfies [`Invariant::Answer`].
 pub const ANSWER_SLACK: Nanos = 20 * MS;
-/// Time after a node's notification that a server drains or is gone, from which on the node sends it nothing new.
+/// Time after a node's notification that a server drains or is gone, during which the node may still send attempts to that
+/// server.
 pub const DRAIN_GRACE: Nanos = 1000 * MS;
-/// Violations that are recorded; further ones are counted.
+/// Maximum number of violations that are recorded with their events; further ones are only counted.
 const MAX_RECORDED_VIOLATIONS: usize = 16;
 
-/// An invariant. The variants' names are part of the JSON report.
+/// An invariant of a run. The variants' names are part of the JSON report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub enum Invariant {
-    /// One final response a request, in time.
+    /// Each request gets exactly one final response, in time, and no attempt is sent after that response.
     Answer,
-    /// No second execution of a request that is not idempotent.
+    /// A non-idempotent request is not sent again, and its client is not asked to retry, once it may have been executed.
     Repeat,
-    /// Nothing new to a server that drains or is gone.
+    /// No attempt is sent to a server that drains or is gone, after [`DRAIN_GRACE`].
     Drain,
-    /// No cold server crashes under load from nodes that know of its start.
+    /// No cold server crashes under load of which two thirds came from nodes that knew of the server's start.
     Cold,
-    /// No node uses more descriptors or memory than its limit.
+    /// No node's process uses more file descriptors or memory than its limit.
     Bounds,
 }
 
-/// A violation, with the events before it. Field names are the keys of the JSON report.
+/// A violation of an invariant, with the preceding events. Field names are the keys of the JSON report.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct InvariantViolation {
     /// The violated invariant.
     pub rule: Invariant,
-    /// When it was violated.
+    /// When the invariant was violated, in nanoseconds of the run's clock.
     pub at: Nanos,
     /// Descriptions of all events of the request and the server concerned, in order.
     pub events: Vec<String>,
 }
 
-/// What a request's client demands of its node.
+/// The terms on which a client sends a request to a node.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestTerms {
     /// Whether the request must not be executed twice.
@@ -52,16 +53,16 @@
 /// Whether an attempt may have been executed by its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Execution {
-    /// It is certain that it was not.
+    /// The attempt was certainly not executed.
     RuledOut,
-    /// It may have been.
+    /// The attempt may have been executed.
     Possible,
 }
 
 /// A node's final response to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalResponse {
-    /// A rejection, which says that a retry does no harm.
+    /// A rejection, which invites the client to retry.
     Rejected,
     /// Any other response.
     Other,
@@ -70,22 +71,22 @@
 /// A server as a membership list shows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListedServer {
-    /// The server's number.
+    /// Number of the server.
     pub server: u32,
-    /// Whether it accepts requests.
+    /// Whether the server accepts requests.
     pub in_service: bool,
-    /// When its process started; `None` if that was before the world's start.
+    /// When the server's process started; `None` if that was before the world's start.
     pub started: Option<Nanos>,
 }
 
-/// A use of a resource by a node's process, with its limit.
+/// The amount of a resource that a node's process uses, and the limit.
 #[derive(Clone, Copy, Debug)]
 pub struct ResourceUsage {
     /// The resource's name and unit.
     pub resource: &'static str,
-    /// The amount in use.
+    /// The amount in use, in the resource's unit.
     pub used: u64,
-    /// The limit.
+    /// The highest permitted amount, in the resource's unit.
     pub limit: u64,
 }
 
@@ -93,7 +94,7 @@
     terms: RequestTerms,
     answered: bool,
     client_disconnected: bool,
-    /// What is known of each attempt's execution, by attempt number.
+    /// Whether each attempt may have been executed, by attempt number.
     executions: Vec<Execution>,
     events: Vec<String>,
 }
@@ -111,16 +112,16 @@
 /// Checks the invariants over all nodes. Nodes, servers and requests are identified by numbers; all times are of one clock.
 #[derive(Default)]
 pub struct InvariantChecker {
-    /// Tolerance of a real clock on a shared machine.
+    /// Additional tolerance of each time limit; above 0 for runs on a real clock of a shared machine.
     leeway: Nanos,
     requests: HashMap<(usize, u64), Request>,
-    /// When a node was notified that a server drains or is gone.
+    /// When a node was notified that a server drains or is gone, by node and server.
     removal_notified_at: HashMap<(usize, u32), Nanos>,
-    /// The latest start of a server that a node was notified of, if after the world's start.
+    /// The latest start of a server of which a node was notified, by node and server; only starts after the world's start.
     known_starts: HashMap<(usize, u32), Nanos>,
-    /// Exceeded limits, each of which is reported once.
+    /// Exceeded limits by node and resource; each is reported once.
     exceeded_limits: HashSet<(usize, &'static str)>,
-    /// The recorded violations.
+    /// The recorded violations, in the order in which they were seen.
     pub violations: Vec<InvariantViolation>,
     /// Number of violations beyond the recorded ones.
     pub unrecorded_violations: usize,
@@ -145,17 +146,17 @@
         }
     }
 
-    /// A node's process uses a resource.
+    /// Records a measurement of a resource that a node's process uses.
     pub fn resource_used(&mut self, node: usize, usage: ResourceUsage, now: Nanos) {
         let ResourceUsage { resource, used, limit } = usage;
         if used > limit && self.exceeded_limits.insert((node, resource)) {
-            let event = format!("{now}: node {node} holds {used} {resource}; it was given {limit}");
+            let event = format!("{now} ns: node {node} uses {used} {resource}, limit {limit}");
             self.report(Invariant::Bounds, now, vec![event]);
         }
     }
 
-    /// A node is notified of a server's state. A server that was reported as leaving counts as back only after a later
-    /// start: an older list does not revoke the notification.
+    /// A node is notified of a server's state. After a notification that a server drains or is gone, the server counts as in
+    /// service again only with a later start: a list from before the notification does not revoke it.
     pub fn server_listed(&mut self, node: usize, listed: ListedServer, now: Nanos) {
         let key = (node, listed.server);
         let known_start = self.known_starts.get(&key).copied().unwrap_or(0);
@@ -170,7 +171,8 @@
         }
     }
 
-    /// A node gets a full list of a world with so many servers: those that are not listed are gone.
+    /// A node receives a full list; `server_count` is the number of servers in the world. Servers that are not listed are
+    /// gone.
     pub fn full_list_received(
         &mut self,
         node: usize,
@@ -188,34 +190,36 @@
         }
     }
 
-    /// A node's process has ended; its successor knows nothing of its notifications.
+    /// A node's process has ended. The notifications that it received do not apply to the next process.
     pub fn node_stopped(&mut self, node: usize) {
         self.removal_notified_at.retain(|(of, _), _| *of != node);
         self.known_starts.retain(|(of, _), _| *of != node);
     }
 
-    /// Whether a node was notified of a server's current start.
+    /// Whether a node was notified of a server's current start; true for a start before the world's start (`None`).
     pub fn knows_start(&self, node: usize, server: u32, started: Option<Nanos>) -> bool {
         started.is_none_or(|started| self.known_starts.get(&(node, server)) == Some(&started))
     }
 
-    /// A cold server has crashed under load of which two thirds came from nodes that knew of its start.
+    /// A cold server has crashed under load of which two thirds came from nodes that knew of the server's start.
     pub fn cold_server_crashed(&mut self, server: u32, now: Nanos) {
         let informed = self.known_starts.keys().filter(|(_, of)| *of == server).count();
-        let event =
-            format!("{} ms: server {server}, cold, falls under its load; {informed} nodes knew", now / MS);
+        let event = format!(
+            "{} ms: cold server {server} crashes under load; {informed} nodes know of a start",
+            now / MS
+        );
         self.report(Invariant::Cold, now, vec![event]);
     }
 
-    /// A request's node has crashed: no response is owed any more.
+    /// The node of a request has crashed: no response is expected any more.
     pub fn request_lost(&mut self, node: usize, request: u64) {
         self.requests.remove(&(node, request));
     }
 
-    /// A request's client has disconnected: no response is owed, and none is wrong.
+    /// The client of a request has disconnected: no response is expected, and a response is no violation.
     pub fn client_disconnected(&mut self, node: usize, request: u64, now: Nanos) {
         if let Some(open) = self.requests.get_mut(&(node, request)) {
-            open.log(now, "its client hangs up");
+            open.log(now, "client disconnects");
             open.client_disconnected = true;
         }
     }
@@ -229,7 +233,7 @@
             executions: Vec::new(),
             events: Vec::new(),
         };
-        accepted.log(now, &format!("node {node} takes request {request}"));
+        accepted.log(now, &format!("node {node} accepts request {request}"));
         self.requests.insert((node, request), accepted);
     }
 
@@ -237,10 +241,13 @@
     pub fn attempt_sent(&mut self, node: usize, request: u64, server: u32, now: Nanos) {
         let removal_notified_at = self.removal_notified_at.get(&(node, server)).copied();
         let Some(open) = self.requests.get_mut(&(node, request)) else {
-            let event = format!("{} ms: node {node} sends request {request}, which has ended", now / MS);
+            let event = format!(
+                "{} ms: node {node} sends an attempt of request {request}, which has ended",
+                now / MS
+            );
             return self.report(Invariant::Answer, now, vec![event]);
         };
-        open.log(now, &format!("sent to server {server}"));
+        open.log(now, &format!("attempt sent to server {server}"));
         let repeats = open.terms.non_idempotent && open.may_have_run();
         let has_ended = open.answered || open.client_disconnected;
         open.executions.push(Execution::Possible);
@@ -255,13 +262,14 @@
         if let Some(notified_at) = removal_notified_at.filter(|notified_at| now > notified_at + late_after) {
             let notified_ms = notified_at / MS;
             let mut events = events;
-            let notice = format!("{notified_ms} ms: node {node} was told that server {server} leaves"); // wire name
+            let notice =
+                format!("{notified_ms} ms: node {node} is notified that server {server} drains or is gone");
             events.insert(0, notice);
             self.report(Invariant::Drain, now, events);
         }
     }
 
-    /// An attempt has ended.
+    /// An attempt has ended; `attempt` is the attempt's number within the request, from 0.
     pub fn attempt_ended(
         &mut self,
         node: usize,
@@ -272,21 +280,21 @@
     ) {
         let Some(open) = self.requests.get_mut(&(node, request)) else { return };
         let end = match execution {
-            Execution::RuledOut => "never ran",
-            Execution::Possible => "may have run",
+            Execution::RuledOut => "not executed",
+            Execution::Possible => "possibly executed",
         };
-        open.log(now, &format!("attempt {attempt} has ended, {end}"));
+        open.log(now, &format!("attempt {attempt} ended, {end}"));
         let known = open.executions.get_mut(attempt as usize);
         if let Some(known) = known.filter(|_| execution == Execution::RuledOut) {
             *known = Execution::RuledOut;
         }
     }
 
-    /// A node has sent its final response.
+    /// A node has sent its final response to a client.
     pub fn response_sent(&mut self, node: usize, request: u64, response: FinalResponse, now: Nanos) {
         let Some(open) = self.requests.get_mut(&(node, request)) else { return };
         let rejected = response == FinalResponse::Rejected;
-        open.log(now, if rejected { "answered, refused" } else { "answered" });
+        open.log(now, if rejected { "request rejected" } else { "response sent" });
         let is_second = open.answered;
         let latest = open.terms.not_after + ANSWER_SLACK + self.leeway;
         let is_late = !open.client_disconnected && now > latest;
@@ -301,7 +309,7 @@
         }
     }
 
-    /// A request's time is over: it must have been answered.
+    /// No response to a request can be in time any more: the final response must have been sent.
     pub fn request_closed(&mut self, node: usize, request: u64, now: Nanos) {
         let Some(open) = self.requests.remove(&(node, request)) else { return };
         if !open.answered && !open.client_disconnected {
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,6 +1,6 @@
-//! A simulation of a fleet in virtual time: any number of nodes, each with the balancer or a reference policy, against
-//! model servers and injected faults. This crate does no I/O: the text of a world and a seed go in, a report comes out, and
-//! the same text and seed give the same report.
+//! A simulation of a fleet in virtual time: any number of nodes, each running the balancer or a reference policy, with
+//! model servers and injected faults. This crate does no I/O: the inputs are the text of a world and a seed, the output is a
+//! report, and the same text and seed give the same report.
 //!
 //! | module | concern |
 //! | --- | --- |
@@ -9,9 +9,9 @@
 //! | `random` | one stream of random numbers for each purpose |
 //! | `server` | a model server: queue, degradation, cold start, load reports |
 //! | `simulation` | the event loop, with a module for each kind of event |
-//! | `policy`, `reference` | the policies that a node can run, and those to compare the balancer with |
-//! | `invariants` | the invariants, checked from the outside |
-//! | `outcomes`, `report` | records the requests' outcomes; the report |
+//! | `policy`, `reference` | the configuration of policies, and the reference policies that the balancer is compared with |
+//! | `invariants` | the invariants, checked on the messages between nodes, clients and servers |
+//! | `outcomes`, `report` | the recorder of the requests' outcomes, and the report |
 
 mod arrivals;
 mod invariants;
@@ -45,7 +45,7 @@
     WorldError,
 };
 
-/// The world that runs where none is named.
+/// TOML text of the world that is simulated when the user names none.
 pub const DEFAULT_WORLD: &str = include_str!("../worlds/evening.toml");
 
 /// The built-in worlds: name and TOML text.
--- a/lab/src/outcomes.rs
+++ b/lab/src/outcomes.rs
@@ -10,23 +10,23 @@
 use crate::time::{MS, Nanos, nanos_from_seconds};
 use crate::world::World;
 
-/// Highest latency that histograms resolve, in microseconds: a quarter of an hour.
+/// Highest latency that histograms resolve, in microseconds: 15 minutes.
 const MAX_LATENCY_US: u64 = 900_000_000;
-/// Significant decimal digits of histograms.
+/// Significant decimal digits that histograms keep of a latency.
 const HISTOGRAM_DIGITS: u8 = 2;
 const NANOS_PER_MICROSECOND: Nanos = 1000;
 const MICROSECONDS_PER_MS: f64 = 1000.0;
 
-/// Outcomes of clients' requests over all classes.
+/// Numbers of clients' requests by outcome, over all classes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
     /// Requests, retries not counted.
     pub requests: u64,
     /// Requests served within the class's latency target.
     pub in_time: u64,
-    /// Requests served later than that.
+    /// Requests served after the class's latency target.
     pub late: u64,
-    /// Requests rejected with no retry left.
+    /// Requests rejected when the client had no retry left.
     pub rejected: u64,
     /// Requests that failed, timed out, or whose client disconnected.
     pub failed: u64,
@@ -36,7 +36,7 @@
 pub struct OutcomeRecorder {
     world_name: String,
     seconds: f64,
-    /// Value and latency target of each class.
+    /// Value of each class's requests.
     values: Vec<f64>,
     latency_targets: Vec<Nanos>,
     classes: Vec<GroupRecorder>,
@@ -71,7 +71,7 @@
         self.series.bucket(request.arrives_at).0 += self.values[request.class];
     }
 
-    /// A request is served, with its latency since it was first sent.
+    /// A request is served; `latency` is measured from when the client first sent the request.
     pub fn served(&mut self, request: &ClientRequest, latency: Nanos) {
         let in_time = latency <= self.latency_targets[request.class];
         self.classes[request.class].served(latency, in_time);
@@ -91,13 +91,13 @@
         self.count(request, |report| report.failed += 1);
     }
 
-    /// A request's client disconnects early.
+    /// A request's client disconnects before a response.
     pub fn client_disconnected(&mut self, request: &ClientRequest) {
         self.count(request, |report| report.left += 1);
         self.series.bucket(request.arrives_at).0 -= self.values[request.class];
     }
 
-    /// Outcomes of all requests so far.
+    /// Numbers of all requests so far, by outcome.
     pub fn outcome_counts(&self) -> OutcomeCounts {
         let sum =
             |count: fn(&ClassReport) -> u64| self.classes.iter().map(|class| count(&class.report)).sum();
@@ -110,13 +110,13 @@
         }
     }
 
-    /// The report, with the figures that clients know; all others are 0.
+    /// The report, with the figures that clients can measure. The caller sets the others, which are 0.
     pub fn finish(self, seed: u64) -> Report {
         let value = |count: fn(&ClassReport) -> u64| {
             let classes = self.classes.iter().zip(&self.values);
             classes.map(|(class, value)| count(&class.report) as f64 * value).sum::<f64>()
         };
-        // A client that disconnected can't be served.
+        // A client that disconnected cannot be served, so its request does not count.
         let requested = value(|report| report.asked - report.left);
         let served = if requested > 0.0 { value(|report| report.in_time) / requested } else { 1.0 };
         Report {
@@ -132,7 +132,7 @@
     }
 }
 
-/// Value requested and value served in time, over the time of a run.
+/// Value requested and value served in time, in equal time buckets over the duration of a run.
 struct Series {
     duration: Nanos,
     buckets: Vec<(f64, f64)>,
@@ -160,7 +160,7 @@
     fn new(name: &str) -> Self {
         let report = ClassReport { name: name.to_owned(), ..ClassReport::default() };
         let latencies = Histogram::new_with_bounds(1, MAX_LATENCY_US, HISTOGRAM_DIGITS)
-            .expect("the bounds are in order and the digits at most five");
+            .expect("histogram bounds are in order and at most five digits are kept");
         Self { report, latencies }
     }
 
@@ -177,7 +177,9 @@
         self.report.p50_ms = percentile_ms(0.5);
         self.report.p99_ms = percentile_ms(0.99);
         let mut bytes = Vec::new();
-        V2DeflateSerializer::new().serialize(&self.latencies, &mut bytes).expect("a vector takes all bytes");
+        V2DeflateSerializer::new()
+            .serialize(&self.latencies, &mut bytes)
+            .expect("writing a histogram to a Vec does not fail");
         self.report.times = STANDARD_NO_PAD.encode(bytes);
         self.report
     }
--- a/lab/src/reference/mod.rs
+++ b/lab/src/reference/mod.rs
@@ -1,5 +1,5 @@
-//! The reference policies, behind the balancer's interface. None of them probes, ejects or queues; what they know beyond
-//! the balancer they read from the model's servers.
+//! The reference policies, with the same events and actions as the balancer. None of the policies sends probes, ejects
+//! servers or queues requests. State that the balancer has no access to is read from the model servers.
 
 mod selection;
 
@@ -14,21 +14,21 @@
 use crate::server::Server;
 use crate::time::{MS, Nanos};
 
-/// `Retry-After` of a rejection.
+/// `Retry-After` of a rejection by a reference policy.
 const RETRY_AFTER: Nanos = 500 * MS;
-/// Pause before the list is watched again after a failure.
+/// Pause before a new watch of the server list after a discovery failure.
 const WATCH_RETRY_DELAY: Nanos = 500 * MS;
-/// Token of the timer that ends this pause.
+/// Token of the timer that fires after [`WATCH_RETRY_DELAY`].
 const WATCH_RETRY_TOKEN: u64 = 1;
 
-/// A request class, as far as reference policies use it.
+/// The settings of a request class that reference policies use.
 #[derive(Clone, Copy)]
 pub(crate) struct ClassProfile {
     pub(crate) non_idempotent: bool,
     pub(crate) latency_target: Nanos,
-    /// Mean nanoseconds of work on a core of speed 1.
+    /// Mean work, in nanoseconds on a core of speed 1.
     pub(crate) work: f64,
-    /// Mean nanoseconds of wait for downstream services.
+    /// Mean wait for downstream services, in nanoseconds.
     pub(crate) downstream_wait: f64,
 }
 
@@ -49,7 +49,9 @@
     class: usize,
     accepted_at: Nanos,
     not_after: Nanos,
+    /// The server of each attempt, by attempt number.
     tried: Vec<BackendId>,
+    /// Whether an attempt may have been executed.
     may_have_run: bool,
 }
 
@@ -65,9 +67,9 @@
 pub(crate) struct ReferencePolicy {
     settings: ReferenceSettings,
     random: RandomStream,
-    /// The servers in service.
+    /// The servers in service, as the node's list shows them.
     servers: BTreeMap<BackendId, KnownServer>,
-    /// The same servers by zone, for round robin within a zone.
+    /// The servers in service by zone, for round robin within a zone.
     zones: Vec<Vec<BackendId>>,
     round_robin_turn: u64,
     open_requests: HashMap<RequestId, OpenRequest>,
@@ -152,7 +154,7 @@
         }
     }
 
-    /// Ends a request without a server's response.
+    /// Ends a request without a server's response: rejects it if a retry is safe, else fails it.
     fn end(&mut self, request: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.open_requests.remove(&request) else { return };
         let retry_is_unsafe = open.may_have_run && self.settings.classes[open.class].non_idempotent;
--- a/lab/src/reference/selection.rs
+++ b/lab/src/reference/selection.rs
@@ -10,10 +10,10 @@
 /// Weights of headroom and nearness in the paper's score of a zone.
 const HEADROOM_WEIGHT: f64 = 0.7;
 const NEARNESS_WEIGHT: f64 = 0.3;
-/// Work and waits exceed their mean by up to a quarter.
+/// Work and downstream waits exceed their mean by at most this fraction, by [`RandomStream::around`](crate::random::RandomStream::around).
 const MAX_EXCESS: f64 = 0.25;
 
-/// A request that needs a server.
+/// A request for which a server is to be selected.
 pub(super) struct Candidate {
     pub(super) class: ClassProfile,
     pub(super) accepted_at: Nanos,
@@ -22,7 +22,7 @@
 }
 
 impl ReferencePolicy {
-    /// The server for a request; `None` to reject it.
+    /// The server for the next attempt of a request; `None` if the request is to be rejected.
     pub(super) fn select(&mut self, now: Nanos, request: &Candidate, model: &[Server]) -> Option<BackendId> {
         match self.settings.policy {
             Policy::Balancer | Policy::Random => {
@@ -90,13 +90,13 @@
         let zone = self.select_zone(now, model);
         let servers = self.zones[zone].clone();
         self.next_in_turn(&servers, &request.tried).or_else(|| {
-            // The home zone has no server: the paper has no such case, and any zone is better than none.
+            // The selected zone has no server, a case that the paper does not cover. Any server is better than a rejection.
             let servers = self.servers_in_service();
             self.next_in_turn(&servers, &request.tried)
         })
     }
 
-    /// The paper's choice of a zone, on true and current utilisations.
+    /// The zone that the paper's rule selects, from true and current utilisations.
     fn select_zone(&self, now: Nanos, model: &[Server]) -> usize {
         let home = self.settings.home_zone as usize;
         if self.zone_utilisation(home, now, model) < self.settings.threshold {
@@ -104,7 +104,7 @@
         }
         let latencies = &self.settings.zone_latencies;
         let max_latency = latencies.iter().copied().fold(1.0, f64::max);
-        // Weights and denominators as in the balancer: headroom decides unless zones are alike.
+        // The same weights and denominators as in the balancer: headroom decides unless zones have similar utilisation.
         let score = |zone: usize, utilisation: f64| {
             HEADROOM_WEIGHT * (1.0 - utilisation) + NEARNESS_WEIGHT * (1.0 - latencies[zone] / max_latency)
         };
@@ -115,7 +115,7 @@
         scores.max_by(|a, b| a.0.total_cmp(&b.0)).map_or(home, |(_, zone)| zone)
     }
 
-    /// Mean true utilisation of a zone's servers; 1 if it has none.
+    /// Mean true utilisation of a zone's servers; 1 if the zone has no server.
     fn zone_utilisation(&self, zone: usize, now: Nanos, model: &[Server]) -> f64 {
         let servers = self.zones[zone].iter().filter_map(|id| model.get(id.0 as usize));
         let (sum, count) =
@@ -123,7 +123,7 @@
         if count > 0.0 { sum / count } else { 1.0 }
     }
 
-    /// The healthy server that would respond first, if it would in time.
+    /// The healthy and untried server that would respond first, if that response would be in time.
     fn first_to_respond(&self, now: Nanos, request: &Candidate, model: &[Server]) -> Option<BackendId> {
         let class = request.class;
         let latency = |(&id, known): (&BackendId, &KnownServer)| {
--- a/lab/src/server/cold_start.rs
+++ b/lab/src/server/cold_start.rs
@@ -1,30 +1,31 @@
-//! The cold start of a server: its capacity grows to the full one, and too much load meanwhile crashes its process.
+//! The cold start of a server: its capacity increases to the full capacity during warm-up, and overload in this period
+//! crashes its process.
 
 use std::collections::VecDeque;
 
 use crate::time::{Nanos, SECOND};
 
-/// Fraction of its capacity that a server starts with.
+/// Fraction of the full capacity that a server has at its start.
 pub const COLD_START_CAPACITY: f64 = 0.33;
-/// Time from a server's start until it has its full capacity.
+/// Time from a server's start until full capacity.
 pub const WARM_UP_PERIOD: Nanos = 6 * SECOND;
-/// Window over which the load of a cold server is summed.
+/// Sliding window over which the load of a cold server is summed.
 pub const OVERLOAD_WINDOW: Nanos = 2 * SECOND;
-/// A cold server crashes when the load of a window exceeds its capacity so many times.
+/// A cold server crashes if the load within the window exceeds this multiple of the server's capacity in the window.
 pub const OVERLOAD_CRASH_MULTIPLE: f64 = 3.0;
-/// Load, in seconds of one core, that a cold server bears beyond that multiple.
+/// Load, in seconds of one core, that a cold server sustains beyond that multiple.
 const OVERLOAD_ALLOWANCE_CORE_SECONDS: f64 = 0.5;
 
-/// Whether the sender of a request knew when its server started.
+/// Whether the sender of a request knew of the server's latest start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SenderKnowledge {
-    /// It knew of the start.
+    /// The sender had been notified of the start.
     Informed,
-    /// It did not know of it.
+    /// The sender had not been notified of the start.
     Uninformed,
 }
 
-/// Fraction of the full capacity at an age of the process.
+/// Fraction of the full capacity that a process of this age has.
 pub(super) fn warm_fraction(age: Nanos) -> f64 {
     let progress = age as f64 / WARM_UP_PERIOD as f64;
     (COLD_START_CAPACITY + (1.0 - COLD_START_CAPACITY) * progress).min(1.0)
@@ -54,8 +55,8 @@
         self.window.push_back(ColdRequest { at: now, work, sender });
     }
 
-    /// Whether the window's load exceeds what a server of this capacity (work a nanosecond) bears. `Some(true)` if two
-    /// thirds of it came from informed senders.
+    /// `Some` if the window's load exceeds the limit for a server of this capacity (work per nanosecond), and then whether
+    /// at least two thirds of the load came from informed senders.
     pub(super) fn overload(&self, capacity: f64) -> Option<bool> {
         let load: f64 = self.window.iter().map(|request| request.work).sum();
         let bearable = OVERLOAD_CRASH_MULTIPLE * capacity * OVERLOAD_WINDOW as f64
--- a/lab/src/server/mod.rs
+++ b/lab/src/server/mod.rs
@@ -1,5 +1,5 @@
-//! A model server: cores, a queue, a slowdown under backlog, a cold start, connections, a noisy neighbour and load reports
-//! that lag.
+//! A model server: cores, a queue, a slowdown under backlog, a cold start, connections, a noisy neighbour and delayed load
+//! reports.
 
 mod cold_start;
 mod utilisation;
@@ -18,43 +18,43 @@
     COLD_START_CAPACITY, OVERLOAD_CRASH_MULTIPLE, OVERLOAD_WINDOW, SenderKnowledge, WARM_UP_PERIOD,
 };
 
-/// Waiting requests for each core at which a server counts as backlogged.
+/// Number of waiting requests per core from which on a server counts as backlogged.
 const BACKLOG_PER_CORE: usize = 5;
-/// Time with a backlog after which a server degrades.
+/// Duration of a backlog after which a server degrades.
 const DEGRADES_AFTER: Nanos = 2 * SECOND;
-/// How many times slower a degraded server works.
+/// Factor by which a degraded server is slower.
 const DEGRADED_SLOWDOWN: f64 = 2.8;
 /// Idle time after which a degraded server recovers.
 const RECOVERS_AFTER_IDLE: Nanos = 3 * SECOND;
-/// Longest time that a server stays degraded.
+/// Time for which a server stays degraded, unless it recovers earlier by being idle.
 const DEGRADED_PERIOD: Nanos = 25 * SECOND;
 
-/// The stage of a server's process.
+/// The state of a server's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
-    /// It accepts requests.
+    /// The server accepts requests.
     Serving,
-    /// It finishes what is in flight and accepts nothing new.
+    /// The server finishes the requests in flight and rejects new ones.
     Draining,
-    /// There is no process.
+    /// The server has no running process.
     Gone,
 }
 
-/// A unit of work.
+/// The work of a request or a probe.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Job {
-    /// Id, chosen by the caller.
+    /// Id, chosen by the caller; unique among the jobs of the server.
     pub id: u64,
-    /// Nanoseconds on a core of speed 1.
+    /// Duration of the work, in nanoseconds on a core of speed 1.
     pub work: f64,
 }
 
-/// A job that a core has begun.
+/// A job that a core has started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartedJob {
-    /// The job's id.
+    /// Id of the job.
     pub id: u64,
-    /// When the core will be done.
+    /// When the core finishes the job.
     pub finishes_at: Nanos,
 }
 
@@ -63,48 +63,49 @@
 pub struct FinishedJob {
     /// Whether the job was still running; `false` if it was cancelled or its process ended.
     pub was_running: bool,
-    /// The job that the core has begun next.
+    /// The next job, which the core has started; `None` if no job was waiting.
     pub next: Option<StartedJob>,
 }
 
-/// What a server does with a new job.
+/// The result of offering a job to a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
-    /// A core works on it until this time.
+    /// A core has started the job and finishes it at this time.
     Started(Nanos),
-    /// It waits for a core.
+    /// The job waits for a core.
     Queued,
-    /// Rejected before any work.
+    /// The job was rejected before any work.
     Rejected,
-    /// The cold server's process crashed under the load of the last moments.
+    /// The cold server's process crashed under the load within [`OVERLOAD_WINDOW`].
     Crashed {
-        /// Whether two thirds of that load came from senders that knew of the cold start.
+        /// Whether at least two thirds of that load came from senders that knew of the cold start.
         by_informed_senders: bool,
     },
 }
 
-/// One server.
+/// A model of one server. The caller passes in the time and all random numbers.
 pub struct Server {
-    /// Its configuration.
+    /// The group whose configuration the server has.
     pub group: ServerGroup,
-    /// The stage of its process.
+    /// The state of the server's process.
     pub state: ServerState,
-    /// When its process started; `None` if that was before the world's start.
+    /// When the server's process started; `None` if that was before the world's start.
     pub started: Option<Nanos>,
     /// Fraction of the machine that a noisy neighbour uses.
     pub neighbour_load: f64,
-    /// Whether it rejects all requests and reports no load.
+    /// Whether the server rejects all requests and reports no load.
     pub false_readiness: bool,
-    /// Whether it accepts requests and probes and never responds.
+    /// Whether the server accepts requests and probes and never responds; the caller has to apply this.
     pub hangs: bool,
-    /// Whether it responds to no probe.
+    /// Whether the server responds to no probe; the caller has to apply this.
     pub ignores_probes: bool,
-    /// Fraction of responses that are errors, beyond the group's own.
+    /// Fraction of responses that are errors due to a fault, in addition to [`ServerGroup::error_ratio`].
     pub extra_error_ratio: f64,
-    /// Open connections.
+    /// Number of open connections.
     pub connections: u32,
-    /// How often it has degraded under backlog.
+    /// Number of times that the server has degraded under backlog.
     pub degradations: u32,
+    /// Ids of the jobs on the cores.
     running: Vec<u64>,
     queue: VecDeque<Job>,
     idle_since: Nanos,
@@ -115,7 +116,7 @@
 }
 
 impl Server {
-    /// A warm and idle server.
+    /// A warm and idle server without faults.
     pub fn new(group: ServerGroup) -> Self {
         Self {
             group,
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Starts a new process, cold and idle. Faults stay: they belong to the machine, not to the process.
+    /// Starts a new process, cold and idle. Faults remain, since they affect the machine rather than the process.
     pub fn restart(&mut self, now: Nanos) {
         *self = Self {
             started: Some(now),
@@ -152,7 +153,7 @@
         };
     }
 
-    /// Ends the process with all that it had in flight.
+    /// Ends the process; its jobs and connections are lost.
     pub fn stop(&mut self, now: Nanos) {
         self.utilisation.advance(self.running.len(), self.group.cores, now);
         self.state = ServerState::Gone;
@@ -161,21 +162,21 @@
         self.connections = 0;
     }
 
-    /// Whether the process that a message was sent to at `sent_at` has ended since.
+    /// Whether the process to which a message was sent at `sent_at` has ended since then.
     pub fn has_restarted_since(&self, sent_at: Nanos) -> bool {
         self.state == ServerState::Gone || self.started.is_some_and(|started| started > sent_at)
     }
 
-    /// Its true utilisation, 0 to 1, smoothed over the last moments.
+    /// The server's true utilisation, 0 to 1, exponentially smoothed.
     pub fn utilisation(&self, now: Nanos) -> f64 {
         let busy = self.utilisation.smoothed(self.running.len(), self.group.cores, now);
         (busy + self.neighbour_load).min(1.0)
     }
 
-    /// Expected nanoseconds until a new job of this size would be done, by what the server itself can know.
+    /// Expected nanoseconds until the server would finish a new job with this work, from its queue and running jobs.
     pub fn expected_latency(&self, work: f64, now: Nanos) -> f64 {
         let queued: f64 = self.queue.iter().map(|job| job.work).sum();
-        // A running job is half done on the mean.
+        // On average, half of a running job's work is done.
         let running = self.running.len() as f64 * work / 2.0;
         let cores = self.group.cores;
         let is_free = self.running.len() < cores as usize;
@@ -183,7 +184,7 @@
         (waits + work) / self.core_speed(now)
     }
 
-    /// Whether one more waiting request would make it degrade, should that last.
+    /// Whether one more waiting request would reach the backlog limit, or fill the queue of a server that does not degrade.
     pub fn is_near_backlog(&self) -> bool {
         let per_core = match self.group.degrades_under_backlog {
             true => BACKLOG_PER_CORE,
@@ -192,7 +193,7 @@
         self.queue.len() + 1 >= per_core * self.group.cores as usize
     }
 
-    /// Work that one core does in a nanosecond.
+    /// Work that one core does per nanosecond.
     fn core_speed(&self, now: Nanos) -> f64 {
         let slowdown = if self.degraded_until > now { DEGRADED_SLOWDOWN } else { 1.0 };
         self.group.speed * (1.0 - self.neighbour_load) * self.warm_fraction(now) / slowdown
@@ -220,7 +221,8 @@
         self.enqueue(job, now)
     }
 
-    /// Whether this work crashes the cold server; if so, whether informed senders caused it.
+    /// Records the work in the load of a cold server. `Some` if the load crashes the server; the value says whether at least
+    /// two thirds of the load came from informed senders.
     fn cold_start_overload(&mut self, work: f64, sender: SenderKnowledge, now: Nanos) -> Option<bool> {
         let started = self.started?;
         if now.saturating_sub(started) >= WARM_UP_PERIOD {
@@ -262,7 +264,7 @@
         StartedJob { id: job.id, finishes_at }
     }
 
-    /// Ends a running job; its core begins the next one.
+    /// Ends a running job; its core starts the next one.
     pub fn finish(&mut self, id: u64, now: Nanos) -> FinishedJob {
         let Some(index) = self.running.iter().position(|running| *running == id) else {
             return FinishedJob { was_running: false, next: None };
@@ -280,7 +282,8 @@
         Some(self.start(job, now))
     }
 
-    /// Cancels a job whose response nobody awaits. Returns the job that takes the place of a running one.
+    /// Cancels a job whose response is no longer awaited, if the server's group does so. Returns the job that the freed core
+    /// starts.
     pub fn cancel(&mut self, id: u64, now: Nanos) -> Option<StartedJob> {
         if !self.group.cancels_abandoned_work {
             return None;
@@ -289,7 +292,7 @@
         self.finish(id, now).next
     }
 
-    /// The utilisation that it reports now: late, and off by up to 5 % as `noise` (0 to 1) says.
+    /// The utilisation that the server reports now: delayed, and with an error of -5 to 5 % as `noise` goes from 0 to 1.
     pub fn reported_utilisation(&mut self, noise: f64, now: Nanos) -> f64 {
         let cores = self.group.cores;
         let process_started = self.started.unwrap_or(0);
@@ -297,7 +300,7 @@
         if self.false_readiness { 0.0 } else { self.utilisation.published() * (0.95 + 0.1 * noise) }
     }
 
-    /// Offers the work of a probe's response, which waits for a core as all work does.
+    /// Offers the work of responding to a probe, which waits for a core like any other job but is never rejected.
     pub fn admit_probe(&mut self, id: u64, now: Nanos) -> Admission {
         self.enqueue(Job { id, work: self.group.probe_ms * 1e6 }, now)
     }
@@ -309,7 +312,7 @@
         has_room
     }
 
-    /// Closes this many of its connections.
+    /// Closes this many of the server's connections.
     pub fn disconnect(&mut self, count: u32) {
         self.connections = self.connections.saturating_sub(count);
     }
--- a/lab/src/server/server_tests.rs
+++ b/lab/src/server/server_tests.rs
@@ -24,10 +24,14 @@
     let half = Admission::Started(SECOND / 2);
     assert_eq!(taken, [half, half, Admission::Queued, Admission::Queued]);
     assert_eq!(server.finish(0, SECOND / 2), FinishedJob { was_running: true, next: started(2, SECOND) });
-    assert_eq!(server.finish(0, SECOND / 2), FinishedJob { was_running: false, next: None }, "done once");
+    assert_eq!(
+        server.finish(0, SECOND / 2),
+        FinishedJob { was_running: false, next: None },
+        "a job finishes once"
+    );
     let full =
         (10..110).filter(|&id| server.admit(job(id), Informed, SECOND / 2) == Admission::Rejected).count();
-    assert_eq!(full, 100 - (2 * 12 - 1), "one waited already");
+    assert_eq!(full, 100 - (2 * 12 - 1), "job 3 was already waiting");
 }
 
 #[test]
@@ -54,8 +58,8 @@
     assert_eq!(server.degradations, 0);
     server.finish(0, 2 * SECOND);
     server.admit(job(31), Informed, 3 * SECOND + 1);
-    assert_eq!(server.degradations, 1, "over two seconds");
-    let slow = server.finish(1, 4 * SECOND).next.expect("more waits").finishes_at - 4 * SECOND;
+    assert_eq!(server.degradations, 1, "the backlog lasted over two seconds");
+    let slow = server.finish(1, 4 * SECOND).next.expect("further jobs wait").finishes_at - 4 * SECOND;
     assert_eq!(slow, (0.5 * DEGRADED_SLOWDOWN * SECOND as f64) as Nanos);
     server.queue.clear();
     server.running.clear();
@@ -63,7 +67,7 @@
     assert_eq!(
         server.admit(job(40), Informed, 8 * SECOND),
         Admission::Started(8 * SECOND + SECOND / 2),
-        "well again"
+        "an idle server recovers"
     );
 }
 
@@ -72,9 +76,11 @@
     let mut server = server();
     server.admit(job(0), Informed, 0);
     server.restart(SECOND);
-    let Admission::Started(done) = server.admit(job(1), Informed, SECOND) else { panic!("it has no work") };
+    let Admission::Started(done) = server.admit(job(1), Informed, SECOND) else {
+        panic!("a restarted server is idle")
+    };
     assert!((SECOND * 3 / 2..SECOND * 8 / 5).contains(&(done - SECOND)), "{done}");
-    // A third of four units of work a second, times three, over two seconds, and the slack: 8.4.
+    // The limit is 8.4 seconds of work: 0.33 of a capacity of 4 per second, times 3, over 2 seconds, plus 0.5.
     let mut admit = |id, sender| server.admit(job(id), sender, SECOND + id);
     assert!((2..9).all(|id| !matches!(admit(id, Informed), Admission::Crashed { .. })));
     assert_eq!(admit(9, Informed), Admission::Crashed { by_informed_senders: true });
@@ -89,6 +95,6 @@
     assert_eq!(
         fell,
         Some(Admission::Crashed { by_informed_senders: false }),
-        "most came from those who did not know"
+        "most load came from uninformed senders"
     );
 }
--- a/lab/src/simulation/attempts.rs
+++ b/lab/src/simulation/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: from a node to a server and back.
+//! Attempts that nodes send to servers, and their responses.
 
 use ivyhatch_balancer::{AttemptEnd, Event, LoadReport, Outcome, RequestId};
 
@@ -35,7 +35,8 @@
         self.schedule(at, SimulationEvent::AttemptEnds { attempt, result });
     }
 
-    /// Sends an attempt over a connection to its server. `false` if there is none: the attempt then ends as failed.
+    /// Sends an attempt over a connection to its server. `false` if no connection can be opened: the attempt then ends with
+    /// [`ExchangeResult::ConnectFailed`].
     fn connect_for_attempt(&mut self, attempt: AttemptKey, server: u32) -> bool {
         let node = attempt.request.node;
         let is_gone = self.servers[server as usize].state == ServerState::Gone;
@@ -43,7 +44,7 @@
             self.schedule_attempt_end(self.now + CONNECT_TIMEOUT, attempt, ExchangeResult::ConnectFailed);
             return false;
         };
-        // A machine without a process refuses connections at once, as does a full connection table.
+        // A machine without a server process refuses connections at once, as does a server with a full connection table.
         let handshake = if is_gone { None } else { self.take_connection(node, server, latency) };
         let Some(handshake) = handshake else {
             self.schedule_attempt_end(self.now + 2 * latency, attempt, ExchangeResult::ConnectFailed);
@@ -56,7 +57,7 @@
         true
     }
 
-    /// Offers an attempt's work to its server. `false` if the server rejects it or crashes under it.
+    /// Offers an attempt's work to its server. `false` if the server rejects the work or crashes under the load.
     fn submit_attempt(&mut self, server: u32, attempt: AttemptKey, work: f64) -> bool {
         let id = self.next_id();
         let model = &mut self.servers[server as usize];
@@ -104,7 +105,7 @@
         self.schedule_attempt_end(self.now + latency, attempt, result);
     }
 
-    /// A core is done with a job: its response is sent, and the core begins the next job.
+    /// A core finishes a job: the response is sent, and the core starts the next job.
     pub(super) fn job_finishes(&mut self, server: u32, job: u64) {
         let owner = self.jobs.remove(&job);
         let finished = self.servers[server as usize].finish(job, self.now);
@@ -132,7 +133,7 @@
         self.schedule_started_job(server, next);
     }
 
-    /// Notifies a server that nobody awaits a job's response, unless a partition lies between.
+    /// Notifies a server that a job's response is no longer awaited, unless the network is partitioned.
     pub(super) fn cancel_job(&mut self, node: usize, server: u32, job: u64) {
         if let Some(latency) = self.message_latency(node, server) {
             self.schedule(self.now + latency, SimulationEvent::JobCancelled { server, job });
@@ -145,7 +146,7 @@
         let Some(open) = self.open_attempt(attempt) else { return };
         let OpenAttempt { server, sent_at, job, is_connected } = *open;
         let was_restarted = self.servers[server as usize].has_restarted_since(sent_at);
-        // A response on its way is lost when a partition begins or the server's process ends.
+        // A response in flight is lost if a partition starts or the server's process ends.
         if result.is_response() && (was_restarted || self.is_partitioned(key.node, server)) {
             return;
         }
@@ -177,7 +178,7 @@
         self.notify(key.node, Event::AttemptEnded(end));
     }
 
-    /// An attempt's connection is kept for another request, is closed, or has ended with the server's process.
+    /// Handles the connection of an ended attempt: it becomes idle, is closed, or has ended with the server's process.
     fn leave_connection(&mut self, node: usize, server: u32, result: ExchangeResult, was_restarted: bool) {
         if was_restarted {
             let connections = &mut self.nodes[node].connections;
@@ -188,7 +189,7 @@
         self.release_connection(node, server, reuse);
     }
 
-    /// The load report that a response carries.
+    /// The load report that a response carries; empty if responses carry none in this world.
     fn piggybacked_report(&mut self, server: u32, result: ExchangeResult) -> LoadReport {
         let mut report = LoadReport::default();
         if self.world.reports_on_answers && result.is_response() {
--- a/lab/src/simulation/clients.rs
+++ b/lab/src/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: when they send, to which node, and what they do with a response.
+//! Clients: when a client sends a request, to which node, and how a client handles a response.
 
 use ivyhatch_balancer::{Arrival, ClassId, Event, RequestId};
 
@@ -10,12 +10,12 @@
 use crate::time::{MS, Nanos};
 use crate::world::{RECONNECT_DELAY, RequestClass};
 
-/// Closed-loop clients start within this time, in nanoseconds.
+/// Closed-loop clients send their first requests within this time after the world's start, in nanoseconds.
 const CLOSED_CLIENT_START_WINDOW: f64 = 100e6;
-/// Time after a client's timeout at which its request is closed: late responses are still seen as late.
+/// Time from a client's timeout until its request is closed; in this time, a late response is still recognised as late.
 const EXPIRY_DELAY: Nanos = 2 * ANSWER_SLACK;
 
-/// When a client of a class gives up for good.
+/// When a client of a class stops waiting and retrying.
 fn client_deadline(class: &RequestClass, first_sent_at: Nanos) -> Nanos {
     first_sent_at + class.deadline_ms * MS
 }
@@ -59,7 +59,7 @@
         self.client_sends(id);
     }
 
-    /// A running node that clients of a zone prefer, or any running one.
+    /// A running node that clients of a zone prefer, or, if there is none, any running node; `None` if no node is running.
     fn select_node(&mut self, zone: u32) -> Option<usize> {
         let draw = self.random.node_choices.unit();
         let running_from_draw = |nodes: &[usize]| {
@@ -115,7 +115,8 @@
         self.schedule(not_after + EXPIRY_DELAY, SimulationEvent::RequestExpires(key));
     }
 
-    /// A client disconnects: no response is owed any more, while its attempts go on.
+    /// A client disconnects: the node need not respond any more, and the request's attempts continue until the policy
+    /// cancels them.
     pub(super) fn client_disconnects(&mut self, key: RequestKey) {
         let Some(open) = self.open_requests.get_mut(&key).filter(|open| !open.is_answered) else { return };
         open.is_answered = true;
@@ -129,7 +130,8 @@
         self.client_done(client_id, RECONNECT_DELAY);
     }
 
-    /// A client's node has crashed, or no node was running. It retries if its class is idempotent.
+    /// A client's node has crashed, or no node was running. The client retries if its class is idempotent and it has time
+    /// and retries left.
     pub(super) fn connection_lost(&mut self, client_id: u64) {
         let Some(client) = self.clients.get_mut(&client_id) else { return };
         let class = &self.world.clients.classes[client.request.class];
@@ -144,7 +146,7 @@
         self.client_done(client_id, RECONNECT_DELAY);
     }
 
-    /// A client's request has its outcome; a closed-loop client sends the next one after a pause.
+    /// A client's request has an outcome; a closed-loop client sends its next request after a pause.
     fn client_done(&mut self, client_id: u64, pause: Nanos) {
         let Some(client) = self.clients.get_mut(&client_id) else { return };
         client.is_done = true;
--- a/lab/src/simulation/discovery.rs
+++ b/lab/src/simulation/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: full lists of the servers, and notifications of their changes.
+//! The discovery service: full lists of the servers, and notifications of changes.
 
 use ivyhatch_balancer::{BackendId, BackendState, Event, ListScope, Member, ZoneId};
 
@@ -9,7 +9,7 @@
 use crate::server::ServerState;
 use crate::time::{MS, Nanos, nanos_from_seconds};
 
-/// A call to a discovery service that is down fails after this time.
+/// A call to an unavailable discovery service fails after this time.
 const CALL_TIMEOUT: Nanos = 250 * MS;
 
 fn backend_state(state: ServerState) -> BackendState {
@@ -34,14 +34,14 @@
             backend: BackendId(server),
             zone: ZoneId(self.server_zone(server)),
             state,
-            // A list can know the number of cores, but not their speed.
+            // A server list contains the number of cores, but not their speed.
             weight: f64::from(self.servers[server as usize].group.cores),
             online_since,
             ..Member::default()
         }
     }
 
-    /// Index of the full list that a call gets now. Servers that are gone are not on it.
+    /// Index of the full list that a call returns now. The list omits servers that are gone.
     pub(super) fn current_list(&mut self) -> usize {
         if let Some(stale) = self.discovery.stale {
             return stale.list;
@@ -56,21 +56,22 @@
         self.discovery.lists.len() - 1
     }
 
-    /// Starts a node's policy. Returns the list that the node finds stored.
+    /// Starts a node's policy. Returns the server list that the node has cached.
     pub(super) fn start_policy(&mut self, node: usize) -> Vec<Member> {
         self.notify(node, Event::Start);
         let list = self.current_list();
         self.discovery.lists[list].to_vec()
     }
 
-    /// Applies the limits of a cached list to a restarted node: it binds the node, stale or not.
+    /// Passes the cached list of a restarted node to the invariant checker: the list counts as a notification of the node,
+    /// even if the list is stale.
     pub(super) fn check_cached_list(&mut self, node: usize, members: &[Member]) {
         for member in members {
             self.invariants.server_listed(node, listed_server(member), self.now);
         }
     }
 
-    /// When a notification of now reaches a node: after the lag, and never before an earlier one.
+    /// When a notification sent now reaches a node: after the lag and jitter, and not before an earlier notification.
     fn notification_time(&mut self, node: usize) -> Nanos {
         let settings = self.world.discovery;
         let mut at = self.now + settings.lag_ms * MS;
@@ -82,7 +83,7 @@
         *notified_until
     }
 
-    /// A node asks for the list.
+    /// A node requests the server list.
     pub(super) fn request_list(&mut self, node: usize, request: ListRequest) {
         let process = self.process(node);
         if self.discovery.outages > 0 {
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Notifies all nodes of a change of one server.
+    /// Notifies all nodes of a change of one server, unless the discovery service is down.
     pub(super) fn announce(&mut self, server: u32, state: BackendState, started: Option<Nanos>) {
         self.discovery.is_list_current = false;
         if self.discovery.outages > 0 {
@@ -162,7 +163,7 @@
         }
     }
 
-    /// An outage of discovery starts or ends. Its start ends all watches.
+    /// An outage of the discovery service starts or ends. The start ends all watches.
     pub(super) fn apply_discovery_outage(&mut self, phase: FaultPhase) {
         match phase {
             FaultPhase::Start => self.discovery.outages += 1,
@@ -176,7 +177,8 @@
         }
     }
 
-    /// Full lists become stale, as from a lagging replica, or current again: then all nodes get a current one.
+    /// Full lists become stale, as from a lagging replica, or current again; in the latter case all nodes receive a current
+    /// list.
     pub(super) fn apply_stale_list(&mut self, phase: FaultPhase) {
         match phase {
             FaultPhase::Start => {
--- a/lab/src/simulation/event.rs
+++ b/lab/src/simulation/event.rs
@@ -1,4 +1,4 @@
-//! The events of a simulation, and the queue that orders them.
+//! The events of a simulation, and the event queue.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -18,11 +18,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptKey {
     pub(super) request: RequestKey,
-    /// Attempts of a request are numbered from 0.
+    /// Number of the attempt within the request, from 0.
     pub(super) number: u32,
 }
 
-/// One process of a node: what is addressed to an earlier one is dropped.
+/// One process of a node. Events that are addressed to an earlier process of the node are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct NodeProcess {
     pub(super) node: usize,
@@ -54,35 +54,36 @@
         }
     }
 
-    /// Whether it is a response of the server, which a partition or the end of the server's process prevents.
+    /// Whether the attempt or probe ends with a server's response, which is lost if the network is partitioned or the
+    /// server's process ends.
     pub(super) fn is_response(self) -> bool {
         matches!(self, Self::Served | Self::Error | Self::Rejected)
     }
 }
 
-/// How a node asks for the list of servers.
+/// How a node requests the list of servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListRequest {
     /// The full list, and notifications of all changes from then on.
     Watch,
-    /// The full list alone.
+    /// The full list only.
     Fetch,
 }
 
-/// Whether a fault starts or ends.
+/// The change of a fault: its start or its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FaultPhase {
     Start,
     End,
 }
 
-/// What happens next in a simulation.
+/// An event of a simulation.
 pub(super) enum SimulationEvent {
     /// The next open-loop client arrives.
     ClientArrives,
     /// A closed-loop client of a zone sends its next request.
     ClosedClientReturns { zone: u32 },
-    /// A client sends its request, or sends it again.
+    /// A client sends its request, or retries it.
     ClientSends { client: u64 },
     /// A client disconnects before its timeout.
     ClientDisconnects(RequestKey),
@@ -92,9 +93,9 @@
     AttemptArrives(AttemptKey),
     /// An attempt ends at its node.
     AttemptEnds { attempt: AttemptKey, result: ExchangeResult },
-    /// A server's core is done with a job.
+    /// A server's core finishes a job.
     JobFinishes { server: u32, job: u64 },
-    /// A server learns that nobody awaits a job's response.
+    /// A server is notified that a job's response is no longer awaited.
     JobCancelled { server: u32, job: u64 },
     /// The oldest idle connection to a server expires.
     IdleConnectionExpires { node: usize, server: u32 },
@@ -104,13 +105,13 @@
     ProbeEnds { probe: u64, result: ExchangeResult, utilisation: Option<f64> },
     /// A node's timer fires.
     TimerFired { process: NodeProcess, token: u64 },
-    /// A node gets a full list, given by its index among the lists that were made.
+    /// A node receives a full list, given by its index in [`Discovery::lists`](super::state::Discovery::lists).
     FullListDelivered { process: NodeProcess, list: usize, request: ListRequest },
-    /// A node's call for the list fails.
+    /// A node's call to the discovery service fails.
     ListCallFails(NodeProcess),
     /// A node is notified of a change of one server.
     EndpointUpdate { process: NodeProcess, server: u32, state: BackendState, started: Option<Nanos> },
-    /// The full list is sent to all watching nodes again.
+    /// The full list is due to be resent to all watching nodes.
     FullListIntervalElapsed,
     /// A fault, given by its index in the world, starts or ends.
     FaultChanges { fault: usize, phase: FaultPhase },
@@ -118,7 +119,7 @@
 
 struct ScheduledEvent {
     at: Nanos,
-    /// Order of scheduling, which decides between events of one instant.
+    /// Number of the event in the order of scheduling, which orders events with the same time.
     sequence: u64,
     event: SimulationEvent,
 }
@@ -143,10 +144,11 @@
 
 impl Eq for ScheduledEvent {}
 
-/// The scheduled events, by time and, within one instant, by the order in which they were scheduled.
+/// The scheduled events, ordered by time and, at equal times, by the order in which they were scheduled.
 #[derive(Default)]
 pub(super) struct EventQueue {
     events: BinaryHeap<Reverse<ScheduledEvent>>,
+    /// Number of events scheduled so far.
     scheduled: u64,
 }
 
@@ -156,7 +158,7 @@
         self.events.push(Reverse(ScheduledEvent { at, sequence: self.scheduled, event }));
     }
 
-    /// Takes the next event, with its time.
+    /// Removes and returns the next event with its time; `None` if no event is scheduled.
     pub(super) fn pop(&mut self) -> Option<(Nanos, SimulationEvent)> {
         self.events.pop().map(|Reverse(scheduled)| (scheduled.at, scheduled.event))
     }
--- a/lab/src/simulation/event_queue_tests.rs
+++ b/lab/src/simulation/event_queue_tests.rs
@@ -1,4 +1,4 @@
-//! The event queue: by time, and by the order of scheduling within one instant.
+//! The event queue returns events by time and, at equal times, in the order of scheduling.
 
 use super::event::{EventQueue, SimulationEvent};
 use crate::time::Nanos;
--- a/lab/src/simulation/faults.rs
+++ b/lab/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults: their effects on the simulation when they start and end.
+//! The effects of faults on the simulation when faults start and end.
 
 use super::event::FaultPhase;
 use super::model::Simulation;
@@ -13,7 +13,7 @@
         let fraction = if starts { fault.fraction } else { 0.0 };
         let zone = fault.zone as usize;
         match fault.kind {
-            // Part of the arrival process.
+            // Bursts are part of the arrival process.
             FaultKind::Burst => {}
             FaultKind::ZonePartition => {
                 let partitions = &mut self.network_faults.partitions[zone];
@@ -42,7 +42,7 @@
             }),
             FaultKind::NodeShutdown => fault.nodes.iter().for_each(|node| match phase {
                 FaultPhase::Start => self.nodes[*node as usize].accepts_clients = false,
-                // What is still in flight is lost, as with any process that is ended.
+                // Requests that are still in flight are lost, as if the process had been killed.
                 FaultPhase::End => {
                     self.crash_node(*node as usize);
                     self.restart_node(*node as usize);
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Changes each server that a fault affects.
+    /// Applies a change to each server that a fault affects.
     fn each_server(&mut self, fault: &Fault, change: impl Fn(&mut Server)) {
         fault.servers.iter().for_each(|server| change(&mut self.servers[*server as usize]));
     }
--- a/lab/src/simulation/mod.rs
+++ b/lab/src/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! The simulation of a world: any number of nodes in one process, event by event in virtual time. Events of one instant
-//! happen in the order in which they were scheduled.
+//! The simulation of a world: a discrete-event simulation of any number of nodes in one process, in virtual time. Events
+//! with the same time are handled in the order in which they were scheduled.
 
 mod attempts;
 mod clients;
@@ -23,17 +23,17 @@
 use event::SimulationEvent;
 use model::{START, Simulation};
 
-/// Called with the elapsed fraction of the world's time, 0 to 1, after each hundredth of it.
+/// Called with the elapsed fraction of the world's duration, 0 to 1, at most once for each percent.
 pub type ProgressCallback<'a> = &'a mut dyn FnMut(f64);
 
-/// Runs a world with a seed under the balancer, until each request has its outcome. Memory grows with the number of nodes
-/// times the number of servers.
+/// Simulates a world with the balancer as policy, until each request has an outcome. Memory use grows with the number of
+/// nodes times the number of servers.
 pub fn simulate(world: &World, seed: u64, progress: ProgressCallback) -> Report {
     simulate_with(world, &PolicyConfig::default(), seed, progress)
 }
 
-/// Runs a world with a seed under any policy; see [`simulate`]. The same world, policy and seed give the same report, to
-/// the last byte of its JSON.
+/// Simulates a world with any policy; see [`simulate`]. The same world, policy and seed give a report whose JSON form is
+/// identical byte for byte.
 pub fn simulate_with(world: &World, policy: &PolicyConfig, seed: u64, progress: ProgressCallback) -> Report {
     let mut simulation = Simulation::new(world, policy, seed);
     let mut reported_percent = 0;
--- a/lab/src/simulation/model.rs
+++ b/lab/src/simulation/model.rs
@@ -1,4 +1,4 @@
-//! The simulation's state as a whole, and what all its parts need.
+//! The state of a simulation, and functions that all modules of the simulation use.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -20,13 +20,13 @@
 use crate::time::{Nanos, SECOND};
 use crate::world::World;
 
-/// The clock at the world's start; not 0, which means "before the world's start" in lists.
+/// The clock at the world's start; not 0, which means "before the world's start" in server lists.
 pub(super) const START: Nanos = SECOND;
 
-/// What a node does with a client's request in the end.
+/// A node's final response to a client's request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum NodeResponse {
-    /// It forwards a server's response.
+    /// The node forwards a server's response.
     Served,
     Rejected {
         retry_after: Nanos,
@@ -34,18 +34,18 @@
     Failed,
 }
 
-/// A world in the course of a run.
+/// A running simulation of a world.
 pub(super) struct Simulation<'a> {
     pub(super) world: &'a World,
     pub(super) policy: &'a PolicyConfig,
     pub(super) balancer_settings: Settings,
     pub(super) reference_settings: ReferenceSettings,
     pub(super) now: Nanos,
-    /// When the last new client arrives.
+    /// Time from which on no new clients arrive.
     pub(super) end: Nanos,
     pub(super) queue: EventQueue,
     pub(super) nodes: Vec<Node>,
-    /// The nodes that clients of each zone prefer.
+    /// By zone: the nodes that clients of the zone prefer.
     pub(super) preferred_nodes: Vec<Vec<usize>>,
     pub(super) servers: Vec<Server>,
     pub(super) open_requests: HashMap<RequestKey, OpenRequest>,
@@ -68,7 +68,7 @@
         self.queue.schedule(at, event);
     }
 
-    /// An id that nothing else in the simulation has.
+    /// A new id, unique among requests, jobs, probes and clients.
     pub(super) fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
@@ -90,7 +90,7 @@
         self.process(process.node) == process
     }
 
-    /// Gives an event to a node's policy and carries out the actions.
+    /// Passes an event to a node's policy and executes the resulting actions; no effect if the node has no process.
     pub(super) fn notify(&mut self, node: usize, event: Event) {
         if self.nodes[node].crashed {
             return;
--- a/lab/src/simulation/network.rs
+++ b/lab/src/simulation/network.rs
@@ -7,23 +7,23 @@
 use crate::time::{MS, Nanos, nanos_from_ms};
 use crate::world::World;
 
-/// A lost message is sent again after this time.
+/// A lost message is retransmitted after this time.
 const RETRANSMISSION_TIMEOUT: Nanos = 200 * MS;
-/// A message is lost twice at most: a longer loss is a fault of its own, a partition.
+/// A message is lost at most twice; a longer loss is modelled as a partition.
 const MAX_RETRANSMISSIONS: usize = 2;
 /// An idle connection is closed after this time.
 const IDLE_TIMEOUT: Nanos = 5_000 * MS;
 
-/// What happens to a connection that an attempt has used.
+/// Whether a connection can be used again after an attempt.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ConnectionReuse {
-    /// It can carry another request.
+    /// The connection can carry another request.
     Idle,
-    /// It has to be closed, since a response may still come on it.
+    /// The connection must be closed, since a response to the ended attempt may still arrive.
     Close,
 }
 
-/// The one-way latency between two zones, or within one, without faults.
+/// The one-way latency between two zones, or within one zone, without faults.
 fn base_latency(world: &World, is_same_zone: bool) -> Nanos {
     let cross_zone = nanos_from_ms(world.cross_ms);
     if is_same_zone { cross_zone / 10 } else { cross_zone }
@@ -63,8 +63,8 @@
         Some(latency)
     }
 
-    /// Takes an idle connection to a server or opens one. Returns the time of the handshake, 0 for an idle connection;
-    /// `None` if the server's connection table is full.
+    /// Takes an idle connection to a server, or opens a new one. Returns the duration of the handshake, 0 for an idle
+    /// connection; `None` if the server's connection table is full.
     pub(super) fn take_connection(&mut self, node: usize, server: u32, latency: Nanos) -> Option<Nanos> {
         let idle = self.nodes[node].idle_connections.get_mut(&server).and_then(VecDeque::pop_back);
         if idle.is_some() {
@@ -79,7 +79,7 @@
         Some(2 * latency)
     }
 
-    /// Gives back a connection.
+    /// Releases the connection of an ended attempt.
     pub(super) fn release_connection(&mut self, node: usize, server: u32, reuse: ConnectionReuse) {
         match reuse {
             ConnectionReuse::Idle => {
--- a/lab/src/simulation/nodes.rs
+++ b/lab/src/simulation/nodes.rs
@@ -8,7 +8,7 @@
 use crate::server::ServerState;
 
 impl Simulation<'_> {
-    /// A node's process ends with its state; its clients lose their connections.
+    /// A node's process ends and its state is lost; its clients lose their connections.
     pub(super) fn crash_node(&mut self, node: usize) {
         let mut open_ids: Vec<RequestKey> =
             self.open_requests.keys().filter(|key| key.node == node).copied().collect();
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Drops a request of a crashed node, with its attempts.
+    /// Removes a request of a crashed node, and cancels its attempts.
     fn lose_request(&mut self, key: RequestKey) {
         let Some(open) = self.open_requests.remove(&key) else { return };
         self.invariants.request_lost(key.node, key.id);
@@ -52,7 +52,7 @@
         }
     }
 
-    /// A node's process starts, with the list that its predecessor stored and no other state.
+    /// A node's process starts with the cached list of the previous process and no other state.
     pub(super) fn restart_node(&mut self, node: usize) {
         if self.nodes[node].accepts_clients {
             return;
@@ -74,7 +74,7 @@
         self.announce(server, BackendState::Removed, None);
     }
 
-    /// A server drains, and its process ends when the fault does, unless it has ended before.
+    /// A server drains when the fault starts. Its process ends when the fault ends, unless it has ended before.
     pub(super) fn drain_server(&mut self, server: u32, phase: FaultPhase) {
         let model = &mut self.servers[server as usize];
         match (phase, model.state) {
--- a/lab/src/simulation/probes.rs
+++ b/lab/src/simulation/probes.rs
@@ -1,4 +1,4 @@
-//! Probes: from a node to a server and back.
+//! Probes that nodes send to servers, and their responses.
 
 use ivyhatch_balancer::{BackendId, Event, LoadReport};
 
@@ -8,7 +8,7 @@
 use crate::server::{Admission, ServerState};
 use crate::time::{MS, Nanos};
 
-/// A probe without a response ends after this time.
+/// A probe without a response times out after this time.
 const PROBE_TIMEOUT: Nanos = 500 * MS;
 
 impl Simulation<'_> {
@@ -33,7 +33,7 @@
         self.schedule(at, SimulationEvent::ProbeEnds { probe, result, utilisation });
     }
 
-    /// Gives a server the work of a probe's response.
+    /// Gives a server a job with the work of responding to a probe. Connection handshakes use the same job.
     pub(super) fn submit_probe_job(&mut self, server: u32) {
         let id = self.next_id();
         if let Admission::Started(finishes_at) = self.servers[server as usize].admit_probe(id, self.now) {
@@ -55,7 +55,7 @@
             return;
         }
         let utilisation = model.reported_utilisation(noise, self.now);
-        // The response waits for a core as any does; the expected wait at its arrival is close enough here.
+        // The response waits for a core like any other job; the expected wait at the probe's arrival approximates this.
         let wait = model.expected_latency(0.0, self.now) as Nanos;
         self.submit_probe_job(server);
         let ends_at = self.now + wait + latency;
--- a/lab/src/simulation/setup.rs
+++ b/lab/src/simulation/setup.rs
@@ -1,4 +1,4 @@
-//! The start of a simulation: the nodes' settings, and the first nodes, servers and events.
+//! The setup of a simulation: the nodes' settings, and the initial nodes, servers and events.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -20,9 +20,9 @@
 use crate::time::{MS, Nanos, SECOND, nanos_from_seconds};
 use crate::world::{MAX_RETRY_AFTER, RequestClass, World};
 
-/// Cost of a probe against that of a request.
+/// Cost of a probe relative to the cost of a request.
 const PROBE_COST: f64 = 0.01;
-/// Longest time between two polls of the list.
+/// Longest time between two polls of the server list.
 const MAX_POLL_INTERVAL: Nanos = 10 * SECOND;
 
 fn class_settings(class: &RequestClass) -> ClassSettings {
@@ -81,7 +81,8 @@
 }
 
 impl<'a> Simulation<'a> {
-    /// A world at its start, with all first events scheduled. Their order is part of each seed's result.
+    /// A simulation at the world's start, with all initial events scheduled. The order of scheduling affects the result of
+    /// each seed and must not change.
     pub(super) fn new(world: &'a World, policy: &'a PolicyConfig, seed: u64) -> Self {
         let mut simulation = Self::without_events(world, policy, seed);
         simulation.schedule_faults();
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Starts all nodes, each with a stored list, as one that has run before.
+    /// Starts all nodes, each with a cached list, like a node that has run before.
     fn start_nodes(&mut self) {
         for node in 0..self.world.nodes as usize {
             let policy = self.create_policy(node);
@@ -146,14 +147,16 @@
         }
     }
 
-    /// The policy of a node's new process, without state.
+    /// Creates the policy of a node's new process, without state.
     pub(super) fn create_policy(&mut self, node: usize) -> NodePolicy {
         let home_zone = self.node_zone(node);
         let seed = self.random.node_seeds.seed();
         if self.policy.policy == Policy::Balancer {
             let settings = Settings { home: ZoneId(home_zone), ..self.balancer_settings.clone() };
             let balancer = Balancer::new(settings, seed, self.now);
-            return NodePolicy::Balancer(Box::new(balancer.expect("a valid world gives valid settings")));
+            return NodePolicy::Balancer(Box::new(
+                balancer.expect("a validated world gives valid balancer settings"),
+            ));
         }
         let cross_zone = self.world.cross_ms * 1e6;
         let latency = |zone| if zone == home_zone { cross_zone / 10.0 } else { cross_zone };
--- a/lab/src/simulation/state.rs
+++ b/lab/src/simulation/state.rs
@@ -12,7 +12,7 @@
 use crate::time::Nanos;
 use crate::world::World;
 
-/// What decides at a node.
+/// The policy of a node, which makes the load-balancing decisions.
 pub(super) enum NodePolicy {
     Balancer(Box<Balancer>),
     Reference(Box<ReferencePolicy>),
@@ -20,21 +20,21 @@
 
 pub(super) struct Node {
     pub(super) policy: NodePolicy,
-    /// Counts the node's processes.
+    /// Number of the node's current process, from 0.
     pub(super) incarnation: u32,
-    /// Whether clients reach it.
+    /// Whether the node accepts new requests from clients.
     pub(super) accepts_clients: bool,
-    /// Whether it has no process.
+    /// Whether the node has no running process.
     pub(super) crashed: bool,
-    /// Whether it is notified of changes of the list.
+    /// Whether the node watches the server list, and is notified of changes.
     pub(super) watches_list: bool,
-    /// Its notifications are delivered in order: none before this time.
+    /// When the last scheduled notification arrives. Later ones do not arrive earlier, since notifications stay in order.
     pub(super) notified_until: Nanos,
-    /// Requests that it owes a response.
+    /// Number of requests without a final response.
     pub(super) open_requests: u32,
-    /// Since when each idle connection to a server has been idle, oldest first.
+    /// By server: since when each idle connection has been idle, oldest first.
     pub(super) idle_connections: HashMap<u32, VecDeque<Nanos>>,
-    /// Open connections to servers.
+    /// Number of open connections to servers.
     pub(super) connections: u32,
 }
 
@@ -54,12 +54,12 @@
     }
 }
 
-/// Whether a client sends more than one request.
+/// How a client sends requests.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ClientKind {
-    /// It arrives at a time of its own and sends one request.
+    /// The client arrives at a time that is independent of responses, and sends one request.
     OpenLoop,
-    /// It sends the next request as soon as it has a response.
+    /// The client sends its next request as soon as it has received a response.
     ClosedLoop,
 }
 
@@ -69,32 +69,32 @@
     pub(super) first_sent_at: Nanos,
     pub(super) retries_left: u32,
     pub(super) kind: ClientKind,
-    /// Whether its request has its outcome. The client is dropped once it has no open request either, since attempts in
-    /// flight still need what it requested.
+    /// Whether the client's request has an outcome. The client is removed only when `open_requests` is 0 as well, since
+    /// attempts in flight still use its request.
     pub(super) is_done: bool,
-    /// Its requests, first ones and retries, that have not expired.
+    /// Number of the client's requests at nodes, including retries, that have not expired.
     pub(super) open_requests: u32,
 }
 
 pub(super) struct OpenRequest {
     pub(super) client: u64,
     pub(super) not_after: Nanos,
-    /// Whether it has its final response, or needs none.
+    /// Whether the request has its final response, or needs none since the client has disconnected.
     pub(super) is_answered: bool,
-    /// By number; `None` for those that have ended.
+    /// The attempts by number; `None` for an attempt that has ended.
     pub(super) attempts: Vec<Option<OpenAttempt>>,
 }
 
 pub(super) struct OpenAttempt {
     pub(super) server: u32,
     pub(super) sent_at: Nanos,
-    /// The server's job, once the server has admitted it.
+    /// Id of the server's job; `None` until the server has admitted the attempt.
     pub(super) job: Option<u64>,
-    /// Whether it holds a connection.
+    /// Whether the attempt uses a connection.
     pub(super) is_connected: bool,
 }
 
-/// What a server's job is for.
+/// The cause of a server's job. `Probe` includes the handshake of a new connection.
 pub(super) enum JobOwner {
     Attempt(AttemptKey),
     Probe,
@@ -106,9 +106,9 @@
     pub(super) sent_at: Nanos,
 }
 
-/// The faults of the network, by zone.
+/// The active faults of the network, by zone.
 pub(super) struct NetworkFaults {
-    /// Number of partitions that separate the zone from all others.
+    /// Number of active faults that partition the zone from all others.
     pub(super) partitions: Vec<u32>,
     pub(super) added_latency_ms: Vec<f64>,
     pub(super) added_loss: Vec<f64>,
@@ -121,27 +121,29 @@
     }
 }
 
-/// The list that is delivered during staleness faults.
+/// The list that is delivered while a staleness fault is active.
 #[derive(Clone, Copy)]
 pub(super) struct StaleList {
-    /// Number of faults that keep it stale.
+    /// Number of active staleness faults.
     pub(super) faults: u32,
+    /// Index of the stale list in [`Discovery::lists`].
     pub(super) list: usize,
 }
 
 /// The discovery service.
 #[derive(Default)]
 pub(super) struct Discovery {
-    /// Number of faults that keep it down.
+    /// Number of active faults that make the service unavailable.
     pub(super) outages: u32,
-    /// Full lists that were delivered: one for each state of the servers in which one was asked for.
+    /// Full lists that were delivered: one for each state of the servers in which a list was requested.
     pub(super) lists: Vec<Rc<[Member]>>,
-    /// Whether the last of them shows the present state.
+    /// Whether the last of the lists shows the current state of the servers.
     pub(super) is_list_current: bool,
+    /// `None` unless a staleness fault is active.
     pub(super) stale: Option<StaleList>,
 }
 
-/// One stream for each purpose, so that a draw for one leaves all others as they were.
+/// One random stream for each purpose, so that a draw for one purpose does not affect the others.
 pub(super) struct RandomStreams {
     pub(super) client_timeouts: RandomStream,
     pub(super) node_choices: RandomStream,
@@ -155,7 +157,7 @@
 impl RandomStreams {
     pub(super) fn new(seed: u64) -> Self {
         let stream = |purpose| RandomStream::new(seed, purpose, 0);
-        // The purposes' names decide the draws: they never change.
+        // The names of the purposes select the streams: a renamed purpose would change the result of each seed.
         Self {
             client_timeouts: stream("patience"),
             node_choices: stream("fronts"),
@@ -168,7 +170,7 @@
     }
 }
 
-/// Figures of the report.
+/// Counters of a run, for the report.
 #[derive(Default)]
 pub(super) struct Counters {
     pub(super) attempts: u64,
@@ -179,7 +181,7 @@
     pub(super) max_connections: u32,
 }
 
-/// The nodes that clients of each zone prefer: those of the zone, or all if it has none.
+/// The nodes that clients of each zone prefer: the nodes of the zone, or all nodes if the zone has none.
 pub(super) fn preferred_nodes(world: &World) -> Vec<Vec<usize>> {
     let all = 0..world.nodes as usize;
     let of_zone = |zone: u32| {
--- a/lab/src/time.rs
+++ b/lab/src/time.rs
@@ -1,11 +1,9 @@
-//! Time on a world's clock.
+//! Time on a world's clock, which is virtual in simulations.
 
-/// A time or a span in nanoseconds of the world's clock.
+/// A time or a duration, in nanoseconds of the world's clock.
 pub type Nanos = u64;
 
-/// One millisecond.
 pub(crate) const MS: Nanos = 1_000_000;
-/// One second.
 pub(crate) const SECOND: Nanos = 1_000 * MS;
 
 pub(crate) fn nanos_from_seconds(seconds: f64) -> Nanos {
--- a/lab/src/world/error.rs
+++ b/lab/src/world/error.rs
@@ -1,19 +1,22 @@
-//! Why a text is no usable world.
+//! Errors in the description of a world.
 
 /// An error in the description of a world.
 #[derive(Debug, thiserror::Error)]
 pub enum WorldError {
-    /// The text does not parse; the message has line and column.
+    /// The text is not valid TOML or does not have the fields of a world; the message has line and column.
     #[error("{0}")]
     Text(#[from] toml::de::Error),
-    /// A value is out of range.
-    #[error("{}{field}: {value}: {wanted}", .line.map(|line| format!("line {line}: ")).unwrap_or_default())]
+    /// The value of a field is out of range.
+    #[error(
+        "{}{field}: got {value}, expected {wanted}",
+        .line.map(|line| format!("line {line}: ")).unwrap_or_default()
+    )]
     Field {
-        /// Line of the field, from 1; `None` if the field is not written or the world did not come from a text.
+        /// Line of the field, from 1; `None` if the line is not known or the world was not read from a text.
         line: Option<usize>,
         /// Path of the field in the file; entries of arrays are counted from 0.
         field: String,
-        /// The value.
+        /// The rejected value.
         value: String,
         /// The accepted range.
         wanted: &'static str,
@@ -21,7 +24,7 @@
 }
 
 impl WorldError {
-    /// The error with the line on which its field stands in the text that the world came from.
+    /// Adds the line on which the field stands in `text`, from which the world was read.
     pub(super) fn with_line_in(self, text: &str) -> Self {
         match self {
             Self::Field { field, value, wanted, .. } => {
@@ -41,7 +44,7 @@
             Some((key, index)) => (key, index.trim_end_matches(']').parse::<usize>().ok()),
             None => (step, None),
         };
-        // For a field that is not written, the line of its table has to do.
+        // A field that is absent from the text gets the line of its table.
         let Some(next) = item.get(key) else { break };
         item = match index {
             Some(index) => next.get(index)?,
--- a/lab/src/world/fault.rs
+++ b/lab/src/world/fault.rs
@@ -1,4 +1,4 @@
-//! Faults: what fails in a world, where, and from when until when.
+//! Injected faults: the kind, the affected servers, nodes or zone, and the period.
 
 use std::ops::Range;
 
@@ -6,11 +6,11 @@
 
 use crate::time::{Nanos, nanos_from_seconds};
 
-/// A fault from one time to another.
+/// An injected fault, active during a period.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What fails.
+    /// Kind of the fault.
     pub kind: FaultKind,
     /// Start, in seconds since the start of the world.
     #[serde(rename = "from")]
@@ -18,31 +18,31 @@
     /// End, in seconds since the start of the world.
     #[serde(rename = "to")]
     pub end_s: f64,
-    /// Affected servers.
+    /// Numbers of the affected servers.
     #[serde(default)]
     pub servers: Vec<u32>,
-    /// Affected nodes.
+    /// Numbers of the affected nodes.
     #[serde(default)]
     pub nodes: Vec<u32>,
-    /// Affected zone.
+    /// Number of the affected zone.
     #[serde(default)]
     pub zone: u32,
     /// The tenant whose requests a burst multiplies; `None` for all requests.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tenant: Option<u32>,
-    /// Fraction of the machine that a neighbour uses, of responses that are errors, or of messages that are lost.
+    /// Fraction of the machine that a noisy neighbour uses, of responses that are errors, or of messages that are lost.
     #[serde(rename = "part", default)]
     pub fraction: f64,
-    /// Factor of a burst on the request rate.
+    /// Factor by which a burst multiplies the request rate.
     #[serde(rename = "times", default)]
     pub rate_multiplier: f64,
-    /// Additional one-way latency to and from a zone.
+    /// Additional one-way latency to and from the affected zone, in milliseconds.
     #[serde(rename = "ms", default)]
     pub added_latency_ms: f64,
 }
 
 impl Fault {
-    /// A fault of this kind and time that affects no server and no node yet.
+    /// A fault of this kind and period, with an empty list of affected servers and nodes.
     pub fn new(kind: FaultKind, start_s: f64, end_s: f64) -> Self {
         Self {
             kind,
@@ -58,59 +58,61 @@
         }
     }
 
-    /// Start and end, since the start of the world.
+    /// The period in which the fault is active, since the start of the world.
     pub fn period(&self) -> Range<Nanos> {
         nanos_from_seconds(self.start_s)..nanos_from_seconds(self.end_s)
     }
 }
 
-/// What can fail.
+/// The kinds of faults.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Another program uses a fraction of some servers.
+    /// Another program uses a fraction of the affected servers' machines.
     #[serde(rename = "neighbour")]
     NoisyNeighbour,
-    /// Some servers reject each request and report no load.
+    /// The affected servers reject each request and report no load.
     #[serde(rename = "liar")]
     FalseReadiness,
-    /// Some servers drain, and shut down at the end.
+    /// The affected servers drain, and shut down at the fault's end.
     Drain,
-    /// Some servers are down, and come back cold.
+    /// The affected servers are down, and restart cold at the fault's end.
     Restart,
-    /// A zone is partitioned from the others.
+    /// The affected zone is partitioned from the others.
     #[serde(rename = "zone_cut")]
     ZonePartition,
     /// The request rate is multiplied.
     Burst,
-    /// A fraction of some servers' responses are errors.
+    /// A fraction of the affected servers' responses are errors.
     Errors,
-    /// Some servers accept requests and probes and never respond.
+    /// The affected servers accept requests and probes and never respond.
     Hang,
-    /// Some servers respond to requests and to no probe.
+    /// The affected servers respond to requests but to no probe.
     #[serde(rename = "deaf")]
     ProbeTimeout,
-    /// Latency to and from a zone rises.
+    /// Latency between the affected zone and others rises.
     #[serde(rename = "far")]
     AddedLatency,
-    /// Messages to and from a zone are lost, and arrive 200 ms later.
+    /// Messages between the affected zone and others are lost, and retransmitted after 200 ms.
     #[serde(rename = "lossy")]
     PacketLoss,
-    /// Discovery notifies nobody, and calls to it fail.
+    /// The discovery service sends no notifications, and calls to the service fail.
     #[serde(rename = "list_down")]
     DiscoveryDown,
-    /// Full lists show the membership at the fault's start, as from a lagging replica; changes are still notified.
+    /// Full lists show the membership at the fault's start, as from a lagging replica; nodes are still notified of
+    /// changes.
     #[serde(rename = "list_stale")]
     DiscoveryStale,
-    /// Some nodes crash with their state, and restart with none.
+    /// The affected nodes crash and lose their state; they restart at the fault's end with only the cached list.
     NodeCrash,
-    /// Some nodes accept nothing new and finish what is in flight, and restart without state.
+    /// The affected nodes accept no new requests and finish those in flight; they restart at the fault's end with only
+    /// the cached list.
     #[serde(rename = "node_stop")]
     NodeShutdown,
 }
 
 impl FaultKind {
-    /// All kinds.
+    /// All kinds, in the order of declaration.
     pub const ALL: [Self; 15] = [
         Self::NoisyNeighbour,
         Self::FalseReadiness,
--- a/lab/src/world/mod.rs
+++ b/lab/src/world/mod.rs
@@ -14,51 +14,51 @@
 pub(crate) use workload::MAX_RETRY_AFTER;
 pub use workload::{RECONNECT_DELAY, RequestClass, Tenant, Workload};
 
-/// A world. Field names are the keys of the TOML file, where no `rename` says otherwise. Times without a unit in their
-/// name are seconds.
+/// A world. Field names are the keys of the TOML file unless a field has a `rename` attribute. Times without a unit in
+/// their name are in seconds.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct World {
     /// Name, for reports.
     pub name: String,
-    /// How long new clients arrive.
+    /// Duration, in seconds, during which new clients arrive.
     pub seconds: f64,
     /// Number of zones; nodes and servers are assigned to them round robin.
     pub zones: u32,
     /// Number of nodes.
     pub nodes: u32,
-    /// One-way latency between two zones; a tenth of it within one zone.
+    /// One-way latency between two zones; the latency within one zone is a tenth of this.
     pub cross_ms: f64,
     /// Upper bound of the random additional latency of each message.
     #[serde(default)]
     pub jitter_ms: f64,
-    /// Fraction of messages that are lost and sent again 200 ms later.
+    /// Fraction of messages that are lost and retransmitted 200 ms later.
     #[serde(default)]
     pub loss: f64,
-    /// Whether responses carry load reports, besides probes.
+    /// Whether responses to requests carry load reports, in addition to responses to probes.
     #[serde(default)]
     pub reports_on_answers: bool,
-    /// How membership reaches the nodes.
+    /// How nodes receive the list of servers.
     pub discovery: DiscoverySettings,
     /// The clients' requests.
     pub clients: Workload,
     /// The servers, group by group, numbered from 0.
     pub servers: Vec<ServerGroup>,
-    /// The faults.
+    /// The injected faults.
     #[serde(rename = "trouble", default)] // wire name
     pub faults: Vec<Fault>,
 }
 
-/// How membership reaches the nodes.
+/// How nodes receive the list of servers.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct DiscoverySettings {
-    /// Delay of a notification.
+    /// Delay until a notification or a requested list reaches a node.
     pub lag_ms: u64,
-    /// Upper bound of each notification's random additional delay; a node still gets its notifications in order.
+    /// Upper bound of the random additional delay of each notification; notifications to one node stay in order.
     #[serde(default)]
     pub jitter_ms: u64,
-    /// Interval, in seconds, at which watching nodes get the full list again; 0 for never.
+    /// Interval, in seconds, at which the full list is resent to watching nodes; 0 for never.
     #[serde(rename = "whole_every", default)]
     pub full_list_interval_s: f64,
 }
@@ -83,7 +83,7 @@
         toml::to_string(self).expect("each part of a world has a representation in TOML")
     }
 
-    /// The group of each server, in the order of the servers' numbers.
+    /// The group of each server, in order of server number.
     pub(crate) fn each_server(&self) -> impl Iterator<Item = ServerGroup> + '_ {
         self.servers.iter().flat_map(|group| std::iter::repeat_n(*group, group.count as usize))
     }
--- a/lab/src/world/server_group.rs
+++ b/lab/src/world/server_group.rs
@@ -1,33 +1,33 @@
-//! Groups of equal servers.
+//! Groups of identical servers.
 
 use serde::{Deserialize, Serialize};
 
-/// A number of equal servers.
+/// A group of identical servers.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServerGroup {
-    /// Number of servers.
+    /// Number of servers in the group.
     pub count: u32,
     /// Cores of each server.
     pub cores: u32,
-    /// Speed of a core.
+    /// Speed of a core; a core of speed 1 does one nanosecond of work per nanosecond.
     pub speed: f64,
-    /// Whether a server stops work whose response nobody awaits any more.
+    /// Whether a server cancels work when notified that the response is no longer awaited.
     #[serde(rename = "cancels", default)]
     pub cancels_abandoned_work: bool,
     /// Fraction of responses that are errors.
     #[serde(rename = "errors", default)]
     pub error_ratio: f64,
-    /// Limit of concurrent connections; 0 for none.
+    /// Maximum number of concurrent connections; 0 for no limit.
     #[serde(default)]
     pub connections: u32,
-    /// Work of a new connection's handshake.
+    /// Work of a new connection's handshake, in milliseconds on a core of speed 1.
     #[serde(default)]
     pub handshake_ms: f64,
-    /// Work of responding to a probe.
+    /// Work of responding to a probe, in milliseconds on a core of speed 1.
     #[serde(default = "default_probe_ms")]
     pub probe_ms: f64,
-    /// Requests that may wait for each core; further requests are rejected.
+    /// Queue capacity per core; further requests are rejected.
     #[serde(rename = "queue", default = "default_queue_per_core")]
     pub queue_per_core: u32,
     /// Whether a long queue makes the server several times slower.
--- a/lab/tests/external_forms.rs
+++ b/lab/tests/external_forms.rs
@@ -1,16 +1,18 @@
-//! The names that users see in files and reports: they stay as they are, whatever the fields are called here.
+//! The names in world files, experiment files and reports are stable: renamed fields and variants of the Rust types must
+//! not change them.
 
 use ivyhatch_lab::{Fault, FaultKind, Invariant, Policy, PolicyConfig, Report, World, simulate};
 use serde_json::{Value, json};
 
-/// One second of a world in which each optional field is written.
+/// The default world, in which the optional fields under test are present, cut to one second.
 fn world() -> World {
     let mut world = World::read(include_str!("../worlds/evening.toml")).expect("a valid world");
     world.seconds = 1.0;
     world
 }
 
-/// In the order of the alphabet: the order in a [`Value`] depends on a feature of `serde_json` that other crates of a build may turn on.
+/// The keys of an object, sorted: the order of keys in a [`Value`] depends on a feature of `serde_json` that other crates
+/// in the same build may enable.
 fn keys(value: &Value) -> Vec<&str> {
     let mut keys: Vec<&str> = value.as_object().expect("an object").keys().map(String::as_str).collect();
     keys.sort_unstable();
@@ -144,5 +146,5 @@
     let invariants =
         [Invariant::Answer, Invariant::Repeat, Invariant::Drain, Invariant::Cold, Invariant::Bounds];
     assert_eq!(invariants.map(name), ["Answer", "Repeat", "Drain", "Cold", "Bounds"]);
-    assert_eq!(format!("{:?}", Invariant::Answer), "Answer", "standard error has the same names");
+    assert_eq!(format!("{:?}", Invariant::Answer), "Answer", "messages on standard error use the same names");
 }
--- a/lab/tests/invariants.rs
+++ b/lab/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! The invariant checker: each invariant's violation is seen, and what keeps it is not reported.
+//! The invariant checker: each violation of an invariant is reported, and permitted behaviour is not.
 
 use ivyhatch_lab::{
     ANSWER_SLACK, DRAIN_GRACE, Execution, FinalResponse, Invariant, InvariantChecker, ListedServer, Nanos,
@@ -7,7 +7,7 @@
 
 const MS: Nanos = 1_000_000;
 
-/// The violations of a run with one request (node 0, request 1) that is not idempotent and times out at 100 ms.
+/// The violations in a run with one non-idempotent request (node 0, request 1), whose client times out at 100 ms.
 fn violations(run: impl FnOnce(&mut InvariantChecker)) -> Vec<Invariant> {
     let mut checker = InvariantChecker::default();
     let terms = RequestTerms { non_idempotent: true, not_after: 100 * MS };
@@ -70,7 +70,7 @@
     let drained = |after| {
         violations(|checker| {
             checker.server_listed(0, listed(5, false, None), 0);
-            // A list older than the notification.
+            // A list from before the notification, received later.
             checker.server_listed(0, listed(5, true, None), MS);
             checker.attempt_sent(0, 1, 5, after);
         })
@@ -108,7 +108,7 @@
         checker.client_disconnected(0, 1, MS);
         checker.request_closed(0, 1, 200 * MS);
     });
-    assert_eq!(gone, [], "nothing is owed to a client that has disconnected");
+    assert_eq!(gone, [], "no response is expected after the client has disconnected");
 }
 
 #[test]
--- a/lab/tests/random_streams.rs
+++ b/lab/tests/random_streams.rs
@@ -1,4 +1,4 @@
-//! Random streams: reproducible, and independent of each other.
+//! Random streams are reproducible, and differ by purpose and number.
 
 use ivyhatch_lab::RandomStream;
 
--- a/lab/tests/worlds.rs
+++ b/lab/tests/worlds.rs
@@ -1,4 +1,5 @@
-//! Simulations of whole worlds: no invariant is violated, a seed is reproducible, and faults have their effect.
+//! Simulations of whole worlds: no invariant is violated, runs with the same seed are identical, and faults affect the
+//! outcomes.
 
 use ivyhatch_lab::{
     DEFAULT_WORLD, DiscoverySettings, Fault, FaultKind, Invariant, Policy, PolicyConfig, Report,
@@ -77,7 +78,7 @@
     assert_ne!(text(5), text(6));
 }
 
-/// A further fault must not change the random draws of the rest.
+/// An additional fault must not change the random draws of other parts of the world.
 #[test]
 fn fault_without_effect_changes_no_outcome() {
     let calm = format!("{:?}", run(&small(100.0, vec![]), 3).classes);
@@ -163,45 +164,58 @@
 fn invalid_world_is_rejected_with_line_and_field() {
     let wrong = |from: &str, to: &str| {
         let text = DEFAULT_WORLD.replacen(from, to, 1);
-        assert_ne!(text, DEFAULT_WORLD, "{from} is in the world");
+        assert_ne!(text, DEFAULT_WORLD, "{from:?} is not in the default world");
         World::read(&text).expect_err(to).to_string()
     };
     for (from, to, says) in [
         ("zones = 3", "zonse = 3", "unknown field `zonse`"),
-        ("zones = 3", "zones = 0", "line 5: zones: 0: 1 to 1000"),
-        ("rate = 110.0", "rate = -1.0", "line 13: clients.rate: -1: above 0"),
-        ("rate = 110.0", "rate = nan", "clients.rate: NaN: above 0"),
+        ("zones = 3", "zones = 0", "line 5: zones: got 0, expected 1 to 1000"),
+        ("rate = 110.0", "rate = -1.0", "line 13: clients.rate: got -1, expected a number above 0"),
+        ("rate = 110.0", "rate = nan", "clients.rate: got NaN, expected a number above 0"),
         (
             "aim_ms = 1200",
             "aim_ms = 9000",
-            "line 22: clients.class[0].aim_ms: 9000: above 0, at most deadline_ms",
+            "line 22: clients.class[0].aim_ms: got 9000, expected 1 or more, at most deadline_ms",
+        ),
+        (
+            "zone = 2",
+            "zone = 3",
+            "line 58: trouble[1].zone: got 3, expected the number of a zone", // wire name
+        ),
+        (
+            "servers = [0, 3]",
+            "servers = [0, 30]",
+            "trouble[0].servers: got 30, expected the number of a server", // wire name
+        ),
+        (
+            "to = 18.0",
+            "to = 1.0",
+            "line 56: trouble[1].from: got 12, expected 0 or more, and less than `to`", // wire name
         ),
-        ("zone = 2", "zone = 3", "line 58: trouble[1].zone: 3: the number of a zone"), // wire name
-        ("servers = [0, 3]", "servers = [0, 30]", "trouble[0].servers: 30: the number of a server"), // wire name
-        ("to = 18.0", "to = 1.0", "line 56: trouble[1].from: 12: from 0, before to"), // wire name
         ("kind = \"drain\"", "kind = \"drian\"", "unknown variant `drian`"),
     ] {
         let error = wrong(from, to);
         assert!(error.contains(says), "{to}: {error}");
     }
-    // Errors of the parser have their line too.
+    // Errors of the TOML parser name the line, too.
     assert!(wrong("nodes = 3", "nodes = \"three\"").contains("line 6"));
 }
 
-/// Thirty nodes at under a third of the servers' capacity once rejected four in five requests: attempts in flight
-/// counted as failed, so that a node admitted ever less from its first second on.
+/// Guards against a fault in which thirty nodes at under a third of the servers' capacity rejected four of five requests:
+/// attempts in flight counted as failed, so that each node reduced its admission rate from its first second on.
 #[test]
 fn thirty_nodes_at_low_load_serve_nearly_all_requests() {
     let mut world = small(600.0, vec![]);
     (world.nodes, world.servers[0].count, world.seconds) = (30, 60, 8.0);
-    // Responses are slow: while the first attempts are in flight, a node's own count misleads it.
+    // Responses are slow, so that each node has many attempts in flight before the first response.
     world.clients.classes.iter_mut().for_each(|class| class.downstream_ms = 300.0);
     let report = run(&world, 1);
     assert_eq!(report.rules_broken, 0, "{:?}", report.broken);
     assert!(report.served > 0.95, "{}", report.served);
 }
 
-/// A partitioned zone among a hundred nodes: 0.734 was served while nodes went on rejecting after the backlog.
+/// Guards against a fault in which a hundred nodes with one zone partitioned served only 0.734 of the value, since nodes
+/// continued to reject requests after the backlog had cleared.
 #[test]
 fn hundred_nodes_that_lose_a_zone_serve_over_ninety_percent() {
     let world = World::read(include_str!("../worlds/many/zone.toml")).expect("a valid world");
@@ -210,7 +224,8 @@
     assert!(report.served > 0.9, "{}", report.served);
 }
 
-/// A burst to twice the load: 59 of 60 servers once degraded, and 0.413 of the value was served.
+/// Guards against a fault in which a burst to twice the load degraded 59 of 60 servers, and only 0.413 of the value was
+/// served.
 #[test]
 fn hundred_nodes_in_a_burst_serve_most_requests() {
     let world = World::read(include_str!("../worlds/many/burst.toml")).expect("a valid world");
@@ -219,7 +234,8 @@
     assert!(report.served > 0.85, "{}", report.served);
 }
 
-/// A lagging replica responds with a list from before a drain, which does not revoke the notification.
+/// A lagging discovery replica responds with a list from before a drain. That list does not revoke the notification of the
+/// drain.
 #[test]
 fn stale_list_does_not_bring_a_drained_server_back() {
     let drain = Fault { servers: vec![0, 4], ..Fault::new(FaultKind::Drain, 4.0, 11.0) };
@@ -228,7 +244,7 @@
     let report = run(&world, 1);
     assert_eq!(report.rules_broken, 0, "{:?}", report.broken);
     assert!(report.served > 0.9, "{}", report.served);
-    // A policy that believes every list violates the invariant, and the checker sees it.
+    // A policy that applies every list as received violates the invariant, and the checker reports the violation.
     let round_robin = simulate_with(&world, &PolicyConfig::new(Policy::RoundRobin), 1, &mut |_| {});
     assert!(
         round_robin.broken.iter().any(|broken| broken.rule == Invariant::Drain),
@@ -237,7 +253,7 @@
     );
 }
 
-/// Equal shares for cold and warm servers crash the cold ones; the balancer's shares do not.
+/// Round robin, with equal shares for cold and warm servers, crashes the cold servers; the balancer does not.
 #[test]
 fn cold_server_crashes_under_round_robin_and_not_under_the_balancer() {
     let mut world =
@@ -249,7 +265,8 @@
     assert_eq!(balancer.rules_broken, 0, "{:?}", balancer.broken);
 }
 
-/// At low load all policies serve alike; with unequal servers, better knowledge serves more.
+/// At low load all policies serve nearly all requests; with unequal servers, policies that use more information about
+/// the servers serve more.
 #[test]
 fn reference_policies_with_more_knowledge_serve_more() {
     let unequal = |rate| {
@@ -267,7 +284,7 @@
     let [random, least, balancer] = [Policy::Random, Policy::LeastRequests, Policy::Balancer]
         .map(|policy| served(&unequal(320.0), policy));
     assert!(random < 0.9 && least > 0.95 && balancer > 0.95, "{random} {least} {balancer}");
-    // Beyond the servers' capacity, a policy that admits everything serves little of it in time.
+    // Beyond the servers' capacity, a policy that admits all requests serves few of them in time.
     let [least, balancer, omniscient] = [Policy::LeastRequests, Policy::Balancer, Policy::Omniscient]
         .map(|policy| served(&unequal(520.0), policy));
     assert!(least < 0.4 && balancer > 0.6 && omniscient > 0.7, "{least} {balancer} {omniscient}");
@@ -285,7 +302,7 @@
     (world.zones, world.nodes, world.servers[0].count) = (1, 1, 1);
     let report = run(&world, 1);
     let one: u64 = report.classes.iter().map(|class| class.in_time).sum();
-    assert_eq!((report.rules_broken, one), (0, 1), "one request, and a fault that outlasts the world");
+    assert_eq!((report.rules_broken, one), (0, 1), "one request, and a fault that ends after the world");
 }
 
 /// All servers hang, so that each request stays open until its client times out.
@@ -311,7 +328,8 @@
     assert!(report.most_open <= 12, "{}", report.most_open);
 }
 
-/// A tenant in a burst is limited to its quota, and the other keeps its own.
+/// One tenant's requests rise to twelve times their rate: this tenant is limited to its quota, and the other tenant keeps
+/// its own quota.
 #[test]
 fn burst_of_one_tenant_violates_no_invariant() {
     let burst = Fault { tenant: Some(0), rate_multiplier: 12.0, ..Fault::new(FaultKind::Burst, 2.0, 12.0) };
@@ -320,10 +338,10 @@
     let report = run(&world, 1);
     assert_eq!(report.rules_broken, 0, "{:?}", report.broken);
     let asked: u64 = report.zones.iter().map(|zone| zone.asked).sum();
-    assert!(asked > 5000, "the burst arrived: {asked}");
+    assert!(asked > 5000, "the burst adds requests: {asked}");
 }
 
-/// Servers have small connection tables, and what one rejects is sent to another.
+/// Servers have small connection tables; a request that one server rejects is sent to another.
 #[test]
 fn request_rejected_by_a_full_connection_table_is_served_by_another_server() {
     let mut world = small(120.0, vec![]);
@@ -346,7 +364,7 @@
     assert_eq!(format!("{world:?}"), format!("{again:?}"));
 }
 
-/// The histograms of a report hold what was counted.
+/// The histograms of a report hold as many latencies as requests were counted as served.
 #[test]
 fn report_histogram_has_all_served_requests() {
     let report = run(&small(60.0, vec![]), 1);
@@ -357,7 +375,8 @@
     }
 }
 
-/// Worlds that the search found, each with the least share that the balancer has to serve on the mean of three seeds.
+/// Worlds found by the search for unfavourable worlds, each with the lowest accepted share served by the balancer, as the
+/// mean of three seeds.
 #[test]
 fn worlds_found_by_the_search_are_served_no_worse_than_before() {
     let found = [
