--- a/lab/src/arrivals.rs
+++ b/lab/src/arrivals.rs
@@ -40,12 +40,12 @@
 
 /// Draws an index; each has a probability in proportion to its weight.
 fn weighted_index(stream: &mut RandomStream, weights: impl Iterator<Item = f64> + Clone) -> usize {
-    let mut left = stream.unit() * weights.clone().sum::<f64>();
+    let mut remaining = stream.unit() * weights.clone().sum::<f64>();
     let last = weights.clone().count().saturating_sub(1);
     let mut weights = weights;
     let found = weights.position(|weight| {
-        left -= weight;
-        left < 0.0
+        remaining -= weight;
+        remaining < 0.0
     });
     found.unwrap_or(last)
 }
--- a/lab/src/server/cold_start.rs
+++ b/lab/src/server/cold_start.rs
@@ -59,9 +59,9 @@
     /// at least two thirds of the load came from informed senders.
     pub(super) fn overload(&self, capacity: f64) -> Option<bool> {
         let load: f64 = self.window.iter().map(|request| request.work).sum();
-        let bearable = OVERLOAD_CRASH_MULTIPLE * capacity * OVERLOAD_WINDOW as f64
+        let max_load = OVERLOAD_CRASH_MULTIPLE * capacity * OVERLOAD_WINDOW as f64
             + OVERLOAD_ALLOWANCE_CORE_SECONDS * SECOND as f64;
-        if load <= bearable {
+        if load <= max_load {
             return None;
         }
         let informed = self.window.iter().filter(|request| request.sender == SenderKnowledge::Informed);
--- a/lab/src/server/server_tests.rs
+++ b/lab/src/server/server_tests.rs
@@ -20,9 +20,9 @@
 #[test]
 fn jobs_beyond_the_cores_are_queued_and_beyond_the_queue_rejected() {
     let mut server = server();
-    let taken: Vec<_> = (0..4).map(|id| server.admit(job(id), Informed, 0)).collect();
+    let admissions: Vec<_> = (0..4).map(|id| server.admit(job(id), Informed, 0)).collect();
     let half = Admission::Started(SECOND / 2);
-    assert_eq!(taken, [half, half, Admission::Queued, Admission::Queued]);
+    assert_eq!(admissions, [half, half, Admission::Queued, Admission::Queued]);
     assert_eq!(server.finish(0, SECOND / 2), FinishedJob { was_running: true, next: started(2, SECOND) });
     assert_eq!(
         server.finish(0, SECOND / 2),
@@ -76,10 +76,10 @@
     let mut server = server();
     server.admit(job(0), Informed, 0);
     server.restart(SECOND);
-    let Admission::Started(done) = server.admit(job(1), Informed, SECOND) else {
+    let Admission::Started(finishes_at) = server.admit(job(1), Informed, SECOND) else {
         panic!("a restarted server is idle")
     };
-    assert!((SECOND * 3 / 2..SECOND * 8 / 5).contains(&(done - SECOND)), "{done}");
+    assert!((SECOND * 3 / 2..SECOND * 8 / 5).contains(&(finishes_at - SECOND)), "{finishes_at}");
     // The limit is 8.4 seconds of work: 0.33 of a capacity of 4 per second, times 3, over 2 seconds, plus 0.5.
     let mut admit = |id, sender| server.admit(job(id), sender, SECOND + id);
     assert!((2..9).all(|id| !matches!(admit(id, Informed), Admission::Crashed { .. })));
@@ -89,11 +89,11 @@
         (ServerState::Gone, Admission::Rejected)
     );
     server.restart(9 * SECOND);
-    let fell = (0..9)
+    let crash = (0..9)
         .map(|id| server.admit(job(id), if id < 4 { Informed } else { Uninformed }, 9 * SECOND))
         .find(|t| matches!(t, Admission::Crashed { .. }));
     assert_eq!(
-        fell,
+        crash,
         Some(Admission::Crashed { by_informed_senders: false }),
         "most load came from uninformed senders"
     );
--- a/lab/src/simulation/clients.rs
+++ b/lab/src/simulation/clients.rs
@@ -87,8 +87,8 @@
         let key = RequestKey { node, id: self.next_id() };
         self.open_request(key, client_id, class, not_after);
         if let Some(fraction) = disconnect_fraction {
-            let stays = (not_after.saturating_sub(self.now) as f64 * fraction) as Nanos;
-            self.schedule(self.now + stays, SimulationEvent::ClientDisconnects(key));
+            let disconnects_after = (not_after.saturating_sub(self.now) as f64 * fraction) as Nanos;
+            self.schedule(self.now + disconnects_after, SimulationEvent::ClientDisconnects(key));
         }
         let arrival = Arrival {
             request: RequestId(key.id),
--- a/lab/tests/invariants.rs
+++ b/lab/tests/invariants.rs
@@ -22,33 +22,33 @@
 
 #[test]
 fn retry_after_an_attempt_that_never_ran_violates_nothing() {
-    let kept = violations(|checker| {
+    let observed = violations(|checker| {
         checker.attempt_sent(0, 1, 5, 0);
         checker.attempt_ended(0, 1, 0, Execution::RuledOut, MS);
         checker.attempt_sent(0, 1, 6, MS);
         checker.response_sent(0, 1, FinalResponse::Other, 2 * MS);
         checker.request_closed(0, 1, ANSWER_SLACK);
     });
-    assert_eq!(kept, []);
+    assert_eq!(observed, []);
 }
 
 #[test]
 fn second_attempt_after_a_possible_execution_violates_repeat() {
-    let twice = violations(|checker| {
+    let observed = violations(|checker| {
         checker.attempt_sent(0, 1, 5, 0);
         checker.attempt_ended(0, 1, 0, Execution::Possible, MS);
         checker.attempt_sent(0, 1, 6, MS);
     });
-    assert_eq!(twice, [Invariant::Repeat]);
+    assert_eq!(observed, [Invariant::Repeat]);
 }
 
 #[test]
 fn rejection_after_a_possible_execution_violates_repeat() {
-    let harm = violations(|checker| {
+    let observed = violations(|checker| {
         checker.attempt_sent(0, 1, 5, 0);
         checker.response_sent(0, 1, FinalResponse::Rejected, MS);
     });
-    assert_eq!(harm, [Invariant::Repeat]);
+    assert_eq!(observed, [Invariant::Repeat]);
 }
 
 #[test]
@@ -67,34 +67,34 @@
 
 #[test]
 fn attempt_to_a_draining_server_after_the_grace_violates_drain() {
-    let drained = |after| {
+    let observed = |sent_at| {
         violations(|checker| {
             checker.server_listed(0, listed(5, false, None), 0);
             // A list from before the notification, received later.
             checker.server_listed(0, listed(5, true, None), MS);
-            checker.attempt_sent(0, 1, 5, after);
+            checker.attempt_sent(0, 1, 5, sent_at);
         })
     };
-    assert_eq!((drained(DRAIN_GRACE), drained(DRAIN_GRACE + 1)), (vec![], vec![Invariant::Drain]));
+    assert_eq!((observed(DRAIN_GRACE), observed(DRAIN_GRACE + 1)), (vec![], vec![Invariant::Drain]));
 }
 
 #[test]
 fn attempt_to_a_server_that_has_started_again_violates_nothing() {
-    let back = violations(|checker| {
+    let observed = violations(|checker| {
         checker.server_listed(0, listed(5, false, None), 0);
         checker.server_listed(0, listed(5, true, Some(MS)), 2 * MS);
         checker.attempt_sent(0, 1, 5, 2 * DRAIN_GRACE);
     });
-    assert_eq!(back, []);
+    assert_eq!(observed, []);
 }
 
 #[test]
 fn server_that_a_full_list_omits_counts_as_gone() {
-    let off_list = violations(|checker| {
+    let observed = violations(|checker| {
         checker.full_list_received(0, &[listed(4, true, None)], 6, 0);
         checker.attempt_sent(0, 1, 5, 2 * DRAIN_GRACE);
     });
-    assert_eq!(off_list, [Invariant::Drain]);
+    assert_eq!(observed, [Invariant::Drain]);
 }
 
 #[test]
@@ -104,20 +104,20 @@
 
 #[test]
 fn client_that_disconnected_is_owed_no_response() {
-    let gone = violations(|checker| {
+    let observed = violations(|checker| {
         checker.client_disconnected(0, 1, MS);
         checker.request_closed(0, 1, 200 * MS);
     });
-    assert_eq!(gone, [], "no response is expected after the client has disconnected");
+    assert_eq!(observed, [], "no response is expected after the client has disconnected");
 }
 
 #[test]
 fn attempt_after_the_client_disconnected_violates_answer() {
-    let late_send = violations(|checker| {
+    let observed = violations(|checker| {
         checker.client_disconnected(0, 1, MS);
         checker.attempt_sent(0, 1, 5, 2 * MS);
     });
-    assert_eq!(late_send, [Invariant::Answer]);
+    assert_eq!(observed, [Invariant::Answer]);
 }
 
 #[test]
--- a/lab/tests/worlds.rs
+++ b/lab/tests/worlds.rs
@@ -81,15 +81,15 @@
 /// An additional fault must not change the random draws of other parts of the world.
 #[test]
 fn fault_without_effect_changes_no_outcome() {
-    let calm = format!("{:?}", run(&small(100.0, vec![]), 3).classes);
-    let idle = Fault { fraction: 0.0, ..fault(FaultKind::NoisyNeighbour, 3.0, 6.0) };
-    assert_eq!(format!("{:?}", run(&small(100.0, vec![idle]), 3).classes), calm);
+    let without_fault = format!("{:?}", run(&small(100.0, vec![]), 3).classes);
+    let without_effect = Fault { fraction: 0.0, ..fault(FaultKind::NoisyNeighbour, 3.0, 6.0) };
+    assert_eq!(format!("{:?}", run(&small(100.0, vec![without_effect]), 3).classes), without_fault);
 }
 
 #[test]
 fn each_kind_of_fault_changes_the_outcomes_and_most_requests_are_served() {
-    let calm = run(&small(100.0, vec![]), 3);
-    assert!(calm.served > 0.98, "{}", calm.served);
+    let without_fault = run(&small(100.0, vec![]), 3);
+    assert!(without_fault.served > 0.98, "{}", without_fault.served);
     for kind in FaultKind::ALL.into_iter().filter(|kind| {
         !matches!(kind, FaultKind::Burst | FaultKind::DiscoveryDown | FaultKind::DiscoveryStale)
     }) {
@@ -97,7 +97,7 @@
         assert_eq!(report.rules_broken, 0, "{kind:?}: {:?}", report.broken);
         assert_ne!(
             format!("{:?}", report.classes),
-            format!("{:?}", calm.classes),
+            format!("{:?}", without_fault.classes),
             "{kind:?} changed nothing"
         );
         assert!(report.served > 0.85, "{kind:?}: {}", report.served);
@@ -136,21 +136,22 @@
         nodes in 1..6u32,
         zones in 1..4u32,
         lag_ms in 0..5000u64,
-        repeats in 0..3u32,
-        hang_up in 0.0..0.3f64,
+        retries in 0..3u32,
+        disconnect_ratio in 0.0..0.3f64,
         jitter_ms in 0.0..8.0f64,
         connections in 0..40u32,
         seed in any::<u64>(),
     ) {
-        let fit = |t: Fault| {
-            let at = t.nodes.iter().map(|node| node % nodes).collect();
-            Fault { zone: t.zone % zones, nodes: at, ..t }
+        let fit_to_world = |fault: Fault| {
+            let affected_nodes = fault.nodes.iter().map(|node| node % nodes).collect();
+            Fault { zone: fault.zone % zones, nodes: affected_nodes, ..fault }
         };
-        let faults = faults.into_iter().map(fit).collect();
+        let faults = faults.into_iter().map(fit_to_world).collect();
         let mut world = small(rate, faults);
         (world.nodes, world.zones, world.discovery.lag_ms) = (nodes, zones, lag_ms);
-        (world.seconds, world.clients.retries) = (8.0, repeats);
-        (world.clients.disconnect_ratio, world.jitter_ms, world.reports_on_answers) = (hang_up, jitter_ms, seed % 3 == 0);
+        (world.seconds, world.clients.retries) = (8.0, retries);
+        (world.clients.disconnect_ratio, world.jitter_ms, world.reports_on_answers) =
+            (disconnect_ratio, jitter_ms, seed % 3 == 0);
         (world.discovery.jitter_ms, world.discovery.full_list_interval_s) = (lag_ms / 3, if seed % 2 == 0 { 1.5 } else { 0.0 });
         let group = &mut world.servers[0];
         (group.cancels_abandoned_work, group.connections, group.handshake_ms) = (seed % 5 < 2, connections, 1.0);
@@ -162,12 +163,12 @@
 
 #[test]
 fn invalid_world_is_rejected_with_line_and_field() {
-    let wrong = |from: &str, to: &str| {
+    let error_after_replacing = |from: &str, to: &str| {
         let text = DEFAULT_WORLD.replacen(from, to, 1);
         assert_ne!(text, DEFAULT_WORLD, "{from:?} is not in the default world");
         World::read(&text).expect_err(to).to_string()
     };
-    for (from, to, says) in [
+    for (from, to, expected_text) in [
         ("zones = 3", "zonse = 3", "unknown field `zonse`"),
         ("zones = 3", "zones = 0", "line 5: zones: got 0, expected 1 to 1000"),
         ("rate = 110.0", "rate = -1.0", "line 13: clients.rate: got -1, expected a number above 0"),
@@ -194,11 +195,11 @@
         ),
         ("kind = \"drain\"", "kind = \"drian\"", "unknown variant `drian`"),
     ] {
-        let error = wrong(from, to);
-        assert!(error.contains(says), "{to}: {error}");
+        let error = error_after_replacing(from, to);
+        assert!(error.contains(expected_text), "{to}: {error}");
     }
     // Errors of the TOML parser name the line, too.
-    assert!(wrong("nodes = 3", "nodes = \"three\"").contains("line 6"));
+    assert!(error_after_replacing("nodes = 3", "nodes = \"three\"").contains("line 6"));
 }
 
 /// Guards against a fault in which thirty nodes at under a third of the servers' capacity rejected four of five requests:
@@ -259,8 +260,12 @@
     let mut world =
         small(420.0, vec![Fault { servers: vec![0, 3], ..Fault::new(FaultKind::Restart, 2.0, 4.0) }]);
     world.discovery.lag_ms = 50;
-    let even = simulate_with(&world, &PolicyConfig::new(Policy::RoundRobin), 1, &mut |_| {});
-    assert!(even.broken.iter().any(|broken| broken.rule == Invariant::Cold), "{}", even.rules_broken);
+    let round_robin = simulate_with(&world, &PolicyConfig::new(Policy::RoundRobin), 1, &mut |_| {});
+    assert!(
+        round_robin.broken.iter().any(|broken| broken.rule == Invariant::Cold),
+        "{}",
+        round_robin.rules_broken
+    );
     let balancer = run(&world, 1);
     assert_eq!(balancer.rules_broken, 0, "{:?}", balancer.broken);
 }
@@ -278,8 +283,8 @@
     let served =
         |world: &World, policy| simulate_with(world, &PolicyConfig::new(policy), 2, &mut |_| {}).served;
     for policy in Policy::REFERENCES {
-        let calm = served(&small(40.0, vec![]), policy);
-        assert!(calm > 0.99, "{policy:?}: {calm}");
+        let at_low_load = served(&small(40.0, vec![]), policy);
+        assert!(at_low_load > 0.99, "{policy:?}: {at_low_load}");
     }
     let [random, least, balancer] = [Policy::Random, Policy::LeastRequests, Policy::Balancer]
         .map(|policy| served(&unequal(320.0), policy));
@@ -383,11 +388,11 @@
         ("heavy start", include_str!("../worlds/found/heavy-start.toml"), 0.21),
         ("waits elsewhere", include_str!("../worlds/found/waits-elsewhere.toml"), 0.43),
     ];
-    for (name, text, least) in found {
+    for (name, text, min_served) in found {
         let world = World::read(text).expect(name);
         let reports: Vec<Report> = (1..=3).map(|seed| run(&world, seed)).collect();
         assert!(reports.iter().all(|report| report.rules_broken == 0), "{name}");
         let served = reports.iter().map(|report| report.served).sum::<f64>() / 3.0;
-        assert!(served >= least, "{name}: {served}");
+        assert!(served >= min_served, "{name}: {served}");
     }
 }
