--- a/lab/src/reference/mod.rs
+++ b/lab/src/reference/mod.rs
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy)]
 struct KnownServer {
     zone: u32,
-    /// This node's requests in flight to it.
+    /// Number of the node's own requests in flight to the server.
     in_flight: u32,
 }
 
