--- a/experiments/tests/experiments.rs
+++ b/experiments/tests/experiments.rs
@@ -148,7 +148,7 @@
             "world \"crowded\": set: client.rate: expected a path into the world",
         ),
         ("servers[0]", "servers[9]", "set: servers[9].count: expected a path into the world"),
-        ("400.0", "-4.0", "world \"crowded\": clients.rate: -4: above 0"),
+        ("400.0", "-4.0", "world \"crowded\": clients.rate: got -4, expected a number above 0"),
         (
             "name = \"turns\"",
             "name = \"module\"",
@@ -157,7 +157,7 @@
         (
             "round_robin\"",
             "round_robin\"\nprobes = true",
-            "variant[1].probes, second_copies: turns: only policy",
+            "variant[1].probes, second_copies: turns: no value, unless policy",
         ),
         ("policy = \"round_robin\"", "program = \"no-such\"", "variant[1].program: no-such: No such file"),
         ("seeds = 3", "seeds = 3\nbaseline = \"none\"", "baseline: none: expected the name of a variant"),
