--- a/cli/tests/common/mod.rs
+++ b/cli/tests/common/mod.rs
@@ -16,7 +16,7 @@
 }
 
 /// A file with one instance, `a-1`.
-pub fn fleet(discovery: &str) -> String {
+pub fn single_instance_config(discovery: &str) -> String {
     format!(
         "version = 1\n[log]\nformat = \"json\"\n[fleet]\nzones = [\"a\"]\ndiscovery = \"{discovery}\"\n[[class]]\nname = \"find\"\n\
          effect = \"repeatable\"\naim_ms = 800\ndeadline_ms = 3000\n[[instance]]\nname = \"a-1\"\nzone = \"a\"\n"
@@ -24,7 +24,7 @@
 }
 
 /// A server's entry in the discovery response.
-pub fn listed(uid: &str, backend: &Backend, zone: &str) -> Value {
+pub fn server_entry(uid: &str, backend: &Backend, zone: &str) -> Value {
     json!({"uid": uid, "endpoint": backend.address.to_string(), "az": zone, "model": "k", "pod_group": 0, "state": "Ready",
         "capacity_hint": 1.0, "boot_ms": 0})
 }
--- a/cli/tests/coordination_commands.rs
+++ b/cli/tests/coordination_commands.rs
@@ -8,9 +8,10 @@
 use system_common::{CONTROL, CORE, TestCluster, wait_until};
 
 fn command(cluster: &TestCluster, arguments: &[&str]) -> Command {
-    let control: Vec<String> = CORE.iter().map(|host| cluster.at(*host, CONTROL).to_string()).collect();
+    let control_addresses: Vec<String> =
+        CORE.iter().map(|host| cluster.at(*host, CONTROL).to_string()).collect();
     let mut command = Command::new(env!("CARGO_BIN_EXE_ivyhatch"));
-    command.args(arguments).env("IVYHATCH_CONTROL", control.join(","));
+    command.args(arguments).env("IVYHATCH_CONTROL", control_addresses.join(","));
     command
 }
 
@@ -45,52 +46,52 @@
 }
 
 #[test]
-fn numbers_rise() {
+fn numbers_increase() {
     let cluster = TestCluster::with_coordination();
     let _core = cluster.core();
-    let number = || result(&cluster, &["number", "next", "n"]).1.parse::<u64>().ok();
-    let first = number().expect("a number");
-    assert!(number() > Some(first));
+    let next_number = || result(&cluster, &["number", "next", "n"]).1.parse::<u64>().ok();
+    let first = next_number().expect("a number");
+    assert!(next_number() > Some(first));
 }
 
 #[test]
-fn a_command_runs_under_a_lock_that_no_other_has_and_is_given_its_fencing_token() {
+fn lock_run_holds_the_lock_exclusively_and_passes_the_fencing_token() {
     let cluster = TestCluster::with_coordination();
     let _core = cluster.core();
-    let run = ["lock", "run", "l", "--", "sh", "-c", "echo $FENCE; exit 7"];
-    let (code, fence) = result(&cluster, &run);
+    let print_token_and_fail = ["lock", "run", "l", "--", "sh", "-c", "echo $FENCE; exit 7"];
+    let (code, token) = result(&cluster, &print_token_and_fail);
     assert_eq!(code, Some(7), "the command's own code");
-    let first: u64 = fence.parse().expect("a fencing token");
+    let first_token: u64 = token.parse().expect("a fencing token");
     // The lock is free again at once, also for a holder of another name.
-    let mut holding =
+    let mut holder =
         command(&cluster, &["lock", "run", "l", "--hold-ms", "600", "--wait-s", "20", "--", "sleep", "2"]);
-    let mut holding = holding.spawn().expect("it runs");
+    let mut holder = holder.spawn().expect("it runs");
     wait_until("it holds the lock", || result(&cluster, &["lock", "run", "l", "--", "true"]).0 == Some(4));
     // It renews the lock, and another that waits has it afterwards.
-    let (code, fence) =
+    let (code, token) =
         result(&cluster, &["lock", "run", "l", "--wait-s", "20", "--", "sh", "-c", "echo $FENCE"]);
     assert_eq!(code, Some(0));
-    assert!(fence.parse::<u64>().is_ok_and(|fence| fence > first), "{fence} after {first}");
-    assert_eq!(holding.wait().expect("it ends").code(), Some(0));
+    assert!(token.parse::<u64>().is_ok_and(|token| token > first_token), "{token} after {first_token}");
+    assert_eq!(holder.wait().expect("it ends").code(), Some(0));
 }
 
 #[test]
-fn a_command_whose_lock_is_lost_is_ended() {
+fn lock_run_terminates_the_command_when_the_lock_is_lost() {
     let cluster = TestCluster::with_coordination();
     let mut core = cluster.core();
     wait_until("locks are given", || result(&cluster, &["lock", "run", "l", "--", "true"]).0 == Some(0));
-    let mut holding =
+    let mut holder =
         command(&cluster, &["lock", "run", "l", "--hold-ms", "1500", "--wait-s", "20", "--", "sleep", "60"]);
-    let mut holding = holding.spawn().expect("it runs");
+    let mut holder = holder.spawn().expect("it runs");
     wait_until("it holds the lock", || result(&cluster, &["lock", "run", "l", "--", "true"]).0 == Some(4));
     core.iter_mut().for_each(system_common::Process::kill);
-    assert_eq!(holding.wait().expect("it ends").code(), Some(4));
+    assert_eq!(holder.wait().expect("it ends").code(), Some(4));
 }
 
 #[test]
-fn a_call_that_no_node_takes_ends_as_not_started() {
+fn command_without_a_reachable_control_node_exits_as_not_started() {
     let cluster = TestCluster::with_coordination();
-    let begin = std::time::Instant::now();
+    let started = std::time::Instant::now();
     assert_eq!(result(&cluster, &["number", "next", "n"]).0, Some(3));
-    assert!(begin.elapsed() < Duration::from_secs(15));
+    assert!(started.elapsed() < Duration::from_secs(15));
 }
--- a/cli/tests/deploy.rs
+++ b/cli/tests/deploy.rs
@@ -8,12 +8,12 @@
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy").join(file);
     let text = std::fs::read_to_string(path).expect("the deploy file");
     let parsed: toml::Table = text.parse().expect("TOML");
-    let listed = parsed.get("packages").and_then(toml::Value::as_array).expect("packages is a list");
-    listed.iter().map(|name| name.as_str().expect("a name").to_owned()).collect()
+    let names = parsed.get("packages").and_then(toml::Value::as_array).expect("packages is a list");
+    names.iter().map(|name| name.as_str().expect("a name").to_owned()).collect()
 }
 
 #[gtest]
-fn both_deploy_files_list_the_packages_of_a_clean_build() {
+fn both_deploy_files_list_the_packages_needed_for_a_clean_build() {
     for file in ["system.toml", "balancer.toml"] {
         let packages = packages(file);
         expect_that!(packages, not(is_empty()), "{file}");
@@ -28,7 +28,7 @@
 }
 
 #[gtest]
-fn every_listed_package_is_explained_to_operators() {
+fn every_listed_package_is_documented_for_operators() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/operators/system.md");
     let page = std::fs::read_to_string(path).expect("the page");
     for name in packages("system.toml") {
--- a/cli/tests/golden/mod.rs
+++ b/cli/tests/golden/mod.rs
@@ -7,11 +7,11 @@
 use std::path::{Path, PathBuf};
 
 /// Set to `1`, it has golden files rewritten.
-const UPDATE_VARIABLE: &str = "UPDATE_GOLDEN";
+const UPDATE_ENV_VAR: &str = "UPDATE_GOLDEN";
 
 /// Whether golden files are rewritten by this run.
 pub fn is_update() -> bool {
-    std::env::var(UPDATE_VARIABLE).is_ok_and(|value| value == "1")
+    std::env::var(UPDATE_ENV_VAR).is_ok_and(|value| value == "1")
 }
 
 /// Where a golden file of the crate under test is.
@@ -23,7 +23,7 @@
 pub fn read_golden(name: &str) -> String {
     let path = golden_path(name);
     let text = std::fs::read_to_string(&path);
-    text.unwrap_or_else(|error| panic!("{}: {error}: write it with {UPDATE_VARIABLE}=1", path.display()))
+    text.unwrap_or_else(|error| panic!("{}: {error}: write it with {UPDATE_ENV_VAR}=1", path.display()))
 }
 
 /// Asserts that a text equals a golden file byte by byte.
@@ -37,13 +37,13 @@
     if expected == actual {
         return;
     }
-    let line = expected.lines().zip(actual.lines()).position(|(expected, actual)| expected != actual);
-    let line = line.unwrap_or_else(|| expected.lines().count().min(actual.lines().count()));
+    let line_index = expected.lines().zip(actual.lines()).position(|(expected, actual)| expected != actual);
+    let line_index = line_index.unwrap_or_else(|| expected.lines().count().min(actual.lines().count()));
     panic!(
         "{name} differs from line {}:\n  golden: {}\n  actual: {}\n\nwhole text:\n{actual}",
-        line + 1,
-        expected.lines().nth(line).unwrap_or("(end)"),
-        actual.lines().nth(line).unwrap_or("(end)"),
+        line_index + 1,
+        expected.lines().nth(line_index).unwrap_or("(end)"),
+        actual.lines().nth(line_index).unwrap_or("(end)"),
     );
 }
 
--- a/cli/tests/golden_command_line.rs
+++ b/cli/tests/golden_command_line.rs
@@ -47,7 +47,7 @@
 ];
 
 /// The file of a command's help.
-fn file_name(command: &str) -> String {
+fn help_file_name(command: &str) -> String {
     let name = if command.is_empty() { "ivyhatch" } else { command };
     format!("{}.txt", name.trim_start_matches('-').replace(' ', "-"))
 }
@@ -56,12 +56,12 @@
 fn output_in(folder: &Path, arguments: &[&str]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_ivyhatch"));
     let output = command.args(arguments).env_clear().current_dir(folder).output().expect("the program runs");
-    let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).expect("text");
+    let to_text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).expect("text");
     format!(
         "exit code {}\n\n## standard output\n{}\n## standard error\n{}",
         output.status.code().expect("an exit code"),
-        text(&output.stdout),
-        text(&output.stderr),
+        to_text(&output.stdout),
+        to_text(&output.stderr),
     )
 }
 
@@ -71,20 +71,20 @@
 }
 
 #[test]
-fn each_command_has_its_help() {
+fn each_command_prints_its_help() {
     for command in COMMANDS {
         let mut arguments: Vec<&str> = command.split_whitespace().collect();
         if !command.starts_with("help") && !command.starts_with('-') {
             arguments.push("--help");
         }
         let text = output(&arguments).replace(env!("CARGO_PKG_VERSION"), "<version>");
-        assert_golden(&format!("help/{}", file_name(command)), &text);
+        assert_golden(&format!("help/{}", help_file_name(command)), &text);
     }
-    assert_golden_folder("help", &COMMANDS.map(file_name));
+    assert_golden_folder("help", &COMMANDS.map(help_file_name));
 }
 
 #[test]
-fn wrong_usage_is_explained() {
+fn usage_errors_are_reported() {
     let mut transcript = String::new();
     for arguments in [
         vec![],
@@ -105,13 +105,13 @@
 }
 
 #[test]
-fn configuration_fields_are_listed() {
+fn config_fields_lists_all_fields() {
     assert_golden("config_fields.txt", &output(&["config", "fields"]));
     assert_golden("config_fields_json.txt", &output(&["config", "fields", "--json"]));
 }
 
 /// A file of the operators with a value in each kind of table.
-const SOUND_FILE: &str = r#"
+const VALID_FILE: &str = r#"
 version = 1
 [log]
 format = "json"
@@ -138,7 +138,7 @@
 "#;
 
 /// A file with several mistakes.
-const WRONG_FILE: &str = r#"
+const INVALID_FILE: &str = r#"
 version = 1
 [fleet]
 zones = ["a"]
@@ -152,12 +152,12 @@
 "#;
 
 #[test]
-fn configuration_files_are_checked_and_shown() {
+fn configuration_files_are_checked_and_printed() {
     let folder = tempfile::tempdir().expect("a folder");
-    std::fs::write(folder.path().join("sound.toml"), SOUND_FILE).expect("written");
-    std::fs::write(folder.path().join("wrong.toml"), WRONG_FILE).expect("written");
+    std::fs::write(folder.path().join("sound.toml"), VALID_FILE).expect("written");
+    std::fs::write(folder.path().join("wrong.toml"), INVALID_FILE).expect("written");
     let mut transcript = String::new();
-    for arguments in [
+    for command_line in [
         "config check sound.toml",
         "config check sound.toml --json",
         "config show sound.toml",
@@ -168,8 +168,8 @@
         "config check missing.toml",
         "node --config sound.toml --instance nothing",
     ] {
-        let split: Vec<&str> = arguments.split_whitespace().collect();
-        transcript += &format!("# ivyhatch {arguments}\n{}\n", output_in(folder.path(), &split));
+        let arguments: Vec<&str> = command_line.split_whitespace().collect();
+        transcript += &format!("# ivyhatch {command_line}\n{}\n", output_in(folder.path(), &arguments));
     }
     assert_golden("config_files.txt", &transcript);
 }
--- a/cli/tests/golden_fleet.rs
+++ b/cli/tests/golden_fleet.rs
@@ -14,33 +14,34 @@
 use serde_json::{Value, json};
 
 const SOCKET: &str = "agent.sock";
-const DONE: &str = r#"{"done":{"revision":5}}"#;
-const RESTARTED: &str = r#"{"done":{"starts":1,"pid":100}}"#;
+const DONE_RESPONSE: &str = r#"{"done":{"revision":5}}"#;
+const RESTARTED_RESPONSE: &str = r#"{"done":{"starts":1,"pid":100}}"#;
 
 /// An instance as an agent shows it.
 fn instance(name: &str, phase: &str, wanted: &str) -> Value {
     let zone = name.split('-').next().expect("a zone");
-    let said = json!({"name": name, "pid": 100, "phase": "serving", "open": 3,
+    let node_state = json!({"name": name, "pid": 100, "phase": "serving", "open": 3,
         "answers": {"served": 10, "refused": 1, "failed": 2}});
     json!({"name": name, "zone": zone, "labels": {"tier": "front"}, "wanted": wanted, "phase": phase,
         "reason": format!("reason of {phase}"), "since_ms": 61_234, "drained": false, "pid": 100, "starts": 2,
-        "said": [said, 12]})
+        "said": [node_state, 12]})
 }
 
-fn with(mut instance: Value, field: &str, value: Value) -> Value {
+fn with_field(mut instance: Value, field: &str, value: Value) -> Value {
     instance[field] = value;
     instance
 }
 
 /// One instance in each phase.
 fn all_phases() -> Vec<Value> {
-    let without_process = |instance: Value| with(with(instance, "pid", Value::Null), "said", Value::Null);
+    let without_process =
+        |instance: Value| with_field(with_field(instance, "pid", Value::Null), "said", Value::Null);
     vec![
         without_process(instance("a-1", "stopped", "stopped")),
         instance("a-2", "starting", "running"),
         instance("a-3", "ready", "running"),
         instance("b-1", "draining", "drained"),
-        with(instance("b-2", "draining", "drained"), "drained", json!(true)),
+        with_field(instance("b-2", "draining", "drained"), "drained", json!(true)),
         instance("b-3", "stopping", "stopped"),
         without_process(instance("c-1", "backing_off", "running")),
         without_process(instance("c-2", "crashed", "running")),
@@ -50,48 +51,49 @@
 
 /// What a stand-in for an agent answers.
 #[derive(Clone)]
-struct Script {
+struct AgentScript {
     /// Its instances, before it gets a command and afterwards.
-    before: Vec<Value>,
-    after: Vec<Value>,
+    instances_before: Vec<Value>,
+    instances_after: Vec<Value>,
     /// Its line in answer to a command.
-    outcome: String,
+    command_response: String,
 }
 
-impl Script {
-    fn new(before: Vec<Value>, outcome: &str, after: Vec<Value>) -> Self {
-        Self { before, after, outcome: outcome.to_owned() }
+impl AgentScript {
+    fn new(instances_before: Vec<Value>, command_response: &str, instances_after: Vec<Value>) -> Self {
+        Self { instances_before, instances_after, command_response: command_response.to_owned() }
     }
 
     /// An agent that gets no command.
-    fn shows(instances: Vec<Value>) -> Self {
+    fn with_instances(instances: Vec<Value>) -> Self {
         Self::new(instances.clone(), "", instances)
     }
 
     /// An agent with one instance that is ready, which answers a command so and shows the instance so afterwards.
-    fn commanded(outcome: &str, after: Value) -> Self {
-        Self::new(vec![instance("a-1", "ready", "running")], outcome, vec![after])
+    fn with_command_response(command_response: &str, instances_after: Value) -> Self {
+        Self::new(vec![instance("a-1", "ready", "running")], command_response, vec![instances_after])
     }
 
     /// One that answers whatever it is asked with this line.
-    fn always(line: &str) -> Self {
+    fn always_responding(line: &str) -> Self {
         Self::new(Vec::new(), line, Vec::new())
     }
 
-    fn answer(&self, request: &Value, is_commanded: &mut bool) -> String {
+    fn response(&self, request: &Value, is_commanded: &mut bool) -> String {
         match request["op"].as_str() {
-            _ if self.before.is_empty() => self.outcome.clone(),
+            _ if self.instances_before.is_empty() => self.command_response.clone(),
             Some("status") => {
-                let all = if *is_commanded { &self.after } else { &self.before };
-                let named =
-                    |shown: &&Value| request["instance"].is_null() || request["instance"] == shown["name"];
-                let instances: Vec<&Value> = all.iter().filter(named).collect();
+                let all = if *is_commanded { &self.instances_after } else { &self.instances_before };
+                let is_requested = |candidate: &&Value| {
+                    request["instance"].is_null() || request["instance"] == candidate["name"]
+                };
+                let instances: Vec<&Value> = all.iter().filter(is_requested).collect();
                 json!({"fleet": "golden", "pid": 99, "revision": 4, "instances": instances}).to_string()
             }
             Some("logs") => json!({"lines": ["first", "second"]}).to_string(),
             _ => {
                 *is_commanded = true;
-                self.outcome.clone()
+                self.command_response.clone()
             }
         }
     }
@@ -100,24 +102,29 @@
     fn serve(self, socket: &Path) -> Arc<Mutex<Vec<String>>> {
         let listener = UnixListener::bind(socket).expect("a socket");
         let requests: Arc<Mutex<Vec<String>>> = Arc::default();
-        let (kept, is_commanded) = (requests.clone(), Arc::new(Mutex::new(false)));
+        let (received, is_commanded) = (requests.clone(), Arc::new(Mutex::new(false)));
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (script, kept, is_commanded) = (self.clone(), kept.clone(), is_commanded.clone());
-                thread::spawn(move || script.converse(stream, &kept, &is_commanded));
+                let (script, received, is_commanded) = (self.clone(), received.clone(), is_commanded.clone());
+                thread::spawn(move || script.serve_connection(stream, &received, &is_commanded));
             }
         });
         requests
     }
 
-    fn converse(&self, stream: UnixStream, requests: &Mutex<Vec<String>>, is_commanded: &Mutex<bool>) {
+    fn serve_connection(
+        &self,
+        stream: UnixStream,
+        requests: &Mutex<Vec<String>>,
+        is_commanded: &Mutex<bool>,
+    ) {
         let mut writer = stream.try_clone().expect("a socket");
         for line in BufReader::new(stream).lines().map_while(Result::ok) {
             let request = serde_json::from_str(&line).expect("JSON");
             requests.lock().expect("no test has failed").push(line);
-            let answer = self.answer(&request, &mut is_commanded.lock().expect("no test has failed"));
+            let response = self.response(&request, &mut is_commanded.lock().expect("no test has failed"));
             // An empty answer ends the connection.
-            if answer.is_empty() || writer.write_all(format!("{answer}\n").as_bytes()).is_err() {
+            if response.is_empty() || writer.write_all(format!("{response}\n").as_bytes()).is_err() {
                 return;
             }
         }
@@ -130,7 +137,7 @@
 
 impl Transcript {
     /// Runs a command against a stand-in for an agent, or none.
-    fn run(&mut self, arguments: &str, script: Option<Script>) {
+    fn run(&mut self, arguments: &str, script: Option<AgentScript>) {
         let folder = tempfile::tempdir().expect("a folder");
         let requests = script.map(|script| script.serve(&folder.path().join(SOCKET))).unwrap_or_default();
         let mut command = Command::new(env!("CARGO_BIN_EXE_ivyhatch"));
@@ -152,9 +159,9 @@
 }
 
 #[test]
-fn instances_are_shown() {
+fn status_top_and_logs_print_instances() {
     let mut transcript = Transcript::default();
-    let script = || Some(Script::shows(all_phases()));
+    let script = || Some(AgentScript::with_instances(all_phases()));
     transcript.run("status", script());
     transcript.run("status --json", script());
     transcript.run("status zone=b,*-1 tier=none a-3", script());
@@ -166,58 +173,65 @@
 }
 
 #[test]
-fn commands_that_are_done_say_so() {
+fn completed_commands_report_done() {
     let mut transcript = Transcript::default();
     let ready = || instance("a-1", "ready", "running");
-    let drained = || with(instance("a-1", "draining", "drained"), "drained", json!(true));
+    let drained = || with_field(instance("a-1", "draining", "drained"), "drained", json!(true));
     let stopped = || instance("a-1", "stopped", "stopped");
-    for (arguments, before, outcome, after) in [
-        ("drain a-1", ready(), DONE, drained()),
-        ("drain a-1 --json", ready(), DONE, drained()),
-        ("undrain a-1", drained(), DONE, ready()),
-        ("stop a-1", ready(), DONE, stopped()),
-        ("start a-1", stopped(), DONE, ready()),
-        ("restart a-1", ready(), RESTARTED, with(ready(), "pid", json!(101))),
-        ("rollout a-1 --watch 0.1", ready(), RESTARTED, with(ready(), "pid", json!(101))),
-        ("rollout a-1 --watch 0.1 --json", stopped(), RESTARTED, stopped()),
+    for (arguments, before, command_response, after) in [
+        ("drain a-1", ready(), DONE_RESPONSE, drained()),
+        ("drain a-1 --json", ready(), DONE_RESPONSE, drained()),
+        ("undrain a-1", drained(), DONE_RESPONSE, ready()),
+        ("stop a-1", ready(), DONE_RESPONSE, stopped()),
+        ("start a-1", stopped(), DONE_RESPONSE, ready()),
+        ("restart a-1", ready(), RESTARTED_RESPONSE, with_field(ready(), "pid", json!(101))),
+        ("rollout a-1 --watch 0.1", ready(), RESTARTED_RESPONSE, with_field(ready(), "pid", json!(101))),
+        ("rollout a-1 --watch 0.1 --json", stopped(), RESTARTED_RESPONSE, stopped()),
     ] {
-        let script = Script::new(vec![before], outcome, vec![after]);
+        let script = AgentScript::new(vec![before], command_response, vec![after]);
         transcript.run(&format!("{arguments} --yes --id c-1 --by ops-1"), Some(script));
     }
     assert_golden("fleet/done.txt", &transcript.0);
 }
 
 #[test]
-fn commands_that_are_not_done_say_why() {
+fn incomplete_commands_report_the_reason() {
     let mut transcript = Transcript::default();
     let ready = || instance("a-1", "ready", "running");
     let conflict = r#"{"refused":{"conflict":{"instance":"a-1","other":{"wanted":"stopped","revision":4,"command":"c-0","by":"ops-2"}}}}"#;
     let scripts = [
-        ("", Script::commanded(conflict, ready())),
-        ("", Script::commanded(r#"{"refused":{"ahead":{"revision":2}}}"#, ready())),
-        ("", Script::commanded(r#"{"refused":{"id_taken":{"by":"ops-2"}}}"#, ready())),
-        ("--json", Script::commanded(r#"{"refused":{"id_taken":{"by":"ops-2"}}}"#, ready())),
-        ("", Script::commanded(DONE, instance("a-1", "ready", "stopped"))),
-        ("", Script::commanded(r#"{"error":"there is no instance \"a-1\" here"}"#, ready())),
-        ("", Script::commanded(DONE, instance("a-1", "crashed", "drained"))),
-        ("--deadline 1", Script::commanded(DONE, instance("a-1", "ready", "drained"))),
-        ("--deadline 1 --json", Script::commanded(DONE, instance("a-1", "ready", "drained"))),
-        ("", Script::commanded("", ready())),
-        ("", Script::commanded("nothing", ready())),
-        ("", Script::new(vec![ready()], DONE, Vec::new())),
+        ("", AgentScript::with_command_response(conflict, ready())),
+        ("", AgentScript::with_command_response(r#"{"refused":{"ahead":{"revision":2}}}"#, ready())),
+        ("", AgentScript::with_command_response(r#"{"refused":{"id_taken":{"by":"ops-2"}}}"#, ready())),
+        ("--json", AgentScript::with_command_response(r#"{"refused":{"id_taken":{"by":"ops-2"}}}"#, ready())),
+        ("", AgentScript::with_command_response(DONE_RESPONSE, instance("a-1", "ready", "stopped"))),
+        ("", AgentScript::with_command_response(r#"{"error":"there is no instance \"a-1\" here"}"#, ready())),
+        ("", AgentScript::with_command_response(DONE_RESPONSE, instance("a-1", "crashed", "drained"))),
+        (
+            "--deadline 1",
+            AgentScript::with_command_response(DONE_RESPONSE, instance("a-1", "ready", "drained")),
+        ),
+        (
+            "--deadline 1 --json",
+            AgentScript::with_command_response(DONE_RESPONSE, instance("a-1", "ready", "drained")),
+        ),
+        ("", AgentScript::with_command_response("", ready())),
+        ("", AgentScript::with_command_response("nothing", ready())),
+        ("", AgentScript::new(vec![ready()], DONE_RESPONSE, Vec::new())),
     ];
-    for (more, script) in scripts {
-        transcript.run(format!("drain a-1 --yes --id c-1 --by ops-1 {more}").trim_end(), Some(script));
+    for (options, script) in scripts {
+        transcript.run(format!("drain a-1 --yes --id c-1 --by ops-1 {options}").trim_end(), Some(script));
     }
-    let crashed = Script::commanded(RESTARTED, instance("a-1", "crashed", "running"));
+    let crashed =
+        AgentScript::with_command_response(RESTARTED_RESPONSE, instance("a-1", "crashed", "running"));
     transcript.run("rollout a-1 --watch 0.1 --yes --by ops-1", Some(crashed));
     assert_golden("fleet/not_done.txt", &transcript.0);
 }
 
 #[test]
-fn commands_that_take_away_much_ask_first() {
+fn commands_that_remove_much_capacity_require_confirmation() {
     let mut transcript = Transcript::default();
-    let script = || Some(Script::shows(all_phases()));
+    let script = || Some(AgentScript::with_instances(all_phases()));
     for verb in ["start", "stop", "drain", "undrain", "restart", "rollout"] {
         transcript.run(&format!("{verb} all --dry-run"), script());
     }
@@ -228,7 +242,7 @@
 }
 
 #[test]
-fn agents_that_do_not_answer_are_named() {
+fn agents_without_a_valid_response_are_reported() {
     let mut transcript = Transcript::default();
     let commands =
         ["status", "status --json", "drain all --yes --by ops-1", "drain all --yes --json", "logs"];
@@ -236,15 +250,15 @@
         transcript.run(command, None);
     }
     for line in ["", "nothing", r#"{"x":1}"#, r#"{"error":"no disk"}"#] {
-        transcript.run("status", Some(Script::always(line)));
-        transcript.run("stop all --yes --by ops-1", Some(Script::always(line)));
+        transcript.run("status", Some(AgentScript::always_responding(line)));
+        transcript.run("stop all --yes --by ops-1", Some(AgentScript::always_responding(line)));
     }
     transcript.run("rollout all --watch 0.1 --yes --by ops-1", None);
     assert_golden("fleet/no_answer.txt", &transcript.0);
 }
 
 #[test]
-fn values_out_of_range_are_rejected() {
+fn option_values_out_of_range_are_rejected() {
     let mut transcript = Transcript::default();
     for arguments in
         ["drain all --deadline 0", "top --every 0", "rollout all --watch 0", "rollout all --fall 2"]
--- a/cli/tests/golden_http/control.rs
+++ b/cli/tests/golden_http/control.rs
@@ -14,13 +14,13 @@
 const CONFIG: &str = "/-/config";
 
 /// A control node that is a group by itself, and where its operators call.
-fn single_control(cluster: &TestCluster) -> (Process, SocketAddr) {
+fn start_single_control_node(cluster: &TestCluster) -> (Process, SocketAddr) {
     let control = cluster.control(CORE[0], &CORE[..1], true);
-    let at = cluster.at(CORE[0], CONTROL);
+    let address = cluster.at(CORE[0], CONTROL);
     wait_until("the control node leads", || {
-        call(at, "GET", "/-/status", None, "").is_some_and(|(_, status)| is_settled(&status, 1))
+        call(address, "GET", "/-/status", None, "").is_some_and(|(_, status)| is_settled(&status, 1))
     });
-    (control, at)
+    (control, address)
 }
 
 /// Whether a status shows a group of so many voters, and a leader of each partition.
@@ -40,45 +40,46 @@
 
 /// A configuration with each kind of field: named items, other fields, and fields that this version does not know.
 fn full_configuration() -> Value {
-    let split =
+    let split_fields =
         json!({"service": null, "split": [{"service": "s", "weight": 3}, {"service": "t", "weight": 1.5}]});
-    let mut all = configuration(5, &[("a", json!({})), ("b", json!({"route_kind": "unsafe"})), ("c", split)]);
-    let model =
+    let mut config_json =
+        configuration(5, &[("a", json!({})), ("b", json!({"route_kind": "unsafe"})), ("c", split_fields)]);
+    let engine_service =
         json!({"name": "t", "engine": {"slots": 4, "cache_tokens": 1000}, "cold_s": 2.5, "cold_per_s": 7});
-    all["services"].as_array_mut().expect("a list").push(model);
-    all["limits"] = json!({"max_header_bytes": 8000, "max_body_bytes": 100000, "header_timeout_ms": 2000,
+    config_json["services"].as_array_mut().expect("a list").push(engine_service);
+    config_json["limits"] = json!({"max_header_bytes": 8000, "max_body_bytes": 100000, "header_timeout_ms": 2000,
         "idle_timeout_ms": 9000});
-    all["unknown_section"] = json!([{"name": "u", "x": [1, {"y": null}]}]);
-    all["unknown_field"] = json!({"z": "\u{e9}\"\\"});
-    all
+    config_json["unknown_section"] = json!([{"name": "u", "x": [1, {"y": null}]}]);
+    config_json["unknown_field"] = json!({"z": "\u{e9}\"\\"});
+    config_json
 }
 
 #[test]
-fn config_answers_before_and_after_the_first_configuration() {
+fn config_responses_before_and_after_the_first_configuration() {
     let cluster = TestCluster::new();
-    let (_control, at) = single_control(&cluster);
+    let (_control, address) = start_single_control_node(&cluster);
     let mut transcript = Transcript::of(&cluster);
     let mut send = |title: &str, method: &str, headers: &str, body: &str| {
-        transcript.ask(title, at, &operator_request(method, CONFIG, headers, body));
+        transcript.ask(title, address, &operator_request(method, CONFIG, headers, body));
     };
-    let first = full_configuration().to_string();
+    let first_configuration = full_configuration().to_string();
     send("GET before the first configuration", "GET", "", "");
-    send("PUT without If-Match", "PUT", "", &first);
-    send("PUT with an If-Match that is no number", "PUT", &if_match("x"), &first);
+    send("PUT without If-Match", "PUT", "", &first_configuration);
+    send("PUT with an If-Match that is no number", "PUT", &if_match("x"), &first_configuration);
     send(
         "PUT on a revision that is not current, before the first configuration",
         "PUT",
         &if_match("4"),
-        &first,
+        &first_configuration,
     );
-    send("PUT of the first configuration", "PUT", &if_match("0"), &first);
+    send("PUT of the first configuration", "PUT", &if_match("0"), &first_configuration);
     send("GET of the first configuration", "GET", "", "");
-    send("PUT of the same configuration again", "PUT", &if_match("0"), &first);
-    let next = configuration(9, &[("a", json!({"timeout_ms": 10}))]).to_string();
-    send("PUT on a revision that is not current", "PUT", &if_match("0"), &next);
-    send("PUT with If-Match in quotes", "PUT", &if_match("\"5\""), &next);
+    send("PUT of the same configuration again", "PUT", &if_match("0"), &first_configuration);
+    let next_configuration = configuration(9, &[("a", json!({"timeout_ms": 10}))]).to_string();
+    send("PUT on a revision that is not current", "PUT", &if_match("0"), &next_configuration);
+    send("PUT with If-Match in quotes", "PUT", &if_match("\"5\""), &next_configuration);
     send("GET of the next configuration", "GET", "", "");
-    send("PUT of a configuration that was replaced", "PUT", &if_match("9"), &first);
+    send("PUT of a configuration that was replaced", "PUT", &if_match("9"), &first_configuration);
     let change =
         json!({"revision": 12, "upsert": {"routes": [route("b", &json!({}))]}, "remove": {"routes": ["a"]},
         "limits": {"max_body_bytes": 5}})
@@ -92,63 +93,95 @@
 }
 
 #[test]
-fn patch_builds_on_revision_0_before_the_first_configuration() {
+fn patch_on_revision_0_creates_the_first_configuration() {
     let cluster = TestCluster::new();
-    let (_control, at) = single_control(&cluster);
+    let (_control, address) = start_single_control_node(&cluster);
     let mut transcript = Transcript::of(&cluster);
     let change = json!({"revision": 1, "upsert": {"services": [{"name": "s"}]}}).to_string();
-    transcript.ask("PATCH on revision 0", at, &operator_request("PATCH", CONFIG, &if_match("0"), &change));
-    transcript.ask("GET of the configuration", at, &operator_request("GET", CONFIG, "", ""));
+    transcript.ask(
+        "PATCH on revision 0",
+        address,
+        &operator_request("PATCH", CONFIG, &if_match("0"), &change),
+    );
+    transcript.ask("GET of the configuration", address, &operator_request("GET", CONFIG, "", ""));
     assert_golden("control/config_patched_first.txt", transcript.text());
 }
 
 /// A configuration that could follow revision 5.
-fn sound_configuration() -> String {
+fn valid_configuration() -> String {
     configuration(7, &[("a", json!({})), ("b", json!({}))]).to_string()
 }
 
 /// Configurations that can't follow revision 5, and what is wrong with each.
-fn wrong_configurations() -> Vec<(&'static str, String)> {
-    let sound = sound_configuration();
-    let with = |change: &dyn Fn(&mut Value)| {
-        let mut changed: Value = serde_json::from_str(&sound).expect("JSON");
+fn invalid_configurations() -> Vec<(&'static str, String)> {
+    let valid = valid_configuration();
+    let modified = |change: &dyn Fn(&mut Value)| {
+        let mut changed: Value = serde_json::from_str(&valid).expect("JSON");
         change(&mut changed);
         changed.to_string()
     };
-    let without =
-        |field: &str| with(&|all| drop(all["routes"][0].as_object_mut().map(|route| route.remove(field))));
+    let without_route_field = |field: &str| {
+        modified(&|config_json| {
+            drop(config_json["routes"][0].as_object_mut().map(|route| route.remove(field)))
+        })
+    };
     vec![
-        ("cut short", sound[..sound.len() - 9].to_owned()),
+        ("cut short", valid[..valid.len() - 9].to_owned()),
         ("that is a list", "[]".to_owned()),
         ("that is empty", String::new()),
-        ("without a revision", with(&|all| drop(all.as_object_mut().map(|all| all.remove("revision"))))),
-        ("with a revision that is no whole number", with(&|all| all["revision"] = json!(7.5))),
-        ("with the current revision", with(&|all| all["revision"] = json!(5))),
-        ("with two routes of one name", with(&|all| all["routes"][0]["name"] = json!("b"))),
-        ("with a route without a timeout", without("timeout_ms")),
-        ("with a route without a service", without("service")),
-        ("with a timeout that is text", with(&|all| all["routes"][0]["timeout_ms"] = json!("8"))),
-        ("with an unknown kind of route", with(&|all| all["routes"][0]["route_kind"] = json!("x"))),
+        (
+            "without a revision",
+            modified(&|config_json| {
+                drop(config_json.as_object_mut().map(|config_json| config_json.remove("revision")))
+            }),
+        ),
+        (
+            "with a revision that is no whole number",
+            modified(&|config_json| config_json["revision"] = json!(7.5)),
+        ),
+        ("with the current revision", modified(&|config_json| config_json["revision"] = json!(5))),
+        (
+            "with two routes of one name",
+            modified(&|config_json| config_json["routes"][0]["name"] = json!("b")),
+        ),
+        ("with a route without a timeout", without_route_field("timeout_ms")),
+        ("with a route without a service", without_route_field("service")),
+        (
+            "with a timeout that is text",
+            modified(&|config_json| config_json["routes"][0]["timeout_ms"] = json!("8")),
+        ),
+        (
+            "with an unknown kind of route",
+            modified(&|config_json| config_json["routes"][0]["route_kind"] = json!("x")),
+        ),
         (
             "with a field of the wrong kind in limits",
-            with(&|all| all["limits"] = json!({"max_body_bytes": []})),
+            modified(&|config_json| config_json["limits"] = json!({"max_body_bytes": []})),
+        ),
+        (
+            "with an unknown service",
+            modified(&|config_json| config_json["routes"][0]["service"] = json!("z")),
+        ),
+        (
+            "with two routes at one place",
+            modified(&|config_json| config_json["routes"][0]["path_prefix"] = json!("/b/")),
         ),
-        ("with an unknown service", with(&|all| all["routes"][0]["service"] = json!("z"))),
-        ("with two routes at one place", with(&|all| all["routes"][0]["path_prefix"] = json!("/b/"))),
         (
             "with weights that sum to 0",
-            with(&|all| all["routes"][0]["split"] = json!([{"service": "s", "weight": 0}])),
+            modified(&|config_json| {
+                config_json["routes"][0]["split"] = json!([{"service": "s", "weight": 0}])
+            }),
         ),
-        ("with a timeout of 0", with(&|all| all["routes"][0]["timeout_ms"] = json!(0))),
+        ("with a timeout of 0", modified(&|config_json| config_json["routes"][0]["timeout_ms"] = json!(0))),
         (
             "that is nested too deeply",
-            sound.replacen('{', &format!("{{\"deep\":{}{},", "[".repeat(130), "]".repeat(130)), 1),
+            valid.replacen('{', &format!("{{\"deep\":{}{},", "[".repeat(130), "]".repeat(130)), 1),
         ),
     ]
 }
 
 /// Changes that can't be made to revision 5, and what is wrong with each.
-fn wrong_changes() -> [(&'static str, Value); 5] {
+fn invalid_changes() -> [(&'static str, Value); 5] {
     [
         ("that does not raise the revision", json!({"revision": 5})),
         ("whose upsert is no list", json!({"revision": 8, "upsert": {"routes": {}}})),
@@ -162,33 +195,33 @@
 }
 
 #[test]
-fn config_rejections_name_what_is_wrong() {
+fn config_rejections_state_the_reason() {
     let cluster = TestCluster::new();
-    let (_control, at) = single_control(&cluster);
+    let (_control, address) = start_single_control_node(&cluster);
     let current = configuration(5, &[("a", json!({})), ("b", json!({}))]);
     cluster.put(CORE[0], 0, &current);
     let mut transcript = Transcript::of(&cluster);
-    let mut send = |title: &str, request: &[u8]| transcript.ask(title, at, request);
+    let mut send = |title: &str, request: &[u8]| transcript.ask(title, address, request);
     let put = |body: &str| operator_request("PUT", CONFIG, &if_match("5"), body);
-    for (what, body) in wrong_configurations() {
-        send(&format!("PUT of a configuration {what}"), &put(&body));
+    for (defect, body) in invalid_configurations() {
+        send(&format!("PUT of a configuration {defect}"), &put(&body));
     }
-    for (what, body) in wrong_changes() {
+    for (defect, body) in invalid_changes() {
         let request = operator_request("PATCH", CONFIG, &if_match("5"), &body.to_string());
-        send(&format!("PATCH of a change {what}"), &request);
+        send(&format!("PATCH of a change {defect}"), &request);
     }
     send("PUT of a body of over 16 MiB", &put(&"x".repeat((16 << 20) + 1)));
-    let mut incomplete = put(&sound_configuration());
-    incomplete.truncate(incomplete.len() - 5);
-    send("PUT of a body that does not arrive", &incomplete);
+    let mut incomplete_request = put(&valid_configuration());
+    incomplete_request.truncate(incomplete_request.len() - 5);
+    send("PUT of a body that does not arrive", &incomplete_request);
     send("GET after all rejections", &operator_request("GET", CONFIG, "", ""));
     assert_golden("control/config_rejections.txt", transcript.text());
 }
 
 #[test]
-fn evacuations_and_unknown_calls_are_answered() {
+fn responses_to_evacuation_and_unsupported_requests() {
     let cluster = TestCluster::new();
-    let (_control, at) = single_control(&cluster);
+    let (_control, address) = start_single_control_node(&cluster);
     let mut transcript = Transcript::of(&cluster);
     for (title, method, path) in [
         ("POST of an evacuation", "POST", "/-/evacuations/za"),
@@ -204,9 +237,9 @@
         ("DELETE of the configuration", "DELETE", CONFIG),
         ("PUT to the status", "PUT", "/-/status"),
     ] {
-        transcript.ask(title, at, &operator_request(method, path, "", ""));
+        transcript.ask(title, address, &operator_request(method, path, "", ""));
     }
-    transcript.ask("what is no HTTP", at, b"\x00\x01\x02\r\n\r\n");
+    transcript.ask("what is no HTTP", address, b"\x00\x01\x02\r\n\r\n");
     assert_golden("control/evacuations_and_unknown_calls.txt", transcript.text());
 }
 
@@ -214,14 +247,18 @@
 fn control_node_without_a_quorum_is_unavailable() {
     let cluster = TestCluster::new();
     let _control = cluster.control(CORE[0], &CORE, true);
-    let at = cluster.at(CORE[0], CONTROL);
-    wait_until("it listens", || call(at, "GET", "/-/status", None, "").is_some());
+    let address = cluster.at(CORE[0], CONTROL);
+    wait_until("it listens", || call(address, "GET", "/-/status", None, "").is_some());
     let mut transcript = Transcript::of(&cluster);
-    let first = full_configuration().to_string();
-    transcript.ask("GET of the configuration", at, &operator_request("GET", CONFIG, "", ""));
-    transcript.ask("PUT of the configuration", at, &operator_request("PUT", CONFIG, &if_match("0"), &first));
-    transcript.ask("POST of an evacuation", at, &operator_request("POST", "/-/evacuations/za", "", ""));
-    transcript.ask("GET of the status", at, &operator_request("GET", "/-/status", "", ""));
+    let first_configuration = full_configuration().to_string();
+    transcript.ask("GET of the configuration", address, &operator_request("GET", CONFIG, "", ""));
+    transcript.ask(
+        "PUT of the configuration",
+        address,
+        &operator_request("PUT", CONFIG, &if_match("0"), &first_configuration),
+    );
+    transcript.ask("POST of an evacuation", address, &operator_request("POST", "/-/evacuations/za", "", ""));
+    transcript.ask("GET of the status", address, &operator_request("GET", "/-/status", "", ""));
     assert_golden("control/no_quorum.txt", transcript.text());
 }
 
@@ -246,29 +283,31 @@
 fn ask_status(
     transcript: &mut Transcript,
     title: &str,
-    at: SocketAddr,
+    address: SocketAddr,
     mut is_expected: impl FnMut(&Value) -> bool,
 ) {
-    let mut last = None;
+    let mut latest = None;
     wait_until(title, || {
-        let answer = Client::to(at).ask(&operator_request("GET", "/-/status", "", ""));
-        let status = serde_json::from_slice(&answer.body).expect("JSON");
-        let is_found = is_expected(&status);
-        last = Some((answer, status));
-        is_found
+        let response = Client::to(address).ask(&operator_request("GET", "/-/status", "", ""));
+        let status = serde_json::from_slice(&response.body).expect("JSON");
+        let is_met = is_expected(&status);
+        latest = Some((response, status));
+        is_met
     });
-    let (answer, status) = last.expect("an answer");
+    let (response, status) = latest.expect("an answer");
     mask_replicas(transcript, &status);
-    transcript.add(title, &answer);
+    transcript.add(title, &response);
 }
 
 #[test]
 fn status_shows_replicas_and_partitions() {
     let cluster = TestCluster::new();
-    let (_control, at) = single_control(&cluster);
+    let (_control, address) = start_single_control_node(&cluster);
     cluster.put(CORE[0], 0, &full_configuration());
     let mut transcript = Transcript::of(&cluster);
-    ask_status(&mut transcript, "GET of the status of a group of one", at, |status| is_settled(status, 1));
+    ask_status(&mut transcript, "GET of the status of a group of one", address, |status| {
+        is_settled(status, 1)
+    });
     assert_golden("control/status_of_one.txt", transcript.text());
 }
 
@@ -279,47 +318,53 @@
     cluster.put(CORE[0], 0, &full_configuration());
     let mut transcript = Transcript::of(&cluster);
     mask_leaders(&mut transcript, &cluster);
-    let at = cluster.at(CORE[0], CONTROL);
-    ask_status(&mut transcript, "GET of the status of a group of three", at, |status| is_settled(status, 3));
+    let address = cluster.at(CORE[0], CONTROL);
+    ask_status(&mut transcript, "GET of the status of a group of three", address, |status| {
+        is_settled(status, 3)
+    });
     core[2].kill();
-    ask_status(&mut transcript, "GET of the status after the loss of one", at, |status| {
+    ask_status(&mut transcript, "GET of the status after the loss of one", address, |status| {
         is_settled(status, 2) && status["replicas"][2]["status"] == "unreachable"
     });
     assert_golden("control/status_of_three.txt", transcript.text());
 }
 
 #[test]
-fn status_shows_a_replica_without_a_seat() {
+fn status_shows_a_learner_replica() {
     let cluster = TestCluster::new();
     let _core = cluster.core();
     cluster.put(CORE[0], 0, &full_configuration());
     let mut transcript = Transcript::of(&cluster);
     mask_leaders(&mut transcript, &cluster);
-    let at = cluster.at(CORE[0], CONTROL);
+    let address = cluster.at(CORE[0], CONTROL);
     wait_until("three vote", || {
-        call(at, "GET", "/-/status", None, "").is_some_and(|(_, status)| is_settled(&status, 3))
+        call(address, "GET", "/-/status", None, "").is_some_and(|(_, status)| is_settled(&status, 3))
     });
     let _fourth = cluster.control(16, &CORE, false);
-    ask_status(&mut transcript, "GET of the status with a fourth control node", at, |status| {
+    ask_status(&mut transcript, "GET of the status with a fourth control node", address, |status| {
         is_settled(status, 3) && status["replicas"][3]["status"] == "learner"
     });
     assert_golden("control/status_of_four.txt", transcript.text());
 }
 
 #[test]
-fn directory_names_routers() {
+fn directory_resolves_regions_and_zones_to_routers() {
     let cluster = TestCluster::new();
-    let (_control, _) = single_control(&cluster);
-    let at = cluster.at(CORE[0], DIRECTORY);
+    let (_control, _) = start_single_control_node(&cluster);
+    let address = cluster.at(CORE[0], DIRECTORY);
     let mut transcript = Transcript::of(&cluster);
     let resolve = |query: &str| operator_request("GET", &format!("/-/resolve{query}"), "", "");
-    transcript.ask("GET without a router", at, &resolve("?name=h.example&region=ra&zone=za"));
+    transcript.ask("GET without a router", address, &resolve("?name=h.example&region=ra&zone=za"));
     let _routers = [21, 22].map(|host| cluster.router(host, &CORE[..1]));
     cluster.put(CORE[0], 0, &full_configuration());
     for (region, host) in [("ra", 21), ("rb", 22)] {
-        let front = json!([cluster.at(host, FRONT).to_string()]);
-        let knows = || cluster.directory(CORE[0], region).is_some_and(|answer| answer["addresses"] == front);
-        wait_until("the directory knows the router", knows);
+        let expected_addresses = json!([cluster.at(host, FRONT).to_string()]);
+        let is_resolved = || {
+            cluster
+                .directory(CORE[0], region)
+                .is_some_and(|response| response["addresses"] == expected_addresses)
+        };
+        wait_until("the directory knows the router", is_resolved);
     }
     for (title, query) in [
         ("GET for a region", "?name=h.example&region=ra&zone=za"),
@@ -327,9 +372,9 @@
         ("GET for a zone", "?name=h.example&zone=zb"),
         ("GET for an encoded region", "?name=h.example&region=%72a"),
     ] {
-        transcript.ask(title, at, &resolve(query));
+        transcript.ask(title, address, &resolve(query));
     }
-    transcript.ask("GET of an unknown path", at, &operator_request("GET", "/", "", ""));
-    transcript.ask("POST", at, &operator_request("POST", "/-/resolve?region=ra", "", ""));
+    transcript.ask("GET of an unknown path", address, &operator_request("GET", "/", "", ""));
+    transcript.ask("POST", address, &operator_request("POST", "/-/resolve?region=ra", "", ""));
     assert_golden("control/directory.txt", transcript.text());
 }
--- a/cli/tests/golden_http/router.rs
+++ b/cli/tests/golden_http/router.rs
@@ -13,7 +13,7 @@
 use super::system_common::{CORE, FRONT, READINESS, ROUTER, TestCluster, configuration, wait_until};
 
 /// Two routes to one service: requests of the first may run more than once, those of the second may not.
-fn routes() -> Value {
+fn safe_and_unsafe_routes() -> Value {
     configuration(1, &[("safe", json!({})), ("unsafe", json!({"route_kind": "unsafe"}))])
 }
 
@@ -23,115 +23,128 @@
 }
 
 #[test]
-fn router_says_whether_it_is_ready() {
+fn router_reports_whether_it_is_ready() {
     let cluster = TestCluster::new();
     let mut router = cluster.router(ROUTER, &CORE[..1]);
-    let (front, readiness) = (cluster.at(ROUTER, FRONT), cluster.at(ROUTER, READINESS));
-    let ready = operator_request("GET", "/-/readyz", "", "");
-    wait_until("it listens", || call(readiness, "GET", "/-/readyz", None, "").is_some());
+    let (front_address, readiness_address) = (cluster.at(ROUTER, FRONT), cluster.at(ROUTER, READINESS));
+    let readiness_request = operator_request("GET", "/-/readyz", "", "");
+    wait_until("it listens", || call(readiness_address, "GET", "/-/readyz", None, "").is_some());
     let mut transcript = Transcript::of(&cluster);
-    transcript.ask("GET of the readiness without a configuration", readiness, &ready);
-    transcript.ask("request without a configuration", front, &get("r1", "/safe/x"));
+    transcript.ask("GET of the readiness without a configuration", readiness_address, &readiness_request);
+    transcript.ask("request without a configuration", front_address, &get("r1", "/safe/x"));
     let server = cluster.server(("i-1", "s", "za"), |received| ok(received, b"here"));
     cluster.platform.set(vec![server.listed()]);
     let _control = cluster.control(CORE[0], &CORE[..1], true);
-    cluster.put(CORE[0], 0, &routes());
+    cluster.put(CORE[0], 0, &safe_and_unsafe_routes());
     cluster.wait_until_ready(ROUTER);
-    transcript.ask("GET of the readiness of a router that serves", readiness, &ready);
-    transcript.ask("GET of an unknown path", readiness, &operator_request("GET", "/", "", ""));
-    transcript.ask("POST to the readiness", readiness, &operator_request("POST", "/-/readyz", "", ""));
-    transcript.ask("request to a router that serves", front, &get("r2", "/safe/x"));
+    transcript.ask("GET of the readiness of a router that serves", readiness_address, &readiness_request);
+    transcript.ask("GET of an unknown path", readiness_address, &operator_request("GET", "/", "", ""));
+    transcript.ask(
+        "POST to the readiness",
+        readiness_address,
+        &operator_request("POST", "/-/readyz", "", ""),
+    );
+    transcript.ask("request to a router that serves", front_address, &get("r2", "/safe/x"));
     router.signal("TERM");
     wait_until("it is no longer ready", || !cluster.is_ready(ROUTER));
-    transcript.ask("GET of the readiness of a router that ends", readiness, &ready);
-    transcript.ask("request to a router that ends", front, &get("r3", "/safe/x"));
+    transcript.ask("GET of the readiness of a router that ends", readiness_address, &readiness_request);
+    transcript.ask("request to a router that ends", front_address, &get("r3", "/safe/x"));
     router.kill();
     assert_golden("router/readiness.txt", transcript.text());
 }
 
 #[test]
-fn router_rejects_requests_that_it_cannot_route() {
+fn router_rejects_malformed_and_unroutable_requests() {
     let cluster = TestCluster::new();
     let server = cluster.server(("i-1", "s", "za"), |received| ok(received, b"here"));
-    let mut all = routes();
-    all["limits"] = json!({"max_body_bytes": 1000});
-    let _served = cluster.serving(&[&server], &all);
-    let front = cluster.at(ROUTER, FRONT);
-    let id = "Ivyhatch-Attempt-Id: r1\r\n";
+    let mut config_json = safe_and_unsafe_routes();
+    config_json["limits"] = json!({"max_body_bytes": 1000});
+    let _served = cluster.serving(&[&server], &config_json);
+    let front_address = cluster.at(ROUTER, FRONT);
+    let id_header = "Ivyhatch-Attempt-Id: r1\r\n";
     let mut transcript = Transcript::of(&cluster);
-    let too_large = "x".repeat(1001);
+    let large_body = "x".repeat(1001);
     for (title, request) in [
-        ("path without a route", router_request("/nowhere/x", id)),
+        ("path without a route", router_request("/nowhere/x", id_header)),
         (
             "host without a route",
             b"GET /safe/x HTTP/1.1\r\nHost: other\r\nIvyhatch-Attempt-Id: r1\r\n\r\n".to_vec(),
         ),
         ("no host", b"GET /safe/x HTTP/1.1\r\nIvyhatch-Attempt-Id: r1\r\n\r\n".to_vec()),
         ("no id", router_request("/safe/x", "")),
-        ("two ids", router_request("/safe/x", &format!("{id}{id}"))),
+        ("two ids", router_request("/safe/x", &format!("{id_header}{id_header}"))),
         (
             "a deadline that is no number",
-            router_request("/safe/x", &format!("{id}Ivyhatch-Deadline-Ms: soon\r\n")),
+            router_request("/safe/x", &format!("{id_header}Ivyhatch-Deadline-Ms: soon\r\n")),
+        ),
+        (
+            "a negative deadline",
+            router_request("/safe/x", &format!("{id_header}Ivyhatch-Deadline-Ms: -1\r\n")),
         ),
-        ("a negative deadline", router_request("/safe/x", &format!("{id}Ivyhatch-Deadline-Ms: -1\r\n"))),
         (
             "two lengths",
-            router_request("/unsafe/x", &format!("{id}Content-Length: 1\r\nContent-Length: 1\r\n")),
+            router_request("/unsafe/x", &format!("{id_header}Content-Length: 1\r\nContent-Length: 1\r\n")),
+        ),
+        (
+            "a body that is too large",
+            router_request("/unsafe/x", &format!("{id_header}Content-Length: 1001\r\n")),
         ),
-        ("a body that is too large", router_request("/unsafe/x", &format!("{id}Content-Length: 1001\r\n"))),
         (
             "a body in chunks that is too large",
             router_request(
                 "/unsafe/x",
-                &format!("{id}Transfer-Encoding: chunked\r\n\r\n3e9\r\n{too_large}\r\n0\r\n"),
+                &format!("{id_header}Transfer-Encoding: chunked\r\n\r\n3e9\r\n{large_body}\r\n0\r\n"),
             ),
         ),
-        ("a body that does not arrive", router_request("/unsafe/x", &format!("{id}Content-Length: 10\r\n"))),
+        (
+            "a body that does not arrive",
+            router_request("/unsafe/x", &format!("{id_header}Content-Length: 10\r\n")),
+        ),
         (
             "a head that is too long",
-            router_request("/safe/x", &format!("{id}X: {}\r\n", "x".repeat(200_000))),
+            router_request("/safe/x", &format!("{id_header}X: {}\r\n", "x".repeat(200_000))),
         ),
         ("what is no HTTP", b"\x00\x01\x02\r\n\r\n".to_vec()),
     ] {
-        transcript.ask(title, front, &request);
+        transcript.ask(title, front_address, &request);
     }
     assert_eq!(server.count(), 0, "no request has reached the server");
     assert_golden("router/rejections.txt", transcript.text());
 }
 
 #[test]
-fn router_rejects_an_id_that_an_open_request_has() {
+fn router_rejects_the_id_of_an_open_request() {
     let cluster = TestCluster::new();
     let gate = Arc::new(Gate::default());
-    let held = gate.clone();
+    let server_gate = gate.clone();
     let server = cluster.server(("i-1", "s", "za"), move |received| {
-        [vec![Step::Wait(held.clone())], ok(received, b"here")].concat()
+        [vec![Step::Wait(server_gate.clone())], ok(received, b"here")].concat()
     });
-    let _served = cluster.serving(&[&server], &routes());
-    let front = cluster.at(ROUTER, FRONT);
-    let mut first = Client::to(front);
-    first.write(&get("r1", "/safe/x"));
+    let _served = cluster.serving(&[&server], &safe_and_unsafe_routes());
+    let front_address = cluster.at(ROUTER, FRONT);
+    let mut first_client = Client::to(front_address);
+    first_client.write(&get("r1", "/safe/x"));
     server.next();
     let mut transcript = Transcript::of(&cluster);
-    transcript.ask("request with the id of an open request", front, &get("r1", "/safe/x"));
+    transcript.ask("request with the id of an open request", front_address, &get("r1", "/safe/x"));
     gate.open();
-    let head = first.head();
-    let body = first.try_body(&head).expect("a whole answer");
+    let head = first_client.head();
+    let body = first_client.try_body(&head).expect("a whole answer");
     transcript.add("the open request", &Answer { head, body });
     assert_golden("router/id_in_use.txt", transcript.text());
 }
 
 #[test]
-fn router_without_a_server_asks_clients_to_retry_later() {
+fn router_without_a_server_responds_503_with_retry_after() {
     let cluster = TestCluster::new();
-    let _served = cluster.serving(&[], &routes());
-    let front = cluster.at(ROUTER, FRONT);
+    let _served = cluster.serving(&[], &safe_and_unsafe_routes());
+    let front_address = cluster.at(ROUTER, FRONT);
     let mut transcript = Transcript::of(&cluster);
-    transcript.ask("safe request", front, &get("r1", "/safe/x"));
-    transcript.ask("unsafe request", front, &request("r2", "POST", "/unsafe/x", "", b"body"));
+    transcript.ask("safe request", front_address, &get("r1", "/safe/x"));
+    transcript.ask("unsafe request", front_address, &request("r2", "POST", "/unsafe/x", "", b"body"));
     transcript.ask(
         "request without time left",
-        front,
+        front_address,
         &router_request("/safe/x", "Ivyhatch-Attempt-Id: r3\r\nIvyhatch-Deadline-Ms: 0\r\n"),
     );
     assert_golden("router/no_server.txt", transcript.text());
@@ -139,17 +152,17 @@
 
 /// Compares what a router answers once on each route, with servers that do this with each request. Each route's request has a
 /// system of its own, so that neither finds what the other has left: kept connections, or servers that are ejected.
-fn assert_failure(
+fn assert_responses_with_faulty_servers(
     name: &str,
     headers: &str,
-    does: impl Fn(&ReceivedRequest) -> Vec<Step> + Send + Sync + 'static,
+    script: impl Fn(&ReceivedRequest) -> Vec<Step> + Send + Sync + 'static,
 ) {
-    let does = Arc::new(does);
-    let ask_once = |method: &str, path: &str| {
+    let script = Arc::new(script);
+    let send_once = |method: &str, path: &str| {
         let cluster = TestCluster::new();
-        let does = does.clone();
-        let servers = cluster.pair(move |_, received| does(received));
-        let _served = cluster.serving(&[&servers[0], &servers[1]], &routes());
+        let script = script.clone();
+        let servers = cluster.pair(move |_, received| script(received));
+        let _served = cluster.serving(&[&servers[0], &servers[1]], &safe_and_unsafe_routes());
         let request = format!(
             "{method} {path} HTTP/1.1\r\nHost: h.example\r\nIvyhatch-Attempt-Id: r1\r\n{headers}\r\n"
         );
@@ -157,27 +170,27 @@
     };
     let mut transcript = Transcript::default();
     std::thread::scope(|scope| {
-        let safe = scope.spawn(|| ask_once("GET", "/safe/x"));
-        let once = scope.spawn(|| ask_once("POST", "/unsafe/x"));
-        transcript.add("request that may run more than once", &safe.join().expect("an answer"));
-        transcript.add("request that may run once", &once.join().expect("an answer"));
+        let safe_thread = scope.spawn(|| send_once("GET", "/safe/x"));
+        let unsafe_thread = scope.spawn(|| send_once("POST", "/unsafe/x"));
+        transcript.add("request that may run more than once", &safe_thread.join().expect("an answer"));
+        transcript.add("request that may run once", &unsafe_thread.join().expect("an answer"));
     });
     assert_golden(&format!("router/{name}.txt"), transcript.text());
 }
 
 #[test]
-fn router_refuses_what_all_servers_shed() {
-    assert_failure("servers_shed", "", |_| overloaded());
+fn router_responds_503_when_all_servers_shed_the_request() {
+    assert_responses_with_faulty_servers("servers_shed", "", |_| overloaded());
 }
 
 #[test]
-fn router_answers_for_servers_that_close_the_connection() {
-    assert_failure("servers_close", "", |_| vec![Step::Close]);
+fn router_responds_when_servers_close_the_connection() {
+    assert_responses_with_faulty_servers("servers_close", "", |_| vec![Step::Close]);
 }
 
 #[test]
-fn router_forwards_failures_of_servers() {
-    assert_failure("servers_fail", "", |received| {
+fn router_forwards_server_errors() {
+    assert_responses_with_faulty_servers("servers_fail", "", |received| {
         vec![Step::Write(complete_response(
             500,
             &format!("{}{STAMP}X-Own: 1\r\n", id(received.id())),
@@ -187,31 +200,31 @@
 }
 
 #[test]
-fn router_forwards_429_only_where_the_request_may_run_again() {
-    assert_failure("servers_answer_429", "", |received| {
+fn router_forwards_429_only_for_repeatable_requests() {
+    assert_responses_with_faulty_servers("servers_answer_429", "", |received| {
         vec![Step::Write(complete_response(429, &format!("{}{STAMP}", id(received.id())), b"failed"))]
     });
 }
 
 #[test]
-fn router_does_not_forward_a_success_without_a_stamp() {
-    assert_failure("servers_without_a_stamp", "", |received| {
+fn router_does_not_forward_a_success_without_a_server_stamp() {
+    assert_responses_with_faulty_servers("servers_without_a_stamp", "", |received| {
         vec![Step::Write(complete_response(200, &id(received.id()), b"no stamp"))]
     });
 }
 
 #[test]
-fn router_answers_for_servers_that_do_not_answer_in_time() {
+fn router_responds_when_servers_miss_the_deadline() {
     let gate = Arc::new(Gate::default());
-    let held = gate.clone();
-    assert_failure("servers_are_late", "Ivyhatch-Deadline-Ms: 700\r\n", move |_| {
-        vec![Step::Wait(held.clone())]
+    let server_gate = gate.clone();
+    assert_responses_with_faulty_servers("servers_are_late", "Ivyhatch-Deadline-Ms: 700\r\n", move |_| {
+        vec![Step::Wait(server_gate.clone())]
     });
     gate.open();
 }
 
 #[test]
-fn router_forwards_answers_and_streams() {
+fn router_forwards_responses_and_streams() {
     let cluster = TestCluster::new();
     let server = cluster.server(("i-1", "s", "za"), |received| match received.id() {
         "events" => stream(received, 1..=3),
@@ -225,13 +238,13 @@
             ))]
         }
     });
-    let mut all = routes();
-    let streaming = route("events", &json!({"route_kind": "streaming", "resumable": true}));
-    all["routes"].as_array_mut().expect("routes").push(streaming);
-    let _served = cluster.serving(&[&server], &all);
-    let front = cluster.at(ROUTER, FRONT);
+    let mut config_json = safe_and_unsafe_routes();
+    let streaming_route = route("events", &json!({"route_kind": "streaming", "resumable": true}));
+    config_json["routes"].as_array_mut().expect("routes").push(streaming_route);
+    let _served = cluster.serving(&[&server], &config_json);
+    let front_address = cluster.at(ROUTER, FRONT);
     let mut transcript = Transcript::of(&cluster);
-    transcript.add("an answer", &ask(front, &get("r1", "/safe/x")));
-    transcript.add("a stream", &ask(front, &request("events", "POST", "/events/x", "", b"prompt")));
+    transcript.add("an answer", &ask(front_address, &get("r1", "/safe/x")));
+    transcript.add("a stream", &ask(front_address, &request("events", "POST", "/events/x", "", b"prompt")));
     assert_golden("router/forwarded.txt", transcript.text());
 }
--- a/cli/tests/lab.rs
+++ b/cli/tests/lab.rs
@@ -2,7 +2,7 @@
 
 use std::process::{Command, Output};
 
-fn ivyhatch(arguments: &[&str]) -> Output {
+fn run_ivyhatch(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_ivyhatch")).args(arguments).output().expect("it starts")
 }
 
@@ -11,16 +11,16 @@
 }
 
 #[test]
-fn lab_without_arguments_plays_the_built_in_world() {
-    let output = ivyhatch(&["lab"]);
+fn lab_without_arguments_runs_the_built_in_world() {
+    let output = run_ivyhatch(&["lab"]);
     assert!(output.status.success(), "{}", text_of(&output.stderr));
     let table = text_of(&output.stdout);
     assert!(table.contains("find-race") && table.contains("0 rules broken"), "{table}");
 }
 
 #[test]
-fn lab_with_json_prints_one_object_a_line() {
-    let output = ivyhatch(&["lab", "--json", "--seed", "7", "--seeds", "2"]);
+fn lab_with_json_prints_one_object_per_line() {
+    let output = run_ivyhatch(&["lab", "--json", "--seed", "7", "--seeds", "2"]);
     let lines: Vec<serde_json::Value> =
         text_of(&output.stdout).lines().map(|line| serde_json::from_str(line).expect("JSON")).collect();
     assert_eq!(lines.iter().map(|line| line["seed"].as_u64()).collect::<Vec<_>>(), [Some(7), Some(8)]);
@@ -28,54 +28,55 @@
 }
 
 #[test]
-fn unusable_world_is_reported_with_its_file_and_field() {
-    let missing = ivyhatch(&["lab", "no-such-world.toml"]);
+fn invalid_world_is_reported_with_its_file_and_field() {
+    let missing = run_ivyhatch(&["lab", "no-such-world.toml"]);
     assert_eq!(missing.status.code(), Some(3));
     assert!(text_of(&missing.stderr).contains("no-such-world.toml"), "{}", text_of(&missing.stderr));
-    let printed = ivyhatch(&["lab", "--print-world"]);
+    let printed = run_ivyhatch(&["lab", "--print-world"]);
     let path = std::env::temp_dir().join(format!("ivyhatch-world-{}.toml", std::process::id()));
     std::fs::write(&path, text_of(&printed.stdout).replacen("nodes = 3", "nodes = 0", 1)).unwrap();
-    let wrong = ivyhatch(&["lab", path.to_str().unwrap()]);
+    let invalid = run_ivyhatch(&["lab", path.to_str().unwrap()]);
     std::fs::remove_file(&path).unwrap();
-    assert_eq!(wrong.status.code(), Some(3));
-    let error = text_of(&wrong.stderr);
+    assert_eq!(invalid.status.code(), Some(3));
+    let error = text_of(&invalid.stderr);
     assert!(error.contains("nodes: got 0, expected 1 to 10000") && error.contains(".toml"), "{error}");
-    assert_eq!(ivyhatch(&["lab", "--seeds", "0"]).status.code(), Some(2), "wrong use");
+    assert_eq!(run_ivyhatch(&["lab", "--seeds", "0"]).status.code(), Some(2), "wrong use");
 }
 
 #[test]
-fn experiment_is_played_resumed_and_reported() {
+fn experiment_is_run_resumed_and_reported() {
     let folder = std::env::temp_dir().join(format!("ivyhatch-experiment-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let file = folder.join("mine.toml");
-    let text = concat!(
+    let manifest = concat!(
         "name = \"mine\"\nseeds = 2\n[[world]]\nname = \"short\"\n",
         "set = { seconds = 2.0, trouble = [] }\n", // wire name
         "[[variant]]\nname = \"module\"\n[[variant]]\nname = \"turns\"\npolicy = \"round_robin\"\n",
     );
-    std::fs::write(&file, text).unwrap();
-    let (file, out) = (file.to_str().unwrap(), folder.join("out"));
-    let run = |more: &[&str]| {
-        let arguments = [&["lab", "experiment", file, "--out", out.to_str().unwrap()], more].concat();
-        ivyhatch(&arguments)
+    std::fs::write(&file, manifest).unwrap();
+    let (file, results_folder) = (file.to_str().unwrap(), folder.join("out"));
+    let run_experiment = |options: &[&str]| {
+        let arguments =
+            [&["lab", "experiment", file, "--out", results_folder.to_str().unwrap()], options].concat();
+        run_ivyhatch(&arguments)
     };
-    let first = run(&["--json"]);
+    let first = run_experiment(&["--json"]);
     assert!(first.status.success(), "{}", text_of(&first.stderr));
     let summary: serde_json::Value = serde_json::from_slice(&first.stdout).expect("JSON");
     assert_eq!((summary["played"].as_u64(), summary["planned"].as_u64()), (Some(4), Some(4)));
-    let page = std::fs::read(out.join("report.html")).unwrap();
+    let report = std::fs::read(results_folder.join("report.html")).unwrap();
     // Another build's program plays the same module here, so nothing differs.
-    let results = std::fs::read_to_string(out.join("results.jsonl")).unwrap();
-    std::fs::write(out.join("results.jsonl"), &results[..results.len() - 10]).unwrap();
-    let again = run(&[]);
-    assert!(text_of(&again.stderr).contains("unfinished line"), "{}", text_of(&again.stderr));
-    assert!(text_of(&again.stdout).contains("4 of 4 plays"), "{}", text_of(&again.stdout));
-    assert_eq!(std::fs::read(out.join("report.html")).unwrap(), page, "the same report");
-    let other = text
+    let results = std::fs::read_to_string(results_folder.join("results.jsonl")).unwrap();
+    std::fs::write(results_folder.join("results.jsonl"), &results[..results.len() - 10]).unwrap();
+    let resumed = run_experiment(&[]);
+    assert!(text_of(&resumed.stderr).contains("unfinished line"), "{}", text_of(&resumed.stderr));
+    assert!(text_of(&resumed.stdout).contains("4 of 4 plays"), "{}", text_of(&resumed.stdout));
+    assert_eq!(std::fs::read(results_folder.join("report.html")).unwrap(), report, "the same report");
+    let manifest_with_program = manifest
         .replace("policy = \"round_robin\"", &format!("program = \"{}\"", env!("CARGO_BIN_EXE_ivyhatch")));
-    std::fs::write(file, other).unwrap();
-    let same = run(&["--json"]);
-    let summary: serde_json::Value = serde_json::from_slice(&same.stdout).expect("JSON");
+    std::fs::write(file, manifest_with_program).unwrap();
+    let with_program = run_experiment(&["--json"]);
+    let summary: serde_json::Value = serde_json::from_slice(&with_program.stdout).expect("JSON");
     let cells = summary["cells"].as_array().unwrap();
     let differences: Vec<f64> = cells.iter().filter_map(|cell| cell["difference"].as_f64()).collect();
     assert!(
