--- a/cli/tests/common/mod.rs
+++ b/cli/tests/common/mod.rs
@@ -1,11 +1,12 @@
-//! The operators' file of a small fleet, and processes that are killed when their test ends.
+//! Test fixtures: a configuration file with one instance, an entry of the discovery response, and child processes that are killed
+//! when their test ends.
 
 #![allow(dead_code)]
 
 use ivyhatch_socket_lab::scripted::Backend;
 use serde_json::{Value, json};
 
-/// A process that is killed when the test ends, also if it fails.
+/// A child process that is killed when the value is dropped, so also when the test panics.
 pub struct KillOnDrop(pub std::process::Child);
 
 impl Drop for KillOnDrop {
@@ -15,7 +16,8 @@
     }
 }
 
-/// A file with one instance, `a-1`.
+/// The text of an operators' configuration file with one zone, `a`, one request class, `find`, and one instance, `a-1`. `discovery` is
+/// the `host:port` of the discovery service.
 pub fn single_instance_config(discovery: &str) -> String {
     format!(
         "version = 1\n[log]\nformat = \"json\"\n[fleet]\nzones = [\"a\"]\ndiscovery = \"{discovery}\"\n[[class]]\nname = \"find\"\n\
@@ -23,7 +25,7 @@
     )
 }
 
-/// A server's entry in the discovery response.
+/// The entry of a scripted backend in the discovery response.
 pub fn server_entry(uid: &str, backend: &Backend, zone: &str) -> Value {
     json!({"uid": uid, "endpoint": backend.address.to_string(), "az": zone, "model": "k", "pod_group": 0, "state": "Ready",
         "capacity_hint": 1.0, "boot_ms": 0})
--- a/cli/tests/fleet.rs
+++ b/cli/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Agents with real nodes: instances that crash, hang or are killed are restarted, and each command has one result for each
+//! Agents with real node processes: instances that crash, hang or are killed are restarted, and each command has one result per
 //! instance.
 
 mod common;
@@ -16,18 +16,20 @@
 use ivyhatch_socket_lab::scripted::{Backend, BackendReply, Client, Discovery, ok, status, wait_until};
 use serde_json::{Value, json};
 
-/// An agent with its nodes; all of them end with the test.
+/// An agent and its node processes; dropping it kills all of them.
 struct TestFleet {
     folder: tempfile::TempDir,
+    /// `None` while the agent is killed and not started again.
     agent: Option<Child>,
 }
 
 impl TestFleet {
+    /// A fleet without a reachable discovery service. `instances` has the name and the zone of each instance.
     fn new(instances: &[(&str, &str)]) -> Self {
         Self::with_discovery(instances, "127.0.0.1:1")
     }
 
-    /// A site whose nodes discover their servers at this address.
+    /// A fleet whose nodes get their server list from the discovery service at this address.
     fn with_discovery(instances: &[(&str, &str)], discovery: &str) -> Self {
         let folder = tempfile::tempdir().unwrap();
         let mut text = format!(
@@ -66,16 +68,18 @@
     }
 
     fn kill_agent(&mut self) {
-        let mut agent = self.agent.take().expect("it runs");
+        let mut agent = self.agent.take().expect("the agent is running");
         agent.kill().unwrap();
         agent.wait().unwrap();
     }
 
+    /// Runs a command with the fleet's configuration file.
     fn run(&self, arguments: &[&str]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_ivyhatch"));
         command.args(arguments).arg("--config").arg(self.config_file()).stdin(Stdio::null()).output().unwrap()
     }
 
+    /// The status line of each instance, by instance name.
     fn status(&self) -> BTreeMap<String, Value> {
         let output = self.run(&["status", "--json"]);
         lines(&output)
@@ -89,6 +93,7 @@
         !status.is_empty() && status.values().all(|instance| instance["phase"] == "ready")
     }
 
+    /// The process id of each instance, by instance name; 0 if it has no process.
     fn pids(&self) -> BTreeMap<String, i64> {
         self.status().into_iter().map(|(name, line)| (name, line["pid"].as_i64().unwrap_or(0))).collect()
     }
@@ -100,7 +105,7 @@
             let _ = agent.kill();
             let _ = agent.wait();
         }
-        // The agent's records name the processes that still run.
+        // The nodes outlive the agent; its run records contain their process ids.
         for entry in std::fs::read_dir(self.folder.path().join("state/run")).into_iter().flatten().flatten() {
             let text = std::fs::read_to_string(entry.path()).unwrap_or_default();
             if let Some(pid) =
@@ -112,36 +117,47 @@
     }
 }
 
+/// Sends a signal, such as `-KILL`; does nothing if there is no such process.
 fn signal(signal_name: &str, pid: i64) {
     let _ = Command::new("kill").args([signal_name, &pid.to_string()]).stderr(Stdio::null()).status();
 }
 
+/// Parses each line of standard output as JSON.
 fn lines(output: &Output) -> Vec<Value> {
     let text = String::from_utf8_lossy(&output.stdout);
-    text.lines().map(|line| serde_json::from_str(line).unwrap_or_else(|_| panic!("{text}"))).collect()
+    text.lines()
+        .map(|line| {
+            serde_json::from_str(line)
+                .unwrap_or_else(|_| panic!("standard output has a line that is not JSON: {text}"))
+        })
+        .collect()
 }
 
-/// The result for each instance, as the tool gives it.
+/// The instance and the result in each line of a command's JSON output.
 fn results(output: &Output) -> Vec<(String, String)> {
     let text_field = |line: &Value, field: &str| line[field].as_str().unwrap_or("?").to_owned();
     lines(output).iter().map(|line| (text_field(line, "instance"), text_field(line, "result"))).collect()
 }
 
+/// The expected [`results`] if each of these instances has the same result.
 fn expected_results(names: &[&str], result: &str) -> Vec<(String, String)> {
     names.iter().map(|name| ((*name).to_owned(), result.to_owned())).collect()
 }
 
+/// Name and zone of four instances, two in each zone.
 const FOUR_INSTANCES: [(&str, &str); 4] = [("a-1", "a"), ("a-2", "a"), ("b-1", "b"), ("b-2", "b")];
 
 #[test]
 fn killed_or_hung_instances_are_restarted_and_a_new_agent_adopts_running_ones() {
     let mut fleet = TestFleet::new(&FOUR_INSTANCES);
-    wait_until("all are ready", || fleet.are_all_ready());
+    wait_until("all instances are ready", || fleet.are_all_ready());
     let initial_pids = fleet.pids();
     signal("-KILL", initial_pids["a-1"]);
     signal("-STOP", initial_pids["b-1"]);
-    wait_until("the silent one is reported", || fleet.status()["b-1"]["phase"] == "unresponsive");
-    wait_until("both are new", || {
+    wait_until("the stopped process of b-1 is reported as unresponsive", || {
+        fleet.status()["b-1"]["phase"] == "unresponsive"
+    });
+    wait_until("a-1 and b-1 are ready with new processes", || {
         fleet.are_all_ready()
             && fleet.pids()["a-1"] != initial_pids["a-1"]
             && fleet.pids()["b-1"] != initial_pids["b-1"]
@@ -150,16 +166,16 @@
     assert_eq!(
         (pids_after_restart["a-2"], pids_after_restart["b-2"]),
         (initial_pids["a-2"], initial_pids["b-2"]),
-        "the others were left alone"
+        "process ids of the instances that were not disturbed"
     );
     assert_eq!(fleet.status()["a-1"]["starts"], 2);
     let stopped = fleet.run(&["stop", "b-2", "--json"]);
     assert_eq!(results(&stopped), expected_results(&["b-2"], "done"));
-    // Killed outright, with one instance that dies while there is no agent.
+    // Kills the agent, and one instance while no agent is running.
     fleet.kill_agent();
     signal("-KILL", pids_after_restart["a-2"]);
     fleet.start_agent();
-    wait_until("what was wanted is there", || {
+    wait_until("the new agent restores the desired state: three instances ready, b-2 stopped", || {
         let status = fleet.status();
         let phase = |name: &str| status.get(name).map(|line| line["phase"].clone()).unwrap_or_default();
         ["a-1", "a-2", "b-1"].iter().all(|name| phase(name) == "ready") && phase("b-2") == "stopped"
@@ -168,17 +184,17 @@
     assert_eq!(
         (pids_after_adoption["a-1"], pids_after_adoption["b-1"]),
         (pids_after_restart["a-1"], pids_after_restart["b-1"]),
-        "found, and not started again"
+        "process ids of the running instances, which the new agent adopts"
     );
     assert_ne!(pids_after_adoption["a-2"], pids_after_restart["a-2"]);
     let second_agent = fleet.run(&["agent"]);
-    assert_eq!(second_agent.status.code(), Some(3), "two agents on one state");
+    assert_eq!(second_agent.status.code(), Some(3), "exit code of a second agent with the same state folder");
 }
 
 #[test]
 fn each_command_has_one_result_per_instance() {
     let fleet = TestFleet::new(&FOUR_INSTANCES);
-    wait_until("all are ready", || fleet.are_all_ready());
+    wait_until("all instances are ready", || fleet.are_all_ready());
     let dry_run = fleet.run(&["drain", "all", "--dry-run"]);
     assert!(
         String::from_utf8_lossy(&dry_run.stdout).contains("takes away 2 of zone a, of whose 2 0 would serve")
@@ -188,7 +204,7 @@
         (results(&rejected), rejected.status.code()),
         (expected_results(&["a-1", "a-2"], "refused"), Some(4))
     );
-    assert!(fleet.are_all_ready(), "nothing was done");
+    assert!(fleet.are_all_ready(), "a rejected drain leaves all instances ready");
     let initial_pids = fleet.pids();
     let drained = fleet.run(&["drain", "*-1", "--json", "--id", "c-1", "--by", "shift-1"]);
     assert_eq!(
@@ -201,22 +217,26 @@
         (&Value::Bool(true), &Value::from("ready"))
     );
     let reused_id = fleet.run(&["drain", "*-1", "--json", "--id", "c-1", "--by", "shift-2"]);
-    assert_eq!(results(&reused_id), expected_results(&["a-1", "b-1"], "refused"), "an id is one command's");
+    assert_eq!(
+        results(&reused_id),
+        expected_results(&["a-1", "b-1"], "refused"),
+        "a command id can't be reused by another command"
+    );
     let undrained = fleet.run(&["undrain", "tier=front,zone=a", "zone=b,*-1", "--json"]);
     assert_eq!(results(&undrained), expected_results(&["a-1", "a-2", "b-1"], "done"));
-    assert_eq!(fleet.pids(), initial_pids, "a drain is no end");
+    assert_eq!(fleet.pids(), initial_pids, "drain and undrain keep the processes");
     let restarted = fleet.run(&["restart", "b-2", "--json"]);
     assert_eq!(results(&restarted), expected_results(&["b-2"], "done"));
     assert_ne!(fleet.pids()["b-2"], initial_pids["b-2"]);
     let no_match = fleet.run(&["stop", "c-*"]);
-    assert_eq!(no_match.status.code(), Some(4), "nobody is meant");
+    assert_eq!(no_match.status.code(), Some(4), "exit code if no instance matches");
 }
 
-/// Two conflicting commands at the same time: for each instance one of them is carried out.
+/// Two conflicting commands for one instance at the same time: the instance ends in the state that one of them requests.
 #[test]
 fn only_one_of_two_concurrent_conflicting_commands_takes_effect() {
     let fleet = TestFleet::new(&FOUR_INSTANCES);
-    wait_until("all are ready", || fleet.are_all_ready());
+    wait_until("all instances are ready", || fleet.are_all_ready());
     let command = |verb: &str, by: &str| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_ivyhatch"));
         command.args([verb, "a-1", "--json", "--by", by, "--config"]).arg(fleet.config_file());
@@ -226,17 +246,25 @@
         .map(|child| child.wait_with_output().unwrap());
     let wanted = fleet.status()["a-1"]["wanted"].as_str().unwrap().to_owned();
     let winner = usize::from(wanted == "stopped");
-    assert_eq!(results(&outputs[winner]), expected_results(&["a-1"], "done"), "{wanted}");
-    // The other was refused, or was done before it was overtaken.
+    assert_eq!(
+        results(&outputs[winner]),
+        expected_results(&["a-1"], "done"),
+        "result of the command whose state is wanted: {wanted}"
+    );
+    // The other command was rejected, or it was done before the first one superseded it.
     let other_result = &results(&outputs[1 - winner])[0].1;
-    assert!(["refused", "done"].contains(&other_result.as_str()), "{other_result}");
+    assert!(
+        ["refused", "done"].contains(&other_result.as_str()),
+        "result of the superseded command: {other_result}"
+    );
 }
 
-/// One agent hangs, one answers garbage, one is not there: the fourth carries the command out, and each has its line.
+/// Of four agents, one never responds, one responds with garbage and one does not exist. The fourth carries out the command, and the
+/// output has a line for each agent.
 #[test]
 fn faulty_agents_do_not_prevent_commands_at_other_agents() {
     let fleet = TestFleet::new(&[("a-1", "a"), ("a-2", "a")]);
-    wait_until("all are ready", || fleet.are_all_ready());
+    wait_until("all instances are ready", || fleet.are_all_ready());
     let folder = tempfile::tempdir().unwrap();
     let socket_paths = ["hangs", "garbage", "gone"].map(|name| folder.path().join(name));
     let unresponsive_listener = UnixListener::bind(&socket_paths[0]).unwrap();
@@ -257,7 +285,7 @@
     assert_eq!(command_results[0], ("a-1".to_owned(), "done".to_owned()));
     assert!(
         command_results[1..].iter().all(|(name, result)| name.starts_with("agent ") && result == "unknown"),
-        "{command_results:?}"
+        "each faulty agent has the result unknown: {command_results:?}"
     );
     assert_eq!((command_results.len(), output.status.code()), (4, Some(5)));
     drop(unresponsive_listener);
@@ -266,16 +294,16 @@
 #[test]
 fn rollout_proceeds_by_zone_and_stops_when_an_instance_does_not_become_ready() {
     let fleet = TestFleet::new(&FOUR_INSTANCES);
-    wait_until("all are ready", || fleet.are_all_ready());
+    wait_until("all instances are ready", || fleet.are_all_ready());
     let initial_pids = fleet.pids();
     let successful = fleet.run(&["rollout", "all", "--watch", "0.2", "--json"]);
     assert_eq!(results(&successful), expected_results(&["a-1", "a-2", "b-1", "b-2"], "done"));
     let final_pids = fleet.pids();
     assert!(
         initial_pids.iter().all(|(name, pid)| final_pids[name] != *pid),
-        "{initial_pids:?} {final_pids:?}"
+        "process ids before and after the rollout: {initial_pids:?} {final_pids:?}"
     );
-    // A file that has turned bad: no node comes back from a restart, and the first one shows it.
+    // With an invalid configuration file no node starts again after a restart, so the rollout stops at the first instance.
     let text = std::fs::read_to_string(fleet.config_file()).unwrap();
     std::fs::write(fleet.config_file(), text.replace("aim_ms = 800", "aim_ms = 8000")).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_ivyhatch"));
@@ -289,10 +317,13 @@
         .arg(fleet.agent_socket())
         .output();
     let logs = String::from_utf8(logs.unwrap().stdout).unwrap();
-    assert!(logs.contains("aim_ms: 8000; wanted: deadline_ms, 3000, at most"), "{logs}");
+    assert!(
+        logs.contains("aim_ms: 8000; wanted: deadline_ms, 3000, at most"),
+        "the log of a-1 names the invalid field: {logs}"
+    );
 }
 
-/// Servers that fail from the first zone's restart on: the rollout sees it in what is served, and goes no further.
+/// Servers fail from the restart of the first zone on: the rollout detects the lower served ratio and stops before the next zone.
 #[test]
 fn rollout_stops_when_the_served_ratio_falls() {
     let are_servers_failing = Arc::new(AtomicBool::new(false));
@@ -303,7 +334,7 @@
     });
     let discovery = Discovery::new(json!([server_entry("s-0", &backend, "b")]));
     let fleet = TestFleet::with_discovery(&[("a-1", "a"), ("b-1", "b")], &discovery.address.to_string());
-    wait_until("all are ready", || fleet.are_all_ready());
+    wait_until("all instances are ready", || fleet.are_all_ready());
     let address: SocketAddr = fleet.status()["b-1"]["said"][0]["listen"].as_str().unwrap().parse().unwrap();
     let is_client_stopped = Arc::new(AtomicBool::new(false));
     let is_stopped = is_client_stopped.clone();
@@ -322,7 +353,7 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_ivyhatch"));
     command.args(["rollout", "all", "--watch", "1.5", "--json", "--config"]).arg(fleet.config_file());
     let rollout = command.stdin(Stdio::null()).stdout(Stdio::piped()).spawn().unwrap();
-    wait_until("the first zone is restarted", || fleet.status()["a-1"]["starts"] == 2);
+    wait_until("the instance of the first zone has been restarted", || fleet.status()["a-1"]["starts"] == 2);
     are_servers_failing.store(true, Ordering::SeqCst);
     let output = rollout.wait_with_output().unwrap();
     is_client_stopped.store(true, Ordering::SeqCst);
@@ -333,6 +364,6 @@
     let reason = lines(&output)[1]["why"].as_str().unwrap().to_owned();
     assert!(
         reason.starts_with("stopped: after zone a ") && reason.ends_with(" was served, 1.000 before"),
-        "{reason}"
+        "reason for stopping the rollout: {reason}"
     );
 }
--- a/cli/tests/golden_command_line.rs
+++ b/cli/tests/golden_command_line.rs
@@ -1,5 +1,5 @@
-//! What the command line prints without an agent, held fixed by golden files: the help of each command, what it says to wrong
-//! usage, and the operators' configuration as it is checked and shown.
+//! Compares the output of commands that need no agent with golden files: the help of each command, usage errors, and the checks and
+//! the printed settings of an operators' configuration file.
 
 mod golden;
 
@@ -8,7 +8,7 @@
 
 use golden::{assert_golden, assert_golden_folder};
 
-/// Each command, as a shell would have it; the empty one is the program itself.
+/// The arguments of each command, separated by spaces; empty for the program without a command.
 const COMMANDS: [&str; 34] = [
     "",
     "demo",
@@ -46,26 +46,31 @@
     "--version",
 ];
 
-/// The file of a command's help.
+/// The name of the golden file with a command's help.
 fn help_file_name(command: &str) -> String {
     let name = if command.is_empty() { "ivyhatch" } else { command };
     format!("{}.txt", name.trim_start_matches('-').replace(' ', "-"))
 }
 
-/// What the program prints for these arguments in a folder, with nothing in its environment.
+/// Runs the program in a folder with an empty environment; returns its exit code, standard output and standard error as text.
 fn output_in(folder: &Path, arguments: &[&str]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_ivyhatch"));
-    let output = command.args(arguments).env_clear().current_dir(folder).output().expect("the program runs");
-    let to_text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).expect("text");
+    let output = command
+        .args(arguments)
+        .env_clear()
+        .current_dir(folder)
+        .output()
+        .expect("the ivyhatch program can be run");
+    let to_text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).expect("the output is UTF-8");
     format!(
         "exit code {}\n\n## standard output\n{}\n## standard error\n{}",
-        output.status.code().expect("an exit code"),
+        output.status.code().expect("the program ends with an exit code"),
         to_text(&output.stdout),
         to_text(&output.stderr),
     )
 }
 
-/// What the program prints for these arguments.
+/// Like [`output_in`], in the folder of this crate.
 fn output(arguments: &[&str]) -> String {
     output_in(Path::new(env!("CARGO_MANIFEST_DIR")), arguments)
 }
@@ -110,7 +115,7 @@
     assert_golden("config_fields_json.txt", &output(&["config", "fields", "--json"]));
 }
 
-/// A file of the operators with a value in each kind of table.
+/// A valid operators' configuration file with both kinds of table: sections and lists of named items.
 const VALID_FILE: &str = r#"
 version = 1
 [log]
@@ -137,7 +142,7 @@
 enabled = false
 "#;
 
-/// A file with several mistakes.
+/// An operators' configuration file with several errors: an unknown field, and invalid values.
 const INVALID_FILE: &str = r#"
 version = 1
 [fleet]
@@ -153,9 +158,9 @@
 
 #[test]
 fn configuration_files_are_checked_and_printed() {
-    let folder = tempfile::tempdir().expect("a folder");
-    std::fs::write(folder.path().join("sound.toml"), VALID_FILE).expect("written");
-    std::fs::write(folder.path().join("wrong.toml"), INVALID_FILE).expect("written");
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
+    std::fs::write(folder.path().join("sound.toml"), VALID_FILE).expect("sound.toml can be written");
+    std::fs::write(folder.path().join("wrong.toml"), INVALID_FILE).expect("wrong.toml can be written");
     let mut transcript = String::new();
     for command_line in [
         "config check sound.toml",
--- a/cli/tests/golden_fleet.rs
+++ b/cli/tests/golden_fleet.rs
@@ -1,5 +1,5 @@
-//! The commands that ask agents, held fixed by golden files: what they print, their exit codes, and the lines that they send. The
-//! agent is a stand-in, so that each answer of an agent can be had.
+//! Compares the commands that call agents with golden files: their output, exit codes and requests. A scripted agent takes the place of
+//! a real one, so that the tests can produce each response of an agent.
 
 mod golden;
 
@@ -13,13 +13,16 @@
 use golden::assert_golden;
 use serde_json::{Value, json};
 
+/// File name of the agent's socket in the folder in which a command runs.
 const SOCKET: &str = "agent.sock";
+/// Response of an agent that has carried out a command other than a restart.
 const DONE_RESPONSE: &str = r#"{"done":{"revision":5}}"#;
+/// Response of an agent that has begun a restart, with the number of starts and the process id before it.
 const RESTARTED_RESPONSE: &str = r#"{"done":{"starts":1,"pid":100}}"#;
 
-/// An instance as an agent shows it.
+/// An instance with a running process in an agent's status response; the zone is the part of `name` before the hyphen.
 fn instance(name: &str, phase: &str, wanted: &str) -> Value {
-    let zone = name.split('-').next().expect("a zone");
+    let zone = name.split('-').next().expect("the name begins with the zone");
     let node_state = json!({"name": name, "pid": 100, "phase": "serving", "open": 3,
         "answers": {"served": 10, "refused": 1, "failed": 2}});
     json!({"name": name, "zone": zone, "labels": {"tier": "front"}, "wanted": wanted, "phase": phase,
@@ -32,7 +35,7 @@
     instance
 }
 
-/// One instance in each phase.
+/// Instances in each phase; `draining` occurs twice, once with `drained` set.
 fn all_phases() -> Vec<Value> {
     let without_process =
         |instance: Value| with_field(with_field(instance, "pid", Value::Null), "said", Value::Null);
@@ -49,13 +52,14 @@
     ]
 }
 
-/// What a stand-in for an agent answers.
+/// The responses of a scripted agent.
 #[derive(Clone)]
 struct AgentScript {
-    /// Its instances, before it gets a command and afterwards.
+    /// Instances in status responses until the first command; if there are none, each request gets [`Self::command_response`].
     instances_before: Vec<Value>,
+    /// Instances in status responses after the first command.
     instances_after: Vec<Value>,
-    /// Its line in answer to a command.
+    /// Response line to a command; if empty, the agent closes the connection instead.
     command_response: String,
 }
 
@@ -64,17 +68,18 @@
         Self { instances_before, instances_after, command_response: command_response.to_owned() }
     }
 
-    /// An agent that gets no command.
+    /// An agent with these instances that expects no command; it closes the connection on one.
     fn with_instances(instances: Vec<Value>) -> Self {
         Self::new(instances.clone(), "", instances)
     }
 
-    /// An agent with one instance that is ready, which answers a command so and shows the instance so afterwards.
+    /// An agent with one ready instance, `a-1`. It responds to a command with this line, and from then on `instance_after` takes the place
+    /// of that instance.
     fn with_command_response(command_response: &str, instances_after: Value) -> Self {
         Self::new(vec![instance("a-1", "ready", "running")], command_response, vec![instances_after])
     }
 
-    /// One that answers whatever it is asked with this line.
+    /// An agent that responds to every request with this line.
     fn always_responding(line: &str) -> Self {
         Self::new(Vec::new(), line, Vec::new())
     }
@@ -98,9 +103,9 @@
         }
     }
 
-    /// Answers on a socket; returns the requests as they come.
+    /// Serves connections on a socket in the background; returns the list to which each received request line is appended.
     fn serve(self, socket: &Path) -> Arc<Mutex<Vec<String>>> {
-        let listener = UnixListener::bind(socket).expect("a socket");
+        let listener = UnixListener::bind(socket).expect("the agent socket can be bound");
         let requests: Arc<Mutex<Vec<String>>> = Arc::default();
         let (received, is_commanded) = (requests.clone(), Arc::new(Mutex::new(false)));
         thread::spawn(move || {
@@ -118,12 +123,13 @@
         requests: &Mutex<Vec<String>>,
         is_commanded: &Mutex<bool>,
     ) {
-        let mut writer = stream.try_clone().expect("a socket");
+        let mut writer = stream.try_clone().expect("the connection can be duplicated");
         for line in BufReader::new(stream).lines().map_while(Result::ok) {
-            let request = serde_json::from_str(&line).expect("JSON");
-            requests.lock().expect("no test has failed").push(line);
-            let response = self.response(&request, &mut is_commanded.lock().expect("no test has failed"));
-            // An empty answer ends the connection.
+            let request = serde_json::from_str(&line).expect("the request is JSON");
+            requests.lock().expect("no thread panicked with the lock held").push(line);
+            let response = self
+                .response(&request, &mut is_commanded.lock().expect("no thread panicked with the lock held"));
+            // An empty response means that the agent closes the connection.
             if response.is_empty() || writer.write_all(format!("{response}\n").as_bytes()).is_err() {
                 return;
             }
@@ -131,26 +137,34 @@
     }
 }
 
-/// Commands with what they print, and the requests that they send.
+/// Command lines, each with its exit code, its output and the requests that it sent.
 #[derive(Default)]
 struct Transcript(String);
 
 impl Transcript {
-    /// Runs a command against a stand-in for an agent, or none.
+    /// Runs a command and adds it. `script` is the agent on the command's socket; with `None` there is no such socket.
     fn run(&mut self, arguments: &str, script: Option<AgentScript>) {
-        let folder = tempfile::tempdir().expect("a folder");
+        let folder = tempfile::tempdir().expect("a temporary folder can be created");
         let requests = script.map(|script| script.serve(&folder.path().join(SOCKET))).unwrap_or_default();
         let mut command = Command::new(env!("CARGO_BIN_EXE_ivyhatch"));
         command.args(arguments.split_whitespace()).args(["--agent", SOCKET]);
         let output = command.env_clear().current_dir(folder.path()).stdin(Stdio::null()).output();
-        let output = output.expect("the program runs");
-        // Those who wait ask again and again; how often depends on the machine.
-        let mut requests = requests.lock().expect("no test has failed").clone();
+        let output = output.expect("the ivyhatch program can be run");
+        // Commands that wait poll the agent, and the number of polls depends on the machine's speed: keeps one of equal requests in a row.
+        let mut requests = requests.lock().expect("no thread panicked with the lock held").clone();
         requests.dedup();
-        self.0 +=
-            &format!("# ivyhatch {arguments}\nexit code {}\n", output.status.code().expect("an exit code"));
-        self.0 += &format!("## standard output\n{}", String::from_utf8(output.stdout).expect("text"));
-        self.0 += &format!("## standard error\n{}", String::from_utf8(output.stderr).expect("text"));
+        self.0 += &format!(
+            "# ivyhatch {arguments}\nexit code {}\n",
+            output.status.code().expect("the program ends with an exit code")
+        );
+        self.0 += &format!(
+            "## standard output\n{}",
+            String::from_utf8(output.stdout).expect("standard output is UTF-8")
+        );
+        self.0 += &format!(
+            "## standard error\n{}",
+            String::from_utf8(output.stderr).expect("standard error is UTF-8")
+        );
         self.0 += &format!(
             "## requests\n{}\n",
             requests.iter().map(|line| format!("{line}\n")).collect::<String>()
--- a/cli/tests/golden_http.rs
+++ b/cli/tests/golden_http.rs
@@ -1,5 +1,5 @@
-//! HTTP answers of the control and router roles, held fixed by golden files: status, headers and body of each answer that a role
-//! gives by itself, and of a server's answer that a router forwards.
+//! Compares HTTP responses of the control and router roles with golden files: status, headers and body of the responses that a role
+//! creates itself, and of server responses that a router forwards.
 
 mod golden;
 mod system_common;
--- a/cli/tests/golden_http/control.rs
+++ b/cli/tests/golden_http/control.rs
@@ -1,4 +1,4 @@
-//! Answers of the control role: to operators, and of the directory.
+//! HTTP responses of the control role: those of its operator API and those of its directory.
 
 use std::net::SocketAddr;
 
@@ -11,19 +11,20 @@
     CONTROL, CORE, DIRECTORY, FRONT, Process, TestCluster, configuration, wait_until,
 };
 
+/// Path of the configuration in the operator API.
 const CONFIG: &str = "/-/config";
 
-/// A control node that is a group by itself, and where its operators call.
+/// Starts a control node that is the only member of its group; returns its process and the address of its operator API.
 fn start_single_control_node(cluster: &TestCluster) -> (Process, SocketAddr) {
     let control = cluster.control(CORE[0], &CORE[..1], true);
     let address = cluster.at(CORE[0], CONTROL);
-    wait_until("the control node leads", || {
+    wait_until("the single control node is voter and leader of each partition", || {
         call(address, "GET", "/-/status", None, "").is_some_and(|(_, status)| is_settled(&status, 1))
     });
     (control, address)
 }
 
-/// Whether a status shows a group of so many voters, and a leader of each partition.
+/// Whether a status shows a quorum, exactly this number of voters, no replica that lags behind, and a leader of each partition.
 fn is_settled(status: &Value, voters: usize) -> bool {
     let replicas = status["replicas"].as_array().map(Vec::as_slice).unwrap_or_default();
     let partitions = status["partitions"].as_array().map(Vec::as_slice).unwrap_or_default();
@@ -34,11 +35,13 @@
         && partitions.iter().all(|partition| !partition["leader"].is_null())
 }
 
+/// The `If-Match` header line for a change that is based on the revision `base`.
 fn if_match(base: &str) -> String {
     format!("If-Match: {base}\r\n")
 }
 
-/// A configuration with each kind of field: named items, other fields, and fields that this version does not know.
+/// A configuration with revision 5 and each kind of field: lists of named items, other sections, and sections that this version of the
+/// software does not define.
 fn full_configuration() -> Value {
     let split_fields =
         json!({"service": null, "split": [{"service": "s", "weight": 3}, {"service": "t", "weight": 1.5}]});
@@ -46,7 +49,7 @@
         configuration(5, &[("a", json!({})), ("b", json!({"route_kind": "unsafe"})), ("c", split_fields)]);
     let engine_service =
         json!({"name": "t", "engine": {"slots": 4, "cache_tokens": 1000}, "cold_s": 2.5, "cold_per_s": 7});
-    config_json["services"].as_array_mut().expect("a list").push(engine_service);
+    config_json["services"].as_array_mut().expect("the services are a list").push(engine_service);
     config_json["limits"] = json!({"max_header_bytes": 8000, "max_body_bytes": 100000, "header_timeout_ms": 2000,
         "idle_timeout_ms": 9000});
     config_json["unknown_section"] = json!([{"name": "u", "x": [1, {"y": null}]}]);
@@ -107,16 +110,16 @@
     assert_golden("control/config_patched_first.txt", transcript.text());
 }
 
-/// A configuration that could follow revision 5.
+/// A valid configuration with revision 7, which can replace a configuration with revision 5.
 fn valid_configuration() -> String {
     configuration(7, &[("a", json!({})), ("b", json!({}))]).to_string()
 }
 
-/// Configurations that can't follow revision 5, and what is wrong with each.
+/// Configurations that are rejected as a replacement of revision 5. The first element completes the title "PUT of a configuration ...".
 fn invalid_configurations() -> Vec<(&'static str, String)> {
     let valid = valid_configuration();
     let modified = |change: &dyn Fn(&mut Value)| {
-        let mut changed: Value = serde_json::from_str(&valid).expect("JSON");
+        let mut changed: Value = serde_json::from_str(&valid).expect("the valid configuration is JSON");
         change(&mut changed);
         changed.to_string()
     };
@@ -180,7 +183,7 @@
     ]
 }
 
-/// Changes that can't be made to revision 5, and what is wrong with each.
+/// Changes that are rejected on top of revision 5. The first element completes the title "PATCH of a change ...".
 fn invalid_changes() -> [(&'static str, Value); 5] {
     [
         ("that does not raise the revision", json!({"revision": 5})),
@@ -248,7 +251,9 @@
     let cluster = TestCluster::new();
     let _control = cluster.control(CORE[0], &CORE, true);
     let address = cluster.at(CORE[0], CONTROL);
-    wait_until("it listens", || call(address, "GET", "/-/status", None, "").is_some());
+    wait_until("the control node answers GET /-/status", || {
+        call(address, "GET", "/-/status", None, "").is_some()
+    });
     let mut transcript = Transcript::of(&cluster);
     let first_configuration = full_configuration().to_string();
     transcript.ask("GET of the configuration", address, &operator_request("GET", CONFIG, "", ""));
@@ -262,24 +267,24 @@
     assert_golden("control/no_quorum.txt", transcript.text());
 }
 
-/// Masks the names of replicas, which are random.
+/// Masks the names of the replicas in a status, as they contain a random part.
 fn mask_replicas(transcript: &mut Transcript, status: &Value) {
-    for replica in status["replicas"].as_array().expect("replicas") {
-        let name = replica["replica"].as_str().expect("a name");
-        let (node, _) = name.split_once('/').expect("a node and its disk");
-        let host = node.rsplit('.').next().expect("a host");
+    for replica in status["replicas"].as_array().expect("the status has a list of replicas") {
+        let name = replica["replica"].as_str().expect("a replica has a name");
+        let (node, _) = name.split_once('/').expect("a replica's name consists of a node and its disk");
+        let host = node.rsplit('.').next().expect("a node is named by its IP address");
         transcript.replace(name, &format!("<replica of {host}>"));
     }
 }
 
-/// Masks which node leads a partition: the first one to ask for it.
+/// Masks the leader of each partition, as the first node to request the leadership becomes leader.
 fn mask_leaders(transcript: &mut Transcript, cluster: &TestCluster) {
     for host in CORE {
         transcript.replace(&format!(r#""leader":"{}""#, cluster.ip(host)), r#""leader":"<leader>""#);
     }
 }
 
-/// Waits for a status that meets a condition, and adds it to the transcript.
+/// Requests the status until it meets a condition, and adds that response to the transcript.
 fn ask_status(
     transcript: &mut Transcript,
     title: &str,
@@ -289,12 +294,12 @@
     let mut latest = None;
     wait_until(title, || {
         let response = Client::to(address).ask(&operator_request("GET", "/-/status", "", ""));
-        let status = serde_json::from_slice(&response.body).expect("JSON");
+        let status = serde_json::from_slice(&response.body).expect("the status is JSON");
         let is_met = is_expected(&status);
         latest = Some((response, status));
         is_met
     });
-    let (response, status) = latest.expect("an answer");
+    let (response, status) = latest.expect("the control node sent a status");
     mask_replicas(transcript, &status);
     transcript.add(title, &response);
 }
@@ -337,7 +342,7 @@
     let mut transcript = Transcript::of(&cluster);
     mask_leaders(&mut transcript, &cluster);
     let address = cluster.at(CORE[0], CONTROL);
-    wait_until("three vote", || {
+    wait_until("the group has three voters and a leader of each partition", || {
         call(address, "GET", "/-/status", None, "").is_some_and(|(_, status)| is_settled(&status, 3))
     });
     let _fourth = cluster.control(16, &CORE, false);
@@ -364,7 +369,7 @@
                 .directory(CORE[0], region)
                 .is_some_and(|response| response["addresses"] == expected_addresses)
         };
-        wait_until("the directory knows the router", is_resolved);
+        wait_until("the directory resolves the region to its router", is_resolved);
     }
     for (title, query) in [
         ("GET for a region", "?name=h.example&region=ra&zone=za"),
--- a/cli/tests/golden_http/router.rs
+++ b/cli/tests/golden_http/router.rs
@@ -1,4 +1,4 @@
-//! Answers of the router role: its readiness, its own rejections, and what it makes of servers' answers.
+//! HTTP responses of the router role: readiness, rejections, and the responses for each kind of server response.
 
 use std::sync::Arc;
 
@@ -12,12 +12,13 @@
 use super::system_common::transcript::{Transcript, operator_request};
 use super::system_common::{CORE, FRONT, READINESS, ROUTER, TestCluster, configuration, wait_until};
 
-/// Two routes to one service: requests of the first may run more than once, those of the second may not.
+/// A configuration with two routes to one service. Requests of the route `safe` may be executed more than once, those of the route
+/// `unsafe` at most once.
 fn safe_and_unsafe_routes() -> Value {
     configuration(1, &[("safe", json!({})), ("unsafe", json!({"route_kind": "unsafe"}))])
 }
 
-/// A request to a router, without a body; `headers` are whole lines.
+/// A GET request to a router; `headers` consists of complete header lines, each ending in CRLF, and may be followed by a body.
 fn router_request(path: &str, headers: &str) -> Vec<u8> {
     format!("GET {path} HTTP/1.1\r\nHost: h.example\r\n{headers}\r\n").into_bytes()
 }
@@ -28,7 +29,9 @@
     let mut router = cluster.router(ROUTER, &CORE[..1]);
     let (front_address, readiness_address) = (cluster.at(ROUTER, FRONT), cluster.at(ROUTER, READINESS));
     let readiness_request = operator_request("GET", "/-/readyz", "", "");
-    wait_until("it listens", || call(readiness_address, "GET", "/-/readyz", None, "").is_some());
+    wait_until("the router answers GET /-/readyz", || {
+        call(readiness_address, "GET", "/-/readyz", None, "").is_some()
+    });
     let mut transcript = Transcript::of(&cluster);
     transcript.ask("GET of the readiness without a configuration", readiness_address, &readiness_request);
     transcript.ask("request without a configuration", front_address, &get("r1", "/safe/x"));
@@ -46,7 +49,7 @@
     );
     transcript.ask("request to a router that serves", front_address, &get("r2", "/safe/x"));
     router.signal("TERM");
-    wait_until("it is no longer ready", || !cluster.is_ready(ROUTER));
+    wait_until("the router reports that it is not ready", || !cluster.is_ready(ROUTER));
     transcript.ask("GET of the readiness of a router that ends", readiness_address, &readiness_request);
     transcript.ask("request to a router that ends", front_address, &get("r3", "/safe/x"));
     router.kill();
@@ -108,7 +111,7 @@
     ] {
         transcript.ask(title, front_address, &request);
     }
-    assert_eq!(server.count(), 0, "no request has reached the server");
+    assert_eq!(server.count(), 0, "number of rejected requests that were sent to the server");
     assert_golden("router/rejections.txt", transcript.text());
 }
 
@@ -129,7 +132,7 @@
     transcript.ask("request with the id of an open request", front_address, &get("r1", "/safe/x"));
     gate.open();
     let head = first_client.head();
-    let body = first_client.try_body(&head).expect("a whole answer");
+    let body = first_client.try_body(&head).expect("the response to the first request is complete");
     transcript.add("the open request", &Answer { head, body });
     assert_golden("router/id_in_use.txt", transcript.text());
 }
@@ -150,8 +153,8 @@
     assert_golden("router/no_server.txt", transcript.text());
 }
 
-/// Compares what a router answers once on each route, with servers that do this with each request. Each route's request has a
-/// system of its own, so that neither finds what the other has left: kept connections, or servers that are ejected.
+/// Compares the responses of a router to one request per route with a golden file, where both servers follow this script. Each of the
+/// two requests has a cluster of its own, so that neither is affected by open connections or ejected servers of the other one.
 fn assert_responses_with_faulty_servers(
     name: &str,
     headers: &str,
@@ -172,8 +175,14 @@
     std::thread::scope(|scope| {
         let safe_thread = scope.spawn(|| send_once("GET", "/safe/x"));
         let unsafe_thread = scope.spawn(|| send_once("POST", "/unsafe/x"));
-        transcript.add("request that may run more than once", &safe_thread.join().expect("an answer"));
-        transcript.add("request that may run once", &unsafe_thread.join().expect("an answer"));
+        transcript.add(
+            "request that may run more than once",
+            &safe_thread.join().expect("the safe request got a response"),
+        );
+        transcript.add(
+            "request that may run once",
+            &unsafe_thread.join().expect("the unsafe request got a response"),
+        );
     });
     assert_golden(&format!("router/{name}.txt"), transcript.text());
 }
@@ -240,7 +249,7 @@
     });
     let mut config_json = safe_and_unsafe_routes();
     let streaming_route = route("events", &json!({"route_kind": "streaming", "resumable": true}));
-    config_json["routes"].as_array_mut().expect("routes").push(streaming_route);
+    config_json["routes"].as_array_mut().expect("the routes are a list").push(streaming_route);
     let _served = cluster.serving(&[&server], &config_json);
     let front_address = cluster.at(ROUTER, FRONT);
     let mut transcript = Transcript::of(&cluster);
--- a/cli/tests/golden_node.rs
+++ b/cli/tests/golden_node.rs
@@ -1,4 +1,4 @@
-//! The lines on a node's control socket and its answers to clients, held fixed by golden files.
+//! Compares a node's responses on its control socket and its HTTP responses to clients with golden files.
 
 mod common;
 mod golden;
@@ -16,7 +16,7 @@
 use serde_json::{Value, json};
 use system_common::transcript::Transcript;
 
-/// Fields whose values differ from run to run.
+/// Fields of control socket responses whose values differ between runs.
 const VARIABLE_FIELDS: [&str; 9] = [
     "pid",
     "version",
@@ -34,25 +34,26 @@
 
 impl ControlSocket {
     fn connect(path: &Path) -> Self {
-        let stream = UnixStream::connect(path).expect("it listens");
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a timeout");
+        let stream = UnixStream::connect(path).expect("the node listens on its control socket");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("the read timeout can be set");
         Self(BufReader::new(stream))
     }
 
-    /// Sends a line; returns the line in answer.
+    /// Sends a request line; returns the response line without its line feed.
     fn request(&mut self, line: &str) -> String {
-        self.0.get_mut().write_all(format!("{line}\n").as_bytes()).expect("it is written");
+        self.0.get_mut().write_all(format!("{line}\n").as_bytes()).expect("the node reads the request");
         let mut response = String::new();
-        self.0.read_line(&mut response).expect("an answer");
+        self.0.read_line(&mut response).expect("the node responds on its control socket");
         response.trim_end_matches('\n').to_owned()
     }
 
+    /// Like [`Self::request`], with the response parsed as JSON.
     fn request_json(&mut self, line: &str) -> Value {
-        serde_json::from_str(&self.request(line)).expect("JSON")
+        serde_json::from_str(&self.request(line)).expect("the response is JSON")
     }
 }
 
-/// Writes null for each value that differs from run to run.
+/// Replaces the values of [`VARIABLE_FIELDS`] with null, at each depth.
 fn mask(value: &mut Value) {
     match value {
         Value::Object(fields) => {
@@ -68,6 +69,7 @@
     }
 }
 
+/// Starts the node `a-1` with its control socket at this path.
 fn start_node(config_file: &Path, socket_path: &Path) -> KillOnDrop {
     let mut command = Command::new(env!("CARGO_BIN_EXE_ivyhatch"));
     command
@@ -75,22 +77,27 @@
         .arg(config_file)
         .arg("--control")
         .arg(socket_path);
-    KillOnDrop(command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("it starts"))
+    KillOnDrop(
+        command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("the node process can be started"),
+    )
 }
 
 #[test]
 fn node_responds_to_each_line_on_its_control_socket() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let (config_file, socket_path) = (folder.path().join("fleet.toml"), folder.path().join("a-1.sock"));
     let backend = Backend::new(|_| BackendReply::Write(ok("served")));
     let discovery = Discovery::new(json!([server_entry("s-0", &backend, "a")]));
-    std::fs::write(&config_file, single_instance_config(&discovery.address.to_string())).expect("written");
+    std::fs::write(&config_file, single_instance_config(&discovery.address.to_string()))
+        .expect("the configuration file can be written");
     let _node = start_node(&config_file, &socket_path);
-    wait_until("it listens", || UnixStream::connect(&socket_path).is_ok());
+    wait_until("the node listens on its control socket", || UnixStream::connect(&socket_path).is_ok());
     discovery.wait_for_watch_from(1);
     let mut socket = ControlSocket::connect(&socket_path);
     let servers = r#"{"op":"servers"}"#;
-    wait_until("its server is known", || !socket.request_json(servers)["servers"][0].is_null());
+    wait_until("the node's server list contains the server", || {
+        !socket.request_json(servers)["servers"][0].is_null()
+    });
     let state = r#"{"op":"state"}"#;
     let mut text = String::new();
     for line in [
@@ -106,20 +113,25 @@
         r#"{"op":"drain","unknown":true}"#,
     ] {
         let response = socket.request(line);
-        let mut value: Value = serde_json::from_str(&response).expect("JSON");
-        assert_eq!(value.to_string(), response, "it is written as this program writes JSON");
+        let mut value: Value = serde_json::from_str(&response).expect("the response is JSON");
+        assert_eq!(
+            value.to_string(),
+            response,
+            "the response to {line} has the JSON formatting of serde_json"
+        );
         mask(&mut value);
         text += &format!("> {line}\n< {value}\n");
     }
     assert_golden("node_socket.txt", &text);
 }
 
-/// Classes of each effect, and a tenant.
+/// Configuration sections that [`single_instance_config`] lacks: classes with the effects `by_key` and `once`, and a tenant.
 const CLASSES: &str = "[[class]]\nname = \"join\"\neffect = \"by_key\"\nkey_scope = \"zone\"\nwindow_ms = 5000\naim_ms = 800\n\
     deadline_ms = 3000\n[[class]]\nname = \"pay\"\neffect = \"once\"\naim_ms = 800\ndeadline_ms = 3000\n[[tenant]]\nname = \"acme\"\n\
     quota = 1000.0\n";
 
-/// A request to a node; `more` are whole header lines, a body, or nothing.
+/// A request of the tenant `acme` to a node. `headers_and_body` is empty, or has complete header lines, each ending in CRLF; a body follows
+/// after an empty line.
 fn node_request(method: &str, path: &str, id: &str, class: &str, headers_and_body: &str) -> Vec<u8> {
     let head = format!(
         "{method} {path} HTTP/1.1\r\nHost: h\r\nX-Call-Id: {id}\r\nX-Call-Class: {class}\r\nX-Caller: acme\r\n"
@@ -127,36 +139,39 @@
     format!("{head}X-Budget-Ms: 2000\r\n{headers_and_body}\r\n").into_bytes()
 }
 
-/// A request of a tenant, or of none.
+/// A request of this tenant, or without a tenant.
 fn request_of_tenant(tenant: Option<&str>) -> Vec<u8> {
     let tenant = tenant.map(|tenant| format!("X-Caller: {tenant}\r\n")).unwrap_or_default();
     let head = "GET /api HTTP/1.1\r\nHost: h\r\nX-Call-Id: r5\r\nX-Call-Class: find\r\nX-Budget-Ms: 2000\r\n";
     format!("{head}{tenant}\r\n").into_bytes()
 }
 
-/// Starts a node with one server; returns it with where clients call it, once it knows the server.
+/// Starts a node and waits until its server list contains the backend; returns its process and the address on which clients reach it.
 fn start_with_server(folder: &Path, backend: &Backend, discovery: &Discovery) -> (KillOnDrop, SocketAddr) {
     let (config_file, socket_path) = (folder.join("fleet.toml"), folder.join("a-1.sock"));
     std::fs::write(
         &config_file,
         format!("{}{CLASSES}", single_instance_config(&discovery.address.to_string())),
     )
-    .expect("written");
+    .expect("the configuration file can be written");
     let node = start_node(&config_file, &socket_path);
-    wait_until("it listens", || UnixStream::connect(&socket_path).is_ok());
+    wait_until("the node listens on its control socket", || UnixStream::connect(&socket_path).is_ok());
     discovery.wait_for_watch_from(1);
     let mut socket = ControlSocket::connect(&socket_path);
-    wait_until("its server is known", || {
+    wait_until("the node's server list contains the server", || {
         socket.request_json(r#"{"op":"servers"}"#)["servers"][0]["endpoint"]
             == json!(backend.address.to_string())
     });
-    let listen = socket.request_json(r#"{"op":"state"}"#)["listen"].as_str().expect("an address").parse();
-    (node, listen.expect("an address"))
+    let listen = socket.request_json(r#"{"op":"state"}"#)["listen"]
+        .as_str()
+        .expect("the state has the listen address")
+        .parse();
+    (node, listen.expect("the listen address can be parsed"))
 }
 
 #[test]
 fn node_responses_to_valid_and_invalid_requests() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let backend = Backend::new(|message| match message.value("x-call-class") {
         Some("pay") => BackendReply::Write(status(500, "")),
         _ => BackendReply::Write(ok("served")),
@@ -190,8 +205,8 @@
         ),
         ("two budgets", find_request("r5", "X-Budget-Ms: 1\r\n")),
         ("two tenants", find_request("r5", "X-Caller: acme\r\n")),
-("an unknown tenant", request_of_tenant(Some("nobody"))),
-("no tenant", request_of_tenant(None)),
+        ("an unknown tenant", request_of_tenant(Some("nobody"))),
+        ("no tenant", request_of_tenant(None)),
         ("a cost that is no number", find_request("r5", "X-Call-Cost: much\r\n")),
         ("the wrong method", node_request("POST", "/api", "r5", "find", "Content-Length: 0\r\n")),
         ("no key", node_request("POST", "/api", "r5", "join", "Content-Length: 0\r\n")),
@@ -211,20 +226,23 @@
 
 #[test]
 fn node_without_a_server_responds_503_with_retry_after() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let (config_file, socket_path) = (folder.path().join("fleet.toml"), folder.path().join("a-1.sock"));
     let discovery = Discovery::new(json!([]));
     std::fs::write(
         &config_file,
         format!("{}{CLASSES}", single_instance_config(&discovery.address.to_string())),
     )
-    .expect("written");
+    .expect("the configuration file can be written");
     let _node = start_node(&config_file, &socket_path);
-    wait_until("it listens", || UnixStream::connect(&socket_path).is_ok());
+    wait_until("the node listens on its control socket", || UnixStream::connect(&socket_path).is_ok());
     discovery.wait_for_watch_from(1);
     let mut socket = ControlSocket::connect(&socket_path);
-    let listen = socket.request_json(r#"{"op":"state"}"#)["listen"].as_str().expect("an address").parse();
-    let address: SocketAddr = listen.expect("an address");
+    let listen = socket.request_json(r#"{"op":"state"}"#)["listen"]
+        .as_str()
+        .expect("the state has the listen address")
+        .parse();
+    let address: SocketAddr = listen.expect("the listen address can be parsed");
     let mut transcript = Transcript::default();
     transcript.ask("request without a server", address, &node_request("GET", "/api", "r1", "find", ""));
     socket.request(r#"{"op":"drain"}"#);
