--- a/cli/tests/golden_fleet.rs
+++ b/cli/tests/golden_fleet.rs
@@ -75,8 +75,8 @@
 
     /// An agent with one ready instance, `a-1`. It responds to a command with this line, and from then on `instance_after` takes the place
     /// of that instance.
-    fn with_command_response(command_response: &str, instances_after: Value) -> Self {
-        Self::new(vec![instance("a-1", "ready", "running")], command_response, vec![instances_after])
+    fn with_command_response(command_response: &str, instance_after: Value) -> Self {
+        Self::new(vec![instance("a-1", "ready", "running")], command_response, vec![instance_after])
     }
 
     /// An agent that responds to every request with this line.
--- a/cli/tests/golden_http/control.rs
+++ b/cli/tests/golden_http/control.rs
@@ -45,16 +45,16 @@
 fn full_configuration() -> Value {
     let split_fields =
         json!({"service": null, "split": [{"service": "s", "weight": 3}, {"service": "t", "weight": 1.5}]});
-    let mut config_json =
+    let mut config =
         configuration(5, &[("a", json!({})), ("b", json!({"route_kind": "unsafe"})), ("c", split_fields)]);
     let engine_service =
         json!({"name": "t", "engine": {"slots": 4, "cache_tokens": 1000}, "cold_s": 2.5, "cold_per_s": 7});
-    config_json["services"].as_array_mut().expect("the services are a list").push(engine_service);
-    config_json["limits"] = json!({"max_header_bytes": 8000, "max_body_bytes": 100000, "header_timeout_ms": 2000,
+    config["services"].as_array_mut().expect("the services are a list").push(engine_service);
+    config["limits"] = json!({"max_header_bytes": 8000, "max_body_bytes": 100000, "header_timeout_ms": 2000,
         "idle_timeout_ms": 9000});
-    config_json["unknown_section"] = json!([{"name": "u", "x": [1, {"y": null}]}]);
-    config_json["unknown_field"] = json!({"z": "\u{e9}\"\\"});
-    config_json
+    config["unknown_section"] = json!([{"name": "u", "x": [1, {"y": null}]}]);
+    config["unknown_field"] = json!({"z": "\u{e9}\"\\"});
+    config
 }
 
 #[test]
@@ -123,10 +123,8 @@
         change(&mut changed);
         changed.to_string()
     };
-    let without_route_field = |field: &str| {
-        modified(&|config_json| {
-            drop(config_json["routes"][0].as_object_mut().map(|route| route.remove(field)))
-        })
+    let without_field = |field: &str| {
+        modified(&|config| drop(config["routes"][0].as_object_mut().map(|route| route.remove(field))))
     };
     vec![
         ("cut short", valid[..valid.len() - 9].to_owned()),
@@ -134,48 +132,29 @@
         ("that is empty", String::new()),
         (
             "without a revision",
-            modified(&|config_json| {
-                drop(config_json.as_object_mut().map(|config_json| config_json.remove("revision")))
-            }),
-        ),
-        (
-            "with a revision that is no whole number",
-            modified(&|config_json| config_json["revision"] = json!(7.5)),
-        ),
-        ("with the current revision", modified(&|config_json| config_json["revision"] = json!(5))),
-        (
-            "with two routes of one name",
-            modified(&|config_json| config_json["routes"][0]["name"] = json!("b")),
-        ),
-        ("with a route without a timeout", without_route_field("timeout_ms")),
-        ("with a route without a service", without_route_field("service")),
-        (
-            "with a timeout that is text",
-            modified(&|config_json| config_json["routes"][0]["timeout_ms"] = json!("8")),
-        ),
-        (
-            "with an unknown kind of route",
-            modified(&|config_json| config_json["routes"][0]["route_kind"] = json!("x")),
+            modified(&|config| drop(config.as_object_mut().map(|config| config.remove("revision")))),
         ),
+        ("with a revision that is no whole number", modified(&|config| config["revision"] = json!(7.5))),
+        ("with the current revision", modified(&|config| config["revision"] = json!(5))),
+        ("with two routes of one name", modified(&|config| config["routes"][0]["name"] = json!("b"))),
+        ("with a route without a timeout", without_field("timeout_ms")),
+        ("with a route without a service", without_field("service")),
+        ("with a timeout that is text", modified(&|config| config["routes"][0]["timeout_ms"] = json!("8"))),
+        ("with an unknown kind of route", modified(&|config| config["routes"][0]["route_kind"] = json!("x"))),
         (
             "with a field of the wrong kind in limits",
-            modified(&|config_json| config_json["limits"] = json!({"max_body_bytes": []})),
-        ),
-        (
-            "with an unknown service",
-            modified(&|config_json| config_json["routes"][0]["service"] = json!("z")),
+            modified(&|config| config["limits"] = json!({"max_body_bytes": []})),
         ),
+        ("with an unknown service", modified(&|config| config["routes"][0]["service"] = json!("z"))),
         (
             "with two routes at one place",
-            modified(&|config_json| config_json["routes"][0]["path_prefix"] = json!("/b/")),
+            modified(&|config| config["routes"][0]["path_prefix"] = json!("/b/")),
         ),
         (
             "with weights that sum to 0",
-            modified(&|config_json| {
-                config_json["routes"][0]["split"] = json!([{"service": "s", "weight": 0}])
-            }),
+            modified(&|config| config["routes"][0]["split"] = json!([{"service": "s", "weight": 0}])),
         ),
-        ("with a timeout of 0", modified(&|config_json| config_json["routes"][0]["timeout_ms"] = json!(0))),
+        ("with a timeout of 0", modified(&|config| config["routes"][0]["timeout_ms"] = json!(0))),
         (
             "that is nested too deeply",
             valid.replacen('{', &format!("{{\"deep\":{}{},", "[".repeat(130), "]".repeat(130)), 1),
--- a/cli/tests/golden_http/router.rs
+++ b/cli/tests/golden_http/router.rs
@@ -60,9 +60,9 @@
 fn router_rejects_malformed_and_unroutable_requests() {
     let cluster = TestCluster::new();
     let server = cluster.server(("i-1", "s", "za"), |received| ok(received, b"here"));
-    let mut config_json = safe_and_unsafe_routes();
-    config_json["limits"] = json!({"max_body_bytes": 1000});
-    let _served = cluster.serving(&[&server], &config_json);
+    let mut config = safe_and_unsafe_routes();
+    config["limits"] = json!({"max_body_bytes": 1000});
+    let _served = cluster.serving(&[&server], &config);
     let front_address = cluster.at(ROUTER, FRONT);
     let id_header = "Ivyhatch-Attempt-Id: r1\r\n";
     let mut transcript = Transcript::of(&cluster);
@@ -247,10 +247,10 @@
             ))]
         }
     });
-    let mut config_json = safe_and_unsafe_routes();
+    let mut config = safe_and_unsafe_routes();
     let streaming_route = route("events", &json!({"route_kind": "streaming", "resumable": true}));
-    config_json["routes"].as_array_mut().expect("the routes are a list").push(streaming_route);
-    let _served = cluster.serving(&[&server], &config_json);
+    config["routes"].as_array_mut().expect("the routes are a list").push(streaming_route);
+    let _served = cluster.serving(&[&server], &config);
     let front_address = cluster.at(ROUTER, FRONT);
     let mut transcript = Transcript::of(&cluster);
     transcript.add("an answer", &ask(front_address, &get("r1", "/safe/x")));
