--- a/cli/tests/fleet.rs
+++ b/cli/tests/fleet.rs
@@ -234,7 +234,7 @@
 
 /// Two conflicting commands for one instance at the same time: the instance ends in the state that one of them requests.
 #[test]
-fn only_one_of_two_concurrent_conflicting_commands_takes_effect() {
+fn concurrent_conflicting_commands_end_in_the_state_of_one_of_them() {
     let fleet = TestFleet::new(&FOUR_INSTANCES);
     wait_until("all instances are ready", || fleet.are_all_ready());
     let command = |verb: &str, by: &str| {
@@ -304,8 +304,8 @@
         "process ids before and after the rollout: {initial_pids:?} {final_pids:?}"
     );
     // With an invalid configuration file no node starts again after a restart, so the rollout stops at the first instance.
-    let text = std::fs::read_to_string(fleet.config_file()).unwrap();
-    std::fs::write(fleet.config_file(), text.replace("aim_ms = 800", "aim_ms = 8000")).unwrap();
+    let config_text = std::fs::read_to_string(fleet.config_file()).unwrap();
+    std::fs::write(fleet.config_file(), config_text.replace("aim_ms = 800", "aim_ms = 8000")).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_ivyhatch"));
     command.args(["rollout", "all", "--watch", "0.2", "--json", "--agent"]).arg(fleet.agent_socket());
     let failed = command.stdin(Stdio::null()).output().unwrap();
--- a/cli/tests/golden_fleet.rs
+++ b/cli/tests/golden_fleet.rs
@@ -36,7 +36,7 @@
 }
 
 /// Instances in each phase; `draining` occurs twice, once with `drained` set.
-fn all_phases() -> Vec<Value> {
+fn instances_in_all_phases() -> Vec<Value> {
     let without_process =
         |instance: Value| with_field(with_field(instance, "pid", Value::Null), "said", Value::Null);
     vec![
@@ -84,11 +84,11 @@
         Self::new(Vec::new(), line, Vec::new())
     }
 
-    fn response(&self, request: &Value, is_commanded: &mut bool) -> String {
+    fn response(&self, request: &Value, has_received_command: &mut bool) -> String {
         match request["op"].as_str() {
             _ if self.instances_before.is_empty() => self.command_response.clone(),
             Some("status") => {
-                let all = if *is_commanded { &self.instances_after } else { &self.instances_before };
+                let all = if *has_received_command { &self.instances_after } else { &self.instances_before };
                 let is_requested = |candidate: &&Value| {
                     request["instance"].is_null() || request["instance"] == candidate["name"]
                 };
@@ -97,7 +97,7 @@
             }
             Some("logs") => json!({"lines": ["first", "second"]}).to_string(),
             _ => {
-                *is_commanded = true;
+                *has_received_command = true;
                 self.command_response.clone()
             }
         }
@@ -107,11 +107,12 @@
     fn serve(self, socket: &Path) -> Arc<Mutex<Vec<String>>> {
         let listener = UnixListener::bind(socket).expect("the agent socket can be bound");
         let requests: Arc<Mutex<Vec<String>>> = Arc::default();
-        let (received, is_commanded) = (requests.clone(), Arc::new(Mutex::new(false)));
+        let (received, has_received_command) = (requests.clone(), Arc::new(Mutex::new(false)));
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (script, received, is_commanded) = (self.clone(), received.clone(), is_commanded.clone());
-                thread::spawn(move || script.serve_connection(stream, &received, &is_commanded));
+                let (script, received, has_received_command) =
+                    (self.clone(), received.clone(), has_received_command.clone());
+                thread::spawn(move || script.serve_connection(stream, &received, &has_received_command));
             }
         });
         requests
@@ -121,14 +122,16 @@
         &self,
         stream: UnixStream,
         requests: &Mutex<Vec<String>>,
-        is_commanded: &Mutex<bool>,
+        has_received_command: &Mutex<bool>,
     ) {
         let mut writer = stream.try_clone().expect("the connection can be duplicated");
         for line in BufReader::new(stream).lines().map_while(Result::ok) {
             let request = serde_json::from_str(&line).expect("the request is JSON");
             requests.lock().expect("no thread panicked with the lock held").push(line);
-            let response = self
-                .response(&request, &mut is_commanded.lock().expect("no thread panicked with the lock held"));
+            let response = self.response(
+                &request,
+                &mut has_received_command.lock().expect("no thread panicked with the lock held"),
+            );
             // An empty response means that the agent closes the connection.
             if response.is_empty() || writer.write_all(format!("{response}\n").as_bytes()).is_err() {
                 return;
@@ -175,7 +178,7 @@
 #[test]
 fn status_top_and_logs_print_instances() {
     let mut transcript = Transcript::default();
-    let script = || Some(AgentScript::with_instances(all_phases()));
+    let script = || Some(AgentScript::with_instances(instances_in_all_phases()));
     transcript.run("status", script());
     transcript.run("status --json", script());
     transcript.run("status zone=b,*-1 tier=none a-3", script());
@@ -245,7 +248,7 @@
 #[test]
 fn commands_that_remove_much_capacity_require_confirmation() {
     let mut transcript = Transcript::default();
-    let script = || Some(AgentScript::with_instances(all_phases()));
+    let script = || Some(AgentScript::with_instances(instances_in_all_phases()));
     for verb in ["start", "stop", "drain", "undrain", "restart", "rollout"] {
         transcript.run(&format!("{verb} all --dry-run"), script());
     }
