--- a/cli/tests/fleet.rs
+++ b/cli/tests/fleet.rs
@@ -303,7 +303,8 @@
         initial_pids.iter().all(|(name, pid)| final_pids[name] != *pid),
         "process ids before and after the rollout: {initial_pids:?} {final_pids:?}"
     );
-    // With an invalid configuration file no node starts again after a restart, so the rollout stops at the first instance.
+    // With an invalid configuration file (a latency target above the deadline) no node starts again after a restart, so the rollout stops
+    // at the first instance.
     let config_text = std::fs::read_to_string(fleet.config_file()).unwrap();
     std::fs::write(fleet.config_file(), config_text.replace("aim_ms = 800", "aim_ms = 8000")).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_ivyhatch"));
--- a/cli/tests/golden_fleet.rs
+++ b/cli/tests/golden_fleet.rs
@@ -30,6 +30,7 @@
         "said": [node_state, 12]})
 }
 
+/// The instance with another value in one field.
 fn with_field(mut instance: Value, field: &str, value: Value) -> Value {
     instance[field] = value;
     instance
@@ -84,6 +85,7 @@
         Self::new(Vec::new(), line, Vec::new())
     }
 
+    /// Returns the response line to a request. `has_received_command` becomes true with the first command.
     fn response(&self, request: &Value, has_received_command: &mut bool) -> String {
         match request["op"].as_str() {
             _ if self.instances_before.is_empty() => self.command_response.clone(),
