--- a/cli/tests/golden_command_line.rs
+++ b/cli/tests/golden_command_line.rs
@@ -1,5 +1,5 @@
-//! What the command line prints without an agent, held fixed by golden files: the help of each command, what it says to wrong
-//! usage, and the operators' configuration as it is checked and shown.
+//! Compares the output of commands that need no agent with golden files: the help of each command, usage errors, and the checks and
+//! the printed settings of an operators' configuration file.
 
 mod golden;
 
@@ -8,7 +8,7 @@
 
 use golden::{assert_golden, assert_golden_folder};
 
-/// Each command, as a shell would have it; the empty one is the program itself.
+/// The arguments of each command, separated by spaces; empty for the program without a command.
 const COMMANDS: [&str; 34] = [
     "",
     "demo",
@@ -46,45 +46,50 @@
     "--version",
 ];
 
-/// The file of a command's help.
-fn file_name(command: &str) -> String {
+/// The name of the golden file with a command's help.
+fn help_file_name(command: &str) -> String {
     let name = if command.is_empty() { "ivyhatch" } else { command };
     format!("{}.txt", name.trim_start_matches('-').replace(' ', "-"))
 }
 
-/// What the program prints for these arguments in a folder, with nothing in its environment.
+/// Runs the program in a folder with an empty environment; returns its exit code, standard output and standard error as text.
 fn output_in(folder: &Path, arguments: &[&str]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_ivyhatch"));
-    let output = command.args(arguments).env_clear().current_dir(folder).output().expect("the program runs");
-    let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).expect("text");
+    let output = command
+        .args(arguments)
+        .env_clear()
+        .current_dir(folder)
+        .output()
+        .expect("the ivyhatch program can be run");
+    let to_text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).expect("the output is UTF-8");
     format!(
         "exit code {}\n\n## standard output\n{}\n## standard error\n{}",
-        output.status.code().expect("an exit code"),
-        text(&output.stdout),
-        text(&output.stderr),
+        output.status.code().expect("the program ends with an exit code"),
+        to_text(&output.stdout),
+        to_text(&output.stderr),
     )
 }
 
-/// What the program prints for these arguments.
+/// Like [`output_in`], in the folder of this crate.
 fn output(arguments: &[&str]) -> String {
     output_in(Path::new(env!("CARGO_MANIFEST_DIR")), arguments)
 }
 
 #[test]
-fn each_command_has_its_help() {
+fn each_command_prints_its_help() {
     for command in COMMANDS {
         let mut arguments: Vec<&str> = command.split_whitespace().collect();
         if !command.starts_with("help") && !command.starts_with('-') {
             arguments.push("--help");
         }
         let text = output(&arguments).replace(env!("CARGO_PKG_VERSION"), "<version>");
-        assert_golden(&format!("help/{}", file_name(command)), &text);
+        assert_golden(&format!("help/{}", help_file_name(command)), &text);
     }
-    assert_golden_folder("help", &COMMANDS.map(file_name));
+    assert_golden_folder("help", &COMMANDS.map(help_file_name));
 }
 
 #[test]
-fn wrong_usage_is_explained() {
+fn usage_errors_are_reported() {
     let mut transcript = String::new();
     for arguments in [
         vec![],
@@ -105,13 +110,13 @@
 }
 
 #[test]
-fn configuration_fields_are_listed() {
+fn config_fields_lists_all_fields() {
     assert_golden("config_fields.txt", &output(&["config", "fields"]));
     assert_golden("config_fields_json.txt", &output(&["config", "fields", "--json"]));
 }
 
-/// A file of the operators with a value in each kind of table.
-const SOUND_FILE: &str = r#"
+/// A valid operators' configuration file with both kinds of table: sections and lists of named items.
+const VALID_FILE: &str = r#"
 version = 1
 [log]
 format = "json"
@@ -137,8 +142,8 @@
 enabled = false
 "#;
 
-/// A file with several mistakes.
-const WRONG_FILE: &str = r#"
+/// An operators' configuration file with several errors: an unknown field, and invalid values.
+const INVALID_FILE: &str = r#"
 version = 1
 [fleet]
 zones = ["a"]
@@ -152,12 +157,12 @@
 "#;
 
 #[test]
-fn configuration_files_are_checked_and_shown() {
-    let folder = tempfile::tempdir().expect("a folder");
-    std::fs::write(folder.path().join("sound.toml"), SOUND_FILE).expect("written");
-    std::fs::write(folder.path().join("wrong.toml"), WRONG_FILE).expect("written");
+fn configuration_files_are_checked_and_printed() {
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
+    std::fs::write(folder.path().join("sound.toml"), VALID_FILE).expect("sound.toml can be written");
+    std::fs::write(folder.path().join("wrong.toml"), INVALID_FILE).expect("wrong.toml can be written");
     let mut transcript = String::new();
-    for arguments in [
+    for command_line in [
         "config check sound.toml",
         "config check sound.toml --json",
         "config show sound.toml",
@@ -168,8 +173,8 @@
         "config check missing.toml",
         "node --config sound.toml --instance nothing",
     ] {
-        let split: Vec<&str> = arguments.split_whitespace().collect();
-        transcript += &format!("# ivyhatch {arguments}\n{}\n", output_in(folder.path(), &split));
+        let arguments: Vec<&str> = command_line.split_whitespace().collect();
+        transcript += &format!("# ivyhatch {command_line}\n{}\n", output_in(folder.path(), &arguments));
     }
     assert_golden("config_files.txt", &transcript);
 }
