--- a/cli/src/config.rs
+++ b/cli/src/config.rs
@@ -11,7 +11,7 @@
 use crate::exit::UNUSABLE;
 
 /// The operators' file that commands read if none is named.
-pub const DEFAULT_FILE: &str = "deploy/ivyhatch.toml";
+pub const DEFAULT_CONFIG_FILE: &str = "deploy/ivyhatch.toml";
 
 /// Columns after which `config show --origin` stops to align the origins.
 const MAX_ALIGNED_COLUMNS: usize = 60;
@@ -34,7 +34,7 @@
 #[derive(Args)]
 pub struct FileArguments {
     /// The file.
-    #[arg(default_value = DEFAULT_FILE)]
+    #[arg(default_value = DEFAULT_CONFIG_FILE)]
     file: PathBuf,
     /// One JSON object a line.
     #[arg(long)]
@@ -44,7 +44,7 @@
 #[derive(Args)]
 pub struct ShowArguments {
     #[command(flatten)]
-    which: FileArguments,
+    input: FileArguments,
     /// Where each value comes from.
     #[arg(long)]
     origin: bool,
@@ -113,15 +113,15 @@
 }
 
 fn show(arguments: &ShowArguments) -> ExitCode {
-    let loaded = match load(&arguments.which.file) {
+    let loaded = match load(&arguments.input.file) {
         Ok(loaded) => loaded,
-        Err(diagnostics) => return report_diagnostics(&diagnostics, arguments.which.json),
+        Err(diagnostics) => return report_diagnostics(&diagnostics, arguments.input.json),
     };
     let lengths = loaded.settings.iter().map(|setting| setting.field.len() + setting.value.to_string().len());
     let width = lengths.max().unwrap_or(0).min(MAX_ALIGNED_COLUMNS) + " = ".len();
     for setting in &loaded.settings {
         let line = format!("{} = {}", setting.field, setting.value);
-        match (arguments.which.json, arguments.origin) {
+        match (arguments.input.json, arguments.origin) {
             (true, _) => println!("{}", json!(setting)),
             (false, true) => println!("{line:width$}  # {}", setting.origin),
             (false, false) => println!("{line}"),
--- a/cli/src/coordination/client.rs
+++ b/cli/src/coordination/client.rs
@@ -16,8 +16,8 @@
 /// A node that does not answer within this is left, beside what a watch waits for.
 const NODE_TIMEOUT: Duration = Duration::from_secs(1);
 /// The pause once all nodes were asked in vain, at first and at most.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 /// Where the paths of watches begin.
 const WATCH_PREFIX: &str = "/-/watch/";
 
@@ -26,7 +26,7 @@
 pub enum CallError {
     /// It was decided against.
     #[error("{text}")]
-    Refused {
+    Rejected {
         /// The status of the answer.
         status: StatusCode,
         /// What the control node says.
@@ -47,8 +47,8 @@
 }
 
 /// One try of a call.
-enum TryOutcome {
-    Answered(StatusCode, Value),
+enum AttemptOutcome {
+    Responded(StatusCode, Value),
     /// Nothing was done.
     NotStarted,
     /// Something may have been done.
@@ -57,14 +57,14 @@
 
 /// A client of some control nodes.
 pub struct ControlClient {
-    control: Vec<SocketAddr>,
-    next: usize,
+    nodes: Vec<SocketAddr>,
+    next_node: usize,
 }
 
 impl ControlClient {
     /// A client of the control nodes at these addresses.
-    pub fn new(control: Vec<SocketAddr>) -> Self {
-        Self { control, next: 0 }
+    pub fn new(nodes: Vec<SocketAddr>) -> Self {
+        Self { nodes, next_node: 0 }
     }
 
     /// Sends a call until an answer is clear, for `limit`. Every call may be carried out twice: a lock is given to its holder again, a
@@ -72,61 +72,63 @@
     ///
     /// # Errors
     /// Where the answer is no success, or none is clear in time.
-    pub async fn call_until_clear(
+    pub async fn call_with_retries(
         &mut self,
         method: Method,
         path: &str,
         body: Option<&Value>,
-        limit: Duration,
+        time_limit: Duration,
     ) -> Result<Value, CallError> {
-        let end = Instant::now() + limit;
+        let deadline = Instant::now() + time_limit;
         let Ok(uri) = format!("/-/{path}").parse::<Uri>() else {
             let text = format!("{path:?}: a name has letters, digits and the characters . _ - :");
             return Err(CallError::Invalid { text });
         };
-        let (mut pause, mut may_be_done) = (FIRST_PAUSE, false);
+        let (mut backoff, mut may_have_executed) = (INITIAL_BACKOFF, false);
         loop {
-            for _ in 0..self.control.len() {
-                match self.try_once(&method, &uri, body, limit).await {
-                    TryOutcome::Answered(StatusCode::OK, answer) => return Ok(answer),
-                    TryOutcome::Answered(StatusCode::BAD_REQUEST, answer) => {
-                        return Err(CallError::Invalid { text: text_of(&answer) });
+            for _ in 0..self.nodes.len() {
+                match self.try_node(&method, &uri, body, time_limit).await {
+                    AttemptOutcome::Responded(StatusCode::OK, response) => return Ok(response),
+                    AttemptOutcome::Responded(StatusCode::BAD_REQUEST, response) => {
+                        return Err(CallError::Invalid { text: error_text(&response) });
                     }
-                    TryOutcome::Answered(status, answer) => {
-                        return Err(CallError::Refused { status, text: text_of(&answer) });
+                    AttemptOutcome::Responded(status, response) => {
+                        return Err(CallError::Rejected { status, text: error_text(&response) });
                     }
-                    TryOutcome::NotStarted => {}
-                    TryOutcome::Unknown => may_be_done = true,
+                    AttemptOutcome::NotStarted => {}
+                    AttemptOutcome::Unknown => may_have_executed = true,
                 }
-                self.next = (self.next + 1) % self.control.len();
-                if Instant::now() >= end {
-                    return Err(if may_be_done { CallError::Unknown } else { CallError::NotStarted });
+                self.next_node = (self.next_node + 1) % self.nodes.len();
+                if Instant::now() >= deadline {
+                    return Err(if may_have_executed { CallError::Unknown } else { CallError::NotStarted });
                 }
             }
-            sleep(pause).await;
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            sleep(backoff).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 
-    async fn try_once(
+    async fn try_node(
         &self,
         method: &Method,
         uri: &Uri,
         body: Option<&Value>,
-        limit: Duration,
-    ) -> TryOutcome {
-        let address = self.control[self.next];
+        time_limit: Duration,
+    ) -> AttemptOutcome {
+        let address = self.nodes[self.next_node];
         let Ok(Ok(stream)) = timeout(NODE_TIMEOUT, TcpStream::connect(address)).await else {
-            return TryOutcome::NotStarted;
+            return AttemptOutcome::NotStarted;
         };
         // A watch is answered after its wait; everything else within a second.
-        let answer_limit = if uri.path().starts_with(WATCH_PREFIX) { limit } else { NODE_TIMEOUT };
-        match timeout(answer_limit, exchange(stream, address, method, uri, body)).await {
+        let response_timeout = if uri.path().starts_with(WATCH_PREFIX) { time_limit } else { NODE_TIMEOUT };
+        match timeout(response_timeout, exchange(stream, address, method, uri, body)).await {
             Ok(Ok((StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS, _))) => {
-                TryOutcome::NotStarted
+                AttemptOutcome::NotStarted
             }
-            Ok(Ok((status, answer))) if !status.is_server_error() => TryOutcome::Answered(status, answer),
-            _ => TryOutcome::Unknown,
+            Ok(Ok((status, response))) if !status.is_server_error() => {
+                AttemptOutcome::Responded(status, response)
+            }
+            _ => AttemptOutcome::Unknown,
         }
     }
 }
@@ -155,6 +157,6 @@
     Ok((status, serde_json::from_slice(&bytes).unwrap_or(Value::Null)))
 }
 
-fn text_of(answer: &Value) -> String {
-    answer["error"].as_str().unwrap_or("the control node gives no reason").to_owned()
+fn error_text(response: &Value) -> String {
+    response["error"].as_str().unwrap_or("the control node gives no reason").to_owned()
 }
--- a/cli/src/coordination/lock_run.rs
+++ b/cli/src/coordination/lock_run.rs
@@ -13,18 +13,18 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::time::{Instant, sleep, sleep_until};
 
-use super::CALL_LIMIT;
+use super::CALL_TIME_LIMIT;
 use super::client::{CallError, ControlClient};
 use crate::exit::{FAILURE, REJECTED};
 
 /// The fencing token of the lock, for the command.
 const FENCE_VARIABLE: &str = "FENCE";
 /// A lock that another holds is asked for again after this.
-const ASK_AGAIN: Duration = Duration::from_millis(250);
+const ACQUIRE_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 /// A lock is renewed when this part of its time is over ...
-const RENEW_AFTER: f64 = 0.33;
+const RENEW_AFTER_FRACTION: f64 = 0.33;
 /// ... and the command gets SIGTERM when this part is over without a renewal.
-const TERMINATE_AFTER: f64 = 0.75;
+const TERMINATE_AFTER_FRACTION: f64 = 0.75;
 
 /// The arguments of `ivyhatch lock run`.
 #[derive(Clone, Debug)]
@@ -41,31 +41,31 @@
     path: String,
     holder: String,
     fence: u64,
-    hold: Duration,
+    hold_time: Duration,
     /// When the last good call was sent.
-    counted_from: Instant,
+    hold_started: Instant,
 }
 
 impl HeldLock {
     /// The moment when a part of the time is over.
-    fn after(&self, part: f64) -> Instant {
-        self.counted_from + self.hold.mul_f64(part)
+    fn instant_at(&self, fraction: f64) -> Instant {
+        self.hold_started + self.hold_time.mul_f64(fraction)
     }
 
     async fn renew(&mut self, client: &mut ControlClient) -> Result<(), CallError> {
         let sent_at = Instant::now();
         let body =
-            json!({"holder": self.holder, "fence": self.fence, "hold_ms": self.hold.as_millis() as u64});
-        let left = self.after(1.0).saturating_duration_since(sent_at);
-        client.call_until_clear(Method::PUT, &self.path, Some(&body), left).await?;
-        self.counted_from = sent_at;
+            json!({"holder": self.holder, "fence": self.fence, "hold_ms": self.hold_time.as_millis() as u64});
+        let remaining = self.instant_at(1.0).saturating_duration_since(sent_at);
+        client.call_with_retries(Method::PUT, &self.path, Some(&body), remaining).await?;
+        self.hold_started = sent_at;
         Ok(())
     }
 
     async fn release(&self, client: &mut ControlClient) {
         let body = json!({"holder": self.holder, "fence": self.fence});
         // Where nobody answers, the lock is free when its time is over.
-        let _ = client.call_until_clear(Method::DELETE, &self.path, Some(&body), self.hold).await;
+        let _ = client.call_with_retries(Method::DELETE, &self.path, Some(&body), self.hold_time).await;
     }
 }
 
@@ -100,16 +100,16 @@
     let wait_end = Instant::now() + Duration::from_secs(arguments.wait_s);
     loop {
         let sent_at = Instant::now();
-        let hold = Duration::from_millis(arguments.hold_ms);
-        match client.call_until_clear(Method::POST, &path, Some(&body), CALL_LIMIT).await {
-            Ok(answer) if sent_at.elapsed() < hold => {
-                let fence = answer["fence"].as_u64().unwrap_or_default();
-                return Ok(HeldLock { path, holder, fence, hold, counted_from: sent_at });
+        let hold_time = Duration::from_millis(arguments.hold_ms);
+        match client.call_with_retries(Method::POST, &path, Some(&body), CALL_TIME_LIMIT).await {
+            Ok(response) if sent_at.elapsed() < hold_time => {
+                let fence = response["fence"].as_u64().unwrap_or_default();
+                return Ok(HeldLock { path, holder, fence, hold_time, hold_started: sent_at });
             }
             // It came too late to be of use.
             Ok(_) => {}
-            Err(CallError::Refused { status: StatusCode::CONFLICT, .. }) if Instant::now() < wait_end => {
-                sleep(ASK_AGAIN).await;
+            Err(CallError::Rejected { status: StatusCode::CONFLICT, .. }) if Instant::now() < wait_end => {
+                sleep(ACQUIRE_RETRY_INTERVAL).await;
             }
             Err(error) => return Err(error),
         }
@@ -123,35 +123,35 @@
     else {
         return crate::exit::report_unusable("can't handle signals");
     };
-    let mut is_lost = false;
+    let mut is_lock_lost = false;
     loop {
-        let renew_at = if is_lost { lock.after(1.0) } else { lock.after(RENEW_AFTER) };
+        let wake_at = if is_lock_lost { lock.instant_at(1.0) } else { lock.instant_at(RENEW_AFTER_FRACTION) };
         tokio::select! {
-            status = child.wait() => return exit_code(status.ok().and_then(|status| status.code()), is_lost),
-            _ = interrupt.recv() => send_terminate(child),
-            _ = terminate.recv() => send_terminate(child),
-            () = sleep_until(renew_at) => {
-                if is_lost {
+            status = child.wait() => return exit_code(status.ok().and_then(|status| status.code()), is_lock_lost),
+            _ = interrupt.recv() => send_sigterm(child),
+            _ = terminate.recv() => send_sigterm(child),
+            () = sleep_until(wake_at) => {
+                if is_lock_lost {
                     // Its time is over: another may hold the lock.
                     let _ = child.kill().await;
                     continue;
                 }
-                let terminate_at = lock.after(TERMINATE_AFTER);
+                let terminate_at = lock.instant_at(TERMINATE_AFTER_FRACTION);
                 let renewed = tokio::select! {
                     renewed = lock.renew(client) => renewed.is_ok(),
                     () = sleep_until(terminate_at) => false,
                 };
                 if !renewed {
-                    is_lost = true;
+                    is_lock_lost = true;
                     eprintln!("ivyhatch: the lock can't be renewed: the command is ended");
-                    send_terminate(child);
+                    send_sigterm(child);
                 }
             }
         }
     }
 }
 
-fn send_terminate(child: &Child) {
+fn send_sigterm(child: &Child) {
     let pid = child.id().and_then(|id| Pid::from_raw(id as i32));
     if let Some(pid) = pid {
         // A process that has ended meanwhile needs no signal.
@@ -160,8 +160,8 @@
 }
 
 /// The command's own code; 4 where the lock was lost.
-fn exit_code(code: Option<i32>, is_lost: bool) -> ExitCode {
-    if is_lost {
+fn exit_code(code: Option<i32>, is_lock_lost: bool) -> ExitCode {
+    if is_lock_lost {
         return ExitCode::from(REJECTED);
     }
     ExitCode::from(code.and_then(|code| u8::try_from(code).ok()).unwrap_or(FAILURE))
--- a/cli/src/coordination/mod.rs
+++ b/cli/src/coordination/mod.rs
@@ -24,15 +24,15 @@
 /// Names the control nodes where the command line does not.
 const CONTROL_VARIABLE: &str = "IVYHATCH_CONTROL";
 /// How long a command goes on without a clear answer.
-const CALL_LIMIT: Duration = Duration::from_secs(10);
+const CALL_TIME_LIMIT: Duration = Duration::from_secs(10);
 /// How long one watch waits at a control node.
 const WATCH_WAIT_MS: u64 = 20_000;
 
 /// Where the control nodes are, and how to print.
 #[derive(Clone, Debug)]
-struct Common {
-    control: Vec<SocketAddr>,
-    json: bool,
+struct CommonOptions {
+    control_nodes: Vec<SocketAddr>,
+    as_json: bool,
 }
 
 /// A command of applications.
@@ -45,17 +45,17 @@
     NumberNext { name: String },
 }
 
-fn common_parser() -> impl Parser<Common> {
-    let control = long("control")
+fn common_parser() -> impl Parser<CommonOptions> {
+    let control_nodes = long("control")
         .env(CONTROL_VARIABLE)
         .help("addresses of control nodes, as HOST:PORT,HOST:PORT; also in IVYHATCH_CONTROL")
         .argument::<String>("ADDRESSES")
         .parse(|text| text.split(',').map(str::parse).collect::<Result<Vec<SocketAddr>, _>>());
-    let json = long("json").help("prints JSON").switch();
-    construct!(Common { control, json })
+    let as_json = long("json").help("prints JSON").switch();
+    construct!(CommonOptions { control_nodes, as_json })
 }
 
-fn lock_parser() -> impl Parser<(Common, Command)> {
+fn lock_parser() -> impl Parser<(CommonOptions, Command)> {
     let common = common_parser();
     let hold_ms = long("hold-ms")
         .help("the lock is held for so long after its last renewal")
@@ -83,7 +83,7 @@
         .help("runs a command while a lock is held")
 }
 
-fn cell_parser() -> impl Parser<(Common, Command)> {
+fn cell_parser() -> impl Parser<(CommonOptions, Command)> {
     let get = {
         let common = common_parser();
         let name = positional::<String>("CELL").help("the cell");
@@ -120,7 +120,7 @@
     construct!([get, put, watch])
 }
 
-fn number_parser() -> impl Parser<(Common, Command)> {
+fn number_parser() -> impl Parser<(CommonOptions, Command)> {
     let common = common_parser();
     let name = positional::<String>("NAME").help("the name under which numbers rise");
     let next = construct!(Command::NumberNext { name });
@@ -131,7 +131,7 @@
         .help("prints the next number of a name")
 }
 
-fn parser() -> OptionParser<(Common, Command)> {
+fn parser() -> OptionParser<(CommonOptions, Command)> {
     let lock = lock_parser().to_options().descr("Locks").command("lock").help("locks");
     let cell = cell_parser().to_options().descr("Cells").command("cell").help("cells and watches");
     let number = number_parser().to_options().descr("Numbers").command("number").help("numbers that rise");
@@ -153,23 +153,23 @@
     })
 }
 
-fn run(common: Common, command: Command) -> ExitCode {
+fn run(common: CommonOptions, command: Command) -> ExitCode {
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => return crate::exit::report_unusable(format!("can't start: {error}")),
     };
-    let client = ControlClient::new(common.control);
+    let client = ControlClient::new(common.control_nodes);
     runtime.block_on(async {
         match command {
             Command::LockRun(run) => report(lock_run::run(client, run)).await,
-            Command::CellGet { name } => report(get(client, common.json, name)).await,
+            Command::CellGet { name } => report(get_cell(client, common.as_json, name)).await,
             Command::CellPut { name, value, expected_revision } => {
-                report(put(client, common.json, name, value, expected_revision)).await
+                report(put_cell(client, common.as_json, name, value, expected_revision)).await
             }
             Command::CellWatch { group, after, count } => {
-                report(watch(client, common.json, group, after, count)).await
+                report(watch_cells(client, common.as_json, group, after, count)).await
             }
-            Command::NumberNext { name } => report(next_number(client, common.json, name)).await,
+            Command::NumberNext { name } => report(next_number(client, common.as_json, name)).await,
         }
     })
 }
@@ -181,7 +181,7 @@
         Err(error) => {
             eprintln!("ivyhatch: {error}");
             ExitCode::from(match error {
-                CallError::Refused { .. } => REJECTED,
+                CallError::Rejected { .. } => REJECTED,
                 CallError::Invalid { .. } => WRONG_USAGE,
                 CallError::NotStarted => UNUSABLE,
                 CallError::Unknown => UNKNOWN,
@@ -191,23 +191,24 @@
 }
 
 /// Prints an answer: all of it as JSON, or one field of it.
-fn print(answer: &Value, json: bool, field: &str) {
-    match &answer[field] {
-        _ if json => println!("{answer}"),
+fn print_response(response: &Value, as_json: bool, field: &str) {
+    match &response[field] {
+        _ if as_json => println!("{response}"),
         Value::String(text) => println!("{text}"),
         other => println!("{other}"),
     }
 }
 
-async fn get(mut client: ControlClient, json: bool, name: String) -> Result<ExitCode, CallError> {
-    let answer = client.call_until_clear(Method::GET, &format!("cells/{name}"), None, CALL_LIMIT).await?;
-    print(&answer, json, "value");
+async fn get_cell(mut client: ControlClient, as_json: bool, name: String) -> Result<ExitCode, CallError> {
+    let response =
+        client.call_with_retries(Method::GET, &format!("cells/{name}"), None, CALL_TIME_LIMIT).await?;
+    print_response(&response, as_json, "value");
     Ok(ExitCode::SUCCESS)
 }
 
-async fn put(
+async fn put_cell(
     mut client: ControlClient,
-    json: bool,
+    as_json: bool,
     name: String,
     value: String,
     expected_revision: Option<u64>,
@@ -216,41 +217,41 @@
     if let Some(expected) = expected_revision {
         body["enabled"] = json!(expected); // wire name
     }
-    let answer =
-        client.call_until_clear(Method::PUT, &format!("cells/{name}"), Some(&body), CALL_LIMIT).await?;
-    print(&answer, json, "rev");
+    let response =
+        client.call_with_retries(Method::PUT, &format!("cells/{name}"), Some(&body), CALL_TIME_LIMIT).await?;
+    print_response(&response, as_json, "rev");
     Ok(ExitCode::SUCCESS)
 }
 
-async fn next_number(mut client: ControlClient, json: bool, name: String) -> Result<ExitCode, CallError> {
+async fn next_number(mut client: ControlClient, as_json: bool, name: String) -> Result<ExitCode, CallError> {
     let path = format!("numbers/{name}");
-    let answer = client.call_until_clear(Method::POST, &path, Some(&json!({})), CALL_LIMIT).await?;
-    print(&answer, json, "value");
+    let response = client.call_with_retries(Method::POST, &path, Some(&json!({})), CALL_TIME_LIMIT).await?;
+    print_response(&response, as_json, "value");
     Ok(ExitCode::SUCCESS)
 }
 
-async fn watch(
+async fn watch_cells(
     mut client: ControlClient,
-    json: bool,
+    as_json: bool,
     group: String,
     mut after: u64,
     count: Option<usize>,
 ) -> Result<ExitCode, CallError> {
-    let mut shown = 0;
-    while count.is_none_or(|count| shown < count) {
+    let mut printed = 0;
+    while count.is_none_or(|count| printed < count) {
         let path = format!("watch/{group}?after={after}&wait_ms={WATCH_WAIT_MS}");
-        let limit = CALL_LIMIT + Duration::from_millis(WATCH_WAIT_MS);
-        let answer = client.call_until_clear(Method::GET, &path, None, limit).await?;
-        for event in answer["events"].as_array().into_iter().flatten() {
-            if json {
+        let time_limit = CALL_TIME_LIMIT + Duration::from_millis(WATCH_WAIT_MS);
+        let response = client.call_with_retries(Method::GET, &path, None, time_limit).await?;
+        for event in response["events"].as_array().into_iter().flatten() {
+            if as_json {
                 println!("{event}");
             } else {
                 let text = |field: &str| event[field].as_str().unwrap_or_default().to_owned();
                 println!("{} {} {}", event["rev"], text("name"), text("value"));
             }
-            shown += 1;
+            printed += 1;
         }
-        let next = answer["rev"].as_u64().unwrap_or(after);
+        let next = response["rev"].as_u64().unwrap_or(after);
         if next == 0 {
             // There is no put yet: the present revision is asked for again.
             tokio::time::sleep(Duration::from_millis(500)).await;
--- a/cli/src/demo.rs
+++ b/cli/src/demo.rs
@@ -8,11 +8,11 @@
 
 use crate::demo_table::DemoTable;
 use crate::exit::{INTERRUPTED, code_for_failures, report_unusable};
-use crate::report::print_broken_rules;
+use crate::report::print_violations;
 use crate::socket_run::{SocketRun, run_on_sockets};
 
 /// The world that the demo plays; its times are scaled to `--seconds`.
-const WORLD: &str = include_str!("../../lab/worlds/demo.toml");
+const DEMO_WORLD_TOML: &str = include_str!("../../lab/worlds/demo.toml");
 
 #[derive(Args)]
 pub struct DemoArguments {
@@ -42,7 +42,7 @@
 }
 
 fn demo_world(seconds: f64) -> World {
-    let mut world = World::read(WORLD).expect("the built-in world is valid");
+    let mut world = World::read(DEMO_WORLD_TOML).expect("the built-in world is valid");
     let scale = seconds / world.seconds;
     world.seconds = seconds;
     for fault in &mut world.faults {
@@ -61,13 +61,13 @@
             world.clients.rate
         );
     }
-    let (quiet, table) = (arguments.json, DemoTable::default());
-    let run = run_on_sockets(&world, arguments.seed, move |now| {
-        if !quiet {
-            table.draw(now);
+    let (is_quiet, table) = (arguments.json, DemoTable::default());
+    let outcome = run_on_sockets(&world, arguments.seed, move |snapshot| {
+        if !is_quiet {
+            table.draw(snapshot);
         }
     });
-    let report = match run {
+    let report = match outcome {
         Ok(SocketRun::Finished(report)) => report,
         Ok(SocketRun::Interrupted) => {
             eprintln!("stopped; nothing is left running");
@@ -80,7 +80,7 @@
     } else {
         print_summary(&report);
     }
-    print_broken_rules(&report, arguments.seed);
+    print_violations(&report, arguments.seed);
     code_for_failures(report.rules_broken)
 }
 
--- a/cli/src/demo_table.rs
+++ b/cli/src/demo_table.rs
@@ -11,53 +11,53 @@
     /// Counters of snapshots only grow: the table shows what was added since this one.
     previous: RefCell<Option<Snapshot>>,
     /// Lines on the terminal that the next table replaces.
-    drawn_lines: Cell<usize>,
+    drawn_line_count: Cell<usize>,
 }
 
 impl DemoTable {
     /// Draws a snapshot below the fault events that came with it.
-    pub fn draw(&self, now: &Snapshot) {
-        let lines = [zones_line(now), self.requests_line(now)];
+    pub fn draw(&self, snapshot: &Snapshot) {
+        let lines = [zones_line(snapshot), self.requests_line(snapshot)];
         let mut out = stdout().lock();
-        let live = out.is_terminal();
-        if live && self.drawn_lines.get() > 0 {
-            let _ = write!(out, "\x1b[{}A\x1b[J", self.drawn_lines.get());
+        let is_terminal = out.is_terminal();
+        if is_terminal && self.drawn_line_count.get() > 0 {
+            let _ = write!(out, "\x1b[{}A\x1b[J", self.drawn_line_count.get());
         }
         // Fault events stay; the table moves on below them.
-        for event in &now.fault_events {
-            let _ = writeln!(out, "{:>5.1} s  >> {event}", now.seconds);
+        for event in &snapshot.fault_events {
+            let _ = writeln!(out, "{:>5.1} s  >> {event}", snapshot.seconds);
         }
         // Where lines add up, half of the snapshots are enough.
-        if live || now.seconds.fract() < 0.5 {
+        if is_terminal || snapshot.seconds.fract() < 0.5 {
             for line in &lines {
                 let _ = writeln!(out, "{line}");
             }
         }
-        self.drawn_lines.set(if live { lines.len() } else { 0 });
+        self.drawn_line_count.set(if is_terminal { lines.len() } else { 0 });
     }
 
     /// Requests and attempts since the previous snapshot, which `now` replaces.
-    fn requests_line(&self, now: &Snapshot) -> String {
-        let previous = self.previous.replace(Some(now.clone()));
+    fn requests_line(&self, snapshot: &Snapshot) -> String {
+        let previous = self.previous.replace(Some(snapshot.clone()));
         let (outcomes, attempts) =
             previous.map_or_else(Default::default, |previous| (previous.outcomes, previous.attempts));
         format!(
             "         asked {:>3}, in time {:>3}, late {}, refused {}, failed {}; {} attempts, {} into another zone",
-            now.outcomes.requests - outcomes.requests,
-            now.outcomes.in_time - outcomes.in_time,
-            now.outcomes.late - outcomes.late,
-            now.outcomes.rejected - outcomes.rejected,
-            now.outcomes.failed - outcomes.failed,
-            now.attempts.total - attempts.total,
-            now.attempts.cross_zone - attempts.cross_zone
+            snapshot.outcomes.requests - outcomes.requests,
+            snapshot.outcomes.in_time - outcomes.in_time,
+            snapshot.outcomes.late - outcomes.late,
+            snapshot.outcomes.rejected - outcomes.rejected,
+            snapshot.outcomes.failed - outcomes.failed,
+            snapshot.attempts.total - attempts.total,
+            snapshot.attempts.cross_zone - attempts.cross_zone
         )
     }
 }
 
-fn zones_line(now: &Snapshot) -> String {
+fn zones_line(snapshot: &Snapshot) -> String {
     let zones: Vec<String> =
-        now.zones.iter().enumerate().map(|(number, zone)| zone_cell(number, zone)).collect();
-    format!("{:>5.1} s  {}", now.seconds, zones.join("   "))
+        snapshot.zones.iter().enumerate().map(|(number, zone)| zone_cell(number, zone)).collect();
+    format!("{:>5.1} s  {}", snapshot.seconds, zones.join("   "))
 }
 
 fn zone_cell(number: usize, zone: &ZoneSnapshot) -> String {
--- a/cli/src/error.rs
+++ b/cli/src/error.rs
@@ -42,8 +42,8 @@
     #[error("{}", summarise_diagnostics(.0))]
     Invalid(Vec<Diagnostic>),
     /// The operators' file has no instance of this name.
-    #[error("{}: there is no instance {name:?}; there are {}", file.display(), known.join(", "))]
-    UnknownInstance { file: PathBuf, name: String, known: Vec<String> },
+    #[error("{}: there is no instance {name:?}; there are {}", file.display(), instance_names.join(", "))]
+    UnknownInstance { file: PathBuf, name: String, instance_names: Vec<String> },
 }
 
 fn summarise_diagnostics(diagnostics: &[Diagnostic]) -> String {
--- a/cli/src/experiment.rs
+++ b/cli/src/experiment.rs
@@ -15,7 +15,7 @@
 use crate::progress::{default_threads, progress_bar};
 
 /// Results go to a folder of the experiment's name in here if `--out` is not given.
-const DEFAULT_OUT_FOLDER: &str = "ivyhatch-results";
+const DEFAULT_RESULTS_PARENT: &str = "ivyhatch-results";
 
 #[derive(Args)]
 pub struct ExperimentArguments {
@@ -81,28 +81,28 @@
 /// Plays what has no result yet, writes the report and prints the summary.
 fn run_plan(arguments: &ExperimentArguments, plan: &Plan) -> Result<ExitCode, CommandError> {
     let stem = arguments.experiment.file_stem().unwrap_or_default();
-    let out = arguments.out.clone().unwrap_or_else(|| Path::new(DEFAULT_OUT_FOLDER).join(stem));
-    create_dir_all(&out).map_err(|source| CommandError::File { path: out.clone(), source })?;
-    let path = out.join("results.jsonl");
-    let results_error = |source| CommandError::Results { path: path.clone(), source };
-    let mut results = Results::open(&path).map_err(results_error)?;
-    warn_of_damage(&path, &results);
-    let failures = play_with_progress(arguments, plan, &mut results).map_err(results_error)?;
+    let out_folder = arguments.out.clone().unwrap_or_else(|| Path::new(DEFAULT_RESULTS_PARENT).join(stem));
+    create_dir_all(&out_folder).map_err(|source| CommandError::File { path: out_folder.clone(), source })?;
+    let results_path = out_folder.join("results.jsonl");
+    let results_error = |source| CommandError::Results { path: results_path.clone(), source };
+    let mut results = Results::open(&results_path).map_err(results_error)?;
+    warn_of_damaged_results(&results_path, &results);
+    let failures = run_with_progress(arguments, plan, &mut results).map_err(results_error)?;
     let summary = summarise(plan, &results);
-    let report = out.join("report.html");
-    write(&report, render_report(plan, &results, &summary))
-        .map_err(|source| CommandError::File { path: report.clone(), source })?;
+    let report_path = out_folder.join("report.html");
+    write(&report_path, render_report(plan, &results, &summary))
+        .map_err(|source| CommandError::File { path: report_path.clone(), source })?;
     if arguments.json {
         println!("{}", serde_json::to_string(&summary).expect("a summary is plain data"));
     } else {
         print_summary(&summary);
-        println!("report: {}", report.display());
+        println!("report: {}", report_path.display());
     }
     print_failures(plan, &failures);
     Ok(code_for_failures(failures.len() + summary.module_rules_broken))
 }
 
-fn warn_of_damage(path: &Path, results: &Results) {
+fn warn_of_damaged_results(path: &Path, results: &Results) {
     if results.truncated_bytes > 0 || results.unreadable_lines > 0 {
         eprintln!(
             "{}: cut {} bytes of an unfinished line off, and left {} lines alone that are no result",
@@ -113,7 +113,7 @@
     }
 }
 
-fn play_with_progress(
+fn run_with_progress(
     arguments: &ExperimentArguments,
     plan: &Plan,
     results: &mut Results,
@@ -121,9 +121,9 @@
     let template = "{pos}/{len} plays [{bar:40}] {elapsed} gone, {eta} to go";
     let bar = progress_bar(0, arguments.json, template);
     let threads = arguments.threads.map_or_else(default_threads, |threads| threads as usize);
-    let failures = run_missing(plan, results, threads, &mut |done, all| {
-        bar.set_length(all as u64);
-        bar.set_position(done as u64);
+    let failures = run_missing(plan, results, threads, &mut |completed, total| {
+        bar.set_length(total as u64);
+        bar.set_position(completed as u64);
     });
     bar.finish_and_clear();
     failures
@@ -150,7 +150,7 @@
             );
             world = &cell.world;
         }
-        let spread = cell
+        let interval_text = cell
             .interval
             .map_or(String::new(), |interval| format!("{:.3} to {:.3}", interval.low, interval.high));
         let difference = match (cell.difference, cell.verdict) {
@@ -158,7 +158,10 @@
             (Some(difference), None) => format!("{difference:+.3} too few seeds to tell"), // wire name: printed
             _ => String::new(),
         };
-        println!("{:<24} {:<16} {:>10.3} {spread:>22}  {difference}", cell.variant, cell.measure, cell.mean);
+        println!(
+            "{:<24} {:<16} {:>10.3} {interval_text:>22}  {difference}",
+            cell.variant, cell.measure, cell.mean
+        );
     }
     println!("\nrules broken by the module: {}", summary.module_rules_broken);
 }
--- a/cli/src/fleet/agent.rs
+++ b/cli/src/fleet/agent.rs
@@ -40,7 +40,7 @@
         Err(error) => return report_unusable(error),
     };
     tokio::select! {
-        ended = ivyhatch_agent::run(options) => match ended {
+        result = ivyhatch_agent::run(options) => match result {
             Ok(()) => ExitCode::SUCCESS,
             Err(error) => report_unusable(error),
         },
--- a/cli/src/fleet/arguments.rs
+++ b/cli/src/fleet/arguments.rs
@@ -5,12 +5,12 @@
 
 use clap::Args;
 
-use crate::config::DEFAULT_FILE;
+use crate::config::DEFAULT_CONFIG_FILE;
 
 #[derive(Args)]
 pub struct AgentArguments {
     /// The operators' file.
-    #[arg(long, default_value = DEFAULT_FILE)]
+    #[arg(long, default_value = DEFAULT_CONFIG_FILE)]
     pub(super) config: PathBuf,
     /// Where it is asked; without it, `agent.sock` in the file's agent.state.
     #[arg(long)]
@@ -23,7 +23,7 @@
     #[arg(long = "agent")]
     pub(super) agents: Vec<PathBuf>,
     /// The operators' file, which names the agent's socket.
-    #[arg(long, default_value = DEFAULT_FILE)]
+    #[arg(long, default_value = DEFAULT_CONFIG_FILE)]
     pub(super) config: PathBuf,
     /// One JSON object a line, in place of the table.
     #[arg(long)]
--- a/cli/src/fleet/change.rs
+++ b/cli/src/fleet/change.rs
@@ -23,17 +23,17 @@
     instances: u32,
     serving: u32,
     /// Selected instances that serve now.
-    selected: u32,
+    selected_serving: u32,
 }
 
 impl ZoneCapacity {
     fn remaining(&self) -> u32 {
-        self.serving - self.selected
+        self.serving - self.selected_serving
     }
 
     /// Whether less than half of the zone would serve.
-    fn loses_majority(&self) -> bool {
-        self.selected > 0 && 2 * self.remaining() < self.instances
+    fn falls_below_half(&self) -> bool {
+        self.selected_serving > 0 && 2 * self.remaining() < self.instances
     }
 }
 
@@ -43,7 +43,7 @@
     targets: Vec<Target>,
     zones: BTreeMap<String, ZoneCapacity>,
     /// A result for each agent that gave no status.
-    unknown: Vec<CommandResult>,
+    agents_without_status: Vec<CommandResult>,
 }
 
 impl Selection {
@@ -53,7 +53,7 @@
             match &mut reply.status {
                 Err(error) => {
                     let error = error.to_string();
-                    selection.unknown.push(CommandResult::agent_unknown(&reply, error));
+                    selection.agents_without_status.push(CommandResult::agent_unknown(&reply, error));
                 }
                 Ok(status) => {
                     for instance in std::mem::take(&mut status.instances) {
@@ -72,17 +72,20 @@
         zone.instances += 1;
         zone.serving += serving;
         if matches_any(selectors, &target.instance) {
-            zone.selected += serving;
+            zone.selected_serving += serving;
             self.targets.push(target);
         }
     }
 
     /// A description of each zone of which less than half would serve.
     fn capacity_warnings(&self, verb: Verb) -> Vec<String> {
-        let zones = self.zones.iter().filter(|(_, zone)| verb.removes_capacity() && zone.loses_majority());
+        let zones = self.zones.iter().filter(|(_, zone)| verb.removes_capacity() && zone.falls_below_half());
         let describe = |(name, zone): (&String, &ZoneCapacity)| {
-            let ZoneCapacity { instances, selected, .. } = zone;
-            format!("{selected} of zone {name}, of whose {instances} {} would serve", zone.remaining())
+            let ZoneCapacity { instances, selected_serving, .. } = zone;
+            format!(
+                "{selected_serving} of zone {name}, of whose {instances} {} would serve",
+                zone.remaining()
+            )
         };
         zones.map(describe).collect()
     }
@@ -98,15 +101,15 @@
 
 async fn change_selected(verb: Verb, arguments: &ChangeArguments, sockets: Vec<PathBuf>) -> ExitCode {
     let selection = Selection::query(&sockets, &arguments.selectors).await;
-    if selection.targets.is_empty() && selection.unknown.is_empty() {
+    if selection.targets.is_empty() && selection.agents_without_status.is_empty() {
         eprintln!("ivyhatch: no instance is meant by {}", arguments.selectors.join(" "));
         return ExitCode::from(REJECTED);
     }
     let warnings = selection.capacity_warnings(verb);
-    let Selection { targets, unknown: mut results, .. } = selection;
+    let Selection { targets, agents_without_status: mut results, .. } = selection;
     if arguments.dry_run {
         print_dry_run(verb, &targets, &warnings);
-    } else if !warnings.is_empty() && !arguments.yes && !confirmed(&warnings) {
+    } else if !warnings.is_empty() && !arguments.yes && !confirm(&warnings) {
         let reason = format!("it takes away {}; --yes if that is meant", warnings.join(", "));
         results.extend(targets.into_iter().map(|target| CommandResult {
             name: target.instance.name,
@@ -146,7 +149,7 @@
 }
 
 /// Asks the operator; a command without a terminal is never confirmed.
-fn confirmed(warnings: &[String]) -> bool {
+fn confirm(warnings: &[String]) -> bool {
     if !stdin().is_terminal() {
         return false;
     }
--- a/cli/src/fleet/command.rs
+++ b/cli/src/fleet/command.rs
@@ -99,18 +99,18 @@
 
 /// Sends the request; the error is the outcome of a command that the agent did not accept for sure.
 async fn submit(socket: &Path, request: &Value, timeout: Duration) -> Result<(), Outcome> {
-    let answer = match call(socket, request, timeout).await {
-        Ok(answer) => answer,
+    let response = match call(socket, request, timeout).await {
+        Ok(response) => response,
         Err(error @ CallError::TimedOut(_)) => {
             return Err(Outcome::TimedOut(format!("{error}; it may have been taken")));
         }
         Err(error @ CallError::Unreachable(_)) => return Err(Outcome::Unknown(error.to_string())),
         Err(error) => return Err(Outcome::Unknown(format!("{error}; it may have been taken"))),
     };
-    if let Some(error) = answer.get("error") {
+    if let Some(error) = response.get("error") {
         return Err(Outcome::Failed(error.as_str().map_or(error.to_string(), str::to_owned)));
     }
-    match serde_json::from_value(answer) {
+    match serde_json::from_value(response) {
         Ok(ApplyOutcome::Rejected(rejection)) => Err(Outcome::Refused(describe_rejection(&rejection))),
         // Applied, or the answer to a restart, which has another form.
         _ => Ok(()),
@@ -119,34 +119,39 @@
 
 async fn wait_until_reached(verb: Verb, target: &Target, deadline: Instant, timeout: Duration) -> Outcome {
     let before = &target.instance;
-    let mut last_seen = "nothing was heard of it".to_owned(); // wire name: printed
+    let mut last_status = "nothing was heard of it".to_owned(); // wire name: printed
     while !remaining(deadline).is_zero() {
         match query_status(&target.socket, Some(&before.name)).await {
-            Err(error) => last_seen = error.to_string(),
+            Err(error) => last_status = error.to_string(),
             Ok(status) => {
                 let Some(now) = status.instances.first() else {
                     return Outcome::Unknown("its agent does not have it any more".into());
                 };
-                last_seen = format!("{}: {}", phase_name(now.phase, now.drained), now.reason);
-                if let Some(outcome) = settled_outcome(verb, before, now, &last_seen) {
+                last_status = format!("{}: {}", phase_name(now.phase, now.drained), now.reason);
+                if let Some(outcome) = settled_outcome(verb, before, now, &last_status) {
                     return outcome;
                 }
             }
         }
         sleep(POLL_INTERVAL.min(remaining(deadline))).await;
     }
-    Outcome::TimedOut(format!("not so within {timeout:?}: {last_seen}"))
+    Outcome::TimedOut(format!("not so within {timeout:?}: {last_status}"))
 }
 
 /// The outcome, once a status settles it: another command took over, the instance is as requested, or it crashed too often.
-fn settled_outcome(verb: Verb, before: &InstanceStatus, now: &InstanceStatus, seen: &str) -> Option<Outcome> {
+fn settled_outcome(
+    verb: Verb,
+    before: &InstanceStatus,
+    now: &InstanceStatus,
+    description: &str,
+) -> Option<Outcome> {
     if verb != Verb::Restart && now.desired_state != verb.desired_state() {
         return Some(Outcome::Refused(format!("overtaken: {:?} is wanted now", now.desired_state)));
     }
     if verb.is_reached(before, now) {
-        return Some(Outcome::Done(seen.to_owned()));
+        return Some(Outcome::Done(description.to_owned()));
     }
-    (now.phase == Phase::Crashed).then(|| Outcome::Failed(seen.to_owned()))
+    (now.phase == Phase::Crashed).then(|| Outcome::Failed(description.to_owned()))
 }
 
 fn describe_rejection(rejection: &Rejection) -> String {
--- a/cli/src/fleet/logs.rs
+++ b/cli/src/fleet/logs.rs
@@ -42,8 +42,8 @@
 /// The last lines of an instance's log; `None` if its agent does not answer with lines.
 async fn query_lines(socket: &Path, instance: &str, lines: usize) -> Option<Vec<Value>> {
     let request = json!({"op": "logs", "instance": instance, "lines": lines});
-    let answer = call(socket, &request, QUERY_TIMEOUT).await.ok()?;
-    answer["lines"].as_array().cloned()
+    let response = call(socket, &request, QUERY_TIMEOUT).await.ok()?;
+    response["lines"].as_array().cloned()
 }
 
 fn print_lines(instance: &str, lines: &[Value], as_json: bool) {
--- a/cli/src/fleet/outcome.rs
+++ b/cli/src/fleet/outcome.rs
@@ -66,19 +66,19 @@
 }
 
 /// The more severe of two exit codes: a failure, then a rejection, then an unknown outcome.
-fn more_severe(one: u8, other: u8) -> u8 {
+fn more_severe(first: u8, second: u8) -> u8 {
     let severity = |code: u8| match code {
         FAILURE => 3,
         REJECTED => 2,
         UNKNOWN => 1,
         _ => 0,
     };
-    if severity(other) > severity(one) { other } else { one }
+    if severity(second) > severity(first) { second } else { first }
 }
 
 /// Prints the results by name and returns the most severe exit code of them.
 pub(super) fn print_results(mut results: Vec<CommandResult>, as_json: bool) -> ExitCode {
-    results.sort_by(|one, other| one.name.cmp(&other.name));
+    results.sort_by(|first, second| first.name.cmp(&second.name));
     let mut text = String::new();
     for result in &results {
         let _ = writeln!(text, "{}", result.line(as_json));
--- a/cli/src/fleet/query.rs
+++ b/cli/src/fleet/query.rs
@@ -73,10 +73,10 @@
 /// Queries one instance, or all: who polls one instance need not have all of them sent each time.
 pub(super) async fn query_status(socket: &Path, instance: Option<&str>) -> Result<AgentStatus, StatusError> {
     let request = json!({"op": "status", "instance": instance});
-    let answer = call(socket, &request, QUERY_TIMEOUT).await?;
-    match answer.get("error") {
+    let response = call(socket, &request, QUERY_TIMEOUT).await?;
+    match response.get("error") {
         Some(error) => Err(StatusError::Rejected(error.clone())),
-        None => serde_json::from_value(answer).map_err(StatusError::Malformed),
+        None => serde_json::from_value(response).map_err(StatusError::Malformed),
     }
 }
 
--- a/cli/src/fleet/rollout.rs
+++ b/cli/src/fleet/rollout.rs
@@ -15,7 +15,7 @@
 use super::query::{Target, query_agents, sockets_for_change};
 use super::runtime::block_on;
 use super::selector::matches_any;
-use super::served_ratio::AnswerCounts;
+use super::served_ratio::FleetResponseCounts;
 use crate::exit::report_wrong_usage;
 
 /// The longest `--watch`: an hour.
@@ -39,29 +39,29 @@
     options: CommandOptions,
     results: Vec<CommandResult>,
     /// Why the remaining instances are left alone.
-    stopped: Option<String>,
+    stop_reason: Option<String>,
 }
 
 impl<'a> Rollout<'a> {
     fn new(arguments: &'a RolloutArguments, sockets: Vec<PathBuf>) -> Self {
         let options = CommandOptions::new(&arguments.change);
-        Self { arguments, sockets, options, results: Vec::new(), stopped: None }
+        Self { arguments, sockets, options, results: Vec::new(), stop_reason: None }
     }
 
     async fn run(mut self) -> ExitCode {
         let dry_run = self.arguments.change.dry_run;
         let zones = self.query_targets().await;
         if !self.results.is_empty() {
-            self.stopped = Some("an agent does not answer".to_owned());
+            self.stop_reason = Some("an agent does not answer".to_owned());
         }
         let baseline =
-            if dry_run || self.stopped.is_some() { None } else { self.measure_served_ratio().await };
+            if dry_run || self.stop_reason.is_some() { None } else { self.measure_served_ratio().await };
         for (zone, targets) in zones {
             // Half of a zone at a time, and one by one where there are few.
             for batch in targets.chunks((targets.len() / 2).max(1)) {
                 self.run_batch(&zone, batch).await;
             }
-            if self.stopped.is_none() && !dry_run {
+            if self.stop_reason.is_none() && !dry_run {
                 self.compare_with_baseline(&zone, baseline).await;
             }
         }
@@ -93,7 +93,7 @@
     }
 
     async fn run_batch(&mut self, zone: &str, batch: &[Target]) {
-        if let Some(reason) = &self.stopped {
+        if let Some(reason) = &self.stop_reason {
             self.results.extend(batch.iter().map(|target| CommandResult {
                 name: target.instance.name.clone(),
                 outcome: Outcome::Refused(format!("stopped: {reason}")),
@@ -108,7 +108,7 @@
         }
         let results = restart_all(batch, &self.options).await;
         if let Some(result) = results.iter().find(|result| !matches!(result.outcome, Outcome::Done(_))) {
-            self.stopped = Some(format!("{} did not come back", result.name));
+            self.stop_reason = Some(format!("{} did not come back", result.name));
         }
         self.results.extend(results);
     }
@@ -118,15 +118,15 @@
         if let (Some(before), Some(now)) = (baseline, self.measure_served_ratio().await)
             && now < before - self.arguments.fall
         {
-            self.stopped = Some(format!("after zone {zone} {now:.3} was served, {before:.3} before"));
+            self.stop_reason = Some(format!("after zone {zone} {now:.3} was served, {before:.3} before"));
         }
     }
 
     /// The served ratio of the whole fleet during `--watch` seconds.
     async fn measure_served_ratio(&self) -> Option<f64> {
-        let before = AnswerCounts::of(&query_instances(&self.sockets).await);
+        let before = FleetResponseCounts::from_instances(&query_instances(&self.sockets).await);
         sleep(Duration::from_secs_f64(self.arguments.watch)).await;
-        AnswerCounts::of(&query_instances(&self.sockets).await).served_ratio_since(&before)
+        FleetResponseCounts::from_instances(&query_instances(&self.sockets).await).served_ratio_since(&before)
     }
 }
 
--- a/cli/src/hunt.rs
+++ b/cli/src/hunt.rs
@@ -39,11 +39,11 @@
 
 /// Searches for a world, writes the worst one that is found to `--out` and prints what it shows.
 pub fn run(arguments: &HuntArguments) -> ExitCode {
-    let start = match read_world(arguments.world.as_deref()) {
+    let initial_world = match read_world(arguments.world.as_deref()) {
         Ok(world) => world,
         Err(error) => return report_unusable(error),
     };
-    let Some(found) = search(arguments, start) else {
+    let Some(finding) = search(arguments, initial_world) else {
         match arguments.json {
             true => println!("{}", json!({ "found": null })),
             false => println!(
@@ -53,43 +53,49 @@
         }
         return ExitCode::SUCCESS;
     };
-    match write_and_print(arguments, &found) {
-        Ok(()) => code_for_failures(found.rules_broken),
+    match write_and_print(arguments, &finding) {
+        Ok(()) => code_for_failures(finding.rules_broken),
         Err(error) => report_unusable(error),
     }
 }
 
-fn search(arguments: &HuntArguments, start: World) -> Option<Finding> {
+fn search(arguments: &HuntArguments, initial_world: World) -> Option<Finding> {
     let references = Policy::REFERENCES
         .into_iter()
         .filter(|policy| arguments.truth || *policy != Policy::Omniscient)
         .collect();
     let &HuntArguments { rounds, seed, least, .. } = arguments;
-    let config =
-        HuntConfig { initial: start, references, rounds, seed, threads: default_threads(), min_gap: least };
+    let config = HuntConfig {
+        initial: initial_world,
+        references,
+        rounds,
+        seed,
+        threads: default_threads(),
+        min_gap: least,
+    };
     let template = "{pos}/{len} rounds [{bar:40}] {eta} to go; largest gap {msg}";
     let bar = progress_bar(rounds.into(), arguments.json, template);
-    let found = hunt(&config, &mut |round, _, gap| {
+    let finding = hunt(&config, &mut |round, _, gap| {
         bar.set_position(round.into());
         bar.set_message(format!("{gap:.3}"));
     });
     bar.finish_and_clear();
-    found
+    finding
 }
 
-fn write_and_print(arguments: &HuntArguments, found: &Finding) -> Result<(), CommandError> {
-    let ReferenceShare { policy, share: best } = found.best;
+fn write_and_print(arguments: &HuntArguments, finding: &Finding) -> Result<(), CommandError> {
+    let ReferenceShare { policy, share: reference_share } = finding.best;
     let summary = format!(
-        "the module serves {:.3}, {policy} {best:.3}; {} rules broken; {} worlds played",
-        found.balancer_share, found.rules_broken, found.worlds_run
+        "the module serves {:.3}, {policy} {reference_share:.3}; {} rules broken; {} worlds played",
+        finding.balancer_share, finding.rules_broken, finding.worlds_run
     );
     let path = &arguments.out;
-    std::fs::write(path, format!("# {summary}\n{}", found.world.write()))
+    std::fs::write(path, format!("# {summary}\n{}", finding.world.write()))
         .map_err(|source| CommandError::File { path: path.clone(), source })?;
     if arguments.json {
-        let (module, out) = (found.balancer_share, path.display().to_string());
-        let line = json!({ "found": out, "module": module, "best": best, "policy": policy,
-            "rules_broken": found.rules_broken, "played": found.worlds_run });
+        let (balancer_share, out_path) = (finding.balancer_share, path.display().to_string());
+        let line = json!({ "found": out_path, "module": balancer_share, "best": reference_share, "policy": policy,
+            "rules_broken": finding.rules_broken, "played": finding.worlds_run });
         println!("{line}");
     } else {
         println!("{}: {summary}", path.display());
--- a/cli/src/lab.rs
+++ b/cli/src/lab.rs
@@ -9,7 +9,7 @@
 
 use crate::exit::{code_for_failures, report_unusable};
 use crate::progress::progress_bar;
-use crate::report::print_broken_rules;
+use crate::report::print_violations;
 use crate::socket_run::compare_with_simulation;
 use crate::world_file::read_world;
 use crate::{experiment, hunt};
@@ -23,7 +23,7 @@
     #[command(subcommand)]
     command: Option<LabCommand>,
     #[command(flatten)]
-    play: PlayArguments,
+    world: WorldArguments,
 }
 
 #[derive(Subcommand)]
@@ -35,7 +35,7 @@
 }
 
 #[derive(Args)]
-struct PlayArguments {
+struct WorldArguments {
     #[arg(help = WORLD_HELP)]
     world: Option<PathBuf>,
     /// First seed.
@@ -60,11 +60,11 @@
     match arguments.command {
         Some(LabCommand::Experiment(arguments)) => experiment::run(&arguments),
         Some(LabCommand::Hunt(arguments)) => hunt::run(&arguments),
-        None => play(&arguments.play),
+        None => run_world(&arguments.world),
     }
 }
 
-fn play(arguments: &PlayArguments) -> ExitCode {
+fn run_world(arguments: &WorldArguments) -> ExitCode {
     if arguments.print_world {
         print!("{DEFAULT_WORLD}");
         return ExitCode::SUCCESS;
@@ -77,21 +77,21 @@
         return compare_with_simulation(&world, arguments.seed, arguments.json);
     }
     let seeds = arguments.seed..arguments.seed.saturating_add(arguments.seeds);
-    code_for_failures(seeds.map(|seed| play_seed(&world, seed, arguments.json)).sum())
+    code_for_failures(seeds.map(|seed| simulate_seed(&world, seed, arguments.json)).sum())
 }
 
 /// Plays the world with one seed, prints its report and returns the number of broken rules.
-fn play_seed(world: &World, seed: u64, as_json: bool) -> usize {
+fn simulate_seed(world: &World, seed: u64, as_json: bool) -> usize {
     let started = Instant::now();
     let bar = progress_bar(100, as_json, "{msg} [{bar:40}] {pos}%").with_message(format!("seed {seed}"));
-    let report = simulate(world, seed, &mut |part| bar.set_position((part * 100.0) as u64));
+    let report = simulate(world, seed, &mut |fraction| bar.set_position((fraction * 100.0) as u64));
     bar.finish_and_clear();
     if as_json {
         println!("{}", serde_json::to_string(&report).expect("a report is plain data"));
     } else {
         print_table(&report, started.elapsed());
     }
-    print_broken_rules(&report, seed);
+    print_violations(&report, seed);
     report.rules_broken
 }
 
--- a/cli/src/node.rs
+++ b/cli/src/node.rs
@@ -27,7 +27,7 @@
 /// A node's configuration in the platform's form, and the operators' file that it is made from.
 struct NodeConfiguration {
     loaded: LoadedConfig,
-    text: Vec<u8>,
+    json: Vec<u8>,
 }
 
 impl NodeConfiguration {
@@ -35,12 +35,13 @@
     fn load(file: &Path, name: &str, seed: u64) -> Result<Self, NodeConfigurationError> {
         let loaded = config::load(file).map_err(NodeConfigurationError::Invalid)?;
         let Some(instance) = loaded.config.instance(name) else {
-            let known = loaded.config.instances.iter().map(|instance| instance.name.clone()).collect();
+            let instance_names =
+                loaded.config.instances.iter().map(|instance| instance.name.clone()).collect();
             let (file, name) = (file.to_owned(), name.to_owned());
-            return Err(NodeConfigurationError::UnknownInstance { file, name, known });
+            return Err(NodeConfigurationError::UnknownInstance { file, name, instance_names });
         };
-        let text = loaded.config.node_configuration(instance, seed).to_string().into_bytes();
-        Ok(Self { loaded, text })
+        let json = loaded.config.node_configuration(instance, seed).to_string().into_bytes();
+        Ok(Self { loaded, json })
     }
 }
 
@@ -58,7 +59,7 @@
     ivyhatch_node::run_with(RunOptions {
         // Called again at each SIGHUP: the file may have changed by then, and may have become invalid.
         configuration: Box::new(move || match NodeConfiguration::load(&file, &name, seed) {
-            Ok(configuration) => Ok(configuration.text),
+            Ok(configuration) => Ok(configuration.json),
             Err(error) => Err(ConfigurationUnavailable::Other(error.into())),
         }),
         log_level: log.level.parse().expect("the level is checked when the file is loaded"),
--- a/cli/src/socket_run.rs
+++ b/cli/src/socket_run.rs
@@ -9,7 +9,7 @@
 use crate::error::CommandError;
 use crate::exit::{INTERRUPTED, code_for_failures, report_unusable};
 use crate::progress::progress_bar;
-use crate::report::print_broken_rules;
+use crate::report::print_violations;
 
 /// Progress is shown in steps of a tenth of a second.
 const PROGRESS_STEPS_PER_SECOND: f64 = 10.0;
@@ -51,9 +51,9 @@
     let steps = |seconds: f64| (seconds * PROGRESS_STEPS_PER_SECOND) as u64;
     let bar = progress_bar(steps(world.seconds), as_json, "on sockets [{bar:40}] {elapsed}");
     let observer = bar.clone();
-    let run = run_on_sockets(world, seed, move |now| observer.set_position(steps(now.seconds)));
+    let outcome = run_on_sockets(world, seed, move |snapshot| observer.set_position(steps(snapshot.seconds)));
     bar.finish_and_clear();
-    let measured = match run {
+    let measured = match outcome {
         Ok(SocketRun::Finished(report)) => report,
         Ok(SocketRun::Interrupted) => return ExitCode::from(INTERRUPTED),
         Err(error) => return report_unusable(error),
@@ -63,20 +63,23 @@
     } else {
         print_comparison(world, seed, &simulated, &measured);
     }
-    print_broken_rules(&measured, seed);
+    print_violations(&measured, seed);
     code_for_failures(simulated.rules_broken + measured.rules_broken)
 }
 
 fn print_comparison(world: &World, seed: u64, simulated: &Report, measured: &Report) {
     println!("{} with seed {seed}   {:>10} {:>10}", world.name, "virtual", "sockets");
     println!("{:<24} {:>10.3} {:>10.3}", "served in time", simulated.served, measured.served);
-    for (one, other) in simulated.classes.iter().zip(&measured.classes) {
+    for (simulated_class, measured_class) in simulated.classes.iter().zip(&measured.classes) {
         let print_row = |label: &str, simulated: f64, measured: f64| {
-            println!("{:<24} {simulated:>10.0} {measured:>10.0}", format!("{} {label}", one.name));
+            println!(
+                "{:<24} {simulated:>10.0} {measured:>10.0}",
+                format!("{} {label}", simulated_class.name)
+            );
         };
-        print_row("asked", one.asked as f64, other.asked as f64);
-        print_row("p50 ms", one.p50_ms, other.p50_ms);
-        print_row("p99 ms", one.p99_ms, other.p99_ms);
+        print_row("asked", simulated_class.asked as f64, measured_class.asked as f64);
+        print_row("p50 ms", simulated_class.p50_ms, measured_class.p50_ms);
+        print_row("p99 ms", simulated_class.p99_ms, measured_class.p99_ms);
     }
     println!("{:<24} {:>10} {:>10}", "attempts", simulated.attempts, measured.attempts);
     println!("{:<24} {:>10} {:>10}", "into another zone", simulated.crossed, measured.crossed);
