--- a/cli/src/config.rs
+++ b/cli/src/config.rs
@@ -1,4 +1,4 @@
-//! `ivyhatch config`: checks and shows the operators' file.
+//! `ivyhatch config`: validates the operators' configuration file and prints its settings.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -10,10 +10,11 @@
 
 use crate::exit::UNUSABLE;
 
-/// The operators' file that commands read if none is named.
+/// Path of the operators' configuration file that commands read by default, relative to the working directory.
 pub const DEFAULT_CONFIG_FILE: &str = "deploy/ivyhatch.toml";
 
-/// Columns after which `config show --origin` stops to align the origins.
+/// Maximum combined length of a field's name and value, in bytes, up to which `config show --origin` aligns the origins. The
+/// origin of a longer setting follows directly after its value.
 const MAX_ALIGNED_COLUMNS: usize = 60;
 
 #[derive(Subcommand)]
@@ -30,7 +31,7 @@
     },
 }
 
-// Which file, and in which format the output is.
+// The file to read, and the output format.
 #[derive(Args)]
 pub struct FileArguments {
     /// The file.
@@ -50,9 +51,10 @@
     origin: bool,
 }
 
-/// Loads the operators' file with the environment's overrides, or returns every error in it.
+/// Loads the operators' configuration file and applies the overrides from environment variables. Returns all errors if the file or
+/// an override is not valid.
 pub fn load(file: &Path) -> Result<LoadedConfig, Vec<Diagnostic>> {
-    // All names and values of overrides are UTF-8: other variables cannot be meant.
+    // The names and values of overrides are always UTF-8; other variables are skipped.
     let variables = std::env::vars_os()
         .filter_map(|(name, value)| Some((name.into_string().ok()?, value.into_string().ok()?)));
     ivyhatch_config::load(file, variables)
@@ -97,7 +99,7 @@
     ExitCode::SUCCESS
 }
 
-/// Prints every error of the operators' file, as JSON to standard output or as text to standard error, and returns
+/// Prints all errors of the operators' configuration file, as JSON to standard output or as text to standard error. Returns
 /// [`UNUSABLE`].
 pub fn report_diagnostics(diagnostics: &[Diagnostic], as_json: bool) -> ExitCode {
     for diagnostic in diagnostics {
@@ -130,7 +132,7 @@
     ExitCode::SUCCESS
 }
 
-/// The format of a process's log as the operators' file sets it.
+/// The log format that the `log` section of the operators' configuration file selects.
 pub fn log_format(log: &LogSettings) -> LogFormat {
     if log.format == "json" { LogFormat::Json } else { LogFormat::Text }
 }
--- a/cli/src/control_hunt.rs
+++ b/cli/src/control_hunt.rs
@@ -1,4 +1,5 @@
-//! `ivyhatch hunt`: plays worlds of control nodes in virtual time and saves those that violate an invariant of the control state.
+//! `ivyhatch hunt`: runs simulated clusters of control nodes, called worlds, in virtual time. Runs that violate an invariant of the
+//! control state are saved to files, which can be replayed.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -12,16 +13,21 @@
 
 use crate::exit::{FAILURE, code_for_failures, report_unusable};
 
-/// Worlds between two progress lines.
+/// Number of worlds between two progress lines on standard error.
 const PROGRESS_INTERVAL_WORLDS: usize = 1000;
 
 /// The arguments of `ivyhatch hunt`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlHunt {
+    /// Number of random plans to take; each describes one world.
     world_count: usize,
+    /// The seed from which the plans are drawn.
     seed: u64,
+    /// Whether to remove the faults from the plans, and to play each plan once for every mutation of every message.
     mutate_messages: bool,
+    /// The folder for the recorded runs that violate an invariant.
     output_folder: PathBuf,
+    /// A recorded run to replay instead of the search.
     replay_file: Option<PathBuf>,
 }
 
@@ -44,7 +50,7 @@
 }
 
 impl ControlHunt {
-    /// Plays the worlds, or replays the given one. Exits with [`FAILURE`] if one of them violates an invariant.
+    /// Plays the worlds, or replays the recorded run in `replay_file`. Returns [`FAILURE`] if a run violates an invariant.
     pub fn run(&self) -> ExitCode {
         if let Some(file) = &self.replay_file {
             return replay(file);
@@ -76,6 +82,7 @@
         code_for_failures(violations)
     }
 
+    /// Saves a run that violates an invariant, and prints a line with the violation and the path of the file.
     fn save(&self, run: &RecordedRun) -> Result<(), RecordingError> {
         let path = run.save(&self.output_folder)?;
         let violation = &run.violation;
@@ -90,6 +97,7 @@
     }
 }
 
+/// Replays a recorded run, and prints its trace and the violation, if there is one.
 fn replay(file: &Path) -> ExitCode {
     let recorded = match RecordedRun::read(file) {
         Ok(recorded) => recorded,
--- a/cli/src/coordination/client.rs
+++ b/cli/src/coordination/client.rs
@@ -1,4 +1,4 @@
-//! A client of the control nodes: sends a call unchanged to one node after another until an answer is clear.
+//! HTTP client of the control nodes. Sends the same call to one node after another until a node gives a definite response.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,51 +13,57 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
 
-/// A node that does not answer within this is left, beside what a watch waits for.
+/// Timeout for connecting to a node, and for its response to every call but a watch; the next node is tried afterwards.
 const NODE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The pause once all nodes were asked in vain, at first and at most.
+/// Delay after the first round in which no node gave a definite response. It doubles after each further round, up to
+/// [`MAX_BACKOFF`].
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+/// Maximum delay between two rounds.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
-/// Where the paths of watches begin.
+/// Prefix of the paths of watches.
 const WATCH_PREFIX: &str = "/-/watch/";
 
 /// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// It was decided against.
+    /// A control node rejected the call, for example because another holder has the lock.
     #[error("{text}")]
     Rejected {
-        /// The status of the answer.
+        /// The status of the response.
         status: StatusCode,
-        /// What the control node says.
+        /// The reason that the control node gave.
         text: String,
     },
-    /// It is not valid.
+    /// The call is not valid: a control node responded with 400, or the path is not a valid URI.
     #[error("{text}")]
     Invalid {
-        /// What the control node says.
+        /// The reason, in most cases as the control node gave it.
         text: String,
     },
-    /// No control node has begun it.
-    #[error("no control node takes the call: see to --control, and whether most control nodes are up")]
+    /// No control node has executed the call.
+    #[error(
+        "no control node accepted the call: check --control, and whether a majority of the control nodes runs"
+    )]
     NotStarted,
-    /// It may have been carried out.
-    #[error("no clear answer: what was asked for may have been done; run the same command again")]
+    /// The call may have been executed.
+    #[error("no definite response: the call may have been executed; run the same command again")]
     Unknown,
 }
 
-/// One try of a call.
+/// Outcome of one attempt to send a call to a node.
 enum AttemptOutcome {
+    /// The node gave a definite response; its body is `Value::Null` if it is not JSON.
     Responded(StatusCode, Value),
-    /// Nothing was done.
+    /// The node has not executed the call: connecting failed, or the node responded with 429 or 503.
     NotStarted,
-    /// Something may have been done.
+    /// The node may have executed the call: there was no complete response in time, or the node responded with another 5xx status.
     Unknown,
 }
 
-/// A client of some control nodes.
+/// A client of a group of control nodes.
 pub struct ControlClient {
     nodes: Vec<SocketAddr>,
+    /// Index in `nodes` of the node to which the next attempt is sent.
     next_node: usize,
 }
 
@@ -67,11 +73,12 @@
         Self { nodes, next_node: 0 }
     }
 
-    /// Sends a call until an answer is clear, for `limit`. Every call may be carried out twice: a lock is given to its holder again, a
-    /// put is recognised by its value, a number leaves a gap.
+    /// Sends a call to the nodes in turn until one of them gives a definite response or `time_limit` has passed. The time limit is checked
+    /// after each attempt. A call may be executed more than once, which is safe: a lock is granted to its holder again, a repeated put is
+    /// recognised by its value, and a repeated call for a number only leaves a gap in the sequence.
     ///
     /// # Errors
-    /// Where the answer is no success, or none is clear in time.
+    /// [`CallError`] if the response is not 200, or if there is no definite response within the time limit.
     pub async fn call_with_retries(
         &mut self,
         method: Method,
@@ -81,7 +88,9 @@
     ) -> Result<Value, CallError> {
         let deadline = Instant::now() + time_limit;
         let Ok(uri) = format!("/-/{path}").parse::<Uri>() else {
-            let text = format!("{path:?}: a name has letters, digits and the characters . _ - :");
+            let text = format!(
+                "{path:?} is not a valid path of a call: a name consists of letters, digits and the characters . _ - :"
+            );
             return Err(CallError::Invalid { text });
         };
         let (mut backoff, mut may_have_executed) = (INITIAL_BACKOFF, false);
@@ -119,7 +128,7 @@
         let Ok(Ok(stream)) = timeout(NODE_TIMEOUT, TcpStream::connect(address)).await else {
             return AttemptOutcome::NotStarted;
         };
-        // A watch is answered after its wait; everything else within a second.
+        // A control node may respond to a watch only after the wait time of the watch.
         let response_timeout = if uri.path().starts_with(WATCH_PREFIX) { time_limit } else { NODE_TIMEOUT };
         match timeout(response_timeout, exchange(stream, address, method, uri, body)).await {
             Ok(Ok((StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS, _))) => {
@@ -133,6 +142,7 @@
     }
 }
 
+/// Sends one request on a new connection. Returns the status and the JSON body of the response.
 async fn exchange(
     stream: TcpStream,
     address: SocketAddr,
@@ -157,6 +167,7 @@
     Ok((status, serde_json::from_slice(&bytes).unwrap_or(Value::Null)))
 }
 
+/// The reason in a control node's error response.
 fn error_text(response: &Value) -> String {
-    response["error"].as_str().unwrap_or("the control node gives no reason").to_owned()
+    response["error"].as_str().unwrap_or("the control node gave no reason").to_owned()
 }
--- a/cli/src/coordination/lock_run.rs
+++ b/cli/src/coordination/lock_run.rs
@@ -1,7 +1,8 @@
-//! `ivyhatch lock run`: a command that runs while a lock is held.
+//! `ivyhatch lock run`: runs a command while a lock is held.
 //!
-//! The holder's time is counted from when it sent its last good call. A command whose lock can't be renewed gets SIGTERM while there is time
-//! left, and SIGKILL when there is none: another holder may have the lock from then on.
+//! This process counts the hold time of the lock from when it sent its last successful call to acquire or renew the lock. If the lock can't
+//! be renewed, the command gets SIGTERM before the end of the hold time, and SIGKILL at its end, because another holder may have the lock
+//! from then on.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -17,37 +18,44 @@
 use super::client::{CallError, ControlClient};
 use crate::exit::{FAILURE, REJECTED};
 
-/// The fencing token of the lock, for the command.
+/// Environment variable that passes the lock's fencing token to the command.
 const FENCE_VARIABLE: &str = "FENCE";
-/// A lock that another holds is asked for again after this.
+/// Delay between two attempts to acquire a lock that another holder has.
 const ACQUIRE_RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// A lock is renewed when this part of its time is over ...
+/// Fraction of the hold time after which the lock is renewed.
 const RENEW_AFTER_FRACTION: f64 = 0.33;
-/// ... and the command gets SIGTERM when this part is over without a renewal.
+/// Fraction of the hold time after which the command gets SIGTERM if the lock has not been renewed.
 const TERMINATE_AFTER_FRACTION: f64 = 0.75;
 
 /// The arguments of `ivyhatch lock run`.
 #[derive(Clone, Debug)]
 pub struct LockRun {
+    /// Hold time after each renewal, in milliseconds.
     pub hold_ms: u64,
+    /// Name of the holder; `None` for a name that only this process uses.
     pub holder: Option<String>,
+    /// How long to wait for a lock that another holder has, in seconds.
     pub wait_s: u64,
+    /// Name of the lock.
     pub name: String,
+    /// The program to run and its arguments; never empty.
     pub command: Vec<String>,
 }
 
 /// A lock that this process holds.
 struct HeldLock {
+    /// Path of the lock's calls, below `/-/`.
     path: String,
     holder: String,
+    /// The fencing token.
     fence: u64,
     hold_time: Duration,
-    /// When the last good call was sent.
+    /// When the last successful call to acquire or renew the lock was sent.
     hold_started: Instant,
 }
 
 impl HeldLock {
-    /// The moment when a part of the time is over.
+    /// When this fraction of the hold time is over.
     fn instant_at(&self, fraction: f64) -> Instant {
         self.hold_started + self.hold_time.mul_f64(fraction)
     }
@@ -64,15 +72,15 @@
 
     async fn release(&self, client: &mut ControlClient) {
         let body = json!({"holder": self.holder, "fence": self.fence});
-        // Where nobody answers, the lock is free when its time is over.
+        // If no control node responds, the lock expires at the end of its hold time.
         let _ = client.call_with_retries(Method::DELETE, &self.path, Some(&body), self.hold_time).await;
     }
 }
 
-/// Takes the lock, runs the command, and frees the lock.
+/// Acquires the lock, runs the command and releases the lock.
 ///
 /// # Errors
-/// Where the lock is not given.
+/// [`CallError`] if the lock is not acquired.
 pub async fn run(mut client: ControlClient, arguments: LockRun) -> Result<ExitCode, CallError> {
     let mut lock = acquire(&mut client, &arguments).await?;
     let mut command = Command::new(&arguments.command[0]);
@@ -81,7 +89,7 @@
         Ok(child) => child,
         Err(error) => {
             lock.release(&mut client).await;
-            let text = format!("{}: {error}", arguments.command[0]);
+            let text = format!("cannot start {}: {error}", arguments.command[0]);
             return Ok(crate::exit::report_unusable(text));
         }
     };
@@ -90,6 +98,7 @@
     Ok(code)
 }
 
+/// Acquires the lock. Retries for `wait_s` seconds while another holder has it.
 async fn acquire(client: &mut ControlClient, arguments: &LockRun) -> Result<HeldLock, CallError> {
     let holder = arguments
         .holder
@@ -106,7 +115,7 @@
                 let fence = response["fence"].as_u64().unwrap_or_default();
                 return Ok(HeldLock { path, holder, fence, hold_time, hold_started: sent_at });
             }
-            // It came too late to be of use.
+            // The response came after the end of the hold time, so the lock may have expired: acquire it again.
             Ok(_) => {}
             Err(CallError::Rejected { status: StatusCode::CONFLICT, .. }) if Instant::now() < wait_end => {
                 sleep(ACQUIRE_RETRY_INTERVAL).await;
@@ -116,12 +125,12 @@
     }
 }
 
-/// Renews the lock until the command has ended; ends the command where the lock is lost, and on SIGINT and SIGTERM.
+/// Renews the lock until the command has ended, and returns the exit code. Ends the command if the lock is lost, and on SIGINT and SIGTERM.
 async fn supervise(client: &mut ControlClient, lock: &mut HeldLock, child: &mut Child) -> ExitCode {
     let (Ok(mut interrupt), Ok(mut terminate)) =
         (signal(SignalKind::interrupt()), signal(SignalKind::terminate()))
     else {
-        return crate::exit::report_unusable("can't handle signals");
+        return crate::exit::report_unusable("cannot install the handlers of SIGINT and SIGTERM");
     };
     let mut is_lock_lost = false;
     loop {
@@ -132,7 +141,7 @@
             _ = terminate.recv() => send_sigterm(child),
             () = sleep_until(wake_at) => {
                 if is_lock_lost {
-                    // Its time is over: another may hold the lock.
+                    // The hold time is over: another holder may have the lock.
                     let _ = child.kill().await;
                     continue;
                 }
@@ -143,7 +152,7 @@
                 };
                 if !renewed {
                     is_lock_lost = true;
-                    eprintln!("ivyhatch: the lock can't be renewed: the command is ended");
+                    eprintln!("ivyhatch: the lock could not be renewed in time; sending SIGTERM to the command");
                     send_sigterm(child);
                 }
             }
@@ -154,12 +163,12 @@
 fn send_sigterm(child: &Child) {
     let pid = child.id().and_then(|id| Pid::from_raw(id as i32));
     if let Some(pid) = pid {
-        // A process that has ended meanwhile needs no signal.
+        // Fails if the process has already ended, when no signal is needed.
         let _ = kill_process(pid, Signal::TERM);
     }
 }
 
-/// The command's own code; 4 where the lock was lost.
+/// [`REJECTED`] if the lock was lost, else the command's own exit code; [`FAILURE`] if the command has none, as after a signal.
 fn exit_code(code: Option<i32>, is_lock_lost: bool) -> ExitCode {
     if is_lock_lost {
         return ExitCode::from(REJECTED);
--- a/cli/src/coordination/mod.rs
+++ b/cli/src/coordination/mod.rs
@@ -1,9 +1,9 @@
-//! The commands of applications: `ivyhatch lock run`, `ivyhatch cell get | put | watch`, `ivyhatch number next`.
+//! The commands for applications: `ivyhatch lock run`, `ivyhatch cell get | put | watch` and `ivyhatch number next`.
 //!
-//! | exit code | meaning, beside those of the other commands |
+//! | exit code | meaning, in addition to the codes of all commands |
 //! | --- | --- |
-//! | 4 | another holder has the lock, the cell has another revision, there is no such cell |
-//! | 5 | no clear answer: what was asked for may have been done |
+//! | 4 | another holder has the lock, the lock was lost, the cell has another revision, or there is no such cell |
+//! | 5 | no definite response: the call may have been executed |
 
 mod client;
 mod lock_run;
@@ -21,28 +21,43 @@
 use crate::roles::MESSAGE_COLUMNS;
 use client::{CallError, ControlClient};
 
-/// Names the control nodes where the command line does not.
+/// Environment variable with the addresses of the control nodes, used if `--control` is not given.
 const CONTROL_VARIABLE: &str = "IVYHATCH_CONTROL";
-/// How long a command goes on without a clear answer.
+/// How long a call is sent again while there is no definite response.
 const CALL_TIME_LIMIT: Duration = Duration::from_secs(10);
-/// How long one watch waits at a control node.
+/// How long a control node waits for a put before it responds to a watch, in milliseconds.
 const WATCH_WAIT_MS: u64 = 20_000;
 
-/// Where the control nodes are, and how to print.
+/// Options that all commands for applications have.
 #[derive(Clone, Debug)]
 struct CommonOptions {
     control_nodes: Vec<SocketAddr>,
     as_json: bool,
 }
 
-/// A command of applications.
+/// A command for applications.
 #[derive(Clone, Debug)]
 enum Command {
     LockRun(lock_run::LockRun),
-    CellGet { name: String },
-    CellPut { name: String, value: String, expected_revision: Option<u64> },
-    CellWatch { group: String, after: u64, count: Option<usize> },
-    NumberNext { name: String },
+    CellGet {
+        name: String,
+    },
+    /// Writes a cell; with `expected_revision` only if the cell has this revision, where 0 stands for a cell that does not exist.
+    CellPut {
+        name: String,
+        value: String,
+        expected_revision: Option<u64>,
+    },
+    /// Prints the puts in a group of cells after the revision `after`, or after the current revision if `after` is 0. Ends after `count`
+    /// puts, or never if `count` is `None`.
+    CellWatch {
+        group: String,
+        after: u64,
+        count: Option<usize>,
+    },
+    NumberNext {
+        name: String,
+    },
 }
 
 fn common_parser() -> impl Parser<CommonOptions> {
@@ -60,7 +75,7 @@
     let hold_ms = long("hold-ms")
         .help("the lock is held for so long after its last renewal")
         .argument::<u64>("MS")
-        .guard(|hold_ms| (100..=3_600_000).contains(hold_ms), "has to lie between 100 and 3600000")
+        .guard(|hold_ms| (100..=3_600_000).contains(hold_ms), "--hold-ms must be between 100 and 3600000")
         .fallback(5000);
     let holder = long("holder")
         .help("the holder's name, kept across all of its holds; by default one of this process")
@@ -74,7 +89,7 @@
     let command = positional::<String>("COMMAND")
         .help("the command, behind --, with its arguments")
         .strict()
-        .some("name the command that is to run, behind --");
+        .some("expected the command to run, after --");
     let run = construct!(lock_run::LockRun { hold_ms, holder, wait_s, name, command }).map(Command::LockRun);
     construct!(common, run)
         .to_options()
@@ -138,7 +153,7 @@
     construct!([lock, cell, number]).to_options().descr("Locks, cells and numbers of applications")
 }
 
-/// Runs the command of applications that the first argument names; `None` if it names none.
+/// Runs the command for applications that the first argument selects. Returns `None` if the first argument is not such a command.
 pub fn run_command(arguments: &[String]) -> Option<ExitCode> {
     if !matches!(arguments.first().map(String::as_str), Some("lock" | "cell" | "number")) {
         return None;
@@ -174,7 +189,7 @@
     })
 }
 
-/// Awaits a command, and prints why it failed.
+/// Runs a command to its end. If it fails, prints the error and returns the exit code of the error.
 async fn report(command: impl Future<Output = Result<ExitCode, CallError>>) -> ExitCode {
     match command.await {
         Ok(code) => code,
@@ -190,7 +205,7 @@
     }
 }
 
-/// Prints an answer: all of it as JSON, or one field of it.
+/// Prints the complete response as JSON, or only the value of `field`.
 fn print_response(response: &Value, as_json: bool, field: &str) {
     match &response[field] {
         _ if as_json => println!("{response}"),
@@ -230,6 +245,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
+/// Watches a group of cells, and prints the puts as they are made.
 async fn watch_cells(
     mut client: ControlClient,
     as_json: bool,
@@ -253,7 +269,8 @@
         }
         let next = response["rev"].as_u64().unwrap_or(after);
         if next == 0 {
-            // There is no put yet: the present revision is asked for again.
+            // Revision 0: the group has no put yet. The control node responds to a watch from 0 at once, hence the pause before the next
+            // request.
             tokio::time::sleep(Duration::from_millis(500)).await;
         }
         after = next;
--- a/cli/src/demo.rs
+++ b/cli/src/demo.rs
@@ -1,4 +1,4 @@
-//! `ivyhatch demo`: a small fleet around one real node, on loopback sockets.
+//! `ivyhatch demo`: runs one real node among simulated servers on loopback sockets, and shows the effect of faults in a live table.
 
 use std::process::ExitCode;
 
@@ -11,7 +11,7 @@
 use crate::report::print_violations;
 use crate::socket_run::{SocketRun, run_on_sockets};
 
-/// The world that the demo plays; its times are scaled to `--seconds`.
+/// The built-in world of the demo, in TOML. Its duration and the times of its faults are scaled to `--seconds`.
 const DEMO_WORLD_TOML: &str = include_str!("../../lab/worlds/demo.toml");
 
 #[derive(Args)]
@@ -30,9 +30,9 @@
 /// Why the value of `--seconds` was rejected.
 #[derive(Debug, Error)]
 enum SecondsError {
-    #[error("a number of seconds")]
+    #[error("expected a number of seconds")]
     NotANumber,
-    #[error("4 to 3600 seconds")]
+    #[error("expected 4 to 3600 seconds")]
     OutOfRange,
 }
 
@@ -41,8 +41,9 @@
     if (4.0..=3600.0).contains(&seconds) { Ok(seconds) } else { Err(SecondsError::OutOfRange) }
 }
 
+/// The demo's world, scaled to a duration of `seconds`.
 fn demo_world(seconds: f64) -> World {
-    let mut world = World::read(DEMO_WORLD_TOML).expect("the built-in world is valid");
+    let mut world = World::read(DEMO_WORLD_TOML).expect("the built-in demo world is valid");
     let scale = seconds / world.seconds;
     world.seconds = seconds;
     for fault in &mut world.faults {
@@ -52,7 +53,7 @@
     world
 }
 
-/// Runs the demo: a zone is cut off, then a server turns slow.
+/// Runs the demo: first a network partition of a zone, then a slow server.
 pub fn run(arguments: &DemoArguments) -> ExitCode {
     let world = demo_world(arguments.seconds);
     if !arguments.json {
@@ -70,13 +71,13 @@
     let report = match outcome {
         Ok(SocketRun::Finished(report)) => report,
         Ok(SocketRun::Interrupted) => {
-            eprintln!("stopped; nothing is left running");
+            eprintln!("interrupted; all processes of the demo have ended");
             return ExitCode::from(INTERRUPTED);
         }
         Err(error) => return report_unusable(error),
     };
     if arguments.json {
-        println!("{}", serde_json::to_string(&report).expect("a report is plain data"));
+        println!("{}", serde_json::to_string(&report).expect("a report can be serialized as JSON"));
     } else {
         print_summary(&report);
     }
--- a/cli/src/demo_table.rs
+++ b/cli/src/demo_table.rs
@@ -1,21 +1,22 @@
-//! The live table of `ivyhatch demo`: drawn over itself in a terminal, line after line elsewhere.
+//! The live table of `ivyhatch demo`. In a terminal each table replaces the previous one; in other outputs it is appended.
 
 use std::cell::{Cell, RefCell};
 use std::io::{IsTerminal, Write, stdout};
 
 use ivyhatch_socket_lab::{Snapshot, ZoneSnapshot};
 
-/// The table, with the state that the next drawing needs.
+/// The table, with the state that is needed to draw the next snapshot.
 #[derive(Default)]
 pub struct DemoTable {
-    /// Counters of snapshots only grow: the table shows what was added since this one.
+    /// The snapshot that was drawn last; `None` before the first one. Counters of snapshots are cumulative, and the table shows the
+    /// increase since this snapshot.
     previous: RefCell<Option<Snapshot>>,
-    /// Lines on the terminal that the next table replaces.
+    /// Number of lines on the terminal that the next table replaces; 0 if the output is not a terminal.
     drawn_line_count: Cell<usize>,
 }
 
 impl DemoTable {
-    /// Draws a snapshot below the fault events that came with it.
+    /// Prints the fault events of a snapshot, and draws the snapshot below them.
     pub fn draw(&self, snapshot: &Snapshot) {
         let lines = [zones_line(snapshot), self.requests_line(snapshot)];
         let mut out = stdout().lock();
@@ -23,11 +24,12 @@
         if is_terminal && self.drawn_line_count.get() > 0 {
             let _ = write!(out, "\x1b[{}A\x1b[J", self.drawn_line_count.get());
         }
-        // Fault events stay; the table moves on below them.
+        // Fault events remain visible; only the table below them is replaced.
         for event in &snapshot.fault_events {
             let _ = writeln!(out, "{:>5.1} s  >> {event}", snapshot.seconds);
         }
-        // Where lines add up, half of the snapshots are enough.
+        // Tables are appended if the output is not a terminal: only the snapshots in the first half of each second are printed, which
+        // is one of two.
         if is_terminal || snapshot.seconds.fract() < 0.5 {
             for line in &lines {
                 let _ = writeln!(out, "{line}");
@@ -36,7 +38,7 @@
         self.drawn_line_count.set(if is_terminal { lines.len() } else { 0 });
     }
 
-    /// Requests and attempts since the previous snapshot, which `now` replaces.
+    /// Requests and attempts since the previous snapshot. Stores `snapshot` as the previous one of the next call.
     fn requests_line(&self, snapshot: &Snapshot) -> String {
         let previous = self.previous.replace(Some(snapshot.clone()));
         let (outcomes, attempts) =
--- a/cli/src/error.rs
+++ b/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! The errors that end a command with exit code 3.
+//! Errors that end a command with exit code 3, [`UNUSABLE`](crate::exit::UNUSABLE).
 
 use std::io;
 use std::path::PathBuf;
@@ -9,43 +9,44 @@
 use ivyhatch_socket_lab::SocketLabError;
 use thiserror::Error;
 
-/// Why a command could not do its work.
+/// Why a command could not be carried out.
 #[derive(Debug, Error)]
 pub enum CommandError {
     /// A file or folder could not be read, created or written.
     #[error("{}: {source}", path.display())]
     File { path: PathBuf, source: io::Error },
-    /// A world is not valid; `origin` is its file or the built-in world.
+    /// A world is not valid; `origin` is the path of its file, or names the built-in world.
     #[error("{origin}: {source}")]
     World { origin: String, source: WorldError },
-    /// An experiment's file is not valid.
+    /// The file of an experiment is not valid.
     #[error("{}: {source}", path.display())]
     Experiment { path: PathBuf, source: Box<SpecError> },
-    /// The file of an experiment's results could not be used.
+    /// The results file of an experiment could not be read or written, or is locked by another process.
     #[error("{}: {source}", path.display())]
     Results { path: PathBuf, source: ResultsError },
-    /// The path of the running executable is unknown; nodes are started from it.
-    #[error("this program's own file: {0}")]
+    /// The path of the running executable could not be determined; nodes are started from it.
+    #[error("cannot determine the path of this executable: {0}")]
     OwnExecutable(io::Error),
     /// The async runtime could not be created.
-    #[error("can't start: {0}")]
+    #[error("cannot create the async runtime: {0}")]
     Runtime(io::Error),
-    /// A run on sockets failed.
+    /// A run on loopback sockets failed.
     #[error(transparent)]
     SocketLab(#[from] SocketLabError),
 }
 
-/// Why there is no configuration for a node.
+/// Why the configuration of a node could not be generated.
 #[derive(Debug, Error)]
 pub enum NodeConfigurationError {
-    /// The operators' file is not valid; never empty.
+    /// The operators' configuration file is not valid; contains all of its errors, at least one.
     #[error("{}", summarise_diagnostics(.0))]
     Invalid(Vec<Diagnostic>),
-    /// The operators' file has no instance of this name.
+    /// The operators' configuration file has no instance called `name`; `instance_names` has the names that exist.
     #[error("{}: there is no instance {name:?}; there are {}", file.display(), instance_names.join(", "))]
     UnknownInstance { file: PathBuf, name: String, instance_names: Vec<String> },
 }
 
+/// The first error, with the number of further errors.
 fn summarise_diagnostics(diagnostics: &[Diagnostic]) -> String {
     let first = diagnostics.first().map_or(String::new(), ToString::to_string);
     match diagnostics.len().saturating_sub(1) {
--- a/cli/src/experiment.rs
+++ b/cli/src/experiment.rs
@@ -1,4 +1,5 @@
-//! `ivyhatch lab experiment`: plays many worlds, seeds and variants, and reports which variant serves better.
+//! `ivyhatch lab experiment`: runs every combination of an experiment's worlds, seeds and variants, and reports which variant performs
+//! better.
 
 use std::fs::{create_dir_all, read_to_string, write};
 use std::path::{Path, PathBuf};
@@ -14,7 +15,7 @@
 use crate::exit::{code_for_failures, report_unusable};
 use crate::progress::{default_threads, progress_bar};
 
-/// Results go to a folder of the experiment's name in here if `--out` is not given.
+/// Folder that contains the results of all experiments that run without `--out`, in a subfolder named after the experiment's file.
 const DEFAULT_RESULTS_PARENT: &str = "ivyhatch-results";
 
 #[derive(Args)]
@@ -36,7 +37,7 @@
     print: bool,
 }
 
-/// An experiment's text, and the folder from which it names worlds.
+/// The text of an experiment, and the folder to which the paths of its worlds are relative.
 struct ExperimentSource {
     text: String,
     folder: PathBuf,
@@ -54,7 +55,7 @@
     }
 }
 
-/// Identifies this build: results of another build are not reused, as the same world may end differently there.
+/// The fingerprint of this executable. Results of other builds are not reused, because the same world may have another outcome there.
 fn build_fingerprint() -> String {
     let bytes = std::env::current_exe().and_then(std::fs::read);
     bytes.map_or_else(|_| "unknown build".to_owned(), |bytes| ivyhatch_experiments::fingerprint(&bytes))
@@ -78,7 +79,7 @@
     run_plan(arguments, &plan)
 }
 
-/// Plays what has no result yet, writes the report and prints the summary.
+/// Performs the runs that have no result yet, writes the report and prints the summary.
 fn run_plan(arguments: &ExperimentArguments, plan: &Plan) -> Result<ExitCode, CommandError> {
     let stem = arguments.experiment.file_stem().unwrap_or_default();
     let out_folder = arguments.out.clone().unwrap_or_else(|| Path::new(DEFAULT_RESULTS_PARENT).join(stem));
@@ -93,7 +94,7 @@
     write(&report_path, render_report(plan, &results, &summary))
         .map_err(|source| CommandError::File { path: report_path.clone(), source })?;
     if arguments.json {
-        println!("{}", serde_json::to_string(&summary).expect("a summary is plain data"));
+        println!("{}", serde_json::to_string(&summary).expect("a summary can be serialized as JSON"));
     } else {
         print_summary(&summary);
         println!("report: {}", report_path.display());
@@ -102,10 +103,11 @@
     Ok(code_for_failures(failures.len() + summary.module_rules_broken))
 }
 
+/// Warns if the results file ended in an unfinished line, which was truncated, or has lines that are not valid results.
 fn warn_of_damaged_results(path: &Path, results: &Results) {
     if results.truncated_bytes > 0 || results.unreadable_lines > 0 {
         eprintln!(
-            "{}: cut {} bytes of an unfinished line off, and left {} lines alone that are no result",
+            "{}: truncated {} bytes of an unfinished line, and ignored {} lines that are not valid results",
             path.display(),
             results.truncated_bytes,
             results.unreadable_lines
@@ -136,6 +138,7 @@
         eprintln!("ivyhatch: {world}, {variant}, seed {}: {}", failure.run.seed, failure.error);
     }
 }
+
 fn print_summary(summary: &Summary) {
     println!(
         "{}: {} of {} plays; differences are to {}",
--- a/cli/src/fleet/agent.rs
+++ b/cli/src/fleet/agent.rs
@@ -11,18 +11,20 @@
 use crate::config;
 use crate::exit::{INTERRUPTED, report_unusable};
 
-/// Runs the agent. SIGTERM ends it with success, Ctrl-C with [`INTERRUPTED`].
+/// Runs the agent until it fails or a signal ends it. The exit code is success after SIGTERM, and [`INTERRUPTED`] after Ctrl-C.
 pub fn agent(arguments: &AgentArguments) -> ExitCode {
     let loaded = match config::load(&arguments.config) {
         Ok(loaded) => loaded,
         Err(diagnostics) => return config::report_diagnostics(&diagnostics, false),
     };
     let log = &loaded.config.log;
-    let level = log.level.parse().expect("the level is checked when the file is loaded");
+    let level = log.level.parse().expect("log.level is validated when the file is loaded");
     ivyhatch_node::init_logging(level, config::log_format(log));
     let program = match std::env::current_exe() {
         Ok(program) => program,
-        Err(error) => return report_unusable(format_args!("this program's own path: {error}")),
+        Err(error) => {
+            return report_unusable(format_args!("cannot determine the path of this executable: {error}"));
+        }
     };
     let socket = arguments.socket.clone().unwrap_or_else(|| loaded.config.agent.state.join("agent.sock"));
     block_on(run_until_signal(AgentOptions {
@@ -33,7 +35,7 @@
     }))
 }
 
-/// The agent's nodes outlive it: the next agent finds them.
+/// Runs the agent until it fails or a signal ends it. Its nodes keep running after its end, and the next agent adopts them.
 async fn run_until_signal(options: AgentOptions) -> ExitCode {
     let mut terminate = match signal(SignalKind::terminate()) {
         Ok(terminate) => terminate,
--- a/cli/src/fleet/arguments.rs
+++ b/cli/src/fleet/arguments.rs
@@ -1,5 +1,5 @@
-//! The arguments of the commands that run and call agents. clap prints the doc comments here in `--help`, and takes the names of
-//! flags from the fields.
+//! Arguments of `ivyhatch agent` and of the commands that call agents. clap prints the doc comments here in `--help`, and derives the
+//! names of flags from the names of fields.
 
 use std::path::PathBuf;
 
--- a/cli/src/fleet/change.rs
+++ b/cli/src/fleet/change.rs
@@ -1,4 +1,4 @@
-//! `ivyhatch start`, `stop`, `drain`, `undrain` and `restart`: a command for many instances at once.
+//! `ivyhatch start`, `stop`, `drain`, `undrain` and `restart`: one command for all selected instances.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, IsTerminal, stdin};
@@ -17,32 +17,35 @@
 use crate::exit::REJECTED;
 use crate::progress::progress_bar;
 
-/// The instances of a zone, and how many of them a command would take away.
+/// Numbers of instances in a zone, with which the effect of a command on the zone's capacity is checked.
 #[derive(Default)]
 struct ZoneCapacity {
+    /// Instances in any phase.
     instances: u32,
+    /// Instances that are ready, and so serve requests.
     serving: u32,
-    /// Selected instances that serve now.
+    /// Instances that the command selects and that are ready.
     selected_serving: u32,
 }
 
 impl ZoneCapacity {
+    /// Number of instances that serve while the command takes the selected ones out of service.
     fn remaining(&self) -> u32 {
         self.serving - self.selected_serving
     }
 
-    /// Whether less than half of the zone would serve.
+    /// Whether the command takes instances out of service so that fewer than half of the zone's instances serve.
     fn falls_below_half(&self) -> bool {
         self.selected_serving > 0 && 2 * self.remaining() < self.instances
     }
 }
 
-/// What agents reported of the instances that a command selects.
+/// The instances that a command selects, and the capacity of all zones, as the agents report them.
 #[derive(Default)]
 struct Selection {
     targets: Vec<Target>,
     zones: BTreeMap<String, ZoneCapacity>,
-    /// A result for each agent that gave no status.
+    /// A result with an unknown outcome for each agent that reported no status.
     agents_without_status: Vec<CommandResult>,
 }
 
@@ -77,7 +80,7 @@
         }
     }
 
-    /// A description of each zone of which less than half would serve.
+    /// A description of each zone of which fewer than half of the instances would serve.
     fn capacity_warnings(&self, verb: Verb) -> Vec<String> {
         let zones = self.zones.iter().filter(|(_, zone)| verb.removes_capacity() && zone.falls_below_half());
         let describe = |(name, zone): (&String, &ZoneCapacity)| {
@@ -91,7 +94,7 @@
     }
 }
 
-/// Runs a command for all selected instances.
+/// Runs a command for all selected instances, and prints one result for each of them.
 pub fn change(verb: Verb, arguments: &ChangeArguments) -> ExitCode {
     match sockets_for_change(arguments) {
         Ok(sockets) => block_on(change_selected(verb, arguments, sockets)),
@@ -130,7 +133,7 @@
     }
 }
 
-/// Runs the command for all targets at once.
+/// Runs the command for all targets concurrently.
 async fn run_all(verb: Verb, arguments: &ChangeArguments, targets: Vec<Target>) -> Vec<CommandResult> {
     let options = CommandOptions::new(arguments);
     let bar = progress_bar(targets.len() as u64, arguments.agents.json, "{bar:40} {pos}/{len} {msg}");
@@ -148,7 +151,7 @@
     results
 }
 
-/// Asks the operator; a command without a terminal is never confirmed.
+/// Asks the operator for confirmation. Returns `false` without asking if standard input is not a terminal.
 fn confirm(warnings: &[String]) -> bool {
     if !stdin().is_terminal() {
         return false;
--- a/cli/src/fleet/command.rs
+++ b/cli/src/fleet/command.rs
@@ -1,4 +1,4 @@
-//! One command for one instance: sends it to the agent, and polls until the instance is as requested.
+//! One command for one instance: sends the command to the agent, and polls the agent until the instance is in the requested state.
 
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -12,10 +12,10 @@
 use super::outcome::Outcome;
 use super::query::{Target, phase_name, query_status};
 
-/// How often the agent is asked whether the instance is as requested.
+/// Interval between two status queries while a command waits for the instance to reach the requested state.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What is requested of instances; `--dry-run` prints the names of the variants.
+/// The change that is requested of instances. `--dry-run` prints the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verb {
     Start,
@@ -26,6 +26,7 @@
 }
 
 impl Verb {
+    /// The desired state that the agent stores for the instance.
     fn desired_state(self) -> DesiredState {
         match self {
             Self::Start | Self::Undrain | Self::Restart => DesiredState::Running,
@@ -34,12 +35,12 @@
         }
     }
 
-    /// Whether the instance stops serving, for a while at least.
+    /// Whether the instance stops serving, at least temporarily.
     pub(super) fn removes_capacity(self) -> bool {
         matches!(self, Self::Stop | Self::Drain | Self::Restart)
     }
 
-    /// Whether the instance is as requested; `before` is its status when the command was sent.
+    /// Whether the instance has reached the requested state; `before` is its status before the command was sent.
     fn is_reached(self, before: &InstanceStatus, now: &InstanceStatus) -> bool {
         match self {
             Self::Start | Self::Undrain => now.phase == Phase::Ready,
@@ -50,17 +51,20 @@
     }
 }
 
-/// What all instances of a command have in common.
+/// Options of a command that are the same for all of its instances.
 #[derive(Clone)]
 pub(super) struct CommandOptions {
-    /// Identifies the command: an agent carries it out once for each instance.
+    /// Identifies the command. With the name of the instance it is the id under which an agent carries the command out only once.
     id: String,
+    /// Name of the operator, for the agent's records.
     requested_by: String,
+    /// Time within which each instance has to reach the requested state.
     timeout: Duration,
 }
 
 impl CommandOptions {
-    /// Takes the options from the arguments; without `--id`, the id is made of the time and the process id.
+    /// Reads the options from the arguments. Defaults: the id consists of the current time and the process id, and the operator is the
+    /// environment variable `USER`.
     pub(super) fn new(arguments: &ChangeArguments) -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         let nanos = since_epoch.map_or(0, |elapsed| elapsed.as_nanos());
@@ -71,6 +75,7 @@
         Self { id, requested_by, timeout: Duration::from_secs_f64(arguments.deadline) }
     }
 
+    /// The request that asks the agent for the change.
     fn request(&self, verb: Verb, target: &Target) -> Value {
         let (name, by) = (&target.instance.name, &self.requested_by);
         match verb {
@@ -83,7 +88,7 @@
     }
 }
 
-/// Sends the command for one instance and waits until it is as requested, within the time-out of the options.
+/// Sends the command for one instance, and waits until the instance is in the requested state or the timeout of the options is over.
 pub(super) async fn run_command(verb: Verb, target: &Target, options: &CommandOptions) -> Outcome {
     let deadline = Instant::now() + options.timeout;
     let request = options.request(verb, target);
@@ -97,7 +102,7 @@
     deadline.saturating_duration_since(Instant::now())
 }
 
-/// Sends the request; the error is the outcome of a command that the agent did not accept for sure.
+/// Sends the request. Unless the agent confirms that it has accepted the command, returns the outcome of the command as an error.
 async fn submit(socket: &Path, request: &Value, timeout: Duration) -> Result<(), Outcome> {
     let response = match call(socket, request, timeout).await {
         Ok(response) => response,
@@ -112,11 +117,12 @@
     }
     match serde_json::from_value(response) {
         Ok(ApplyOutcome::Rejected(rejection)) => Err(Outcome::Refused(describe_rejection(&rejection))),
-        // Applied, or the answer to a restart, which has another form.
+        // The command was applied, or this is the response to a restart, which has another format.
         _ => Ok(()),
     }
 }
 
+/// Polls the agent until the outcome is settled or the deadline has passed.
 async fn wait_until_reached(verb: Verb, target: &Target, deadline: Instant, timeout: Duration) -> Outcome {
     let before = &target.instance;
     let mut last_status = "nothing was heard of it".to_owned(); // wire name: printed
@@ -138,7 +144,8 @@
     Outcome::TimedOut(format!("not so within {timeout:?}: {last_status}"))
 }
 
-/// The outcome, once a status settles it: another command took over, the instance is as requested, or it crashed too often.
+/// The outcome, if the status `now` settles it: a later command has set another desired state, the instance has reached the requested
+/// state, or the instance is in a crash loop. `description` is the phase and the reason of `now`.
 fn settled_outcome(
     verb: Verb,
     before: &InstanceStatus,
@@ -154,6 +161,7 @@
     (now.phase == Phase::Crashed).then(|| Outcome::Failed(description.to_owned()))
 }
 
+/// Why the agent rejected the command, for the operator.
 fn describe_rejection(rejection: &Rejection) -> String {
     match rejection {
         Rejection::Conflict { other, .. } => {
--- a/cli/src/fleet/logs.rs
+++ b/cli/src/fleet/logs.rs
@@ -12,7 +12,7 @@
 use super::selector::matches_any;
 use crate::exit::UNKNOWN;
 
-/// Prints the last lines of each selected instance's log. Exits with [`UNKNOWN`] if one of them could not be had.
+/// Prints the last lines of each selected instance's log. Returns [`UNKNOWN`] if an agent does not respond or a log can't be read.
 pub fn logs(arguments: &LogsArguments) -> ExitCode {
     match agent_sockets(&arguments.selection.agents) {
         Ok(sockets) => block_on(async move {
@@ -39,7 +39,7 @@
     }
 }
 
-/// The last lines of an instance's log; `None` if its agent does not answer with lines.
+/// The last lines of an instance's log; `None` if the agent does not respond, or responds with an error.
 async fn query_lines(socket: &Path, instance: &str, lines: usize) -> Option<Vec<Value>> {
     let request = json!({"op": "logs", "instance": instance, "lines": lines});
     let response = call(socket, &request, QUERY_TIMEOUT).await.ok()?;
--- a/cli/src/fleet/mod.rs
+++ b/cli/src/fleet/mod.rs
@@ -1,5 +1,5 @@
 //! `ivyhatch agent`, and the commands that call agents: `status`, `top`, `logs`, `start`, `stop`, `drain`, `undrain`, `restart` and
-//! `rollout`. The instances of one fleet may be kept by several agents, each with its own socket.
+//! `rollout`. The instances of one fleet may be managed by several agents, each with its own socket.
 
 mod agent;
 mod arguments;
--- a/cli/src/fleet/outcome.rs
+++ b/cli/src/fleet/outcome.rs
@@ -1,4 +1,4 @@
-//! The outcome of a command at each instance: its line of output, and the exit code for all of them.
+//! Outcomes of a command: one line of output for each instance, and one exit code for all of them.
 
 use std::fmt::Write as _;
 use std::process::ExitCode;
@@ -9,30 +9,38 @@
 use super::query::AgentReply;
 use crate::exit::{FAILURE, REJECTED, UNKNOWN};
 
-/// The outcome of a command at one instance, with the reason. The names of variants are the values of `result` in JSON.
+/// The outcome of a command at one instance, with the reason. The names of the variants, in snake case, are the values of `result` in
+/// JSON.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "result", content = "why", rename_all = "snake_case")]
 pub(super) enum Outcome {
+    /// The instance has reached the requested state.
     Done(String),
+    /// The command was not carried out, or a later command has replaced it.
     Refused(String),
+    /// The agent reported an error, or the instance crashed.
     Failed(String),
+    /// The agent did not respond, or the instance did not reach the requested state, within the timeout.
     TimedOut(String),
+    /// It is not known whether the command was carried out.
     Unknown(String),
 }
 
 /// The outcome of a command at a named instance, or at an agent that could not be queried.
 pub(super) struct CommandResult {
+    /// Name of the instance, or `agent` and the path of the agent's socket.
     pub name: String,
     pub outcome: Outcome,
 }
 
 impl CommandResult {
-    /// The result for all instances of an agent that gave no status.
+    /// The result for an agent that reported no status, which stands for all of its instances.
     pub(super) fn agent_unknown(reply: &AgentReply, error: impl ToString) -> Self {
         let name = format!("agent {}", reply.socket.display());
         Self { name, outcome: Outcome::Unknown(error.to_string()) }
     }
 
+    /// The line of output, as JSON or as a row of the table.
     fn line(&self, as_json: bool) -> String {
         if as_json {
             let mut object = json!(self.outcome);
@@ -76,7 +84,7 @@
     if severity(second) > severity(first) { second } else { first }
 }
 
-/// Prints the results by name and returns the most severe exit code of them.
+/// Prints the results sorted by name. Returns the most severe of their exit codes.
 pub(super) fn print_results(mut results: Vec<CommandResult>, as_json: bool) -> ExitCode {
     results.sort_by(|first, second| first.name.cmp(&second.name));
     let mut text = String::new();
--- a/cli/src/fleet/query.rs
+++ b/cli/src/fleet/query.rs
@@ -1,4 +1,4 @@
-//! Calls agents for the status of their instances.
+//! Queries agents for the status of their instances.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -14,43 +14,45 @@
 use crate::config;
 use crate::exit::report_wrong_usage;
 
-/// How long an agent may take to answer a query.
+/// Timeout for an agent's response to a query.
 pub(super) const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The longest `--deadline`: a day.
+/// Maximum of `--deadline`, in seconds: one day.
 const MAX_DEADLINE_S: f64 = 86_400.0;
 
 /// Why an agent's status is unknown.
 #[derive(Debug, Error)]
 pub(super) enum StatusError {
-    /// The agent could not be called, or did not answer in time.
+    /// The call failed: the agent could not be reached, did not respond in time, or its response is not JSON.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// The agent answered with an error.
+    /// The agent responded with an error.
     #[error("{0}")]
     Rejected(Value),
-    /// The agent's answer has another form.
+    /// The agent's response is not a valid status.
     #[error("it answered what is no status: {0}")]
     Malformed(serde_json::Error),
 }
 
-/// The status that the agent at a socket reported.
+/// The status that an agent reported, or why there is none.
 pub(super) struct AgentReply {
+    /// Path of the agent's socket.
     pub socket: PathBuf,
     pub status: Result<AgentStatus, StatusError>,
 }
 
-/// An instance that a command is for, as its agent last reported it.
+/// An instance that a command selects, as its agent last reported it.
 #[derive(Clone)]
 pub(super) struct Target {
+    /// Path of the agent's socket.
     pub socket: PathBuf,
-    /// The agent's revision of desired states that the report shows.
+    /// Revision of the agent's store of desired states at the time of the report.
     pub revision: u64,
     pub instance: InstanceStatus,
 }
 
-/// The sockets of the agents that the arguments name. If the operators' file can't be used, its errors are printed and the exit
-/// code is returned.
+/// The sockets of the agents given by `--agent`, or else the socket given by the operators' configuration file. If the file is not valid,
+/// prints its errors and returns the exit code as an error.
 pub(super) fn agent_sockets(arguments: &AgentSocketArguments) -> Result<Vec<PathBuf>, ExitCode> {
     if !arguments.agents.is_empty() {
         return Ok(arguments.agents.clone());
@@ -60,7 +62,8 @@
     Ok(vec![loaded.config.agent.state.join("agent.sock")])
 }
 
-/// The sockets of the agents for a command that changes instances; checks its deadline first.
+/// The sockets of the agents for a command that changes instances. Returns the exit code as an error if `--deadline` is out of range, or
+/// as [`agent_sockets`] does.
 pub(super) fn sockets_for_change(arguments: &ChangeArguments) -> Result<Vec<PathBuf>, ExitCode> {
     let deadline = arguments.deadline;
     if !(deadline > 0.0 && deadline <= MAX_DEADLINE_S) {
@@ -70,7 +73,8 @@
     agent_sockets(&arguments.agents)
 }
 
-/// Queries one instance, or all: who polls one instance need not have all of them sent each time.
+/// Queries the status of one instance, or of all instances if `instance` is `None`. A query of one instance keeps the responses small when
+/// that instance is polled.
 pub(super) async fn query_status(socket: &Path, instance: Option<&str>) -> Result<AgentStatus, StatusError> {
     let request = json!({"op": "status", "instance": instance});
     let response = call(socket, &request, QUERY_TIMEOUT).await?;
@@ -80,7 +84,8 @@
     }
 }
 
-/// Queries all agents at once, so that one that does not answer delays none; replies are in the order of the sockets.
+/// Queries all agents concurrently, so that an agent that does not respond does not delay the others. The replies are in the order of
+/// `sockets`.
 pub(super) async fn query_agents(sockets: &[PathBuf]) -> Vec<AgentReply> {
     let mut queries = JoinSet::new();
     for (index, socket) in sockets.iter().cloned().enumerate() {
@@ -94,7 +99,7 @@
     replies.into_iter().map(|(_, reply)| reply).collect()
 }
 
-/// The name of a phase in tables and messages.
+/// The name of a phase in tables and messages; `drained` is a phase of its own there.
 pub(super) fn phase_name(phase: Phase, drained: bool) -> String {
     match (phase, drained) {
         (Phase::Draining, true) => "drained".into(),
--- a/cli/src/fleet/rollout.rs
+++ b/cli/src/fleet/rollout.rs
@@ -1,4 +1,5 @@
-//! `ivyhatch rollout`: restarts instances zone by zone, waits for each, and stops by itself when less is served than before.
+//! `ivyhatch rollout`: restarts instances zone by zone and waits until each is ready. Stops by itself if an instance does not become ready,
+//! or if the served ratio falls.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -18,7 +19,7 @@
 use super::served_ratio::FleetResponseCounts;
 use crate::exit::report_wrong_usage;
 
-/// The longest `--watch`: an hour.
+/// Maximum of `--watch`, in seconds: one hour.
 const MAX_WATCH_S: f64 = 3600.0;
 
 /// Restarts the selected instances zone by zone.
@@ -32,13 +33,13 @@
     }
 }
 
-/// A rollout that runs.
+/// A rollout in progress.
 struct Rollout<'a> {
     arguments: &'a RolloutArguments,
     sockets: Vec<PathBuf>,
     options: CommandOptions,
     results: Vec<CommandResult>,
-    /// Why the remaining instances are left alone.
+    /// Why the remaining instances are not restarted; `None` while the rollout continues.
     stop_reason: Option<String>,
 }
 
@@ -57,7 +58,7 @@
         let baseline =
             if dry_run || self.stop_reason.is_some() { None } else { self.measure_served_ratio().await };
         for (zone, targets) in zones {
-            // Half of a zone at a time, and one by one where there are few.
+            // Restarts at most half of the zone's targets at a time, but at least one.
             for batch in targets.chunks((targets.len() / 2).max(1)) {
                 self.run_batch(&zone, batch).await;
             }
@@ -68,8 +69,8 @@
         print_results(self.results, self.arguments.change.agents.json)
     }
 
-    /// The selected instances by zone. An agent that gives no status adds a result: the health of its part of the fleet can't
-    /// be watched.
+    /// The selected instances by zone. Adds a result for each agent that reports no status, because the served ratio of its instances
+    /// can't be measured.
     async fn query_targets(&mut self) -> BTreeMap<String, Vec<Target>> {
         let mut zones = BTreeMap::<String, Vec<Target>>::new();
         for mut reply in query_agents(&self.sockets).await {
@@ -92,6 +93,7 @@
         zones
     }
 
+    /// Restarts a batch of instances concurrently. Stops the rollout if one of them does not become ready.
     async fn run_batch(&mut self, zone: &str, batch: &[Target]) {
         if let Some(reason) = &self.stop_reason {
             self.results.extend(batch.iter().map(|target| CommandResult {
@@ -113,7 +115,7 @@
         self.results.extend(results);
     }
 
-    /// Stops the rollout if less is served than before it by more than `--fall`.
+    /// Stops the rollout if the served ratio is lower than before the rollout by more than `--fall`.
     async fn compare_with_baseline(&mut self, zone: &str, baseline: Option<f64>) {
         if let (Some(before), Some(now)) = (baseline, self.measure_served_ratio().await)
             && now < before - self.arguments.fall
@@ -122,7 +124,7 @@
         }
     }
 
-    /// The served ratio of the whole fleet during `--watch` seconds.
+    /// Measures the served ratio of all instances, selected or not, for `--watch` seconds. `None` if there are too few responses.
     async fn measure_served_ratio(&self) -> Option<f64> {
         let before = FleetResponseCounts::from_instances(&query_instances(&self.sockets).await);
         sleep(Duration::from_secs_f64(self.arguments.watch)).await;
@@ -130,7 +132,7 @@
     }
 }
 
-/// The instances of all agents that answer.
+/// The instances of all agents that respond.
 async fn query_instances(sockets: &[PathBuf]) -> Vec<InstanceStatus> {
     let replies = query_agents(sockets).await;
     replies.into_iter().filter_map(|reply| Some(reply.status.ok()?.instances)).flatten().collect()
@@ -148,7 +150,7 @@
     commands.join_all().await
 }
 
-/// Restarts an instance that runs; a stopped one is not wanted and stays stopped.
+/// Restarts an instance, unless it is stopped: a stopped instance is not meant to run.
 async fn restart(target: &Target, options: &CommandOptions) -> Outcome {
     if target.instance.phase == Phase::Stopped {
         return Outcome::Done("stopped, and left so".into());
--- a/cli/src/fleet/selector.rs
+++ b/cli/src/fleet/selector.rs
@@ -1,9 +1,9 @@
-//! Selectors: the words by which a command names instances.
+//! Selectors, by which the arguments of a command select instances.
 
 use ivyhatch_agent::InstanceStatus;
 
-/// Whether one of the selectors matches the instance. The parts of a selector are separated by commas, and all have to match:
-/// `all`, a name, `zone=ZONE` or `LABEL=VALUE`, where `*` matches any text.
+/// Whether at least one of the selectors matches the instance. A selector consists of parts separated by commas, all of which have to
+/// match: `all`, `NAME`, `zone=ZONE` or `LABEL=VALUE`. In names, zones and values, `*` matches any text.
 pub(super) fn matches_any(selectors: &[String], instance: &InstanceStatus) -> bool {
     let part_matches = |part: &str| match part.split_once('=') {
         Some(("zone", zone)) => glob_matches(zone, &instance.zone),
@@ -15,6 +15,7 @@
     selectors.iter().any(|selector| selector.split(',').all(part_matches))
 }
 
+/// Whether the complete text matches the pattern, in which `*` stands for any text, also an empty one.
 fn glob_matches(pattern: &str, text: &str) -> bool {
     let Some((prefix, rest)) = pattern.split_once('*') else { return pattern == text };
     let Some(text) = text.strip_prefix(prefix) else { return false };
--- a/cli/src/fleet/served_ratio.rs
+++ b/cli/src/fleet/served_ratio.rs
@@ -1,36 +1,37 @@
-//! The ratio of requests that nodes served, between two reports of their counters.
+//! The ratio of served requests to all responses of the nodes, between two reports of their counters.
 
 use std::collections::BTreeMap;
 
 use ivyhatch_agent::InstanceStatus;
 
-/// With fewer answers than this, a ratio says nothing.
+/// Minimum number of responses for a meaningful ratio.
 const MIN_RESPONSES: u64 = 20;
 
-/// Identifies a node's process: a new process of the same instance counts from 0.
+/// Identifies a node's process. The counters of a new process of the same instance start at 0.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ProcessKey {
     instance: String,
     pid: i32,
 }
 
-/// Answers since a process started.
+/// Numbers of responses since the start of a process.
 #[derive(Clone, Copy, Default)]
 struct ResponseCount {
     served: u64,
+    /// Served, rejected and failed requests.
     total: u64,
 }
 
-/// The answers of each process.
+/// The numbers of responses of each process.
 pub(super) struct FleetResponseCounts(BTreeMap<ProcessKey, ResponseCount>);
 
 impl FleetResponseCounts {
-    /// The counters of the instances whose nodes reported them.
+    /// Reads the counters from the statuses of instances. Instances without a process or without reported counters are left out.
     pub(super) fn from_instances(instances: &[InstanceStatus]) -> Self {
         Self(instances.iter().filter_map(count_responses).collect())
     }
 
-    /// The ratio of answers since `before` that were served, from 0 to 1; `None` if there were fewer than [`MIN_RESPONSES`].
+    /// The ratio of served requests to all responses since `before`, from 0 to 1; `None` if there were fewer than [`MIN_RESPONSES`].
     pub(super) fn served_ratio_since(&self, before: &Self) -> Option<f64> {
         let (mut served, mut total) = (0, 0);
         for (process, now) in &self.0 {
--- a/cli/src/fleet/served_ratio_tests.rs
+++ b/cli/src/fleet/served_ratio_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the served ratio.
+//! Tests of the served ratio of requests.
 
 use super::{FleetResponseCounts, ProcessKey, ResponseCount};
 
--- a/cli/src/fleet/status.rs
+++ b/cli/src/fleet/status.rs
@@ -1,4 +1,4 @@
-//! `ivyhatch status` and `top`: a table of instances.
+//! `ivyhatch status` and `ivyhatch top`: print a table of instances, once or repeatedly.
 
 use std::io::{IsTerminal, stdout};
 use std::path::Path;
@@ -16,13 +16,13 @@
 use crate::exit::report_wrong_usage;
 use crate::exit::{REJECTED, UNKNOWN};
 
-/// The longest `--every`: an hour.
+/// Maximum of `--every`, in seconds: one hour.
 const MAX_INTERVAL_S: f64 = 3600.0;
 
-/// Moves the cursor home and clears the screen from there.
+/// Escape sequences that move the cursor to the top left corner and clear the screen.
 const CLEAR_SCREEN: &str = "\x1b[H\x1b[2J";
 
-/// Prints the table again and again, until Ctrl-C or `--times` tables.
+/// Prints the table every `--every` seconds, until Ctrl-C or until `--times` tables are printed. Returns the exit code of the last table.
 pub fn top(arguments: &TopArguments) -> ExitCode {
     let every = arguments.every;
     if !(every > 0.0 && every <= MAX_INTERVAL_S) {
@@ -42,7 +42,8 @@
     }
 }
 
-/// Prints one table of the selected instances.
+/// Prints one table of the selected instances. Returns [`UNKNOWN`] if an agent reported no status, else [`REJECTED`] if no instance
+/// matches.
 pub fn status(arguments: &SelectionArguments) -> ExitCode {
     let as_json = arguments.agents.json;
     let sockets = match agent_sockets(&arguments.agents) {
@@ -83,6 +84,7 @@
     );
 }
 
+/// Prints the line of an agent that reported no status.
 fn print_unknown(socket: &Path, error: &StatusError, as_json: bool) {
     match as_json {
         true => println!("{}", json!({"agent": socket, "result": "unknown", "why": error.to_string()})),
--- a/cli/src/hunt.rs
+++ b/cli/src/hunt.rs
@@ -1,4 +1,5 @@
-//! `ivyhatch lab hunt`: searches for a world on which reference policies serve more than the decision module.
+//! `ivyhatch lab hunt`: searches for the world in which the balancer, called decision module in the output, performs worst compared
+//! with reference policies.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -37,7 +38,7 @@
     json: bool,
 }
 
-/// Searches for a world, writes the worst one that is found to `--out` and prints what it shows.
+/// Searches for worlds, writes the one with the largest gap to `--out` and prints the shares served in it.
 pub fn run(arguments: &HuntArguments) -> ExitCode {
     let initial_world = match read_world(arguments.world.as_deref()) {
         Ok(world) => world,
--- a/cli/src/lab.rs
+++ b/cli/src/lab.rs
@@ -1,4 +1,4 @@
-//! `ivyhatch lab`: plays one world with one or several seeds.
+//! `ivyhatch lab`: simulates one world with one or several seeds. The subcommands are in `experiment` and `hunt`.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -14,7 +14,7 @@
 use crate::world_file::read_world;
 use crate::{experiment, hunt};
 
-/// The help text of the world argument.
+/// Help text of the `WORLD` argument.
 const WORLD_HELP: &str = "A world's file; without one, the built-in evening with its troubles"; // wire name
 
 #[derive(Args)]
@@ -64,6 +64,7 @@
     }
 }
 
+/// Simulates a world with all requested seeds, or compares its simulation with a run on sockets.
 fn run_world(arguments: &WorldArguments) -> ExitCode {
     if arguments.print_world {
         print!("{DEFAULT_WORLD}");
@@ -80,14 +81,14 @@
     code_for_failures(seeds.map(|seed| simulate_seed(&world, seed, arguments.json)).sum())
 }
 
-/// Plays the world with one seed, prints its report and returns the number of broken rules.
+/// Simulates the world with one seed and prints the report. Returns the number of violations of invariants.
 fn simulate_seed(world: &World, seed: u64, as_json: bool) -> usize {
     let started = Instant::now();
     let bar = progress_bar(100, as_json, "{msg} [{bar:40}] {pos}%").with_message(format!("seed {seed}"));
     let report = simulate(world, seed, &mut |fraction| bar.set_position((fraction * 100.0) as u64));
     bar.finish_and_clear();
     if as_json {
-        println!("{}", serde_json::to_string(&report).expect("a report is plain data"));
+        println!("{}", serde_json::to_string(&report).expect("a report can be serialized as JSON"));
     } else {
         print_table(&report, started.elapsed());
     }
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -3,15 +3,15 @@
 //! | exit code | meaning |
 //! | --- | --- |
 //! | 0 | success |
-//! | 1 | a rule was broken, a run failed, or an instance failed |
-//! | 2 | wrong usage |
+//! | 1 | an invariant was violated, a run failed, or a command failed at an instance |
+//! | 2 | the arguments are not valid |
 //! | 3 | a file or a resource cannot be used |
-//! | 4 | a command was rejected for some instance, or no instance matches |
-//! | 5 | the outcome at some instance is unknown |
+//! | 4 | a command was rejected for an instance, no instance matches, a call was rejected, or a lock was lost |
+//! | 5 | the outcome at an instance or of a call is unknown |
 //! | 130 | interrupted by Ctrl-C |
 //!
-//! clap takes the help texts from doc comments: `///` on a command or argument is printed by `--help`, so
-//! notes for readers of the code are written as `//` there.
+//! `--help` prints the doc comments (`///`) of commands and arguments, from which clap takes its help texts. Comments for
+//! readers of the code are written as `//` there.
 
 mod config;
 mod control_hunt;
@@ -76,7 +76,8 @@
 }
 
 fn main() -> ExitCode {
-    // The roles have a parser of their own: deploy files start them, and their arguments stay apart from the operators' commands.
+    // Roles and the commands for applications have parsers of their own, so that their arguments are independent of the operators'
+    // commands below. Roles are started by deploy files.
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     if let Some(code) = roles::run_role(&arguments) {
         return code;
--- a/cli/src/node.rs
+++ b/cli/src/node.rs
@@ -24,14 +24,16 @@
     instance: Option<String>,
 }
 
-/// A node's configuration in the platform's form, and the operators' file that it is made from.
+/// The operators' configuration, and the configuration of one node that is generated from it.
 struct NodeConfiguration {
     loaded: LoadedConfig,
+    /// The node's configuration as JSON, in the format of the file that `EDGE_CONFIG` names.
     json: Vec<u8>,
 }
 
 impl NodeConfiguration {
-    /// `seed` stays the same for the whole run of the process, so that a reload changes only what the file changes.
+    /// Loads the operators' configuration file and generates the configuration of the instance called `name`. The caller passes the same
+    /// `seed` at every reload, so that a reload changes only what has changed in the file.
     fn load(file: &Path, name: &str, seed: u64) -> Result<Self, NodeConfigurationError> {
         let loaded = config::load(file).map_err(NodeConfigurationError::Invalid)?;
         let Some(instance) = loaded.config.instance(name) else {
@@ -45,7 +47,8 @@
     }
 }
 
-/// Runs a node until a signal ends it.
+/// Runs a node until a signal ends it: with `--config` as an instance of the operators' file, else with the file that `EDGE_CONFIG`
+/// names.
 pub fn run(arguments: NodeArguments) -> ExitCode {
     let (Some(file), Some(name)) = (arguments.config, arguments.instance) else {
         return ivyhatch_node::run();
@@ -57,12 +60,12 @@
     };
     let instance = Some(name.clone());
     ivyhatch_node::run_with(RunOptions {
-        // Called again at each SIGHUP: the file may have changed by then, and may have become invalid.
+        // Called at the start and again at each SIGHUP, when the file may have changed and may no longer be valid.
         configuration: Box::new(move || match NodeConfiguration::load(&file, &name, seed) {
             Ok(configuration) => Ok(configuration.json),
             Err(error) => Err(ConfigurationUnavailable::Other(error.into())),
         }),
-        log_level: log.level.parse().expect("the level is checked when the file is loaded"),
+        log_level: log.level.parse().expect("log.level is validated when the file is loaded"),
         log_format: config::log_format(&log),
         instance,
         control_socket: arguments.control,
--- a/cli/src/progress.rs
+++ b/cli/src/progress.rs
@@ -1,4 +1,4 @@
-//! Progress bars, and how many threads a command uses.
+//! Progress bars, and the default number of threads.
 
 use std::io::{IsTerminal, stderr};
 use std::num::NonZero;
@@ -6,16 +6,16 @@
 
 use indicatif::{ProgressBar, ProgressStyle};
 
-/// A progress bar on standard error; hidden if that is not a terminal or `quiet` is set.
+/// A progress bar on standard error; hidden if standard error is not a terminal or `quiet` is set.
 pub fn progress_bar(length: u64, quiet: bool, template: &str) -> ProgressBar {
     if quiet || !stderr().is_terminal() {
         return ProgressBar::hidden();
     }
-    let style = ProgressStyle::with_template(template).expect("templates are constants and valid");
+    let style = ProgressStyle::with_template(template).expect("the template is a valid constant");
     ProgressBar::new(length).with_style(style)
 }
 
-/// One thread for each available core; one if their number is unknown.
+/// One thread for each available core; one thread if the number of cores is unknown.
 pub fn default_threads() -> usize {
     available_parallelism().map_or(1, NonZero::get)
 }
--- a/cli/src/report.rs
+++ b/cli/src/report.rs
@@ -1,8 +1,8 @@
-//! Prints what runs in the lab have in common.
+//! Output that all commands with runs of worlds have in common.
 
 use ivyhatch_lab::Report;
 
-/// Prints each broken rule with the events that led to it to standard error.
+/// Prints each recorded violation of an invariant, with its trace of events, to standard error.
 pub fn print_violations(report: &Report, seed: u64) {
     for violation in &report.broken {
         eprintln!("rule broken in {} with seed {seed}: {:?}", report.world, violation.rule);
--- a/cli/src/roles.rs
+++ b/cli/src/roles.rs
@@ -1,5 +1,5 @@
-//! The roles of the system, as the deploy file starts them: `ivyhatch control` and `ivyhatch router`, whose settings are in the file
-//! that the platform names, and `ivyhatch hunt`, which looks for violated invariants of the control state.
+//! The roles of the system: `ivyhatch control` and `ivyhatch router`, which are started by deploy files and read their settings from the
+//! file that `IVYHATCH_SETTINGS` names, and `ivyhatch hunt`, which searches for violations of the control state's invariants.
 
 use std::process::ExitCode;
 
@@ -7,21 +7,21 @@
 
 use crate::control_hunt::{ControlHunt, control_hunt_parser};
 
-/// Columns of help and error messages.
+/// Maximum width of help and error messages, in columns.
 pub const MESSAGE_COLUMNS: usize = 120;
 
-/// The description in the help of `ivyhatch hunt`.
+/// Description of `ivyhatch hunt` in its help text.
 const HUNT_DESCRIPTION: &str = "Plays worlds of control nodes, disks and cuts in virtual time, and keeps those \
     that break a rule as short files";
 
-/// What the first argument names.
+/// A role that the first argument selects.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Role {
-    /// Keeps the control state, follows the platform's list, serves operators and the directory.
+    /// A control node: stores the control state, polls the platform's list of servers, and serves operators and the directory.
     Control,
-    /// Takes clients' requests.
+    /// A router, which forwards clients' requests to servers.
     Router,
-    /// Plays worlds of control nodes in virtual time.
+    /// The search for violated invariants in simulated clusters of control nodes.
     Hunt(ControlHunt),
 }
 
@@ -45,7 +45,7 @@
     construct!([control, router, hunt]).to_options().descr("The roles of the system")
 }
 
-/// Runs the role that the first argument names; `None` if it names none.
+/// Runs the role that the first argument selects. Returns `None` if the first argument is not a role.
 pub fn run_role(arguments: &[String]) -> Option<ExitCode> {
     if !matches!(arguments.first().map(String::as_str), Some("control" | "router" | "hunt")) {
         return None;
--- a/cli/src/socket_run.rs
+++ b/cli/src/socket_run.rs
@@ -1,4 +1,4 @@
-//! Runs a world on loopback sockets, and `ivyhatch lab --sockets`.
+//! Runs worlds with real nodes on loopback sockets, and compares such a run with the simulation for `ivyhatch lab --sockets`.
 
 use std::process::ExitCode;
 
@@ -11,24 +11,24 @@
 use crate::progress::progress_bar;
 use crate::report::print_violations;
 
-/// Progress is shown in steps of a tenth of a second.
+/// Resolution of the progress bar, in steps per second of the run.
 const PROGRESS_STEPS_PER_SECOND: f64 = 10.0;
 
 /// How a run on sockets ended.
 pub enum SocketRun {
-    /// The world was played to its end.
+    /// The run reached the end of the world's time.
     Finished(Box<Report>),
-    /// Ctrl-C came first; all processes have been ended.
+    /// Ctrl-C interrupted the run; all of its processes have been ended.
     Interrupted,
 }
 
-/// The command that starts a node: this executable runs nodes as well.
+/// The command that starts a node: this executable with the argument `node`.
 fn node_command() -> Result<NodeCommand, CommandError> {
     let program = std::env::current_exe().map_err(CommandError::OwnExecutable)?;
     Ok(NodeCommand { program, arguments: vec!["node".into()] })
 }
 
-/// Plays a world on sockets until it ends or Ctrl-C comes; `observe` is called with each snapshot.
+/// Runs a world on sockets until the end of the world's time or until Ctrl-C. `observe` is called with each snapshot of the run.
 pub fn run_on_sockets(
     world: &World,
     seed: u64,
@@ -45,7 +45,7 @@
     })
 }
 
-/// Plays a world in virtual time and on sockets with the same clients, and prints both results side by side.
+/// Runs a world in virtual time and on sockets, with the same clients, and prints both results side by side.
 pub fn compare_with_simulation(world: &World, seed: u64, as_json: bool) -> ExitCode {
     let simulated = simulate(world, seed, &mut |_| {});
     let steps = |seconds: f64| (seconds * PROGRESS_STEPS_PER_SECOND) as u64;
--- a/cli/src/world_file.rs
+++ b/cli/src/world_file.rs
@@ -1,4 +1,4 @@
-//! Reads the world that a lab command names.
+//! Reads the world of a lab command.
 
 use std::fs::read_to_string;
 use std::path::Path;
@@ -7,7 +7,7 @@
 
 use crate::error::CommandError;
 
-/// Reads a world's file, or the built-in world if no path is given.
+/// Reads the world from the file at `path`, or the built-in world if `path` is `None`.
 pub fn read_world(path: Option<&Path>) -> Result<World, CommandError> {
     let (origin, text) = match path {
         None => ("the built-in world".to_owned(), DEFAULT_WORLD.to_owned()),
