--- a/cli/src/coordination/client.rs
+++ b/cli/src/coordination/client.rs
@@ -128,7 +128,7 @@
         let Ok(Ok(stream)) = timeout(NODE_TIMEOUT, TcpStream::connect(address)).await else {
             return AttemptOutcome::NotStarted;
         };
-        // A control node may respond to a watch only after the wait time of the watch.
+        // A control node may respond to a watch only after its wait time; it responds to every other call within a second.
         let response_timeout = if uri.path().starts_with(WATCH_PREFIX) { time_limit } else { NODE_TIMEOUT };
         match timeout(response_timeout, exchange(stream, address, method, uri, body)).await {
             Ok(Ok((StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS, _))) => {
--- a/cli/src/coordination/mod.rs
+++ b/cli/src/coordination/mod.rs
@@ -23,7 +23,7 @@
 
 /// Environment variable with the addresses of the control nodes, used if `--control` is not given.
 const CONTROL_VARIABLE: &str = "IVYHATCH_CONTROL";
-/// How long a call is sent again while there is no definite response.
+/// How long a command retries a call that gets no definite response.
 const CALL_TIME_LIMIT: Duration = Duration::from_secs(10);
 /// How long a control node waits for a put before it responds to a watch, in milliseconds.
 const WATCH_WAIT_MS: u64 = 20_000;
@@ -171,7 +171,7 @@
 fn run(common: CommonOptions, command: Command) -> ExitCode {
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(error) => return crate::exit::report_unusable(format!("can't start: {error}")),
+        Err(error) => return crate::exit::report_unusable(format!("cannot create a runtime: {error}")),
     };
     let client = ControlClient::new(common.control_nodes);
     runtime.block_on(async {
@@ -230,7 +230,7 @@
 ) -> Result<ExitCode, CallError> {
     let mut body = json!({ "value": value });
     if let Some(expected) = expected_revision {
-        body["enabled"] = json!(expected); // wire name
+        body["enabled"] = json!(expected); // wire name of the expected revision
     }
     let response =
         client.call_with_retries(Method::PUT, &format!("cells/{name}"), Some(&body), CALL_TIME_LIMIT).await?;
--- a/cli/src/error.rs
+++ b/cli/src/error.rs
@@ -25,10 +25,10 @@
     #[error("{}: {source}", path.display())]
     Results { path: PathBuf, source: ResultsError },
     /// The path of the running executable could not be determined; nodes are started from it.
-    #[error("cannot determine the path of this executable: {0}")]
+    #[error("cannot locate this executable: {0}")]
     OwnExecutable(io::Error),
     /// The async runtime could not be created.
-    #[error("cannot create the async runtime: {0}")]
+    #[error("cannot create a runtime: {0}")]
     Runtime(io::Error),
     /// A run on loopback sockets failed.
     #[error(transparent)]
--- a/cli/src/fleet/agent.rs
+++ b/cli/src/fleet/agent.rs
@@ -22,9 +22,7 @@
     ivyhatch_node::init_logging(level, config::log_format(log));
     let program = match std::env::current_exe() {
         Ok(program) => program,
-        Err(error) => {
-            return report_unusable(format_args!("cannot determine the path of this executable: {error}"));
-        }
+        Err(error) => return report_unusable(format_args!("cannot locate this executable: {error}")),
     };
     let socket = arguments.socket.clone().unwrap_or_else(|| loaded.config.agent.state.join("agent.sock"));
     block_on(run_until_signal(AgentOptions {
--- a/cli/src/fleet/command.rs
+++ b/cli/src/fleet/command.rs
@@ -54,7 +54,8 @@
 /// Options of a command that are the same for all of its instances.
 #[derive(Clone)]
 pub(super) struct CommandOptions {
-    /// Identifies the command. With the name of the instance it is the id under which an agent carries the command out only once.
+    /// Identifies the command. With the name of the instance it is the id under which an agent carries the command out only
+    /// once. A restart has no id.
     id: String,
     /// Name of the operator, for the agent's records.
     requested_by: String,
