--- a/cli/src/control_hunt.rs
+++ b/cli/src/control_hunt.rs
@@ -60,13 +60,13 @@
             eprintln!("worlds={played} found={violations} seconds={:.1}", started.elapsed().as_secs_f64());
         };
         let (mut played, mut violations) = (0, 0);
-        let worlds = plans(self.seed).take(self.world_count);
-        let worlds: Box<dyn Iterator<Item = _>> = if self.mutate_messages {
-            Box::new(worlds.flat_map(|plan| message_mutations(&plan.without_faults(), 1, 1)))
+        let selected_plans = plans(self.seed).take(self.world_count);
+        let selected_plans: Box<dyn Iterator<Item = _>> = if self.mutate_messages {
+            Box::new(selected_plans.flat_map(|plan| message_mutations(&plan.without_faults(), 1, 1)))
         } else {
-            Box::new(worlds)
+            Box::new(selected_plans)
         };
-        for plan in worlds {
+        for plan in selected_plans {
             played += 1;
             if let Some(run) = find_and_shrink(plan, None) {
                 violations += 1;
--- a/cli/src/coordination/client.rs
+++ b/cli/src/coordination/client.rs
@@ -27,18 +27,18 @@
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// A control node rejected the call, for example because another holder has the lock.
-    #[error("{text}")]
+    #[error("{reason}")]
     Rejected {
         /// The status of the response.
         status: StatusCode,
         /// The reason that the control node gave.
-        text: String,
+        reason: String,
     },
     /// The call is not valid: a control node responded with 400, or the path is not a valid URI.
-    #[error("{text}")]
+    #[error("{reason}")]
     Invalid {
         /// The reason, in most cases as the control node gave it.
-        text: String,
+        reason: String,
     },
     /// No control node has executed the call.
     #[error(
@@ -88,10 +88,10 @@
     ) -> Result<Value, CallError> {
         let deadline = Instant::now() + time_limit;
         let Ok(uri) = format!("/-/{path}").parse::<Uri>() else {
-            let text = format!(
+            let reason = format!(
                 "{path:?} is not a valid path of a call: a name consists of letters, digits and the characters . _ - :"
             );
-            return Err(CallError::Invalid { text });
+            return Err(CallError::Invalid { reason });
         };
         let (mut backoff, mut may_have_executed) = (INITIAL_BACKOFF, false);
         loop {
@@ -99,10 +99,10 @@
                 match self.try_node(&method, &uri, body, time_limit).await {
                     AttemptOutcome::Responded(StatusCode::OK, response) => return Ok(response),
                     AttemptOutcome::Responded(StatusCode::BAD_REQUEST, response) => {
-                        return Err(CallError::Invalid { text: error_text(&response) });
+                        return Err(CallError::Invalid { reason: error_text(&response) });
                     }
                     AttemptOutcome::Responded(status, response) => {
-                        return Err(CallError::Rejected { status, text: error_text(&response) });
+                        return Err(CallError::Rejected { status, reason: error_text(&response) });
                     }
                     AttemptOutcome::NotStarted => {}
                     AttemptOutcome::Unknown => may_have_executed = true,
--- a/cli/src/coordination/lock_run.rs
+++ b/cli/src/coordination/lock_run.rs
@@ -89,8 +89,8 @@
         Ok(child) => child,
         Err(error) => {
             lock.release(&mut client).await;
-            let text = format!("cannot start {}: {error}", arguments.command[0]);
-            return Ok(crate::exit::report_unusable(text));
+            let message = format!("cannot start {}: {error}", arguments.command[0]);
+            return Ok(crate::exit::report_unusable(message));
         }
     };
     let code = supervise(&mut client, &mut lock, &mut child).await;
--- a/cli/src/fleet/change.rs
+++ b/cli/src/fleet/change.rs
@@ -30,13 +30,13 @@
 
 impl ZoneCapacity {
     /// Number of instances that serve while the command takes the selected ones out of service.
-    fn remaining(&self) -> u32 {
+    fn remaining_serving(&self) -> u32 {
         self.serving - self.selected_serving
     }
 
     /// Whether the command takes instances out of service so that fewer than half of the zone's instances serve.
     fn falls_below_half(&self) -> bool {
-        self.selected_serving > 0 && 2 * self.remaining() < self.instances
+        self.selected_serving > 0 && 2 * self.remaining_serving() < self.instances
     }
 }
 
@@ -87,7 +87,7 @@
             let ZoneCapacity { instances, selected_serving, .. } = zone;
             format!(
                 "{selected_serving} of zone {name}, of whose {instances} {} would serve",
-                zone.remaining()
+                zone.remaining_serving()
             )
         };
         zones.map(describe).collect()
--- a/cli/src/fleet/command.rs
+++ b/cli/src/fleet/command.rs
@@ -93,13 +93,13 @@
 pub(super) async fn run_command(verb: Verb, target: &Target, options: &CommandOptions) -> Outcome {
     let deadline = Instant::now() + options.timeout;
     let request = options.request(verb, target);
-    match submit(&target.socket, &request, remaining(deadline)).await {
+    match submit(&target.socket, &request, time_until(deadline)).await {
         Ok(()) => wait_until_reached(verb, target, deadline, options.timeout).await,
         Err(outcome) => outcome,
     }
 }
 
-fn remaining(deadline: Instant) -> Duration {
+fn time_until(deadline: Instant) -> Duration {
     deadline.saturating_duration_since(Instant::now())
 }
 
@@ -127,7 +127,7 @@
 async fn wait_until_reached(verb: Verb, target: &Target, deadline: Instant, timeout: Duration) -> Outcome {
     let before = &target.instance;
     let mut last_status = "nothing was heard of it".to_owned(); // wire name: printed
-    while !remaining(deadline).is_zero() {
+    while !time_until(deadline).is_zero() {
         match query_status(&target.socket, Some(&before.name)).await {
             Err(error) => last_status = error.to_string(),
             Ok(status) => {
@@ -140,7 +140,7 @@
                 }
             }
         }
-        sleep(POLL_INTERVAL.min(remaining(deadline))).await;
+        sleep(POLL_INTERVAL.min(time_until(deadline))).await;
     }
     Outcome::TimedOut(format!("not so within {timeout:?}: {last_status}"))
 }
