--- a/cli/src/control_hunt.rs
+++ b/cli/src/control_hunt.rs
@@ -19,7 +19,7 @@
 /// The arguments of `ivyhatch hunt`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlHunt {
-    /// Number of random plans to take; each describes one world.
+    /// Number of random plans that are drawn; each describes one world.
     world_count: usize,
     /// The seed from which the plans are drawn.
     seed: u64,
--- a/cli/src/demo_table.rs
+++ b/cli/src/demo_table.rs
@@ -28,8 +28,8 @@
         for event in &snapshot.fault_events {
             let _ = writeln!(out, "{:>5.1} s  >> {event}", snapshot.seconds);
         }
-        // Tables are appended if the output is not a terminal: only the snapshots in the first half of each second are printed, which
-        // is one of two.
+        // If the output is not a terminal, tables are appended, so only every second snapshot is printed: those in the first half of each
+        // second.
         if is_terminal || snapshot.seconds.fract() < 0.5 {
             for line in &lines {
                 let _ = writeln!(out, "{line}");
--- a/cli/src/hunt.rs
+++ b/cli/src/hunt.rs
@@ -1,5 +1,5 @@
-//! `ivyhatch lab hunt`: searches for the world in which the balancer, called decision module in the output, performs worst compared
-//! with reference policies.
+//! `ivyhatch lab hunt`: searches for the world in which the balancer performs worst compared with reference policies. Help texts and output
+//! call the balancer the (decision) module.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
