--- a/cli/src/coordination/client.rs
+++ b/cli/src/coordination/client.rs
@@ -1,4 +1,4 @@
-//! A client of the control nodes: sends a call unchanged to one node after another until an answer is clear.
+//! HTTP client of the control nodes. Sends the same call to one node after another until a node gives a definite response.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,124 +13,136 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
 
-/// A node that does not answer within this is left, beside what a watch waits for.
+/// Timeout for connecting to a node, and for its response to every call but a watch; the next node is tried afterwards.
 const NODE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The pause once all nodes were asked in vain, at first and at most.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
-/// Where the paths of watches begin.
+/// Delay after the first round in which no node gave a definite response. It doubles after each further round, up to
+/// [`MAX_BACKOFF`].
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+/// Maximum delay between two rounds.
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
+/// Prefix of the paths of watches.
 const WATCH_PREFIX: &str = "/-/watch/";
 
 /// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// It was decided against.
-    #[error("{text}")]
-    Refused {
-        /// The status of the answer.
+    /// A control node rejected the call, for example because another holder has the lock.
+    #[error("{reason}")]
+    Rejected {
+        /// The status of the response.
         status: StatusCode,
-        /// What the control node says.
-        text: String,
+        /// The reason that the control node gave.
+        reason: String,
     },
-    /// It is not valid.
-    #[error("{text}")]
+    /// The call is not valid: a control node responded with 400, or the path is not a valid URI.
+    #[error("{reason}")]
     Invalid {
-        /// What the control node says.
-        text: String,
+        /// The reason, in most cases as the control node gave it.
+        reason: String,
     },
-    /// No control node has begun it.
-    #[error("no control node takes the call: see to --control, and whether most control nodes are up")]
+    /// No control node has executed the call.
+    #[error(
+        "no control node accepted the call: check --control, and whether a majority of the control nodes runs"
+    )]
     NotStarted,
-    /// It may have been carried out.
-    #[error("no clear answer: what was asked for may have been done; run the same command again")]
+    /// The call may have been executed.
+    #[error("no definite response: the call may have been executed; run the same command again")]
     Unknown,
 }
 
-/// One try of a call.
-enum TryOutcome {
-    Answered(StatusCode, Value),
-    /// Nothing was done.
+/// Outcome of one attempt to send a call to a node.
+enum AttemptOutcome {
+    /// The node gave a definite response; its body is `Value::Null` if it is not JSON.
+    Responded(StatusCode, Value),
+    /// The node has not executed the call: connecting failed, or the node responded with 429 or 503.
     NotStarted,
-    /// Something may have been done.
+    /// The node may have executed the call: there was no complete response in time, or the node responded with another 5xx status.
     Unknown,
 }
 
-/// A client of some control nodes.
+/// A client of a group of control nodes.
 pub struct ControlClient {
-    control: Vec<SocketAddr>,
-    next: usize,
+    nodes: Vec<SocketAddr>,
+    /// Index in `nodes` of the node to which the next attempt is sent.
+    next_node: usize,
 }
 
 impl ControlClient {
     /// A client of the control nodes at these addresses.
-    pub fn new(control: Vec<SocketAddr>) -> Self {
-        Self { control, next: 0 }
+    pub fn new(nodes: Vec<SocketAddr>) -> Self {
+        Self { nodes, next_node: 0 }
     }
 
-    /// Sends a call until an answer is clear, for `limit`. Every call may be carried out twice: a lock is given to its holder again, a
-    /// put is recognised by its value, a number leaves a gap.
+    /// Sends a call to the nodes in turn until one of them gives a definite response or `time_limit` has passed. The time limit is checked
+    /// after each attempt. A call may be executed more than once, which is safe: a lock is granted to its holder again, a repeated put is
+    /// recognised by its value, and a repeated call for a number only leaves a gap in the sequence.
     ///
     /// # Errors
-    /// Where the answer is no success, or none is clear in time.
-    pub async fn call_until_clear(
+    /// [`CallError`] if the response is not 200, or if there is no definite response within the time limit.
+    pub async fn call_with_retries(
         &mut self,
         method: Method,
         path: &str,
         body: Option<&Value>,
-        limit: Duration,
+        time_limit: Duration,
     ) -> Result<Value, CallError> {
-        let end = Instant::now() + limit;
+        let deadline = Instant::now() + time_limit;
         let Ok(uri) = format!("/-/{path}").parse::<Uri>() else {
-            let text = format!("{path:?}: a name has letters, digits and the characters . _ - :");
-            return Err(CallError::Invalid { text });
+            let reason = format!(
+                "{path:?} is not a valid path of a call: a name consists of letters, digits and the characters . _ - :"
+            );
+            return Err(CallError::Invalid { reason });
         };
-        let (mut pause, mut may_be_done) = (FIRST_PAUSE, false);
+        let (mut backoff, mut may_have_executed) = (INITIAL_BACKOFF, false);
         loop {
-            for _ in 0..self.control.len() {
-                match self.try_once(&method, &uri, body, limit).await {
-                    TryOutcome::Answered(StatusCode::OK, answer) => return Ok(answer),
-                    TryOutcome::Answered(StatusCode::BAD_REQUEST, answer) => {
-                        return Err(CallError::Invalid { text: text_of(&answer) });
+            for _ in 0..self.nodes.len() {
+                match self.try_node(&method, &uri, body, time_limit).await {
+                    AttemptOutcome::Responded(StatusCode::OK, response) => return Ok(response),
+                    AttemptOutcome::Responded(StatusCode::BAD_REQUEST, response) => {
+                        return Err(CallError::Invalid { reason: error_text(&response) });
                     }
-                    TryOutcome::Answered(status, answer) => {
-                        return Err(CallError::Refused { status, text: text_of(&answer) });
+                    AttemptOutcome::Responded(status, response) => {
+                        return Err(CallError::Rejected { status, reason: error_text(&response) });
                     }
-                    TryOutcome::NotStarted => {}
-                    TryOutcome::Unknown => may_be_done = true,
+                    AttemptOutcome::NotStarted => {}
+                    AttemptOutcome::Unknown => may_have_executed = true,
                 }
-                self.next = (self.next + 1) % self.control.len();
-                if Instant::now() >= end {
-                    return Err(if may_be_done { CallError::Unknown } else { CallError::NotStarted });
+                self.next_node = (self.next_node + 1) % self.nodes.len();
+                if Instant::now() >= deadline {
+                    return Err(if may_have_executed { CallError::Unknown } else { CallError::NotStarted });
                 }
             }
-            sleep(pause).await;
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            sleep(backoff).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 
-    async fn try_once(
+    async fn try_node(
         &self,
         method: &Method,
         uri: &Uri,
         body: Option<&Value>,
-        limit: Duration,
-    ) -> TryOutcome {
-        let address = self.control[self.next];
+        time_limit: Duration,
+    ) -> AttemptOutcome {
+        let address = self.nodes[self.next_node];
         let Ok(Ok(stream)) = timeout(NODE_TIMEOUT, TcpStream::connect(address)).await else {
-            return TryOutcome::NotStarted;
+            return AttemptOutcome::NotStarted;
         };
-        // A watch is answered after its wait; everything else within a second.
-        let answer_limit = if uri.path().starts_with(WATCH_PREFIX) { limit } else { NODE_TIMEOUT };
-        match timeout(answer_limit, exchange(stream, address, method, uri, body)).await {
+        // A control node may respond to a watch only after its wait time; it responds to every other call within a second.
+        let response_timeout = if uri.path().starts_with(WATCH_PREFIX) { time_limit } else { NODE_TIMEOUT };
+        match timeout(response_timeout, exchange(stream, address, method, uri, body)).await {
             Ok(Ok((StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS, _))) => {
-                TryOutcome::NotStarted
+                AttemptOutcome::NotStarted
             }
-            Ok(Ok((status, answer))) if !status.is_server_error() => TryOutcome::Answered(status, answer),
-            _ => TryOutcome::Unknown,
+            Ok(Ok((status, response))) if !status.is_server_error() => {
+                AttemptOutcome::Responded(status, response)
+            }
+            _ => AttemptOutcome::Unknown,
         }
     }
 }
 
+/// Sends one request on a new connection. Returns the status and the JSON body of the response.
 async fn exchange(
     stream: TcpStream,
     address: SocketAddr,
@@ -155,6 +167,7 @@
     Ok((status, serde_json::from_slice(&bytes).unwrap_or(Value::Null)))
 }
 
-fn text_of(answer: &Value) -> String {
-    answer["error"].as_str().unwrap_or("the control node gives no reason").to_owned()
+/// The reason in a control node's error response.
+fn error_text(response: &Value) -> String {
+    response["error"].as_str().unwrap_or("the control node gave no reason").to_owned()
 }
--- a/cli/src/fleet/change.rs
+++ b/cli/src/fleet/change.rs
@@ -1,4 +1,4 @@
-//! `ivyhatch start`, `stop`, `drain`, `undrain` and `restart`: a command for many instances at once.
+//! `ivyhatch start`, `stop`, `drain`, `undrain` and `restart`: one command for all selected instances.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, IsTerminal, stdin};
@@ -17,33 +17,36 @@
 use crate::exit::REJECTED;
 use crate::progress::progress_bar;
 
-/// The instances of a zone, and how many of them a command would take away.
+/// Numbers of instances in a zone, with which the effect of a command on the zone's capacity is checked.
 #[derive(Default)]
 struct ZoneCapacity {
+    /// Instances in any phase.
     instances: u32,
+    /// Instances that are ready, and so serve requests.
     serving: u32,
-    /// Selected instances that serve now.
-    selected: u32,
+    /// Instances that the command selects and that are ready.
+    selected_serving: u32,
 }
 
 impl ZoneCapacity {
-    fn remaining(&self) -> u32 {
-        self.serving - self.selected
+    /// Number of instances that serve while the command takes the selected ones out of service.
+    fn remaining_serving(&self) -> u32 {
+        self.serving - self.selected_serving
     }
 
-    /// Whether less than half of the zone would serve.
-    fn loses_majority(&self) -> bool {
-        self.selected > 0 && 2 * self.remaining() < self.instances
+    /// Whether the command takes instances out of service so that fewer than half of the zone's instances serve.
+    fn falls_below_half(&self) -> bool {
+        self.selected_serving > 0 && 2 * self.remaining_serving() < self.instances
     }
 }
 
-/// What agents reported of the instances that a command selects.
+/// The instances that a command selects, and the capacity of all zones, as the agents report them.
 #[derive(Default)]
 struct Selection {
     targets: Vec<Target>,
     zones: BTreeMap<String, ZoneCapacity>,
-    /// A result for each agent that gave no status.
-    unknown: Vec<CommandResult>,
+    /// A result with an unknown outcome for each agent that reported no status.
+    agents_without_status: Vec<CommandResult>,
 }
 
 impl Selection {
@@ -53,7 +56,7 @@
             match &mut reply.status {
                 Err(error) => {
                     let error = error.to_string();
-                    selection.unknown.push(CommandResult::agent_unknown(&reply, error));
+                    selection.agents_without_status.push(CommandResult::agent_unknown(&reply, error));
                 }
                 Ok(status) => {
                     for instance in std::mem::take(&mut status.instances) {
@@ -72,23 +75,26 @@
         zone.instances += 1;
         zone.serving += serving;
         if matches_any(selectors, &target.instance) {
-            zone.selected += serving;
+            zone.selected_serving += serving;
             self.targets.push(target);
         }
     }
 
-    /// A description of each zone of which less than half would serve.
+    /// A description of each zone of which fewer than half of the instances would serve.
     fn capacity_warnings(&self, verb: Verb) -> Vec<String> {
-        let zones = self.zones.iter().filter(|(_, zone)| verb.removes_capacity() && zone.loses_majority());
+        let zones = self.zones.iter().filter(|(_, zone)| verb.removes_capacity() && zone.falls_below_half());
         let describe = |(name, zone): (&String, &ZoneCapacity)| {
-            let ZoneCapacity { instances, selected, .. } = zone;
-            format!("{selected} of zone {name}, of whose {instances} {} would serve", zone.remaining())
+            let ZoneCapacity { instances, selected_serving, .. } = zone;
+            format!(
+                "{selected_serving} of zone {name}, of whose {instances} {} would serve",
+                zone.remaining_serving()
+            )
         };
         zones.map(describe).collect()
     }
 }
 
-/// Runs a command for all selected instances.
+/// Runs a command for all selected instances, and prints one result for each of them.
 pub fn change(verb: Verb, arguments: &ChangeArguments) -> ExitCode {
     match sockets_for_change(arguments) {
         Ok(sockets) => block_on(change_selected(verb, arguments, sockets)),
@@ -98,15 +104,15 @@
 
 async fn change_selected(verb: Verb, arguments: &ChangeArguments, sockets: Vec<PathBuf>) -> ExitCode {
     let selection = Selection::query(&sockets, &arguments.selectors).await;
-    if selection.targets.is_empty() && selection.unknown.is_empty() {
+    if selection.targets.is_empty() && selection.agents_without_status.is_empty() {
         eprintln!("ivyhatch: no instance is meant by {}", arguments.selectors.join(" "));
         return ExitCode::from(REJECTED);
     }
     let warnings = selection.capacity_warnings(verb);
-    let Selection { targets, unknown: mut results, .. } = selection;
+    let Selection { targets, agents_without_status: mut results, .. } = selection;
     if arguments.dry_run {
         print_dry_run(verb, &targets, &warnings);
-    } else if !warnings.is_empty() && !arguments.yes && !confirmed(&warnings) {
+    } else if !warnings.is_empty() && !arguments.yes && !confirm(&warnings) {
         let reason = format!("it takes away {}; --yes if that is meant", warnings.join(", "));
         results.extend(targets.into_iter().map(|target| CommandResult {
             name: target.instance.name,
@@ -127,7 +133,7 @@
     }
 }
 
-/// Runs the command for all targets at once.
+/// Runs the command for all targets concurrently.
 async fn run_all(verb: Verb, arguments: &ChangeArguments, targets: Vec<Target>) -> Vec<CommandResult> {
     let options = CommandOptions::new(arguments);
     let bar = progress_bar(targets.len() as u64, arguments.agents.json, "{bar:40} {pos}/{len} {msg}");
@@ -145,8 +151,8 @@
     results
 }
 
-/// Asks the operator; a command without a terminal is never confirmed.
-fn confirmed(warnings: &[String]) -> bool {
+/// Asks the operator for confirmation. Returns `false` without asking if standard input is not a terminal.
+fn confirm(warnings: &[String]) -> bool {
     if !stdin().is_terminal() {
         return false;
     }
