--- a/control/src/calls/call_queue.rs
+++ b/control/src/calls/call_queue.rs
@@ -50,7 +50,7 @@
     Duplicate,
     /// Another copy of the call was answered with this outcome, which is sent again.
     Answered(CallOutcome),
-    /// The queue has [`MAX_WAITING`] calls.
+    /// The queue is full: [`MAX_WAITING`] calls wait for their decisions.
     Rejected,
 }
 
@@ -208,8 +208,8 @@
         self.open_calls.insert(sequence, OpenCall { requester, reply, publication });
     }
 
-    /// Holds a watch until its group has a later revision or `wait_ends_at`. Returns an `Overloaded` outcome where [`MAX_WATCHES`]
-    /// watches are held already.
+    /// Holds a watch until its group has a later revision, or at most until `wait_ends_at`. Returns an `Overloaded` outcome where
+    /// [`MAX_WATCHES`] watches are held already.
     pub fn hold_watch(&mut self, queued: QueuedCall, wait_ends_at: Nanos) -> Option<ReadyOutcome> {
         let QueuedCall { requester, call, expires_at } = queued;
         let Call::WatchGroup { group, after, .. } = call else { return None };
@@ -270,8 +270,8 @@
         ready
     }
 
-    /// Answers the held watches of a group that has later committed revisions. As those puts are committed, the answers need no
-    /// confirmation of the leader's ballot.
+    /// Answers the held watches of a group that has later committed revisions. As the puts of these revisions are committed, the answers
+    /// need no confirmation of the leader's ballot.
     fn answer_watches(&mut self, group: &str) -> Vec<ReadyOutcome> {
         let Some(committed) = self.committed_revision(group) else { return Vec::new() };
         let Phase::Deciding(state) = &self.phase else { return Vec::new() };
--- a/control/src/consensus/acceptor.rs
+++ b/control/src/consensus/acceptor.rs
@@ -36,7 +36,7 @@
     Outdated,
     /// The update does not apply: this replica lacks changes before it.
     Behind,
-    /// The digests differ: the contents here are not the sender's.
+    /// The digest after the update is not the update's digest: the contents here differ from the sender's.
     Diverged,
 }
 
@@ -62,7 +62,7 @@
     NotNewer,
     /// The update does not apply: this replica lacks changes before it.
     Behind,
-    /// The digests differ: the contents here are not the sender's.
+    /// The digest after the update is not the update's digest: the contents here differ from the sender's.
     Diverged,
 }
 
@@ -124,8 +124,9 @@
         applies && self.digest_on_committed(update) == update.digest
     }
 
-    /// Whether [`Acceptor::merge`] would lose nothing that another replica has accepted: that update is not newer than the state here,
-    /// or applies to the committed contents and leads to the digest that its sender has computed.
+    /// Whether [`Acceptor::merge`] would lose nothing that another replica has accepted. `accepted` is that replica's update, `None` if it
+    /// has accepted nothing. Nothing is lost if the update is not newer than the state here, or applies to the committed contents and leads
+    /// to the digest that its sender has computed.
     pub fn can_merge(&self, accepted: Option<&StateUpdate>) -> bool {
         accepted.is_none_or(|update| {
             update.version <= self.accepted
@@ -167,8 +168,8 @@
         if sequence > self.committed.sequence {
             self.pending.push_back(PendingChange { sequence, replaces_all, writes, digest });
         } else if replaces_all {
-            // The committed contents are proposed again under another ballot. If they were sent as a whole value in between, they may
-            // be split into other registers with the same meaning: the leader's registers replace those here.
+            // The committed contents are proposed again under another ballot. If they have been converted to a whole value and back (see
+            // `whole_values`), they may be split into other registers with the same meaning: the leader's registers replace those here.
             apply(&mut self.registers, sequence, replaces_all, writes.into_values());
         }
         self.accepted = update.version;
@@ -234,7 +235,8 @@
     }
 
     /// The accepted contents, as an update for a replica whose contents are the same up to the change `receiver_sequence`. The update
-    /// holds all registers where that is `None`, or where the removal of registers since then may have been forgotten.
+    /// holds all registers if `receiver_sequence` is `None`, or if the record of a register that was removed since that change may have
+    /// been evicted.
     pub fn accepted_update(&self, receiver_sequence: Option<u64>) -> StateUpdate {
         let is_replaced = self.pending.iter().any(|change| change.replaces_all);
         let committed = self.committed_update(receiver_sequence.filter(|_| !is_replaced));
@@ -260,7 +262,8 @@
     }
 
     /// The committed contents, as an update for a replica whose contents are the same up to the change `receiver_sequence`. The update
-    /// holds all registers where that is `None`, or where the removal of registers since then may have been forgotten.
+    /// holds all registers if `receiver_sequence` is `None`, or if the record of a register that was removed since that change may have
+    /// been evicted.
     pub fn committed_update(&self, receiver_sequence: Option<u64>) -> StateUpdate {
         let writes = receiver_sequence.and_then(|known| Some((known, self.registers.written_since(known)?)));
         let (base, writes) = match writes {
@@ -270,7 +273,7 @@
         StateUpdate { version: self.committed, base, writes, digest: self.registers.digest() }
     }
 
-    /// The updates that lead from the committed contents to the accepted ones, oldest first. Each may be committed by itself.
+    /// The updates that lead from the committed contents to the accepted ones, oldest first. Each can be committed without the later ones.
     pub fn pending_updates(&self) -> Vec<StateUpdate> {
         let mut base_sequence = self.committed.sequence;
         let mut updates = Vec::new();
--- a/control/src/consensus/configuration_registers.rs
+++ b/control/src/consensus/configuration_registers.rs
@@ -125,7 +125,7 @@
     items.zip(positions).map(by_name).collect()
 }
 
-/// The register writes that lead from no registers to a state.
+/// The register changes that lead from an empty partition to a state.
 pub fn configuration_registers(state: &ConfigurationState) -> RegisterChanges {
     configuration_changes(&ConfigurationState::default(), state)
 }
--- a/control/src/consensus/elections.rs
+++ b/control/src/consensus/elections.rs
@@ -21,8 +21,8 @@
 }
 
 /// The node that should lead a partition: the first voter in the election order that is active and in contact with a quorum; `None`
-/// without such a voter. A voter that is draining, or can't read the list of servers where the leader has to, leads only where there
-/// is no other.
+/// without such a voter. A voter that is draining, or that can't read the platform's list of servers although the partition's leader has
+/// to, leads only if no other voter can.
 pub fn leader(view: &ClusterView<'_>, partition: PartitionId) -> Option<NodeId> {
     let membership = view.local.membership()?;
     let reads_server_list = partition == reader_partition();
@@ -55,7 +55,7 @@
     index.unwrap_or(0)
 }
 
-/// Until when this node starts no election in partitions where a higher ballot made it step down.
+/// The time until which this node starts no election, for each partition in which a higher ballot made the node step down.
 ///
 /// Where a network path is cut in one direction only, two nodes may both contend, and make each other step down without end. The node
 /// that is later in the election order backs off. The first node never does, as no other node leads while the first is active.
@@ -70,7 +70,8 @@
         self.until.get(&partition).is_some_and(|until| now < *until)
     }
 
-    /// Starts the backoff after this node has stepped down. `order_index` is its index in the partition's election order: 0 has none.
+    /// Starts the backoff after this node has stepped down. The backoff is proportional to `order_index`, the node's index in the
+    /// partition's election order: the first node has none.
     pub fn stepped_down(&mut self, now: Nanos, partition: PartitionId, order_index: usize) {
         self.until.insert(partition, now + ELECTION_BACKOFF * order_index as u64);
     }
--- a/control/src/consensus/partition/effect.rs
+++ b/control/src/consensus/partition/effect.rs
@@ -20,15 +20,16 @@
     Send(NodeId, ConsensusMessage),
     /// Send a message to several other nodes.
     Broadcast(Vec<NodeId>, ConsensusMessage),
-    /// Store the promise, and send the message once it is durable.
+    /// Store the promise, and send the message once the promise is durable.
     Promise(Ballot, NodeId, ConsensusMessage),
-    /// Store the accepted update, and send the message once it is durable.
+    /// Store the accepted update, and send the message once the update is durable.
     Accept(StateUpdate, NodeId, ConsensusMessage),
     /// Send the message once all records of earlier effects are durable.
     SendWhenDurable(NodeId, ConsensusMessage),
     /// A newer version is committed. The caller stores the record and publishes the committed contents.
     Committed(CommitRecord),
-    /// The digests differ: the contents here are not those of another replica, from which whole contents are requested.
+    /// Log that the contents here differ from those of another replica, as their digests show. The complete contents are requested from
+    /// that replica.
     Diverged,
     /// A quorum has confirmed that this leader's ballot was still the highest after the call of
     /// [`super::PartitionReplica::confirm`] with this number.
--- a/control/src/consensus/partition/leadership.rs
+++ b/control/src/consensus/partition/leadership.rs
@@ -50,7 +50,7 @@
 pub(super) struct Progress {
     /// The last change that the voter has acknowledged under this ballot.
     matched: Option<u64>,
-    /// The last change that the voter is known to have committed; `None` where the voter needs whole contents.
+    /// The last change that the voter is known to have committed; `None` if the voter needs the complete contents.
     committed: Option<u64>,
     /// The last change that was sent to the voter under this ballot.
     sent: Option<u64>,
@@ -65,12 +65,12 @@
         Self { committed, ..Self::default() }
     }
 
-    /// The change up to which the voter's contents will be the leader's if all that was sent arrives in order.
+    /// The change up to which the voter's contents will equal the leader's if everything sent arrives in order.
     fn expected(&self) -> Option<u64> {
         self.sent.or(self.acknowledged())
     }
 
-    /// The change up to which the voter's contents are known to be the leader's.
+    /// The change up to which the voter's contents are known to equal the leader's.
     fn acknowledged(&self) -> Option<u64> {
         self.matched.max(self.committed)
     }
@@ -112,9 +112,8 @@
         self.acknowledged()
     }
 
-    /// Records a voter's report that it lacks changes before those that it was sent up to `sequence`. Returns whether to send the
-    /// missing changes now: not where more changes were sent since, as the voter will report those as well, and not right after a
-    /// resend.
+    /// Records a voter's report that it could not accept the changes up to `sequence`, as it lacks earlier ones. Returns whether to send
+    /// the missing changes now: not if more changes were sent since, as the voter will report those as well, and not right after a resend.
     pub(super) fn on_behind(&mut self, now: Nanos, sequence: u64, committed: Option<u64>) -> bool {
         if self.sent != Some(sequence) {
             return false;
--- a/control/src/consensus/partition/mod.rs
+++ b/control/src/consensus/partition/mod.rs
@@ -1,13 +1,13 @@
-//! The consensus on one partition, as one replica runs it. The replica is an acceptor, and a candidate or leader while it contends for
-//! the partition.
+//! The consensus on one partition, as one replica runs it. The replica is an acceptor, and also a candidate or the leader while it contends
+//! for the partition's leadership or holds it.
 //!
 //! A candidate prepares a ballot on a quorum of the voters (`Prepare`, answered by `Promise`: Paxos phase 1). The newest version that
 //! was accepted before is returned with the promises, as far as the candidate lacks it, and is proposed again under the new ballot.
 //! From then on each change takes one round trip (`Accept`, answered by `Accepted`: phase 2) and is committed once a quorum has stored
 //! it. Several changes may be in flight; a voter accepts changes in their order, so that they are committed in their order. A voter
 //! rejects every ballot below the one that it has promised, so that of two leaders at least one fails. There is no log: a voter that
-//! lacks changes reports the last one up to which its contents are the leader's (`Behind`), and is sent the registers written since.
-//! `Confirm` asks a quorum whether a ballot is still the highest, before a read is answered.
+//! lacks changes reports the last change up to which its contents equal the leader's (`Behind`), and is sent the registers written since
+//! that change. `Confirm` asks a quorum whether a ballot is still the highest, before a read is answered.
 
 mod effect;
 mod leadership;
@@ -97,7 +97,7 @@
     }
 
     /// What this replica has promised and accepted, for a replica whose contents are the same up to the change `receiver_sequence`. The
-    /// accepted contents are whole where that is `None`.
+    /// accepted contents are complete if `receiver_sequence` is `None`.
     pub fn transferred_state(&self, receiver_sequence: Option<u64>) -> TransferredState {
         let has_accepted = self.acceptor.accepted().sequence > 0;
         let accepted = has_accepted.then(|| self.acceptor.accepted_update(receiver_sequence));
@@ -170,8 +170,8 @@
         }
     }
 
-    /// Handles a message. A replica that is not a voter ignores requests for its vote: any response could break a promise that another
-    /// replica of the same node has made. Messages of releases before registers are converted before this call, see
+    /// Handles a message. A replica that is not a voter ignores requests for its vote: any response could break a promise that the replica
+    /// on an earlier disk of the same node has made. Messages of releases before registers are converted before this call, see
     /// [`super::whole_values`].
     pub fn handle(
         &mut self,
--- a/control/src/consensus/partition/voter.rs
+++ b/control/src/consensus/partition/voter.rs
@@ -64,8 +64,9 @@
         out.push(Effect::Send(from, ConsensusMessage::Confirmed { ballot, request_id: number }));
     }
 
-    /// Handles a commit. A ballot above this leader's shows that a quorum has promised that ballot, and this leader steps down: the other
-    /// leader may have committed a proposal that is in flight here, whose request would otherwise never be answered.
+    /// Handles a commit. A commit under a higher ballot than the one under which this replica leads shows that a quorum has promised the
+    /// higher ballot, and this replica steps down: the other leader may have committed a proposal that is in flight here, whose request
+    /// would otherwise never be answered.
     pub(super) fn on_commit(&mut self, from: NodeId, version: Version, out: &mut Vec<Effect>) {
         self.observe_ballot(version.ballot, out);
         match self.acceptor.commit(version) {
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Handles contents that another replica knows to be committed; a higher ballot as in [`PartitionReplica::on_commit`].
+    /// Handles contents that another replica knows to be committed. A higher ballot is handled as in [`PartitionReplica::on_commit`].
     pub(super) fn on_committed(&mut self, from: NodeId, update: StateUpdate, out: &mut Vec<Effect>) {
         self.observe_ballot(update.version.ballot, out);
         match self.acceptor.learn(&update) {
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Requests the changes from a replica that are committed after the last commit known here.
+    /// Requests from another replica the changes that were committed after the last commit known here.
     fn fetch_newer(&self, from: NodeId, out: &mut Vec<Effect>) {
         let committed = Some(self.committed_sequence());
         out.push(Effect::Send(from, ConsensusMessage::Fetch { committed }));
--- a/control/src/consensus/partition_state.rs
+++ b/control/src/consensus/partition_state.rs
@@ -56,7 +56,7 @@
     pub change_count: u64,
 }
 
-/// The state of the partitions that zones are hashed into.
+/// The state of one of the partitions that zones are hashed into.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct EvacuationState {
     /// The status of each zone that was ever evacuated, by the zone's name.
@@ -186,7 +186,7 @@
         Decision::Propose { changes, next: PartitionState::Evacuations(next), response }
     }
 
-    /// The register writes that lead from no registers to this state.
+    /// The register changes that lead from an empty partition to this state.
     pub fn registers(&self) -> RegisterChanges {
         self.zones.iter().map(|(zone, status)| zone_register(zone, *status)).collect()
     }
--- a/control/src/consensus/partitions.rs
+++ b/control/src/consensus/partitions.rs
@@ -147,15 +147,15 @@
         self.replicas.get(&partition).is_some_and(PartitionReplica::can_propose)
     }
 
-    /// Drops confirmations of a partition, by their numbers, that no request waits for any longer.
+    /// Drops the confirmations of a partition with these numbers, which no request waits for any longer.
     pub fn cancel_confirmations(&mut self, partition: PartitionId, numbers: &[u64]) {
         if let Some(replica) = self.replicas.get_mut(&partition) {
             numbers.iter().for_each(|number| replica.cancel_confirmation(*number));
         }
     }
 
-    /// What is promised and accepted for the partitions of [`Partitions::ids`]. `committed` are the sequence numbers that the receiver
-    /// has committed, in the same order; contents of partitions beyond its end are whole.
+    /// What is promised and accepted for the partitions of [`Partitions::ids`]. `committed` holds the sequence numbers that the receiver
+    /// has committed, in the same order; the contents of partitions beyond the end of `committed` are complete.
     pub fn transferred_states(&self, committed: &[u64]) -> Vec<(PartitionId, TransferredState)> {
         let known = committed.iter().copied().map(Some).chain(std::iter::repeat(None));
         let state = |((partition, replica), known): ((&PartitionId, &PartitionReplica), _)| {
--- a/control/src/consensus/whole_values.rs
+++ b/control/src/consensus/whole_values.rs
@@ -1,5 +1,5 @@
-//! Compatibility with releases before registers, which encode the contents of a partition as one whole value: their stored records,
-//! and their messages while a group is upgraded node by node.
+//! Compatibility with releases before registers. These encode the contents of a partition as a single byte string, called a whole value
+//! here, both in stored records and in messages, which are exchanged while a cluster is upgraded node by node.
 //!
 //! Records and messages of such a release are converted to registers when they are read or received, and messages to nodes of such a
 //! release are converted when they are sent; the consensus handles registers only. The module can be removed once no stored record and
@@ -17,7 +17,7 @@
 use super::configuration_registers::{ItemPositions, configuration_registers, read_configuration};
 use super::partition_state::{ConfigurationState, EvacuationState, PartitionState};
 
-/// The contents of the configuration's partition, as such a release encodes them.
+/// The contents of the configuration's partition, as releases before registers encode them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct WholeConfiguration {
     /// The current configuration.
@@ -34,7 +34,7 @@
     }
 }
 
-/// The registers for a whole value. A value that can't be decoded is kept in one register unchanged, as its sequence number counts.
+/// The registers for a whole value. A value that can't be decoded is kept unchanged in one register, as its sequence number still counts.
 fn to_registers(partition: PartitionId, value: &[u8]) -> RegisterChanges {
     let registers = match partition {
         PartitionId::CONFIGURATION => WholeConfiguration::read_from_buffer(value)
@@ -114,7 +114,7 @@
     }
 }
 
-/// Converts a message from a node of any release to one with registers; a message without a whole value stays as it is.
+/// Converts a message of a release before registers to the corresponding message with registers; returns any other message unchanged.
 pub fn to_register_message(partition: PartitionId, message: ConsensusMessage) -> ConsensusMessage {
     match message {
         ConsensusMessage::LegacyPrepare { ballot } => {
@@ -132,7 +132,7 @@
 }
 
 /// Converts a message of this replica for a node of a release before registers; `None` where there is nothing to send to that node.
-/// Contents are sent whole, as the acceptor has them now.
+/// If the message carries contents, these are the complete contents that the acceptor has now.
 pub fn to_whole_value_message(
     partition: PartitionId,
     message: &ConsensusMessage,
--- a/control/src/control_plane/calls.rs
+++ b/control/src/control_plane/calls.rs
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Returns whether this node, as the leader, may decide calls now. A new leader first commits a barrier, and then reads the
-    /// partition's state.
+    /// Returns whether this node, as the leader, may decide calls now. A new leader first commits a barrier (an empty change), and then
+    /// reads the partition's state.
     fn prepare_to_decide(&mut self, partition: PartitionId) -> bool {
         let Some(queue) = self.call_queues.get_mut(&partition) else { return false };
         if queue.is_deciding() {
--- a/control/src/control_plane/mod.rs
+++ b/control/src/control_plane/mod.rs
@@ -281,9 +281,9 @@
         self.view().has_quorum()
     }
 
-    /// The addresses of the routers that clients of a region should use. The routers of a region that is partitioned from the other
-    /// regions can't serve requests that are bound to those: the region's clients get the addresses of routers of the other regions
-    /// as well.
+    /// The addresses of the routers that clients of a region should use. Without contact with a quorum, the region counts as partitioned
+    /// from the other regions: its routers can't serve requests that are bound to other regions, so its clients get addresses of routers of
+    /// other regions as well.
     pub fn router_addresses(&self, region: &str) -> Vec<String> {
         if self.has_quorum() {
             return self.routers.addresses_for_region(region);
@@ -361,8 +361,9 @@
     partitions.iter().map(state).collect()
 }
 
-/// Returns the state that the disk holds, and the format that the disk needs first if it is empty or was formatted on another machine. A
-/// disk of another machine is a copy or was moved: its promises are those of another replica, and its state is discarded.
+/// Returns the state that the disk holds, and the format record to write first if the disk is empty or was formatted on another machine. A
+/// disk that was formatted on another machine is a copy or was moved: its promises are those of another replica, and its state is
+/// discarded.
 fn format_if_needed(config: &NodeConfig, stored: DurableState) -> (DurableState, Option<PendingFormat>) {
     let is_foreign = stored.replica.is_some_and(|formatted| formatted.id.node != config.node);
     let mut stored = if is_foreign { DurableState::default() } else { stored };
--- a/control/src/control_plane/reconfiguration.rs
+++ b/control/src/control_plane/reconfiguration.rs
@@ -121,8 +121,8 @@
         let previous = self.replica.membership().into_iter().flat_map(|membership| &membership.previous);
         for node in previous.map(|voter| voter.replica.node).filter(|node| *node != self.config.node) {
             let committed = committed.clone();
-            // The request for a node of a release before registers does not ask for the coordination partitions, but the answer counts as
-            // the node's complete state: that request is not sent before the node's release is known.
+            // A node's answer counts as its complete state, but the request for releases before registers does not ask for the coordination
+            // partitions: nothing is requested from a node before its release is known.
             if self.config.has_coordination && self.known_support(node).is_none() {
                 continue;
             }
@@ -143,8 +143,9 @@
         committed: &[u64],
     ) {
         let Some(disk) = self.transferable_disk(generation) else { return };
-        // The answer counts as this replica's complete state: it must include every partition that the requester has. The request names
-        // these partitions, or else the requester's heartbeat does; without either the request is not answered.
+        // The answer counts as this replica's complete state: it must include every partition that the requester has. Either the request
+        // lists all partitions, or the requester's heartbeat shows which ones the requester has; without either the request is not
+        // answered.
         let names_all = committed.len() == PartitionId::all().count();
         if !names_all && self.peers.heartbeat(from).is_none() {
             return;
--- a/control/src/interface.rs
+++ b/control/src/interface.rs
@@ -42,7 +42,8 @@
     pub drain_timeout: Nanos,
     /// Whether the node holds the partitions of applications' locks, numbers and cells.
     pub has_coordination: bool,
-    /// How long a watch can be resumed from a revision of cells after that revision was returned to it.
+    /// How long puts of cells stay in the history for watches: within this time after a watch was answered with a revision, the watch can
+    /// be resumed from that revision.
     pub cell_history: Nanos,
 }
 
--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -18,12 +18,13 @@
 //!
 //! # Algorithm
 //!
-//! The control state is split into partitions ([`PartitionId`](ivyhatch_protocol::ids::PartitionId)). Each is a replicated register:
-//! one value, agreed on by single-decree Paxos that is run again for each change, without a log (Lamport, "Paxos Made Simple", section
-//! 2; Rystsov, "CASPaxos", sections 2.1 and 2.2). A leader that has prepared its ballot on a quorum skips the prepare phase for all
-//! further changes, as in Multi-Paxos ("Paxos Made Simple", section 3). A read is confirmed by a quorum under the leader's ballot
-//! before it is answered, as in Raft's read index (Ongaro's thesis, section 6.4). Only the first active voter in a fixed order starts
-//! an election ([`consensus::elections`]), so that competing ballots are rare.
+//! The control state is split into partitions ([`PartitionId`](ivyhatch_protocol::ids::PartitionId)). Each is one replicated value, agreed
+//! on by single-decree Paxos that is run again for each change, without a log (Lamport, "Paxos Made Simple", section 2; Rystsov,
+//! "CASPaxos", sections 2.1 and 2.2). The value is a map of registers, so that a change is sent and stored as the changed registers only
+//! ([`ivyhatch_protocol::registers`]). A leader that has prepared its ballot on a quorum skips the prepare phase for all further changes,
+//! as in Multi-Paxos ("Paxos Made Simple", section 3). A read is confirmed by a quorum under the leader's ballot before it is answered, as
+//! in Raft's read index (Ongaro's thesis, section 6.4). Only the first active voter in a fixed order starts an election
+//! ([`consensus::elections`]), so that competing ballots are rare.
 //!
 //! The membership changes by one voter at a time (Ongaro's thesis, section 4.1). Each change is decided by a quorum of the previous
 //! generation, and a new voter collects the state of such a quorum before it votes ([`membership::state_transfer`]).
--- a/control/src/log_event.rs
+++ b/control/src/log_event.rs
@@ -84,7 +84,7 @@
         /// The partition with that state.
         partition: PartitionId,
     },
-    /// The contents of a partition here differ from those of another replica, and are replaced by whole contents.
+    /// The contents of a partition here differ from those of another replica, and are replaced by that replica's complete contents.
     ContentsDiverged {
         /// The partition whose contents differ.
         partition: PartitionId,
@@ -126,7 +126,7 @@
     },
     /// A read of the platform's list has failed.
     ServerListReadFailed {
-        /// Failures since the last success.
+        /// The number of failed reads since the last success, yield of the role or change of ballot.
         consecutive_failures: u32,
     },
     /// A newer version of the server list is in force.
--- a/control/src/membership/local_replica.rs
+++ b/control/src/membership/local_replica.rs
@@ -83,7 +83,7 @@
         self.membership = Some(membership);
     }
 
-    /// Records that the state which the replica needs as the voter that joined in this generation is durable.
+    /// Records that the state that the replica needs to vote is durable. `generation` is the one in which the replica joined as a voter.
     pub fn set_joined(&mut self, generation: u64) {
         self.joined = Some(generation);
     }
--- a/control/src/membership/reconfiguration.rs
+++ b/control/src/membership/reconfiguration.rs
@@ -17,7 +17,7 @@
 const LOSS_TIMEOUT: Nanos = 90 * SECOND;
 
 /// The first membership, on the very first start of the whole system: the seed with the lowest address creates it, once that node can
-/// reach all seeds. All nodes with a disk that it can reach are voters.
+/// reach all seeds. The voters are the seed and all nodes that the seed can reach, as far as they have a disk.
 pub fn first_membership(view: &ClusterView<'_>, zone: &str, seeds: &[NodeId]) -> Option<Membership> {
     let is_bootstrap_node = view.local.may_bootstrap() && seeds.iter().min() == Some(&view.node);
     if view.local.membership().is_some() || !is_bootstrap_node {
@@ -82,7 +82,7 @@
 }
 
 /// Whether the cluster still needs a draining replica: the other voters have no quorum without it, a candidate could take its seat, or
-/// a new voter has not collected the state to vote yet.
+/// a new voter has not yet collected the state that it needs to vote.
 pub fn is_replica_needed(view: &ClusterView<'_>) -> bool {
     let (Some(membership), Some(replica)) = (view.local.membership(), view.local.id()) else { return false };
     let others = membership.voters.iter().filter(|voter| voter.replica != replica);
--- a/control/src/membership/state_transfer.rs
+++ b/control/src/membership/state_transfer.rs
@@ -63,17 +63,17 @@
         self.requested_at = None;
     }
 
-    /// Requests whole states from now on, as a received state does not apply to the contents that this replica has committed.
+    /// Requests complete states from now on, as a received state does not apply to the contents that this replica has committed.
     pub fn request_whole_state(&mut self) {
         self.needs_whole_state = true;
     }
 
-    /// Whether whole states are to be requested.
+    /// Whether to request complete states, not only the changes that this replica lacks.
     pub fn needs_whole_state(&self) -> bool {
         self.needs_whole_state
     }
 
-    /// Whether a replica that lacks its state is to request it now. Records the request if so.
+    /// Whether this replica, which lacks the state that it needs to vote, is to request that state now. Records the request if so.
     pub fn begin_request(&mut self, now: Nanos) -> bool {
         let is_due = self.requested_at.is_none_or(|at| now >= at + REQUEST_INTERVAL);
         let begins = is_due && !self.is_writing();
--- a/control/src/report.rs
+++ b/control/src/report.rs
@@ -50,7 +50,7 @@
     pub leader: Option<NodeId>,
 }
 
-/// Builds the report of the node whose view `view` is.
+/// Builds the report of the node that `view` belongs to.
 pub fn report(view: &ClusterView<'_>, partitions: &Partitions) -> Report {
     let voters = view.local.membership().into_iter().flat_map(|membership| &membership.voters);
     let mut replicas: Vec<ReplicaReport> =
--- a/control/src/requests/admin_requests.rs
+++ b/control/src/requests/admin_requests.rs
@@ -1,4 +1,5 @@
-//! The operators' requests on one node: the requests that came to it, and the requests queued at it as the leader of their partition.
+//! The operators' requests at this node: the requests that came to this node, and the requests queued here for the partitions that this
+//! node leads.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +17,7 @@
 /// The highest age at which the leader accepts a forwarded request. An older request may have been delayed by a network partition, and
 /// must not undo what the operator has done since.
 pub const FORWARD_MAX_AGE: Nanos = 1500 * MILLISECOND;
-/// The bits of a number that are taken from the incarnation of the process; the other bits are a counter.
+/// The bits of a request's number that are taken from the incarnation of the process; the other bits are a counter.
 const INCARNATION_BITS: u64 = 0xffff_ffff_0000_0000;
 
 /// Confirmations of a partition that no response waits for any longer.
--- a/control/src/requests/delivery.rs
+++ b/control/src/requests/delivery.rs
@@ -3,7 +3,7 @@
 use ivyhatch_protocol::ids::NodeId;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
-/// A request times out after this. Less than a second, after which callers retry at another node.
+/// The longest wait for the response to a request. Less than a second, after which callers retry at another node.
 pub const REQUEST_TIMEOUT: Nanos = 920 * MILLISECOND;
 /// The wait before a request is forwarded to the same leader again.
 const FORWARD_INTERVAL: Nanos = 300 * MILLISECOND;
--- a/control/src/server_list/reader.rs
+++ b/control/src/server_list/reader.rs
@@ -27,7 +27,7 @@
 /// successor may be reading for all other nodes, and the two readers must not supersede each other endlessly.
 pub const RENEWAL_DELAY: Nanos = 1500 * MILLISECOND;
 
-/// The id of one read of the whole list, unique within a process.
+/// The id of one read of the platform's list, unique within a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReadId(pub u64);
 
--- a/control/src/server_list/role.rs
+++ b/control/src/server_list/role.rs
@@ -15,8 +15,8 @@
 const ROLE_KEY: &str = "platform-list";
 /// The wait before the list is requested again where the last request to another node has brought no newer list.
 const REQUEST_INTERVAL: Nanos = 250 * MILLISECOND;
-/// How long a change that was made for one receiver is reused for others. The remaining durations of servers in the change become
-/// outdated by up to this time.
+/// How long a change that was made for one receiver is reused for others. The remaining warm-up times and lifetimes of servers in the
+/// change become outdated by up to this time.
 const PREPARED_CHANGE_LIFETIME: Nanos = 100 * MILLISECOND;
 
 /// The partition whose leader has the reader's role.
--- a/control/src/storage/record.rs
+++ b/control/src/storage/record.rs
@@ -16,7 +16,7 @@
         /// Whether the disk was formatted on the first start of the whole system.
         first_start: bool,
     },
-    /// The newest membership. After this record nothing is promised or accepted under an older one.
+    /// The newest membership. After this record nothing is promised or accepted under an older membership.
     Membership(Membership),
     /// The replica holds the state that it needs to vote, as the voter that joined in this generation.
     Joined(u64),
@@ -26,10 +26,10 @@
     /// registers, and still read.
     AcceptedValue(PartitionId, AcceptedValue),
     /// The changes that were accepted under this ballot, up to this sequence number, are committed: watchers may be sent these changes
-    /// without a quorum.
+    /// even without contact with a quorum.
     Committed(PartitionId, Ballot, u64),
     /// The update was accepted for the partition; ballots below the update's are rejected.
     AcceptedUpdate(PartitionId, StateUpdate),
-    /// The update, which another replica has sent, leads to committed contents.
+    /// The update was received from another replica and leads to contents that are known to be committed.
     Learned(PartitionId, StateUpdate),
 }
--- a/control/src/watch/change_feed.rs
+++ b/control/src/watch/change_feed.rs
@@ -10,7 +10,8 @@
 
 /// The largest number of configuration changes that are kept for watchers that are behind.
 const MAX_CHANGES: usize = 64;
-/// A watcher gets a snapshot where the changes that it lacks have more items than the whole configuration has, divided by this ratio.
+/// A watcher gets a snapshot if the number of added or changed items in the changes that it lacks, times this ratio, exceeds the number of
+/// items in the configuration.
 const SNAPSHOT_RATIO: usize = 2;
 
 /// A change of the configuration between two successive sequence numbers that this node knows.
--- a/control/src/watch/router_registry.rs
+++ b/control/src/watch/router_registry.rs
@@ -62,7 +62,9 @@
     /// The local routers as sent in the last report to other control nodes.
     reported: BTreeMap<NodeId, Router>,
     reported_by_peers: BTreeMap<NodeId, PeerReport>,
+    /// The time at which each router was last seen, in any state.
     last_seen: BTreeMap<NodeId, Nanos>,
+    /// Routers as last seen draining, for clients of a region without a ready router.
     draining: BTreeMap<NodeId, SeenRouter>,
     /// Routers as last seen ready, for clients of a region that is partitioned from these routers.
     last_seen_ready: BTreeMap<NodeId, SeenRouter>,
