--- a/control/src/consensus/acceptor.rs
+++ b/control/src/consensus/acceptor.rs
@@ -210,8 +210,8 @@
             return LearnOutcome::Diverged;
         }
         let replaces_all = update.base == UpdateBase::Empty;
-        let known = self.committed.sequence;
-        let new = update.writes.iter().filter(|write| replaces_all || write.sequence > known);
+        let base_sequence = self.committed.sequence;
+        let new = update.writes.iter().filter(|write| replaces_all || write.sequence > base_sequence);
         apply(&mut self.registers, sequence, replaces_all, new.cloned());
         self.committed = update.version;
         if self.accepted.ballot < ballot {
@@ -242,7 +242,7 @@
         let committed = self.committed_update(receiver_sequence.filter(|_| !is_replaced));
         let base = committed.base;
         let since = match base {
-            UpdateBase::Since(known) => known,
+            UpdateBase::Since(sequence) => sequence,
             UpdateBase::Empty => 0,
         };
         let key_and_write = |write: RegisterWrite| (write.key.clone(), write);
@@ -265,9 +265,9 @@
     /// holds all registers if `receiver_sequence` is `None`, or if the record of a register that was removed since that change may have
     /// been evicted.
     pub fn committed_update(&self, receiver_sequence: Option<u64>) -> StateUpdate {
-        let writes = receiver_sequence.and_then(|known| Some((known, self.registers.written_since(known)?)));
+        let writes = receiver_sequence.and_then(|since| Some((since, self.registers.written_since(since)?)));
         let (base, writes) = match writes {
-            Some((known, writes)) => (UpdateBase::Since(known), writes),
+            Some((since, writes)) => (UpdateBase::Since(since), writes),
             None => (UpdateBase::Empty, self.registers.snapshot()),
         };
         StateUpdate { version: self.committed, base, writes, digest: self.registers.digest() }
--- a/control/src/consensus/catch_up.rs
+++ b/control/src/consensus/catch_up.rs
@@ -18,10 +18,10 @@
     /// Whether to request a partition's missing changes now, from a node that has committed more than this one. Records the request.
     pub fn begin_request(&mut self, now: Nanos, partition: PartitionId) -> bool {
         let last = self.requested_at.get(&partition);
-        let begins = last.is_none_or(|at| now >= at + REQUEST_INTERVAL);
-        if begins {
+        let should_request = last.is_none_or(|at| now >= at + REQUEST_INTERVAL);
+        if should_request {
             self.requested_at.insert(partition, now);
         }
-        begins
+        should_request
     }
 }
--- a/control/src/consensus/configuration_registers.rs
+++ b/control/src/consensus/configuration_registers.rs
@@ -48,10 +48,10 @@
 
 fn updated_positions(old_items: &[Item], old_positions: &[u64], items: &[Item]) -> Vec<u64> {
     let names = old_items.iter().map(|item| item.name.as_str());
-    let known: BTreeMap<&str, u64> = names.zip(old_positions.iter().copied()).collect();
+    let old_position_by_name: BTreeMap<&str, u64> = names.zip(old_positions.iter().copied()).collect();
     let mut next = old_positions.iter().max().map_or(1, |last| last + 1);
     let position = |item: &Item| {
-        known.get(item.name.as_str()).copied().unwrap_or_else(|| {
+        old_position_by_name.get(item.name.as_str()).copied().unwrap_or_else(|| {
             next += 1;
             next - 1
         })
--- a/control/src/consensus/elections.rs
+++ b/control/src/consensus/elections.rs
@@ -16,7 +16,7 @@
 /// Reasons against a voter as the leader, the strongest first, as fields are compared in order. The voter with the least penalty leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct LeaderPenalty {
-    cannot_perform_role: bool,
+    cannot_read_server_list: bool,
     is_draining: bool,
 }
 
@@ -27,7 +27,7 @@
     let membership = view.local.membership()?;
     let reads_server_list = partition == reader_partition();
     let penalty = |can_read: bool, is_draining: bool| LeaderPenalty {
-        cannot_perform_role: reads_server_list && !can_read,
+        cannot_read_server_list: reads_server_list && !can_read,
         is_draining,
     };
     let eligible = |node: NodeId| {
--- a/control/src/consensus/partition/leadership.rs
+++ b/control/src/consensus/partition/leadership.rs
@@ -77,13 +77,13 @@
 
     /// Records that all changes up to `sequence` are sent now. Returns the change up to which the voter is expected to have them.
     pub(super) fn send(&mut self, now: Nanos, sequence: u64) -> Option<u64> {
-        let known = self.expected();
+        let base = self.expected();
         // With several changes in flight, the acknowledgement of the first is measured and waited for.
         if self.sent.is_none() || self.sent == self.matched {
             (self.sent_at, self.was_sent_again) = (now, false);
         }
         self.sent = Some(sequence);
-        known
+        base
     }
 
     /// Records that the voter has acknowledged all changes up to `sequence`.
--- a/control/src/consensus/partition/mod.rs
+++ b/control/src/consensus/partition/mod.rs
@@ -30,7 +30,7 @@
 
 /// A voter's promise to a candidate, with the voter's accepted update as far as the candidate lacks it.
 #[derive(Clone, Debug)]
-struct Promised {
+struct VoterPromise {
     accepted: Option<StateUpdate>,
     committed: u64,
 }
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug)]
 struct Candidacy {
     ballot: Ballot,
-    promises: BTreeMap<NodeId, Promised>,
+    promises: BTreeMap<NodeId, VoterPromise>,
     sent_at: Nanos,
 }
 
@@ -198,7 +198,7 @@
             | ConsensusMessage::LegacyFetch { .. }
             | ConsensusMessage::LegacyCommitted(_) => {}
             ConsensusMessage::Promise { ballot, accepted, committed } => {
-                self.on_promise(now, from, ballot, Promised { accepted, committed }, out);
+                self.on_promise(now, from, ballot, VoterPromise { accepted, committed }, out);
             }
             ConsensusMessage::Accepted { ballot, sequence } => {
                 self.on_accepted(now, from, ballot, sequence, out);
--- a/control/src/consensus/partition/proposer.rs
+++ b/control/src/consensus/partition/proposer.rs
@@ -10,7 +10,7 @@
 
 use super::super::acceptor::{AcceptOutcome, CommitOutcome};
 use super::leadership::{Leadership, MIN_RETRY_INTERVAL, Progress};
-use super::{Candidacy, CommitRecord, Effect, PartitionReplica, Promised, Role};
+use super::{Candidacy, CommitRecord, Effect, PartitionReplica, Role, VoterPromise};
 
 impl PartitionReplica {
     /// Starts an election: prepares a new ballot above all ballots seen so far.
@@ -49,17 +49,17 @@
         let Version { ballot, sequence } = update.version;
         out.push(Effect::Accept(update, self.node, ConsensusMessage::Accepted { ballot, sequence }));
         let Role::Leader(leadership) = &mut self.role else { return };
-        let mut voters_by_known: BTreeMap<Option<u64>, Vec<NodeId>> = BTreeMap::new();
+        let mut voters_by_base: BTreeMap<Option<u64>, Vec<NodeId>> = BTreeMap::new();
         let voters: Vec<NodeId> = leadership.voters().collect();
         for voter in voters {
             let Some(progress) = leadership.progress_mut(voter) else { continue };
-            let known = progress.send(now, sequence);
+            let base = progress.send(now, sequence);
             if voter != self.node {
-                voters_by_known.entry(known).or_default().push(voter);
+                voters_by_base.entry(base).or_default().push(voter);
             }
         }
-        for (known, voters) in voters_by_known {
-            let update = self.acceptor.accepted_update(known);
+        for (base, voters) in voters_by_base {
+            let update = self.acceptor.accepted_update(base);
             out.push(Effect::Broadcast(voters, ConsensusMessage::Accept(update)));
         }
     }
@@ -111,7 +111,7 @@
         now: Nanos,
         from: NodeId,
         ballot: Ballot,
-        promised: Promised,
+        promised: VoterPromise,
         out: &mut Vec<Effect>,
     ) {
         let quorum_size = self.quorum_size();
@@ -137,7 +137,7 @@
         &mut self,
         now: Nanos,
         ballot: Ballot,
-        promises: BTreeMap<NodeId, Promised>,
+        promises: BTreeMap<NodeId, VoterPromise>,
         out: &mut Vec<Effect>,
     ) {
         let own_committed = self.committed_sequence();
--- a/control/src/consensus/partitions.rs
+++ b/control/src/consensus/partitions.rs
@@ -157,11 +157,11 @@
     /// What is promised and accepted for the partitions of [`Partitions::ids`]. `committed` holds the sequence numbers that the receiver
     /// has committed, in the same order; the contents of partitions beyond the end of `committed` are complete.
     pub fn transferred_states(&self, committed: &[u64]) -> Vec<(PartitionId, TransferredState)> {
-        let known = committed.iter().copied().map(Some).chain(std::iter::repeat(None));
-        let state = |((partition, replica), known): ((&PartitionId, &PartitionReplica), _)| {
-            (*partition, replica.transferred_state(known))
+        let receiver_sequences = committed.iter().copied().map(Some).chain(std::iter::repeat(None));
+        let state = |((partition, replica), receiver_sequence): ((&PartitionId, &PartitionReplica), _)| {
+            (*partition, replica.transferred_state(receiver_sequence))
         };
-        self.replicas.iter().zip(known).map(state).collect()
+        self.replicas.iter().zip(receiver_sequences).map(state).collect()
     }
 
     /// The acceptors of the partitions of [`Partitions::ids`].
@@ -171,9 +171,9 @@
 
     /// Whether [`Partitions::merge`] would keep all that another replica has accepted.
     pub fn can_merge(&self, partitions: &[(PartitionId, TransferredState)]) -> bool {
-        let mut known =
+        let mut replicas_and_states =
             partitions.iter().filter_map(|(partition, state)| Some((self.replicas.get(partition)?, state)));
-        known.all(|(replica, state)| replica.can_merge(state))
+        replicas_and_states.all(|(replica, state)| replica.can_merge(state))
     }
 
     /// Merges what other replicas have promised and accepted. The caller stores the returned records, which make the result durable.
--- a/control/src/consensus/whole_values.rs
+++ b/control/src/consensus/whole_values.rs
@@ -38,7 +38,7 @@
 fn to_registers(partition: PartitionId, value: &[u8]) -> RegisterChanges {
     let registers = match partition {
         PartitionId::CONFIGURATION => WholeConfiguration::read_from_buffer(value)
-            .map(|whole| configuration_registers(&ConfigurationState::from(whole))),
+            .map(|configuration| configuration_registers(&ConfigurationState::from(configuration))),
         PartitionId::MEMBERSHIP => Ok(vec![(RegisterKey::Membership, Some(value.to_vec().into()))]),
         _ => EvacuationState::read_from_buffer(value).map(|state| state.registers()),
     };
@@ -46,8 +46,8 @@
 }
 
 /// Converts a whole value to an update that holds all registers.
-pub fn to_update(partition: PartitionId, whole: &AcceptedValue) -> StateUpdate {
-    let AcceptedValue { ballot, sequence, value } = whole;
+pub fn to_update(partition: PartitionId, accepted: &AcceptedValue) -> StateUpdate {
+    let AcceptedValue { ballot, sequence, value } = accepted;
     let (version, sequence) = (Version { ballot: *ballot, sequence: *sequence }, *sequence);
     let write = |(key, value)| RegisterWrite { key, sequence, value };
     let writes: Vec<RegisterWrite> = to_registers(partition, value).into_iter().map(write).collect();
@@ -81,9 +81,9 @@
 }
 
 /// Converts what a node of a release before registers has promised and accepted.
-pub fn to_transferred_state(partition: PartitionId, whole: &LegacyAcceptorState) -> TransferredState {
-    let accepted = whole.accepted.as_ref().map(|value| to_update(partition, value));
-    TransferredState { promised: whole.promised, accepted }
+pub fn to_transferred_state(partition: PartitionId, legacy: &LegacyAcceptorState) -> TransferredState {
+    let accepted = legacy.accepted.as_ref().map(|value| to_update(partition, value));
+    TransferredState { promised: legacy.promised, accepted }
 }
 
 /// What this replica has promised and accepted, for a node of a release before registers.
--- a/control/src/control_plane/calls.rs
+++ b/control/src/control_plane/calls.rs
@@ -137,8 +137,8 @@
     fn begin_deciding(&mut self, partition: PartitionId) -> bool {
         let Some(replica) = self.partitions.replica(partition) else { return false };
         let registers = replica.acceptor().registers();
-        let span = self.config.cell_history;
-        let Some(state) = CoordinationState::from_registers(self.now, span, registers) else {
+        let history_retention = self.config.cell_history;
+        let Some(state) = CoordinationState::from_registers(self.now, history_retention, registers) else {
             self.outbox.log(LogEvent::StateUndecodable { partition });
             return false;
         };
--- a/control/src/control_plane/consensus.rs
+++ b/control/src/control_plane/consensus.rs
@@ -95,7 +95,7 @@
     }
 
     /// Whether a node understands messages that carry registers; `None` before a message from that node has shown it.
-    pub(super) fn known_support(&self, node: NodeId) -> Option<bool> {
+    pub(super) fn register_support(&self, node: NodeId) -> Option<bool> {
         if node == self.config.node { Some(true) } else { self.peers.supports_registers(node) }
     }
 
@@ -107,7 +107,7 @@
 
     /// Whether a node is known to understand messages that carry registers.
     pub(super) fn supports_registers(&self, node: NodeId) -> bool {
-        self.known_support(node) == Some(true)
+        self.register_support(node) == Some(true)
     }
 
     /// The envelope of a consensus message, in the form that its receiver understands; `None` where there is no such form. The form is
@@ -116,7 +116,7 @@
         if !self.has_partition(to, partition) {
             return None;
         }
-        let message = match self.known_support(to)? {
+        let message = match self.register_support(to)? {
             true => message,
             false => {
                 let acceptor = self.partitions.replica(partition)?.acceptor();
@@ -146,12 +146,12 @@
         message: &ConsensusMessage,
     ) {
         voters.retain(|voter| self.has_partition(*voter, partition));
-        let (voters, of_earlier_releases): (Vec<NodeId>, Vec<NodeId>) =
+        let (voters, legacy_voters): (Vec<NodeId>, Vec<NodeId>) =
             voters.into_iter().partition(|voter| self.supports_registers(*voter));
         let generation = self.replica.generation();
         let with_registers = PeerMessage::Consensus { generation, partition, message: message.clone() };
         self.outbox.send_to_peers(voters, with_registers);
-        for voter in of_earlier_releases {
+        for voter in legacy_voters {
             self.send_consensus_message(voter, partition, message.clone());
         }
     }
--- a/control/src/control_plane/mod.rs
+++ b/control/src/control_plane/mod.rs
@@ -288,11 +288,11 @@
         if self.has_quorum() {
             return self.routers.addresses_for_region(region);
         }
-        let elsewhere = self.home_regions.common_to_excluding_routes(region);
-        if elsewhere.is_empty() {
+        let other_regions = self.home_regions.common_to_excluding_routes(region);
+        if other_regions.is_empty() {
             return self.routers.addresses_for_region(region);
         }
-        self.routers.addresses_while_partitioned(region, &elsewhere)
+        self.routers.addresses_while_partitioned(region, &other_regions)
     }
 
     /// The other control nodes that this node can reach now.
--- a/control/src/control_plane/reconfiguration.rs
+++ b/control/src/control_plane/reconfiguration.rs
@@ -123,7 +123,7 @@
             let committed = committed.clone();
             // A node's answer counts as its complete state, but the request for releases before registers does not ask for the coordination
             // partitions: nothing is requested from a node before its release is known.
-            if self.config.has_coordination && self.known_support(node).is_none() {
+            if self.config.has_coordination && self.register_support(node).is_none() {
                 continue;
             }
             let request = match self.supports_registers(node) {
@@ -146,12 +146,12 @@
         // The answer counts as this replica's complete state: it must include every partition that the requester has. Either the request
         // lists all partitions, or the requester's heartbeat shows which ones the requester has; without either the request is not
         // answered.
-        let names_all = committed.len() == PartitionId::all().count();
-        if !names_all && self.peers.heartbeat(from).is_none() {
+        let lists_all_partitions = committed.len() == PartitionId::all().count();
+        if !lists_all_partitions && self.peers.heartbeat(from).is_none() {
             return;
         }
         let mut partitions = self.partitions.transferred_states(committed);
-        partitions.retain(|(partition, _)| names_all || self.has_partition(from, *partition));
+        partitions.retain(|(partition, _)| lists_all_partitions || self.has_partition(from, *partition));
         let message = PeerMessage::RegisterTransfer { incarnation, generation, disk, partitions };
         self.outbox.store_then_send(Vec::new(), [Envelope { to: from, message }]);
     }
--- a/control/src/control_plane/server_list.rs
+++ b/control/src/control_plane/server_list.rs
@@ -64,11 +64,11 @@
 
     /// Sends a change of the server list to all other control nodes, to nodes of earlier releases in the form that these understand.
     fn broadcast_server_list(&mut self, change: ServerListChange) {
-        let (peers, of_earlier_releases) = self.peers_by_release();
-        if !of_earlier_releases.is_empty() {
+        let (peers, legacy_peers) = self.peers_by_release();
+        if !legacy_peers.is_empty() {
             let update = change.to_update().or_else(|| self.server_list.whole_update(self.now));
             let messages = update.into_iter().map(PeerMessage::ServerList);
-            messages.for_each(|message| self.outbox.send_to_peers(of_earlier_releases.clone(), message));
+            messages.for_each(|message| self.outbox.send_to_peers(legacy_peers.clone(), message));
         }
         self.outbox.send_to_peers(peers, PeerMessage::ServerListChange(change));
     }
--- a/control/src/control_plane/watchers.rs
+++ b/control/src/control_plane/watchers.rs
@@ -56,12 +56,12 @@
 
     /// Sends the other control nodes the changes of this node's routers since the last report; to nodes of earlier releases, all routers.
     fn send_routers(&mut self) {
-        let (peers, of_earlier_releases) = self.peers_by_release();
+        let (peers, legacy_peers) = self.peers_by_release();
         let changes = self.routers.take_report(self.now);
         self.outbox.send_to_peers(peers, PeerMessage::RouterChanges(changes));
-        if !of_earlier_releases.is_empty() {
+        if !legacy_peers.is_empty() {
             let routers = self.routers.local_routers();
-            self.outbox.send_to_peers(of_earlier_releases, PeerMessage::RouterSessions(routers));
+            self.outbox.send_to_peers(legacy_peers, PeerMessage::RouterSessions(routers));
         }
     }
 
--- a/control/src/liveness/failure_detector.rs
+++ b/control/src/liveness/failure_detector.rs
@@ -68,8 +68,8 @@
     /// on its successor.
     pub fn record_heartbeat(&mut self, from: NodeId, heartbeat: Heartbeat) {
         let peer = self.peers.entry(from).or_default();
-        let is_newer = peer.heartbeat.as_ref().is_none_or(|known| {
-            known.incarnation != heartbeat.incarnation || known.sequence < heartbeat.sequence
+        let is_newer = peer.heartbeat.as_ref().is_none_or(|last| {
+            last.incarnation != heartbeat.incarnation || last.sequence < heartbeat.sequence
         });
         if is_newer {
             peer.supports_registers = Some(heartbeat.supports_registers());
--- a/control/src/liveness/heartbeat_schedule.rs
+++ b/control/src/liveness/heartbeat_schedule.rs
@@ -7,7 +7,7 @@
 /// Interval between two heartbeats.
 pub const HEARTBEAT_INTERVAL: Nanos = 200 * MILLISECOND;
 /// How long the sending time of a heartbeat is kept. Longer than the maximum age at which a forwarded request is still carried out.
-const HISTORY: Nanos = 3 * SECOND;
+const SEND_TIME_RETENTION: Nanos = 3 * SECOND;
 
 /// A heartbeat that was sent.
 #[derive(Clone, Copy, Debug)]
@@ -39,13 +39,13 @@
         let sequence = self.sent.back().map_or(1, |last| last.sequence + 1);
         self.last_sent_at = now;
         self.sent.push_back(SentHeartbeat { sequence, sent_at: now });
-        while self.sent.front().is_some_and(|first| now > first.sent_at + HISTORY) {
+        while self.sent.front().is_some_and(|first| now > first.sent_at + SEND_TIME_RETENTION) {
             self.sent.pop_front();
         }
         sequence
     }
 
-    /// When this process sent the heartbeat with this sequence number; `None` where that is longer ago than `HISTORY`,
+    /// When this process sent the heartbeat with this sequence number; `None` where that is longer ago than `SEND_TIME_RETENTION`,
     /// or an earlier process sent the heartbeat.
     pub fn sent_at(&self, sequence: u64) -> Option<Nanos> {
         self.sent.iter().find(|heartbeat| heartbeat.sequence == sequence).map(|heartbeat| heartbeat.sent_at)
--- a/control/src/membership/local_replica.rs
+++ b/control/src/membership/local_replica.rs
@@ -97,19 +97,19 @@
     /// The generation in which the replica joins; `None` unless it has a seat and lacks the state that it needs to vote.
     pub fn joining_generation(&self) -> Option<u64> {
         let voter = self.membership.as_ref()?.voter(self.replica?)?;
-        (!self.holds_state_of(voter)).then_some(voter.joined_generation)
+        (!self.can_vote_as(voter)).then_some(voter.joined_generation)
     }
 
     /// Whether the replica may transfer its state to a new voter of `generation`: it was a voter in the previous generation.
     pub fn may_transfer_state(&self, generation: u64) -> bool {
         let (Some(membership), Some(replica)) = (&self.membership, self.replica) else { return false };
         let previous = membership.previous_voter(replica);
-        generation == membership.generation && previous.is_some_and(|voter| self.holds_state_of(voter))
+        generation == membership.generation && previous.is_some_and(|voter| self.can_vote_as(voter))
     }
 
     /// Whether the replica holds the state that it needs to vote as `voter`. Voters of the first generation need none, as nothing was
     /// decided before.
-    fn holds_state_of(&self, voter: &Voter) -> bool {
+    fn can_vote_as(&self, voter: &Voter) -> bool {
         voter.joined_generation == FIRST_GENERATION || self.joined == Some(voter.joined_generation)
     }
 
@@ -117,9 +117,9 @@
         let Some(membership) = &self.membership else { return ReplicaStatus::Uninitialized };
         let Some(replica) = self.replica else { return ReplicaStatus::Learner };
         if let Some(voter) = membership.voter(replica) {
-            return if self.holds_state_of(voter) { ReplicaStatus::Voter } else { ReplicaStatus::Learner };
+            return if self.can_vote_as(voter) { ReplicaStatus::Voter } else { ReplicaStatus::Learner };
         }
-        let was_voter = membership.previous_voter(replica).is_some_and(|voter| self.holds_state_of(voter));
+        let was_voter = membership.previous_voter(replica).is_some_and(|voter| self.can_vote_as(voter));
         if was_voter { ReplicaStatus::Removed } else { ReplicaStatus::Learner }
     }
 }
--- a/control/src/membership/sender.rs
+++ b/control/src/membership/sender.rs
@@ -39,10 +39,10 @@
     /// Whether to send the membership to a node now. Records the send if so.
     pub fn begin_send(&mut self, now: Nanos, to: NodeId) -> bool {
         self.sent_at.retain(|_, at| now < *at + SEND_INTERVAL);
-        let begins = self.may_send() && !self.sent_at.contains_key(&to);
-        if begins {
+        let should_send = self.may_send() && !self.sent_at.contains_key(&to);
+        if should_send {
             self.sent_at.insert(to, now);
         }
-        begins
+        should_send
     }
 }
--- a/control/src/membership/state_transfer.rs
+++ b/control/src/membership/state_transfer.rs
@@ -76,11 +76,11 @@
     /// Whether this replica, which lacks the state that it needs to vote, is to request that state now. Records the request if so.
     pub fn begin_request(&mut self, now: Nanos) -> bool {
         let is_due = self.requested_at.is_none_or(|at| now >= at + REQUEST_INTERVAL);
-        let begins = is_due && !self.is_writing();
-        if begins {
+        let should_request = is_due && !self.is_writing();
+        if should_request {
             self.requested_at = Some(now);
         }
-        begins
+        should_request
     }
 
     /// Whether a collected state is being written.
--- a/control/src/outbox.rs
+++ b/control/src/outbox.rs
@@ -25,7 +25,7 @@
     outputs: Vec<Output>,
     loopback: VecDeque<PeerMessage>,
     last_token: WriteToken,
-    sent_after_write: BTreeMap<WriteToken, Vec<Envelope>>,
+    waiting_for_write: BTreeMap<WriteToken, Vec<Envelope>>,
     /// Records that are stored with the next write.
     deferred: Vec<Record>,
 }
@@ -38,7 +38,7 @@
             outputs: Vec::new(),
             loopback: VecDeque::new(),
             last_token: 0,
-            sent_after_write: BTreeMap::new(),
+            waiting_for_write: BTreeMap::new(),
             deferred: Vec::new(),
         }
     }
@@ -101,7 +101,7 @@
         envelopes: impl IntoIterator<Item = Envelope>,
     ) -> WriteToken {
         self.last_token += 1;
-        self.sent_after_write.insert(self.last_token, envelopes.into_iter().collect());
+        self.waiting_for_write.insert(self.last_token, envelopes.into_iter().collect());
         if !self.deferred.is_empty() {
             let deferred = std::mem::take(&mut self.deferred);
             records.splice(..0, deferred);
@@ -112,7 +112,7 @@
 
     /// Sends the messages that waited for a write, which is durable now.
     pub fn write_completed(&mut self, token: WriteToken) {
-        for envelope in self.sent_after_write.remove(&token).unwrap_or_default() {
+        for envelope in self.waiting_for_write.remove(&token).unwrap_or_default() {
             self.send(envelope);
         }
     }
--- a/control/src/report.rs
+++ b/control/src/report.rs
@@ -117,8 +117,9 @@
 
 /// Adds the status that a replica reports in its heartbeat.
 fn with_heartbeat(report: ReplicaReport, partitions: &Partitions, heartbeat: &Heartbeat) -> ReplicaReport {
-    let behind =
-        |(partition, their_sequence)| partitions.committed_sequence(partition).saturating_sub(their_sequence);
+    let behind = |(partition, replica_sequence)| {
+        partitions.committed_sequence(partition).saturating_sub(replica_sequence)
+    };
     ReplicaReport {
         status: Some(heartbeat.status),
         is_draining: heartbeat.draining,
--- a/control/src/storage/durable_state.rs
+++ b/control/src/storage/durable_state.rs
@@ -88,8 +88,8 @@
     let mut pending = acceptor.pending_updates();
     if pending.is_empty() && acceptor.accepted() > acceptor.committed() {
         // The committed contents were accepted again under a later ballot.
-        let known = Some(acceptor.committed().sequence);
-        pending.push(StateUpdate { version: acceptor.accepted(), ..acceptor.committed_update(known) });
+        let since = Some(acceptor.committed().sequence);
+        pending.push(StateUpdate { version: acceptor.accepted(), ..acceptor.committed_update(since) });
     }
     records.extend(pending.into_iter().map(|update| Record::AcceptedUpdate(*partition, update)));
     records.push(Record::Promised(*partition, acceptor.promised()));
--- a/control/src/watch/router_registry.rs
+++ b/control/src/watch/router_registry.rs
@@ -157,9 +157,9 @@
     fn all(&self) -> BTreeMap<NodeId, &Router> {
         let mut all: BTreeMap<NodeId, &Router> = BTreeMap::new();
         for router in self.reported_by_peers.values().flat_map(|report| report.routers.values()) {
-            let known = all.entry(router.node).or_insert(router);
-            if router.state > known.state {
-                *known = router;
+            let entry = all.entry(router.node).or_insert(router);
+            if router.state > entry.state {
+                *entry = router;
             }
         }
         all.extend(self.local.iter().map(|(node, local)| (*node, &local.router)));
--- a/control/src/watch/sessions.rs
+++ b/control/src/watch/sessions.rs
@@ -144,8 +144,8 @@
                 Some(router)
             }
             WatchRequest::Heartbeat { state } => {
-                let known = session.router.and_then(|node| routers.local(node));
-                known.map(|router| Router { state, ..router.clone() })
+                let registered = session.router.and_then(|node| routers.local(node));
+                registered.map(|router| Router { state, ..router.clone() })
             }
         };
         let has_changed = router.is_some_and(|router| routers.record_local(now, router));
