--- a/control/src/control_plane/mod.rs
+++ b/control/src/control_plane/mod.rs
@@ -288,7 +288,7 @@
         if self.has_quorum() {
             return self.routers.addresses_for_region(region);
         }
-        let other_regions = self.home_regions.common_to_excluding_routes(region);
+        let other_regions = self.home_regions.homes_common_to_routes_excluding(region);
         if other_regions.is_empty() {
             return self.routers.addresses_for_region(region);
         }
--- a/control/src/control_plane/reconfiguration.rs
+++ b/control/src/control_plane/reconfiguration.rs
@@ -114,7 +114,7 @@
             return;
         }
         let (incarnation, generation) = (self.config.incarnation, self.replica.generation());
-        let committed = match self.state_transfer.needs_whole_state() {
+        let committed = match self.state_transfer.needs_complete_state() {
             true => Vec::new(),
             false => self.partitions.committed_sequences().collect(),
         };
@@ -187,7 +187,7 @@
             return;
         }
         if !self.partitions.can_merge(&partitions) {
-            return self.state_transfer.request_whole_state();
+            return self.state_transfer.request_complete_state();
         }
         let Some(membership) = self.replica.membership() else { return };
         let Some(collected) = self.state_transfer.receive(membership, source, partitions) else { return };
--- a/control/src/membership/state_transfer.rs
+++ b/control/src/membership/state_transfer.rs
@@ -52,7 +52,7 @@
 pub struct StateTransfer {
     collector: StateCollector,
     requested_at: Option<Nanos>,
-    needs_whole_state: bool,
+    needs_complete_state: bool,
     write: Option<PendingWrite>,
 }
 
@@ -64,13 +64,13 @@
     }
 
     /// Requests complete states from now on, as a received state does not apply to the contents that this replica has committed.
-    pub fn request_whole_state(&mut self) {
-        self.needs_whole_state = true;
+    pub fn request_complete_state(&mut self) {
+        self.needs_complete_state = true;
     }
 
     /// Whether to request complete states, not only the changes that this replica lacks.
-    pub fn needs_whole_state(&self) -> bool {
-        self.needs_whole_state
+    pub fn needs_complete_state(&self) -> bool {
+        self.needs_complete_state
     }
 
     /// Whether this replica, which lacks the state that it needs to vote, is to request that state now. Records the request if so.
--- a/control/src/watch/home_regions.rs
+++ b/control/src/watch/home_regions.rs
@@ -27,7 +27,7 @@
 
     /// The regions that are home to every route whose requests may not be served in `region`; empty where there is no such route. A router
     /// in one of these regions can serve the requests of `region`'s clients on all those routes.
-    pub fn common_to_excluding_routes(&self, region: &str) -> BTreeSet<String> {
+    pub fn homes_common_to_routes_excluding(&self, region: &str) -> BTreeSet<String> {
         let mut excluding = self.distinct_homes.iter().filter(|homes| !homes.contains(region));
         let Some(first) = excluding.next() else { return BTreeSet::new() };
         excluding.fold(first.clone(), |common, homes| common.intersection(homes).cloned().collect())
--- a/control/tests/home_regions.rs
+++ b/control/tests/home_regions.rs
@@ -18,7 +18,7 @@
 }
 
 fn common(routes: &[&str], region: &str) -> Vec<String> {
-    home_regions(routes).common_to_excluding_routes(region).into_iter().collect()
+    home_regions(routes).homes_common_to_routes_excluding(region).into_iter().collect()
 }
 
 #[gtest]
