--- a/control/src/consensus/whole_values.rs
+++ b/control/src/consensus/whole_values.rs
@@ -34,7 +34,8 @@
     }
 }
 
-/// The registers for a whole value. A value that can't be decoded is kept unchanged in one register, as its sequence number still counts.
+/// The registers for a whole value. A value that can't be decoded is kept unchanged in one register, as the change still counts as accepted
+/// under its sequence number.
 fn to_registers(partition: PartitionId, value: &[u8]) -> RegisterChanges {
     let registers = match partition {
         PartitionId::CONFIGURATION => WholeConfiguration::read_from_buffer(value)
--- a/control/src/load_exchange.rs
+++ b/control/src/load_exchange.rs
@@ -67,7 +67,7 @@
         let is_remote_due = is_due(self.remote_exchange_sent_at, now);
         if is_remote_due {
             self.remote_exchange_sent_at = Some(now);
-            // A router without a report for two intervals is gone; if it reports again, it gets a remote summary at once.
+            // A router that has not reported for two intervals is dropped; if it reports again, it gets a remote summary at once.
             self.remote_summary_sent_at.retain(|_, sent_at| now < *sent_at + 2 * REMOTE_INTERVAL);
         }
         let own_region = self.topology.own_region();
@@ -113,8 +113,8 @@
         Vec::new()
     }
 
-    /// Answers a router's report with the load of the other routers: at servers of the own region in each answer, at other servers once a
-    /// second. A server whose region is not known counts as one of the own region.
+    /// Answers a router's report with the load of the other routers: at servers of this node's region in each answer, at other servers once
+    /// a second. A server whose region is not known counts as one of this node's region.
     fn answer(&mut self, now: Nanos, router: NodeId, loads: Vec<ServerLoad>) -> Vec<LoadDatagram> {
         let others = self.aggregator.record_report(now, router, loads);
         let own_region = self.topology.own_region();
--- a/control/src/membership/rules.rs
+++ b/control/src/membership/rules.rs
@@ -79,7 +79,8 @@
     Some(membership.with_replacement(voter.replica, candidate.replica, &candidate.zone))
 }
 
-/// A voter of a zone with several voters, whose seat a candidate of a zone without voters takes; an unhealthy one if there is one.
+/// The voter whose seat a candidate from a zone without voters takes: a voter of a zone that has several, an unhealthy one if there is one.
+/// `None` if the candidate's zone has a voter, or if no zone has several.
 fn surplus_voter<'a>(
     membership: &'a Membership,
     candidate: &Candidate,
--- a/control/src/requests/delivery.rs
+++ b/control/src/requests/delivery.rs
@@ -26,7 +26,7 @@
     Forward(NodeId),
 }
 
-/// The receiver and the time of the last forward of a request.
+/// The node to which a request was last forwarded, and the time.
 #[derive(Clone, Copy, Debug)]
 struct Forwarded {
     to: NodeId,
--- a/control/src/server_list/reader.rs
+++ b/control/src/server_list/reader.rs
@@ -23,7 +23,7 @@
 pub const MIN_YIELD_TIME: Nanos = 5 * SECOND;
 /// The longest time for which the role is yielded.
 pub const MAX_YIELD_TIME: Nanos = 40 * SECOND;
-/// A superseded reader that can't reach its successor waits this long before it renews its ballot: behind a partial network partition the
+/// A superseded reader that can't reach its successor waits this long before it renews its ballot: during a partial network partition the
 /// successor may be reading for all other nodes, and the two readers must not supersede each other endlessly.
 pub const RENEWAL_DELAY: Nanos = 1500 * MILLISECOND;
 
--- a/control/src/watch/change_feed.rs
+++ b/control/src/watch/change_feed.rs
@@ -14,7 +14,7 @@
 /// items in the configuration.
 const SNAPSHOT_RATIO: usize = 2;
 
-/// A change of the configuration between two successive sequence numbers that this node knows.
+/// The difference between two configurations that were committed here one after the other, with the sequence numbers of both.
 #[derive(Debug)]
 struct FeedChange {
     from: u64,
--- a/control/src/watch/sessions.rs
+++ b/control/src/watch/sessions.rs
@@ -95,7 +95,7 @@
     /// Whether the node is in contact with a quorum.
     pub has_quorum: bool,
     /// Whether the node has been in contact with a quorum for long enough to know all routers. A node that has just joined, or is
-    /// partitioned, knows only some routers: quotas that are divided by their number would be too large.
+    /// partitioned, knows only some routers: quotas divided by the number of these would be too large.
     pub knows_all_routers: bool,
     /// The control nodes that the node knows, itself included, in the order of addresses.
     pub control_nodes: Vec<ControlNode>,
