--- a/control/src/consensus/configuration_registers.rs
+++ b/control/src/consensus/configuration_registers.rs
@@ -48,10 +48,10 @@
 
 fn updated_positions(old_items: &[Item], old_positions: &[u64], items: &[Item]) -> Vec<u64> {
     let names = old_items.iter().map(|item| item.name.as_str());
-    let known: BTreeMap<&str, u64> = names.zip(old_positions.iter().copied()).collect();
+    let old_position_by_name: BTreeMap<&str, u64> = names.zip(old_positions.iter().copied()).collect();
     let mut next = old_positions.iter().max().map_or(1, |last| last + 1);
     let position = |item: &Item| {
-        known.get(item.name.as_str()).copied().unwrap_or_else(|| {
+        old_position_by_name.get(item.name.as_str()).copied().unwrap_or_else(|| {
             next += 1;
             next - 1
         })
@@ -125,7 +125,7 @@
     items.zip(positions).map(by_name).collect()
 }
 
-/// The register writes that lead from no registers to a state.
+/// The register changes that lead from an empty partition to a state.
 pub fn configuration_registers(state: &ConfigurationState) -> RegisterChanges {
     configuration_changes(&ConfigurationState::default(), state)
 }
--- a/control/src/consensus/whole_values.rs
+++ b/control/src/consensus/whole_values.rs
@@ -1,5 +1,5 @@
-//! Compatibility with releases before registers, which encode the contents of a partition as one whole value: their stored records,
-//! and their messages while a group is upgraded node by node.
+//! Compatibility with releases before registers. These encode the contents of a partition as a single byte string, called a whole value
+//! here, both in stored records and in messages, which are exchanged while a cluster is upgraded node by node.
 //!
 //! Records and messages of such a release are converted to registers when they are read or received, and messages to nodes of such a
 //! release are converted when they are sent; the consensus handles registers only. The module can be removed once no stored record and
@@ -17,7 +17,7 @@
 use super::configuration_registers::{ItemPositions, configuration_registers, read_configuration};
 use super::partition_state::{ConfigurationState, EvacuationState, PartitionState};
 
-/// The contents of the configuration's partition, as such a release encodes them.
+/// The contents of the configuration's partition, as releases before registers encode them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct WholeConfiguration {
     /// The current configuration.
@@ -34,11 +34,12 @@
     }
 }
 
-/// The registers for a whole value. A value that can't be decoded is kept in one register unchanged, as its sequence number counts.
+/// The registers for a whole value. A value that can't be decoded is kept unchanged in one register, as the change still counts as accepted
+/// under its sequence number.
 fn to_registers(partition: PartitionId, value: &[u8]) -> RegisterChanges {
     let registers = match partition {
         PartitionId::CONFIGURATION => WholeConfiguration::read_from_buffer(value)
-            .map(|whole| configuration_registers(&ConfigurationState::from(whole))),
+            .map(|configuration| configuration_registers(&ConfigurationState::from(configuration))),
         PartitionId::MEMBERSHIP => Ok(vec![(RegisterKey::Membership, Some(value.to_vec().into()))]),
         _ => EvacuationState::read_from_buffer(value).map(|state| state.registers()),
     };
@@ -46,8 +47,8 @@
 }
 
 /// Converts a whole value to an update that holds all registers.
-pub fn to_update(partition: PartitionId, whole: &AcceptedValue) -> StateUpdate {
-    let AcceptedValue { ballot, sequence, value } = whole;
+pub fn to_update(partition: PartitionId, accepted: &AcceptedValue) -> StateUpdate {
+    let AcceptedValue { ballot, sequence, value } = accepted;
     let (version, sequence) = (Version { ballot: *ballot, sequence: *sequence }, *sequence);
     let write = |(key, value)| RegisterWrite { key, sequence, value };
     let writes: Vec<RegisterWrite> = to_registers(partition, value).into_iter().map(write).collect();
@@ -81,9 +82,9 @@
 }
 
 /// Converts what a node of a release before registers has promised and accepted.
-pub fn to_transferred_state(partition: PartitionId, whole: &LegacyAcceptorState) -> TransferredState {
-    let accepted = whole.accepted.as_ref().map(|value| to_update(partition, value));
-    TransferredState { promised: whole.promised, accepted }
+pub fn to_transferred_state(partition: PartitionId, legacy: &LegacyAcceptorState) -> TransferredState {
+    let accepted = legacy.accepted.as_ref().map(|value| to_update(partition, value));
+    TransferredState { promised: legacy.promised, accepted }
 }
 
 /// What this replica has promised and accepted, for a node of a release before registers.
@@ -114,7 +115,7 @@
     }
 }
 
-/// Converts a message from a node of any release to one with registers; a message without a whole value stays as it is.
+/// Converts a message of a release before registers to the corresponding message with registers; returns any other message unchanged.
 pub fn to_register_message(partition: PartitionId, message: ConsensusMessage) -> ConsensusMessage {
     match message {
         ConsensusMessage::LegacyPrepare { ballot } => {
@@ -132,7 +133,7 @@
 }
 
 /// Converts a message of this replica for a node of a release before registers; `None` where there is nothing to send to that node.
-/// Contents are sent whole, as the acceptor has them now.
+/// If the message carries contents, these are the complete contents that the acceptor has now.
 pub fn to_whole_value_message(
     partition: PartitionId,
     message: &ConsensusMessage,
--- a/control/src/control_plane/reconfiguration.rs
+++ b/control/src/control_plane/reconfiguration.rs
@@ -114,16 +114,16 @@
             return;
         }
         let (incarnation, generation) = (self.config.incarnation, self.replica.generation());
-        let committed = match self.state_transfer.needs_whole_state() {
+        let committed = match self.state_transfer.needs_complete_state() {
             true => Vec::new(),
             false => self.partitions.committed_sequences().collect(),
         };
         let previous = self.replica.membership().into_iter().flat_map(|membership| &membership.previous);
         for node in previous.map(|voter| voter.replica.node).filter(|node| *node != self.config.node) {
             let committed = committed.clone();
-            // The request for a node of a release before registers does not ask for the coordination partitions, but the answer counts as
-            // the node's complete state: that request is not sent before the node's release is known.
-            if self.config.has_coordination && self.known_support(node).is_none() {
+            // A node's answer counts as its complete state, but the request for releases before registers does not ask for the coordination
+            // partitions: nothing is requested from a node before its release is known.
+            if self.config.has_coordination && self.register_support(node).is_none() {
                 continue;
             }
             let request = match self.supports_registers(node) {
@@ -143,14 +143,15 @@
         committed: &[u64],
     ) {
         let Some(disk) = self.transferable_disk(generation) else { return };
-        // The answer counts as this replica's complete state: it must include every partition that the requester has. The request names
-        // these partitions, or else the requester's heartbeat does; without either the request is not answered.
-        let names_all = committed.len() == PartitionId::all().count();
-        if !names_all && self.peers.heartbeat(from).is_none() {
+        // The answer counts as this replica's complete state: it must include every partition that the requester has. Either the request
+        // lists all partitions, or the requester's heartbeat shows which ones the requester has; without either the request is not
+        // answered.
+        let lists_all_partitions = committed.len() == PartitionId::all().count();
+        if !lists_all_partitions && self.peers.heartbeat(from).is_none() {
             return;
         }
         let mut partitions = self.partitions.transferred_states(committed);
-        partitions.retain(|(partition, _)| names_all || self.has_partition(from, *partition));
+        partitions.retain(|(partition, _)| lists_all_partitions || self.has_partition(from, *partition));
         let message = PeerMessage::RegisterTransfer { incarnation, generation, disk, partitions };
         self.outbox.store_then_send(Vec::new(), [Envelope { to: from, message }]);
     }
@@ -186,7 +187,7 @@
             return;
         }
         if !self.partitions.can_merge(&partitions) {
-            return self.state_transfer.request_whole_state();
+            return self.state_transfer.request_complete_state();
         }
         let Some(membership) = self.replica.membership() else { return };
         let Some(collected) = self.state_transfer.receive(membership, source, partitions) else { return };
--- a/control/src/report.rs
+++ b/control/src/report.rs
@@ -50,7 +50,7 @@
     pub leader: Option<NodeId>,
 }
 
-/// Builds the report of the node whose view `view` is.
+/// Builds the report of the node that `view` belongs to.
 pub fn report(view: &ClusterView<'_>, partitions: &Partitions) -> Report {
     let voters = view.local.membership().into_iter().flat_map(|membership| &membership.voters);
     let mut replicas: Vec<ReplicaReport> =
@@ -117,8 +117,9 @@
 
 /// Adds the status that a replica reports in its heartbeat.
 fn with_heartbeat(report: ReplicaReport, partitions: &Partitions, heartbeat: &Heartbeat) -> ReplicaReport {
-    let behind =
-        |(partition, their_sequence)| partitions.committed_sequence(partition).saturating_sub(their_sequence);
+    let behind = |(partition, replica_sequence)| {
+        partitions.committed_sequence(partition).saturating_sub(replica_sequence)
+    };
     ReplicaReport {
         status: Some(heartbeat.status),
         is_draining: heartbeat.draining,
--- a/control/src/watch/router_registry.rs
+++ b/control/src/watch/router_registry.rs
@@ -62,7 +62,9 @@
     /// The local routers as sent in the last report to other control nodes.
     reported: BTreeMap<NodeId, Router>,
     reported_by_peers: BTreeMap<NodeId, PeerReport>,
+    /// The time at which each router was last seen, in any state.
     last_seen: BTreeMap<NodeId, Nanos>,
+    /// Routers as last seen draining, for clients of a region without a ready router.
     draining: BTreeMap<NodeId, SeenRouter>,
     /// Routers as last seen ready, for clients of a region that is partitioned from these routers.
     last_seen_ready: BTreeMap<NodeId, SeenRouter>,
@@ -155,9 +157,9 @@
     fn all(&self) -> BTreeMap<NodeId, &Router> {
         let mut all: BTreeMap<NodeId, &Router> = BTreeMap::new();
         for router in self.reported_by_peers.values().flat_map(|report| report.routers.values()) {
-            let known = all.entry(router.node).or_insert(router);
-            if router.state > known.state {
-                *known = router;
+            let entry = all.entry(router.node).or_insert(router);
+            if router.state > entry.state {
+                *entry = router;
             }
         }
         all.extend(self.local.iter().map(|(node, local)| (*node, &local.router)));
