--- a/cli/tests/coordination_commands.rs
+++ b/cli/tests/coordination_commands.rs
@@ -5,10 +5,11 @@
 use std::process::{Command, Output};
 use std::time::Duration;
 
-use system_common::{CONTROL, CORE, TestCluster, wait_until};
+use system_common::{CONTROL_HOSTS, CONTROL_PORT, TestCluster, wait_until};
 
 fn command(cluster: &TestCluster, arguments: &[&str]) -> Command {
-    let control: Vec<String> = CORE.iter().map(|host| cluster.at(*host, CONTROL).to_string()).collect();
+    let control: Vec<String> =
+        CONTROL_HOSTS.iter().map(|host| cluster.address(*host, CONTROL_PORT).to_string()).collect();
     let mut command = Command::new(env!("CARGO_BIN_EXE_ivyhatch"));
     command.args(arguments).env("IVYHATCH_CONTROL", control.join(","));
     command
@@ -27,7 +28,7 @@
 #[test]
 fn cells_are_written_read_and_watched() {
     let cluster = TestCluster::with_coordination();
-    let _core = cluster.core();
+    let _core = cluster.bootstrap_control_nodes();
     wait_until("a cell is written", || {
         result(&cluster, &["cell", "put", "g.a", "one"]) == (Some(0), "1".to_owned())
     });
@@ -47,7 +48,7 @@
 #[test]
 fn numbers_rise() {
     let cluster = TestCluster::with_coordination();
-    let _core = cluster.core();
+    let _core = cluster.bootstrap_control_nodes();
     let number = || result(&cluster, &["number", "next", "n"]).1.parse::<u64>().ok();
     let first = number().expect("a number");
     assert!(number() > Some(first));
@@ -56,7 +57,7 @@
 #[test]
 fn a_command_runs_under_a_lock_that_no_other_has_and_is_given_its_fencing_token() {
     let cluster = TestCluster::with_coordination();
-    let _core = cluster.core();
+    let _core = cluster.bootstrap_control_nodes();
     let run = ["lock", "run", "l", "--", "sh", "-c", "echo $FENCE; exit 7"];
     let (code, fence) = result(&cluster, &run);
     assert_eq!(code, Some(7), "the command's own code");
@@ -77,7 +78,7 @@
 #[test]
 fn a_command_whose_lock_is_lost_is_ended() {
     let cluster = TestCluster::with_coordination();
-    let mut core = cluster.core();
+    let mut core = cluster.bootstrap_control_nodes();
     wait_until("locks are given", || result(&cluster, &["lock", "run", "l", "--", "true"]).0 == Some(0));
     let mut holding =
         command(&cluster, &["lock", "run", "l", "--hold-ms", "1500", "--wait-s", "20", "--", "sleep", "60"]);
--- a/cli/tests/golden_http/control.rs
+++ b/cli/tests/golden_http/control.rs
@@ -8,15 +8,15 @@
 use super::system_common::calls::{Client, call, route};
 use super::system_common::transcript::{Transcript, operator_request};
 use super::system_common::{
-    CONTROL, CORE, DIRECTORY, FRONT, Process, TestCluster, configuration, wait_until,
+    CONTROL_HOSTS, CONTROL_PORT, DIRECTORY_PORT, FRONT_PORT, Process, TestCluster, configuration, wait_until,
 };
 
 const CONFIG: &str = "/-/config";
 
 /// A control node that is a group by itself, and where its operators call.
 fn single_control(cluster: &TestCluster) -> (Process, SocketAddr) {
-    let control = cluster.control(CORE[0], &CORE[..1], true);
-    let at = cluster.at(CORE[0], CONTROL);
+    let control = cluster.start_control_node(CONTROL_HOSTS[0], &CONTROL_HOSTS[..1], true);
+    let at = cluster.address(CONTROL_HOSTS[0], CONTROL_PORT);
     wait_until("the control node leads", || {
         call(at, "GET", "/-/status", None, "").is_some_and(|(_, status)| is_settled(&status, 1))
     });
@@ -57,9 +57,9 @@
 fn config_answers_before_and_after_the_first_configuration() {
     let cluster = TestCluster::new();
     let (_control, at) = single_control(&cluster);
-    let mut transcript = Transcript::of(&cluster);
+    let mut transcript = Transcript::for_cluster(&cluster);
     let mut send = |title: &str, method: &str, headers: &str, body: &str| {
-        transcript.ask(title, at, &operator_request(method, CONFIG, headers, body));
+        transcript.send_request(title, at, &operator_request(method, CONFIG, headers, body));
     };
     let first = full_configuration().to_string();
     send("GET before the first configuration", "GET", "", "");
@@ -95,10 +95,14 @@
 fn patch_builds_on_revision_0_before_the_first_configuration() {
     let cluster = TestCluster::new();
     let (_control, at) = single_control(&cluster);
-    let mut transcript = Transcript::of(&cluster);
+    let mut transcript = Transcript::for_cluster(&cluster);
     let change = json!({"revision": 1, "upsert": {"services": [{"name": "s"}]}}).to_string();
-    transcript.ask("PATCH on revision 0", at, &operator_request("PATCH", CONFIG, &if_match("0"), &change));
-    transcript.ask("GET of the configuration", at, &operator_request("GET", CONFIG, "", ""));
+    transcript.send_request(
+        "PATCH on revision 0",
+        at,
+        &operator_request("PATCH", CONFIG, &if_match("0"), &change),
+    );
+    transcript.send_request("GET of the configuration", at, &operator_request("GET", CONFIG, "", ""));
     assert_golden("control/config_patched_first.txt", transcript.text());
 }
 
@@ -166,9 +170,9 @@
     let cluster = TestCluster::new();
     let (_control, at) = single_control(&cluster);
     let current = configuration(5, &[("a", json!({})), ("b", json!({}))]);
-    cluster.put(CORE[0], 0, &current);
-    let mut transcript = Transcript::of(&cluster);
-    let mut send = |title: &str, request: &[u8]| transcript.ask(title, at, request);
+    cluster.put_configuration(CONTROL_HOSTS[0], 0, &current);
+    let mut transcript = Transcript::for_cluster(&cluster);
+    let mut send = |title: &str, request: &[u8]| transcript.send_request(title, at, request);
     let put = |body: &str| operator_request("PUT", CONFIG, &if_match("5"), body);
     for (what, body) in wrong_configurations() {
         send(&format!("PUT of a configuration {what}"), &put(&body));
@@ -189,7 +193,7 @@
 fn evacuations_and_unknown_calls_are_answered() {
     let cluster = TestCluster::new();
     let (_control, at) = single_control(&cluster);
-    let mut transcript = Transcript::of(&cluster);
+    let mut transcript = Transcript::for_cluster(&cluster);
     for (title, method, path) in [
         ("POST of an evacuation", "POST", "/-/evacuations/za"),
         ("POST of the same evacuation again", "POST", "/-/evacuations/za"),
@@ -204,24 +208,32 @@
         ("DELETE of the configuration", "DELETE", CONFIG),
         ("PUT to the status", "PUT", "/-/status"),
     ] {
-        transcript.ask(title, at, &operator_request(method, path, "", ""));
+        transcript.send_request(title, at, &operator_request(method, path, "", ""));
     }
-    transcript.ask("what is no HTTP", at, b"\x00\x01\x02\r\n\r\n");
+    transcript.send_request("what is no HTTP", at, b"\x00\x01\x02\r\n\r\n");
     assert_golden("control/evacuations_and_unknown_calls.txt", transcript.text());
 }
 
 #[test]
 fn control_node_without_a_quorum_is_unavailable() {
     let cluster = TestCluster::new();
-    let _control = cluster.control(CORE[0], &CORE, true);
-    let at = cluster.at(CORE[0], CONTROL);
+    let _control = cluster.start_control_node(CONTROL_HOSTS[0], &CONTROL_HOSTS, true);
+    let at = cluster.address(CONTROL_HOSTS[0], CONTROL_PORT);
     wait_until("it listens", || call(at, "GET", "/-/status", None, "").is_some());
-    let mut transcript = Transcript::of(&cluster);
+    let mut transcript = Transcript::for_cluster(&cluster);
     let first = full_configuration().to_string();
-    transcript.ask("GET of the configuration", at, &operator_request("GET", CONFIG, "", ""));
-    transcript.ask("PUT of the configuration", at, &operator_request("PUT", CONFIG, &if_match("0"), &first));
-    transcript.ask("POST of an evacuation", at, &operator_request("POST", "/-/evacuations/za", "", ""));
-    transcript.ask("GET of the status", at, &operator_request("GET", "/-/status", "", ""));
+    transcript.send_request("GET of the configuration", at, &operator_request("GET", CONFIG, "", ""));
+    transcript.send_request(
+        "PUT of the configuration",
+        at,
+        &operator_request("PUT", CONFIG, &if_match("0"), &first),
+    );
+    transcript.send_request(
+        "POST of an evacuation",
+        at,
+        &operator_request("POST", "/-/evacuations/za", "", ""),
+    );
+    transcript.send_request("GET of the status", at, &operator_request("GET", "/-/status", "", ""));
     assert_golden("control/no_quorum.txt", transcript.text());
 }
 
@@ -231,14 +243,14 @@
         let name = replica["replica"].as_str().expect("a name");
         let (node, _) = name.split_once('/').expect("a node and its disk");
         let host = node.rsplit('.').next().expect("a host");
-        transcript.replace(name, &format!("<replica of {host}>"));
+        transcript.add_placeholder(name, &format!("<replica of {host}>"));
     }
 }
 
 /// Masks which node leads a partition: the first one to ask for it.
 fn mask_leaders(transcript: &mut Transcript, cluster: &TestCluster) {
-    for host in CORE {
-        transcript.replace(&format!(r#""leader":"{}""#, cluster.ip(host)), r#""leader":"<leader>""#);
+    for host in CONTROL_HOSTS {
+        transcript.add_placeholder(&format!(r#""leader":"{}""#, cluster.ip(host)), r#""leader":"<leader>""#);
     }
 }
 
@@ -251,7 +263,7 @@
 ) {
     let mut last = None;
     wait_until(title, || {
-        let answer = Client::to(at).ask(&operator_request("GET", "/-/status", "", ""));
+        let answer = Client::connect(at).send_request(&operator_request("GET", "/-/status", "", ""));
         let status = serde_json::from_slice(&answer.body).expect("JSON");
         let is_found = is_expected(&status);
         last = Some((answer, status));
@@ -259,15 +271,15 @@
     });
     let (answer, status) = last.expect("an answer");
     mask_replicas(transcript, &status);
-    transcript.add(title, &answer);
+    transcript.add_response(title, &answer);
 }
 
 #[test]
 fn status_shows_replicas_and_partitions() {
     let cluster = TestCluster::new();
     let (_control, at) = single_control(&cluster);
-    cluster.put(CORE[0], 0, &full_configuration());
-    let mut transcript = Transcript::of(&cluster);
+    cluster.put_configuration(CONTROL_HOSTS[0], 0, &full_configuration());
+    let mut transcript = Transcript::for_cluster(&cluster);
     ask_status(&mut transcript, "GET of the status of a group of one", at, |status| is_settled(status, 1));
     assert_golden("control/status_of_one.txt", transcript.text());
 }
@@ -275,11 +287,11 @@
 #[test]
 fn status_shows_a_lost_replica_as_unreachable() {
     let cluster = TestCluster::new();
-    let mut core = cluster.core();
-    cluster.put(CORE[0], 0, &full_configuration());
-    let mut transcript = Transcript::of(&cluster);
+    let mut core = cluster.bootstrap_control_nodes();
+    cluster.put_configuration(CONTROL_HOSTS[0], 0, &full_configuration());
+    let mut transcript = Transcript::for_cluster(&cluster);
     mask_leaders(&mut transcript, &cluster);
-    let at = cluster.at(CORE[0], CONTROL);
+    let at = cluster.address(CONTROL_HOSTS[0], CONTROL_PORT);
     ask_status(&mut transcript, "GET of the status of a group of three", at, |status| is_settled(status, 3));
     core[2].kill();
     ask_status(&mut transcript, "GET of the status after the loss of one", at, |status| {
@@ -291,15 +303,15 @@
 #[test]
 fn status_shows_a_replica_without_a_seat() {
     let cluster = TestCluster::new();
-    let _core = cluster.core();
-    cluster.put(CORE[0], 0, &full_configuration());
-    let mut transcript = Transcript::of(&cluster);
+    let _core = cluster.bootstrap_control_nodes();
+    cluster.put_configuration(CONTROL_HOSTS[0], 0, &full_configuration());
+    let mut transcript = Transcript::for_cluster(&cluster);
     mask_leaders(&mut transcript, &cluster);
-    let at = cluster.at(CORE[0], CONTROL);
+    let at = cluster.address(CONTROL_HOSTS[0], CONTROL_PORT);
     wait_until("three vote", || {
         call(at, "GET", "/-/status", None, "").is_some_and(|(_, status)| is_settled(&status, 3))
     });
-    let _fourth = cluster.control(16, &CORE, false);
+    let _fourth = cluster.start_control_node(16, &CONTROL_HOSTS, false);
     ask_status(&mut transcript, "GET of the status with a fourth control node", at, |status| {
         is_settled(status, 3) && status["replicas"][3]["status"] == "learner"
     });
@@ -310,15 +322,19 @@
 fn directory_names_routers() {
     let cluster = TestCluster::new();
     let (_control, _) = single_control(&cluster);
-    let at = cluster.at(CORE[0], DIRECTORY);
-    let mut transcript = Transcript::of(&cluster);
+    let at = cluster.address(CONTROL_HOSTS[0], DIRECTORY_PORT);
+    let mut transcript = Transcript::for_cluster(&cluster);
     let resolve = |query: &str| operator_request("GET", &format!("/-/resolve{query}"), "", "");
-    transcript.ask("GET without a router", at, &resolve("?name=h.example&region=ra&zone=za"));
-    let _routers = [21, 22].map(|host| cluster.router(host, &CORE[..1]));
-    cluster.put(CORE[0], 0, &full_configuration());
+    transcript.send_request("GET without a router", at, &resolve("?name=h.example&region=ra&zone=za"));
+    let _routers = [21, 22].map(|host| cluster.start_router(host, &CONTROL_HOSTS[..1]));
+    cluster.put_configuration(CONTROL_HOSTS[0], 0, &full_configuration());
     for (region, host) in [("ra", 21), ("rb", 22)] {
-        let front = json!([cluster.at(host, FRONT).to_string()]);
-        let knows = || cluster.directory(CORE[0], region).is_some_and(|answer| answer["addresses"] == front);
+        let front = json!([cluster.address(host, FRONT_PORT).to_string()]);
+        let knows = || {
+            cluster
+                .resolve_routers(CONTROL_HOSTS[0], region)
+                .is_some_and(|answer| answer["addresses"] == front)
+        };
         wait_until("the directory knows the router", knows);
     }
     for (title, query) in [
@@ -327,9 +343,9 @@
         ("GET for a zone", "?name=h.example&zone=zb"),
         ("GET for an encoded region", "?name=h.example&region=%72a"),
     ] {
-        transcript.ask(title, at, &resolve(query));
+        transcript.send_request(title, at, &resolve(query));
     }
-    transcript.ask("GET of an unknown path", at, &operator_request("GET", "/", "", ""));
-    transcript.ask("POST", at, &operator_request("POST", "/-/resolve?region=ra", "", ""));
+    transcript.send_request("GET of an unknown path", at, &operator_request("GET", "/", "", ""));
+    transcript.send_request("POST", at, &operator_request("POST", "/-/resolve?region=ra", "", ""));
     assert_golden("control/directory.txt", transcript.text());
 }
--- a/cli/tests/golden_http/router.rs
+++ b/cli/tests/golden_http/router.rs
@@ -5,12 +5,15 @@
 use serde_json::{Value, json};
 
 use super::golden::assert_golden;
-use super::system_common::calls::{Answer, Client, ask, call, get, request, route};
+use super::system_common::calls::{Client, Response, call, get_request, request, route, send_request};
 use super::system_common::server::{
-    Gate, ReceivedRequest, STAMP, Step, complete_response, id, ok, overloaded, stream,
+    Gate, ReceivedRequest, STAMP_HEADER, Step, complete_response, complete_stream, id_header, ok_response,
+    overloaded_response,
 };
 use super::system_common::transcript::{Transcript, operator_request};
-use super::system_common::{CORE, FRONT, READINESS, ROUTER, TestCluster, configuration, wait_until};
+use super::system_common::{
+    CONTROL_HOSTS, FRONT_PORT, READINESS_PORT, ROUTER_HOST, TestCluster, configuration, wait_until,
+};
 
 /// Two routes to one service: requests of the first may run more than once, those of the second may not.
 fn routes() -> Value {
@@ -25,26 +28,31 @@
 #[test]
 fn router_says_whether_it_is_ready() {
     let cluster = TestCluster::new();
-    let mut router = cluster.router(ROUTER, &CORE[..1]);
-    let (front, readiness) = (cluster.at(ROUTER, FRONT), cluster.at(ROUTER, READINESS));
+    let mut router = cluster.start_router(ROUTER_HOST, &CONTROL_HOSTS[..1]);
+    let (front, readiness) =
+        (cluster.address(ROUTER_HOST, FRONT_PORT), cluster.address(ROUTER_HOST, READINESS_PORT));
     let ready = operator_request("GET", "/-/readyz", "", "");
     wait_until("it listens", || call(readiness, "GET", "/-/readyz", None, "").is_some());
-    let mut transcript = Transcript::of(&cluster);
-    transcript.ask("GET of the readiness without a configuration", readiness, &ready);
-    transcript.ask("request without a configuration", front, &get("r1", "/safe/x"));
-    let server = cluster.server(("i-1", "s", "za"), |received| ok(received, b"here"));
-    cluster.platform.set(vec![server.listed()]);
-    let _control = cluster.control(CORE[0], &CORE[..1], true);
-    cluster.put(CORE[0], 0, &routes());
-    cluster.wait_until_ready(ROUTER);
-    transcript.ask("GET of the readiness of a router that serves", readiness, &ready);
-    transcript.ask("GET of an unknown path", readiness, &operator_request("GET", "/", "", ""));
-    transcript.ask("POST to the readiness", readiness, &operator_request("POST", "/-/readyz", "", ""));
-    transcript.ask("request to a router that serves", front, &get("r2", "/safe/x"));
+    let mut transcript = Transcript::for_cluster(&cluster);
+    transcript.send_request("GET of the readiness without a configuration", readiness, &ready);
+    transcript.send_request("request without a configuration", front, &get_request("r1", "/safe/x"));
+    let server = cluster.start_server(("i-1", "s", "za"), |received| ok_response(received, b"here"));
+    cluster.platform.set_instances(vec![server.instance_entry()]);
+    let _control = cluster.start_control_node(CONTROL_HOSTS[0], &CONTROL_HOSTS[..1], true);
+    cluster.put_configuration(CONTROL_HOSTS[0], 0, &routes());
+    cluster.wait_until_ready(ROUTER_HOST);
+    transcript.send_request("GET of the readiness of a router that serves", readiness, &ready);
+    transcript.send_request("GET of an unknown path", readiness, &operator_request("GET", "/", "", ""));
+    transcript.send_request(
+        "POST to the readiness",
+        readiness,
+        &operator_request("POST", "/-/readyz", "", ""),
+    );
+    transcript.send_request("request to a router that serves", front, &get_request("r2", "/safe/x"));
     router.signal("TERM");
-    wait_until("it is no longer ready", || !cluster.is_ready(ROUTER));
-    transcript.ask("GET of the readiness of a router that ends", readiness, &ready);
-    transcript.ask("request to a router that ends", front, &get("r3", "/safe/x"));
+    wait_until("it is no longer ready", || !cluster.is_ready(ROUTER_HOST));
+    transcript.send_request("GET of the readiness of a router that ends", readiness, &ready);
+    transcript.send_request("request to a router that ends", front, &get_request("r3", "/safe/x"));
     router.kill();
     assert_golden("router/readiness.txt", transcript.text());
 }
@@ -52,13 +60,13 @@
 #[test]
 fn router_rejects_requests_that_it_cannot_route() {
     let cluster = TestCluster::new();
-    let server = cluster.server(("i-1", "s", "za"), |received| ok(received, b"here"));
+    let server = cluster.start_server(("i-1", "s", "za"), |received| ok_response(received, b"here"));
     let mut all = routes();
     all["limits"] = json!({"max_body_bytes": 1000});
-    let _served = cluster.serving(&[&server], &all);
-    let front = cluster.at(ROUTER, FRONT);
+    let _served = cluster.start_system(&[&server], &all);
+    let front = cluster.address(ROUTER_HOST, FRONT_PORT);
     let id = "Ivyhatch-Attempt-Id: r1\r\n";
-    let mut transcript = Transcript::of(&cluster);
+    let mut transcript = Transcript::for_cluster(&cluster);
     let too_large = "x".repeat(1001);
     for (title, request) in [
         ("path without a route", router_request("/nowhere/x", id)),
@@ -93,9 +101,9 @@
         ),
         ("what is no HTTP", b"\x00\x01\x02\r\n\r\n".to_vec()),
     ] {
-        transcript.ask(title, front, &request);
+        transcript.send_request(title, front, &request);
     }
-    assert_eq!(server.count(), 0, "no request has reached the server");
+    assert_eq!(server.take_request_count(), 0, "no request has reached the server");
     assert_golden("router/rejections.txt", transcript.text());
 }
 
@@ -104,32 +112,32 @@
     let cluster = TestCluster::new();
     let gate = Arc::new(Gate::default());
     let held = gate.clone();
-    let server = cluster.server(("i-1", "s", "za"), move |received| {
-        [vec![Step::Wait(held.clone())], ok(received, b"here")].concat()
+    let server = cluster.start_server(("i-1", "s", "za"), move |received| {
+        [vec![Step::Wait(held.clone())], ok_response(received, b"here")].concat()
     });
-    let _served = cluster.serving(&[&server], &routes());
-    let front = cluster.at(ROUTER, FRONT);
-    let mut first = Client::to(front);
-    first.write(&get("r1", "/safe/x"));
-    server.next();
-    let mut transcript = Transcript::of(&cluster);
-    transcript.ask("request with the id of an open request", front, &get("r1", "/safe/x"));
+    let _served = cluster.start_system(&[&server], &routes());
+    let front = cluster.address(ROUTER_HOST, FRONT_PORT);
+    let mut first = Client::connect(front);
+    first.write(&get_request("r1", "/safe/x"));
+    server.next_request();
+    let mut transcript = Transcript::for_cluster(&cluster);
+    transcript.send_request("request with the id of an open request", front, &get_request("r1", "/safe/x"));
     gate.open();
-    let head = first.head();
-    let body = first.try_body(&head).expect("a whole answer");
-    transcript.add("the open request", &Answer { head, body });
+    let head = first.read_head();
+    let body = first.read_body(&head).expect("a whole answer");
+    transcript.add_response("the open request", &Response { head, body });
     assert_golden("router/id_in_use.txt", transcript.text());
 }
 
 #[test]
 fn router_without_a_server_asks_clients_to_retry_later() {
     let cluster = TestCluster::new();
-    let _served = cluster.serving(&[], &routes());
-    let front = cluster.at(ROUTER, FRONT);
-    let mut transcript = Transcript::of(&cluster);
-    transcript.ask("safe request", front, &get("r1", "/safe/x"));
-    transcript.ask("unsafe request", front, &request("r2", "POST", "/unsafe/x", "", b"body"));
-    transcript.ask(
+    let _served = cluster.start_system(&[], &routes());
+    let front = cluster.address(ROUTER_HOST, FRONT_PORT);
+    let mut transcript = Transcript::for_cluster(&cluster);
+    transcript.send_request("safe request", front, &get_request("r1", "/safe/x"));
+    transcript.send_request("unsafe request", front, &request("r2", "POST", "/unsafe/x", "", b"body"));
+    transcript.send_request(
         "request without time left",
         front,
         &router_request("/safe/x", "Ivyhatch-Attempt-Id: r3\r\nIvyhatch-Deadline-Ms: 0\r\n"),
@@ -148,26 +156,26 @@
     let ask_once = |method: &str, path: &str| {
         let cluster = TestCluster::new();
         let does = does.clone();
-        let servers = cluster.pair(move |_, received| does(received));
-        let _served = cluster.serving(&[&servers[0], &servers[1]], &routes());
+        let servers = cluster.start_server_pair(move |_, received| does(received));
+        let _served = cluster.start_system(&[&servers[0], &servers[1]], &routes());
         let request = format!(
             "{method} {path} HTTP/1.1\r\nHost: h.example\r\nIvyhatch-Attempt-Id: r1\r\n{headers}\r\n"
         );
-        ask(cluster.at(ROUTER, FRONT), request.as_bytes())
+        send_request(cluster.address(ROUTER_HOST, FRONT_PORT), request.as_bytes())
     };
     let mut transcript = Transcript::default();
     std::thread::scope(|scope| {
         let safe = scope.spawn(|| ask_once("GET", "/safe/x"));
         let once = scope.spawn(|| ask_once("POST", "/unsafe/x"));
-        transcript.add("request that may run more than once", &safe.join().expect("an answer"));
-        transcript.add("request that may run once", &once.join().expect("an answer"));
+        transcript.add_response("request that may run more than once", &safe.join().expect("an answer"));
+        transcript.add_response("request that may run once", &once.join().expect("an answer"));
     });
     assert_golden(&format!("router/{name}.txt"), transcript.text());
 }
 
 #[test]
 fn router_refuses_what_all_servers_shed() {
-    assert_failure("servers_shed", "", |_| overloaded());
+    assert_failure("servers_shed", "", |_| overloaded_response());
 }
 
 #[test]
@@ -180,7 +188,7 @@
     assert_failure("servers_fail", "", |received| {
         vec![Step::Write(complete_response(
             500,
-            &format!("{}{STAMP}X-Own: 1\r\n", id(received.id())),
+            &format!("{}{STAMP_HEADER}X-Own: 1\r\n", id_header(received.id())),
             b"failed",
         ))]
     });
@@ -189,14 +197,18 @@
 #[test]
 fn router_forwards_429_only_where_the_request_may_run_again() {
     assert_failure("servers_answer_429", "", |received| {
-        vec![Step::Write(complete_response(429, &format!("{}{STAMP}", id(received.id())), b"failed"))]
+        vec![Step::Write(complete_response(
+            429,
+            &format!("{}{STAMP_HEADER}", id_header(received.id())),
+            b"failed",
+        ))]
     });
 }
 
 #[test]
 fn router_does_not_forward_a_success_without_a_stamp() {
     assert_failure("servers_without_a_stamp", "", |received| {
-        vec![Step::Write(complete_response(200, &id(received.id()), b"no stamp"))]
+        vec![Step::Write(complete_response(200, &id_header(received.id()), b"no stamp"))]
     });
 }
 
@@ -213,14 +225,14 @@
 #[test]
 fn router_forwards_answers_and_streams() {
     let cluster = TestCluster::new();
-    let server = cluster.server(("i-1", "s", "za"), |received| match received.id() {
-        "events" => stream(received, 1..=3),
+    let server = cluster.start_server(("i-1", "s", "za"), |received| match received.id() {
+        "events" => complete_stream(received, 1..=3),
         _ => {
             let headers = "Content-Type: text/plain\r\nX-Own: 1\r\nIvyhatch-Server-Load: 1, 0, 8\r\n\
                 Keep-Alive: timeout=5\r\nConnection: X-Hop\r\nX-Hop: 1\r\n";
             vec![Step::Write(complete_response(
                 201,
-                &format!("{headers}{}{STAMP}", id(received.id())),
+                &format!("{headers}{}{STAMP_HEADER}", id_header(received.id())),
                 b"here",
             ))]
         }
@@ -228,10 +240,13 @@
     let mut all = routes();
     let streaming = route("events", &json!({"route_kind": "streaming", "resumable": true}));
     all["routes"].as_array_mut().expect("routes").push(streaming);
-    let _served = cluster.serving(&[&server], &all);
-    let front = cluster.at(ROUTER, FRONT);
-    let mut transcript = Transcript::of(&cluster);
-    transcript.add("an answer", &ask(front, &get("r1", "/safe/x")));
-    transcript.add("a stream", &ask(front, &request("events", "POST", "/events/x", "", b"prompt")));
+    let _served = cluster.start_system(&[&server], &all);
+    let front = cluster.address(ROUTER_HOST, FRONT_PORT);
+    let mut transcript = Transcript::for_cluster(&cluster);
+    transcript.add_response("an answer", &send_request(front, &get_request("r1", "/safe/x")));
+    transcript.add_response(
+        "a stream",
+        &send_request(front, &request("events", "POST", "/events/x", "", b"prompt")),
+    );
     assert_golden("router/forwarded.txt", transcript.text());
 }
--- a/cli/tests/golden_node.rs
+++ b/cli/tests/golden_node.rs
@@ -195,7 +195,7 @@
         ("a head that is too long", find("r5", &format!("X: {}\r\n", "x".repeat(200_000)))),
         ("what is no HTTP", b"\x00\x01\x02\r\n\r\n".to_vec()),
     ] {
-        transcript.ask(title, at, &request);
+        transcript.send_request(title, at, &request);
     }
     assert_golden("node_http.txt", transcript.text());
 }
@@ -213,10 +213,14 @@
     let listen = socket.ask_value(r#"{"op":"state"}"#)["listen"].as_str().expect("an address").parse();
     let at: SocketAddr = listen.expect("an address");
     let mut transcript = Transcript::default();
-    transcript.ask("request without a server", at, &node_request("GET", "/api", "r1", "find", ""));
+    transcript.send_request("request without a server", at, &node_request("GET", "/api", "r1", "find", ""));
     socket.ask(r#"{"op":"drain"}"#);
-    transcript.ask("request to a node that drains", at, &node_request("GET", "/api", "r2", "find", ""));
+    transcript.send_request(
+        "request to a node that drains",
+        at,
+        &node_request("GET", "/api", "r2", "find", ""),
+    );
     let readiness = node_request("GET", "/health/ready", "r0", "find", "");
-    transcript.ask("GET of the readiness of a node that drains", at, &readiness);
+    transcript.send_request("GET of the readiness of a node that drains", at, &readiness);
     assert_golden("node_without_servers.txt", transcript.text());
 }
--- a/cli/tests/soak/applications.rs
+++ b/cli/tests/soak/applications.rs
@@ -16,7 +16,7 @@
 
 use super::recorder::Recorder;
 use crate::system_common::calls::Client;
-use crate::system_common::{CONTROL, CORE, TestCluster};
+use crate::system_common::{CONTROL_HOSTS, CONTROL_PORT, TestCluster};
 
 /// A caller turns to another node after this long without an answer, beside what a watch waits for.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
@@ -255,8 +255,9 @@
         let (host, mut client) = match self.connection.take() {
             Some(kept) => kept,
             None => {
-                let host = *CORE.choose(&mut self.random).unwrap();
-                let Some(client) = Client::try_to(self.shared.cluster.at(host, CONTROL)) else {
+                let host = *CONTROL_HOSTS.choose(&mut self.random).unwrap();
+                let Some(client) = Client::try_connect(self.shared.cluster.address(host, CONTROL_PORT))
+                else {
                     return Some(CallOutcome::NotStarted(NotStarted::NoQuorum));
                 };
                 (host, client)
@@ -264,8 +265,8 @@
         };
         client.set_read_timeout(CALL_TIMEOUT + Duration::from_millis(call.wait_ms()));
         client.try_write(&request(call))?;
-        let head = client.try_head()?;
-        let body = client.try_body(&head).ok()?;
+        let head = client.try_read_head()?;
+        let body = client.read_body(&head).ok()?;
         self.connection = Some((host, client));
         let body = serde_json::from_slice(&body).unwrap_or(Value::Null);
         Some(outcome_of(call, head.status, &body))
--- a/cli/tests/soak/clients.rs
+++ b/cli/tests/soak/clients.rs
@@ -82,7 +82,7 @@
 
     fn connect(&self, router: u8) -> Option<Client> {
         let (_, address) = self.shared.routers.iter().find(|(host, _)| *host == router)?;
-        Client::try_to(*address)
+        Client::try_connect(*address)
     }
 }
 
@@ -93,17 +93,17 @@
     if client.try_write(&bytes).is_none() {
         return Ending::Unanswered;
     }
-    let Some(head) = client.try_head() else { return Ending::Unanswered };
-    let Ok(body) = client.try_body(&head) else { return Ending::Cut };
+    let Some(head) = client.try_read_head() else { return Ending::Unanswered };
+    let Ok(body) = client.read_body(&head) else { return Ending::Cut };
     let status = head.status;
     if status != 200 {
         return Ending::Answered { status };
     }
     let mixed = |problem: String| Ending::Mixed { status, problem };
-    if head.value("ivyhatch-server-stamp").is_none() {
+    if head.header("ivyhatch-server-stamp").is_none() {
         return mixed("no stamp".to_owned());
     }
-    if body != id.as_bytes() || head.value("ivyhatch-attempt-id") != Some(&id) {
+    if body != id.as_bytes() || head.header("ivyhatch-attempt-id") != Some(&id) {
         return mixed(format!("the answer to {}", String::from_utf8_lossy(&body)));
     }
     Ending::Answered { status }
--- a/cli/tests/soak/machines.rs
+++ b/cli/tests/soak/machines.rs
@@ -7,7 +7,7 @@
 use rand::{RngExt, seq::IndexedRandom};
 
 use super::recorder::Recorder;
-use crate::system_common::{CORE, Process, TestCluster};
+use crate::system_common::{CONTROL_HOSTS, Process, TestCluster};
 
 /// A process that gets SIGTERM ends within this; its settings give it 8 seconds.
 const SHUTDOWN_LIMIT: Duration = Duration::from_secs(9);
@@ -49,8 +49,10 @@
     /// Starts three control nodes, for the first time, and these routers.
     pub fn start(cluster: &Arc<TestCluster>, recorder: &Arc<Recorder>, routers: &[u8]) -> Self {
         let machine = |role, host, process| Machine { host, role, process, state: State::Running };
-        let control = CORE.map(|host| machine("control", host, cluster.control(host, &CORE, true)));
-        let routers = routers.iter().map(|host| machine("router", *host, cluster.router(*host, &CORE)));
+        let control = CONTROL_HOSTS
+            .map(|host| machine("control", host, cluster.start_control_node(host, &CONTROL_HOSTS, true)));
+        let routers =
+            routers.iter().map(|host| machine("router", *host, cluster.start_router(*host, &CONTROL_HOSTS)));
         let machines = control.into_iter().chain(routers).collect();
         Self { cluster: cluster.clone(), recorder: recorder.clone(), machines, signals: 0 }
     }
@@ -87,8 +89,10 @@
 
     /// One control node is killed, frozen or terminated, if all are running.
     pub fn disrupt_control(&mut self, random: &mut StdRng) {
-        let running = self.draw_running("control", random, CORE.len());
-        let Some(index) = running.first().copied().filter(|_| running.len() == CORE.len()) else { return };
+        let running = self.draw_running("control", random, CONTROL_HOSTS.len());
+        let Some(index) = running.first().copied().filter(|_| running.len() == CONTROL_HOSTS.len()) else {
+            return;
+        };
         match random.random_range(0..3) {
             0 => self.kill(index, random),
             1 => self.freeze(index, random),
@@ -120,7 +124,7 @@
     /// What no log of any process may hold.
     pub fn report_logs(&self) {
         for machine in &self.machines {
-            let logged = machine.process.logged();
+            let logged = machine.process.log_output();
             let is_wrong = |line: &&str| {
                 line.contains("panicked")
                     || (line.contains("event=retry_usage") && !line.contains(" unpaid=0 "))
@@ -137,8 +141,10 @@
         let (is_running, host, role) = (machine.process.is_running(), machine.host, machine.role);
         match machine.state {
             State::Running if !is_running => {
-                self.recorder
-                    .report(format!("FAULT: {role} {host} ended by itself: {}", machine.process.logged()));
+                self.recorder.report(format!(
+                    "FAULT: {role} {host} ended by itself: {}",
+                    machine.process.log_output()
+                ));
                 machine.state = State::Down { until: now };
             }
             State::Terminating { .. } if !is_running => {
@@ -161,8 +167,8 @@
     fn restart(&mut self, index: usize) {
         let machine = &mut self.machines[index];
         machine.process = match machine.role {
-            "control" => self.cluster.control(machine.host, &CORE, false),
-            _ => self.cluster.router(machine.host, &CORE),
+            "control" => self.cluster.start_control_node(machine.host, &CONTROL_HOSTS, false),
+            _ => self.cluster.start_router(machine.host, &CONTROL_HOSTS),
         };
         machine.state = State::Running;
         self.recorder.disruption_ended(machine.host);
--- a/cli/tests/soak/mod.rs
+++ b/cli/tests/soak/mod.rs
@@ -19,7 +19,7 @@
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
 
-use crate::system_common::{FRONT, ROUTER, TestCluster, wait_until};
+use crate::system_common::{FRONT_PORT, ROUTER_HOST, TestCluster, wait_until};
 use applications::Applications;
 use clients::Shared;
 use machines::Machines;
@@ -111,9 +111,9 @@
 /// Plays one seed.
 pub fn run(seed: u64, scale: Scale) -> Report {
     let recorder = Arc::new(Recorder::default());
-    let cluster = Arc::new(TestCluster::with_retry_budget(recorder::BUDGET).and_coordination());
+    let cluster = Arc::new(TestCluster::with_retry_budget(recorder::BUDGET).enable_coordination());
     let (mut soak, operator) = Soak::start(seed, scale, &cluster, &recorder);
-    let routers = router_hosts(scale).map(|host| (host, cluster.at(host, FRONT))).collect();
+    let routers = router_hosts(scale).map(|host| (host, cluster.address(host, FRONT_PORT))).collect();
     let shared = Arc::new(Shared {
         routers,
         recorder: recorder.clone(),
@@ -175,7 +175,7 @@
 }
 
 fn router_hosts(scale: Scale) -> impl Iterator<Item = u8> {
-    (ROUTER..).take(scale.routers)
+    (ROUTER_HOST..).take(scale.routers)
 }
 
 impl Soak {
@@ -195,7 +195,7 @@
                 Server::start(cluster.ip(SERVER_HOST), (&name, service, zone), SERVER_WORK, recorder)
             })
             .collect();
-        cluster.platform.set(servers.iter().map(Server::listed).collect());
+        cluster.platform.set_instances(servers.iter().map(Server::instance_entry).collect());
         let hosts: Vec<u8> = router_hosts(scale).collect();
         let machines = Machines::start(cluster, recorder, &hosts);
         let operator = Operator::start(cluster, recorder);
@@ -270,7 +270,7 @@
         let due_before = self.due_listings.len();
         self.due_listings.retain(|at| now < *at);
         if self.due_listings.len() < due_before {
-            self.cluster.platform.set(self.servers.iter().map(Server::listed).collect());
+            self.cluster.platform.set_instances(self.servers.iter().map(Server::instance_entry).collect());
         }
     }
 
@@ -278,7 +278,7 @@
     fn end_disruptions(&mut self) {
         self.due_replacements.iter().for_each(|(_, index)| self.servers[*index].replace());
         self.due_replacements.clear();
-        self.cluster.platform.set(self.servers.iter().map(Server::listed).collect());
+        self.cluster.platform.set_instances(self.servers.iter().map(Server::instance_entry).collect());
         self.machines.settle(&mut self.random, SETTLE_LIMIT);
     }
 
--- a/cli/tests/soak/operator.rs
+++ b/cli/tests/soak/operator.rs
@@ -11,7 +11,7 @@
 
 use super::recorder::{Recorder, Service};
 use crate::system_common::calls::{call, route};
-use crate::system_common::{CONTROL, CORE, TestCluster};
+use crate::system_common::{CONTROL_HOSTS, CONTROL_PORT, TestCluster};
 
 const OK: u16 = 200;
 const PRECONDITION_FAILED: u16 = 412;
@@ -40,7 +40,7 @@
 impl Operator {
     /// Has a first configuration acknowledged.
     pub fn start(cluster: &Arc<TestCluster>, recorder: &Arc<Recorder>) -> Self {
-        cluster.put(CORE[0], 0, &configuration(1));
+        cluster.put_configuration(CONTROL_HOSTS[0], 0, &configuration(1));
         let (cluster, recorder) = (cluster.clone(), recorder.clone());
         Self { cluster, recorder, current: 1, last_revision: 1, acknowledged: 1 }
     }
@@ -63,7 +63,7 @@
         let orders: Vec<(u64, u8)> = (0..count)
             .map(|_| {
                 self.last_revision += random.random_range(1..5);
-                (self.last_revision, *CORE.choose(random).unwrap())
+                (self.last_revision, *CONTROL_HOSTS.choose(random).unwrap())
             })
             .collect();
         let answers = self.send_at_once(base, &orders);
@@ -87,7 +87,7 @@
     pub fn read_back(&mut self, limit: Duration) {
         let end = Instant::now() + limit;
         while Instant::now() < end {
-            for host in CORE {
+            for host in CONTROL_HOSTS {
                 let Some(read) = self.cluster.configuration(host) else { continue };
                 let revision = read["revision"].as_u64().unwrap_or(0);
                 if revision < self.current || revision > self.last_revision || read != configuration(revision)
@@ -104,7 +104,7 @@
 
     /// Whether the configuration can be read.
     pub fn is_readable(&self) -> bool {
-        CORE.iter().any(|host| self.cluster.configuration(*host).is_some())
+        CONTROL_HOSTS.iter().any(|host| self.cluster.configuration(*host).is_some())
     }
 
     fn send_at_once(&self, base: u64, orders: &[(u64, u8)]) -> Vec<(u64, Answer)> {
@@ -120,10 +120,10 @@
     /// Sends a change to one control node after another until an answer is clear.
     fn send(&self, base: u64, revision: u64, first_host: u8) -> Answer {
         let body = configuration(revision).to_string();
-        let begin = CORE.iter().position(|host| *host == first_host).unwrap_or(0);
+        let begin = CONTROL_HOSTS.iter().position(|host| *host == first_host).unwrap_or(0);
         let end = Instant::now() + ORDER_LIMIT;
-        for host in CORE.iter().cycle().skip(begin) {
-            match call(self.cluster.at(*host, CONTROL), "PUT", "/-/config", Some(base), &body) {
+        for host in CONTROL_HOSTS.iter().cycle().skip(begin) {
+            match call(self.cluster.address(*host, CONTROL_PORT), "PUT", "/-/config", Some(base), &body) {
                 Some((OK, _)) => return Answer::Acknowledged,
                 Some((PRECONDITION_FAILED, _)) => return Answer::Refused,
                 _ if Instant::now() > end => return Answer::Unclear,
--- a/cli/tests/soak/servers.rs
+++ b/cli/tests/soak/servers.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 
 use super::recorder::{Recorder, Service};
-use crate::system_common::server::{self, ReceivedRequest, Step, complete_response, id, ok};
+use crate::system_common::server::{self, ReceivedRequest, Step, complete_response, id_header, ok_response};
 
 /// What listens at an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -72,9 +72,9 @@
     }
 
     /// Its entry in the platform's instance list, of the present instance.
-    pub fn listed(&self) -> Value {
+    pub fn instance_entry(&self) -> Value {
         let (Instance::Serving(number) | Instance::Crashed(number)) = *self.address.instance.lock().unwrap();
-        let mut listed = self.server.listed();
+        let mut listed = self.server.instance_entry();
         listed["id"] = json!(self.address.instance_id(number));
         listed["slots"] = json!(64);
         listed
@@ -82,7 +82,7 @@
 
     /// Drops the copies of requests that the scripted server keeps for tests: the recorder has what counts.
     pub fn forget_requests(&self) {
-        self.server.all();
+        self.server.take_requests();
     }
 }
 
@@ -97,7 +97,7 @@
         let request = u64::from_str_radix(received.id(), 16).ok();
         if received.message.value("ivyhatch-expect-instance") != Some(&*self.instance_id(number)) {
             self.recorder.arrived(request, self.service, false);
-            return vec![Step::Write(complete_response(421, &id(received.id()), b""))];
+            return vec![Step::Write(complete_response(421, &id_header(received.id()), b""))];
         }
         self.recorder.arrived(request, self.service, true);
         let instance = self.instance.lock().unwrap();
@@ -109,6 +109,6 @@
             return vec![Step::Close];
         }
         drop(instance);
-        ok(received, received.id().as_bytes())
+        ok_response(received, received.id().as_bytes())
     }
 }
--- a/cli/tests/system_common/calls.rs
+++ b/cli/tests/system_common/calls.rs
@@ -6,19 +6,25 @@
 
 use serde_json::{Value, json};
 
-use super::WAIT_LIMIT;
+use super::WAIT_TIMEOUT;
 
 /// One call on a connection of its own; none without an answer.
-pub fn call(at: SocketAddr, method: &str, path: &str, base: Option<u64>, body: &str) -> Option<(u16, Value)> {
+pub fn call(
+    address: SocketAddr,
+    method: &str,
+    path: &str,
+    base: Option<u64>,
+    body: &str,
+) -> Option<(u16, Value)> {
     let base = base.map(|base| format!("If-Match: {base}\r\n")).unwrap_or_default();
     let length = body.len();
     let text = format!(
-        "{method} {path} HTTP/1.1\r\nHost: {at}\r\nContent-Type: application/json\r\n{base}Content-Length: {length}\r\n\r\n{body}"
+        "{method} {path} HTTP/1.1\r\nHost: {address}\r\nContent-Type: application/json\r\n{base}Content-Length: {length}\r\n\r\n{body}"
     );
-    let mut client = Client::try_to(at)?;
+    let mut client = Client::try_connect(address)?;
     client.try_write(text.as_bytes())?;
-    let head = client.try_head()?;
-    let body = client.try_body(&head).ok()?;
+    let head = client.try_read_head()?;
+    let body = client.read_body(&head).ok()?;
     Some((head.status, serde_json::from_slice(&body).unwrap_or(Value::Null)))
 }
 
@@ -43,32 +49,32 @@
 }
 
 /// A request without a body.
-pub fn get(id: &str, path: &str) -> Vec<u8> {
+pub fn get_request(id: &str, path: &str) -> Vec<u8> {
     request(id, "GET", path, "", b"")
 }
 
 /// The head of an answer.
 #[derive(Clone, Debug)]
-pub struct Head {
+pub struct ResponseHead {
     pub status: u16,
     pub headers: Vec<(String, String)>,
 }
 
-impl Head {
-    pub fn value(&self, name: &str) -> Option<&str> {
-        let mut named = self.headers.iter().filter(|(of, _)| of.eq_ignore_ascii_case(name));
+impl ResponseHead {
+    pub fn header(&self, name: &str) -> Option<&str> {
+        let mut named = self.headers.iter().filter(|(field, _)| field.eq_ignore_ascii_case(name));
         named.next().map(|(_, value)| value.as_str())
     }
 }
 
 /// An answer whose connection ended first; what had come of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken(pub Vec<u8>);
+pub struct TruncatedBody(pub Vec<u8>);
 
 /// A whole answer as text, for what is text.
 #[derive(Clone, Debug)]
-pub struct Answer {
-    pub head: Head,
+pub struct Response {
+    pub head: ResponseHead,
     pub body: Vec<u8>,
 }
 
@@ -76,15 +82,15 @@
 pub struct Client(BufReader<TcpStream>);
 
 impl Client {
-    pub fn try_to(at: SocketAddr) -> Option<Self> {
-        let stream = TcpStream::connect_timeout(&at, Duration::from_secs(2)).ok()?;
+    pub fn try_connect(address: SocketAddr) -> Option<Self> {
+        let stream = TcpStream::connect_timeout(&address, Duration::from_secs(2)).ok()?;
         stream.set_nodelay(true).ok()?;
-        stream.set_read_timeout(Some(WAIT_LIMIT)).ok()?;
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
         Some(Self(BufReader::new(stream)))
     }
 
-    pub fn to(at: SocketAddr) -> Self {
-        Self::try_to(at).expect("it listens")
+    pub fn connect(address: SocketAddr) -> Self {
+        Self::try_connect(address).expect("it listens")
     }
 
     /// An answer that takes longer counts as none.
@@ -100,31 +106,33 @@
         self.try_write(bytes).expect("it reads");
     }
 
-    fn line(&mut self) -> Option<String> {
+    fn read_line(&mut self) -> Option<String> {
         let mut text = String::new();
         let read = self.0.read_line(&mut text).ok()?;
         (read > 0).then(|| text.trim_end().to_owned())
     }
 
     /// The head of the next answer; none where the connection ends first.
-    pub fn try_head(&mut self) -> Option<Head> {
-        let first = self.line()?;
+    pub fn try_read_head(&mut self) -> Option<ResponseHead> {
+        let first = self.read_line()?;
         let status = first.split(' ').nth(1)?.parse().ok()?;
         let mut headers = Vec::new();
         loop {
-            let line = self.line()?;
-            let Some((name, value)) = line.split_once(':') else { return Some(Head { status, headers }) };
+            let line = self.read_line()?;
+            let Some((name, value)) = line.split_once(':') else {
+                return Some(ResponseHead { status, headers });
+            };
             headers.push((name.to_owned(), value.trim().to_owned()));
         }
     }
 
-    pub fn head(&mut self) -> Head {
-        self.try_head().expect("an answer")
+    pub fn read_head(&mut self) -> ResponseHead {
+        self.try_read_head().expect("an answer")
     }
 
     /// The next piece of a body in chunks; empty at its end, none where the connection ends first.
-    pub fn chunk(&mut self) -> Option<Vec<u8>> {
-        let length = usize::from_str_radix(&self.line()?, 16).ok()?;
+    pub fn read_chunk(&mut self) -> Option<Vec<u8>> {
+        let length = usize::from_str_radix(&self.read_line()?, 16).ok()?;
         let mut bytes = vec![0; length + 2];
         self.0.read_exact(&mut bytes).ok()?;
         bytes.truncate(length);
@@ -132,19 +140,19 @@
     }
 
     /// The rest of an answer.
-    pub fn try_body(&mut self, head: &Head) -> Result<Vec<u8>, Broken> {
+    pub fn read_body(&mut self, head: &ResponseHead) -> Result<Vec<u8>, TruncatedBody> {
         let mut body = Vec::new();
-        if let Some(length) = head.value("content-length").and_then(|text| text.parse::<usize>().ok()) {
+        if let Some(length) = head.header("content-length").and_then(|text| text.parse::<usize>().ok()) {
             let mut rest = self.0.by_ref().take(length as u64);
             let _ = rest.read_to_end(&mut body);
-            return if body.len() == length { Ok(body) } else { Err(Broken(body)) };
+            return if body.len() == length { Ok(body) } else { Err(TruncatedBody(body)) };
         }
-        if head.value("transfer-encoding") == Some("chunked") {
+        if head.header("transfer-encoding") == Some("chunked") {
             loop {
-                match self.chunk() {
+                match self.read_chunk() {
                     Some(piece) if piece.is_empty() => return Ok(body),
                     Some(piece) => body.extend(piece),
-                    None => return Err(Broken(body)),
+                    None => return Err(TruncatedBody(body)),
                 }
             }
         }
@@ -152,15 +160,15 @@
     }
 
     /// Writes a request and reads its answer.
-    pub fn ask(&mut self, request: &[u8]) -> Answer {
+    pub fn send_request(&mut self, request: &[u8]) -> Response {
         self.write(request);
-        let head = self.head();
-        let body = self.try_body(&head).expect("a whole answer");
-        Answer { head, body }
+        let head = self.read_head();
+        let body = self.read_body(&head).expect("a whole answer");
+        Response { head, body }
     }
 
     /// Reads so many bytes, or what there is of them.
-    pub fn skip(&mut self, count: usize) {
+    pub fn skip_bytes(&mut self, count: usize) {
         let _ = self.0.by_ref().take(count as u64).read_to_end(&mut Vec::new());
     }
 
@@ -175,12 +183,12 @@
     }
 
     /// Whether the connection has ended, with nothing more on it.
-    pub fn is_over(&mut self) -> bool {
+    pub fn is_closed(&mut self) -> bool {
         matches!(self.0.read(&mut [0]), Ok(0) | Err(_))
     }
 }
 
 /// Asks on a connection of its own.
-pub fn ask(at: SocketAddr, request: &[u8]) -> Answer {
-    Client::to(at).ask(request)
+pub fn send_request(address: SocketAddr, request: &[u8]) -> Response {
+    Client::connect(address).send_request(request)
 }
--- a/cli/tests/system_common/faults.rs
+++ b/cli/tests/system_common/faults.rs
@@ -11,118 +11,118 @@
 use serde_json::{Value, json};
 
 /// Length of each request's id; with it all requests of a test have the same length.
-pub const ID_LENGTH: usize = 8;
+pub const REQUEST_ID_LENGTH: usize = 8;
 /// How long a delayed message is held up.
-const DELAY: Duration = Duration::from_millis(3);
+const MESSAGE_DELAY: Duration = Duration::from_millis(3);
 
 /// The message at one of whose bytes an exchange goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Part {
+pub enum MessageKind {
     Request,
-    Answer,
+    Response,
 }
 
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Fault {
     /// The connection is closed.
-    Cut,
+    Close,
     /// The connection is reset.
     Reset,
     /// Nothing more is read or written, and the connection stays open.
-    Mute,
+    Stall,
     /// The rest is read or written a little later.
     Delay,
     /// So many bytes of a second copy of the answer come right behind the first, the rest in the place of the next answer.
-    Double,
+    SplitDuplicate,
     /// The whole second copy comes in the place of the next answer, in two pieces.
-    DoubleLate,
+    LateDuplicate,
     /// So many bytes of the answer come, and then the answer from its beginning.
     Restart,
 }
 
 /// Where and how one exchange goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Plan {
+pub struct PlannedFault {
     /// Whether the connection has carried an exchange before.
-    pub kept: bool,
-    pub part: Part,
+    pub reused_connection: bool,
+    pub message: MessageKind,
     pub fault: Fault,
     /// How many bytes of the message come before it.
-    pub at: usize,
+    pub offset: usize,
 }
 
 /// One request as the servers have seen it.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct RequestRecord {
     /// How often it came, whole or with its id at least.
     pub arrivals: usize,
     /// How often it was read whole by a server that runs it.
-    pub runs: usize,
+    pub executions: usize,
     /// How often it was answered with a whole refusal.
     pub rejections: usize,
     /// What went wrong with it.
-    pub plans: Vec<Plan>,
+    pub faults: Vec<PlannedFault>,
     /// It was answered in the place of a copy of another's answer.
-    pub behind_a_copy: bool,
+    pub after_duplicate: bool,
 }
 
 /// What reached the servers.
 #[derive(Default)]
 pub struct RequestLog {
     /// By id.
-    pub requests: HashMap<String, Seen>,
+    pub requests: HashMap<String, RequestRecord>,
     /// Requests of which at least a byte arrived, known by their ids or not.
-    pub begun: usize,
+    pub started_requests: usize,
     /// Whole rejections that were written.
     pub rejections: usize,
     /// Requests on a connection that had delivered surplus bytes.
-    pub after_surplus: Vec<String>,
-    fresh: Vec<Plan>,
-    kept: Vec<Plan>,
-    held: Vec<TcpStream>,
-    recorded: Option<Recorded>,
+    pub requests_after_surplus: Vec<String>,
+    new_connection_faults: Vec<PlannedFault>,
+    reused_connection_faults: Vec<PlannedFault>,
+    stalled_connections: Vec<TcpStream>,
+    last_exchange: Option<ExchangeLengths>,
 }
 
 impl RequestLog {
     /// Plans that no exchange has carried out yet.
-    pub fn left(&self) -> usize {
-        self.fresh.len() + self.kept.len()
+    pub fn remaining_faults(&self) -> usize {
+        self.new_connection_faults.len() + self.reused_connection_faults.len()
     }
 
-    fn wants_fresh(&self) -> bool {
-        self.kept.is_empty() && !self.fresh.is_empty()
+    fn needs_new_connections(&self) -> bool {
+        self.reused_connection_faults.is_empty() && !self.new_connection_faults.is_empty()
     }
 }
 
 /// The lengths of an exchange's messages.
 #[derive(Clone, Copy, Debug)]
-pub struct Recorded {
+pub struct ExchangeLengths {
     pub request: usize,
-    pub answer: usize,
-    pub answer_head: usize,
+    pub response: usize,
+    pub response_head: usize,
 }
 
 /// A message that a server answers with; `refuses` where it says that the request did not run.
 #[derive(Clone)]
-pub struct Reply {
+pub struct ScriptedResponse {
     pub bytes: Vec<u8>,
-    pub refuses: bool,
+    pub is_rejection: bool,
 }
 
 /// Makes the answer to the request with this id.
-pub type Answers = fn(&str) -> Reply;
+pub type ResponseFn = fn(&str) -> ScriptedResponse;
 
 /// Servers of service `s` that share a request log and plans.
 #[derive(Clone)]
-pub struct Faulty {
+pub struct FaultyServers {
     request_log: Arc<Mutex<RequestLog>>,
-    answers: Answers,
+    respond: ResponseFn,
 }
 
-impl Faulty {
-    pub fn new(answers: Answers) -> Self {
-        Self { request_log: Arc::default(), answers }
+impl FaultyServers {
+    pub fn new(respond: ResponseFn) -> Self {
+        Self { request_log: Arc::default(), respond }
     }
 
     pub fn request_log(&self) -> MutexGuard<'_, RequestLog> {
@@ -130,21 +130,31 @@
     }
 
     /// Adds plans for every byte of the exchange that was recorded last.
-    pub fn plan(&self, faults: &[(Part, Fault)]) -> usize {
+    pub fn plan_faults(&self, faults: &[(MessageKind, Fault)]) -> usize {
         let mut request_log = self.request_log();
-        let recorded = request_log.recorded.expect("an exchange was recorded");
+        let recorded = request_log.last_exchange.expect("an exchange was recorded");
         let mut count = 0;
-        for (part, fault) in faults {
-            let end = match (part, fault) {
+        for (message, fault) in faults {
+            let end = match (message, fault) {
                 // A request that has come whole goes wrong in its answer.
-                (Part::Request, _) => recorded.request,
+                (MessageKind::Request, _) => recorded.request,
                 // Within the body the difference is not visible.
-                (Part::Answer, Fault::Restart) => recorded.answer_head,
-                (Part::Answer, _) => recorded.answer + 1,
+                (MessageKind::Response, Fault::Restart) => recorded.response_head,
+                (MessageKind::Response, _) => recorded.response + 1,
             };
-            for at in 0..end {
-                request_log.fresh.push(Plan { kept: false, part: *part, fault: *fault, at });
-                request_log.kept.push(Plan { kept: true, part: *part, fault: *fault, at });
+            for offset in 0..end {
+                request_log.new_connection_faults.push(PlannedFault {
+                    reused_connection: false,
+                    message: *message,
+                    fault: *fault,
+                    offset,
+                });
+                request_log.reused_connection_faults.push(PlannedFault {
+                    reused_connection: true,
+                    message: *message,
+                    fault: *fault,
+                    offset,
+                });
                 count += 2;
             }
         }
@@ -152,8 +162,8 @@
     }
 
     /// The exchange that was recorded last.
-    pub fn recorded(&self) -> Option<Recorded> {
-        self.request_log().recorded
+    pub fn last_exchange(&self) -> Option<ExchangeLengths> {
+        self.request_log().last_exchange
     }
 
     /// Starts so many servers; returns their lines in the platform's list.
@@ -175,27 +185,29 @@
         (0..count).map(start).collect()
     }
 
-    fn serve_connection(&self, mut stream: TcpStream, wrong_at_once: bool) {
+    fn serve_connection(&self, mut stream: TcpStream, fails_first_exchange: bool) {
         let _ = stream.set_nodelay(true);
-        let (mut kept, mut owed) = (false, Owed::default());
+        let (mut is_reused, mut pending) = (false, PendingDuplicate::default());
         while stream.peek(&mut [0]).is_ok_and(|count| count > 0) {
             let plan = {
                 let mut request_log = self.request_log();
-                request_log.begun += 1;
-                match kept {
-                    true if !owed.is_owed() => request_log.kept.pop(),
-                    false if wrong_at_once || request_log.kept.is_empty() => request_log.fresh.pop(),
+                request_log.started_requests += 1;
+                match is_reused {
+                    true if !pending.has_pieces() => request_log.reused_connection_faults.pop(),
+                    false if fails_first_exchange || request_log.reused_connection_faults.is_empty() => {
+                        request_log.new_connection_faults.pop()
+                    }
                     _ => None,
                 }
             };
-            let Some(still) = self.exchange(&mut stream, plan, &mut owed) else { return };
-            if !still {
-                self.request_log().held.push(stream);
+            let Some(is_readable) = self.exchange(&mut stream, plan, &mut pending) else { return };
+            if !is_readable {
+                self.request_log().stalled_connections.push(stream);
                 return;
             }
-            kept = true;
+            is_reused = true;
             // With nothing left for kept connections, fresh ones are wanted.
-            if self.request_log().wants_fresh() && !owed.is_owed() {
+            if self.request_log().needs_new_connections() && !pending.has_pieces() {
                 let _ = stream.shutdown(Shutdown::Both);
                 return;
             }
@@ -203,100 +215,118 @@
     }
 
     /// One exchange. None where the connection has ended; else whether anything more is read from it.
-    fn exchange(&self, stream: &mut TcpStream, plan: Option<Plan>, owed: &mut Owed) -> Option<bool> {
+    fn exchange(
+        &self,
+        stream: &mut TcpStream,
+        plan: Option<PlannedFault>,
+        pending: &mut PendingDuplicate,
+    ) -> Option<bool> {
         let mut received = Vec::new();
-        if let Some(plan) = plan.filter(|plan| plan.part == Part::Request) {
-            read_up_to(stream, &mut received, plan.at)?;
-            self.note(&received, |seen| seen.plans.push(plan));
+        if let Some(plan) = plan.filter(|plan| plan.message == MessageKind::Request) {
+            read_up_to(stream, &mut received, plan.offset)?;
+            self.update_record(&received, |record| record.faults.push(plan));
             match plan.fault {
-                Fault::Delay => thread::sleep(DELAY),
+                Fault::Delay => thread::sleep(MESSAGE_DELAY),
                 fault => {
-                    self.note(&received, |seen| seen.arrivals += 1);
-                    return end(stream, fault);
+                    self.update_record(&received, |record| record.arrivals += 1);
+                    return end_exchange(stream, fault);
                 }
             }
         }
         read_up_to(stream, &mut received, usize::MAX)?;
-        let id = id_of(&received).expect("a whole request has an id");
-        let reply = (self.answers)(&id);
-        self.record(&received, &id, &reply, plan, owed);
-        let (first, then) = cut_up(&reply.bytes, plan, owed);
+        let id = request_id(&received).expect("a whole request has an id");
+        let reply = (self.respond)(&id);
+        self.record_request(&received, &id, &reply, plan, pending);
+        let (first, then) = split_for_fault(&reply.bytes, plan, pending);
         // A refusal is one once its head is whole.
-        if reply.refuses
+        if reply.is_rejection
             && first.len() + then.as_ref().map_or(0, |(_, rest)| rest.len()) >= head_length(&reply.bytes)
         {
             self.request_log().rejections += 1;
-            self.note(&received, |seen| seen.rejections += 1);
+            self.update_record(&received, |record| record.rejections += 1);
         }
         stream.write_all(&first).ok()?;
         match then {
             None => Some(true),
             Some((Fault::Delay, rest)) => {
-                thread::sleep(DELAY);
+                thread::sleep(MESSAGE_DELAY);
                 stream.write_all(&rest).ok()?;
                 Some(true)
             }
-            Some((fault, _)) => end(stream, fault),
+            Some((fault, _)) => end_exchange(stream, fault),
         }
     }
 
-    fn record(&self, received: &[u8], id: &str, reply: &Reply, plan: Option<Plan>, owed: &Owed) {
+    fn record_request(
+        &self,
+        received: &[u8],
+        id: &str,
+        reply: &ScriptedResponse,
+        plan: Option<PlannedFault>,
+        pending: &PendingDuplicate,
+    ) {
         let mut request_log = self.request_log();
-        let answer_head = head_length(&reply.bytes);
-        request_log.recorded =
-            Some(Recorded { request: received.len(), answer: reply.bytes.len(), answer_head });
-        if owed.was_paid {
-            request_log.after_surplus.push(id.to_owned());
+        let response_head = head_length(&reply.bytes);
+        request_log.last_exchange =
+            Some(ExchangeLengths { request: received.len(), response: reply.bytes.len(), response_head });
+        if pending.has_sent_surplus {
+            request_log.requests_after_surplus.push(id.to_owned());
         }
-        let seen = request_log.requests.entry(id.to_owned()).or_default();
-        seen.arrivals += 1;
-        seen.runs += usize::from(!reply.refuses);
-        seen.behind_a_copy |= owed.is_owed();
-        seen.plans.extend(plan.filter(|plan| plan.part == Part::Answer));
+        let record = request_log.requests.entry(id.to_owned()).or_default();
+        record.arrivals += 1;
+        record.executions += usize::from(!reply.is_rejection);
+        record.after_duplicate |= pending.has_pieces();
+        record.faults.extend(plan.filter(|plan| plan.message == MessageKind::Response));
     }
 
-    fn note(&self, received: &[u8], note: impl FnOnce(&mut Seen)) {
-        if let Some(id) = id_of(received) {
-            note(self.request_log().requests.entry(id).or_default());
+    fn update_record(&self, received: &[u8], update: impl FnOnce(&mut RequestRecord)) {
+        if let Some(id) = request_id(received) {
+            update(self.request_log().requests.entry(id).or_default());
         }
     }
 }
 
 /// Bytes of a second copy that come in the place of the next answer.
 #[derive(Default)]
-struct Owed {
+struct PendingDuplicate {
     pieces: Vec<Vec<u8>>,
-    was_paid: bool,
+    has_sent_surplus: bool,
 }
 
-impl Owed {
-    fn is_owed(&self) -> bool {
+impl PendingDuplicate {
+    fn has_pieces(&self) -> bool {
         !self.pieces.is_empty()
     }
 }
 
 /// What is written at once, and what comes then: the fault, and the rest that a delay holds up.
-fn cut_up(bytes: &[u8], plan: Option<Plan>, owed: &mut Owed) -> (Vec<u8>, Option<(Fault, Vec<u8>)>) {
-    let mut pieces = std::mem::take(&mut owed.pieces);
+fn split_for_fault(
+    bytes: &[u8],
+    plan: Option<PlannedFault>,
+    pending: &mut PendingDuplicate,
+) -> (Vec<u8>, Option<(Fault, Vec<u8>)>) {
+    let mut pieces = std::mem::take(&mut pending.pieces);
     if !pieces.is_empty() {
-        owed.was_paid = true;
+        pending.has_sent_surplus = true;
         let first = pieces.remove(0);
         let rest = [pieces.concat(), bytes.to_vec()].concat();
         return (first, Some((Fault::Delay, rest)));
     }
-    let Some(plan) = plan.filter(|plan| plan.part == Part::Answer) else { return (bytes.to_vec(), None) };
-    let (before, behind) = bytes.split_at(plan.at.min(bytes.len()));
+    let Some(plan) = plan.filter(|plan| plan.message == MessageKind::Response) else {
+        return (bytes.to_vec(), None);
+    };
+    let (before, behind) = bytes.split_at(plan.offset.min(bytes.len()));
     match plan.fault {
-        Fault::Cut | Fault::Reset | Fault::Mute | Fault::Delay => {
+        Fault::Close | Fault::Reset | Fault::Stall | Fault::Delay => {
             (before.to_vec(), Some((plan.fault, behind.to_vec())))
         }
-        Fault::Double => {
-            owed.pieces = vec![behind.to_vec()];
-            owed.was_paid = !before.is_empty();
+        Fault::SplitDuplicate => {
+            pending.pieces = vec![behind.to_vec()];
+            pending.has_sent_surplus = !before.is_empty();
             ([bytes, before].concat(), None)
         }
-        Fault::DoubleLate => {
-            owed.pieces = vec![before.to_vec(), behind.to_vec()];
+        Fault::LateDuplicate => {
+            pending.pieces = vec![before.to_vec(), behind.to_vec()];
             (bytes.to_vec(), None)
         }
         Fault::Restart => ([before, bytes].concat(), None),
@@ -304,9 +334,9 @@
 }
 
 /// Ends an exchange. None where the connection has ended, else that it is held and not read.
-fn end(stream: &TcpStream, fault: Fault) -> Option<bool> {
+fn end_exchange(stream: &TcpStream, fault: Fault) -> Option<bool> {
     match fault {
-        Fault::Mute => Some(false),
+        Fault::Stall => Some(false),
         Fault::Reset => {
             let stream = stream.try_clone().ok()?;
             ivyhatch_socket_lab::scripted::Client::from_stream(stream).reset();
@@ -321,7 +351,7 @@
 
 /// Reads until so many bytes have come, or a whole request has. None where the connection ends first.
 fn read_up_to(stream: &mut TcpStream, received: &mut Vec<u8>, most: usize) -> Option<()> {
-    while received.len() < most && !is_whole(received) {
+    while received.len() < most && !is_complete_request(received) {
         let mut byte = [0];
         match stream.read(&mut byte) {
             Ok(0) => return None,
@@ -338,7 +368,7 @@
     bytes.windows(4).position(|four| four == b"\r\n\r\n").map_or(bytes.len(), |at| at + 4)
 }
 
-fn is_whole(received: &[u8]) -> bool {
+fn is_complete_request(received: &[u8]) -> bool {
     if !received.windows(4).any(|four| four == b"\r\n\r\n") {
         return false;
     }
@@ -349,9 +379,9 @@
 }
 
 /// The id of a request, which ends its path.
-fn id_of(received: &[u8]) -> Option<String> {
+fn request_id(received: &[u8]) -> Option<String> {
     let text = String::from_utf8_lossy(received);
     let path = text.split(' ').nth(1)?;
     let id = path.rsplit('/').next()?;
-    (id.len() == ID_LENGTH).then(|| id.to_owned())
+    (id.len() == REQUEST_ID_LENGTH).then(|| id.to_owned())
 }
--- a/cli/tests/system_common/mod.rs
+++ b/cli/tests/system_common/mod.rs
@@ -21,26 +21,26 @@
 use tempfile::TempDir;
 
 use calls::{call, route};
-use platform::Platform;
+use platform::FakePlatform;
 use server::{Server, Step};
 
 /// A condition that does not hold within this fails its test.
-pub const WAIT_LIMIT: Duration = Duration::from_secs(20);
-pub const CONTROL: u16 = 8166;
-pub const DIRECTORY: u16 = 8164;
-pub const FRONT: u16 = 8161;
-pub const READINESS: u16 = 8167;
-pub const INNER: u16 = 7720;
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+pub const CONTROL_PORT: u16 = 8166;
+pub const DIRECTORY_PORT: u16 = 8164;
+pub const FRONT_PORT: u16 = 8161;
+pub const READINESS_PORT: u16 = 8167;
+pub const FIRST_INNER_PORT: u16 = 7720;
 /// The three machines with a disk.
-pub const CORE: [u8; 3] = [11, 12, 13];
+pub const CONTROL_HOSTS: [u8; 3] = [11, 12, 13];
 /// The machine of the first router, in the first zone.
-pub const ROUTER: u8 = 21;
+pub const ROUTER_HOST: u8 = 21;
 /// Bound by the test that uses the network.
-const CLAIM: u16 = 7700;
+const NETWORK_LOCK_PORT: u16 = 7700;
 
-/// Waits for a condition; fails the test after [`WAIT_LIMIT`].
+/// Waits for a condition; fails the test after [`WAIT_TIMEOUT`].
 pub fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
-    let end = Instant::now() + WAIT_LIMIT;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !done() {
         assert!(Instant::now() < end, "in vain: {what}");
         thread::sleep(Duration::from_millis(10));
@@ -50,9 +50,9 @@
 /// The machines of a test, and the platform.
 pub struct TestCluster {
     network: (u8, u8),
-    _claim: TcpListener,
-    folder: TempDir,
-    pub platform: Platform,
+    _network_lock: TcpListener,
+    temp_dir: TempDir,
+    pub platform: FakePlatform,
     retry_budget: RetryBudget,
     contracts: Vec<&'static str>,
 }
@@ -77,12 +77,12 @@
 
     /// A cluster whose applications take locks, numbers and cells.
     pub fn with_coordination() -> Self {
-        Self::new().and_coordination()
+        Self::new().enable_coordination()
     }
 
     /// Has applications take locks, numbers and cells.
     #[must_use]
-    pub fn and_coordination(mut self) -> Self {
+    pub fn enable_coordination(mut self) -> Self {
         self.contracts.push("coord");
         self
     }
@@ -90,19 +90,21 @@
     /// A cluster with this retry budget.
     pub fn with_retry_budget(retry_budget: RetryBudget) -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
-        let (network, claim) = loop {
+        let (network, network_lock) = loop {
             let number = std::process::id().wrapping_mul(61) + NEXT.fetch_add(1, Ordering::SeqCst) * 7;
             let network = ((number / 250 % 250) as u8 + 1, (number % 250) as u8 + 1);
-            if let Ok(claim) = TcpListener::bind((Ipv4Addr::new(127, network.0, network.1, 1), CLAIM)) {
-                break (network, claim);
+            if let Ok(network_lock) =
+                TcpListener::bind((Ipv4Addr::new(127, network.0, network.1, 1), NETWORK_LOCK_PORT))
+            {
+                break (network, network_lock);
             }
         };
-        let platform = Platform::at(Ipv4Addr::new(127, network.0, network.1, 2));
+        let platform = FakePlatform::start(Ipv4Addr::new(127, network.0, network.1, 2));
         let contracts = vec!["base"];
         Self {
             network,
-            _claim: claim,
-            folder: tempfile::tempdir().unwrap(),
+            _network_lock: network_lock,
+            temp_dir: tempfile::tempdir().unwrap(),
             platform,
             retry_budget,
             contracts,
@@ -113,76 +115,77 @@
         Ipv4Addr::new(127, self.network.0, self.network.1, host)
     }
 
-    pub fn at(&self, host: u8, port: u16) -> SocketAddr {
+    pub fn address(&self, host: u8, port: u16) -> SocketAddr {
         (self.ip(host), port).into()
     }
 
     /// The data folder of a machine.
-    pub fn data(&self, host: u8) -> PathBuf {
-        self.folder.path().join(format!("data-{host}"))
+    pub fn data_dir(&self, host: u8) -> PathBuf {
+        self.temp_dir.path().join(format!("data-{host}"))
     }
 
     pub fn settings_file(&self, host: u8) -> PathBuf {
-        self.folder.path().join(format!("settings-{host}.json"))
+        self.temp_dir.path().join(format!("settings-{host}.json"))
     }
 
     /// A machine's settings. The last digit of `host` determines the zone.
     pub fn settings(&self, host: u8, seeds: &[u8], first_start: bool) -> Value {
         let zone = ["za", "zb", "zc"][usize::from((host - 1) % 10) % 3];
-        let seeds: Vec<String> = seeds.iter().map(|seed| self.at(*seed, CONTROL).to_string()).collect();
-        let at = |port| self.at(host, port).to_string();
+        let seeds: Vec<String> =
+            seeds.iter().map(|seed| self.address(*seed, CONTROL_PORT).to_string()).collect();
+        let address = |port| self.address(host, port).to_string();
         let mut settings = json!({
             "node_name": format!("edge-{host}"), "role": "any", "machine_class": "edge", "serves": ["edge", "control"],
             "ip": self.ip(host).to_string(), "zone": zone, "region": zone.replace('z', "r"),
             "zones": {"za": "ra", "zb": "rb", "zc": "rc"},
-            "listen": {"front": at(FRONT), "readiness": at(READINESS), "control": at(CONTROL), "directory": at(DIRECTORY)},
-            "inner_ports": [INNER, INNER + 15], "seeds": seeds, "first_start": first_start, "counted": true,
+            "listen": {"front": address(FRONT_PORT), "readiness": address(READINESS_PORT), "control": address(CONTROL_PORT), "directory": address(DIRECTORY_PORT)},
+            "inner_ports": [FIRST_INNER_PORT, FIRST_INNER_PORT + 15], "seeds": seeds, "first_start": first_start, "counted": true,
             "limits": {"cpu_share": 0.45, "cores": 1, "memory_mb": 260, "max_fds": 4100, "disk_mb": 64},
             "discovery": "cloud_api", "entry": "directory", "beat_ms": 1200, "contracts": self.contracts, // wire name
             "tolerate": {"machines": usize::from(seeds.len() > 1)},
             "bounds": {"contact_ms": 4000, "drain_ms": 3000, "grace_s": 8, "budget_ratio": self.retry_budget.ratio, "budget_window_s": 10,
                 "budget_slack": self.retry_budget.slack, "cold_excess": 1.5, "cold_slack": 5, "evacuate_ms": 5000, "ttl_max_s": 5},
-            "cloud_api": {"address": self.platform.at.to_string(), "rate_per_s": 40.0, "duties": [], "lag_ms": 800}
+            "cloud_api": {"address": self.platform.address.to_string(), "rate_per_s": 40.0, "duties": [], "lag_ms": 800}
         });
         if host < 20 {
-            settings["data_dir"] = json!(self.data(host));
+            settings["data_dir"] = json!(self.data_dir(host));
         }
         settings
     }
 
     /// Starts a role on a machine with these settings.
-    pub fn start_with(&self, role: &str, host: u8, settings: &Value) -> Process {
-        std::fs::create_dir_all(self.data(host)).unwrap();
+    pub fn start_role(&self, role: &str, host: u8, settings: &Value) -> Process {
+        std::fs::create_dir_all(self.data_dir(host)).unwrap();
         std::fs::write(self.settings_file(host), settings.to_string()).unwrap();
-        Process::start(role, Some(&self.settings_file(host)), self.folder.path())
+        Process::start(role, Some(&self.settings_file(host)), self.temp_dir.path())
     }
 
     /// Starts a control node that is seeded with these.
-    pub fn control(&self, host: u8, seeds: &[u8], first_start: bool) -> Process {
-        self.start_with("control", host, &self.settings(host, seeds, first_start))
+    pub fn start_control_node(&self, host: u8, seeds: &[u8], first_start: bool) -> Process {
+        self.start_role("control", host, &self.settings(host, seeds, first_start))
     }
 
     /// The very first start of three control nodes.
-    pub fn core(&self) -> Vec<Process> {
-        CORE.map(|host| self.control(host, &CORE, true)).into()
+    pub fn bootstrap_control_nodes(&self) -> Vec<Process> {
+        CONTROL_HOSTS.map(|host| self.start_control_node(host, &CONTROL_HOSTS, true)).into()
     }
 
-    pub fn router(&self, host: u8, seeds: &[u8]) -> Process {
-        self.start_with("router", host, &self.settings(host, seeds, false))
+    pub fn start_router(&self, host: u8, seeds: &[u8]) -> Process {
+        self.start_role("router", host, &self.settings(host, seeds, false))
     }
 
     /// One control node and one router that is ready, with these servers and this configuration.
-    pub fn serving(&self, servers: &[&Server], configuration: &Value) -> Served {
-        self.platform.set(servers.iter().map(|server| server.listed()).collect());
-        let control = self.control(CORE[0], &CORE[..1], true);
-        let router = self.router(ROUTER, &CORE[..1]);
-        self.put(CORE[0], 0, configuration);
-        self.wait_until_ready(ROUTER);
-        Served { control, router }
+    pub fn start_system(&self, servers: &[&Server], configuration: &Value) -> RunningSystem {
+        self.platform.set_instances(servers.iter().map(|server| server.instance_entry()).collect());
+        let control = self.start_control_node(CONTROL_HOSTS[0], &CONTROL_HOSTS[..1], true);
+        let router = self.start_router(ROUTER_HOST, &CONTROL_HOSTS[..1]);
+        self.put_configuration(CONTROL_HOSTS[0], 0, configuration);
+        self.wait_until_ready(ROUTER_HOST);
+        RunningSystem { control, router }
     }
 
     /// A server of a service in a zone, that does these steps with each request.
-    pub fn server(
+    pub fn start_server(
         &self,
         (id, service, zone): (&str, &str, &str),
         script: impl Fn(&server::ReceivedRequest) -> Vec<Step> + Send + Sync + 'static,
@@ -191,16 +194,16 @@
     }
 
     /// Has a configuration taken, on top of this version.
-    pub fn put(&self, host: u8, base: u64, configuration: &Value) {
-        self.order(host, "PUT", "/-/config", Some(base), &configuration.to_string());
+    pub fn put_configuration(&self, host: u8, base: u64, configuration: &Value) {
+        self.call_until_acknowledged(host, "PUT", "/-/config", Some(base), &configuration.to_string());
     }
 
     /// Sends an order until it is acknowledged.
-    pub fn order(&self, host: u8, method: &str, path: &str, base: Option<u64>, body: &str) {
+    pub fn call_until_acknowledged(&self, host: u8, method: &str, path: &str, base: Option<u64>, body: &str) {
         let mut last = None;
-        let end = Instant::now() + WAIT_LIMIT;
+        let end = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < end {
-            last = call(self.at(host, CONTROL), method, path, base, body);
+            last = call(self.address(host, CONTROL_PORT), method, path, base, body);
             match &last {
                 Some((200, _)) => return,
                 Some((503, _)) | None => thread::sleep(Duration::from_millis(20)),
@@ -212,7 +215,7 @@
 
     /// The configuration as a control node gives it back.
     pub fn configuration(&self, host: u8) -> Option<Value> {
-        call(self.at(host, CONTROL), "GET", "/-/config", None, "")
+        call(self.address(host, CONTROL_PORT), "GET", "/-/config", None, "")
             .filter(|(status, _)| *status == 200)
             .map(|(_, body)| body)
     }
@@ -225,7 +228,8 @@
     }
 
     pub fn is_ready(&self, host: u8) -> bool {
-        call(self.at(host, READINESS), "GET", "/-/readyz", None, "").is_some_and(|(status, _)| status == 200)
+        call(self.address(host, READINESS_PORT), "GET", "/-/readyz", None, "")
+            .is_some_and(|(status, _)| status == 200)
     }
 
     pub fn wait_until_ready(&self, host: u8) {
@@ -233,16 +237,16 @@
     }
 
     /// Where clients of this region are sent.
-    pub fn directory(&self, host: u8, region: &str) -> Option<Value> {
+    pub fn resolve_routers(&self, host: u8, region: &str) -> Option<Value> {
         let path = format!("/-/resolve?name=h.example&region={region}&zone={}", region.replace('r', "z"));
-        call(self.at(host, DIRECTORY), "GET", &path, None, "")
+        call(self.address(host, DIRECTORY_PORT), "GET", &path, None, "")
             .filter(|(status, _)| *status == 200)
             .map(|(_, body)| body)
     }
 }
 
 /// A small system that serves.
-pub struct Served {
+pub struct RunningSystem {
     pub control: Process,
     pub router: Process,
 }
@@ -256,20 +260,20 @@
 /// A process of the system, which ends with its test.
 pub struct Process {
     child: Child,
-    log: PathBuf,
+    log_path: PathBuf,
 }
 
 impl Process {
-    pub fn start(role: &str, settings: Option<&Path>, folder: &Path) -> Self {
+    pub fn start(role: &str, settings: Option<&Path>, temp_dir: &Path) -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
-        let log = folder.join(format!("{role}-{}.log", NEXT.fetch_add(1, Ordering::SeqCst)));
+        let log_path = temp_dir.join(format!("{role}-{}.log", NEXT.fetch_add(1, Ordering::SeqCst)));
         let mut command = Command::new(env!("CARGO_BIN_EXE_ivyhatch"));
         command.arg(role).env_remove("IVYHATCH_SETTINGS");
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(File::create(&log).unwrap());
+        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(File::create(&log_path).unwrap());
         if let Some(settings) = settings {
             command.env("IVYHATCH_SETTINGS", settings);
         }
-        Self { child: command.spawn().unwrap(), log }
+        Self { child: command.spawn().unwrap(), log_path }
     }
 
     pub fn kill(&mut self) {
@@ -288,14 +292,14 @@
     }
 
     /// Waits for its end.
-    pub fn end(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         wait_until("the process ends", || !self.is_running());
         self.child.wait().unwrap()
     }
 
     /// What it has logged so far.
-    pub fn logged(&self) -> String {
-        std::fs::read_to_string(&self.log).unwrap_or_default()
+    pub fn log_output(&self) -> String {
+        std::fs::read_to_string(&self.log_path).unwrap_or_default()
     }
 }
 
@@ -303,7 +307,7 @@
     fn drop(&mut self) {
         self.kill();
         if thread::panicking() {
-            eprintln!("{}:\n{}", self.log.display(), self.logged());
+            eprintln!("{}:\n{}", self.log_path.display(), self.log_output());
         }
     }
 }
--- a/cli/tests/system_common/server.rs
+++ b/cli/tests/system_common/server.rs
@@ -10,16 +10,16 @@
 use ivyhatch_socket_lab::scripted::{Message, read_message};
 use serde_json::{Value, json};
 
-use super::WAIT_LIMIT;
+use super::WAIT_TIMEOUT;
 
 /// A request as a server received it.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
     pub message: Message,
     /// The number of earlier requests to this server.
-    pub number: usize,
+    pub earlier_requests: usize,
     /// The number of earlier requests on its connection.
-    pub on_connection: usize,
+    pub earlier_on_connection: usize,
 }
 
 impl ReceivedRequest {
@@ -43,11 +43,11 @@
 
 /// A scripted server, and the requests that it received.
 pub struct Server {
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub id: String,
     service: String,
     zone: String,
-    got: Receiver<ReceivedRequest>,
+    received: Receiver<ReceivedRequest>,
 }
 
 impl Server {
@@ -57,8 +57,8 @@
         script: impl Fn(&ReceivedRequest) -> Vec<Step> + Send + Sync + 'static,
     ) -> Self {
         let listener = TcpListener::bind((ip, 0)).unwrap();
-        let at = listener.local_addr().unwrap();
-        let (sender, got) = channel();
+        let address = listener.local_addr().unwrap();
+        let (sender, received) = channel();
         let (script, count) = (Arc::new(script), Arc::new(Mutex::new(0)));
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -66,28 +66,28 @@
                 thread::spawn(move || serve_connection(stream, &*script, &count, &sender));
             }
         });
-        Self { at, id: id.to_owned(), service: service.to_owned(), zone: zone.to_owned(), got }
+        Self { address, id: id.to_owned(), service: service.to_owned(), zone: zone.to_owned(), received }
     }
 
     /// Its entry in the platform's instance list.
-    pub fn listed(&self) -> Value {
-        json!({"service": self.service, "address": self.at.to_string(), "zone": self.zone, "revision": "v1", "slots": 8,
+    pub fn instance_entry(&self) -> Value {
+        json!({"service": self.service, "address": self.address.to_string(), "zone": self.zone, "revision": "v1", "slots": 8,
             "state": "ready", "cold_left_ms": 0, "id": self.id})
     }
 
     /// The next request.
-    pub fn next(&self) -> ReceivedRequest {
-        self.got.recv_timeout(WAIT_LIMIT).expect("a request reaches the server")
+    pub fn next_request(&self) -> ReceivedRequest {
+        self.received.recv_timeout(WAIT_TIMEOUT).expect("a request reaches the server")
     }
 
     /// The requests that the test has not taken yet.
-    pub fn all(&self) -> Vec<ReceivedRequest> {
-        self.got.try_iter().collect()
+    pub fn take_requests(&self) -> Vec<ReceivedRequest> {
+        self.received.try_iter().collect()
     }
 
     /// The number of requests that the test has not taken yet; takes them.
-    pub fn count(&self) -> usize {
-        self.all().len()
+    pub fn take_request_count(&self) -> usize {
+        self.take_requests().len()
     }
 }
 
@@ -100,13 +100,13 @@
     let mut writer = stream.try_clone().unwrap();
     let mut reader = BufReader::new(stream);
     let messages = std::iter::from_fn(|| read_message(&mut reader));
-    for (on_connection, message) in messages.enumerate() {
-        let number = {
+    for (earlier_on_connection, message) in messages.enumerate() {
+        let earlier_requests = {
             let mut count = count.lock().unwrap();
             *count += 1;
             *count - 1
         };
-        let received = ReceivedRequest { message, number, on_connection };
+        let received = ReceivedRequest { message, earlier_requests, earlier_on_connection };
         let steps = script(&received);
         if sender.send(received).is_err() {
             return;
@@ -137,7 +137,7 @@
     }
 }
 
-pub const STAMP: &str = "Ivyhatch-Server-Stamp: st.1\r\n";
+pub const STAMP_HEADER: &str = "Ivyhatch-Server-Stamp: st.1\r\n";
 
 /// The bytes of a complete response; `headers` are complete lines.
 pub fn complete_response(status: u16, headers: &str, body: &[u8]) -> Vec<u8> {
@@ -148,12 +148,12 @@
 }
 
 /// The header with this id.
-pub fn id(id: &str) -> String {
+pub fn id_header(id: &str) -> String {
     format!("Ivyhatch-Attempt-Id: {id}\r\n")
 }
 
 /// A request under another id.
-pub fn renamed(message: &Message, id: &str) -> Message {
+pub fn with_request_id(message: &Message, id: &str) -> Message {
     let mut message = message.clone();
     let named =
         message.headers.iter_mut().filter(|header| header.name.eq_ignore_ascii_case("ivyhatch-attempt-id"));
@@ -162,26 +162,26 @@
 }
 
 /// A sound answer to a request.
-pub fn ok(received: &ReceivedRequest, body: &[u8]) -> Vec<Step> {
-    vec![Step::Write(complete_response(200, &format!("{}{STAMP}", id(received.id())), body))]
+pub fn ok_response(received: &ReceivedRequest, body: &[u8]) -> Vec<Step> {
+    vec![Step::Write(complete_response(200, &format!("{}{STAMP_HEADER}", id_header(received.id())), body))]
 }
 
 /// A server that is full.
-pub fn overloaded() -> Vec<Step> {
+pub fn overloaded_response() -> Vec<Step> {
     vec![Step::Write(complete_response(503, "Ivyhatch-Not-Executed: 1\r\n", b"full"))]
 }
 
 /// The head of a stream.
 pub fn stream_head(received: &ReceivedRequest) -> Step {
-    let id = id(received.id());
+    let id = id_header(received.id());
     let text = format!(
-        "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n{id}{STAMP}\r\n"
+        "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n{id}{STAMP_HEADER}\r\n"
     );
     Step::Write(text.into_bytes())
 }
 
 /// An event's text.
-pub fn event(number: u64) -> String {
+pub fn sse_event(number: u64) -> String {
     format!("id: {number}\ndata: word {number}\n\n")
 }
 
@@ -196,27 +196,27 @@
 }
 
 /// A complete stream of these events.
-pub fn stream(received: &ReceivedRequest, events: std::ops::RangeInclusive<u64>) -> Vec<Step> {
-    let events = events.map(|number| chunk(&event(number)));
+pub fn complete_stream(received: &ReceivedRequest, events: std::ops::RangeInclusive<u64>) -> Vec<Step> {
+    let events = events.map(|number| chunk(&sse_event(number)));
     std::iter::once(stream_head(received)).chain(events).chain([last_chunk()]).collect()
 }
 
 impl super::TestCluster {
     /// Two servers of service `s` in the router's zone. `does` gets the number of earlier requests to either of them.
-    pub fn pair(
+    pub fn start_server_pair(
         &self,
         script: impl Fn(usize, &ReceivedRequest) -> Vec<Step> + Send + Sync + 'static,
     ) -> [Server; 2] {
-        let (script, turn) = (Arc::new(script), Arc::new(Mutex::new(0)));
+        let (script, request_count) = (Arc::new(script), Arc::new(Mutex::new(0)));
         ["i-1", "i-2"].map(|id| {
-            let (script, turn) = (script.clone(), turn.clone());
-            self.server((id, "s", "za"), move |received| {
-                let turn = {
-                    let mut turn = turn.lock().unwrap();
-                    *turn += 1;
-                    *turn - 1
+            let (script, request_count) = (script.clone(), request_count.clone());
+            self.start_server((id, "s", "za"), move |received| {
+                let earlier_requests = {
+                    let mut count = request_count.lock().unwrap();
+                    *count += 1;
+                    *count - 1
                 };
-                script(turn, received)
+                script(earlier_requests, received)
             })
         })
     }
--- a/cli/tests/system_common/transcript.rs
+++ b/cli/tests/system_common/transcript.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use super::TestCluster;
-use super::calls::{Answer, Client};
+use super::calls::{Client, Response};
 
 /// Headers whose values differ from run to run.
 const VARIABLE_HEADERS: [&str; 2] = ["content-length", "date"];
@@ -18,26 +18,26 @@
 
 impl Transcript {
     /// A transcript in which the cluster's network is written as `127.x.y`.
-    pub fn of(cluster: &TestCluster) -> Self {
+    pub fn for_cluster(cluster: &TestCluster) -> Self {
         let address = cluster.ip(0).to_string();
         let network = address.strip_suffix('0').expect("host 0").to_owned();
         Self { text: String::new(), placeholders: vec![(network, "127.x.y.".to_owned())] }
     }
 
     /// From now on writes a placeholder for this text, rather than one that was given earlier for a part of it.
-    pub fn replace(&mut self, text: &str, placeholder: &str) {
+    pub fn add_placeholder(&mut self, text: &str, placeholder: &str) {
         self.placeholders.insert(0, (text.to_owned(), placeholder.to_owned()));
     }
 
     /// Sends a request on a connection of its own and adds its answer.
-    pub fn ask(&mut self, title: &str, at: SocketAddr, request: &[u8]) {
-        let answer = Client::to(at).ask(request);
-        self.add(title, &answer);
+    pub fn send_request(&mut self, title: &str, address: SocketAddr, request: &[u8]) {
+        let response = Client::connect(address).send_request(request);
+        self.add_response(title, &response);
     }
 
     /// Adds an answer.
-    pub fn add(&mut self, title: &str, answer: &Answer) {
-        let mut headers: Vec<(String, &str)> = answer
+    pub fn add_response(&mut self, title: &str, response: &Response) {
+        let mut headers: Vec<(String, &str)> = response
             .head
             .headers
             .iter()
@@ -46,11 +46,11 @@
         headers.sort();
         let names: Vec<&str> = headers.iter().map(|(name, _)| name.as_str()).collect();
         let constant = headers.iter().filter(|(name, _)| !VARIABLE_HEADERS.contains(&name.as_str()));
-        let mut text = format!("## {title}\nstatus {}\nheaders {}\n", answer.head.status, names.join(" "));
+        let mut text = format!("## {title}\nstatus {}\nheaders {}\n", response.head.status, names.join(" "));
         for (name, value) in constant {
             writeln!(text, "{name}: {value}").expect("text can be written");
         }
-        writeln!(text, "\n{}\n", String::from_utf8_lossy(&answer.body)).expect("text can be written");
+        writeln!(text, "\n{}\n", String::from_utf8_lossy(&response.body)).expect("text can be written");
         for (from, to) in &self.placeholders {
             text = text.replace(from, to);
         }
--- a/cli/tests/system_control.rs
+++ b/cli/tests/system_control.rs
@@ -4,34 +4,36 @@
 
 use serde_json::{Value, json};
 use system_common::calls::{call, route};
-use system_common::{CONTROL, CORE, INNER, Process, TestCluster, configuration, wait_until};
+use system_common::{
+    CONTROL_HOSTS, CONTROL_PORT, FIRST_INNER_PORT, Process, TestCluster, configuration, wait_until,
+};
 
 fn first() -> Value {
     configuration(5, &[("a", json!({})), ("b", json!({"route_kind": "unsafe"}))])
 }
 
 fn sends(cluster: &TestCluster, host: u8, method: &str, base: Option<u64>, body: &str) -> (u16, Value) {
-    call(cluster.at(host, CONTROL), method, "/-/config", base, body).expect("an answer")
+    call(cluster.address(host, CONTROL_PORT), method, "/-/config", base, body).expect("an answer")
 }
 
 #[test]
 fn three_control_nodes_form_a_quorum_and_accept_a_configuration() {
     let cluster = TestCluster::new();
-    let _core = cluster.core();
-    cluster.put(12, 0, &first());
-    for host in CORE {
+    let _core = cluster.bootstrap_control_nodes();
+    cluster.put_configuration(12, 0, &first());
+    for host in CONTROL_HOSTS {
         cluster.wait_until_revision(host, 5);
         assert_eq!(cluster.configuration(host), Some(first()), "given back as it was sent");
     }
     // Sent again unchanged, to any node, it is taken; another one on the same version is not.
-    for host in CORE {
+    for host in CONTROL_HOSTS {
         assert_eq!(sends(&cluster, host, "PUT", Some(0), &first().to_string()).0, 200);
         let other = configuration(6, &[("c", json!({}))]);
         assert_eq!(sends(&cluster, host, "PUT", Some(0), &other.to_string()).0, 412);
     }
     let next = configuration(9, &[("a", json!({"timeout_ms": 10}))]);
-    cluster.put(13, 5, &next);
-    CORE.iter().for_each(|host| cluster.wait_until_revision(*host, 9));
+    cluster.put_configuration(13, 5, &next);
+    CONTROL_HOSTS.iter().for_each(|host| cluster.wait_until_revision(*host, 9));
     assert_eq!(
         sends(&cluster, 11, "PUT", Some(5), &first().to_string()).0,
         412,
@@ -42,14 +44,14 @@
 #[test]
 fn patch_changes_items_under_the_same_revision_check() {
     let cluster = TestCluster::new();
-    let _core = cluster.core();
-    cluster.put(11, 0, &first());
+    let _core = cluster.bootstrap_control_nodes();
+    cluster.put_configuration(11, 0, &first());
     let change =
         json!({"revision": 8, "upsert": {"routes": [route("c", &json!({}))]}, "remove": {"routes": ["a"]}})
             .to_string();
     assert_eq!(sends(&cluster, 13, "PATCH", Some(4), &change).0, 412);
-    cluster.order(13, "PATCH", "/-/config", Some(5), &change);
-    for host in CORE {
+    cluster.call_until_acknowledged(13, "PATCH", "/-/config", Some(5), &change);
+    for host in CONTROL_HOSTS {
         cluster.wait_until_revision(host, 8);
         let routes = cluster.configuration(host).expect("one")["routes"].clone();
         let names: Vec<&str> =
@@ -64,9 +66,9 @@
 #[test]
 fn invalid_configuration_is_rejected_and_changes_nothing() {
     let cluster = TestCluster::new();
-    let _core = cluster.core();
-    cluster.put(11, 0, &first());
-    CORE.iter().for_each(|host| cluster.wait_until_revision(*host, 5));
+    let _core = cluster.bootstrap_control_nodes();
+    cluster.put_configuration(11, 0, &first());
+    CONTROL_HOSTS.iter().for_each(|host| cluster.wait_until_revision(*host, 5));
     let with = |change: &dyn Fn(&mut Value)| {
         let mut changed = configuration(7, &[("a", json!({})), ("b", json!({}))]);
         change(&mut changed);
@@ -84,7 +86,7 @@
         ("no rise", with(&|all| all["revision"] = json!(5))),
         ("no revision", with(&|all| drop(all.as_object_mut().map(|all| all.remove("revision"))))),
     ];
-    for (host, (what, body)) in CORE.iter().cycle().zip(&invalid) {
+    for (host, (what, body)) in CONTROL_HOSTS.iter().cycle().zip(&invalid) {
         let (status, answer) = sends(&cluster, *host, "PUT", Some(5), body);
         assert_eq!(status, 400, "{what}: {answer}");
         assert!(answer["error"].as_str().is_some_and(|text| !text.is_empty()), "{what}");
@@ -95,20 +97,20 @@
         assert_eq!(sends(&cluster, 12, "PATCH", Some(5), body).0, 400, "{body}");
     }
     assert_eq!(sends(&cluster, 12, "PUT", None, &sound).0, 400, "without If-Match");
-    CORE.iter().for_each(|host| assert_eq!(cluster.configuration(*host), Some(first())));
-    cluster.put(12, 5, &serde_json::from_str(&sound).expect("JSON"));
+    CONTROL_HOSTS.iter().for_each(|host| assert_eq!(cluster.configuration(*host), Some(first())));
+    cluster.put_configuration(12, 5, &serde_json::from_str(&sound).expect("JSON"));
 }
 
 #[test]
 fn one_of_two_concurrent_writes_wins() {
     let cluster = TestCluster::new();
-    let _core = cluster.core();
-    cluster.put(11, 0, &first());
-    CORE.iter().for_each(|host| cluster.wait_until_revision(*host, 5));
+    let _core = cluster.bootstrap_control_nodes();
+    cluster.put_configuration(11, 0, &first());
+    CONTROL_HOSTS.iter().for_each(|host| cluster.wait_until_revision(*host, 5));
     for base in [5_u64, 20, 30, 40] {
         let next = if base == 5 { 20 } else { base + 10 };
         let answers: Vec<u16> = std::thread::scope(|scope| {
-            let writers: Vec<_> = CORE
+            let writers: Vec<_> = CONTROL_HOSTS
                 .iter()
                 .map(|host| {
                     let cluster = &cluster;
@@ -117,8 +119,14 @@
                         let body = configuration(next, &[(&name, json!({}))]).to_string();
                         let mut status = 503;
                         wait_until("a clear answer", || {
-                            status = call(cluster.at(*host, CONTROL), "PUT", "/-/config", Some(base), &body)
-                                .map_or(503, |a| a.0);
+                            status = call(
+                                cluster.address(*host, CONTROL_PORT),
+                                "PUT",
+                                "/-/config",
+                                Some(base),
+                                &body,
+                            )
+                            .map_or(503, |a| a.0);
                             status != 503
                         });
                         status
@@ -129,8 +137,8 @@
         });
         let taken = answers.iter().filter(|status| **status == 200).count();
         assert_eq!((taken, answers.iter().filter(|status| **status == 412).count()), (1, 2), "{answers:?}");
-        let winner = CORE[answers.iter().position(|status| *status == 200).expect("one")];
-        for host in CORE {
+        let winner = CONTROL_HOSTS[answers.iter().position(|status| *status == 200).expect("one")];
+        for host in CONTROL_HOSTS {
             cluster.wait_until_revision(host, next);
             let whole = cluster.configuration(host).expect("one");
             assert_eq!(whole["routes"][0]["name"], json!(format!("w{winner}")));
@@ -142,30 +150,30 @@
 fn lost_control_node_catches_up_after_restart() {
     for lost in 0..3 {
         let cluster = TestCluster::new();
-        let mut core = cluster.core();
-        cluster.put(11, 0, &first());
+        let mut core = cluster.bootstrap_control_nodes();
+        cluster.put_configuration(11, 0, &first());
         core[lost].kill();
-        let left: Vec<u8> = CORE.into_iter().filter(|host| *host != CORE[lost]).collect();
-        cluster.put(left[0], 5, &configuration(6, &[("c", json!({}))]));
+        let left: Vec<u8> = CONTROL_HOSTS.into_iter().filter(|host| *host != CONTROL_HOSTS[lost]).collect();
+        cluster.put_configuration(left[0], 5, &configuration(6, &[("c", json!({}))]));
         cluster.wait_until_revision(left[1], 6);
-        core[lost] = cluster.control(CORE[lost], &CORE, false);
-        cluster.wait_until_revision(CORE[lost], 6);
+        core[lost] = cluster.start_control_node(CONTROL_HOSTS[lost], &CONTROL_HOSTS, false);
+        cluster.wait_until_revision(CONTROL_HOSTS[lost], 6);
     }
 }
 
 #[test]
 fn acknowledged_configuration_survives_restart_of_all_control_nodes() {
     let cluster = TestCluster::new();
-    let mut core = cluster.core();
-    cluster.put(11, 0, &first());
-    cluster.order(12, "POST", "/-/evacuations/zb", None, "");
+    let mut core = cluster.bootstrap_control_nodes();
+    cluster.put_configuration(11, 0, &first());
+    cluster.call_until_acknowledged(12, "POST", "/-/evacuations/zb", None, "");
     for (turn, base) in [5_u64, 6, 7].into_iter().enumerate() {
         let next = configuration(base + 1, &[("c", json!({"timeout_ms": 1000 + turn}))]);
-        cluster.put(CORE[turn], base, &next);
+        cluster.put_configuration(CONTROL_HOSTS[turn], base, &next);
         // Right behind the acknowledgement.
         core.iter_mut().for_each(Process::kill);
-        core = CORE.map(|host| cluster.control(host, &CORE, false)).into();
-        for host in CORE {
+        core = CONTROL_HOSTS.map(|host| cluster.start_control_node(host, &CONTROL_HOSTS, false)).into();
+        for host in CONTROL_HOSTS {
             cluster.wait_until_revision(host, base + 1);
             assert_eq!(cluster.configuration(host).as_ref(), Some(&next));
         }
@@ -175,46 +183,46 @@
 #[test]
 fn control_node_without_its_disk_recovers_from_the_others() {
     let cluster = TestCluster::new();
-    let mut core = cluster.core();
-    cluster.put(11, 0, &first());
+    let mut core = cluster.bootstrap_control_nodes();
+    cluster.put_configuration(11, 0, &first());
     core[2].kill();
-    std::fs::remove_dir_all(cluster.data(13)).expect("its disk is lost");
-    core[2] = cluster.control(13, &CORE, false);
+    std::fs::remove_dir_all(cluster.data_dir(13)).expect("its disk is lost");
+    core[2] = cluster.start_control_node(13, &CONTROL_HOSTS, false);
     cluster.wait_until_revision(13, 5);
-    cluster.put(13, 5, &configuration(6, &[("c", json!({}))]));
+    cluster.put_configuration(13, 5, &configuration(6, &[("c", json!({}))]));
     // Again right behind an acknowledgement, and then the two that remember are not both there.
     core[2].kill();
-    std::fs::remove_dir_all(cluster.data(13)).expect("its disk is lost");
-    core[2] = cluster.control(13, &CORE, false);
+    std::fs::remove_dir_all(cluster.data_dir(13)).expect("its disk is lost");
+    core[2] = cluster.start_control_node(13, &CONTROL_HOSTS, false);
     cluster.wait_until_revision(13, 6);
-    cluster.put(13, 6, &configuration(7, &[("d", json!({}))]));
+    cluster.put_configuration(13, 6, &configuration(7, &[("d", json!({}))]));
     core[0].kill();
     cluster.wait_until_revision(12, 7);
     cluster.wait_until_revision(13, 7);
-    cluster.put(12, 7, &configuration(8, &[("e", json!({}))]));
+    cluster.put_configuration(12, 7, &configuration(8, &[("e", json!({}))]));
 }
 
 #[test]
 fn control_node_without_quorum_acknowledges_nothing() {
     let cluster = TestCluster::new();
-    let mut core = cluster.core();
-    cluster.put(11, 0, &first());
+    let mut core = cluster.bootstrap_control_nodes();
+    cluster.put_configuration(11, 0, &first());
     core[1].kill();
     core[2].kill();
     let next = configuration(6, &[("c", json!({}))]).to_string();
     for _ in 0..2 {
-        let answer = call(cluster.at(11, CONTROL), "PUT", "/-/config", Some(5), &next);
+        let answer = call(cluster.address(11, CONTROL_PORT), "PUT", "/-/config", Some(5), &next);
         assert!(answer.as_ref().is_none_or(|(status, _)| *status == 503), "{answer:?}");
     }
-    core[1] = cluster.control(12, &CORE, false);
-    cluster.put(11, 5, &serde_json::from_str(&next).expect("JSON"));
+    core[1] = cluster.start_control_node(12, &CONTROL_HOSTS, false);
+    cluster.put_configuration(11, 5, &serde_json::from_str(&next).expect("JSON"));
 }
 
 #[test]
 fn garbage_on_any_port_does_no_harm() {
     let cluster = TestCluster::new();
-    let mut core = cluster.core();
-    cluster.put(11, 0, &first());
+    let mut core = cluster.bootstrap_control_nodes();
+    cluster.put_configuration(11, 0, &first());
     let frame =
         |length: u32, sum: u32| [&b"vi\x01\x00"[..], &length.to_le_bytes(), &sum.to_le_bytes()].concat();
     let noise: Vec<u8> = (0..70_000_u32).map(|at| (at.wrapping_mul(2_654_435_761) >> 13) as u8).collect();
@@ -232,26 +240,26 @@
         vec![0; 100_000],
     ];
     let mut held = Vec::new();
-    for port in [INNER, INNER + 1, CONTROL, system_common::DIRECTORY] {
+    for port in [FIRST_INNER_PORT, FIRST_INNER_PORT + 1, CONTROL_PORT, system_common::DIRECTORY_PORT] {
         for bytes in &garbage {
-            let mut client = system_common::calls::Client::to(cluster.at(11, port));
+            let mut client = system_common::calls::Client::connect(cluster.address(11, port));
             // It may be closed while it is being written.
             let _ = client.try_write(bytes);
             held.push(client);
         }
     }
-    cluster.put(12, 5, &configuration(6, &[("c", json!({}))]));
+    cluster.put_configuration(12, 5, &configuration(6, &[("c", json!({}))]));
     cluster.wait_until_revision(11, 6);
     drop(held);
-    cluster.put(11, 6, &configuration(7, &[("d", json!({}))]));
+    cluster.put_configuration(11, 6, &configuration(7, &[("d", json!({}))]));
     assert!(core.iter_mut().all(Process::is_running));
 }
 
 #[test]
 fn unknown_calls_are_rejected() {
     let cluster = TestCluster::new();
-    let _control = cluster.control(11, &CORE[..1], true);
-    let at = cluster.at(11, CONTROL);
+    let _control = cluster.start_control_node(11, &CONTROL_HOSTS[..1], true);
+    let at = cluster.address(11, CONTROL_PORT);
     wait_until("it listens", || call(at, "GET", "/x", None, "").is_some());
     for (method, path) in [
         ("GET", "/"),
@@ -270,40 +278,42 @@
 #[test]
 fn platform_errors_do_not_remove_servers() {
     let cluster = TestCluster::new();
-    cluster.platform.refuse(true);
-    let _control = cluster.control(11, &CORE[..1], true);
-    let _router = cluster.router(21, &CORE[..1]);
-    cluster.put(11, 0, &first());
-    let calls = cluster.platform.calls();
-    wait_until("it asks again", || cluster.platform.calls() > calls + 1);
+    cluster.platform.set_rate_limited(true);
+    let _control = cluster.start_control_node(11, &CONTROL_HOSTS[..1], true);
+    let _router = cluster.start_router(21, &CONTROL_HOSTS[..1]);
+    cluster.put_configuration(11, 0, &first());
+    let calls = cluster.platform.request_count();
+    wait_until("it asks again", || cluster.platform.request_count() > calls + 1);
     assert!(!cluster.is_ready(21), "no list is known");
-    cluster.platform.refuse(false);
+    cluster.platform.set_rate_limited(false);
     cluster.wait_until_ready(21);
 }
 
 #[test]
 fn directory_lists_ready_routers_nearest_first() {
     let cluster = TestCluster::new();
-    let _core = cluster.core();
-    let mut routers = [cluster.router(21, &CORE), cluster.router(22, &CORE)];
+    let _core = cluster.bootstrap_control_nodes();
+    let mut routers = [cluster.start_router(21, &CONTROL_HOSTS), cluster.start_router(22, &CONTROL_HOSTS)];
     wait_until("it listens", || {
-        call(cluster.at(11, system_common::DIRECTORY), "GET", "/x", None, "").is_some()
+        call(cluster.address(11, system_common::DIRECTORY_PORT), "GET", "/x", None, "").is_some()
     });
-    assert_eq!(cluster.directory(11, "ra"), None, "none is ready");
-    cluster.put(11, 0, &first());
-    let front = |host| json!([cluster.at(host, system_common::FRONT).to_string()]);
-    for host in CORE {
+    assert_eq!(cluster.resolve_routers(11, "ra"), None, "none is ready");
+    cluster.put_configuration(11, 0, &first());
+    let front = |host| json!([cluster.address(host, system_common::FRONT_PORT).to_string()]);
+    for host in CONTROL_HOSTS {
         for (region, router) in [("ra", 21), ("rb", 22)] {
             wait_until(&format!("{host} knows {router}"), || {
-                cluster.directory(host, region).is_some_and(|answer| answer["addresses"] == front(router))
+                cluster
+                    .resolve_routers(host, region)
+                    .is_some_and(|answer| answer["addresses"] == front(router))
             });
         }
-        let both = cluster.directory(host, "rc").expect("an answer");
+        let both = cluster.resolve_routers(host, "rc").expect("an answer");
         assert_eq!(both["addresses"].as_array().map(Vec::len), Some(2), "a region without one");
         assert!(both["ttl_s"].as_f64().is_some_and(|ttl| ttl > 0.0 && ttl <= 5.0));
     }
     routers[0].kill();
     wait_until("it is no longer named", || {
-        cluster.directory(12, "ra").is_some_and(|answer| answer["addresses"] == front(22))
+        cluster.resolve_routers(12, "ra").is_some_and(|answer| answer["addresses"] == front(22))
     });
 }
--- a/cli/tests/system_coordination.rs
+++ b/cli/tests/system_coordination.rs
@@ -10,12 +10,12 @@
 
 use serde_json::{Value, json};
 use system_common::calls::call;
-use system_common::{CONTROL, CORE, TestCluster, wait_until};
+use system_common::{CONTROL_HOSTS, CONTROL_PORT, TestCluster, wait_until};
 
 /// The answer to a coordination call at one node.
 fn answer(cluster: &TestCluster, host: u8, method: &str, path: &str, body: &Value) -> Option<(u16, Value)> {
     let body = if body.is_null() { String::new() } else { body.to_string() };
-    call(cluster.at(host, CONTROL), method, path, None, &body)
+    call(cluster.address(host, CONTROL_PORT), method, path, None, &body)
 }
 
 /// The first answer other than 503, which says that nothing was done. A node that is not in contact with most others yet gives that to each
@@ -29,7 +29,7 @@
 fn clear_answer_to(cluster: &TestCluster, host: u8, method: &str, path: &str, body: &str) -> (u16, Value) {
     let mut last = None;
     wait_until(&format!("{method} {path} at {host} is answered"), || {
-        last = call(cluster.at(host, CONTROL), method, path, None, body);
+        last = call(cluster.address(host, CONTROL_PORT), method, path, None, body);
         last.as_ref().is_some_and(|(status, _)| *status != 503)
     });
     last.expect("an answer")
@@ -38,9 +38,9 @@
 #[test]
 fn a_lock_a_number_and_a_cell_are_answered_by_every_node_on_a_calm_day() {
     let cluster = TestCluster::with_coordination();
-    let _core = cluster.core();
+    let _core = cluster.bootstrap_control_nodes();
     let mut last_number = 0;
-    for host in CORE {
+    for host in CONTROL_HOSTS {
         let (status, lock) = clear_answer(
             &cluster,
             host,
@@ -62,7 +62,7 @@
         assert_eq!((status, &cell["value"], &cell["rev"]), (200, &json!("v"), &put["rev"]));
     }
     let (status, watch) =
-        clear_answer(&cluster, CORE[0], "GET", "/-/watch/g.?after=1&wait_ms=2000", &Value::Null);
+        clear_answer(&cluster, CONTROL_HOSTS[0], "GET", "/-/watch/g.?after=1&wait_ms=2000", &Value::Null);
     assert_eq!(status, 200, "{watch}");
     let names: Vec<&Value> =
         watch["events"].as_array().expect("events").iter().map(|event| &event["name"]).collect();
@@ -72,7 +72,7 @@
 #[test]
 fn bad_input_is_rejected_with_the_field_and_the_remedy_and_changes_nothing() {
     let cluster = TestCluster::with_coordination();
-    let _core = cluster.core();
+    let _core = cluster.bootstrap_control_nodes();
     let (status, _) =
         clear_answer(&cluster, 11, "PUT", "/-/cells/g.a", &json!({"value": "kept", "enabled": 0})); // wire name
     assert_eq!(status, 200);
@@ -116,8 +116,8 @@
 #[test]
 fn a_deployment_without_the_contract_answers_404_and_says_how_to_enable_it() {
     let cluster = TestCluster::new();
-    let _core = cluster.core();
-    cluster.put(11, 0, &system_common::configuration(1, &[]));
+    let _core = cluster.bootstrap_control_nodes();
+    cluster.put_configuration(11, 0, &system_common::configuration(1, &[]));
     let (status, answer) = answer(&cluster, 11, "POST", "/-/numbers/n", &json!({})).expect("an answer");
     assert_eq!(status, 404);
     assert!(answer["error"].as_str().is_some_and(|text| text.contains("contracts")), "{answer}");
@@ -133,10 +133,10 @@
 #[test]
 fn a_node_that_stood_still_grants_nothing_that_another_has_been_given_meanwhile() {
     let cluster = TestCluster::with_coordination();
-    let core = cluster.core();
+    let core = cluster.bootstrap_control_nodes();
     let mut last_fence = 0;
-    for (index, stopped) in CORE.into_iter().enumerate() {
-        let others: Vec<u8> = CORE.into_iter().filter(|host| *host != stopped).collect();
+    for (index, stopped) in CONTROL_HOSTS.into_iter().enumerate() {
+        let others: Vec<u8> = CONTROL_HOSTS.into_iter().filter(|host| *host != stopped).collect();
         let mut given = None;
         wait_until("the first holder has it", || {
             given = acquire(&cluster, stopped, "first", 400);
@@ -168,14 +168,14 @@
 #[test]
 fn put_whose_caller_has_left_a_stopped_node_is_not_begun() {
     let cluster = TestCluster::with_coordination();
-    let core = cluster.core();
+    let core = cluster.bootstrap_control_nodes();
     let kept = json!({"value": "kept"});
-    for (index, stopped) in CORE.into_iter().enumerate() {
+    for (index, stopped) in CONTROL_HOSTS.into_iter().enumerate() {
         let (status, before) = clear_answer(&cluster, stopped, "PUT", "/-/cells/g.a", &kept);
         assert_eq!(status, 200, "{before}");
         core[index].signal("STOP");
-        let mut caller =
-            std::net::TcpStream::connect(cluster.at(stopped, CONTROL)).expect("the system takes it");
+        let mut caller = std::net::TcpStream::connect(cluster.address(stopped, CONTROL_PORT))
+            .expect("the system takes it");
         let body = json!({"value": format!("late {stopped}")}).to_string();
         let length = body.len();
         let request =
@@ -194,14 +194,14 @@
 #[test]
 fn a_watch_misses_nothing_while_the_nodes_restart_one_after_another() {
     let cluster = TestCluster::with_coordination();
-    let mut core = cluster.core();
+    let mut core = cluster.bootstrap_control_nodes();
     let (status, _) = clear_answer(&cluster, 11, "PUT", "/-/cells/g.first", &json!({"value": "first"}));
     assert_eq!(status, 200);
     let is_over = std::sync::atomic::AtomicBool::new(false);
     let (last_put, seen) = std::thread::scope(|scope| {
         let watcher = scope.spawn(|| {
             let (mut after, mut seen) = (1, Vec::new());
-            for host in CORE.into_iter().cycle() {
+            for host in CONTROL_HOSTS.into_iter().cycle() {
                 let path = format!("/-/watch/g.?after={after}&wait_ms=500");
                 let answer = answer(&cluster, host, "GET", &path, &Value::Null);
                 let Some((200, answer)) = answer else { continue };
@@ -217,17 +217,17 @@
             seen
         });
         let mut last_put = 0;
-        for (index, host) in CORE.into_iter().enumerate() {
+        for (index, host) in CONTROL_HOSTS.into_iter().enumerate() {
             for number in 0..10 {
                 let put = json!({"value": format!("{host}-{number}")});
                 let (status, answer) =
-                    clear_answer(&cluster, CORE[(index + 1) % 3], "PUT", "/-/cells/g.a", &put);
+                    clear_answer(&cluster, CONTROL_HOSTS[(index + 1) % 3], "PUT", "/-/cells/g.a", &put);
                 assert!(status == 200 || status == 504, "{answer}");
                 last_put = answer["rev"].as_u64().unwrap_or(last_put);
             }
             core[index].signal("TERM");
-            assert!(core[index].end().success());
-            core[index] = cluster.control(host, &CORE, false);
+            assert!(core[index].wait_for_exit().success());
+            core[index] = cluster.start_control_node(host, &CONTROL_HOSTS, false);
         }
         is_over.store(true, std::sync::atomic::Ordering::SeqCst);
         (last_put, watcher.join().expect("the watcher ends"))
@@ -239,11 +239,11 @@
 #[test]
 fn metrics_count_the_calls_by_their_status() {
     let cluster = TestCluster::with_coordination();
-    let _core = cluster.core();
+    let _core = cluster.bootstrap_control_nodes();
     let (status, _) = clear_answer(&cluster, 11, "POST", "/-/numbers/n", &json!({}));
     assert_eq!(status, 200);
     let request = b"GET /-/metrics HTTP/1.1\r\nHost: control\r\n\r\n";
-    let metrics = system_common::calls::ask(cluster.at(11, CONTROL), request);
+    let metrics = system_common::calls::send_request(cluster.address(11, CONTROL_PORT), request);
     let text = String::from_utf8(metrics.body).expect("text");
     let line = r#"ivyhatch_control_calls_total{kind="numbers",method="post",status="200"} 1"#;
     assert!(text.lines().any(|counted| counted == line), "{text}");
--- a/cli/tests/system_draining.rs
+++ b/cli/tests/system_draining.rs
@@ -6,11 +6,15 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
-use system_common::calls::{Client, ask, call, get, request};
+use system_common::calls::{Client, call, get_request, request, send_request};
 use system_common::server::{
-    Gate, STAMP, Server, Step, chunk, complete_response, event, id, last_chunk, ok, stream_head,
+    Gate, STAMP_HEADER, Server, Step, chunk, complete_response, id_header, last_chunk, ok_response,
+    sse_event, stream_head,
+};
+use system_common::{
+    CONTROL_HOSTS, FRONT_PORT, READINESS_PORT, ROUTER_HOST, RunningSystem, TestCluster, configuration,
+    wait_until,
 };
-use system_common::{CORE, FRONT, READINESS, ROUTER, Served, TestCluster, configuration, wait_until};
 
 fn usual() -> Value {
     configuration(1, &[("safe", json!({})), ("once", json!({"route_kind": "streaming"}))])
@@ -18,7 +22,7 @@
 
 /// A router and two servers, which answer with their own names.
 struct Scene {
-    served: Served,
+    served: RunningSystem,
     cluster: TestCluster,
     servers: [Server; 2],
     received: u64,
@@ -29,16 +33,20 @@
     fn new(second: &str, configuration: &Value) -> Self {
         let cluster = TestCluster::new();
         let servers = [("i-1", "s", "za"), ("i-2", "s", second)].map(|(name, service, zone)| {
-            cluster.server((name, service, zone), move |received| ok(received, name.as_bytes()))
+            cluster
+                .start_server((name, service, zone), move |received| ok_response(received, name.as_bytes()))
         });
-        let served = cluster.serving(&[&servers[0], &servers[1]], configuration);
+        let served = cluster.start_system(&[&servers[0], &servers[1]], configuration);
         Self { served, cluster, servers, received: 0 }
     }
 
     /// Who answers the next request.
     fn ask(&mut self) -> String {
         self.received += 1;
-        let answer = ask(self.cluster.at(ROUTER, FRONT), &get(&format!("r{}", self.received), "/safe/x"));
+        let answer = send_request(
+            self.cluster.address(ROUTER_HOST, FRONT_PORT),
+            &get_request(&format!("r{}", self.received), "/safe/x"),
+        );
         assert_eq!(answer.head.status, 200, "{answer:?}");
         String::from_utf8(answer.body).expect("text")
     }
@@ -65,7 +73,7 @@
 
     /// Changes the list's lines of the two servers in one.
     fn change(&self, change: impl FnOnce(&mut Value, &mut Value)) {
-        self.cluster.platform.change(|instances| {
+        self.cluster.platform.update_instances(|instances| {
             let [first, second] = instances.as_mut_slice() else { panic!("two servers") };
             change(first, second);
         });
@@ -79,14 +87,14 @@
     let took = scene.wait_until_only("i-2", 300);
     assert!(took < Duration::from_secs(3), "the list's word counts from when it shows: {took:?}");
     // It is back, as another incarnation at the same address, and the other one drains.
-    scene.servers[0].all();
+    scene.servers[0].take_requests();
     scene.change(|first, second| {
         (first["state"], first["id"]) = (json!("ready"), json!("i-3"));
         second["state"] = json!("draining");
     });
     let took = scene.wait_until_only("i-1", 300);
     assert!(took < Duration::from_secs(3), "{took:?}");
-    let came = scene.servers[0].all();
+    let came = scene.servers[0].take_requests();
     assert!(came.iter().all(|received| received.message.value("ivyhatch-expect-instance") == Some("i-3")));
 }
 
@@ -98,9 +106,9 @@
         first["remaining_ms"] = json!(9000);
     });
     assert!(scene.wait_until_only("i-2", 200) < Duration::from_secs(3));
-    scene.cluster.platform.set(vec![scene.servers[0].listed()]);
+    scene.cluster.platform.set_instances(vec![scene.servers[0].instance_entry()]);
     assert!(scene.wait_until_only("i-1", 200) < Duration::from_secs(3), "the other has gone");
-    scene.cluster.platform.set(vec![scene.servers[1].listed()]);
+    scene.cluster.platform.set_instances(vec![scene.servers[1].instance_entry()]);
     assert!(scene.wait_until_only("i-2", 200) < Duration::from_secs(3));
 }
 
@@ -123,33 +131,37 @@
     let cluster = TestCluster::new();
     let gate = Arc::new(Gate::default());
     let held = gate.clone();
-    let server = cluster.server(("i-1", "s", "za"), move |received| {
-        let answer = ok(received, received.id().as_bytes());
+    let server = cluster.start_server(("i-1", "s", "za"), move |received| {
+        let answer = ok_response(received, received.id().as_bytes());
         if received.id() == "slow" { [vec![Step::Wait(held.clone())], answer].concat() } else { answer }
     });
-    let other = cluster.server(("i-2", "s", "zb"), |received| ok(received, b"other"));
-    let _served = cluster.serving(&[&server, &other], &usual());
-    let mut client = Client::to(cluster.at(ROUTER, FRONT));
-    client.write(&get("slow", "/safe/x"));
-    server.next();
-    let mut line = server.listed();
+    let other = cluster.start_server(("i-2", "s", "zb"), |received| ok_response(received, b"other"));
+    let _served = cluster.start_system(&[&server, &other], &usual());
+    let mut client = Client::connect(cluster.address(ROUTER_HOST, FRONT_PORT));
+    client.write(&get_request("slow", "/safe/x"));
+    server.next_request();
+    let mut line = server.instance_entry();
     line["state"] = json!("draining");
-    cluster.platform.set(vec![line, other.listed()]);
+    cluster.platform.set_instances(vec![line, other.instance_entry()]);
     let mut number = 0;
     wait_until("it drains", || {
         number += 1;
-        ask(cluster.at(ROUTER, FRONT), &get(&format!("r{number}"), "/safe/x")).body == b"other"
+        send_request(cluster.address(ROUTER_HOST, FRONT_PORT), &get_request(&format!("r{number}"), "/safe/x"))
+            .body
+            == b"other"
     });
     gate.open();
-    let head = client.head();
-    assert_eq!((head.status, client.try_body(&head)), (200, Ok(b"slow".to_vec())));
+    let head = client.read_head();
+    assert_eq!((head.status, client.read_body(&head)), (200, Ok(b"slow".to_vec())));
 }
 
 #[test]
 fn evacuated_zone_gets_no_requests_until_it_is_restored() {
     let mut scene = Scene::new("zb", &usual());
     scene.wait_until_only("i-1", 20);
-    let order = |scene: &Scene, method| scene.cluster.order(CORE[0], method, "/-/evacuations/za", None, "");
+    let order = |scene: &Scene, method| {
+        scene.cluster.call_until_acknowledged(CONTROL_HOSTS[0], method, "/-/evacuations/za", None, "")
+    };
     for _ in 0..2 {
         order(&scene, "POST");
         let took = scene.wait_until_only("i-2", 200);
@@ -160,7 +172,7 @@
         scene.wait_until_only("i-1", 50);
     }
     // One that was never ordered is taken back all the same.
-    scene.cluster.order(CORE[0], "DELETE", "/-/evacuations/zc", None, "");
+    scene.cluster.call_until_acknowledged(CONTROL_HOSTS[0], "DELETE", "/-/evacuations/zc", None, "");
     scene.wait_until_only("i-1", 20);
 }
 
@@ -168,17 +180,17 @@
 fn evacuation_survives_restart_of_control_nodes_and_router() {
     let mut scene = Scene::new("zb", &usual());
     scene.wait_until_only("i-1", 20);
-    scene.cluster.order(CORE[0], "POST", "/-/evacuations/za", None, "");
+    scene.cluster.call_until_acknowledged(CONTROL_HOSTS[0], "POST", "/-/evacuations/za", None, "");
     scene.served.control.kill();
-    scene.served.control = scene.cluster.control(CORE[0], &CORE[..1], false);
-    scene.cluster.wait_until_revision(CORE[0], 1);
+    scene.served.control = scene.cluster.start_control_node(CONTROL_HOSTS[0], &CONTROL_HOSTS[..1], false);
+    scene.cluster.wait_until_revision(CONTROL_HOSTS[0], 1);
     scene.wait_until_only("i-2", 50);
     scene.served.router.kill();
-    scene.servers[0].all();
-    scene.served.router = scene.cluster.router(ROUTER, &CORE[..1]);
-    scene.cluster.wait_until_ready(ROUTER);
+    scene.servers[0].take_requests();
+    scene.served.router = scene.cluster.start_router(ROUTER_HOST, &CONTROL_HOSTS[..1]);
+    scene.cluster.wait_until_ready(ROUTER_HOST);
     scene.wait_until_only("i-2", 50);
-    assert_eq!(scene.servers[0].count(), 0, "also right behind the start");
+    assert_eq!(scene.servers[0].take_request_count(), 0, "also right behind the start");
 }
 
 #[test]
@@ -188,10 +200,10 @@
     all["services"][0]["cold_per_s"] = json!(10);
     let mut scene = Scene::new("zb", &all);
     scene.wait_until_only("i-1", 20);
-    scene.cluster.order(CORE[0], "POST", "/-/evacuations/za", None, "");
+    scene.cluster.call_until_acknowledged(CONTROL_HOSTS[0], "POST", "/-/evacuations/za", None, "");
     scene.wait_until_only("i-2", 100);
-    scene.servers[0].all();
-    scene.cluster.order(CORE[0], "DELETE", "/-/evacuations/za", None, "");
+    scene.servers[0].take_requests();
+    scene.cluster.call_until_acknowledged(CONTROL_HOSTS[0], "DELETE", "/-/evacuations/za", None, "");
     scene.wait_until_used("i-1");
     // 10 a second, times 1.5, and 5 more.
     let (first, mut sent) = (Instant::now(), vec![Instant::now()]);
@@ -212,49 +224,51 @@
     let cluster = TestCluster::new();
     let (slow, events): (Arc<Gate>, Arc<Gate>) = (Arc::default(), Arc::default());
     let held = (slow.clone(), events.clone());
-    let server = cluster.server(("i-1", "s", "za"), move |received| match received.id() {
+    let server = cluster.start_server(("i-1", "s", "za"), move |received| match received.id() {
         "slow" => vec![
             Step::Wait(held.0.clone()),
-            Step::Write(complete_response(200, &format!("{}{STAMP}", id("slow")), b"slow")),
+            Step::Write(complete_response(200, &format!("{}{STAMP_HEADER}", id_header("slow")), b"slow")),
         ],
         "stream" => {
             vec![
                 stream_head(received),
-                chunk(&event(1)),
+                chunk(&sse_event(1)),
                 Step::Wait(held.1.clone()),
-                chunk(&event(2)),
+                chunk(&sse_event(2)),
                 last_chunk(),
             ]
         }
-        _ => ok(received, b"quick"),
+        _ => ok_response(received, b"quick"),
     });
-    let mut served = cluster.serving(&[&server], &usual());
-    let at = cluster.at(ROUTER, FRONT);
-    wait_until("clients are sent there", || cluster.directory(CORE[0], "ra").is_some());
-    let (mut first, mut second, mut idle) = (Client::to(at), Client::to(at), Client::to(at));
-    first.write(&get("slow", "/safe/x"));
+    let mut served = cluster.start_system(&[&server], &usual());
+    let at = cluster.address(ROUTER_HOST, FRONT_PORT);
+    wait_until("clients are sent there", || cluster.resolve_routers(CONTROL_HOSTS[0], "ra").is_some());
+    let (mut first, mut second, mut idle) = (Client::connect(at), Client::connect(at), Client::connect(at));
+    first.write(&get_request("slow", "/safe/x"));
     second.write(&request("stream", "POST", "/once/x", "", b"prompt"));
-    let head = second.head();
-    assert_eq!(second.chunk(), Some(event(1).into_bytes()));
-    assert_eq!(idle.ask(&get("r1", "/safe/x")).body, b"quick");
-    wait_until("all have come", || server.count() > 0 || first.try_write(b"").is_some());
+    let head = second.read_head();
+    assert_eq!(second.read_chunk(), Some(sse_event(1).into_bytes()));
+    assert_eq!(idle.send_request(&get_request("r1", "/safe/x")).body, b"quick");
+    wait_until("all have come", || server.take_request_count() > 0 || first.try_write(b"").is_some());
     served.router.signal("TERM");
-    wait_until("it is no longer ready", || !cluster.is_ready(ROUTER));
-    wait_until("clients are no longer sent there", || cluster.directory(CORE[0], "ra").is_none());
+    wait_until("it is no longer ready", || !cluster.is_ready(ROUTER_HOST));
+    wait_until("clients are no longer sent there", || {
+        cluster.resolve_routers(CONTROL_HOSTS[0], "ra").is_none()
+    });
     // Clients cache the directory's responses for a while: late requests are served, and their connections closed.
-    for (number, client) in [&mut idle, &mut Client::to(at)].into_iter().enumerate() {
-        let answer = client.ask(&get(&format!("late{number}"), "/safe/x"));
-        assert_eq!((answer.head.status, answer.head.value("connection")), (200, Some("close")));
+    for (number, client) in [&mut idle, &mut Client::connect(at)].into_iter().enumerate() {
+        let answer = client.send_request(&get_request(&format!("late{number}"), "/safe/x"));
+        assert_eq!((answer.head.status, answer.head.header("connection")), (200, Some("close")));
     }
     assert!(served.router.is_running());
     // Past the time for which it takes connections.
-    wait_until("it takes no more", || Client::try_to(at).is_none());
+    wait_until("it takes no more", || Client::try_connect(at).is_none());
     slow.open();
     events.open();
-    let head_of_first = first.head();
-    assert_eq!(first.try_body(&head_of_first), Ok(b"slow".to_vec()));
-    assert_eq!((head.status, second.try_body(&head)), (200, Ok(event(2).into_bytes())));
-    assert_eq!(served.router.end().code(), Some(0));
+    let head_of_first = first.read_head();
+    assert_eq!(first.read_body(&head_of_first), Ok(b"slow".to_vec()));
+    assert_eq!((head.status, second.read_body(&head)), (200, Ok(sse_event(2).into_bytes())));
+    assert_eq!(served.router.wait_for_exit().code(), Some(0));
 }
 
 /// Until then after SIGTERM a request may be taken though its server may work on it until the kill; a later one has to be answered whole,
@@ -267,16 +281,16 @@
 #[test]
 fn terminated_router_takes_no_request_that_it_may_not_have_time_for() {
     let scene = Scene::new("za", &usual());
-    let front = scene.cluster.at(ROUTER, FRONT);
+    let front = scene.cluster.address(ROUTER_HOST, FRONT_PORT);
     scene.served.router.signal("TERM");
     let terminated_at = Instant::now();
     let (mut number, mut last_taken) = (0, Duration::ZERO);
     wait_until("the router accepts no more", || {
-        let Some(mut client) = Client::try_to(front) else { return true };
+        let Some(mut client) = Client::try_connect(front) else { return true };
         number += 1;
         let sent_after = terminated_at.elapsed();
-        let is_sent = client.try_write(&get(&format!("late{number}"), "/safe/x")).is_some();
-        if is_sent && client.try_head().is_some_and(|head| head.status == 200) {
+        let is_sent = client.try_write(&get_request(&format!("late{number}"), "/safe/x")).is_some();
+        if is_sent && client.try_read_head().is_some_and(|head| head.status == 200) {
             last_taken = sent_after;
         }
         false
@@ -290,20 +304,20 @@
     let cluster = TestCluster::new();
     let gate = Arc::new(Gate::default());
     let held = gate.clone();
-    let server = cluster.server(("i-1", "s", "za"), move |_| vec![Step::Wait(held.clone())]);
-    cluster.platform.set(vec![server.listed()]);
-    let _control = cluster.control(CORE[0], &CORE[..1], true);
-    let mut settings = cluster.settings(ROUTER, &CORE[..1], false);
+    let server = cluster.start_server(("i-1", "s", "za"), move |_| vec![Step::Wait(held.clone())]);
+    cluster.platform.set_instances(vec![server.instance_entry()]);
+    let _control = cluster.start_control_node(CONTROL_HOSTS[0], &CONTROL_HOSTS[..1], true);
+    let mut settings = cluster.settings(ROUTER_HOST, &CONTROL_HOSTS[..1], false);
     settings["bounds"]["grace_s"] = json!(5);
-    let mut router = cluster.start_with("router", ROUTER, &settings);
-    cluster.put(CORE[0], 0, &usual());
-    cluster.wait_until_ready(ROUTER);
-    let mut client = Client::to(cluster.at(ROUTER, FRONT));
+    let mut router = cluster.start_role("router", ROUTER_HOST, &settings);
+    cluster.put_configuration(CONTROL_HOSTS[0], 0, &usual());
+    cluster.wait_until_ready(ROUTER_HOST);
+    let mut client = Client::connect(cluster.address(ROUTER_HOST, FRONT_PORT));
     client.write(b"GET /safe/x HTTP/1.1\r\nHost: h.example\r\nIvyhatch-Attempt-Id: r1\r\nIvyhatch-Deadline-Ms: 60000\r\n\r\n");
-    server.next();
+    server.next_request();
     let began = Instant::now();
     router.signal("TERM");
-    assert_eq!(router.end().code(), Some(0));
+    assert_eq!(router.wait_for_exit().code(), Some(0));
     let took = began.elapsed();
     assert!(took > Duration::from_secs(4) && took < Duration::from_secs(5), "as late as may be: {took:?}");
     gate.open();
@@ -312,15 +326,19 @@
 #[test]
 fn terminated_control_node_exits_and_its_state_is_kept() {
     let cluster = TestCluster::new();
-    let mut core = cluster.core();
-    cluster.put(CORE[0], 0, &usual());
-    for (turn, host) in CORE.into_iter().enumerate() {
+    let mut core = cluster.bootstrap_control_nodes();
+    cluster.put_configuration(CONTROL_HOSTS[0], 0, &usual());
+    for (turn, host) in CONTROL_HOSTS.into_iter().enumerate() {
         core[turn].signal("TERM");
-        assert_eq!(core[turn].end().code(), Some(0));
-        assert_eq!(call(cluster.at(host, READINESS), "GET", "/", None, ""), None);
+        assert_eq!(core[turn].wait_for_exit().code(), Some(0));
+        assert_eq!(call(cluster.address(host, READINESS_PORT), "GET", "/", None, ""), None);
         let base = 1 + turn as u64;
-        cluster.put(CORE[(turn + 1) % 3], base, &configuration(base + 1, &[("a", json!({}))]));
-        core[turn] = cluster.control(host, &CORE, false);
+        cluster.put_configuration(
+            CONTROL_HOSTS[(turn + 1) % 3],
+            base,
+            &configuration(base + 1, &[("a", json!({}))]),
+        );
+        core[turn] = cluster.start_control_node(host, &CONTROL_HOSTS, false);
         cluster.wait_until_revision(host, base + 1);
     }
 }
--- a/cli/tests/system_exchange_faults.rs
+++ b/cli/tests/system_exchange_faults.rs
@@ -12,9 +12,15 @@
 
 use googletest::prelude::*;
 use serde_json::json;
-use system_common::calls::{Broken, Client};
-use system_common::faults::{Answers, Fault, Faulty, Part, Plan, Recorded, Reply, Seen};
-use system_common::{CORE, FRONT, ROUTER, Served, TestCluster, WAIT_LIMIT, configuration, wait_until};
+use system_common::calls::{Client, TruncatedBody};
+use system_common::faults::{
+    ExchangeLengths, Fault, FaultyServers, MessageKind, PlannedFault, RequestRecord, ResponseFn,
+    ScriptedResponse,
+};
+use system_common::{
+    CONTROL_HOSTS, FRONT_PORT, ROUTER_HOST, RunningSystem, TestCluster, WAIT_TIMEOUT, configuration,
+    wait_until,
+};
 
 /// Servers, and clients that ask at the same time.
 const SERVERS: usize = 12;
@@ -30,53 +36,57 @@
 /// Statuses by which clients know that a request was not executed and never will be.
 const PROMISES: [u16; 4] = [408, 421, 429, 503];
 
-const AT_REQUEST: [(Part, Fault); 3] =
-    [(Part::Request, Fault::Cut), (Part::Request, Fault::Reset), (Part::Request, Fault::Delay)];
-const AT_ANSWER: [(Part, Fault); 6] = [
-    (Part::Answer, Fault::Cut),
-    (Part::Answer, Fault::Reset),
-    (Part::Answer, Fault::Delay),
-    (Part::Answer, Fault::Double),
-    (Part::Answer, Fault::DoubleLate),
-    (Part::Answer, Fault::Restart),
+const AT_REQUEST: [(MessageKind, Fault); 3] = [
+    (MessageKind::Request, Fault::Close),
+    (MessageKind::Request, Fault::Reset),
+    (MessageKind::Request, Fault::Delay),
 ];
-const MUTE: [(Part, Fault); 2] = [(Part::Request, Fault::Mute), (Part::Answer, Fault::Mute)];
+const AT_ANSWER: [(MessageKind, Fault); 6] = [
+    (MessageKind::Response, Fault::Close),
+    (MessageKind::Response, Fault::Reset),
+    (MessageKind::Response, Fault::Delay),
+    (MessageKind::Response, Fault::SplitDuplicate),
+    (MessageKind::Response, Fault::LateDuplicate),
+    (MessageKind::Response, Fault::Restart),
+];
+const MUTE: [(MessageKind, Fault); 2] =
+    [(MessageKind::Request, Fault::Stall), (MessageKind::Response, Fault::Stall)];
 
 /// What a client got.
 #[derive(Clone, Debug)]
 struct Got {
     status: u16,
     stamps: Vec<String>,
-    body: std::result::Result<Vec<u8>, Broken>,
+    body: std::result::Result<Vec<u8>, TruncatedBody>,
 }
 
 impl Got {
     fn none() -> Self {
-        Self { status: NO_ANSWER, stamps: Vec::new(), body: Err(Broken(Vec::new())) }
+        Self { status: NO_ANSWER, stamps: Vec::new(), body: Err(TruncatedBody(Vec::new())) }
     }
 }
 
 /// A system whose servers go wrong.
 struct Trial {
     cluster: TestCluster,
-    servers: Faulty,
+    servers: FaultyServers,
     route: &'static str,
     next: AtomicUsize,
     got: Mutex<HashMap<String, Got>>,
-    _served: Served,
+    _served: RunningSystem,
 }
 
-fn reply(status: u16, id: &str, headers: &str, body: &str) -> Reply {
+fn reply(status: u16, id: &str, headers: &str, body: &str) -> ScriptedResponse {
     let head = format!("HTTP/1.1 {status} X\r\nIvyhatch-Attempt-Id: {id}\r\n{headers}\r\n");
-    Reply { bytes: [head.as_bytes(), body.as_bytes()].concat(), refuses: status == 503 }
+    ScriptedResponse { bytes: [head.as_bytes(), body.as_bytes()].concat(), is_rejection: status == 503 }
 }
 
-fn with_length(id: &str) -> Reply {
+fn with_length(id: &str) -> ScriptedResponse {
     let headers = format!("Ivyhatch-Server-Stamp: {id}\r\nContent-Length: {}\r\n", id.len());
     reply(200, id, &headers, id)
 }
 
-fn in_chunks(id: &str) -> Reply {
+fn in_chunks(id: &str) -> ScriptedResponse {
     let headers = format!("Ivyhatch-Server-Stamp: {id}\r\nTransfer-Encoding: chunked\r\n");
     let (first, second) = id.split_at(3);
     reply(200, id, &headers, &format!("3\r\n{first}\r\n5\r\n{second}\r\n0\r\n\r\n"))
@@ -87,7 +97,7 @@
     [1, 2].map(|number| format!("id: {number}\ndata: {id}\n\n"))
 }
 
-fn stream(id: &str) -> Reply {
+fn stream(id: &str) -> ScriptedResponse {
     let headers = format!(
         "Ivyhatch-Server-Stamp: {id}\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n"
     );
@@ -96,7 +106,7 @@
 }
 
 /// Every other request is rejected; both kinds of responses have the same length.
-fn rejection_or_response(id: &str) -> Reply {
+fn rejection_or_response(id: &str) -> ScriptedResponse {
     let length = id.len();
     if id.ends_with(['0', '2', '4', '6', '8']) {
         return reply(
@@ -110,21 +120,21 @@
 }
 
 impl Trial {
-    fn new(route: &'static str, answers: Answers, servers_count: usize) -> Self {
+    fn new(route: &'static str, answers: ResponseFn, servers_count: usize) -> Self {
         let cluster = TestCluster::new();
-        let servers = Faulty::new(answers);
-        cluster.platform.set(servers.start(cluster.ip(31), servers_count));
+        let servers = FaultyServers::new(answers);
+        cluster.platform.set_instances(servers.start(cluster.ip(31), servers_count));
         let routes = [
             ("unsafe", json!({"route_kind": "unsafe"})),
             ("stream", json!({"route_kind": "streaming", "resumable": false})),
         ];
         let mut configuration = configuration(1, &routes);
         configuration["services"][0]["max_conns"] = json!(10_000);
-        let control = cluster.control(CORE[0], &CORE[..1], true);
-        let router = cluster.router(ROUTER, &CORE[..1]);
-        cluster.put(CORE[0], 0, &configuration);
-        cluster.wait_until_ready(ROUTER);
-        let served = Served { control, router };
+        let control = cluster.start_control_node(CONTROL_HOSTS[0], &CONTROL_HOSTS[..1], true);
+        let router = cluster.start_router(ROUTER_HOST, &CONTROL_HOSTS[..1]);
+        cluster.put_configuration(CONTROL_HOSTS[0], 0, &configuration);
+        cluster.wait_until_ready(ROUTER_HOST);
+        let served = RunningSystem { control, router };
         Self { cluster, servers, route, next: AtomicUsize::new(0), got: Mutex::default(), _served: served }
     }
 
@@ -140,7 +150,7 @@
     }
 
     fn connect(&self) -> Client {
-        Client::to(self.cluster.at(ROUTER, FRONT))
+        Client::connect(self.cluster.address(ROUTER_HOST, FRONT_PORT))
     }
 
     fn record(&self, id: String, got: Got) {
@@ -149,12 +159,12 @@
 
     /// Reads the answer to a request. Whether another may follow on the connection.
     fn take(&self, id: String, client: &mut Client) -> bool {
-        let Some(head) = client.try_head() else {
+        let Some(head) = client.try_read_head() else {
             self.record(id, Got::none());
             return false;
         };
-        let body = client.try_body(&head);
-        let stays = body.is_ok() && head.value("connection") != Some("close");
+        let body = client.read_body(&head);
+        let stays = body.is_ok() && head.header("connection") != Some("close");
         let named =
             head.headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case("ivyhatch-server-stamp"));
         let stamps = named.map(|(_, value)| value.clone()).collect();
@@ -171,22 +181,22 @@
     }
 
     /// Records an exchange that nothing disturbs.
-    fn record_exchange(&self, wait_ms: u64) -> Recorded {
+    fn record_exchange(&self, wait_ms: u64) -> ExchangeLengths {
         wait_until("an exchange is recorded", || {
             self.ask(&mut None, wait_ms);
-            self.servers.recorded().is_some()
+            self.servers.last_exchange().is_some()
         });
-        self.servers.recorded().expect("an exchange was recorded")
+        self.servers.last_exchange().expect("an exchange was recorded")
     }
 
     /// Has every byte of an exchange go wrong in each of these ways, on fresh and on kept connections.
-    fn play(&self, faults: &[(Part, Fault)], wait_ms: u64) -> usize {
+    fn play(&self, faults: &[(MessageKind, Fault)], wait_ms: u64) -> usize {
         self.record_exchange(wait_ms);
-        let plans = self.servers.plan(faults);
-        let end = Instant::now() + 3 * WAIT_LIMIT;
+        let plans = self.servers.plan_faults(faults);
+        let end = Instant::now() + 3 * WAIT_TIMEOUT;
         side_by_side(|| {
             let mut client = None;
-            while self.servers.request_log().left() > 0 {
+            while self.servers.request_log().remaining_faults() > 0 {
                 assert_that!(Instant::now(), lt(end), "plans are left");
                 self.ask(&mut client, wait_ms);
             }
@@ -196,45 +206,45 @@
 
     /// What holds of every request, whatever went wrong.
     fn verify(&self) {
-        let answer_length = self.servers.recorded().map_or(0, |recorded| recorded.answer);
+        let answer_length = self.servers.last_exchange().map_or(0, |recorded| recorded.response);
         let (request_log, got) = (self.servers.request_log(), self.got.lock().unwrap());
-        let none = Seen::default();
+        let none = RequestRecord::default();
         for (id, answer) in got.iter() {
             let seen = request_log.requests.get(id).unwrap_or(&none);
             let context = format!("{id}: {answer:?}, {seen:?}");
-            assert_that!(seen.runs, le(1), "ran twice: {context}");
+            assert_that!(seen.executions, le(1), "ran twice: {context}");
             // Only a rejection may be followed by another attempt.
             assert_that!(seen.arrivals, le(seen.rejections + 1), "was sent twice: {context}");
             match answer.status {
                 200 => self.verify_success(id, answer, seen),
                 status if PROMISES.contains(&status) => {
                     assert_that!(
-                        (seen.runs, seen.arrivals),
+                        (seen.executions, seen.arrivals),
                         eq((0, seen.rejections)),
                         "promised wrongly: {context}"
                     );
                 }
                 status => assert_that!(status, any!(eq(502), eq(504), eq(NO_ANSWER)), "{context}"),
             }
-            let answered = seen.plans.iter().filter(|_| answer.status != NO_ANSWER);
+            let answered = seen.faults.iter().filter(|_| answer.status != NO_ANSWER);
             for plan in answered {
-                let at_end = plan.part == Part::Answer && plan.at == answer_length;
+                let at_end = plan.message == MessageKind::Response && plan.offset == answer_length;
                 verify_plan(*plan, at_end, answer, seen, &context);
             }
         }
         let answered = got.values().filter(|answer| !PROMISES.contains(&answer.status)).count();
         // Also those of which too little arrived to know them by.
-        assert_that!(request_log.begun, le(answered + request_log.rejections));
-        assert_that!(request_log.after_surplus, is_empty(), "used behind surplus bytes");
+        assert_that!(request_log.started_requests, le(answered + request_log.rejections));
+        assert_that!(request_log.requests_after_surplus, is_empty(), "used behind surplus bytes");
     }
 
-    fn verify_success(&self, id: &str, answer: &Got, seen: &Seen) {
+    fn verify_success(&self, id: &str, answer: &Got, seen: &RequestRecord) {
         let whole = if self.route == "stream" { events(id).concat() } else { id.to_owned() };
-        assert_that!(seen.runs, eq(1), "{id}: {answer:?}, {seen:?}");
+        assert_that!(seen.executions, eq(1), "{id}: {answer:?}, {seen:?}");
         assert_that!(answer.stamps, elements_are![eq(id)], "{id}: {seen:?}");
         match &answer.body {
             Ok(body) => assert_that!(*body, eq(whole.as_bytes()), "{id}: {seen:?}"),
-            Err(Broken(part)) => {
+            Err(TruncatedBody(part)) => {
                 assert!(self.route == "stream" && whole.as_bytes().starts_with(part), "{id}: {answer:?}");
             }
         }
@@ -251,15 +261,15 @@
 }
 
 /// What an exchange that went wrong in this way has to come to.
-fn verify_plan(plan: Plan, at_end: bool, answer: &Got, seen: &Seen, context: &str) {
+fn verify_plan(plan: PlannedFault, at_end: bool, answer: &Got, seen: &RequestRecord, context: &str) {
     let whole = answer.status == 200 && answer.body.is_ok();
     match plan.fault {
         // The reset may overtake the last bytes.
         Fault::Reset if at_end => {}
-        Fault::Cut | Fault::Reset | Fault::Mute if !at_end => assert!(!whole, "{plan:?} {context}"),
+        Fault::Close | Fault::Reset | Fault::Stall if !at_end => assert!(!whole, "{plan:?} {context}"),
         // Behind a part of the status line the rest may still be a whole answer, which is looked at as any other.
-        Fault::Restart if plan.at > 0 => {}
-        _ if seen.rejections > 0 || seen.runs == 0 || seen.behind_a_copy => {}
+        Fault::Restart if plan.offset > 0 => {}
+        _ if seen.rejections > 0 || seen.executions == 0 || seen.after_duplicate => {}
         _ => assert!(whole, "{plan:?} {context}"),
     }
 }
@@ -272,9 +282,9 @@
 }
 
 /// The whole of a trial; returns how it went.
-fn trial(route: &'static str, answers: Answers, faults: &[(Part, Fault)], wait_ms: u64) {
+fn trial(route: &'static str, answers: ResponseFn, faults: &[(MessageKind, Fault)], wait_ms: u64) {
     // Silent servers are avoided for a while, so there have to be more.
-    let silent = faults.iter().any(|(_, fault)| *fault == Fault::Mute);
+    let silent = faults.iter().any(|(_, fault)| *fault == Fault::Stall);
     let trial = Trial::new(route, answers, if silent { SILENT_SERVERS } else { SERVERS });
     let began = Instant::now();
     let plans = trial.play(faults, wait_ms);
@@ -317,10 +327,10 @@
 fn pipelined_requests_are_answered_in_order() {
     let trial = Trial::new("unsafe", with_length, SERVERS);
     let length = trial.record_exchange(LONG_MS).request;
-    trial.servers.plan(&AT_ANSWER);
+    trial.servers.plan_faults(&AT_ANSWER);
     let (next, whole) = (AtomicUsize::new(0), PIPELINED * length);
     side_by_side(|| {
-        while trial.servers.request_log().left() > 0 || next.load(Ordering::SeqCst) <= whole {
+        while trial.servers.request_log().remaining_faults() > 0 || next.load(Ordering::SeqCst) <= whole {
             let requests = [(); PIPELINED].map(|()| trial.request(LONG_MS));
             let text = requests.each_ref().map(|(_, text)| text.as_str()).concat();
             let at = next.fetch_add(1, Ordering::SeqCst) % text.len();
@@ -354,7 +364,7 @@
     let trial = Trial::new("unsafe", with_length, SERVERS);
     trial.record_exchange(LONG_MS);
     let length = trial.request(LONG_MS).1.len();
-    trial.servers.plan(&[(Part::Answer, Fault::Delay)]);
+    trial.servers.plan_faults(&[(MessageKind::Response, Fault::Delay)]);
     let next = AtomicUsize::new(0);
     let ways = [Leaves::Closing, Leaves::Resetting, Leaves::Halfway];
     let whole = Mutex::new(Vec::new());
@@ -414,8 +424,10 @@
 fn client_that_abandons_its_response_disturbs_no_other() {
     let trial = Trial::new("stream", stream, SERVERS);
     trial.record_exchange(LONG_MS);
-    let length = trial.servers.recorded().map_or(0, |recorded| recorded.answer);
-    trial.servers.plan(&[(Part::Answer, Fault::Delay), (Part::Answer, Fault::DoubleLate)]);
+    let length = trial.servers.last_exchange().map_or(0, |recorded| recorded.response);
+    trial
+        .servers
+        .plan_faults(&[(MessageKind::Response, Fault::Delay), (MessageKind::Response, Fault::LateDuplicate)]);
     let next = AtomicUsize::new(0);
     side_by_side(|| {
         loop {
@@ -427,7 +439,7 @@
             let mut client = trial.connect();
             // An answer that is shorter than that ends with its connection.
             client.write(text.replacen("\r\n", "\r\nConnection: close\r\n", 1).as_bytes());
-            client.skip(at);
+            client.skip_bytes(at);
             if at.is_multiple_of(2) {
                 client.reset()
             } else {
--- a/cli/tests/system_membership.rs
+++ b/cli/tests/system_membership.rs
@@ -6,7 +6,9 @@
 
 use serde_json::{Value, json};
 use system_common::calls::call;
-use system_common::{CONTROL, CORE, Process, ROUTER, TestCluster, configuration, wait_until};
+use system_common::{
+    CONTROL_HOSTS, CONTROL_PORT, Process, ROUTER_HOST, TestCluster, configuration, wait_until,
+};
 
 /// Takes the place of the third machine, in its zone.
 const SUCCESSOR: u8 = 16;
@@ -19,7 +21,7 @@
 
 /// What a control node says of the replica on another one.
 fn replica(cluster: &TestCluster, at: u8, of: u8) -> Option<Value> {
-    let (status, report) = call(cluster.at(at, CONTROL), "GET", "/-/status", None, "")?;
+    let (status, report) = call(cluster.address(at, CONTROL_PORT), "GET", "/-/status", None, "")?;
     assert_eq!(status, 200);
     let address = json!(cluster.ip(of).to_string());
     let replicas = report["replicas"].as_array().expect("it lists the replicas");
@@ -32,9 +34,9 @@
 }
 
 fn founded(cluster: &TestCluster) -> Vec<Process> {
-    let core = cluster.core();
-    cluster.put(11, 0, &first());
-    wait_until("all three vote", || CORE.iter().all(|host| votes(cluster, 11, *host)));
+    let core = cluster.bootstrap_control_nodes();
+    cluster.put_configuration(11, 0, &first());
+    wait_until("all three vote", || CONTROL_HOSTS.iter().all(|host| votes(cluster, 11, *host)));
     core
 }
 
@@ -43,48 +45,48 @@
     let cluster = TestCluster::new();
     let mut core = founded(&cluster);
     core[2].kill();
-    std::fs::remove_dir_all(cluster.data(13)).expect("its disk is gone");
+    std::fs::remove_dir_all(cluster.data_dir(13)).expect("its disk is gone");
     let started = Instant::now();
-    let _successor = cluster.control(SUCCESSOR, &CORE, false);
+    let _successor = cluster.start_control_node(SUCCESSOR, &CONTROL_HOSTS, false);
     wait_until("the successor votes", || votes(&cluster, 11, SUCCESSOR));
     assert!(started.elapsed() < CATCH_UP, "{:?}", started.elapsed());
     println!("it counts after {:?}", started.elapsed());
     assert!(replica(&cluster, 11, 13).is_none_or(|gone| gone["has_seat"] == json!(false)));
-    cluster.put(12, 5, &configuration(6, &[("c", json!({}))]));
+    cluster.put_configuration(12, 5, &configuration(6, &[("c", json!({}))]));
     // The next loss: only the successor and one other are left.
     core[0].kill();
-    std::fs::remove_dir_all(cluster.data(11)).expect("its disk is lost");
+    std::fs::remove_dir_all(cluster.data_dir(11)).expect("its disk is lost");
     cluster.wait_until_revision(SUCCESSOR, 6);
-    cluster.put(SUCCESSOR, 6, &configuration(7, &[("d", json!({}))]));
+    cluster.put_configuration(SUCCESSOR, 6, &configuration(7, &[("d", json!({}))]));
     cluster.wait_until_revision(12, 7);
     // The machine that lost its disk comes back, as another replica.
     let former = replica(&cluster, 12, 11).expect("it had a seat")["replica"].clone();
-    core[0] = cluster.control(11, &[11, 12, 13], false);
+    core[0] = cluster.start_control_node(11, &[11, 12, 13], false);
     // Its former replica is not counted as silent at once.
     wait_until("it votes again", || {
         votes(&cluster, 12, 11) && replica(&cluster, 12, 11).is_some_and(|now| now["replica"] != former)
     });
     core[1].kill();
     cluster.wait_until_revision(11, 7);
-    cluster.put(11, 7, &configuration(8, &[("e", json!({}))]));
+    cluster.put_configuration(11, 7, &configuration(8, &[("e", json!({}))]));
 }
 
 #[test]
 fn terminated_machine_waits_until_its_successor_votes() {
     let cluster = TestCluster::new();
     let mut core = founded(&cluster);
-    let _successor = cluster.control(SUCCESSOR, &CORE, false);
+    let _successor = cluster.start_control_node(SUCCESSOR, &CONTROL_HOSTS, false);
     wait_until("the successor follows", || {
         replica(&cluster, 11, SUCCESSOR).is_some_and(|replica| replica["status"] == json!("learner"))
     });
     assert!(votes(&cluster, 11, 13));
     let terminated_at = Instant::now();
     core[2].signal("TERM");
-    core[2].end();
+    core[2].wait_for_exit();
     assert!(votes(&cluster, 11, SUCCESSOR), "it went before its successor counted");
     println!("it ended after {:?}", terminated_at.elapsed());
     core[1].kill();
-    cluster.put(11, 5, &configuration(6, &[("c", json!({}))]));
+    cluster.put_configuration(11, 5, &configuration(6, &[("c", json!({}))]));
     cluster.wait_until_revision(SUCCESSOR, 6);
 }
 
@@ -93,10 +95,10 @@
     let cluster = TestCluster::new();
     let mut core = founded(&cluster);
     core[2].kill();
-    let _successor = cluster.control(SUCCESSOR, &CORE, false);
+    let _successor = cluster.start_control_node(SUCCESSOR, &CONTROL_HOSTS, false);
     wait_until("the successor votes", || votes(&cluster, 11, SUCCESSOR));
-    cluster.put(11, 5, &configuration(6, &[("c", json!({}))]));
-    core[2] = cluster.control(13, &CORE, false);
+    cluster.put_configuration(11, 5, &configuration(6, &[("c", json!({}))]));
+    core[2] = cluster.start_control_node(13, &CONTROL_HOSTS, false);
     wait_until("it has learned that it has no seat", || {
         replica(&cluster, 13, 13).is_none_or(|own| own["has_seat"] == json!(false))
     });
@@ -106,7 +108,7 @@
     core[1].kill();
     let next = configuration(7, &[("d", json!({}))]).to_string();
     for _ in 0..2 {
-        let answer = call(cluster.at(13, CONTROL), "PUT", "/-/config", Some(6), &next);
+        let answer = call(cluster.address(13, CONTROL_PORT), "PUT", "/-/config", Some(6), &next);
         assert!(answer.as_ref().is_none_or(|(status, _)| *status == 503), "{answer:?}");
     }
 }
@@ -117,9 +119,9 @@
     let mut core = founded(&cluster);
     let terminated_at = Instant::now();
     core[2].signal("TERM");
-    core[2].end();
+    core[2].wait_for_exit();
     assert!(terminated_at.elapsed() < Duration::from_millis(1500), "{:?}", terminated_at.elapsed());
-    core[2] = cluster.control(13, &CORE, false);
+    core[2] = cluster.start_control_node(13, &CONTROL_HOSTS, false);
     wait_until("it votes again", || votes(&cluster, 11, 13));
 }
 
@@ -129,13 +131,15 @@
     let mut core = founded(&cluster);
     core[2].kill();
     let nobody = [17, 18, 19];
-    let _successor = cluster.control(SUCCESSOR, &nobody, false);
+    let _successor = cluster.start_control_node(SUCCESSOR, &nobody, false);
     // It serves nothing, and says so.
-    wait_until("it answers", || call(cluster.at(SUCCESSOR, CONTROL), "GET", "/-/status", None, "").is_some());
-    let answer = call(cluster.at(SUCCESSOR, CONTROL), "GET", "/-/config", None, "");
+    wait_until("it answers", || {
+        call(cluster.address(SUCCESSOR, CONTROL_PORT), "GET", "/-/status", None, "").is_some()
+    });
+    let answer = call(cluster.address(SUCCESSOR, CONTROL_PORT), "GET", "/-/config", None, "");
     assert!(answer.as_ref().is_none_or(|(status, _)| *status == 503), "{answer:?}");
     // The file changes without a signal.
-    let settings = cluster.settings(SUCCESSOR, &CORE, false);
+    let settings = cluster.settings(SUCCESSOR, &CONTROL_HOSTS, false);
     std::fs::write(cluster.settings_file(SUCCESSOR), settings.to_string()).expect("it is written");
     wait_until("the successor votes", || votes(&cluster, 11, SUCCESSOR));
     cluster.wait_until_revision(SUCCESSOR, 5);
@@ -145,20 +149,21 @@
 fn router_with_dead_seeds_connects_once_its_settings_name_live_ones() {
     let cluster = TestCluster::new();
     let _core = founded(&cluster);
-    let _router = cluster.router(ROUTER, &[17, 18, 19]);
-    wait_until("it waits", || !cluster.is_ready(ROUTER));
-    let settings = cluster.settings(ROUTER, &CORE, false);
-    std::fs::write(cluster.settings_file(ROUTER), settings.to_string()).expect("it is written");
+    let _router = cluster.start_router(ROUTER_HOST, &[17, 18, 19]);
+    wait_until("it waits", || !cluster.is_ready(ROUTER_HOST));
+    let settings = cluster.settings(ROUTER_HOST, &CONTROL_HOSTS, false);
+    std::fs::write(cluster.settings_file(ROUTER_HOST), settings.to_string()).expect("it is written");
     wait_until("it has a configuration, and says so", || {
         cluster
-            .directory(11, "ra")
+            .resolve_routers(11, "ra")
             .is_some_and(|answer| answer["addresses"].as_array().is_some_and(|all| !all.is_empty()))
     });
 }
 
 /// How many changes have been committed, over all partitions.
 fn changes(cluster: &TestCluster, at: u8) -> u64 {
-    let (_, report) = call(cluster.at(at, CONTROL), "GET", "/-/status", None, "").expect("it answers");
+    let (_, report) =
+        call(cluster.address(at, CONTROL_PORT), "GET", "/-/status", None, "").expect("it answers");
     let partitions = report["partitions"].as_array().expect("it lists the partitions");
     partitions.iter().filter_map(|partition| partition["committed"].as_u64()).sum()
 }
@@ -170,17 +175,18 @@
     let before = changes(&cluster, 11);
     // The third stands still with the order on its socket; its caller gives up, and the zone is emptied and taken back elsewhere.
     core[2].signal("STOP");
-    let mut caller = std::net::TcpStream::connect(cluster.at(13, CONTROL)).expect("the system takes it");
+    let mut caller =
+        std::net::TcpStream::connect(cluster.address(13, CONTROL_PORT)).expect("the system takes it");
     let order = "POST /-/evacuations/za HTTP/1.1\r\nHost: control\r\nContent-Length: 0\r\n\r\n";
     std::io::Write::write_all(&mut caller, order.as_bytes()).expect("it is sent");
     drop(caller);
-    cluster.order(11, "POST", "/-/evacuations/za", None, "");
-    cluster.order(12, "DELETE", "/-/evacuations/za", None, "");
+    cluster.call_until_acknowledged(11, "POST", "/-/evacuations/za", None, "");
+    cluster.call_until_acknowledged(12, "DELETE", "/-/evacuations/za", None, "");
     assert_eq!(changes(&cluster, 11), before + 2);
     core[2].signal("CONT");
     wait_until("it votes again", || votes(&cluster, 11, 13));
     // Whatever it still had to do it has done by the time that it knows of both changes and has answered a call.
     wait_until("it knows of both", || changes(&cluster, 13) >= before + 2);
-    cluster.put(13, 5, &configuration(6, &[("c", json!({}))]));
+    cluster.put_configuration(13, 5, &configuration(6, &[("c", json!({}))]));
     assert_eq!(changes(&cluster, 11), before + 3);
 }
--- a/cli/tests/system_rejections.rs
+++ b/cli/tests/system_rejections.rs
@@ -7,9 +7,11 @@
 use std::time::Duration;
 
 use serde_json::{Value, json};
-use system_common::calls::{ask, get, request};
-use system_common::server::{Gate, STAMP, Server, Step, complete_response, id, ok, overloaded};
-use system_common::{FRONT, ROUTER, RetryBudget, TestCluster, configuration};
+use system_common::calls::{get_request, request, send_request};
+use system_common::server::{
+    Gate, STAMP_HEADER, Server, Step, complete_response, id_header, ok_response, overloaded_response,
+};
+use system_common::{FRONT_PORT, ROUTER_HOST, RetryBudget, TestCluster, configuration};
 
 /// One route whose requests may run more than once, and one whose requests may not.
 fn both_kinds() -> Value {
@@ -21,14 +23,21 @@
 fn rejection_without_proof_of_non_execution_is_not_forwarded_as_one() {
     for status in [408, 429, 503] {
         let cluster = TestCluster::new();
-        let servers = cluster.pair(move |_, received| {
-            vec![Step::Write(complete_response(status, &format!("{}{STAMP}", id(received.id())), b"failed"))]
+        let servers = cluster.start_server_pair(move |_, received| {
+            vec![Step::Write(complete_response(
+                status,
+                &format!("{}{STAMP_HEADER}", id_header(received.id())),
+                b"failed",
+            ))]
         });
-        let _served = cluster.serving(&[&servers[0], &servers[1]], &both_kinds());
-        let answer = ask(cluster.at(ROUTER, FRONT), &request("r1", "POST", "/unsafe/x", "", b""));
-        let count: usize = servers.iter().map(Server::count).sum();
+        let _served = cluster.start_system(&[&servers[0], &servers[1]], &both_kinds());
+        let answer = send_request(
+            cluster.address(ROUTER_HOST, FRONT_PORT),
+            &request("r1", "POST", "/unsafe/x", "", b""),
+        );
+        let count: usize = servers.iter().map(Server::take_request_count).sum();
         assert_eq!((answer.head.status, count), (502, 1), "{status}: {answer:?}");
-        assert_eq!(answer.head.value("ivyhatch-server-stamp"), None, "no server gave this status");
+        assert_eq!(answer.head.header("ivyhatch-server-stamp"), None, "no server gave this status");
     }
 }
 
@@ -37,18 +46,23 @@
     let gate = Arc::new(Gate::default());
     let cluster = TestCluster::new();
     let held = gate.clone();
-    let servers = cluster.pair(move |turn, received| {
+    let servers = cluster.start_server_pair(move |turn, received| {
         let part = format!(
             "HTTP/1.1 503 X\r\n{}Ivyhatch-Not-Executed: 1\r\nContent-Length: 9\r\n\r\nfu",
-            id(received.id())
+            id_header(received.id())
         );
         let silent = vec![Step::Write(part.into_bytes()), Step::Wait(held.clone())];
-        if turn == 0 { silent } else { ok(received, b"second") }
+        if turn == 0 { silent } else { ok_response(received, b"second") }
     });
-    let _served = cluster.serving(&[&servers[0], &servers[1]], &both_kinds());
-    let answer = ask(cluster.at(ROUTER, FRONT), &request("r1", "POST", "/unsafe/x", "", b""));
+    let _served = cluster.start_system(&[&servers[0], &servers[1]], &both_kinds());
+    let answer =
+        send_request(cluster.address(ROUTER_HOST, FRONT_PORT), &request("r1", "POST", "/unsafe/x", "", b""));
     assert_eq!(
-        (answer.head.status, answer.body.as_slice(), servers.iter().map(Server::count).sum::<usize>()),
+        (
+            answer.head.status,
+            answer.body.as_slice(),
+            servers.iter().map(Server::take_request_count).sum::<usize>()
+        ),
         (200, &b"second"[..], 2),
         "{answer:?}"
     );
@@ -59,34 +73,36 @@
 #[test]
 fn retry_that_the_budget_does_not_pay_for_is_refused_with_a_time_to_come_back() {
     let cluster = TestCluster::with_retry_budget(RetryBudget { ratio: 0.2, slack: 0.0 });
-    let servers = cluster.pair(|_, _| overloaded());
-    let _served = cluster.serving(&[&servers[0], &servers[1]], &both_kinds());
-    let answer = ask(cluster.at(ROUTER, FRONT), &request("r1", "POST", "/unsafe/x", "", b""));
-    let count: usize = servers.iter().map(Server::count).sum();
+    let servers = cluster.start_server_pair(|_, _| overloaded_response());
+    let _served = cluster.start_system(&[&servers[0], &servers[1]], &both_kinds());
+    let answer =
+        send_request(cluster.address(ROUTER_HOST, FRONT_PORT), &request("r1", "POST", "/unsafe/x", "", b""));
+    let count: usize = servers.iter().map(Server::take_request_count).sum();
     assert_eq!((answer.head.status, count), (503, 1), "{answer:?}");
-    assert!(answer.head.value("retry-after").is_some(), "{answer:?}");
+    assert!(answer.head.header("retry-after").is_some(), "{answer:?}");
 }
 
 /// The request goes to its one server again; the duplicate of the rejection has the same id, and only the connection distinguishes it from a response.
 #[test]
 fn late_duplicate_of_a_rejection_is_not_taken_for_the_next_response() {
     let cluster = TestCluster::new();
-    let server = cluster.server(("i-1", "s", "za"), |received| {
+    let server = cluster.start_server(("i-1", "s", "za"), |received| {
         let rejection = Step::Write(complete_response(
             503,
-            &format!("{}Ivyhatch-Not-Executed: 1\r\n", id(received.id())),
+            &format!("{}Ivyhatch-Not-Executed: 1\r\n", id_header(received.id())),
             b"",
         ));
-        match (received.number, received.on_connection) {
+        match (received.earlier_requests, received.earlier_on_connection) {
             (0, _) => vec![rejection],
-            (_, 0) => ok(received, b"own"),
-            _ => [vec![rejection], ok(received, b"own")].concat(),
+            (_, 0) => ok_response(received, b"own"),
+            _ => [vec![rejection], ok_response(received, b"own")].concat(),
         }
     });
-    let _served = cluster.serving(&[&server], &both_kinds());
-    let answer = ask(cluster.at(ROUTER, FRONT), &request("r1", "POST", "/unsafe/x", "", b""));
+    let _served = cluster.start_system(&[&server], &both_kinds());
+    let answer =
+        send_request(cluster.address(ROUTER_HOST, FRONT_PORT), &request("r1", "POST", "/unsafe/x", "", b""));
     assert_eq!(
-        (answer.head.status, answer.body.as_slice(), server.count()),
+        (answer.head.status, answer.body.as_slice(), server.take_request_count()),
         (200, &b"own"[..], 2),
         "{answer:?}"
     );
@@ -97,16 +113,16 @@
 #[test]
 fn late_rejection_without_an_id_proves_nothing() {
     let cluster = TestCluster::new();
-    let server = cluster.server(("i-1", "s", "za"), |received| {
+    let server = cluster.start_server(("i-1", "s", "za"), |received| {
         let rejection = Step::Write(complete_response(503, "Ivyhatch-Not-Executed: 1\r\n", b""));
-        let own = ok(received, b"own");
-        if received.on_connection == 0 { own } else { [vec![rejection], own].concat() }
+        let own = ok_response(received, b"own");
+        if received.earlier_on_connection == 0 { own } else { [vec![rejection], own].concat() }
     });
-    let _served = cluster.serving(&[&server], &both_kinds());
-    let at = cluster.at(ROUTER, FRONT);
-    assert_eq!(ask(at, &get("r1", "/safe/x")).body, b"own");
+    let _served = cluster.start_system(&[&server], &both_kinds());
+    let at = cluster.address(ROUTER_HOST, FRONT_PORT);
+    assert_eq!(send_request(at, &get_request("r1", "/safe/x")).body, b"own");
     // Once it has rested, the connection is used again.
     thread::sleep(Duration::from_millis(20));
-    let answer = ask(at, &request("r2", "POST", "/unsafe/x", "", b""));
-    assert_eq!((answer.head.status, server.count()), (502, 2), "{answer:?}");
+    let answer = send_request(at, &request("r2", "POST", "/unsafe/x", "", b""));
+    assert_eq!((answer.head.status, server.take_request_count()), (502, 2), "{answer:?}");
 }
--- a/cli/tests/system_server_list.rs
+++ b/cli/tests/system_server_list.rs
@@ -6,32 +6,33 @@
 
 use googletest::prelude::*;
 use serde_json::json;
-use system_common::calls::{ask, get};
-use system_common::server::ok;
-use system_common::{FRONT, ROUTER, TestCluster, configuration, wait_until};
+use system_common::calls::{get_request, send_request};
+use system_common::server::ok_response;
+use system_common::{FRONT_PORT, ROUTER_HOST, TestCluster, configuration, wait_until};
 
 /// A list of two pages, of which the second comes again in the place of the next reading's first: no server is taken for gone.
 #[test]
 fn late_duplicate_of_the_last_page_is_not_taken_for_the_first() {
     let cluster = TestCluster::new();
-    let servers = ["i-1", "i-2"].map(|id| cluster.server((id, "s", "za"), |received| ok(received, b"here")));
-    let other = cluster.server(("i-3", "t", "za"), |received| ok(received, b"here"));
+    let servers = ["i-1", "i-2"]
+        .map(|id| cluster.start_server((id, "s", "za"), |received| ok_response(received, b"here")));
+    let other = cluster.start_server(("i-3", "t", "za"), |received| ok_response(received, b"here"));
     let mut all = configuration(1, &[("s", json!({})), ("t", json!({"service": "t"}))]);
     all["services"].as_array_mut().expect("a list").push(json!({"name": "t"}));
-    let _served = cluster.serving(&[&servers[0], &servers[1], &other], &all);
-    let at = cluster.at(ROUTER, FRONT);
+    let _served = cluster.start_system(&[&servers[0], &servers[1], &other], &all);
+    let at = cluster.address(ROUTER_HOST, FRONT_PORT);
     let read_on = |what: &str| {
-        let calls = cluster.platform.calls();
-        wait_until(what, || cluster.platform.calls() >= calls + 4);
+        let calls = cluster.platform.request_count();
+        wait_until(what, || cluster.platform.request_count() >= calls + 4);
     };
     read_on("the list is read");
-    cluster.platform.repeat_late(true);
+    cluster.platform.set_repeat_responses(true);
     let end = Instant::now() + Duration::from_secs(3);
     let mut number = 0;
     while Instant::now() < end {
         number += 1;
         for name in ["s", "t"] {
-            let answer = ask(at, &get(&format!("{name}{number}"), &format!("/{name}/x")));
+            let answer = send_request(at, &get_request(&format!("{name}{number}"), &format!("/{name}/x")));
             assert_that!(answer.head.status, eq(200), "{name}: {answer:?}");
         }
     }
--- a/cli/tests/system_settings.rs
+++ b/cli/tests/system_settings.rs
@@ -6,12 +6,14 @@
 
 use serde_json::{Value, json};
 use system_common::calls::call;
-use system_common::{CONTROL, CORE, FRONT, Process, TestCluster, configuration, wait_until};
+use system_common::{
+    CONTROL_HOSTS, CONTROL_PORT, FRONT_PORT, Process, TestCluster, configuration, wait_until,
+};
 
 fn start_error(cluster: &TestCluster, role: &str, settings: &Value) -> String {
-    let mut process = cluster.start_with(role, 11, settings);
-    assert_eq!(process.end().code(), Some(1), "{role}: {}", process.logged());
-    process.logged()
+    let mut process = cluster.start_role(role, 11, settings);
+    assert_eq!(process.wait_for_exit().code(), Some(1), "{role}: {}", process.log_output());
+    process.log_output()
 }
 
 #[test]
@@ -19,7 +21,7 @@
     for role in ["control", "router"] {
         let cluster = TestCluster::new();
         for field in ["node_name", "ip", "zone", "region", "zones", "listen", "inner_ports", "cloud_api"] {
-            let mut settings = cluster.settings(11, &CORE, true);
+            let mut settings = cluster.settings(11, &CONTROL_HOSTS, true);
             settings.as_object_mut().expect("an object").remove(field);
             let logged = start_error(&cluster, role, &settings);
             assert!(logged.contains(field), "{role} {field}: {logged}");
@@ -33,7 +35,7 @@
     for (field, value) in
         [("ip", json!("nowhere")), ("zones", json!(7)), ("inner_ports", json!([1])), ("seeds", json!(["x"]))]
     {
-        let mut settings = cluster.settings(11, &CORE, true);
+        let mut settings = cluster.settings(11, &CONTROL_HOSTS, true);
         settings[field] = value;
         let logged = start_error(&cluster, "router", &settings);
         assert!(logged.contains(field), "{field}: {logged}");
@@ -46,7 +48,7 @@
     for (role, field) in
         [("router", "front"), ("router", "readiness"), ("control", "control"), ("control", "directory")]
     {
-        let mut settings = cluster.settings(11, &CORE, true);
+        let mut settings = cluster.settings(11, &CONTROL_HOSTS, true);
         settings["listen"].as_object_mut().expect("an object").remove(field);
         let logged = start_error(&cluster, role, &settings);
         assert!(logged.contains(&format!("listen.{field}")), "{role}: {logged}");
@@ -56,10 +58,10 @@
 #[test]
 fn address_in_use_is_named() {
     let cluster = TestCluster::new();
-    for (role, port) in [("router", FRONT), ("control", CONTROL)] {
-        let _taken = TcpListener::bind(cluster.at(11, port)).expect("free");
-        let logged = start_error(&cluster, role, &cluster.settings(11, &CORE, true));
-        assert!(logged.contains(&cluster.at(11, port).to_string()), "{role}: {logged}");
+    for (role, port) in [("router", FRONT_PORT), ("control", CONTROL_PORT)] {
+        let _taken = TcpListener::bind(cluster.address(11, port)).expect("free");
+        let logged = start_error(&cluster, role, &cluster.settings(11, &CONTROL_HOSTS, true));
+        assert!(logged.contains(&cluster.address(11, port).to_string()), "{role}: {logged}");
     }
 }
 
@@ -74,8 +76,8 @@
             [(None, "IVYHATCH_SETTINGS"), (Some(&missing), "missing.json"), (Some(&broken), "broken.json")]
         {
             let mut process = Process::start(role, settings.map(|path| path.as_path()), folder.path());
-            assert_eq!(process.end().code(), Some(1));
-            assert!(process.logged().contains(named), "{role}: {}", process.logged());
+            assert_eq!(process.wait_for_exit().code(), Some(1));
+            assert!(process.log_output().contains(named), "{role}: {}", process.log_output());
         }
     }
 }
@@ -83,41 +85,41 @@
 #[test]
 fn unknown_and_missing_optional_fields_are_accepted() {
     let cluster = TestCluster::new();
-    let mut settings = cluster.settings(11, &CORE[..1], true);
+    let mut settings = cluster.settings(11, &CONTROL_HOSTS[..1], true);
     for field in ["role", "limits", "bounds", "tolerate", "machine_class", "serves"] {
         settings.as_object_mut().expect("an object").remove(field);
     }
     settings["tolerate"] = json!({"machines": 0});
     settings["later"] = json!({"than": ["this"]});
-    let _control = cluster.start_with("control", 11, &settings);
-    cluster.put(11, 0, &configuration(1, &[("a", json!({}))]));
+    let _control = cluster.start_role("control", 11, &settings);
+    cluster.put_configuration(11, 0, &configuration(1, &[("a", json!({}))]));
 }
 
 #[test]
 fn changed_settings_are_reloaded_and_invalid_ones_ignored() {
     let cluster = TestCluster::new();
-    let mut control = cluster.control(11, &CORE[..1], true);
+    let mut control = cluster.start_control_node(11, &CONTROL_HOSTS[..1], true);
     // Its seed is nobody; the control node is named later.
-    let mut router = cluster.router(21, &[19]);
-    cluster.put(11, 0, &configuration(1, &[("a", json!({}))]));
+    let mut router = cluster.start_router(21, &[19]);
+    cluster.put_configuration(11, 0, &configuration(1, &[("a", json!({}))]));
     wait_until("it listens", || {
-        call(cluster.at(21, system_common::READINESS), "GET", "/-/readyz", None, "").is_some()
+        call(cluster.address(21, system_common::READINESS_PORT), "GET", "/-/readyz", None, "").is_some()
     });
     std::fs::write(cluster.settings_file(21), "{").expect("written");
     router.signal("HUP");
-    wait_until("it says so", || router.logged().contains("settings_reload_failed"));
+    wait_until("it says so", || router.log_output().contains("settings_reload_failed"));
     assert!(!cluster.is_ready(21));
-    std::fs::write(cluster.settings_file(21), cluster.settings(21, &CORE[..1], false).to_string())
+    std::fs::write(cluster.settings_file(21), cluster.settings(21, &CONTROL_HOSTS[..1], false).to_string())
         .expect("written");
     router.signal("HUP");
     cluster.wait_until_ready(21);
     std::fs::write(cluster.settings_file(11), "{").expect("written");
     control.signal("HUP");
-    wait_until("it says so", || control.logged().contains("settings_reload_failed"));
-    cluster.put(11, 1, &configuration(2, &[("a", json!({}))]));
+    wait_until("it says so", || control.log_output().contains("settings_reload_failed"));
+    cluster.put_configuration(11, 1, &configuration(2, &[("a", json!({}))]));
     assert!(control.is_running() && router.is_running());
     for process in [&mut control, &mut router] {
         process.signal("TERM");
-        assert_eq!(process.end().code(), Some(0));
+        assert_eq!(process.wait_for_exit().code(), Some(0));
     }
 }
--- a/cli/tests/system_wal_recovery.rs
+++ b/cli/tests/system_wal_recovery.rs
@@ -9,41 +9,41 @@
 use googletest::prelude::*;
 use ivyhatch_wal::Wal;
 use serde_json::json;
-use system_common::{CORE, Process, TestCluster, configuration};
+use system_common::{CONTROL_HOSTS, Process, TestCluster, configuration};
 
 const NAME: &str = "control.records";
 const REPLICA: u8 = 13;
 
 /// Three control nodes with two changes, and the last of them without a process.
 fn stopped(cluster: &TestCluster) -> Vec<Process> {
-    let mut core = cluster.core();
-    cluster.put(11, 0, &configuration(5, &[("a", json!({}))]));
-    cluster.put(11, 5, &configuration(6, &[("b", json!({}))]));
+    let mut core = cluster.bootstrap_control_nodes();
+    cluster.put_configuration(11, 0, &configuration(5, &[("a", json!({}))]));
+    cluster.put_configuration(11, 5, &configuration(6, &[("b", json!({}))]));
     cluster.wait_until_revision(REPLICA, 6);
     core[2].kill();
     core
 }
 
 fn file(cluster: &TestCluster) -> PathBuf {
-    cluster.data(REPLICA).join(NAME)
+    cluster.data_dir(REPLICA).join(NAME)
 }
 
 /// Starts the replica with a file that it can't use.
 fn expect_recovery(cluster: &TestCluster, core: &mut [Process], first_start: bool, says: &str) {
     let unusable = fs::read(file(cluster)).expect("the file");
-    core[2] = cluster.control(REPLICA, &CORE, first_start);
+    core[2] = cluster.start_control_node(REPLICA, &CONTROL_HOSTS, first_start);
     cluster.wait_until_revision(REPLICA, 6);
-    let log = core[2].logged();
+    let log = core[2].log_output();
     let lines: Vec<&str> = log.lines().filter(|line| line.contains("event=records_set_aside")).collect();
     assert_that!(lines, elements_are![contains_substring(says)]);
     expect_that!(fs::read(set_aside(&file(cluster))).expect("kept"), eq(&unusable));
     // It votes again, and its new file is sound.
     core[0].kill();
-    cluster.put(12, 6, &configuration(7, &[("c", json!({}))]));
+    cluster.put_configuration(12, 6, &configuration(7, &[("c", json!({}))]));
     core[2].kill();
-    core[2] = cluster.control(REPLICA, &CORE, false);
+    core[2] = cluster.start_control_node(REPLICA, &CONTROL_HOSTS, false);
     cluster.wait_until_revision(REPLICA, 7);
-    expect_that!(core[2].logged(), not(contains_substring("records_set_aside")));
+    expect_that!(core[2].log_output(), not(contains_substring("records_set_aside")));
 }
 
 fn set_aside(file: &Path) -> PathBuf {
@@ -73,7 +73,7 @@
     let cluster = TestCluster::new();
     let mut core = stopped(&cluster);
     {
-        let (mut log, _) = Wal::open(&cluster.data(REPLICA), NAME).expect("a sound file");
+        let (mut log, _) = Wal::open(&cluster.data_dir(REPLICA), NAME).expect("a sound file");
         log.append(&[vec![0xee; 9]]).expect("written");
     }
     expect_recovery(&cluster, &mut core, false, "install the release that wrote it");
