--- a/cli/tests/system_control.rs
+++ b/cli/tests/system_control.rs
@@ -8,34 +8,34 @@
     CONTROL_HOSTS, CONTROL_PORT, FIRST_INNER_PORT, Process, TestCluster, configuration, wait_until,
 };
 
-fn first() -> Value {
+fn initial_configuration() -> Value {
     configuration(5, &[("a", json!({})), ("b", json!({"route_kind": "unsafe"}))])
 }
 
-fn sends(cluster: &TestCluster, host: u8, method: &str, base: Option<u64>, body: &str) -> (u16, Value) {
+fn send_config(cluster: &TestCluster, host: u8, method: &str, base: Option<u64>, body: &str) -> (u16, Value) {
     call(cluster.address(host, CONTROL_PORT), method, "/-/config", base, body).expect("an answer")
 }
 
 #[test]
 fn three_control_nodes_form_a_quorum_and_accept_a_configuration() {
     let cluster = TestCluster::new();
-    let _core = cluster.bootstrap_control_nodes();
-    cluster.put_configuration(12, 0, &first());
+    let _control_nodes = cluster.bootstrap_control_nodes();
+    cluster.put_configuration(12, 0, &initial_configuration());
     for host in CONTROL_HOSTS {
         cluster.wait_until_revision(host, 5);
-        assert_eq!(cluster.configuration(host), Some(first()), "given back as it was sent");
+        assert_eq!(cluster.configuration(host), Some(initial_configuration()), "given back as it was sent");
     }
     // Sent again unchanged, to any node, it is taken; another one on the same version is not.
     for host in CONTROL_HOSTS {
-        assert_eq!(sends(&cluster, host, "PUT", Some(0), &first().to_string()).0, 200);
-        let other = configuration(6, &[("c", json!({}))]);
-        assert_eq!(sends(&cluster, host, "PUT", Some(0), &other.to_string()).0, 412);
+        assert_eq!(send_config(&cluster, host, "PUT", Some(0), &initial_configuration().to_string()).0, 200);
+        let conflicting = configuration(6, &[("c", json!({}))]);
+        assert_eq!(send_config(&cluster, host, "PUT", Some(0), &conflicting.to_string()).0, 412);
     }
-    let next = configuration(9, &[("a", json!({"timeout_ms": 10}))]);
-    cluster.put_configuration(13, 5, &next);
+    let next_configuration = configuration(9, &[("a", json!({"timeout_ms": 10}))]);
+    cluster.put_configuration(13, 5, &next_configuration);
     CONTROL_HOSTS.iter().for_each(|host| cluster.wait_until_revision(*host, 9));
     assert_eq!(
-        sends(&cluster, 11, "PUT", Some(5), &first().to_string()).0,
+        send_config(&cluster, 11, "PUT", Some(5), &initial_configuration().to_string()).0,
         412,
         "what was replaced is not taken again"
     );
@@ -44,71 +44,92 @@
 #[test]
 fn patch_changes_items_under_the_same_revision_check() {
     let cluster = TestCluster::new();
-    let _core = cluster.bootstrap_control_nodes();
-    cluster.put_configuration(11, 0, &first());
+    let _control_nodes = cluster.bootstrap_control_nodes();
+    cluster.put_configuration(11, 0, &initial_configuration());
     let change =
         json!({"revision": 8, "upsert": {"routes": [route("c", &json!({}))]}, "remove": {"routes": ["a"]}})
             .to_string();
-    assert_eq!(sends(&cluster, 13, "PATCH", Some(4), &change).0, 412);
+    assert_eq!(send_config(&cluster, 13, "PATCH", Some(4), &change).0, 412);
     cluster.call_until_acknowledged(13, "PATCH", "/-/config", Some(5), &change);
     for host in CONTROL_HOSTS {
         cluster.wait_until_revision(host, 8);
         let routes = cluster.configuration(host).expect("one")["routes"].clone();
         let names: Vec<&str> =
-            routes.as_array().expect("routes").iter().filter_map(|r| r["name"].as_str()).collect();
+            routes.as_array().expect("routes").iter().filter_map(|route| route["name"].as_str()).collect();
         assert_eq!(names, ["b", "c"]);
-        assert_eq!(sends(&cluster, host, "PATCH", Some(5), &change).0, 200, "sent again unchanged");
+        assert_eq!(send_config(&cluster, host, "PATCH", Some(5), &change).0, 200, "sent again unchanged");
     }
-    let other = json!({"revision": 8, "remove": {"routes": ["b"]}}).to_string();
-    assert_eq!(sends(&cluster, 12, "PATCH", Some(5), &other).0, 412);
+    let conflicting = json!({"revision": 8, "remove": {"routes": ["b"]}}).to_string();
+    assert_eq!(send_config(&cluster, 12, "PATCH", Some(5), &conflicting).0, 412);
 }
 
 #[test]
 fn invalid_configuration_is_rejected_and_changes_nothing() {
     let cluster = TestCluster::new();
-    let _core = cluster.bootstrap_control_nodes();
-    cluster.put_configuration(11, 0, &first());
+    let _control_nodes = cluster.bootstrap_control_nodes();
+    cluster.put_configuration(11, 0, &initial_configuration());
     CONTROL_HOSTS.iter().for_each(|host| cluster.wait_until_revision(*host, 5));
-    let with = |change: &dyn Fn(&mut Value)| {
+    let changed_configuration = |change: &dyn Fn(&mut Value)| {
         let mut changed = configuration(7, &[("a", json!({})), ("b", json!({}))]);
         change(&mut changed);
         changed.to_string()
     };
-    let sound = with(&|_| {});
+    let valid = changed_configuration(&|_| {});
     let invalid = [
-        ("cut short", sound[..sound.len() - 9].to_owned()),
+        ("cut short", valid[..valid.len() - 9].to_owned()),
         ("no object", "[]".to_owned()),
         ("nothing", String::new()),
-        ("an unknown service", with(&|all| all["routes"][0]["service"] = json!("z"))),
-        ("the same place", with(&|all| all["routes"][0]["path_prefix"] = json!("/b/"))),
-        ("no weight", with(&|all| all["routes"][0]["split"] = json!([{"service": "s", "weight": 0}]))),
-        ("no time", with(&|all| all["routes"][0]["timeout_ms"] = json!(0))),
-        ("no rise", with(&|all| all["revision"] = json!(5))),
-        ("no revision", with(&|all| drop(all.as_object_mut().map(|all| all.remove("revision"))))),
+        (
+            "an unknown service",
+            changed_configuration(&|configuration| configuration["routes"][0]["service"] = json!("z")),
+        ),
+        (
+            "the same place",
+            changed_configuration(&|configuration| configuration["routes"][0]["path_prefix"] = json!("/b/")),
+        ),
+        (
+            "no weight",
+            changed_configuration(&|configuration| {
+                configuration["routes"][0]["split"] = json!([{"service": "s", "weight": 0}])
+            }),
+        ),
+        (
+            "no time",
+            changed_configuration(&|configuration| configuration["routes"][0]["timeout_ms"] = json!(0)),
+        ),
+        ("no rise", changed_configuration(&|configuration| configuration["revision"] = json!(5))),
+        (
+            "no revision",
+            changed_configuration(&|configuration| {
+                drop(configuration.as_object_mut().map(|configuration| configuration.remove("revision")))
+            }),
+        ),
     ];
-    for (host, (what, body)) in CONTROL_HOSTS.iter().cycle().zip(&invalid) {
-        let (status, answer) = sends(&cluster, *host, "PUT", Some(5), body);
-        assert_eq!(status, 400, "{what}: {answer}");
-        assert!(answer["error"].as_str().is_some_and(|text| !text.is_empty()), "{what}");
+    for (host, (case, body)) in CONTROL_HOSTS.iter().cycle().zip(&invalid) {
+        let (status, answer) = send_config(&cluster, *host, "PUT", Some(5), body);
+        assert_eq!(status, 400, "{case}: {answer}");
+        assert!(answer["error"].as_str().is_some_and(|text| !text.is_empty()), "{case}");
     }
     for body in
         [r#"{"revision":5}"#, r#"{"revision":8,"remove":7}"#, r#"{"revision":8,"remove":{"services":["s"]}}"#]
     {
-        assert_eq!(sends(&cluster, 12, "PATCH", Some(5), body).0, 400, "{body}");
+        assert_eq!(send_config(&cluster, 12, "PATCH", Some(5), body).0, 400, "{body}");
     }
-    assert_eq!(sends(&cluster, 12, "PUT", None, &sound).0, 400, "without If-Match");
-    CONTROL_HOSTS.iter().for_each(|host| assert_eq!(cluster.configuration(*host), Some(first())));
-    cluster.put_configuration(12, 5, &serde_json::from_str(&sound).expect("JSON"));
+    assert_eq!(send_config(&cluster, 12, "PUT", None, &valid).0, 400, "without If-Match");
+    CONTROL_HOSTS
+        .iter()
+        .for_each(|host| assert_eq!(cluster.configuration(*host), Some(initial_configuration())));
+    cluster.put_configuration(12, 5, &serde_json::from_str(&valid).expect("JSON"));
 }
 
 #[test]
-fn one_of_two_concurrent_writes_wins() {
+fn exactly_one_of_concurrent_writes_succeeds() {
     let cluster = TestCluster::new();
-    let _core = cluster.bootstrap_control_nodes();
-    cluster.put_configuration(11, 0, &first());
+    let _control_nodes = cluster.bootstrap_control_nodes();
+    cluster.put_configuration(11, 0, &initial_configuration());
     CONTROL_HOSTS.iter().for_each(|host| cluster.wait_until_revision(*host, 5));
     for base in [5_u64, 20, 30, 40] {
-        let next = if base == 5 { 20 } else { base + 10 };
+        let next_revision = if base == 5 { 20 } else { base + 10 };
         let answers: Vec<u16> = std::thread::scope(|scope| {
             let writers: Vec<_> = CONTROL_HOSTS
                 .iter()
@@ -116,7 +137,7 @@
                     let cluster = &cluster;
                     scope.spawn(move || {
                         let name = format!("w{host}");
-                        let body = configuration(next, &[(&name, json!({}))]).to_string();
+                        let body = configuration(next_revision, &[(&name, json!({}))]).to_string();
                         let mut status = 503;
                         wait_until("a clear answer", || {
                             status = call(
@@ -126,7 +147,7 @@
                                 Some(base),
                                 &body,
                             )
-                            .map_or(503, |a| a.0);
+                            .map_or(503, |answer| answer.0);
                             status != 503
                         });
                         status
@@ -135,13 +156,17 @@
                 .collect();
             writers.into_iter().map(|writer| writer.join().expect("an answer")).collect()
         });
-        let taken = answers.iter().filter(|status| **status == 200).count();
-        assert_eq!((taken, answers.iter().filter(|status| **status == 412).count()), (1, 2), "{answers:?}");
+        let accepted = answers.iter().filter(|status| **status == 200).count();
+        assert_eq!(
+            (accepted, answers.iter().filter(|status| **status == 412).count()),
+            (1, 2),
+            "{answers:?}"
+        );
         let winner = CONTROL_HOSTS[answers.iter().position(|status| *status == 200).expect("one")];
         for host in CONTROL_HOSTS {
-            cluster.wait_until_revision(host, next);
-            let whole = cluster.configuration(host).expect("one");
-            assert_eq!(whole["routes"][0]["name"], json!(format!("w{winner}")));
+            cluster.wait_until_revision(host, next_revision);
+            let stored = cluster.configuration(host).expect("one");
+            assert_eq!(stored["routes"][0]["name"], json!(format!("w{winner}")));
         }
     }
 }
@@ -150,13 +175,14 @@
 fn lost_control_node_catches_up_after_restart() {
     for lost in 0..3 {
         let cluster = TestCluster::new();
-        let mut core = cluster.bootstrap_control_nodes();
-        cluster.put_configuration(11, 0, &first());
-        core[lost].kill();
-        let left: Vec<u8> = CONTROL_HOSTS.into_iter().filter(|host| *host != CONTROL_HOSTS[lost]).collect();
-        cluster.put_configuration(left[0], 5, &configuration(6, &[("c", json!({}))]));
-        cluster.wait_until_revision(left[1], 6);
-        core[lost] = cluster.start_control_node(CONTROL_HOSTS[lost], &CONTROL_HOSTS, false);
+        let mut control_nodes = cluster.bootstrap_control_nodes();
+        cluster.put_configuration(11, 0, &initial_configuration());
+        control_nodes[lost].kill();
+        let remaining: Vec<u8> =
+            CONTROL_HOSTS.into_iter().filter(|host| *host != CONTROL_HOSTS[lost]).collect();
+        cluster.put_configuration(remaining[0], 5, &configuration(6, &[("c", json!({}))]));
+        cluster.wait_until_revision(remaining[1], 6);
+        control_nodes[lost] = cluster.start_control_node(CONTROL_HOSTS[lost], &CONTROL_HOSTS, false);
         cluster.wait_until_revision(CONTROL_HOSTS[lost], 6);
     }
 }
@@ -164,39 +190,40 @@
 #[test]
 fn acknowledged_configuration_survives_restart_of_all_control_nodes() {
     let cluster = TestCluster::new();
-    let mut core = cluster.bootstrap_control_nodes();
-    cluster.put_configuration(11, 0, &first());
+    let mut control_nodes = cluster.bootstrap_control_nodes();
+    cluster.put_configuration(11, 0, &initial_configuration());
     cluster.call_until_acknowledged(12, "POST", "/-/evacuations/zb", None, "");
-    for (turn, base) in [5_u64, 6, 7].into_iter().enumerate() {
-        let next = configuration(base + 1, &[("c", json!({"timeout_ms": 1000 + turn}))]);
-        cluster.put_configuration(CONTROL_HOSTS[turn], base, &next);
+    for (index, base) in [5_u64, 6, 7].into_iter().enumerate() {
+        let next_configuration = configuration(base + 1, &[("c", json!({"timeout_ms": 1000 + index}))]);
+        cluster.put_configuration(CONTROL_HOSTS[index], base, &next_configuration);
         // Right behind the acknowledgement.
-        core.iter_mut().for_each(Process::kill);
-        core = CONTROL_HOSTS.map(|host| cluster.start_control_node(host, &CONTROL_HOSTS, false)).into();
+        control_nodes.iter_mut().for_each(Process::kill);
+        control_nodes =
+            CONTROL_HOSTS.map(|host| cluster.start_control_node(host, &CONTROL_HOSTS, false)).into();
         for host in CONTROL_HOSTS {
             cluster.wait_until_revision(host, base + 1);
-            assert_eq!(cluster.configuration(host).as_ref(), Some(&next));
+            assert_eq!(cluster.configuration(host).as_ref(), Some(&next_configuration));
         }
     }
 }
 
 #[test]
-fn control_node_without_its_disk_recovers_from_the_others() {
+fn control_node_that_lost_its_disk_recovers_from_the_others() {
     let cluster = TestCluster::new();
-    let mut core = cluster.bootstrap_control_nodes();
-    cluster.put_configuration(11, 0, &first());
-    core[2].kill();
+    let mut control_nodes = cluster.bootstrap_control_nodes();
+    cluster.put_configuration(11, 0, &initial_configuration());
+    control_nodes[2].kill();
     std::fs::remove_dir_all(cluster.data_dir(13)).expect("its disk is lost");
-    core[2] = cluster.start_control_node(13, &CONTROL_HOSTS, false);
+    control_nodes[2] = cluster.start_control_node(13, &CONTROL_HOSTS, false);
     cluster.wait_until_revision(13, 5);
     cluster.put_configuration(13, 5, &configuration(6, &[("c", json!({}))]));
     // Again right behind an acknowledgement, and then the two that remember are not both there.
-    core[2].kill();
+    control_nodes[2].kill();
     std::fs::remove_dir_all(cluster.data_dir(13)).expect("its disk is lost");
-    core[2] = cluster.start_control_node(13, &CONTROL_HOSTS, false);
+    control_nodes[2] = cluster.start_control_node(13, &CONTROL_HOSTS, false);
     cluster.wait_until_revision(13, 6);
     cluster.put_configuration(13, 6, &configuration(7, &[("d", json!({}))]));
-    core[0].kill();
+    control_nodes[0].kill();
     cluster.wait_until_revision(12, 7);
     cluster.wait_until_revision(13, 7);
     cluster.put_configuration(12, 7, &configuration(8, &[("e", json!({}))]));
@@ -205,27 +232,30 @@
 #[test]
 fn control_node_without_quorum_acknowledges_nothing() {
     let cluster = TestCluster::new();
-    let mut core = cluster.bootstrap_control_nodes();
-    cluster.put_configuration(11, 0, &first());
-    core[1].kill();
-    core[2].kill();
-    let next = configuration(6, &[("c", json!({}))]).to_string();
+    let mut control_nodes = cluster.bootstrap_control_nodes();
+    cluster.put_configuration(11, 0, &initial_configuration());
+    control_nodes[1].kill();
+    control_nodes[2].kill();
+    let next_configuration = configuration(6, &[("c", json!({}))]).to_string();
     for _ in 0..2 {
-        let answer = call(cluster.address(11, CONTROL_PORT), "PUT", "/-/config", Some(5), &next);
+        let answer =
+            call(cluster.address(11, CONTROL_PORT), "PUT", "/-/config", Some(5), &next_configuration);
         assert!(answer.as_ref().is_none_or(|(status, _)| *status == 503), "{answer:?}");
     }
-    core[1] = cluster.start_control_node(12, &CONTROL_HOSTS, false);
-    cluster.put_configuration(11, 5, &serde_json::from_str(&next).expect("JSON"));
+    control_nodes[1] = cluster.start_control_node(12, &CONTROL_HOSTS, false);
+    cluster.put_configuration(11, 5, &serde_json::from_str(&next_configuration).expect("JSON"));
 }
 
 #[test]
-fn garbage_on_any_port_does_no_harm() {
+fn control_node_survives_garbage_on_every_port() {
     let cluster = TestCluster::new();
-    let mut core = cluster.bootstrap_control_nodes();
-    cluster.put_configuration(11, 0, &first());
-    let frame =
-        |length: u32, sum: u32| [&b"vi\x01\x00"[..], &length.to_le_bytes(), &sum.to_le_bytes()].concat();
-    let noise: Vec<u8> = (0..70_000_u32).map(|at| (at.wrapping_mul(2_654_435_761) >> 13) as u8).collect();
+    let mut control_nodes = cluster.bootstrap_control_nodes();
+    cluster.put_configuration(11, 0, &initial_configuration());
+    let frame = |length: u32, checksum: u32| {
+        [&b"vi\x01\x00"[..], &length.to_le_bytes(), &checksum.to_le_bytes()].concat()
+    };
+    let noise: Vec<u8> =
+        (0..70_000_u32).map(|index| (index.wrapping_mul(2_654_435_761) >> 13) as u8).collect();
     let garbage: Vec<Vec<u8>> = vec![
         noise.clone(),
         b"GET / HTTP/1.1\r\nHost: h\r\n\r\n".to_vec(),
@@ -239,28 +269,28 @@
         b"PUT /-/config HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n".to_vec(),
         vec![0; 100_000],
     ];
-    let mut held = Vec::new();
+    let mut connections = Vec::new();
     for port in [FIRST_INNER_PORT, FIRST_INNER_PORT + 1, CONTROL_PORT, system_common::DIRECTORY_PORT] {
         for bytes in &garbage {
             let mut client = system_common::calls::Client::connect(cluster.address(11, port));
             // It may be closed while it is being written.
             let _ = client.try_write(bytes);
-            held.push(client);
+            connections.push(client);
         }
     }
     cluster.put_configuration(12, 5, &configuration(6, &[("c", json!({}))]));
     cluster.wait_until_revision(11, 6);
-    drop(held);
+    drop(connections);
     cluster.put_configuration(11, 6, &configuration(7, &[("d", json!({}))]));
-    assert!(core.iter_mut().all(Process::is_running));
+    assert!(control_nodes.iter_mut().all(Process::is_running));
 }
 
 #[test]
 fn unknown_calls_are_rejected() {
     let cluster = TestCluster::new();
     let _control = cluster.start_control_node(11, &CONTROL_HOSTS[..1], true);
-    let at = cluster.address(11, CONTROL_PORT);
-    wait_until("it listens", || call(at, "GET", "/x", None, "").is_some());
+    let control = cluster.address(11, CONTROL_PORT);
+    wait_until("it listens", || call(control, "GET", "/x", None, "").is_some());
     for (method, path) in [
         ("GET", "/"),
         ("POST", "/-/config"),
@@ -268,10 +298,10 @@
         ("POST", "/-/evacuations/nowhere"),
         ("PUT", "/-/evacuations/za"),
     ] {
-        let (status, _) = call(at, method, path, Some(0), "").expect("an answer");
+        let (status, _) = call(control, method, path, Some(0), "").expect("an answer");
         assert!((400..500).contains(&status), "{method} {path}: {status}");
     }
-    let (status, _) = call(at, "GET", "/-/config", None, "").expect("an answer");
+    let (status, _) = call(control, "GET", "/-/config", None, "").expect("an answer");
     assert_eq!(status, 503, "there is none yet");
 }
 
@@ -281,7 +311,7 @@
     cluster.platform.set_rate_limited(true);
     let _control = cluster.start_control_node(11, &CONTROL_HOSTS[..1], true);
     let _router = cluster.start_router(21, &CONTROL_HOSTS[..1]);
-    cluster.put_configuration(11, 0, &first());
+    cluster.put_configuration(11, 0, &initial_configuration());
     let calls = cluster.platform.request_count();
     wait_until("it asks again", || cluster.platform.request_count() > calls + 1);
     assert!(!cluster.is_ready(21), "no list is known");
@@ -292,13 +322,13 @@
 #[test]
 fn directory_lists_ready_routers_nearest_first() {
     let cluster = TestCluster::new();
-    let _core = cluster.bootstrap_control_nodes();
+    let _control_nodes = cluster.bootstrap_control_nodes();
     let mut routers = [cluster.start_router(21, &CONTROL_HOSTS), cluster.start_router(22, &CONTROL_HOSTS)];
     wait_until("it listens", || {
         call(cluster.address(11, system_common::DIRECTORY_PORT), "GET", "/x", None, "").is_some()
     });
     assert_eq!(cluster.resolve_routers(11, "ra"), None, "none is ready");
-    cluster.put_configuration(11, 0, &first());
+    cluster.put_configuration(11, 0, &initial_configuration());
     let front = |host| json!([cluster.address(host, system_common::FRONT_PORT).to_string()]);
     for host in CONTROL_HOSTS {
         for (region, router) in [("ra", 21), ("rb", 22)] {
--- a/cli/tests/system_exchange_faults.rs
+++ b/cli/tests/system_exchange_faults.rs
@@ -27,21 +27,21 @@
 const SILENT_SERVERS: usize = 72;
 const CLIENTS: usize = 24;
 /// What clients wait for an answer that comes, and for one that does not.
-const LONG_MS: u64 = 6000;
-const SHORT_MS: u64 = 400;
+const DEADLINE_MS: u64 = 6000;
+const SILENCE_DEADLINE_MS: u64 = 400;
 /// Requests that come in one go.
-const PIPELINED: usize = 3;
+const PIPELINED_REQUESTS: usize = 3;
 /// Stands for the status where the client left, or its connection ended, before an answer.
-const NO_ANSWER: u16 = 0;
+const NO_RESPONSE: u16 = 0;
 /// Statuses by which clients know that a request was not executed and never will be.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
+const NOT_EXECUTED_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-const AT_REQUEST: [(MessageKind, Fault); 3] = [
+const REQUEST_FAULTS: [(MessageKind, Fault); 3] = [
     (MessageKind::Request, Fault::Close),
     (MessageKind::Request, Fault::Reset),
     (MessageKind::Request, Fault::Delay),
 ];
-const AT_ANSWER: [(MessageKind, Fault); 6] = [
+const RESPONSE_FAULTS: [(MessageKind, Fault); 6] = [
     (MessageKind::Response, Fault::Close),
     (MessageKind::Response, Fault::Reset),
     (MessageKind::Response, Fault::Delay),
@@ -49,30 +49,30 @@
     (MessageKind::Response, Fault::LateDuplicate),
     (MessageKind::Response, Fault::Restart),
 ];
-const MUTE: [(MessageKind, Fault); 2] =
+const SILENCE_FAULTS: [(MessageKind, Fault); 2] =
     [(MessageKind::Request, Fault::Stall), (MessageKind::Response, Fault::Stall)];
 
 /// What a client got.
 #[derive(Clone, Debug)]
-struct Got {
+struct Outcome {
     status: u16,
     stamps: Vec<String>,
     body: std::result::Result<Vec<u8>, TruncatedBody>,
 }
 
-impl Got {
-    fn none() -> Self {
-        Self { status: NO_ANSWER, stamps: Vec::new(), body: Err(TruncatedBody(Vec::new())) }
+impl Outcome {
+    fn no_response() -> Self {
+        Self { status: NO_RESPONSE, stamps: Vec::new(), body: Err(TruncatedBody(Vec::new())) }
     }
 }
 
 /// A system whose servers go wrong.
-struct Trial {
+struct Fixture {
     cluster: TestCluster,
     servers: FaultyServers,
     route: &'static str,
-    next: AtomicUsize,
-    got: Mutex<HashMap<String, Got>>,
+    next_id: AtomicUsize,
+    outcomes: Mutex<HashMap<String, Outcome>>,
     _served: RunningSystem,
 }
 
@@ -81,12 +81,12 @@
     ScriptedResponse { bytes: [head.as_bytes(), body.as_bytes()].concat(), is_rejection: status == 503 }
 }
 
-fn with_length(id: &str) -> ScriptedResponse {
+fn response_with_length(id: &str) -> ScriptedResponse {
     let headers = format!("Ivyhatch-Server-Stamp: {id}\r\nContent-Length: {}\r\n", id.len());
     reply(200, id, &headers, id)
 }
 
-fn in_chunks(id: &str) -> ScriptedResponse {
+fn chunked_response(id: &str) -> ScriptedResponse {
     let headers = format!("Ivyhatch-Server-Stamp: {id}\r\nTransfer-Encoding: chunked\r\n");
     let (first, second) = id.split_at(3);
     reply(200, id, &headers, &format!("3\r\n{first}\r\n5\r\n{second}\r\n0\r\n\r\n"))
@@ -97,7 +97,7 @@
     [1, 2].map(|number| format!("id: {number}\ndata: {id}\n\n"))
 }
 
-fn stream(id: &str) -> ScriptedResponse {
+fn stream_response(id: &str) -> ScriptedResponse {
     let headers = format!(
         "Ivyhatch-Server-Stamp: {id}\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n"
     );
@@ -116,13 +116,13 @@
             "is full!",
         );
     }
-    with_length(id)
+    response_with_length(id)
 }
 
-impl Trial {
-    fn new(route: &'static str, answers: ResponseFn, servers_count: usize) -> Self {
+impl Fixture {
+    fn new(route: &'static str, respond: ResponseFn, servers_count: usize) -> Self {
         let cluster = TestCluster::new();
-        let servers = FaultyServers::new(answers);
+        let servers = FaultyServers::new(respond);
         cluster.platform.set_instances(servers.start(cluster.ip(31), servers_count));
         let routes = [
             ("unsafe", json!({"route_kind": "unsafe"})),
@@ -135,15 +135,22 @@
         cluster.put_configuration(CONTROL_HOSTS[0], 0, &configuration);
         cluster.wait_until_ready(ROUTER_HOST);
         let served = RunningSystem { control, router };
-        Self { cluster, servers, route, next: AtomicUsize::new(0), got: Mutex::default(), _served: served }
+        Self {
+            cluster,
+            servers,
+            route,
+            next_id: AtomicUsize::new(0),
+            outcomes: Mutex::default(),
+            _served: served,
+        }
     }
 
     /// A request with a new id; all those of one wait are of one length.
-    fn request(&self, wait_ms: u64) -> (String, String) {
-        let id = format!("c{:07}", self.next.fetch_add(1, Ordering::SeqCst));
+    fn request(&self, deadline_ms: u64) -> (String, String) {
+        let id = format!("c{:07}", self.next_id.fetch_add(1, Ordering::SeqCst));
         let text = format!(
             "POST /{}/{id} HTTP/1.1\r\nHost: h.example\r\nIvyhatch-Attempt-Id: {id}\r\n\
-             Ivyhatch-Deadline-Ms: {wait_ms}\r\nContent-Length: 8\r\n\r\n{id}",
+             Ivyhatch-Deadline-Ms: {deadline_ms}\r\nContent-Length: 8\r\n\r\n{id}",
             self.route
         );
         (id, text)
@@ -153,267 +160,306 @@
         Client::connect(self.cluster.address(ROUTER_HOST, FRONT_PORT))
     }
 
-    fn record(&self, id: String, got: Got) {
-        self.got.lock().unwrap().insert(id, got);
+    fn record(&self, id: String, outcome: Outcome) {
+        self.outcomes.lock().unwrap().insert(id, outcome);
     }
 
     /// Reads the answer to a request. Whether another may follow on the connection.
-    fn take(&self, id: String, client: &mut Client) -> bool {
+    fn read_response(&self, id: String, client: &mut Client) -> bool {
         let Some(head) = client.try_read_head() else {
-            self.record(id, Got::none());
+            self.record(id, Outcome::no_response());
             return false;
         };
         let body = client.read_body(&head);
-        let stays = body.is_ok() && head.header("connection") != Some("close");
-        let named =
+        let is_reusable = body.is_ok() && head.header("connection") != Some("close");
+        let stamp_headers =
             head.headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case("ivyhatch-server-stamp"));
-        let stamps = named.map(|(_, value)| value.clone()).collect();
-        self.record(id, Got { status: head.status, stamps, body });
-        stays
+        let stamps = stamp_headers.map(|(_, value)| value.clone()).collect();
+        self.record(id, Outcome { status: head.status, stamps, body });
+        is_reusable
     }
 
     /// Asks once.
-    fn ask(&self, client: &mut Option<Client>, wait_ms: u64) {
-        let (id, text) = self.request(wait_ms);
-        let mut own = client.take().unwrap_or_else(|| self.connect());
-        own.write(text.as_bytes());
-        *client = self.take(id, &mut own).then_some(own);
+    fn send_request(&self, client: &mut Option<Client>, deadline_ms: u64) {
+        let (id, text) = self.request(deadline_ms);
+        let mut connection = client.take().unwrap_or_else(|| self.connect());
+        connection.write(text.as_bytes());
+        *client = self.read_response(id, &mut connection).then_some(connection);
     }
 
     /// Records an exchange that nothing disturbs.
-    fn record_exchange(&self, wait_ms: u64) -> ExchangeLengths {
+    fn record_exchange(&self, deadline_ms: u64) -> ExchangeLengths {
         wait_until("an exchange is recorded", || {
-            self.ask(&mut None, wait_ms);
+            self.send_request(&mut None, deadline_ms);
             self.servers.last_exchange().is_some()
         });
         self.servers.last_exchange().expect("an exchange was recorded")
     }
 
     /// Has every byte of an exchange go wrong in each of these ways, on fresh and on kept connections.
-    fn play(&self, faults: &[(MessageKind, Fault)], wait_ms: u64) -> usize {
-        self.record_exchange(wait_ms);
-        let plans = self.servers.plan_faults(faults);
+    fn inject_faults(&self, faults: &[(MessageKind, Fault)], deadline_ms: u64) -> usize {
+        self.record_exchange(deadline_ms);
+        let fault_count = self.servers.plan_faults(faults);
         let end = Instant::now() + 3 * WAIT_TIMEOUT;
-        side_by_side(|| {
+        run_concurrently(|| {
             let mut client = None;
             while self.servers.request_log().remaining_faults() > 0 {
                 assert_that!(Instant::now(), lt(end), "plans are left");
-                self.ask(&mut client, wait_ms);
+                self.send_request(&mut client, deadline_ms);
             }
         });
-        plans
+        fault_count
     }
 
     /// What holds of every request, whatever went wrong.
     fn verify(&self) {
-        let answer_length = self.servers.last_exchange().map_or(0, |recorded| recorded.response);
-        let (request_log, got) = (self.servers.request_log(), self.got.lock().unwrap());
-        let none = RequestRecord::default();
-        for (id, answer) in got.iter() {
-            let seen = request_log.requests.get(id).unwrap_or(&none);
-            let context = format!("{id}: {answer:?}, {seen:?}");
-            assert_that!(seen.executions, le(1), "ran twice: {context}");
+        let response_length = self.servers.last_exchange().map_or(0, |lengths| lengths.response);
+        let (request_log, outcomes) = (self.servers.request_log(), self.outcomes.lock().unwrap());
+        let not_received = RequestRecord::default();
+        for (id, outcome) in outcomes.iter() {
+            let request_record = request_log.requests.get(id).unwrap_or(&not_received);
+            let context = format!("{id}: {outcome:?}, {request_record:?}");
+            assert_that!(request_record.executions, le(1), "ran twice: {context}");
             // Only a rejection may be followed by another attempt.
-            assert_that!(seen.arrivals, le(seen.rejections + 1), "was sent twice: {context}");
-            match answer.status {
-                200 => self.verify_success(id, answer, seen),
-                status if PROMISES.contains(&status) => {
+            assert_that!(
+                request_record.arrivals,
+                le(request_record.rejections + 1),
+                "was sent twice: {context}"
+            );
+            match outcome.status {
+                200 => self.verify_success(id, outcome, request_record),
+                status if NOT_EXECUTED_STATUSES.contains(&status) => {
                     assert_that!(
-                        (seen.executions, seen.arrivals),
-                        eq((0, seen.rejections)),
+                        (request_record.executions, request_record.arrivals),
+                        eq((0, request_record.rejections)),
                         "promised wrongly: {context}"
                     );
                 }
-                status => assert_that!(status, any!(eq(502), eq(504), eq(NO_ANSWER)), "{context}"),
+                status => assert_that!(status, any!(eq(502), eq(504), eq(NO_RESPONSE)), "{context}"),
             }
-            let answered = seen.faults.iter().filter(|_| answer.status != NO_ANSWER);
-            for plan in answered {
-                let at_end = plan.message == MessageKind::Response && plan.offset == answer_length;
-                verify_plan(*plan, at_end, answer, seen, &context);
+            let answered = request_record.faults.iter().filter(|_| outcome.status != NO_RESPONSE);
+            for planned in answered {
+                let after_last_byte =
+                    planned.message == MessageKind::Response && planned.offset == response_length;
+                verify_planned_fault(*planned, after_last_byte, outcome, request_record, &context);
             }
         }
-        let answered = got.values().filter(|answer| !PROMISES.contains(&answer.status)).count();
+        let answered =
+            outcomes.values().filter(|outcome| !NOT_EXECUTED_STATUSES.contains(&outcome.status)).count();
         // Also those of which too little arrived to know them by.
         assert_that!(request_log.started_requests, le(answered + request_log.rejections));
         assert_that!(request_log.requests_after_surplus, is_empty(), "used behind surplus bytes");
     }
 
-    fn verify_success(&self, id: &str, answer: &Got, seen: &RequestRecord) {
-        let whole = if self.route == "stream" { events(id).concat() } else { id.to_owned() };
-        assert_that!(seen.executions, eq(1), "{id}: {answer:?}, {seen:?}");
-        assert_that!(answer.stamps, elements_are![eq(id)], "{id}: {seen:?}");
-        match &answer.body {
-            Ok(body) => assert_that!(*body, eq(whole.as_bytes()), "{id}: {seen:?}"),
+    fn verify_success(&self, id: &str, outcome: &Outcome, request_record: &RequestRecord) {
+        let expected_body = if self.route == "stream" { events(id).concat() } else { id.to_owned() };
+        assert_that!(request_record.executions, eq(1), "{id}: {outcome:?}, {request_record:?}");
+        assert_that!(outcome.stamps, elements_are![eq(id)], "{id}: {request_record:?}");
+        match &outcome.body {
+            Ok(body) => assert_that!(*body, eq(expected_body.as_bytes()), "{id}: {request_record:?}"),
             Err(TruncatedBody(part)) => {
-                assert!(self.route == "stream" && whole.as_bytes().starts_with(part), "{id}: {answer:?}");
+                assert!(
+                    self.route == "stream" && expected_body.as_bytes().starts_with(part),
+                    "{id}: {outcome:?}"
+                );
             }
         }
     }
 
     /// How many requests came to each status.
-    fn counts(&self) -> BTreeMap<u16, usize> {
+    fn count_by_status(&self) -> BTreeMap<u16, usize> {
         let mut counts = BTreeMap::new();
-        for answer in self.got.lock().unwrap().values() {
-            *counts.entry(answer.status).or_default() += 1;
+        for outcome in self.outcomes.lock().unwrap().values() {
+            *counts.entry(outcome.status).or_default() += 1;
         }
         counts
     }
 }
 
 /// What an exchange that went wrong in this way has to come to.
-fn verify_plan(plan: PlannedFault, at_end: bool, answer: &Got, seen: &RequestRecord, context: &str) {
-    let whole = answer.status == 200 && answer.body.is_ok();
-    match plan.fault {
+fn verify_planned_fault(
+    planned: PlannedFault,
+    after_last_byte: bool,
+    outcome: &Outcome,
+    request_record: &RequestRecord,
+    context: &str,
+) {
+    let is_complete = outcome.status == 200 && outcome.body.is_ok();
+    match planned.fault {
         // The reset may overtake the last bytes.
-        Fault::Reset if at_end => {}
-        Fault::Close | Fault::Reset | Fault::Stall if !at_end => assert!(!whole, "{plan:?} {context}"),
+        Fault::Reset if after_last_byte => {}
+        Fault::Close | Fault::Reset | Fault::Stall if !after_last_byte => {
+            assert!(!is_complete, "{planned:?} {context}")
+        }
         // Behind a part of the status line the rest may still be a whole answer, which is looked at as any other.
-        Fault::Restart if plan.offset > 0 => {}
-        _ if seen.rejections > 0 || seen.executions == 0 || seen.after_duplicate => {}
-        _ => assert!(whole, "{plan:?} {context}"),
+        Fault::Restart if planned.offset > 0 => {}
+        _ if request_record.rejections > 0
+            || request_record.executions == 0
+            || request_record.after_duplicate => {}
+        _ => assert!(is_complete, "{planned:?} {context}"),
     }
 }
 
 /// BackendReply this in as many threads as there are clients.
-fn side_by_side(script: impl Fn() + Sync) {
+fn run_concurrently(script: impl Fn() + Sync) {
     thread::scope(|scope| {
         (0..CLIENTS).for_each(|_| drop(scope.spawn(&script)));
     });
 }
 
 /// The whole of a trial; returns how it went.
-fn trial(route: &'static str, answers: ResponseFn, faults: &[(MessageKind, Fault)], wait_ms: u64) {
+fn run_faults(route: &'static str, respond: ResponseFn, faults: &[(MessageKind, Fault)], deadline_ms: u64) {
     // Silent servers are avoided for a while, so there have to be more.
-    let silent = faults.iter().any(|(_, fault)| *fault == Fault::Stall);
-    let trial = Trial::new(route, answers, if silent { SILENT_SERVERS } else { SERVERS });
-    let began = Instant::now();
-    let plans = trial.play(faults, wait_ms);
-    println!("{plans} faults in {:?}; answers by status: {:?}", began.elapsed(), trial.counts());
-    trial.verify();
+    let has_unresponsive_servers = faults.iter().any(|(_, fault)| *fault == Fault::Stall);
+    let fixture =
+        Fixture::new(route, respond, if has_unresponsive_servers { SILENT_SERVERS } else { SERVERS });
+    let started = Instant::now();
+    let fault_count = fixture.inject_faults(faults, deadline_ms);
+    println!(
+        "{fault_count} faults in {:?}; answers by status: {:?}",
+        started.elapsed(),
+        fixture.count_by_status()
+    );
+    fixture.verify();
 }
 
 #[test]
-fn response_of_known_length_reaches_its_own_client_once() {
-    trial("unsafe", with_length, &[&AT_REQUEST[..], &AT_ANSWER[..]].concat(), LONG_MS);
+fn response_with_content_length_reaches_its_own_client_once() {
+    run_faults(
+        "unsafe",
+        response_with_length,
+        &[&REQUEST_FAULTS[..], &RESPONSE_FAULTS[..]].concat(),
+        DEADLINE_MS,
+    );
 }
 
 #[test]
 fn chunked_response_reaches_its_own_client_once() {
-    trial("unsafe", in_chunks, &AT_ANSWER, LONG_MS);
+    run_faults("unsafe", chunked_response, &RESPONSE_FAULTS, DEADLINE_MS);
 }
 
 #[test]
 fn non_resumable_stream_reaches_its_own_client_once() {
-    trial("stream", stream, &AT_ANSWER, LONG_MS);
+    run_faults("stream", stream_response, &RESPONSE_FAULTS, DEADLINE_MS);
 }
 
 #[test]
 fn rejection_is_forwarded_only_where_nothing_was_executed() {
-    trial("unsafe", rejection_or_response, &AT_ANSWER, LONG_MS);
+    run_faults("unsafe", rejection_or_response, &RESPONSE_FAULTS, DEADLINE_MS);
 }
 
 #[test]
-fn silent_server_is_never_reported_as_not_executed() {
-    trial("unsafe", with_length, &MUTE, SHORT_MS);
+fn request_to_an_unresponsive_server_is_never_reported_as_not_executed() {
+    run_faults("unsafe", response_with_length, &SILENCE_FAULTS, SILENCE_DEADLINE_MS);
 }
 
 #[test]
-fn silent_stream_never_looks_complete() {
-    trial("stream", stream, &MUTE[1..], SHORT_MS);
+fn stalled_stream_is_never_forwarded_as_complete() {
+    run_faults("stream", stream_response, &SILENCE_FAULTS[1..], SILENCE_DEADLINE_MS);
 }
 
 /// Of requests that come in one go, each is answered in its turn with its own answer, wherever the network cuts them up.
 #[test]
 fn pipelined_requests_are_answered_in_order() {
-    let trial = Trial::new("unsafe", with_length, SERVERS);
-    let length = trial.record_exchange(LONG_MS).request;
-    trial.servers.plan_faults(&AT_ANSWER);
-    let (next, whole) = (AtomicUsize::new(0), PIPELINED * length);
-    side_by_side(|| {
-        while trial.servers.request_log().remaining_faults() > 0 || next.load(Ordering::SeqCst) <= whole {
-            let requests = [(); PIPELINED].map(|()| trial.request(LONG_MS));
+    let fixture = Fixture::new("unsafe", response_with_length, SERVERS);
+    let request_length = fixture.record_exchange(DEADLINE_MS).request;
+    fixture.servers.plan_faults(&RESPONSE_FAULTS);
+    let (next_split, total_length) = (AtomicUsize::new(0), PIPELINED_REQUESTS * request_length);
+    run_concurrently(|| {
+        while fixture.servers.request_log().remaining_faults() > 0
+            || next_split.load(Ordering::SeqCst) <= total_length
+        {
+            let requests = [(); PIPELINED_REQUESTS].map(|()| fixture.request(DEADLINE_MS));
             let text = requests.each_ref().map(|(_, text)| text.as_str()).concat();
-            let at = next.fetch_add(1, Ordering::SeqCst) % text.len();
-            let mut client = trial.connect();
-            client.write(&text.as_bytes()[..at]);
+            let split = next_split.fetch_add(1, Ordering::SeqCst) % text.len();
+            let mut client = fixture.connect();
+            client.write(&text.as_bytes()[..split]);
             thread::sleep(Duration::from_millis(1));
-            client.write(&text.as_bytes()[at..]);
-            let mut more = true;
+            client.write(&text.as_bytes()[split..]);
+            let mut is_reusable = true;
             for (id, _) in requests {
-                assert_that!(more, eq(true), "the connection ended before {id}");
-                more = trial.take(id, &mut client);
+                assert_that!(is_reusable, eq(true), "the connection ended before {id}");
+                is_reusable = fixture.read_response(id, &mut client);
             }
         }
     });
-    println!("{} pipelines; answers by status: {:?}", next.load(Ordering::SeqCst), trial.counts());
-    trial.verify();
+    println!(
+        "{} pipelines; answers by status: {:?}",
+        next_split.load(Ordering::SeqCst),
+        fixture.count_by_status()
+    );
+    fixture.verify();
 }
 
 /// How a client leaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Leaves {
-    Closing,
-    Resetting,
+enum Disconnect {
+    Close,
+    Reset,
     /// It says that it writes no more, and waits.
-    Halfway,
+    HalfClose,
 }
 
 /// Requests whose clients leave at any byte; a request before them on the connection is answered.
 #[test]
 fn incomplete_request_reaches_no_server() {
-    let trial = Trial::new("unsafe", with_length, SERVERS);
-    trial.record_exchange(LONG_MS);
-    let length = trial.request(LONG_MS).1.len();
-    trial.servers.plan_faults(&[(MessageKind::Response, Fault::Delay)]);
-    let next = AtomicUsize::new(0);
-    let ways = [Leaves::Closing, Leaves::Resetting, Leaves::Halfway];
-    let whole = Mutex::new(Vec::new());
-    side_by_side(|| {
+    let fixture = Fixture::new("unsafe", response_with_length, SERVERS);
+    fixture.record_exchange(DEADLINE_MS);
+    let request_length = fixture.request(DEADLINE_MS).1.len();
+    fixture.servers.plan_faults(&[(MessageKind::Response, Fault::Delay)]);
+    let next_case = AtomicUsize::new(0);
+    let disconnects = [Disconnect::Close, Disconnect::Reset, Disconnect::HalfClose];
+    let complete = Mutex::new(Vec::new());
+    run_concurrently(|| {
         loop {
-            let number = next.fetch_add(1, Ordering::SeqCst);
+            let number = next_case.fetch_add(1, Ordering::SeqCst);
             // Behind another request in the same go, or not.
-            let (behind, rest) = (number % 2 == 1, number / 2);
-            let (way, at) = (ways[rest % ways.len()], rest / ways.len());
-            if at > length {
+            let (is_pipelined, case) = (number % 2 == 1, number / 2);
+            let (disconnect, sent_bytes) = (disconnects[case % disconnects.len()], case / disconnects.len());
+            if sent_bytes > request_length {
                 return;
             }
-            let (first, (id, text)) = (trial.request(LONG_MS), trial.request(LONG_MS));
-            let mut client = trial.connect();
-            let before = if behind { first.1.as_str() } else { "" };
-            client.write(&[before.as_bytes(), &text.as_bytes()[..at]].concat());
-            if behind {
-                trial.take(first.0, &mut client);
+            let (first, (id, text)) = (fixture.request(DEADLINE_MS), fixture.request(DEADLINE_MS));
+            let mut client = fixture.connect();
+            let preceding = if is_pipelined { first.1.as_str() } else { "" };
+            client.write(&[preceding.as_bytes(), &text.as_bytes()[..sent_bytes]].concat());
+            if is_pipelined {
+                fixture.read_response(first.0, &mut client);
             }
-            if at == length {
-                whole.lock().unwrap().push(id.clone());
+            if sent_bytes == request_length {
+                complete.lock().unwrap().push(id.clone());
             }
-            match way {
-                Leaves::Closing => trial.record(id, Got::none()),
-                Leaves::Resetting => {
+            match disconnect {
+                Disconnect::Close => fixture.record(id, Outcome::no_response()),
+                Disconnect::Reset => {
                     client.reset();
-                    trial.record(id, Got::none());
+                    fixture.record(id, Outcome::no_response());
                 }
-                Leaves::Halfway => {
+                Disconnect::HalfClose => {
                     client.half_close();
                     // It may get the answer that its request was incomplete.
-                    trial.take(id, &mut client);
+                    fixture.read_response(id, &mut client);
                 }
             }
             // The next one has its own answer, also where the router uses a connection again.
-            trial.ask(&mut None, LONG_MS);
+            fixture.send_request(&mut None, DEADLINE_MS);
         }
     });
-    println!("requests cut off at {} bytes each; answers by status: {:?}", length + 1, trial.counts());
-    trial.verify();
-    let (request_log, whole) = (trial.servers.request_log(), whole.lock().unwrap());
-    let got = trial.got.lock().unwrap();
-    for (id, answer) in got.iter() {
-        assert_that!(answer.status, any!(eq(200), eq(408), eq(NO_ANSWER)), "{id}: {answer:?}");
-        if answer.status != 200 && !whole.contains(id) {
+    println!(
+        "requests cut off at {} bytes each; answers by status: {:?}",
+        request_length + 1,
+        fixture.count_by_status()
+    );
+    fixture.verify();
+    let (request_log, complete) = (fixture.servers.request_log(), complete.lock().unwrap());
+    let outcomes = fixture.outcomes.lock().unwrap();
+    for (id, outcome) in outcomes.iter() {
+        assert_that!(outcome.status, any!(eq(200), eq(408), eq(NO_RESPONSE)), "{id}: {outcome:?}");
+        if outcome.status != 200 && !complete.contains(id) {
             assert_that!(
                 request_log.requests.contains_key(id),
                 eq(false),
-                "{id}: {answer:?} reached a server"
+                "{id}: {outcome:?} reached a server"
             );
         }
     }
@@ -421,34 +467,34 @@
 
 /// Clients that leave at any byte of their answer.
 #[test]
-fn client_that_abandons_its_response_disturbs_no_other() {
-    let trial = Trial::new("stream", stream, SERVERS);
-    trial.record_exchange(LONG_MS);
-    let length = trial.servers.last_exchange().map_or(0, |recorded| recorded.response);
-    trial
+fn client_that_abandons_its_response_does_not_affect_others() {
+    let fixture = Fixture::new("stream", stream_response, SERVERS);
+    fixture.record_exchange(DEADLINE_MS);
+    let response_length = fixture.servers.last_exchange().map_or(0, |lengths| lengths.response);
+    fixture
         .servers
         .plan_faults(&[(MessageKind::Response, Fault::Delay), (MessageKind::Response, Fault::LateDuplicate)]);
-    let next = AtomicUsize::new(0);
-    side_by_side(|| {
+    let next_case = AtomicUsize::new(0);
+    run_concurrently(|| {
         loop {
-            let at = next.fetch_add(1, Ordering::SeqCst);
-            if at > length {
+            let read_bytes = next_case.fetch_add(1, Ordering::SeqCst);
+            if read_bytes > response_length {
                 return;
             }
-            let (id, text) = trial.request(LONG_MS);
-            let mut client = trial.connect();
+            let (id, text) = fixture.request(DEADLINE_MS);
+            let mut client = fixture.connect();
             // An answer that is shorter than that ends with its connection.
             client.write(text.replacen("\r\n", "\r\nConnection: close\r\n", 1).as_bytes());
-            client.skip_bytes(at);
-            if at.is_multiple_of(2) {
+            client.skip_bytes(read_bytes);
+            if read_bytes.is_multiple_of(2) {
                 client.reset()
             } else {
                 drop(client)
             }
-            trial.record(id, Got::none());
-            trial.ask(&mut None, LONG_MS);
+            fixture.record(id, Outcome::no_response());
+            fixture.send_request(&mut None, DEADLINE_MS);
         }
     });
-    println!("answers by status: {:?}", trial.counts());
-    trial.verify();
+    println!("answers by status: {:?}", fixture.count_by_status());
+    fixture.verify();
 }
--- a/cli/tests/system_rejections.rs
+++ b/cli/tests/system_rejections.rs
@@ -14,13 +14,13 @@
 use system_common::{FRONT_PORT, ROUTER_HOST, RetryBudget, TestCluster, configuration};
 
 /// One route whose requests may run more than once, and one whose requests may not.
-fn both_kinds() -> Value {
+fn safe_and_unsafe_routes() -> Value {
     configuration(1, &[("safe", json!({})), ("unsafe", json!({"route_kind": "unsafe"}))])
 }
 
 /// Clients conclude from these statuses that the request was not executed; only a server that states it has not executed it.
 #[test]
-fn rejection_without_proof_of_non_execution_is_not_forwarded_as_one() {
+fn rejection_without_proof_of_non_execution_becomes_502() {
     for status in [408, 429, 503] {
         let cluster = TestCluster::new();
         let servers = cluster.start_server_pair(move |_, received| {
@@ -30,7 +30,7 @@
                 b"failed",
             ))]
         });
-        let _served = cluster.start_system(&[&servers[0], &servers[1]], &both_kinds());
+        let _served = cluster.start_system(&[&servers[0], &servers[1]], &safe_and_unsafe_routes());
         let answer = send_request(
             cluster.address(ROUTER_HOST, FRONT_PORT),
             &request("r1", "POST", "/unsafe/x", "", b""),
@@ -42,19 +42,19 @@
 }
 
 #[test]
-fn server_that_stalls_within_its_rejection_delays_nothing() {
+fn server_that_stalls_while_sending_a_rejection_does_not_delay_the_retry() {
     let gate = Arc::new(Gate::default());
     let cluster = TestCluster::new();
-    let held = gate.clone();
-    let servers = cluster.start_server_pair(move |turn, received| {
-        let part = format!(
+    let server_gate = gate.clone();
+    let servers = cluster.start_server_pair(move |earlier_requests, received| {
+        let partial_rejection = format!(
             "HTTP/1.1 503 X\r\n{}Ivyhatch-Not-Executed: 1\r\nContent-Length: 9\r\n\r\nfu",
             id_header(received.id())
         );
-        let silent = vec![Step::Write(part.into_bytes()), Step::Wait(held.clone())];
-        if turn == 0 { silent } else { ok_response(received, b"second") }
+        let stalled = vec![Step::Write(partial_rejection.into_bytes()), Step::Wait(server_gate.clone())];
+        if earlier_requests == 0 { stalled } else { ok_response(received, b"second") }
     });
-    let _served = cluster.start_system(&[&servers[0], &servers[1]], &both_kinds());
+    let _served = cluster.start_system(&[&servers[0], &servers[1]], &safe_and_unsafe_routes());
     let answer =
         send_request(cluster.address(ROUTER_HOST, FRONT_PORT), &request("r1", "POST", "/unsafe/x", "", b""));
     assert_eq!(
@@ -71,10 +71,10 @@
 
 /// Without slack a router's first request has earned a part of a retry only.
 #[test]
-fn retry_that_the_budget_does_not_pay_for_is_refused_with_a_time_to_come_back() {
+fn request_is_rejected_with_retry_after_when_the_retry_budget_is_exhausted() {
     let cluster = TestCluster::with_retry_budget(RetryBudget { ratio: 0.2, slack: 0.0 });
     let servers = cluster.start_server_pair(|_, _| overloaded_response());
-    let _served = cluster.start_system(&[&servers[0], &servers[1]], &both_kinds());
+    let _served = cluster.start_system(&[&servers[0], &servers[1]], &safe_and_unsafe_routes());
     let answer =
         send_request(cluster.address(ROUTER_HOST, FRONT_PORT), &request("r1", "POST", "/unsafe/x", "", b""));
     let count: usize = servers.iter().map(Server::take_request_count).sum();
@@ -98,7 +98,7 @@
             _ => [vec![rejection], ok_response(received, b"own")].concat(),
         }
     });
-    let _served = cluster.start_system(&[&server], &both_kinds());
+    let _served = cluster.start_system(&[&server], &safe_and_unsafe_routes());
     let answer =
         send_request(cluster.address(ROUTER_HOST, FRONT_PORT), &request("r1", "POST", "/unsafe/x", "", b""));
     assert_eq!(
@@ -111,18 +111,18 @@
 /// Servers send each response with its request's id. Without one, a rejection on a connection that has carried another request may be
 /// that one's.
 #[test]
-fn late_rejection_without_an_id_proves_nothing() {
+fn late_rejection_without_an_id_is_no_proof_of_non_execution() {
     let cluster = TestCluster::new();
     let server = cluster.start_server(("i-1", "s", "za"), |received| {
         let rejection = Step::Write(complete_response(503, "Ivyhatch-Not-Executed: 1\r\n", b""));
-        let own = ok_response(received, b"own");
-        if received.earlier_on_connection == 0 { own } else { [vec![rejection], own].concat() }
+        let response = ok_response(received, b"own");
+        if received.earlier_on_connection == 0 { response } else { [vec![rejection], response].concat() }
     });
-    let _served = cluster.start_system(&[&server], &both_kinds());
-    let at = cluster.address(ROUTER_HOST, FRONT_PORT);
-    assert_eq!(send_request(at, &get_request("r1", "/safe/x")).body, b"own");
+    let _served = cluster.start_system(&[&server], &safe_and_unsafe_routes());
+    let front = cluster.address(ROUTER_HOST, FRONT_PORT);
+    assert_eq!(send_request(front, &get_request("r1", "/safe/x")).body, b"own");
     // Once it has rested, the connection is used again.
     thread::sleep(Duration::from_millis(20));
-    let answer = send_request(at, &request("r2", "POST", "/unsafe/x", "", b""));
+    let answer = send_request(front, &request("r2", "POST", "/unsafe/x", "", b""));
     assert_eq!((answer.head.status, server.take_request_count()), (502, 2), "{answer:?}");
 }
--- a/cli/tests/system_streams.rs
+++ b/cli/tests/system_streams.rs
@@ -16,16 +16,15 @@
 use system_common::{FRONT_PORT, ROUTER_HOST, RunningSystem, TestCluster, configuration};
 
 /// One route whose streams may be resumed, and one whose streams may not.
-fn usual() -> Value {
-    let streaming =
-        |resumable, tries| json!({"route_kind": "streaming", "resumable": resumable, "max_tries": tries});
+fn streaming_routes() -> Value {
+    let streaming = |resumable, max_attempts| json!({"route_kind": "streaming", "resumable": resumable, "max_tries": max_attempts});
     configuration(
         1,
         &[("again", streaming(true, 3)), ("once", streaming(false, 3)), ("twice", streaming(true, 2))],
     )
 }
 
-fn asks(id: &str, route: &str, headers: &str) -> Vec<u8> {
+fn stream_request(id: &str, route: &str, headers: &str) -> Vec<u8> {
     request(id, "POST", &format!("/{route}/x"), headers, b"prompt")
 }
 
@@ -34,38 +33,38 @@
 }
 
 /// The head of a stream, some of its events, and no more.
-fn part(received: &ReceivedRequest, numbers: std::ops::RangeInclusive<u64>) -> Vec<Step> {
+fn unfinished_stream(received: &ReceivedRequest, numbers: std::ops::RangeInclusive<u64>) -> Vec<Step> {
     std::iter::once(stream_head(received)).chain(numbers.map(|number| chunk(&sse_event(number)))).collect()
 }
 
-fn then(mut steps: Vec<Step>, more: impl IntoIterator<Item = Step>) -> Vec<Step> {
+fn append_steps(mut steps: Vec<Step>, more: impl IntoIterator<Item = Step>) -> Vec<Step> {
     steps.extend(more);
     steps
 }
 
-struct Scene {
+struct Fixture {
     _served: RunningSystem,
     cluster: TestCluster,
     servers: [Server; 2],
 }
 
-impl Scene {
+impl Fixture {
     /// Two servers; what they do goes by how many requests came before to either.
     fn new(script: impl Fn(usize, &ReceivedRequest) -> Vec<Step> + Send + Sync + 'static) -> Self {
         let cluster = TestCluster::new();
         let servers = cluster.start_server_pair(script);
-        let served = cluster.start_system(&[&servers[0], &servers[1]], &usual());
+        let served = cluster.start_system(&[&servers[0], &servers[1]], &streaming_routes());
         Self { _served: served, cluster, servers }
     }
 
-    fn client(&self) -> Client {
+    fn connect(&self) -> Client {
         Client::connect(self.cluster.address(ROUTER_HOST, FRONT_PORT))
     }
 
     /// Asks once and reads all that comes.
-    fn ask(&self, route: &str, headers: &str) -> (ResponseHead, Result<Vec<u8>, TruncatedBody>) {
-        let mut client = self.client();
-        client.write(&asks("r1", route, headers));
+    fn send_request(&self, route: &str, headers: &str) -> (ResponseHead, Result<Vec<u8>, TruncatedBody>) {
+        let mut client = self.connect();
+        client.write(&stream_request("r1", route, headers));
         let head = client.read_head();
         let body = client.read_body(&head);
         (head, body)
@@ -74,40 +73,40 @@
 
 /// The `Last-Event-ID` of each request that reached the servers.
 fn last_event_ids(servers: &[Server; 2], requests: usize) -> Vec<Option<String>> {
-    let mut last = Vec::new();
+    let mut ids = Vec::new();
     system_common::wait_until("the requests came", || {
-        last.extend(
+        ids.extend(
             servers
                 .iter()
                 .flat_map(Server::take_requests)
                 .map(|received| received.message.value("last-event-id").map(str::to_owned)),
         );
-        last.len() >= requests
+        ids.len() >= requests
     });
-    last.sort();
-    last
+    ids.sort();
+    ids
 }
 
 #[test]
 fn stream_is_forwarded_event_by_event() {
-    let gates: Vec<Arc<Gate>> = (0..4).map(|_| Arc::default()).collect();
-    let held = gates.clone();
-    let scene = Scene::new(move |_, received| {
+    let event_gates: Vec<Arc<Gate>> = (0..4).map(|_| Arc::default()).collect();
+    let server_gates = event_gates.clone();
+    let fixture = Fixture::new(move |_, received| {
         let mut steps = vec![stream_head(received)];
-        for (gate, number) in held.iter().zip(1..) {
+        for (gate, number) in server_gates.iter().zip(1..) {
             steps.extend([chunk(&sse_event(number)), Step::Wait(gate.clone())]);
         }
-        then(steps, [last_chunk()])
+        append_steps(steps, [last_chunk()])
     });
-    let mut client = scene.client();
-    client.write(&asks("r1", "once", ""));
+    let mut client = fixture.connect();
+    client.write(&stream_request("r1", "once", ""));
     let head = client.read_head();
     assert_eq!((head.status, head.header("content-type")), (200, Some("text/event-stream")));
     assert_eq!(
         (head.header("ivyhatch-attempt-id"), head.header("ivyhatch-server-stamp")),
         (Some("r1"), Some("st.1"))
     );
-    for (gate, number) in gates.iter().zip(1..) {
+    for (gate, number) in event_gates.iter().zip(1..) {
         assert_eq!(client.read_chunk(), Some(sse_event(number).into_bytes()), "before the next one is made");
         gate.open();
     }
@@ -117,41 +116,48 @@
 #[test]
 fn stream_in_chunks_of_any_size_is_forwarded_completely() {
     const SIZES: [usize; 4] = [1, 3, 17, 1000];
-    let scene = Scene::new(|turn, received| {
+    let fixture = Fixture::new(|earlier_requests, received| {
         let text = String::from_utf8(events(1..=20)).expect("text");
-        let pieces = text.as_bytes().chunks(SIZES[turn / 2]);
+        let pieces = text.as_bytes().chunks(SIZES[earlier_requests / 2]);
         let pieces = pieces.map(|piece| chunk(std::str::from_utf8(piece).expect("text")));
         std::iter::once(stream_head(received)).chain(pieces).chain([last_chunk()]).collect()
     });
     for size in SIZES {
         for route in ["again", "once"] {
-            assert_eq!(scene.ask(route, "").1, Ok(events(1..=20)), "{size}");
+            assert_eq!(fixture.send_request(route, "").1, Ok(events(1..=20)), "{size}");
         }
     }
 }
 
 #[test]
-fn resumable_stream_continues_at_another_server_in_the_same_response() {
-    for ends in [Step::Close, Step::Reset] {
-        let scene = Scene::new(move |turn, received| match turn {
+fn resumable_stream_continues_from_another_server_in_the_same_response() {
+    for termination in [Step::Close, Step::Reset] {
+        let fixture = Fixture::new(move |earlier_requests, received| match earlier_requests {
             // It breaks off inside its fourth event.
-            0 => then(part(received, 1..=3), [chunk("id: 4\ndata: wo"), ends.clone()]),
+            0 => append_steps(
+                unfinished_stream(received, 1..=3),
+                [chunk("id: 4\ndata: wo"), termination.clone()],
+            ),
             _ => complete_stream(received, 4..=6),
         });
-        let (head, body) = scene.ask("again", "");
+        let (head, body) = fixture.send_request("again", "");
         assert_eq!((head.status, head.header("ivyhatch-server-stamp")), (200, Some("st.1")));
         assert_eq!(body, Ok(events(1..=6)));
-        assert_eq!(last_event_ids(&scene.servers, 2), [None, Some("3".to_owned())]);
+        assert_eq!(last_event_ids(&fixture.servers, 2), [None, Some("3".to_owned())]);
     }
 }
 
 #[test]
 fn each_attempt_carries_the_request_id_and_its_servers_instance() {
-    let scene = Scene::new(|turn, received| {
-        if turn == 0 { then(part(received, 1..=3), [Step::Close]) } else { complete_stream(received, 4..=6) }
+    let fixture = Fixture::new(|earlier_requests, received| {
+        if earlier_requests == 0 {
+            append_steps(unfinished_stream(received, 1..=3), [Step::Close])
+        } else {
+            complete_stream(received, 4..=6)
+        }
     });
-    assert_eq!(scene.ask("again", "").1, Ok(events(1..=6)));
-    for server in &scene.servers {
+    assert_eq!(fixture.send_request("again", "").1, Ok(events(1..=6)));
+    for server in &fixture.servers {
         let received = server.next_request();
         assert_eq!(
             (received.id(), received.message.value("ivyhatch-expect-instance")),
@@ -162,96 +168,110 @@
 }
 
 #[test]
-fn stream_broken_before_its_first_event_is_restarted() {
-    for first in [vec![], vec![chunk("id: 1\n")]] {
-        let scene = Scene::new(move |turn, received| match turn {
-            0 => then(vec![stream_head(received)], first.iter().cloned().chain([Step::Close])),
+fn stream_interrupted_before_its_first_event_is_restarted() {
+    for partial_event in [vec![], vec![chunk("id: 1\n")]] {
+        let fixture = Fixture::new(move |earlier_requests, received| match earlier_requests {
+            0 => {
+                append_steps(vec![stream_head(received)], partial_event.iter().cloned().chain([Step::Close]))
+            }
             _ => complete_stream(received, 1..=3),
         });
-        assert_eq!(scene.ask("again", "").1, Ok(events(1..=3)));
-        assert_eq!(last_event_ids(&scene.servers, 2), [None, None]);
+        assert_eq!(fixture.send_request("again", "").1, Ok(events(1..=3)));
+        assert_eq!(last_event_ids(&fixture.servers, 2), [None, None]);
     }
 }
 
 #[test]
 fn resumption_skips_servers_that_shed_or_send_malformed_responses() {
-    type BackendReply = fn(&ReceivedRequest) -> Vec<Step>;
-    let between: [BackendReply; 4] = [
+    type ServerScript = fn(&ReceivedRequest) -> Vec<Step>;
+    let failing_scripts: [ServerScript; 4] = [
         |_| overloaded_response(),
         |received| vec![Step::Write(complete_response(421, &id_header(received.id()), b""))],
         |_| vec![Step::Close],
         |_| vec![Step::Write(b"garbage\r\n\r\n".to_vec()), Step::Close],
     ];
-    for (number, script) in between.into_iter().enumerate() {
-        let scene = Scene::new(move |turn, received| match turn {
-            0 => then(part(received, 1..=3), [Step::Close]),
+    for (number, script) in failing_scripts.into_iter().enumerate() {
+        let fixture = Fixture::new(move |earlier_requests, received| match earlier_requests {
+            0 => append_steps(unfinished_stream(received, 1..=3), [Step::Close]),
             1 => script(received),
             _ => complete_stream(received, 4..=6),
         });
-        let (_, body) = scene.ask("again", "");
+        let (_, body) = fixture.send_request("again", "");
         // There may be no further server to go to; then it has to show.
         assert!(body == Ok(events(1..=6)) || body == Err(TruncatedBody(events(1..=3))), "{number}: {body:?}");
     }
 }
 
 #[test]
-fn non_resumable_stream_breaks_visibly() {
-    for ends in [Step::Close, Step::Reset] {
-        let scene =
-            Scene::new(move |_, received| then(part(received, 1..=3), [chunk("id: 4\n"), ends.clone()]));
-        let (head, body) = scene.ask("once", "");
+fn interrupted_non_resumable_stream_is_truncated() {
+    for termination in [Step::Close, Step::Reset] {
+        let fixture = Fixture::new(move |_, received| {
+            append_steps(unfinished_stream(received, 1..=3), [chunk("id: 4\n"), termination.clone()])
+        });
+        let (head, body) = fixture.send_request("once", "");
         assert_eq!((head.status, body), (200, Err(TruncatedBody(events(1..=3)))));
-        assert_eq!(last_event_ids(&scene.servers, 1).len(), 1, "it runs once");
+        assert_eq!(last_event_ids(&fixture.servers, 1).len(), 1, "it runs once");
     }
 }
 
 #[test]
-fn non_resumable_stream_broken_before_its_first_event_fails() {
-    let scene = Scene::new(|_, received| vec![stream_head(received), Step::Close]);
-    let (head, _) = scene.ask("once", "");
+fn non_resumable_stream_interrupted_before_its_first_event_fails() {
+    let fixture = Fixture::new(|_, received| vec![stream_head(received), Step::Close]);
+    let (head, _) = fixture.send_request("once", "");
     assert_eq!(head.status, 502);
-    assert_eq!(last_event_ids(&scene.servers, 1).len(), 1);
+    assert_eq!(last_event_ids(&fixture.servers, 1).len(), 1);
 }
 
 #[test]
-fn stream_with_an_incomplete_last_event_does_not_look_complete() {
-    let scene =
-        Scene::new(|_, received| then(part(received, 1..=3), [chunk("id: 4\ndata: wo\n"), last_chunk()]));
-    assert_eq!(scene.ask("once", "").1, Err(TruncatedBody(events(1..=3))));
+fn stream_with_an_incomplete_last_event_is_truncated() {
+    let fixture = Fixture::new(|_, received| {
+        append_steps(unfinished_stream(received, 1..=3), [chunk("id: 4\ndata: wo\n"), last_chunk()])
+    });
+    assert_eq!(fixture.send_request("once", "").1, Err(TruncatedBody(events(1..=3))));
 }
 
 #[test]
-fn stream_with_ids_that_do_not_increase_is_not_forwarded() {
-    let scene = Scene::new(|_, received| {
-        then(part(received, 1..=3), [chunk(&sse_event(3)), chunk(&sse_event(4)), last_chunk()])
+fn stream_is_truncated_at_an_event_id_that_does_not_increase() {
+    let fixture = Fixture::new(|_, received| {
+        append_steps(
+            unfinished_stream(received, 1..=3),
+            [chunk(&sse_event(3)), chunk(&sse_event(4)), last_chunk()],
+        )
     });
-    assert_eq!(scene.ask("once", "").1, Err(TruncatedBody(events(1..=3))));
+    assert_eq!(fixture.send_request("once", "").1, Err(TruncatedBody(events(1..=3))));
 }
 
 #[test]
-fn stream_that_restarts_from_its_first_event_is_not_appended() {
-    let scene = Scene::new(|turn, received| {
-        if turn == 0 { then(part(received, 1..=3), [Step::Close]) } else { complete_stream(received, 1..=6) }
+fn continuation_from_the_first_event_is_not_appended() {
+    let fixture = Fixture::new(|earlier_requests, received| {
+        if earlier_requests == 0 {
+            append_steps(unfinished_stream(received, 1..=3), [Step::Close])
+        } else {
+            complete_stream(received, 1..=6)
+        }
     });
-    let (_, body) = scene.ask("twice", "");
+    let (_, body) = fixture.send_request("twice", "");
     assert_eq!(body, Err(TruncatedBody(events(1..=3))));
 }
 
 /// What another server answers instead of the rest of a stream; the client must see that the stream is not whole.
-fn assert_never_complete(script: impl Fn(&ReceivedRequest) -> Vec<Step> + Send + Sync + 'static) {
-    let scene =
-        Scene::new(
-            move |turn, received| {
-                if turn == 0 { then(part(received, 1..=3), [Step::Close]) } else { script(received) }
-            },
-        );
-    let (head, body) = scene.ask("twice", "");
+fn assert_truncated_when_continued_by(
+    script: impl Fn(&ReceivedRequest) -> Vec<Step> + Send + Sync + 'static,
+) {
+    let fixture = Fixture::new(move |earlier_requests, received| {
+        if earlier_requests == 0 {
+            append_steps(unfinished_stream(received, 1..=3), [Step::Close])
+        } else {
+            script(received)
+        }
+    });
+    let (head, body) = fixture.send_request("twice", "");
     assert_eq!((head.status, body), (200, Err(TruncatedBody(events(1..=3)))));
 }
 
 #[test]
-fn stream_whose_rest_is_rejected_does_not_look_complete() {
-    assert_never_complete(|received| {
+fn stream_whose_continuation_is_rejected_is_truncated() {
+    assert_truncated_when_continued_by(|received| {
         vec![Step::Write(complete_response(
             404,
             &format!("{}{STAMP_HEADER}", id_header(received.id())),
@@ -261,13 +281,13 @@
 }
 
 #[test]
-fn stream_whose_rest_is_a_complete_response_does_not_look_complete() {
-    assert_never_complete(|received| ok_response(received, b"all at once"));
+fn stream_continued_by_a_complete_response_is_truncated() {
+    assert_truncated_when_continued_by(|received| ok_response(received, b"all at once"));
 }
 
 #[test]
-fn stream_whose_rest_fails_does_not_look_complete() {
-    assert_never_complete(|received| {
+fn stream_whose_continuation_fails_is_truncated() {
+    assert_truncated_when_continued_by(|received| {
         vec![Step::Write(complete_response(
             500,
             &format!("{}{STAMP_HEADER}", id_header(received.id())),
@@ -277,8 +297,8 @@
 }
 
 #[test]
-fn stream_whose_rest_has_another_id_does_not_look_complete() {
-    assert_never_complete(|received| {
+fn stream_whose_continuation_has_another_id_is_truncated() {
+    assert_truncated_when_continued_by(|received| {
         let other = ReceivedRequest {
             message: system_common::server::with_request_id(&received.message, "other"),
             earlier_requests: 0,
@@ -289,8 +309,8 @@
 }
 
 #[test]
-fn stream_whose_rest_has_no_stamp_does_not_look_complete() {
-    assert_never_complete(|received| {
+fn stream_whose_continuation_has_no_stamp_is_truncated() {
+    assert_truncated_when_continued_by(|received| {
         let head =
             format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n{}\r\n", id_header(received.id()));
         vec![Step::Write(head.into_bytes()), chunk(&sse_event(4)), last_chunk()]
@@ -299,26 +319,26 @@
 
 #[test]
 fn stream_gets_no_more_attempts_than_its_route_allows() {
-    let scene = Scene::new(|turn, received| {
-        let from = 1 + 2 * turn as u64;
-        then(part(received, from..=from + 1), [Step::Close])
+    let fixture = Fixture::new(|earlier_requests, received| {
+        let first_event = 1 + 2 * earlier_requests as u64;
+        append_steps(unfinished_stream(received, first_event..=first_event + 1), [Step::Close])
     });
-    assert_eq!(scene.ask("twice", "").1, Err(TruncatedBody(events(1..=4))));
-    assert_eq!(last_event_ids(&scene.servers, 2).len(), 2);
+    assert_eq!(fixture.send_request("twice", "").1, Err(TruncatedBody(events(1..=4))));
+    assert_eq!(last_event_ids(&fixture.servers, 2).len(), 2);
 }
 
 #[test]
-fn client_that_resumes_gets_the_events_after_its_last() {
-    let scene = Scene::new(|_, received| complete_stream(received, 8..=9));
+fn resuming_client_gets_the_events_after_its_last_event_id() {
+    let fixture = Fixture::new(|_, received| complete_stream(received, 8..=9));
     for route in ["again", "once"] {
-        assert_eq!(scene.ask(route, "Last-Event-Id: 7\r\n").1, Ok(events(8..=9)), "{route}");
+        assert_eq!(fixture.send_request(route, "Last-Event-Id: 7\r\n").1, Ok(events(8..=9)), "{route}");
     }
-    assert_eq!(last_event_ids(&scene.servers, 2), [Some("7".to_owned()), Some("7".to_owned())]);
+    assert_eq!(last_event_ids(&fixture.servers, 2), [Some("7".to_owned()), Some("7".to_owned())]);
 }
 
 #[test]
 fn complete_response_on_a_streaming_route_is_forwarded() {
-    let scene = Scene::new(|_, received| {
+    let fixture = Fixture::new(|_, received| {
         vec![Step::Write(complete_response(
             400,
             &format!("{}{STAMP_HEADER}", id_header(received.id())),
@@ -326,32 +346,32 @@
         ))]
     });
     for route in ["again", "once"] {
-        let (head, body) = scene.ask(route, "");
+        let (head, body) = fixture.send_request(route, "");
         assert_eq!((head.status, body), (400, Ok(b"too long a prompt".to_vec())));
     }
 }
 
 #[test]
-fn disconnected_client_ends_its_stream_at_the_server() {
+fn stream_of_a_disconnected_client_is_not_resumed() {
     let gate = Arc::new(Gate::default());
-    let held = gate.clone();
-    let scene = Scene::new(move |turn, received| match turn {
+    let server_gate = gate.clone();
+    let fixture = Fixture::new(move |earlier_requests, received| match earlier_requests {
         // Once the client has left there is nobody to write to.
-        0 => then(part(received, 1..=1), [Step::Wait(held.clone())]),
+        0 => append_steps(unfinished_stream(received, 1..=1), [Step::Wait(server_gate.clone())]),
         _ => complete_stream(received, 1..=2),
     });
-    let mut client = scene.client();
-    client.write(&asks("r1", "again", ""));
+    let mut client = fixture.connect();
+    client.write(&stream_request("r1", "again", ""));
     client.read_head();
     assert_eq!(client.read_chunk(), Some(sse_event(1).into_bytes()));
     drop(client);
     gate.open();
-    let mut next = scene.client();
-    next.write(&asks("r2", "again", ""));
-    let head = next.read_head();
-    assert_eq!(next.read_body(&head), Ok(events(1..=2)));
+    let mut next_client = fixture.connect();
+    next_client.write(&stream_request("r2", "again", ""));
+    let head = next_client.read_head();
+    assert_eq!(next_client.read_body(&head), Ok(events(1..=2)));
     assert_eq!(
-        last_event_ids(&scene.servers, 2),
+        last_event_ids(&fixture.servers, 2),
         [None, None],
         "nothing is resumed for a disconnected client"
     );
@@ -359,17 +379,17 @@
 
 /// Whether it has begun to answer or not: nobody waits for the rest.
 #[test]
-fn server_is_left_within_half_a_second_of_its_client() {
+fn server_connection_closes_within_500_ms_of_a_client_disconnect() {
     let (sender, closed) = channel();
-    let scene = Scene::new(move |turn, received| match turn {
+    let fixture = Fixture::new(move |earlier_requests, received| match earlier_requests {
         0 => vec![Step::AwaitClose(sender.clone())],
-        _ => then(part(received, 1..=1), [Step::AwaitClose(sender.clone())]),
+        _ => append_steps(unfinished_stream(received, 1..=1), [Step::AwaitClose(sender.clone())]),
     });
-    for (id, has_begun) in [("r1", false), ("r2", true)] {
-        let mut client = scene.client();
-        client.write(&asks(id, "again", ""));
-        last_event_ids(&scene.servers, 1);
-        if has_begun {
+    for (id, response_started) in [("r1", false), ("r2", true)] {
+        let mut client = fixture.connect();
+        client.write(&stream_request(id, "again", ""));
+        last_event_ids(&fixture.servers, 1);
+        if response_started {
             client.read_head();
             assert_eq!(client.read_chunk(), Some(sse_event(1).into_bytes()));
         }
--- a/cli/tests/system_wal_recovery.rs
+++ b/cli/tests/system_wal_recovery.rs
@@ -11,70 +11,75 @@
 use serde_json::json;
 use system_common::{CONTROL_HOSTS, Process, TestCluster, configuration};
 
-const NAME: &str = "control.records";
+const LOG_FILE_NAME: &str = "control.records";
 const REPLICA: u8 = 13;
 
 /// Three control nodes with two changes, and the last of them without a process.
-fn stopped(cluster: &TestCluster) -> Vec<Process> {
-    let mut core = cluster.bootstrap_control_nodes();
+fn start_with_stopped_replica(cluster: &TestCluster) -> Vec<Process> {
+    let mut control_nodes = cluster.bootstrap_control_nodes();
     cluster.put_configuration(11, 0, &configuration(5, &[("a", json!({}))]));
     cluster.put_configuration(11, 5, &configuration(6, &[("b", json!({}))]));
     cluster.wait_until_revision(REPLICA, 6);
-    core[2].kill();
-    core
+    control_nodes[2].kill();
+    control_nodes
 }
 
-fn file(cluster: &TestCluster) -> PathBuf {
-    cluster.data_dir(REPLICA).join(NAME)
+fn log_path(cluster: &TestCluster) -> PathBuf {
+    cluster.data_dir(REPLICA).join(LOG_FILE_NAME)
 }
 
 /// Starts the replica with a file that it can't use.
-fn expect_recovery(cluster: &TestCluster, core: &mut [Process], first_start: bool, says: &str) {
-    let unusable = fs::read(file(cluster)).expect("the file");
-    core[2] = cluster.start_control_node(REPLICA, &CONTROL_HOSTS, first_start);
+fn expect_recovery(
+    cluster: &TestCluster,
+    control_nodes: &mut [Process],
+    first_start: bool,
+    expected_reason: &str,
+) {
+    let unusable = fs::read(log_path(cluster)).expect("the file");
+    control_nodes[2] = cluster.start_control_node(REPLICA, &CONTROL_HOSTS, first_start);
     cluster.wait_until_revision(REPLICA, 6);
-    let log = core[2].log_output();
+    let log = control_nodes[2].log_output();
     let lines: Vec<&str> = log.lines().filter(|line| line.contains("event=records_set_aside")).collect();
-    assert_that!(lines, elements_are![contains_substring(says)]);
-    expect_that!(fs::read(set_aside(&file(cluster))).expect("kept"), eq(&unusable));
+    assert_that!(lines, elements_are![contains_substring(expected_reason)]);
+    expect_that!(fs::read(set_aside(&log_path(cluster))).expect("kept"), eq(&unusable));
     // It votes again, and its new file is sound.
-    core[0].kill();
+    control_nodes[0].kill();
     cluster.put_configuration(12, 6, &configuration(7, &[("c", json!({}))]));
-    core[2].kill();
-    core[2] = cluster.start_control_node(REPLICA, &CONTROL_HOSTS, false);
+    control_nodes[2].kill();
+    control_nodes[2] = cluster.start_control_node(REPLICA, &CONTROL_HOSTS, false);
     cluster.wait_until_revision(REPLICA, 7);
-    expect_that!(core[2].log_output(), not(contains_substring("records_set_aside")));
+    expect_that!(control_nodes[2].log_output(), not(contains_substring("records_set_aside")));
 }
 
 fn set_aside(file: &Path) -> PathBuf {
-    file.with_file_name(format!("{NAME}.set-aside-1"))
+    file.with_file_name(format!("{LOG_FILE_NAME}.set-aside-1"))
 }
 
 #[gtest]
 fn replica_with_a_corrupted_log_recovers_from_the_others() {
     let cluster = TestCluster::new();
-    let mut core = stopped(&cluster);
-    let mut bytes = fs::read(file(&cluster)).expect("the file");
+    let mut control_nodes = start_with_stopped_replica(&cluster);
+    let mut bytes = fs::read(log_path(&cluster)).expect("the file");
     bytes[30] ^= 4;
-    fs::write(file(&cluster), bytes).expect("damaged");
-    expect_recovery(&cluster, &mut core, false, "damaged at byte");
+    fs::write(log_path(&cluster), bytes).expect("damaged");
+    expect_recovery(&cluster, &mut control_nodes, false, "damaged at byte");
 }
 
 #[gtest]
-fn corrupted_log_is_no_first_start() {
+fn corrupted_log_is_not_treated_as_a_first_start() {
     let cluster = TestCluster::new();
-    let mut core = stopped(&cluster);
-    fs::write(file(&cluster), b"not a file of records").expect("damaged");
-    expect_recovery(&cluster, &mut core, true, "damaged at byte 0");
+    let mut control_nodes = start_with_stopped_replica(&cluster);
+    fs::write(log_path(&cluster), b"not a file of records").expect("damaged");
+    expect_recovery(&cluster, &mut control_nodes, true, "damaged at byte 0");
 }
 
 #[gtest]
 fn replica_with_an_unknown_record_recovers_from_the_others() {
     let cluster = TestCluster::new();
-    let mut core = stopped(&cluster);
+    let mut control_nodes = start_with_stopped_replica(&cluster);
     {
-        let (mut log, _) = Wal::open(&cluster.data_dir(REPLICA), NAME).expect("a sound file");
+        let (mut log, _) = Wal::open(&cluster.data_dir(REPLICA), LOG_FILE_NAME).expect("a sound file");
         log.append(&[vec![0xee; 9]]).expect("written");
     }
-    expect_recovery(&cluster, &mut core, false, "install the release that wrote it");
+    expect_recovery(&cluster, &mut control_nodes, false, "install the release that wrote it");
 }
