--- a/cli/tests/system_coordination.rs
+++ b/cli/tests/system_coordination.rs
@@ -196,7 +196,7 @@
 /// seconds, had left after one, and had put it at another node; the first one carried it out when it woke, long after the history by which
 /// a put is recognised. Cause: the world did not close the caller's connection. A real process sees the close with the request.
 #[test]
-fn put_whose_caller_has_left_a_stopped_node_is_not_begun() {
+fn put_of_a_disconnected_caller_is_not_executed_by_a_resumed_node() {
     let cluster = TestCluster::with_coordination();
     let control_nodes = cluster.bootstrap_control_nodes();
     let original = json!({"value": "kept"});
--- a/simulation/src/run/callers.rs
+++ b/simulation/src/run/callers.rs
@@ -182,7 +182,7 @@
             return self.schedule_after(delay, Event::OutcomeArrives { id, outcome });
         }
         // A caller that has timed out has closed its connection to a suspended process, so the process does not start the call when it
-        // resumes. The test `put_whose_caller_has_left_a_stopped_node_is_not_begun` verifies this over sockets.
+        // resumes. The test `put_of_a_disconnected_caller_is_not_executed_by_a_resumed_node` verifies this over sockets.
         if self.call_in_flight(id).is_none() {
             return;
         }
