--- a/cli/tests/system_control.rs
+++ b/cli/tests/system_control.rs
@@ -79,43 +79,30 @@
     let _control_nodes = cluster.bootstrap_control_nodes();
     cluster.put_configuration(11, 0, &initial_configuration());
     CONTROL_HOSTS.iter().for_each(|host| cluster.wait_until_revision(*host, 5));
-    let changed_configuration = |change: &dyn Fn(&mut Value)| {
+    let valid_except = |change: &dyn Fn(&mut Value)| {
         let mut changed = configuration(7, &[("a", json!({})), ("b", json!({}))]);
         change(&mut changed);
         changed.to_string()
     };
-    let valid = changed_configuration(&|_| {});
+    let valid = valid_except(&|_| {});
     let invalid = [
         ("truncated JSON", valid[..valid.len() - 9].to_owned()),
         ("not an object", "[]".to_owned()),
         ("empty body", String::new()),
-        (
-            "unknown service",
-            changed_configuration(&|configuration| configuration["routes"][0]["service"] = json!("z")),
-        ),
+        ("unknown service", valid_except(&|config| config["routes"][0]["service"] = json!("z"))),
         (
             "two routes with the same path prefix",
-            changed_configuration(&|configuration| configuration["routes"][0]["path_prefix"] = json!("/b/")),
+            valid_except(&|config| config["routes"][0]["path_prefix"] = json!("/b/")),
         ),
         (
             "split weight of zero",
-            changed_configuration(&|configuration| {
-                configuration["routes"][0]["split"] = json!([{"service": "s", "weight": 0}])
-            }),
-        ),
-        (
-            "timeout of zero",
-            changed_configuration(&|configuration| configuration["routes"][0]["timeout_ms"] = json!(0)),
-        ),
-        (
-            "revision not increased",
-            changed_configuration(&|configuration| configuration["revision"] = json!(5)),
+            valid_except(&|config| config["routes"][0]["split"] = json!([{"service": "s", "weight": 0}])),
         ),
+        ("timeout of zero", valid_except(&|config| config["routes"][0]["timeout_ms"] = json!(0))),
+        ("revision not increased", valid_except(&|config| config["revision"] = json!(5))),
         (
             "revision missing",
-            changed_configuration(&|configuration| {
-                drop(configuration.as_object_mut().map(|configuration| configuration.remove("revision")))
-            }),
+            valid_except(&|config| drop(config.as_object_mut().map(|config| config.remove("revision")))),
         ),
     ];
     for (host, (case, body)) in CONTROL_HOSTS.iter().cycle().zip(&invalid) {
@@ -355,13 +342,13 @@
                     .is_some_and(|answer| answer["addresses"] == front(router))
             });
         }
-        let both = cluster.resolve_routers(host, "rc").expect("the directory answers");
+        let answer = cluster.resolve_routers(host, "rc").expect("the directory answers");
         assert_eq!(
-            both["addresses"].as_array().map(Vec::len),
+            answer["addresses"].as_array().map(Vec::len),
             Some(2),
             "a region without a router did not get all ready routers"
         );
-        assert!(both["ttl_s"].as_f64().is_some_and(|ttl| ttl > 0.0 && ttl <= 5.0));
+        assert!(answer["ttl_s"].as_f64().is_some_and(|ttl| ttl > 0.0 && ttl <= 5.0));
     }
     routers[0].kill();
     wait_until("the directory no longer lists the killed router", || {
--- a/cli/tests/system_draining.rs
+++ b/cli/tests/system_draining.rs
@@ -23,7 +23,7 @@
 
 /// A router and two servers, which respond with their own ids.
 struct Fixture {
-    served: RunningSystem,
+    system: RunningSystem,
     cluster: TestCluster,
     servers: [Server; 2],
     request_count: u64,
@@ -37,19 +37,19 @@
             cluster
                 .start_server((name, service, zone), move |received| ok_response(received, name.as_bytes()))
         });
-        let served = cluster.start_system(&[&servers[0], &servers[1]], configuration);
-        Self { served, cluster, servers, request_count: 0 }
+        let system = cluster.start_system(&[&servers[0], &servers[1]], configuration);
+        Self { system, cluster, servers, request_count: 0 }
     }
 
     /// Sends a request; returns the id of the server that responded.
     fn responding_server(&mut self) -> String {
         self.request_count += 1;
-        let answer = send_request(
+        let response = send_request(
             self.cluster.address(ROUTER_HOST, FRONT_PORT),
             &get_request(&format!("r{}", self.request_count), "/safe/x"),
         );
-        assert_eq!(answer.head.status, 200, "{answer:?}");
-        String::from_utf8(answer.body).expect("server ids are UTF-8")
+        assert_eq!(response.head.status, 200, "{response:?}");
+        String::from_utf8(response.body).expect("server ids are UTF-8")
     }
 
     /// Sends requests until this many in a row were answered by `server`; returns the time until the first of them.
@@ -149,14 +149,14 @@
             response
         }
     });
-    let other = cluster.start_server(("i-2", "s", "zb"), |received| ok_response(received, b"other"));
-    let _served = cluster.start_system(&[&server, &other], &safe_and_streaming_routes());
+    let other_server = cluster.start_server(("i-2", "s", "zb"), |received| ok_response(received, b"other"));
+    let _system = cluster.start_system(&[&server, &other_server], &safe_and_streaming_routes());
     let mut client = Client::connect(cluster.address(ROUTER_HOST, FRONT_PORT));
     client.write(&get_request("slow", "/safe/x"));
     server.next_request();
     let mut entry = server.instance_entry();
     entry["state"] = json!("draining");
-    cluster.platform.set_instances(vec![entry, other.instance_entry()]);
+    cluster.platform.set_instances(vec![entry, other_server.instance_entry()]);
     let mut number = 0;
     wait_until("the router sends requests to the other server", || {
         number += 1;
@@ -195,13 +195,13 @@
     let mut fixture = Fixture::new("zb", &safe_and_streaming_routes());
     fixture.wait_until_all_reach("i-1", 20);
     fixture.cluster.call_until_acknowledged(CONTROL_HOSTS[0], "POST", "/-/evacuations/za", None, "");
-    fixture.served.control.kill();
-    fixture.served.control = fixture.cluster.start_control_node(CONTROL_HOSTS[0], &CONTROL_HOSTS[..1], false);
+    fixture.system.control.kill();
+    fixture.system.control = fixture.cluster.start_control_node(CONTROL_HOSTS[0], &CONTROL_HOSTS[..1], false);
     fixture.cluster.wait_until_revision(CONTROL_HOSTS[0], 1);
     fixture.wait_until_all_reach("i-2", 50);
-    fixture.served.router.kill();
+    fixture.system.router.kill();
     fixture.servers[0].take_requests();
-    fixture.served.router = fixture.cluster.start_router(ROUTER_HOST, &CONTROL_HOSTS[..1]);
+    fixture.system.router = fixture.cluster.start_router(ROUTER_HOST, &CONTROL_HOSTS[..1]);
     fixture.cluster.wait_until_ready(ROUTER_HOST);
     fixture.wait_until_all_reach("i-2", 50);
     assert_eq!(
@@ -258,7 +258,7 @@
         }
         _ => ok_response(received, b"quick"),
     });
-    let mut served = cluster.start_system(&[&server], &safe_and_streaming_routes());
+    let mut system = cluster.start_system(&[&server], &safe_and_streaming_routes());
     let front = cluster.address(ROUTER_HOST, FRONT_PORT);
     wait_until("the directory lists the router", || {
         cluster.resolve_routers(CONTROL_HOSTS[0], "ra").is_some()
@@ -273,17 +273,17 @@
     wait_until("the requests reach the server", || {
         server.take_request_count() > 0 || slow_client.try_write(b"").is_some()
     });
-    served.router.signal("TERM");
+    system.router.signal("TERM");
     wait_until("the router is no longer ready", || !cluster.is_ready(ROUTER_HOST));
     wait_until("the directory no longer lists the router", || {
         cluster.resolve_routers(CONTROL_HOSTS[0], "ra").is_none()
     });
     // Clients cache the directory's responses for a while: late requests are served, and their connections closed.
     for (number, client) in [&mut idle_client, &mut Client::connect(front)].into_iter().enumerate() {
-        let answer = client.send_request(&get_request(&format!("late{number}"), "/safe/x"));
-        assert_eq!((answer.head.status, answer.head.header("connection")), (200, Some("close")));
+        let response = client.send_request(&get_request(&format!("late{number}"), "/safe/x"));
+        assert_eq!((response.head.status, response.head.header("connection")), (200, Some("close")));
     }
-    assert!(served.router.is_running());
+    assert!(system.router.is_running());
     // The responses are completed only after the router has stopped accepting connections.
     wait_until("the router accepts no more connections", || Client::try_connect(front).is_none());
     slow_gate.open();
@@ -294,7 +294,7 @@
         (stream_response_head.status, stream_client.read_body(&stream_response_head)),
         (200, Ok(sse_event(2).into_bytes()))
     );
-    assert_eq!(served.router.wait_for_exit().code(), Some(0));
+    assert_eq!(system.router.wait_for_exit().code(), Some(0));
 }
 
 /// Time after SIGTERM up to which the router may accept requests, though a response that takes long may be cut off at the end of the
@@ -309,7 +309,7 @@
 fn terminated_router_accepts_no_request_that_it_may_not_complete() {
     let fixture = Fixture::new("za", &safe_and_streaming_routes());
     let front = fixture.cluster.address(ROUTER_HOST, FRONT_PORT);
-    fixture.served.router.signal("TERM");
+    fixture.system.router.signal("TERM");
     let signalled_at = Instant::now();
     let (mut number, mut last_accepted) = (0, Duration::ZERO);
     wait_until("the router accepts no more connections", || {
--- a/cli/tests/system_exchange_faults.rs
+++ b/cli/tests/system_exchange_faults.rs
@@ -76,24 +76,24 @@
     route: &'static str,
     next_id: AtomicUsize,
     outcomes: Mutex<HashMap<String, Outcome>>,
-    _served: RunningSystem,
+    _system: RunningSystem,
 }
 
 /// Response of a server; a 503 states that the request was not executed.
-fn reply(status: u16, id: &str, headers: &str, body: &str) -> ScriptedResponse {
+fn scripted_response(status: u16, id: &str, headers: &str, body: &str) -> ScriptedResponse {
     let head = format!("HTTP/1.1 {status} X\r\nIvyhatch-Attempt-Id: {id}\r\n{headers}\r\n");
     ScriptedResponse { bytes: [head.as_bytes(), body.as_bytes()].concat(), is_rejection: status == 503 }
 }
 
 fn response_with_length(id: &str) -> ScriptedResponse {
     let headers = format!("Ivyhatch-Server-Stamp: {id}\r\nContent-Length: {}\r\n", id.len());
-    reply(200, id, &headers, id)
+    scripted_response(200, id, &headers, id)
 }
 
 fn chunked_response(id: &str) -> ScriptedResponse {
     let headers = format!("Ivyhatch-Server-Stamp: {id}\r\nTransfer-Encoding: chunked\r\n");
     let (first, second) = id.split_at(3);
-    reply(200, id, &headers, &format!("3\r\n{first}\r\n5\r\n{second}\r\n0\r\n\r\n"))
+    scripted_response(200, id, &headers, &format!("3\r\n{first}\r\n5\r\n{second}\r\n0\r\n\r\n"))
 }
 
 /// Events of a stream response.
@@ -106,14 +106,14 @@
         "Ivyhatch-Server-Stamp: {id}\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n"
     );
     let pieces = events(id).map(|event| format!("{:x}\r\n{event}\r\n", event.len())).concat();
-    reply(200, id, &headers, &format!("{pieces}0\r\n\r\n"))
+    scripted_response(200, id, &headers, &format!("{pieces}0\r\n\r\n"))
 }
 
 /// Rejects requests whose id is even and accepts the others; rejections and responses have the same length.
 fn rejection_or_response(id: &str) -> ScriptedResponse {
     let length = id.len();
     if id.ends_with(['0', '2', '4', '6', '8']) {
-        return reply(
+        return scripted_response(
             503,
             id,
             &format!("Ivyhatch-Not-Executed: {id}\r\nContent-Length: {length}\r\n"),
@@ -124,10 +124,10 @@
 }
 
 impl Fixture {
-    fn new(route: &'static str, respond: ResponseFn, servers_count: usize) -> Self {
+    fn new(route: &'static str, respond: ResponseFn, server_count: usize) -> Self {
         let cluster = TestCluster::new();
         let servers = FaultyServers::new(respond);
-        cluster.platform.set_instances(servers.start(cluster.ip(31), servers_count));
+        cluster.platform.set_instances(servers.start(cluster.ip(31), server_count));
         let routes = [
             ("unsafe", json!({"route_kind": "unsafe"})),
             ("stream", json!({"route_kind": "streaming", "resumable": false})),
@@ -138,14 +138,14 @@
         let router = cluster.start_router(ROUTER_HOST, &CONTROL_HOSTS[..1]);
         cluster.put_configuration(CONTROL_HOSTS[0], 0, &configuration);
         cluster.wait_until_ready(ROUTER_HOST);
-        let served = RunningSystem { control, router };
+        let system = RunningSystem { control, router };
         Self {
             cluster,
             servers,
             route,
             next_id: AtomicUsize::new(0),
             outcomes: Mutex::default(),
-            _served: served,
+            _system: system,
         }
     }
 
--- a/cli/tests/system_rejections.rs
+++ b/cli/tests/system_rejections.rs
@@ -31,15 +31,15 @@
                 b"failed",
             ))]
         });
-        let _served = cluster.start_system(&[&servers[0], &servers[1]], &safe_and_unsafe_routes());
-        let answer = send_request(
+        let _system = cluster.start_system(&[&servers[0], &servers[1]], &safe_and_unsafe_routes());
+        let response = send_request(
             cluster.address(ROUTER_HOST, FRONT_PORT),
             &request("r1", "POST", "/unsafe/x", "", b""),
         );
         let count: usize = servers.iter().map(Server::take_request_count).sum();
-        assert_eq!((answer.head.status, count), (502, 1), "server status {status}: {answer:?}");
+        assert_eq!((response.head.status, count), (502, 1), "server status {status}: {response:?}");
         assert_eq!(
-            answer.head.header("ivyhatch-server-stamp"),
+            response.head.header("ivyhatch-server-stamp"),
             None,
             "the router's own 502 carries a server stamp"
         );
@@ -59,17 +59,17 @@
         let stalled = vec![Step::Write(partial_rejection.into_bytes()), Step::Wait(server_gate.clone())];
         if earlier_requests == 0 { stalled } else { ok_response(received, b"second") }
     });
-    let _served = cluster.start_system(&[&servers[0], &servers[1]], &safe_and_unsafe_routes());
-    let answer =
+    let _system = cluster.start_system(&[&servers[0], &servers[1]], &safe_and_unsafe_routes());
+    let response =
         send_request(cluster.address(ROUTER_HOST, FRONT_PORT), &request("r1", "POST", "/unsafe/x", "", b""));
     assert_eq!(
         (
-            answer.head.status,
-            answer.body.as_slice(),
+            response.head.status,
+            response.body.as_slice(),
             servers.iter().map(Server::take_request_count).sum::<usize>()
         ),
         (200, &b"second"[..], 2),
-        "{answer:?}"
+        "{response:?}"
     );
     gate.open();
 }
@@ -79,12 +79,12 @@
 fn request_is_rejected_with_retry_after_when_the_retry_budget_is_exhausted() {
     let cluster = TestCluster::with_retry_budget(RetryBudget { ratio: 0.2, slack: 0.0 });
     let servers = cluster.start_server_pair(|_, _| overloaded_response());
-    let _served = cluster.start_system(&[&servers[0], &servers[1]], &safe_and_unsafe_routes());
-    let answer =
+    let _system = cluster.start_system(&[&servers[0], &servers[1]], &safe_and_unsafe_routes());
+    let response =
         send_request(cluster.address(ROUTER_HOST, FRONT_PORT), &request("r1", "POST", "/unsafe/x", "", b""));
     let count: usize = servers.iter().map(Server::take_request_count).sum();
-    assert_eq!((answer.head.status, count), (503, 1), "{answer:?}");
-    assert!(answer.head.header("retry-after").is_some(), "{answer:?}");
+    assert_eq!((response.head.status, count), (503, 1), "{response:?}");
+    assert!(response.head.header("retry-after").is_some(), "{response:?}");
 }
 
 /// The request is retried at the only server. A duplicate of the rejection has the same id as the response to the retry; only the
@@ -104,13 +104,13 @@
             _ => [vec![rejection], ok_response(received, b"own")].concat(),
         }
     });
-    let _served = cluster.start_system(&[&server], &safe_and_unsafe_routes());
-    let answer =
+    let _system = cluster.start_system(&[&server], &safe_and_unsafe_routes());
+    let response =
         send_request(cluster.address(ROUTER_HOST, FRONT_PORT), &request("r1", "POST", "/unsafe/x", "", b""));
     assert_eq!(
-        (answer.head.status, answer.body.as_slice(), server.take_request_count()),
+        (response.head.status, response.body.as_slice(), server.take_request_count()),
         (200, &b"own"[..], 2),
-        "{answer:?}"
+        "{response:?}"
     );
 }
 
@@ -124,11 +124,11 @@
         let response = ok_response(received, b"own");
         if received.earlier_on_connection == 0 { response } else { [vec![rejection], response].concat() }
     });
-    let _served = cluster.start_system(&[&server], &safe_and_unsafe_routes());
+    let _system = cluster.start_system(&[&server], &safe_and_unsafe_routes());
     let front = cluster.address(ROUTER_HOST, FRONT_PORT);
     assert_eq!(send_request(front, &get_request("r1", "/safe/x")).body, b"own");
     // The router reuses a connection once it has been idle for a moment.
     thread::sleep(Duration::from_millis(20));
-    let answer = send_request(front, &request("r2", "POST", "/unsafe/x", "", b""));
-    assert_eq!((answer.head.status, server.take_request_count()), (502, 2), "{answer:?}");
+    let response = send_request(front, &request("r2", "POST", "/unsafe/x", "", b""));
+    assert_eq!((response.head.status, server.take_request_count()), (502, 2), "{response:?}");
 }
--- a/cli/tests/system_requests.rs
+++ b/cli/tests/system_requests.rs
@@ -44,10 +44,10 @@
         let servers = cluster.start_server_pair(move |earlier_requests, received| {
             if earlier_requests == 0 { script(received) } else { ok_response(received, b"second") }
         });
-        let _served = cluster.start_system(&[&servers[0], &servers[1]], &safe_and_unsafe_routes());
-        let answer =
+        let _system = cluster.start_system(&[&servers[0], &servers[1]], &safe_and_unsafe_routes());
+        let response =
             send_request(cluster.address(ROUTER_HOST, FRONT_PORT), &request("r1", method, path, "", b""));
-        (answer, total_requests(&servers))
+        (response, total_requests(&servers))
     };
     // The two clusters are independent and start concurrently.
     thread::scope(|scope| {
@@ -70,12 +70,12 @@
 
 /// Asserts the outcome of a response that proves that the request was not executed: both requests are retried at the other server and
 /// succeed.
-fn assert_retried_elsewhere(answers: [(Response, usize); 2]) {
-    for (answer, count) in answers {
+fn assert_retried_elsewhere(responses: [(Response, usize); 2]) {
+    for (response, count) in responses {
         assert_eq!(
-            (answer.head.status, answer.body.as_slice(), count),
+            (response.head.status, response.body.as_slice(), count),
             (200, &b"second"[..], 2),
-            "{answer:?}"
+            "{response:?}"
         );
     }
 }
@@ -89,10 +89,10 @@
         call(cluster.address(ROUTER_HOST, READINESS_PORT), "GET", "/-/readyz", None, "").is_some()
     });
     assert!(!cluster.is_ready(ROUTER_HOST));
-    let answer = send_request(front, &get_request("r1", "/safe/x"));
-    assert_eq!((answer.head.status, answer.head.header("connection")), (503, Some("close")));
+    let response = send_request(front, &get_request("r1", "/safe/x"));
+    assert_eq!((response.head.status, response.head.header("connection")), (503, Some("close")));
     assert!(
-        answer
+        response
             .head
             .header("retry-after")
             .and_then(|text| text.parse::<f64>().ok())
@@ -116,7 +116,7 @@
     let mut configuration =
         configuration(1, &[("a", json!({})), ("b", json!({"path_prefix": "/a/b/", "service": "t"}))]);
     configuration["services"].as_array_mut().expect("an array").push(json!({"name": "t"}));
-    let _served = cluster.start_system(&[&servers[0], &servers[1]], &configuration);
+    let _system = cluster.start_system(&[&servers[0], &servers[1]], &configuration);
     let front = cluster.address(ROUTER_HOST, FRONT_PORT);
     for (number, (path, expected_server)) in
         [("/a/x", 0), ("/a/b/x", 1), ("/a/", 0), ("/a/b/", 1), ("/a/bc", 0)].into_iter().enumerate()
@@ -161,7 +161,7 @@
 fn request_reaches_the_server_unchanged() {
     let cluster = TestCluster::new();
     let server = cluster.start_server(("i-1", "s", "za"), |received| ok_response(received, b""));
-    let _served = cluster.start_system(&[&server], &safe_and_unsafe_routes());
+    let _system = cluster.start_system(&[&server], &safe_and_unsafe_routes());
     let body: Vec<u8> =
         (0..300_000_u32).map(|index| (index.wrapping_mul(2_654_435_761) >> 11) as u8).collect();
     let headers = "X-One: 1\r\nX-Two: a, b\r\nIvyhatch-Model: m\r\nIvyhatch-Expect-Instance: i-other\r\n\
@@ -234,21 +234,21 @@
         bytes.extend_from_slice(b"0\r\n\r\n");
         vec![Step::Write(bytes)]
     });
-    let _served = cluster.start_system(&[&server], &safe_and_unsafe_routes());
+    let _system = cluster.start_system(&[&server], &safe_and_unsafe_routes());
     let mut client = Client::connect(cluster.address(ROUTER_HOST, FRONT_PORT));
     for status in [200, 201, 400, 404, 409, 422] {
         for framing in ["length", "chunks"] {
             let name = format!("{framing}-{status}");
-            let answer = client.send_request(&get_request(&name, "/safe/x"));
-            assert_eq!(answer.head.status, status);
-            assert!(answer.body == body, "{name}: {} bytes", answer.body.len());
+            let response = client.send_request(&get_request(&name, "/safe/x"));
+            assert_eq!(response.head.status, status);
+            assert!(response.body == body, "{name}: {} bytes", response.body.len());
             let expected_headers = [
                 ("ivyhatch-attempt-id", name.as_str()),
                 ("ivyhatch-server-stamp", "st.1"),
                 ("x-more", "a b"),
             ];
             for (header, value) in expected_headers.into_iter().chain([("content-type", "x/y")]) {
-                assert_eq!(answer.head.header(header), Some(value), "{name}");
+                assert_eq!(response.head.header(header), Some(value), "{name}");
             }
             assert_eq!(server.take_request_count(), 1, "requests for {name} that reached the server");
         }
@@ -274,13 +274,13 @@
 fn request_shed_by_all_servers_is_rejected_with_retry_after() {
     let cluster = TestCluster::new();
     let servers = cluster.start_server_pair(|_, _| overloaded_response());
-    let _served = cluster.start_system(&[&servers[0], &servers[1]], &safe_and_unsafe_routes());
+    let _system = cluster.start_system(&[&servers[0], &servers[1]], &safe_and_unsafe_routes());
     for (method, path) in safe_and_unsafe_calls() {
-        let answer =
+        let response =
             send_request(cluster.address(ROUTER_HOST, FRONT_PORT), &request("r1", method, path, "", b""));
-        assert_eq!(answer.head.status, 503);
+        assert_eq!(response.head.status, 503);
         assert!(
-            answer
+            response
                 .head
                 .header("retry-after")
                 .and_then(|text| text.parse::<f64>().ok())
@@ -405,13 +405,13 @@
                 response
             })]
         });
-        let _served = cluster.start_system(&[&server], &safe_and_unsafe_routes());
+        let _system = cluster.start_system(&[&server], &safe_and_unsafe_routes());
         let mut client = Client::connect(cluster.address(ROUTER_HOST, FRONT_PORT));
         for number in 0..30 {
             let name = format!("r{number}");
-            let answer = client.send_request(&get_request(&name, "/safe/x"));
+            let response = client.send_request(&get_request(&name, "/safe/x"));
             assert_eq!(
-                (answer.head.status, answer.body.as_slice()),
+                (response.head.status, response.body.as_slice()),
                 (200, name.as_bytes()),
                 "surplus: {surplus_kind}"
             );
@@ -430,14 +430,14 @@
                 Step::Write(complete_response(200, &format!("{}{STAMP_HEADER}", id_header("r1")), b"r1"));
             if received.earlier_requests == 1 { [vec![duplicate], response].concat() } else { response }
         });
-        let _served = cluster.start_system(&[&server], &safe_and_unsafe_routes());
+        let _system = cluster.start_system(&[&server], &safe_and_unsafe_routes());
         let mut client = Client::connect(cluster.address(ROUTER_HOST, FRONT_PORT));
         assert_eq!(client.send_request(&request("r1", method, path, "", b"")).body, b"r1");
-        let answer = client.send_request(&request("r2", method, path, "", b""));
-        if answer.head.status == 200 {
-            assert_eq!(answer.body, b"r2");
+        let response = client.send_request(&request("r2", method, path, "", b""));
+        if response.head.status == 200 {
+            assert_eq!(response.body, b"r2");
         } else {
-            assert_eq!((answer.head.status, method), (502, "POST"));
+            assert_eq!((response.head.status, method), (502, "POST"));
         }
         assert_eq!(
             client.send_request(&request("r3", method, path, "", b"")).body,
@@ -453,18 +453,18 @@
     let server = cluster.start_server(("i-1", "s", "za"), |received| ok_response(received, b"here"));
     let mut unreachable = server.instance_entry();
     (unreachable["id"], unreachable["address"]) = (json!("i-0"), json!(cluster.address(39, 9).to_string()));
-    let _served = cluster.start_system(&[&server], &safe_and_unsafe_routes());
+    let _system = cluster.start_system(&[&server], &safe_and_unsafe_routes());
     cluster.platform.set_instances(vec![unreachable, server.instance_entry()]);
     for number in 0..60 {
         let (method, path) = safe_and_unsafe_calls()[number % 2];
-        let answer = send_request(
+        let response = send_request(
             cluster.address(ROUTER_HOST, FRONT_PORT),
             &request(&format!("r{number}"), method, path, "", b""),
         );
         assert_eq!(
-            (answer.head.status, answer.body.as_slice()),
+            (response.head.status, response.body.as_slice()),
             (200, &b"here"[..]),
-            "request {number}: {answer:?}"
+            "request {number}: {response:?}"
         );
     }
 }
@@ -482,7 +482,7 @@
         ("bc", home_regions(&["rb", "rc"])),
         ("none", home_regions(&["rx"])),
     ];
-    let _served = cluster.start_system(&[&servers[0], &servers[1], &servers[2]], &configuration(1, &routes));
+    let _system = cluster.start_system(&[&servers[0], &servers[1], &servers[2]], &configuration(1, &routes));
     let mut request_number = 0;
     let mut requests_per_zone = |name: &str, status: u16| {
         (0..20).for_each(|_| {
@@ -514,13 +514,13 @@
 #[test]
 fn request_without_available_server_is_rejected_early() {
     let cluster = TestCluster::new();
-    let _served = cluster.start_system(&[], &safe_and_unsafe_routes());
+    let _system = cluster.start_system(&[], &safe_and_unsafe_routes());
     for (method, path) in safe_and_unsafe_calls() {
         let started = Instant::now();
-        let answer =
+        let response =
             send_request(cluster.address(ROUTER_HOST, FRONT_PORT), &request("r1", method, path, "", b""));
-        assert_eq!(answer.head.status, 503);
-        assert!(answer.head.header("retry-after").is_some());
+        assert_eq!(response.head.status, 503);
+        assert!(response.head.header("retry-after").is_some());
         // A quarter of the route's latency target of 2 s.
         assert!(started.elapsed() < Duration::from_millis(500), "response after {:?}", started.elapsed());
     }
@@ -532,13 +532,13 @@
     let gate = std::sync::Arc::new(Gate::default());
     let server_gate = gate.clone();
     let server = cluster.start_server(("i-1", "s", "za"), move |_| vec![Step::Wait(server_gate.clone())]);
-    let _served = cluster.start_system(&[&server], &safe_and_unsafe_routes());
+    let _system = cluster.start_system(&[&server], &safe_and_unsafe_routes());
     let text = "POST /unsafe/x HTTP/1.1\r\nHost: h.example\r\nIvyhatch-Attempt-Id: r1\r\nIvyhatch-Deadline-Ms: 700\r\n\r\n";
     let started = Instant::now();
-    let answer = send_request(cluster.address(ROUTER_HOST, FRONT_PORT), text.as_bytes());
+    let response = send_request(cluster.address(ROUTER_HOST, FRONT_PORT), text.as_bytes());
     assert!(
-        matches!(answer.head.status, 502 | 504),
-        "expected 502 or 504, as the server may have executed the request: {answer:?}"
+        matches!(response.head.status, 502 | 504),
+        "expected 502 or 504, as the server may have executed the request: {response:?}"
     );
     let elapsed = started.elapsed();
     assert!(
@@ -555,9 +555,9 @@
     let server = cluster.start_server(("i-1", "s", "za"), |received| ok_response(received, b"own"));
     let mut configuration = safe_and_unsafe_routes();
     configuration["limits"] = json!({"idle_timeout_ms": 9000});
-    let _served = cluster.start_system(&[&server], &configuration);
-    let answer = send_request(cluster.address(ROUTER_HOST, FRONT_PORT), &get_request("r1", "/safe/x"));
-    assert_eq!(answer.head.header("keep-alive"), Some("timeout=7"), "{answer:?}");
+    let _system = cluster.start_system(&[&server], &configuration);
+    let response = send_request(cluster.address(ROUTER_HOST, FRONT_PORT), &get_request("r1", "/safe/x"));
+    assert_eq!(response.head.header("keep-alive"), Some("timeout=7"), "{response:?}");
 }
 
 /// The client's deadline, 6 s, is later than the route's timeout.
@@ -568,13 +568,13 @@
     let server_gate = gate.clone();
     let server = cluster.start_server(("i-1", "s", "za"), move |_| vec![Step::Wait(server_gate.clone())]);
     let route = json!({"route_kind": "unsafe", "timeout_ms": 700});
-    let _served = cluster.start_system(&[&server], &configuration(1, &[("unsafe", route)]));
+    let _system = cluster.start_system(&[&server], &configuration(1, &[("unsafe", route)]));
     let started = Instant::now();
-    let answer =
+    let response =
         send_request(cluster.address(ROUTER_HOST, FRONT_PORT), &request("r1", "POST", "/unsafe/x", "", b""));
     assert!(
-        matches!(answer.head.status, 502 | 504),
-        "expected 502 or 504, as the server may have executed the request: {answer:?}"
+        matches!(response.head.status, 502 | 504),
+        "expected 502 or 504, as the server may have executed the request: {response:?}"
     );
     let elapsed = started.elapsed();
     assert!(
@@ -590,7 +590,7 @@
     let server = cluster.start_server(("i-1", "s", "za"), |received| ok_response(received, b"here"));
     let mut configuration = safe_and_unsafe_routes();
     configuration["limits"] = json!({"max_body_bytes": 1000});
-    let mut served = cluster.start_system(&[&server], &configuration);
+    let mut system = cluster.start_system(&[&server], &configuration);
     let front = cluster.address(ROUTER_HOST, FRONT_PORT);
     let head = "POST /unsafe/x HTTP/1.1\r\nHost: h.example\r\n";
     for (text, status) in [
@@ -622,12 +622,12 @@
     ] {
         let mut client = Client::connect(front);
         let _ = client.try_write(text.as_bytes());
-        let answer = client.try_read_head();
-        assert!(answer.as_ref().is_none_or(|head| (400..500).contains(&head.status)), "{answer:?}");
+        let response = client.try_read_head();
+        assert!(response.as_ref().is_none_or(|head| (400..500).contains(&head.status)), "{response:?}");
     }
     assert_eq!(server.take_request_count(), 0);
     assert_eq!(send_request(front, &get_request("r1", "/safe/x")).body, b"here");
-    assert!(served.router.is_running());
+    assert!(system.router.is_running());
 }
 
 /// A request with both headers is framed by its chunks alone, and the connection is closed after it (RFC 9112, 6.3): the bytes that
@@ -636,7 +636,7 @@
 fn request_with_content_length_and_transfer_encoding_smuggles_no_request() {
     let cluster = TestCluster::new();
     let server = cluster.start_server(("i-1", "s", "za"), |received| ok_response(received, b"here"));
-    let _served = cluster.start_system(&[&server], &safe_and_unsafe_routes());
+    let _system = cluster.start_system(&[&server], &safe_and_unsafe_routes());
     let smuggled = String::from_utf8(get_request("hidden", "/safe/y")).expect("the request is UTF-8");
     let text = format!(
         "POST /unsafe/x HTTP/1.1\r\nHost: h.example\r\nIvyhatch-Attempt-Id: a\r\nContent-Length: 3\r\n\
@@ -657,7 +657,7 @@
 fn request_with_duplicate_content_length_is_rejected() {
     let cluster = TestCluster::new();
     let server = cluster.start_server(("i-1", "s", "za"), |received| ok_response(received, b"here"));
-    let _served = cluster.start_system(&[&server], &safe_and_unsafe_routes());
+    let _system = cluster.start_system(&[&server], &safe_and_unsafe_routes());
     let text = "POST /unsafe/x HTTP/1.1\r\nHost: h.example\r\nIvyhatch-Attempt-Id: a\r\nContent-Length: 2\r\n\
                 Content-Length: 2\r\n\r\nab";
     let mut client = Client::connect(cluster.address(ROUTER_HOST, FRONT_PORT));
@@ -670,7 +670,7 @@
 fn stalled_and_disconnected_clients_do_not_delay_other_requests() {
     let cluster = TestCluster::new();
     let server = cluster.start_server(("i-1", "s", "za"), |received| ok_response(received, b"here"));
-    let mut served = cluster.start_system(&[&server], &safe_and_unsafe_routes());
+    let mut system = cluster.start_system(&[&server], &safe_and_unsafe_routes());
     let front = cluster.address(ROUTER_HOST, FRONT_PORT);
     let mut stalled_clients: Vec<Client> = (0..50).map(|_| Client::connect(front)).collect();
     for (number, client) in stalled_clients.iter_mut().enumerate() {
@@ -682,7 +682,7 @@
     assert_eq!(send_request(front, &get_request("r1", "/safe/x")).body, b"here");
     drop(stalled_clients);
     assert_eq!(send_request(front, &get_request("r2", "/safe/x")).body, b"here");
-    assert!(served.router.is_running());
+    assert!(system.router.is_running());
 }
 
 #[test]
--- a/cli/tests/system_streams.rs
+++ b/cli/tests/system_streams.rs
@@ -47,7 +47,7 @@
 
 /// A router and two scripted servers with [`streaming_routes`].
 struct Fixture {
-    _served: RunningSystem,
+    _system: RunningSystem,
     cluster: TestCluster,
     servers: [Server; 2],
 }
@@ -57,8 +57,8 @@
     fn new(script: impl Fn(usize, &ReceivedRequest) -> Vec<Step> + Send + Sync + 'static) -> Self {
         let cluster = TestCluster::new();
         let servers = cluster.start_server_pair(script);
-        let served = cluster.start_system(&[&servers[0], &servers[1]], &streaming_routes());
-        Self { _served: served, cluster, servers }
+        let system = cluster.start_system(&[&servers[0], &servers[1]], &streaming_routes());
+        Self { _system: system, cluster, servers }
     }
 
     fn connect(&self) -> Client {
--- a/cli/tests/system_wal_recovery.rs
+++ b/cli/tests/system_wal_recovery.rs
@@ -45,7 +45,10 @@
     let log = control_nodes[2].log_output();
     let lines: Vec<&str> = log.lines().filter(|line| line.contains("event=records_set_aside")).collect();
     assert_that!(lines, elements_are![contains_substring(expected_reason)]);
-    expect_that!(fs::read(set_aside(&log_path(cluster))).expect("the unusable log is kept"), eq(&unusable));
+    expect_that!(
+        fs::read(set_aside_path(&log_path(cluster))).expect("the unusable log is kept"),
+        eq(&unusable)
+    );
     // With one node killed, a change needs the replica's vote; after a restart it must read its new log without an error.
     control_nodes[0].kill();
     cluster.put_configuration(12, 6, &configuration(7, &[("c", json!({}))]));
@@ -56,8 +59,8 @@
 }
 
 /// Path under which an unusable log is kept.
-fn set_aside(file: &Path) -> PathBuf {
-    file.with_file_name(format!("{LOG_FILE_NAME}.set-aside-1"))
+fn set_aside_path(path: &Path) -> PathBuf {
+    path.with_file_name(format!("{LOG_FILE_NAME}.set-aside-1"))
 }
 
 #[gtest]
