--- a/cli/tests/system_control.rs
+++ b/cli/tests/system_control.rs
@@ -60,8 +60,12 @@
     for host in CONTROL_HOSTS {
         cluster.wait_until_revision(host, 8);
         let routes = cluster.configuration(host).expect("there is a configuration")["routes"].clone();
-        let names: Vec<&str> =
-            routes.as_array().expect("routes").iter().filter_map(|route| route["name"].as_str()).collect();
+        let names: Vec<&str> = routes
+            .as_array()
+            .expect("`routes` is an array")
+            .iter()
+            .filter_map(|route| route["name"].as_str())
+            .collect();
         assert_eq!(names, ["b", "c"]);
         assert_eq!(
             send_config(&cluster, host, "PATCH", Some(5), &change).0,
@@ -122,7 +126,7 @@
     CONTROL_HOSTS
         .iter()
         .for_each(|host| assert_eq!(cluster.configuration(*host), Some(initial_configuration())));
-    cluster.put_configuration(12, 5, &serde_json::from_str(&valid).expect("JSON"));
+    cluster.put_configuration(12, 5, &serde_json::from_str(&valid).expect("the configuration is valid JSON"));
 }
 
 #[test]
@@ -163,7 +167,7 @@
         assert_eq!(
             (accepted, answers.iter().filter(|status| **status == 412).count()),
             (1, 2),
-            "{answers:?}"
+            "statuses of the concurrent writes: {answers:?}"
         );
         let winner =
             CONTROL_HOSTS[answers.iter().position(|status| *status == 200).expect("one write was accepted")];
@@ -244,10 +248,17 @@
     for _ in 0..2 {
         let answer =
             call(cluster.address(11, CONTROL_PORT), "PUT", "/-/config", Some(5), &next_configuration);
-        assert!(answer.as_ref().is_none_or(|(status, _)| *status == 503), "{answer:?}");
+        assert!(
+            answer.as_ref().is_none_or(|(status, _)| *status == 503),
+            "answer to a write without a quorum: {answer:?}"
+        );
     }
     control_nodes[1] = cluster.start_control_node(12, &CONTROL_HOSTS, false);
-    cluster.put_configuration(11, 5, &serde_json::from_str(&next_configuration).expect("JSON"));
+    cluster.put_configuration(
+        11,
+        5,
+        &serde_json::from_str(&next_configuration).expect("the configuration is valid JSON"),
+    );
 }
 
 #[test]
--- a/cli/tests/system_coordination.rs
+++ b/cli/tests/system_coordination.rs
@@ -67,7 +67,7 @@
             &json!({"holder": "a.1", "hold_ms": 3000}),
         );
         assert_eq!(status, 200, "lock at node {host}: {lock}");
-        assert!(lock["fence"].as_u64().is_some_and(|fence| fence > 0), "{lock}");
+        assert!(lock["fence"].as_u64().is_some_and(|fence| fence > 0), "lock at node {host}: {lock}");
         let (status, number) = call_until_decided(&cluster, host, "POST", "/-/numbers/n", &json!({}));
         assert_eq!(status, 200, "number at node {host}: {number}");
         let value = number["value"].as_u64().expect("the answer has a value");
@@ -87,7 +87,7 @@
         "/-/watch/g.?after=1&wait_ms=2000",
         &Value::Null,
     );
-    assert_eq!(status, 200, "{watch}");
+    assert_eq!(status, 200, "watch: {watch}");
     let names: Vec<&Value> = watch["events"]
         .as_array()
         .expect("`events` is an array")
@@ -155,7 +155,10 @@
     let (status, answer) =
         call_node(&cluster, 11, "POST", "/-/numbers/n", &json!({})).expect("the control node answers");
     assert_eq!(status, 404);
-    assert!(answer["error"].as_str().is_some_and(|text| text.contains("contracts")), "{answer}");
+    assert!(
+        answer["error"].as_str().is_some_and(|text| text.contains("contracts")),
+        "the error does not name the setting: {answer}"
+    );
 }
 
 /// Tries to acquire lock `l` at a node; returns its fencing token, `None` if the lock was not granted or the node did not answer.
@@ -212,7 +215,7 @@
     let original = json!({"value": "kept"});
     for (index, paused) in CONTROL_HOSTS.into_iter().enumerate() {
         let (status, before) = call_until_decided(&cluster, paused, "PUT", "/-/cells/g.a", &original);
-        assert_eq!(status, 200, "{before}");
+        assert_eq!(status, 200, "put at node {paused}: {before}");
         control_nodes[index].signal("STOP");
         let mut caller = std::net::TcpStream::connect(cluster.address(paused, CONTROL_PORT))
             .expect("the kernel accepts the connection of a paused process");
@@ -228,7 +231,11 @@
         let (status, _) = call_until_decided(&cluster, paused, "POST", "/-/numbers/n", &json!({}));
         assert_eq!(status, 200);
         let (_, after) = call_until_decided(&cluster, paused, "GET", "/-/cells/g.a", &Value::Null);
-        assert_eq!((&after["value"], &after["rev"]), (&json!("kept"), &before["rev"]), "{after}");
+        assert_eq!(
+            (&after["value"], &after["rev"]),
+            (&json!("kept"), &before["rev"]),
+            "cell at node {paused}: {after}"
+        );
     }
 }
 
@@ -267,7 +274,7 @@
                 let put = json!({"value": format!("{host}-{number}")});
                 let (status, answer) =
                     call_until_decided(&cluster, CONTROL_HOSTS[(index + 1) % 3], "PUT", "/-/cells/g.a", &put);
-                assert!(status == 200 || status == 504, "{answer}");
+                assert!(status == 200 || status == 504, "put {host}-{number}: status {status}, {answer}");
                 last_put = answer["rev"].as_u64().unwrap_or(last_put);
             }
             control_nodes[index].signal("TERM");
@@ -291,5 +298,5 @@
     let metrics = system_common::calls::send_request(cluster.address(11, CONTROL_PORT), request);
     let text = String::from_utf8(metrics.body).expect("metrics are UTF-8");
     let line = r#"ivyhatch_control_calls_total{kind="numbers",method="post",status="200"} 1"#;
-    assert!(text.lines().any(|metric| metric == line), "{text}");
+    assert!(text.lines().any(|metric| metric == line), "metrics without {line}:\n{text}");
 }
--- a/cli/tests/system_membership.rs
+++ b/cli/tests/system_membership.rs
@@ -52,7 +52,7 @@
     std::fs::remove_dir_all(cluster.data_dir(13)).expect("the data directory is removed");
     let started = Instant::now();
     let _successor = cluster.start_control_node(SUCCESSOR, &CONTROL_HOSTS, false);
-    wait_until("the successor votes", || is_voter(&cluster, 11, SUCCESSOR));
+    wait_until("the successor is a voter", || is_voter(&cluster, 11, SUCCESSOR));
     assert!(
         started.elapsed() < CATCH_UP_LIMIT,
         "the successor was a voter only after {:?}",
@@ -106,7 +106,7 @@
     let mut control_nodes = start_three_voters(&cluster);
     control_nodes[2].kill();
     let _successor = cluster.start_control_node(SUCCESSOR, &CONTROL_HOSTS, false);
-    wait_until("the successor votes", || is_voter(&cluster, 11, SUCCESSOR));
+    wait_until("the successor is a voter", || is_voter(&cluster, 11, SUCCESSOR));
     cluster.put_configuration(11, 5, &configuration(6, &[("c", json!({}))]));
     control_nodes[2] = cluster.start_control_node(13, &CONTROL_HOSTS, false);
     wait_until("the returned node reports that it has no seat", || {
@@ -120,7 +120,10 @@
     for _ in 0..2 {
         let answer =
             call(cluster.address(13, CONTROL_PORT), "PUT", "/-/config", Some(6), &next_configuration);
-        assert!(answer.as_ref().is_none_or(|(status, _)| *status == 503), "{answer:?}");
+        assert!(
+            answer.as_ref().is_none_or(|(status, _)| *status == 503),
+            "answer without a quorum: {answer:?}"
+        );
     }
 }
 
@@ -152,12 +155,15 @@
         call(cluster.address(SUCCESSOR, CONTROL_PORT), "GET", "/-/status", None, "").is_some()
     });
     let answer = call(cluster.address(SUCCESSOR, CONTROL_PORT), "GET", "/-/config", None, "");
-    assert!(answer.as_ref().is_none_or(|(status, _)| *status == 503), "{answer:?}");
+    assert!(
+        answer.as_ref().is_none_or(|(status, _)| *status == 503),
+        "answer without a reachable seed: {answer:?}"
+    );
     // The settings file is changed without a signal to the process.
     let settings = cluster.settings(SUCCESSOR, &CONTROL_HOSTS, false);
     std::fs::write(cluster.settings_file(SUCCESSOR), settings.to_string())
         .expect("the settings file is written");
-    wait_until("the successor votes", || is_voter(&cluster, 11, SUCCESSOR));
+    wait_until("the successor is a voter", || is_voter(&cluster, 11, SUCCESSOR));
     cluster.wait_until_revision(SUCCESSOR, 5);
 }
 
--- a/cli/tests/system_requests.rs
+++ b/cli/tests/system_requests.rs
@@ -115,7 +115,7 @@
     });
     let mut configuration =
         configuration(1, &[("a", json!({})), ("b", json!({"path_prefix": "/a/b/", "service": "t"}))]);
-    configuration["services"].as_array_mut().expect("an array").push(json!({"name": "t"}));
+    configuration["services"].as_array_mut().expect("the field is an array").push(json!({"name": "t"}));
     let _system = cluster.start_system(&[&servers[0], &servers[1]], &configuration);
     let front = cluster.address(ROUTER_HOST, FRONT_PORT);
     for (number, (path, expected_server)) in
@@ -138,7 +138,7 @@
     assert_eq!(send_request(front, other_host_request).head.status, 404);
     // Moves route `a` to the other service and removes route `b`.
     configuration["routes"][0]["service"] = json!("t");
-    configuration["routes"].as_array_mut().expect("an array").pop();
+    configuration["routes"].as_array_mut().expect("the field is an array").pop();
     configuration["revision"] = json!(2);
     servers.iter().for_each(|server| drop(server.take_requests()));
     cluster.put_configuration(CONTROL_HOSTS[0], 1, &configuration);
@@ -181,7 +181,7 @@
         assert_eq!(client.send_request(&bytes).head.status, 200);
         let forwarded = server.next_request().message;
         assert_eq!(forwarded.start_line, format!("PUT {path} HTTP/1.1"));
-        assert!(forwarded.body == body, "{id}: {} bytes", forwarded.body.len());
+        assert!(forwarded.body == body, "request {id}: body of {} bytes", forwarded.body.len());
         for (name, value) in [
             ("host", "h.example"),
             ("ivyhatch-attempt-id", id),
@@ -189,7 +189,7 @@
             ("x-two", "a, b"),
             ("ivyhatch-model", "m"),
         ] {
-            assert_eq!(forwarded.values(name), [value], "{name}");
+            assert_eq!(forwarded.values(name), [value], "header {name}");
         }
         assert_eq!(
             forwarded.values("ivyhatch-expect-instance"),
@@ -202,7 +202,7 @@
             .expect("Ivyhatch-Deadline-Ms holds the remaining milliseconds");
         assert!((1000..=6000).contains(&remaining_ms), "remaining milliseconds: {remaining_ms}");
         for name in ["x-hop", "keep-alive", "transfer-encoding"] {
-            assert_eq!(forwarded.value(name), None, "{name}");
+            assert_eq!(forwarded.value(name), None, "header {name}");
         }
     }
 }
@@ -241,14 +241,14 @@
             let name = format!("{framing}-{status}");
             let response = client.send_request(&get_request(&name, "/safe/x"));
             assert_eq!(response.head.status, status);
-            assert!(response.body == body, "{name}: {} bytes", response.body.len());
+            assert!(response.body == body, "response {name}: body of {} bytes", response.body.len());
             let expected_headers = [
                 ("ivyhatch-attempt-id", name.as_str()),
                 ("ivyhatch-server-stamp", "st.1"),
                 ("x-more", "a b"),
             ];
             for (header, value) in expected_headers.into_iter().chain([("content-type", "x/y")]) {
-                assert_eq!(response.head.header(header), Some(value), "{name}");
+                assert_eq!(response.head.header(header), Some(value), "header {header} of response {name}");
             }
             assert_eq!(server.take_request_count(), 1, "requests for {name} that reached the server");
         }
@@ -495,7 +495,7 @@
                 .head
                 .status,
                 status,
-                "{name}"
+                "route {name}"
             );
         });
         servers.each_ref().map(Server::take_request_count)
@@ -611,7 +611,7 @@
             413,
         ),
     ] {
-        assert_eq!(send_request(front, text.as_bytes()).head.status, status, "{text}");
+        assert_eq!(send_request(front, text.as_bytes()).head.status, status, "request {text}");
     }
     // Bodies with contradictory or malformed framing, and bytes that are not an HTTP request.
     for text in [
