--- a/cli/tests/coordination_commands.rs
+++ b/cli/tests/coordination_commands.rs
@@ -5,12 +5,12 @@
 use std::process::{Command, Output};
 use std::time::Duration;
 
-use system_common::{CONTROL, CORE, TestCluster, wait_until};
+use system_common::{CONTROL_HOSTS, CONTROL_PORT, TestCluster, wait_until};
 
 /// The program with these arguments and the addresses of the three control nodes in its environment.
 fn command(cluster: &TestCluster, arguments: &[&str]) -> Command {
     let control_addresses: Vec<String> =
-        CORE.iter().map(|host| cluster.at(*host, CONTROL).to_string()).collect();
+        CONTROL_HOSTS.iter().map(|host| cluster.address(*host, CONTROL_PORT).to_string()).collect();
     let mut command = Command::new(env!("CARGO_BIN_EXE_ivyhatch"));
     command.args(arguments).env("IVYHATCH_CONTROL", control_addresses.join(","));
     command
@@ -32,7 +32,7 @@
 #[test]
 fn cells_are_written_read_and_watched() {
     let cluster = TestCluster::with_coordination();
-    let _core = cluster.core();
+    let _core = cluster.bootstrap_control_nodes();
     wait_until("cell put writes the first revision of g.a", || {
         result(&cluster, &["cell", "put", "g.a", "one"]) == (Some(0), "1".to_owned())
     });
@@ -52,7 +52,7 @@
 #[test]
 fn numbers_increase() {
     let cluster = TestCluster::with_coordination();
-    let _core = cluster.core();
+    let _core = cluster.bootstrap_control_nodes();
     let next_number = || result(&cluster, &["number", "next", "n"]).1.parse::<u64>().ok();
     let first = next_number().expect("`number next` prints a number");
     assert!(next_number() > Some(first));
@@ -61,7 +61,7 @@
 #[test]
 fn lock_run_holds_the_lock_exclusively_and_passes_the_fencing_token() {
     let cluster = TestCluster::with_coordination();
-    let _core = cluster.core();
+    let _core = cluster.bootstrap_control_nodes();
     let print_token_and_fail = ["lock", "run", "l", "--", "sh", "-c", "echo $FENCE; exit 7"];
     let (code, token) = result(&cluster, &print_token_and_fail);
     assert_eq!(code, Some(7), "the exit code of the command that ran under the lock");
@@ -87,7 +87,7 @@
 #[test]
 fn lock_run_terminates_the_command_when_the_lock_is_lost() {
     let cluster = TestCluster::with_coordination();
-    let mut core = cluster.core();
+    let mut core = cluster.bootstrap_control_nodes();
     wait_until("the control nodes grant locks", || {
         result(&cluster, &["lock", "run", "l", "--", "true"]).0 == Some(0)
     });
--- a/cli/tests/golden_http/control.rs
+++ b/cli/tests/golden_http/control.rs
@@ -8,7 +8,7 @@
 use super::system_common::calls::{Client, call, route};
 use super::system_common::transcript::{Transcript, operator_request};
 use super::system_common::{
-    CONTROL, CORE, DIRECTORY, FRONT, Process, TestCluster, configuration, wait_until,
+    CONTROL_HOSTS, CONTROL_PORT, DIRECTORY_PORT, FRONT_PORT, Process, TestCluster, configuration, wait_until,
 };
 
 /// Path of the configuration in the operator API.
@@ -16,8 +16,8 @@
 
 /// Starts a control node that is the only member of its group; returns its process and the address of its operator API.
 fn start_single_control_node(cluster: &TestCluster) -> (Process, SocketAddr) {
-    let control = cluster.control(CORE[0], &CORE[..1], true);
-    let address = cluster.at(CORE[0], CONTROL);
+    let control = cluster.start_control_node(CONTROL_HOSTS[0], &CONTROL_HOSTS[..1], true);
+    let address = cluster.address(CONTROL_HOSTS[0], CONTROL_PORT);
     wait_until("the single control node is voter and leader of each partition", || {
         call(address, "GET", "/-/status", None, "").is_some_and(|(_, status)| is_settled(&status, 1))
     });
@@ -61,9 +61,9 @@
 fn config_responses_before_and_after_the_first_configuration() {
     let cluster = TestCluster::new();
     let (_control, address) = start_single_control_node(&cluster);
-    let mut transcript = Transcript::of(&cluster);
+    let mut transcript = Transcript::for_cluster(&cluster);
     let mut send = |title: &str, method: &str, headers: &str, body: &str| {
-        transcript.ask(title, address, &operator_request(method, CONFIG, headers, body));
+        transcript.send_request(title, address, &operator_request(method, CONFIG, headers, body));
     };
     let first_configuration = full_configuration().to_string();
     send("GET before the first configuration", "GET", "", "");
@@ -99,14 +99,14 @@
 fn patch_on_revision_0_creates_the_first_configuration() {
     let cluster = TestCluster::new();
     let (_control, address) = start_single_control_node(&cluster);
-    let mut transcript = Transcript::of(&cluster);
+    let mut transcript = Transcript::for_cluster(&cluster);
     let change = json!({"revision": 1, "upsert": {"services": [{"name": "s"}]}}).to_string();
-    transcript.ask(
+    transcript.send_request(
         "PATCH on revision 0",
         address,
         &operator_request("PATCH", CONFIG, &if_match("0"), &change),
     );
-    transcript.ask("GET of the configuration", address, &operator_request("GET", CONFIG, "", ""));
+    transcript.send_request("GET of the configuration", address, &operator_request("GET", CONFIG, "", ""));
     assert_golden("control/config_patched_first.txt", transcript.text());
 }
 
@@ -181,9 +181,9 @@
     let cluster = TestCluster::new();
     let (_control, address) = start_single_control_node(&cluster);
     let current = configuration(5, &[("a", json!({})), ("b", json!({}))]);
-    cluster.put(CORE[0], 0, &current);
-    let mut transcript = Transcript::of(&cluster);
-    let mut send = |title: &str, request: &[u8]| transcript.ask(title, address, request);
+    cluster.put_configuration(CONTROL_HOSTS[0], 0, &current);
+    let mut transcript = Transcript::for_cluster(&cluster);
+    let mut send = |title: &str, request: &[u8]| transcript.send_request(title, address, request);
     let put = |body: &str| operator_request("PUT", CONFIG, &if_match("5"), body);
     for (defect, body) in invalid_configurations() {
         send(&format!("PUT of a configuration {defect}"), &put(&body));
@@ -204,7 +204,7 @@
 fn responses_to_evacuation_and_unsupported_requests() {
     let cluster = TestCluster::new();
     let (_control, address) = start_single_control_node(&cluster);
-    let mut transcript = Transcript::of(&cluster);
+    let mut transcript = Transcript::for_cluster(&cluster);
     for (title, method, path) in [
         ("POST of an evacuation", "POST", "/-/evacuations/za"),
         ("POST of the same evacuation again", "POST", "/-/evacuations/za"),
@@ -219,30 +219,34 @@
         ("DELETE of the configuration", "DELETE", CONFIG),
         ("PUT to the status", "PUT", "/-/status"),
     ] {
-        transcript.ask(title, address, &operator_request(method, path, "", ""));
+        transcript.send_request(title, address, &operator_request(method, path, "", ""));
     }
-    transcript.ask("what is no HTTP", address, b"\x00\x01\x02\r\n\r\n");
+    transcript.send_request("what is no HTTP", address, b"\x00\x01\x02\r\n\r\n");
     assert_golden("control/evacuations_and_unknown_calls.txt", transcript.text());
 }
 
 #[test]
 fn control_node_without_a_quorum_is_unavailable() {
     let cluster = TestCluster::new();
-    let _control = cluster.control(CORE[0], &CORE, true);
-    let address = cluster.at(CORE[0], CONTROL);
+    let _control = cluster.start_control_node(CONTROL_HOSTS[0], &CONTROL_HOSTS, true);
+    let address = cluster.address(CONTROL_HOSTS[0], CONTROL_PORT);
     wait_until("the control node answers GET /-/status", || {
         call(address, "GET", "/-/status", None, "").is_some()
     });
-    let mut transcript = Transcript::of(&cluster);
+    let mut transcript = Transcript::for_cluster(&cluster);
     let first_configuration = full_configuration().to_string();
-    transcript.ask("GET of the configuration", address, &operator_request("GET", CONFIG, "", ""));
-    transcript.ask(
+    transcript.send_request("GET of the configuration", address, &operator_request("GET", CONFIG, "", ""));
+    transcript.send_request(
         "PUT of the configuration",
         address,
         &operator_request("PUT", CONFIG, &if_match("0"), &first_configuration),
     );
-    transcript.ask("POST of an evacuation", address, &operator_request("POST", "/-/evacuations/za", "", ""));
-    transcript.ask("GET of the status", address, &operator_request("GET", "/-/status", "", ""));
+    transcript.send_request(
+        "POST of an evacuation",
+        address,
+        &operator_request("POST", "/-/evacuations/za", "", ""),
+    );
+    transcript.send_request("GET of the status", address, &operator_request("GET", "/-/status", "", ""));
     assert_golden("control/no_quorum.txt", transcript.text());
 }
 
@@ -252,14 +256,14 @@
         let name = replica["replica"].as_str().expect("a replica has a name");
         let (node, _) = name.split_once('/').expect("a replica's name consists of a node and its disk");
         let host = node.rsplit('.').next().expect("a node is named by its IP address");
-        transcript.replace(name, &format!("<replica of {host}>"));
+        transcript.add_placeholder(name, &format!("<replica of {host}>"));
     }
 }
 
 /// Masks the leader of each partition, as the first node to request the leadership becomes leader.
 fn mask_leaders(transcript: &mut Transcript, cluster: &TestCluster) {
-    for host in CORE {
-        transcript.replace(&format!(r#""leader":"{}""#, cluster.ip(host)), r#""leader":"<leader>""#);
+    for host in CONTROL_HOSTS {
+        transcript.add_placeholder(&format!(r#""leader":"{}""#, cluster.ip(host)), r#""leader":"<leader>""#);
     }
 }
 
@@ -272,7 +276,7 @@
 ) {
     let mut latest = None;
     wait_until(title, || {
-        let response = Client::to(address).ask(&operator_request("GET", "/-/status", "", ""));
+        let response = Client::connect(address).send_request(&operator_request("GET", "/-/status", "", ""));
         let status = serde_json::from_slice(&response.body).expect("the status is JSON");
         let is_met = is_expected(&status);
         latest = Some((response, status));
@@ -280,15 +284,15 @@
     });
     let (response, status) = latest.expect("the control node sent a status");
     mask_replicas(transcript, &status);
-    transcript.add(title, &response);
+    transcript.add_response(title, &response);
 }
 
 #[test]
 fn status_shows_replicas_and_partitions() {
     let cluster = TestCluster::new();
     let (_control, address) = start_single_control_node(&cluster);
-    cluster.put(CORE[0], 0, &full_configuration());
-    let mut transcript = Transcript::of(&cluster);
+    cluster.put_configuration(CONTROL_HOSTS[0], 0, &full_configuration());
+    let mut transcript = Transcript::for_cluster(&cluster);
     ask_status(&mut transcript, "GET of the status of a group of one", address, |status| {
         is_settled(status, 1)
     });
@@ -298,11 +302,11 @@
 #[test]
 fn status_shows_a_lost_replica_as_unreachable() {
     let cluster = TestCluster::new();
-    let mut core = cluster.core();
-    cluster.put(CORE[0], 0, &full_configuration());
-    let mut transcript = Transcript::of(&cluster);
+    let mut core = cluster.bootstrap_control_nodes();
+    cluster.put_configuration(CONTROL_HOSTS[0], 0, &full_configuration());
+    let mut transcript = Transcript::for_cluster(&cluster);
     mask_leaders(&mut transcript, &cluster);
-    let address = cluster.at(CORE[0], CONTROL);
+    let address = cluster.address(CONTROL_HOSTS[0], CONTROL_PORT);
     ask_status(&mut transcript, "GET of the status of a group of three", address, |status| {
         is_settled(status, 3)
     });
@@ -316,15 +320,15 @@
 #[test]
 fn status_shows_a_learner_replica() {
     let cluster = TestCluster::new();
-    let _core = cluster.core();
-    cluster.put(CORE[0], 0, &full_configuration());
-    let mut transcript = Transcript::of(&cluster);
+    let _core = cluster.bootstrap_control_nodes();
+    cluster.put_configuration(CONTROL_HOSTS[0], 0, &full_configuration());
+    let mut transcript = Transcript::for_cluster(&cluster);
     mask_leaders(&mut transcript, &cluster);
-    let address = cluster.at(CORE[0], CONTROL);
+    let address = cluster.address(CONTROL_HOSTS[0], CONTROL_PORT);
     wait_until("the group has three voters and a leader of each partition", || {
         call(address, "GET", "/-/status", None, "").is_some_and(|(_, status)| is_settled(&status, 3))
     });
-    let _fourth = cluster.control(16, &CORE, false);
+    let _fourth = cluster.start_control_node(16, &CONTROL_HOSTS, false);
     ask_status(&mut transcript, "GET of the status with a fourth control node", address, |status| {
         is_settled(status, 3) && status["replicas"][3]["status"] == "learner"
     });
@@ -335,17 +339,17 @@
 fn directory_resolves_regions_and_zones_to_routers() {
     let cluster = TestCluster::new();
     let (_control, _) = start_single_control_node(&cluster);
-    let address = cluster.at(CORE[0], DIRECTORY);
-    let mut transcript = Transcript::of(&cluster);
+    let address = cluster.address(CONTROL_HOSTS[0], DIRECTORY_PORT);
+    let mut transcript = Transcript::for_cluster(&cluster);
     let resolve = |query: &str| operator_request("GET", &format!("/-/resolve{query}"), "", "");
-    transcript.ask("GET without a router", address, &resolve("?name=h.example&region=ra&zone=za"));
-    let _routers = [21, 22].map(|host| cluster.router(host, &CORE[..1]));
-    cluster.put(CORE[0], 0, &full_configuration());
+    transcript.send_request("GET without a router", address, &resolve("?name=h.example&region=ra&zone=za"));
+    let _routers = [21, 22].map(|host| cluster.start_router(host, &CONTROL_HOSTS[..1]));
+    cluster.put_configuration(CONTROL_HOSTS[0], 0, &full_configuration());
     for (region, host) in [("ra", 21), ("rb", 22)] {
-        let expected_addresses = json!([cluster.at(host, FRONT).to_string()]);
+        let expected_addresses = json!([cluster.address(host, FRONT_PORT).to_string()]);
         let is_resolved = || {
             cluster
-                .directory(CORE[0], region)
+                .directory(CONTROL_HOSTS[0], region)
                 .is_some_and(|response| response["addresses"] == expected_addresses)
         };
         wait_until("the directory resolves the region to its router", is_resolved);
@@ -356,9 +360,9 @@
         ("GET for a zone", "?name=h.example&zone=zb"),
         ("GET for an encoded region", "?name=h.example&region=%72a"),
     ] {
-        transcript.ask(title, address, &resolve(query));
+        transcript.send_request(title, address, &resolve(query));
     }
-    transcript.ask("GET of an unknown path", address, &operator_request("GET", "/", "", ""));
-    transcript.ask("POST", address, &operator_request("POST", "/-/resolve?region=ra", "", ""));
+    transcript.send_request("GET of an unknown path", address, &operator_request("GET", "/", "", ""));
+    transcript.send_request("POST", address, &operator_request("POST", "/-/resolve?region=ra", "", ""));
     assert_golden("control/directory.txt", transcript.text());
 }
--- a/cli/tests/golden_http/router.rs
+++ b/cli/tests/golden_http/router.rs
@@ -5,12 +5,15 @@
 use serde_json::{Value, json};
 
 use super::golden::assert_golden;
-use super::system_common::calls::{Answer, Client, ask, call, get, request, route};
+use super::system_common::calls::{Client, Response, call, get_request, request, route, send_request};
 use super::system_common::server::{
-    Gate, ReceivedRequest, STAMP, Step, complete_response, id, ok, overloaded, stream,
+    Gate, ReceivedRequest, STAMP_HEADER, Step, complete_response, complete_stream, id_header, ok_response,
+    overloaded_response,
 };
 use super::system_common::transcript::{Transcript, operator_request};
-use super::system_common::{CORE, FRONT, READINESS, ROUTER, TestCluster, configuration, wait_until};
+use super::system_common::{
+    CONTROL_HOSTS, FRONT_PORT, READINESS_PORT, ROUTER_HOST, TestCluster, configuration, wait_until,
+};
 
 /// A configuration with two routes to one service. Requests of the route `safe` may be executed more than once, those of the route
 /// `unsafe` at most once.
@@ -26,32 +29,49 @@
 #[test]
 fn router_reports_whether_it_is_ready() {
     let cluster = TestCluster::new();
-    let mut router = cluster.router(ROUTER, &CORE[..1]);
-    let (front_address, readiness_address) = (cluster.at(ROUTER, FRONT), cluster.at(ROUTER, READINESS));
+    let mut router = cluster.start_router(ROUTER_HOST, &CONTROL_HOSTS[..1]);
+    let (front_address, readiness_address) =
+        (cluster.address(ROUTER_HOST, FRONT_PORT), cluster.address(ROUTER_HOST, READINESS_PORT));
     let readiness_request = operator_request("GET", "/-/readyz", "", "");
     wait_until("the router answers GET /-/readyz", || {
         call(readiness_address, "GET", "/-/readyz", None, "").is_some()
     });
-    let mut transcript = Transcript::of(&cluster);
-    transcript.ask("GET of the readiness without a configuration", readiness_address, &readiness_request);
-    transcript.ask("request without a configuration", front_address, &get("r1", "/safe/x"));
-    let server = cluster.server(("i-1", "s", "za"), |received| ok(received, b"here"));
-    cluster.platform.set(vec![server.listed()]);
-    let _control = cluster.control(CORE[0], &CORE[..1], true);
-    cluster.put(CORE[0], 0, &safe_and_unsafe_routes());
-    cluster.wait_until_ready(ROUTER);
-    transcript.ask("GET of the readiness of a router that serves", readiness_address, &readiness_request);
-    transcript.ask("GET of an unknown path", readiness_address, &operator_request("GET", "/", "", ""));
-    transcript.ask(
+    let mut transcript = Transcript::for_cluster(&cluster);
+    transcript.send_request(
+        "GET of the readiness without a configuration",
+        readiness_address,
+        &readiness_request,
+    );
+    transcript.send_request("request without a configuration", front_address, &get_request("r1", "/safe/x"));
+    let server = cluster.start_server(("i-1", "s", "za"), |received| ok_response(received, b"here"));
+    cluster.platform.set_instances(vec![server.instance_entry()]);
+    let _control = cluster.start_control_node(CONTROL_HOSTS[0], &CONTROL_HOSTS[..1], true);
+    cluster.put_configuration(CONTROL_HOSTS[0], 0, &safe_and_unsafe_routes());
+    cluster.wait_until_ready(ROUTER_HOST);
+    transcript.send_request(
+        "GET of the readiness of a router that serves",
+        readiness_address,
+        &readiness_request,
+    );
+    transcript.send_request(
+        "GET of an unknown path",
+        readiness_address,
+        &operator_request("GET", "/", "", ""),
+    );
+    transcript.send_request(
         "POST to the readiness",
         readiness_address,
         &operator_request("POST", "/-/readyz", "", ""),
     );
-    transcript.ask("request to a router that serves", front_address, &get("r2", "/safe/x"));
+    transcript.send_request("request to a router that serves", front_address, &get_request("r2", "/safe/x"));
     router.signal("TERM");
-    wait_until("the router reports that it is not ready", || !cluster.is_ready(ROUTER));
-    transcript.ask("GET of the readiness of a router that ends", readiness_address, &readiness_request);
-    transcript.ask("request to a router that ends", front_address, &get("r3", "/safe/x"));
+    wait_until("the router reports that it is not ready", || !cluster.is_ready(ROUTER_HOST));
+    transcript.send_request(
+        "GET of the readiness of a router that ends",
+        readiness_address,
+        &readiness_request,
+    );
+    transcript.send_request("request to a router that ends", front_address, &get_request("r3", "/safe/x"));
     router.kill();
     assert_golden("router/readiness.txt", transcript.text());
 }
@@ -59,13 +79,13 @@
 #[test]
 fn router_rejects_malformed_and_unroutable_requests() {
     let cluster = TestCluster::new();
-    let server = cluster.server(("i-1", "s", "za"), |received| ok(received, b"here"));
+    let server = cluster.start_server(("i-1", "s", "za"), |received| ok_response(received, b"here"));
     let mut config = safe_and_unsafe_routes();
     config["limits"] = json!({"max_body_bytes": 1000});
-    let _served = cluster.serving(&[&server], &config);
-    let front_address = cluster.at(ROUTER, FRONT);
+    let _served = cluster.start_system(&[&server], &config);
+    let front_address = cluster.address(ROUTER_HOST, FRONT_PORT);
     let id_header = "Ivyhatch-Attempt-Id: r1\r\n";
-    let mut transcript = Transcript::of(&cluster);
+    let mut transcript = Transcript::for_cluster(&cluster);
     let large_body = "x".repeat(1001);
     for (title, request) in [
         ("path without a route", router_request("/nowhere/x", id_header)),
@@ -109,9 +129,9 @@
         ),
         ("what is no HTTP", b"\x00\x01\x02\r\n\r\n".to_vec()),
     ] {
-        transcript.ask(title, front_address, &request);
+        transcript.send_request(title, front_address, &request);
     }
-    assert_eq!(server.count(), 0, "number of rejected requests that were sent to the server");
+    assert_eq!(server.take_request_count(), 0, "number of rejected requests that were sent to the server");
     assert_golden("router/rejections.txt", transcript.text());
 }
 
@@ -120,32 +140,40 @@
     let cluster = TestCluster::new();
     let gate = Arc::new(Gate::default());
     let server_gate = gate.clone();
-    let server = cluster.server(("i-1", "s", "za"), move |received| {
-        [vec![Step::Wait(server_gate.clone())], ok(received, b"here")].concat()
+    let server = cluster.start_server(("i-1", "s", "za"), move |received| {
+        [vec![Step::Wait(server_gate.clone())], ok_response(received, b"here")].concat()
     });
-    let _served = cluster.serving(&[&server], &safe_and_unsafe_routes());
-    let front_address = cluster.at(ROUTER, FRONT);
-    let mut first_client = Client::to(front_address);
-    first_client.write(&get("r1", "/safe/x"));
-    server.next();
-    let mut transcript = Transcript::of(&cluster);
-    transcript.ask("request with the id of an open request", front_address, &get("r1", "/safe/x"));
+    let _served = cluster.start_system(&[&server], &safe_and_unsafe_routes());
+    let front_address = cluster.address(ROUTER_HOST, FRONT_PORT);
+    let mut first_client = Client::connect(front_address);
+    first_client.write(&get_request("r1", "/safe/x"));
+    server.next_request();
+    let mut transcript = Transcript::for_cluster(&cluster);
+    transcript.send_request(
+        "request with the id of an open request",
+        front_address,
+        &get_request("r1", "/safe/x"),
+    );
     gate.open();
-    let head = first_client.head();
-    let body = first_client.try_body(&head).expect("the response to the first request is complete");
-    transcript.add("the open request", &Answer { head, body });
+    let head = first_client.read_head();
+    let body = first_client.read_body(&head).expect("the response to the first request is complete");
+    transcript.add_response("the open request", &Response { head, body });
     assert_golden("router/id_in_use.txt", transcript.text());
 }
 
 #[test]
 fn router_without_a_server_responds_503_with_retry_after() {
     let cluster = TestCluster::new();
-    let _served = cluster.serving(&[], &safe_and_unsafe_routes());
-    let front_address = cluster.at(ROUTER, FRONT);
-    let mut transcript = Transcript::of(&cluster);
-    transcript.ask("safe request", front_address, &get("r1", "/safe/x"));
-    transcript.ask("unsafe request", front_address, &request("r2", "POST", "/unsafe/x", "", b"body"));
-    transcript.ask(
+    let _served = cluster.start_system(&[], &safe_and_unsafe_routes());
+    let front_address = cluster.address(ROUTER_HOST, FRONT_PORT);
+    let mut transcript = Transcript::for_cluster(&cluster);
+    transcript.send_request("safe request", front_address, &get_request("r1", "/safe/x"));
+    transcript.send_request(
+        "unsafe request",
+        front_address,
+        &request("r2", "POST", "/unsafe/x", "", b"body"),
+    );
+    transcript.send_request(
         "request without time left",
         front_address,
         &router_request("/safe/x", "Ivyhatch-Attempt-Id: r3\r\nIvyhatch-Deadline-Ms: 0\r\n"),
@@ -164,22 +192,22 @@
     let send_once = |method: &str, path: &str| {
         let cluster = TestCluster::new();
         let script = script.clone();
-        let servers = cluster.pair(move |_, received| script(received));
-        let _served = cluster.serving(&[&servers[0], &servers[1]], &safe_and_unsafe_routes());
+        let servers = cluster.start_server_pair(move |_, received| script(received));
+        let _served = cluster.start_system(&[&servers[0], &servers[1]], &safe_and_unsafe_routes());
         let request = format!(
             "{method} {path} HTTP/1.1\r\nHost: h.example\r\nIvyhatch-Attempt-Id: r1\r\n{headers}\r\n"
         );
-        ask(cluster.at(ROUTER, FRONT), request.as_bytes())
+        send_request(cluster.address(ROUTER_HOST, FRONT_PORT), request.as_bytes())
     };
     let mut transcript = Transcript::default();
     std::thread::scope(|scope| {
         let safe_thread = scope.spawn(|| send_once("GET", "/safe/x"));
         let unsafe_thread = scope.spawn(|| send_once("POST", "/unsafe/x"));
-        transcript.add(
+        transcript.add_response(
             "request that may run more than once",
             &safe_thread.join().expect("the safe request got a response"),
         );
-        transcript.add(
+        transcript.add_response(
             "request that may run once",
             &unsafe_thread.join().expect("the unsafe request got a response"),
         );
@@ -189,7 +217,7 @@
 
 #[test]
 fn router_responds_503_when_all_servers_shed_the_request() {
-    assert_responses_with_faulty_servers("servers_shed", "", |_| overloaded());
+    assert_responses_with_faulty_servers("servers_shed", "", |_| overloaded_response());
 }
 
 #[test]
@@ -202,7 +230,7 @@
     assert_responses_with_faulty_servers("servers_fail", "", |received| {
         vec![Step::Write(complete_response(
             500,
-            &format!("{}{STAMP}X-Own: 1\r\n", id(received.id())),
+            &format!("{}{STAMP_HEADER}X-Own: 1\r\n", id_header(received.id())),
             b"failed",
         ))]
     });
@@ -211,14 +239,18 @@
 #[test]
 fn router_forwards_429_only_for_repeatable_requests() {
     assert_responses_with_faulty_servers("servers_answer_429", "", |received| {
-        vec![Step::Write(complete_response(429, &format!("{}{STAMP}", id(received.id())), b"failed"))]
+        vec![Step::Write(complete_response(
+            429,
+            &format!("{}{STAMP_HEADER}", id_header(received.id())),
+            b"failed",
+        ))]
     });
 }
 
 #[test]
 fn router_does_not_forward_a_success_without_a_server_stamp() {
     assert_responses_with_faulty_servers("servers_without_a_stamp", "", |received| {
-        vec![Step::Write(complete_response(200, &id(received.id()), b"no stamp"))]
+        vec![Step::Write(complete_response(200, &id_header(received.id()), b"no stamp"))]
     });
 }
 
@@ -235,14 +267,14 @@
 #[test]
 fn router_forwards_responses_and_streams() {
     let cluster = TestCluster::new();
-    let server = cluster.server(("i-1", "s", "za"), |received| match received.id() {
-        "events" => stream(received, 1..=3),
+    let server = cluster.start_server(("i-1", "s", "za"), |received| match received.id() {
+        "events" => complete_stream(received, 1..=3),
         _ => {
             let headers = "Content-Type: text/plain\r\nX-Own: 1\r\nIvyhatch-Server-Load: 1, 0, 8\r\n\
                 Keep-Alive: timeout=5\r\nConnection: X-Hop\r\nX-Hop: 1\r\n";
             vec![Step::Write(complete_response(
                 201,
-                &format!("{headers}{}{STAMP}", id(received.id())),
+                &format!("{headers}{}{STAMP_HEADER}", id_header(received.id())),
                 b"here",
             ))]
         }
@@ -250,10 +282,13 @@
     let mut config = safe_and_unsafe_routes();
     let streaming_route = route("events", &json!({"route_kind": "streaming", "resumable": true}));
     config["routes"].as_array_mut().expect("the routes are a list").push(streaming_route);
-    let _served = cluster.serving(&[&server], &config);
-    let front_address = cluster.at(ROUTER, FRONT);
-    let mut transcript = Transcript::of(&cluster);
-    transcript.add("an answer", &ask(front_address, &get("r1", "/safe/x")));
-    transcript.add("a stream", &ask(front_address, &request("events", "POST", "/events/x", "", b"prompt")));
+    let _served = cluster.start_system(&[&server], &config);
+    let front_address = cluster.address(ROUTER_HOST, FRONT_PORT);
+    let mut transcript = Transcript::for_cluster(&cluster);
+    transcript.add_response("an answer", &send_request(front_address, &get_request("r1", "/safe/x")));
+    transcript.add_response(
+        "a stream",
+        &send_request(front_address, &request("events", "POST", "/events/x", "", b"prompt")),
+    );
     assert_golden("router/forwarded.txt", transcript.text());
 }
--- a/cli/tests/golden_node.rs
+++ b/cli/tests/golden_node.rs
@@ -219,7 +219,7 @@
         ("a head that is too long", find_request("r5", &format!("X: {}\r\n", "x".repeat(200_000)))),
         ("what is no HTTP", b"\x00\x01\x02\r\n\r\n".to_vec()),
     ] {
-        transcript.ask(title, address, &request);
+        transcript.send_request(title, address, &request);
     }
     assert_golden("node_http.txt", transcript.text());
 }
@@ -244,10 +244,18 @@
         .parse();
     let address: SocketAddr = listen.expect("the listen address can be parsed");
     let mut transcript = Transcript::default();
-    transcript.ask("request without a server", address, &node_request("GET", "/api", "r1", "find", ""));
+    transcript.send_request(
+        "request without a server",
+        address,
+        &node_request("GET", "/api", "r1", "find", ""),
+    );
     socket.request(r#"{"op":"drain"}"#);
-    transcript.ask("request to a node that drains", address, &node_request("GET", "/api", "r2", "find", ""));
+    transcript.send_request(
+        "request to a node that drains",
+        address,
+        &node_request("GET", "/api", "r2", "find", ""),
+    );
     let readiness = node_request("GET", "/health/ready", "r0", "find", "");
-    transcript.ask("GET of the readiness of a node that drains", address, &readiness);
+    transcript.send_request("GET of the readiness of a node that drains", address, &readiness);
     assert_golden("node_without_servers.txt", transcript.text());
 }
--- a/cli/tests/system_streams.rs
+++ b/cli/tests/system_streams.rs
@@ -1,5 +1,5 @@
-//! Streams through a router: forwarded event by event, resumed at another server where their route allows that, and never made to
-//! look complete where they are not.
+//! Event streams through a router: each event is forwarded as it arrives, an interrupted stream is resumed at another server if its
+//! route allows it, and an incomplete stream always ends without its last chunk, so that the client can detect the truncation.
 
 mod system_common;
 
@@ -8,151 +8,169 @@
 use std::time::Duration;
 
 use serde_json::{Value, json};
-use system_common::calls::{Broken, Client, Head, request};
+use system_common::calls::{Client, ResponseHead, TruncatedBody, request};
 use system_common::server::{
-    Gate, ReceivedRequest, STAMP, Server, Step, chunk, complete_response, event, id, last_chunk, ok,
-    overloaded, stream, stream_head,
+    Gate, ReceivedRequest, STAMP_HEADER, Server, Step, chunk, complete_response, complete_stream, id_header,
+    last_chunk, ok_response, overloaded_response, sse_event, stream_head,
 };
-use system_common::{FRONT, ROUTER, Served, TestCluster, configuration};
+use system_common::{FRONT_PORT, ROUTER_HOST, RunningSystem, TestCluster, configuration};
 
-/// One route whose streams may be resumed, and one whose streams may not.
-fn usual() -> Value {
-    let streaming =
-        |resumable, tries| json!({"route_kind": "streaming", "resumable": resumable, "max_tries": tries});
+/// Configuration with three streaming routes: `again` is resumable with 3 attempts, `once` is not resumable, and `twice` is resumable
+/// with 2 attempts.
+fn streaming_routes() -> Value {
+    let streaming = |resumable, max_attempts| json!({"route_kind": "streaming", "resumable": resumable, "max_tries": max_attempts});
     configuration(
         1,
         &[("again", streaming(true, 3)), ("once", streaming(false, 3)), ("twice", streaming(true, 2))],
     )
 }
 
-fn asks(id: &str, route: &str, headers: &str) -> Vec<u8> {
+fn stream_request(id: &str, route: &str, headers: &str) -> Vec<u8> {
     request(id, "POST", &format!("/{route}/x"), headers, b"prompt")
 }
 
+/// Text of the events with these ids, as the client receives it without its chunk framing.
 fn events(numbers: std::ops::RangeInclusive<u64>) -> Vec<u8> {
-    numbers.map(event).collect::<String>().into_bytes()
+    numbers.map(sse_event).collect::<String>().into_bytes()
 }
 
-/// The head of a stream, some of its events, and no more.
-fn part(received: &ReceivedRequest, numbers: std::ops::RangeInclusive<u64>) -> Vec<Step> {
-    std::iter::once(stream_head(received)).chain(numbers.map(|number| chunk(&event(number)))).collect()
+/// Response head and some events of a stream, without its last chunk.
+fn unfinished_stream(received: &ReceivedRequest, numbers: std::ops::RangeInclusive<u64>) -> Vec<Step> {
+    std::iter::once(stream_head(received)).chain(numbers.map(|number| chunk(&sse_event(number)))).collect()
 }
 
-fn then(mut steps: Vec<Step>, more: impl IntoIterator<Item = Step>) -> Vec<Step> {
+/// `steps`, followed by `more`.
+fn append_steps(mut steps: Vec<Step>, more: impl IntoIterator<Item = Step>) -> Vec<Step> {
     steps.extend(more);
     steps
 }
 
-struct Scene {
-    _served: Served,
+/// A router and two scripted servers with [`streaming_routes`].
+struct Fixture {
+    _system: RunningSystem,
     cluster: TestCluster,
     servers: [Server; 2],
 }
 
-impl Scene {
-    /// Two servers; what they do goes by how many requests came before to either.
+impl Fixture {
+    /// Starts two servers; `script` gets the number of earlier requests to either of them.
     fn new(script: impl Fn(usize, &ReceivedRequest) -> Vec<Step> + Send + Sync + 'static) -> Self {
         let cluster = TestCluster::new();
-        let servers = cluster.pair(script);
-        let served = cluster.serving(&[&servers[0], &servers[1]], &usual());
-        Self { _served: served, cluster, servers }
+        let servers = cluster.start_server_pair(script);
+        let system = cluster.start_system(&[&servers[0], &servers[1]], &streaming_routes());
+        Self { _system: system, cluster, servers }
     }
 
-    fn client(&self) -> Client {
-        Client::to(self.cluster.at(ROUTER, FRONT))
+    fn connect(&self) -> Client {
+        Client::connect(self.cluster.address(ROUTER_HOST, FRONT_PORT))
     }
 
-    /// Asks once and reads all that comes.
-    fn ask(&self, route: &str, headers: &str) -> (Head, Result<Vec<u8>, Broken>) {
-        let mut client = self.client();
-        client.write(&asks("r1", route, headers));
-        let head = client.head();
-        let body = client.try_body(&head);
+    /// Sends one request and reads its response to the end of the body or of the connection.
+    fn send_request(&self, route: &str, headers: &str) -> (ResponseHead, Result<Vec<u8>, TruncatedBody>) {
+        let mut client = self.connect();
+        client.write(&stream_request("r1", route, headers));
+        let head = client.read_head();
+        let body = client.read_body(&head);
         (head, body)
     }
 }
 
-/// The `Last-Event-ID` of each request that reached the servers.
+/// Waits until this many requests have reached the servers; returns the `Last-Event-ID` of each, sorted.
 fn last_event_ids(servers: &[Server; 2], requests: usize) -> Vec<Option<String>> {
-    let mut last = Vec::new();
-    system_common::wait_until("the requests came", || {
-        last.extend(
+    let mut ids = Vec::new();
+    system_common::wait_until("the requests reach the servers", || {
+        ids.extend(
             servers
                 .iter()
-                .flat_map(Server::all)
+                .flat_map(Server::take_requests)
                 .map(|received| received.message.value("last-event-id").map(str::to_owned)),
         );
-        last.len() >= requests
+        ids.len() >= requests
     });
-    last.sort();
-    last
+    ids.sort();
+    ids
 }
 
 #[test]
 fn stream_is_forwarded_event_by_event() {
-    let gates: Vec<Arc<Gate>> = (0..4).map(|_| Arc::default()).collect();
-    let held = gates.clone();
-    let scene = Scene::new(move |_, received| {
+    let event_gates: Vec<Arc<Gate>> = (0..4).map(|_| Arc::default()).collect();
+    let server_gates = event_gates.clone();
+    let fixture = Fixture::new(move |_, received| {
         let mut steps = vec![stream_head(received)];
-        for (gate, number) in held.iter().zip(1..) {
-            steps.extend([chunk(&event(number)), Step::Wait(gate.clone())]);
+        for (gate, number) in server_gates.iter().zip(1..) {
+            steps.extend([chunk(&sse_event(number)), Step::Wait(gate.clone())]);
         }
-        then(steps, [last_chunk()])
+        append_steps(steps, [last_chunk()])
     });
-    let mut client = scene.client();
-    client.write(&asks("r1", "once", ""));
-    let head = client.head();
-    assert_eq!((head.status, head.value("content-type")), (200, Some("text/event-stream")));
+    let mut client = fixture.connect();
+    client.write(&stream_request("r1", "once", ""));
+    let head = client.read_head();
+    assert_eq!((head.status, head.header("content-type")), (200, Some("text/event-stream")));
     assert_eq!(
-        (head.value("ivyhatch-attempt-id"), head.value("ivyhatch-server-stamp")),
+        (head.header("ivyhatch-attempt-id"), head.header("ivyhatch-server-stamp")),
         (Some("r1"), Some("st.1"))
     );
-    for (gate, number) in gates.iter().zip(1..) {
-        assert_eq!(client.chunk(), Some(event(number).into_bytes()), "before the next one is made");
+    for (gate, number) in event_gates.iter().zip(1..) {
+        assert_eq!(
+            client.read_chunk(),
+            Some(sse_event(number).into_bytes()),
+            "event {number} was not forwarded before the server sent the next one"
+        );
         gate.open();
     }
-    assert_eq!(client.chunk(), Some(Vec::new()));
+    assert_eq!(client.read_chunk(), Some(Vec::new()));
 }
 
 #[test]
 fn stream_in_chunks_of_any_size_is_forwarded_completely() {
     const SIZES: [usize; 4] = [1, 3, 17, 1000];
-    let scene = Scene::new(|turn, received| {
-        let text = String::from_utf8(events(1..=20)).expect("text");
-        let pieces = text.as_bytes().chunks(SIZES[turn / 2]);
-        let pieces = pieces.map(|piece| chunk(std::str::from_utf8(piece).expect("text")));
+    let fixture = Fixture::new(|earlier_requests, received| {
+        let text = String::from_utf8(events(1..=20)).expect("events are UTF-8");
+        let pieces = text.as_bytes().chunks(SIZES[earlier_requests / 2]);
+        let pieces = pieces.map(|piece| chunk(std::str::from_utf8(piece).expect("events are UTF-8")));
         std::iter::once(stream_head(received)).chain(pieces).chain([last_chunk()]).collect()
     });
     for size in SIZES {
         for route in ["again", "once"] {
-            assert_eq!(scene.ask(route, "").1, Ok(events(1..=20)), "{size}");
+            assert_eq!(
+                fixture.send_request(route, "").1,
+                Ok(events(1..=20)),
+                "chunk size {size}, route {route}"
+            );
         }
     }
 }
 
 #[test]
-fn resumable_stream_continues_at_another_server_in_the_same_response() {
-    for ends in [Step::Close, Step::Reset] {
-        let scene = Scene::new(move |turn, received| match turn {
-            // It breaks off inside its fourth event.
-            0 => then(part(received, 1..=3), [chunk("id: 4\ndata: wo"), ends.clone()]),
-            _ => stream(received, 4..=6),
+fn resumable_stream_continues_from_another_server_in_the_same_response() {
+    for termination in [Step::Close, Step::Reset] {
+        let fixture = Fixture::new(move |earlier_requests, received| match earlier_requests {
+            // The stream is interrupted within its fourth event.
+            0 => append_steps(
+                unfinished_stream(received, 1..=3),
+                [chunk("id: 4\ndata: wo"), termination.clone()],
+            ),
+            _ => complete_stream(received, 4..=6),
         });
-        let (head, body) = scene.ask("again", "");
-        assert_eq!((head.status, head.value("ivyhatch-server-stamp")), (200, Some("st.1")));
+        let (head, body) = fixture.send_request("again", "");
+        assert_eq!((head.status, head.header("ivyhatch-server-stamp")), (200, Some("st.1")));
         assert_eq!(body, Ok(events(1..=6)));
-        assert_eq!(last_event_ids(&scene.servers, 2), [None, Some("3".to_owned())]);
+        assert_eq!(last_event_ids(&fixture.servers, 2), [None, Some("3".to_owned())]);
     }
 }
 
 #[test]
 fn each_attempt_carries_the_request_id_and_its_servers_instance() {
-    let scene = Scene::new(|turn, received| {
-        if turn == 0 { then(part(received, 1..=3), [Step::Close]) } else { stream(received, 4..=6) }
+    let fixture = Fixture::new(|earlier_requests, received| {
+        if earlier_requests == 0 {
+            append_steps(unfinished_stream(received, 1..=3), [Step::Close])
+        } else {
+            complete_stream(received, 4..=6)
+        }
     });
-    assert_eq!(scene.ask("again", "").1, Ok(events(1..=6)));
-    for server in &scene.servers {
-        let received = server.next();
+    assert_eq!(fixture.send_request("again", "").1, Ok(events(1..=6)));
+    for server in &fixture.servers {
+        let received = server.next_request();
         assert_eq!(
             (received.id(), received.message.value("ivyhatch-expect-instance")),
             ("r1", Some(server.id.as_str()))
@@ -162,209 +180,244 @@
 }
 
 #[test]
-fn stream_broken_before_its_first_event_is_restarted() {
-    for first in [vec![], vec![chunk("id: 1\n")]] {
-        let scene = Scene::new(move |turn, received| match turn {
-            0 => then(vec![stream_head(received)], first.iter().cloned().chain([Step::Close])),
-            _ => stream(received, 1..=3),
+fn stream_interrupted_before_its_first_event_is_restarted() {
+    for partial_event in [vec![], vec![chunk("id: 1\n")]] {
+        let fixture = Fixture::new(move |earlier_requests, received| match earlier_requests {
+            0 => {
+                append_steps(vec![stream_head(received)], partial_event.iter().cloned().chain([Step::Close]))
+            }
+            _ => complete_stream(received, 1..=3),
         });
-        assert_eq!(scene.ask("again", "").1, Ok(events(1..=3)));
-        assert_eq!(last_event_ids(&scene.servers, 2), [None, None]);
+        assert_eq!(fixture.send_request("again", "").1, Ok(events(1..=3)));
+        assert_eq!(last_event_ids(&fixture.servers, 2), [None, None]);
     }
 }
 
 #[test]
 fn resumption_skips_servers_that_shed_or_send_malformed_responses() {
-    type BackendReply = fn(&ReceivedRequest) -> Vec<Step>;
-    let between: [BackendReply; 4] = [
-        |_| overloaded(),
-        |received| vec![Step::Write(complete_response(421, &id(received.id()), b""))],
+    type ServerScript = fn(&ReceivedRequest) -> Vec<Step>;
+    let failing_scripts: [ServerScript; 4] = [
+        |_| overloaded_response(),
+        |received| vec![Step::Write(complete_response(421, &id_header(received.id()), b""))],
         |_| vec![Step::Close],
         |_| vec![Step::Write(b"garbage\r\n\r\n".to_vec()), Step::Close],
     ];
-    for (number, script) in between.into_iter().enumerate() {
-        let scene = Scene::new(move |turn, received| match turn {
-            0 => then(part(received, 1..=3), [Step::Close]),
+    for (number, script) in failing_scripts.into_iter().enumerate() {
+        let fixture = Fixture::new(move |earlier_requests, received| match earlier_requests {
+            0 => append_steps(unfinished_stream(received, 1..=3), [Step::Close]),
             1 => script(received),
-            _ => stream(received, 4..=6),
+            _ => complete_stream(received, 4..=6),
         });
-        let (_, body) = scene.ask("again", "");
-        // There may be no further server to go to; then it has to show.
-        assert!(body == Ok(events(1..=6)) || body == Err(Broken(events(1..=3))), "{number}: {body:?}");
+        let (_, body) = fixture.send_request("again", "");
+        // The router may have no server left to retry; the stream must be truncated then.
+        assert!(
+            body == Ok(events(1..=6)) || body == Err(TruncatedBody(events(1..=3))),
+            "failing script {number}: {body:?}"
+        );
     }
 }
 
 #[test]
-fn non_resumable_stream_breaks_visibly() {
-    for ends in [Step::Close, Step::Reset] {
-        let scene =
-            Scene::new(move |_, received| then(part(received, 1..=3), [chunk("id: 4\n"), ends.clone()]));
-        let (head, body) = scene.ask("once", "");
-        assert_eq!((head.status, body), (200, Err(Broken(events(1..=3)))));
-        assert_eq!(last_event_ids(&scene.servers, 1).len(), 1, "it runs once");
+fn interrupted_non_resumable_stream_is_truncated() {
+    for termination in [Step::Close, Step::Reset] {
+        let fixture = Fixture::new(move |_, received| {
+            append_steps(unfinished_stream(received, 1..=3), [chunk("id: 4\n"), termination.clone()])
+        });
+        let (head, body) = fixture.send_request("once", "");
+        assert_eq!((head.status, body), (200, Err(TruncatedBody(events(1..=3)))));
+        assert_eq!(
+            last_event_ids(&fixture.servers, 1).len(),
+            1,
+            "a stream that is not resumable was retried"
+        );
     }
 }
 
 #[test]
-fn non_resumable_stream_broken_before_its_first_event_fails() {
-    let scene = Scene::new(|_, received| vec![stream_head(received), Step::Close]);
-    let (head, _) = scene.ask("once", "");
+fn non_resumable_stream_interrupted_before_its_first_event_fails() {
+    let fixture = Fixture::new(|_, received| vec![stream_head(received), Step::Close]);
+    let (head, _) = fixture.send_request("once", "");
     assert_eq!(head.status, 502);
-    assert_eq!(last_event_ids(&scene.servers, 1).len(), 1);
+    assert_eq!(last_event_ids(&fixture.servers, 1).len(), 1);
 }
 
 #[test]
-fn stream_with_an_incomplete_last_event_does_not_look_complete() {
-    let scene =
-        Scene::new(|_, received| then(part(received, 1..=3), [chunk("id: 4\ndata: wo\n"), last_chunk()]));
-    assert_eq!(scene.ask("once", "").1, Err(Broken(events(1..=3))));
+fn stream_with_an_incomplete_last_event_is_truncated() {
+    let fixture = Fixture::new(|_, received| {
+        append_steps(unfinished_stream(received, 1..=3), [chunk("id: 4\ndata: wo\n"), last_chunk()])
+    });
+    assert_eq!(fixture.send_request("once", "").1, Err(TruncatedBody(events(1..=3))));
 }
 
 #[test]
-fn stream_with_ids_that_do_not_increase_is_not_forwarded() {
-    let scene = Scene::new(|_, received| {
-        then(part(received, 1..=3), [chunk(&event(3)), chunk(&event(4)), last_chunk()])
+fn stream_is_truncated_at_an_event_id_that_does_not_increase() {
+    let fixture = Fixture::new(|_, received| {
+        append_steps(
+            unfinished_stream(received, 1..=3),
+            [chunk(&sse_event(3)), chunk(&sse_event(4)), last_chunk()],
+        )
     });
-    assert_eq!(scene.ask("once", "").1, Err(Broken(events(1..=3))));
+    assert_eq!(fixture.send_request("once", "").1, Err(TruncatedBody(events(1..=3))));
 }
 
 #[test]
-fn stream_that_restarts_from_its_first_event_is_not_appended() {
-    let scene = Scene::new(|turn, received| {
-        if turn == 0 { then(part(received, 1..=3), [Step::Close]) } else { stream(received, 1..=6) }
+fn continuation_from_the_first_event_is_not_appended() {
+    let fixture = Fixture::new(|earlier_requests, received| {
+        if earlier_requests == 0 {
+            append_steps(unfinished_stream(received, 1..=3), [Step::Close])
+        } else {
+            complete_stream(received, 1..=6)
+        }
     });
-    let (_, body) = scene.ask("twice", "");
-    assert_eq!(body, Err(Broken(events(1..=3))));
+    let (_, body) = fixture.send_request("twice", "");
+    assert_eq!(body, Err(TruncatedBody(events(1..=3))));
 }
 
-/// What another server answers instead of the rest of a stream; the client must see that the stream is not whole.
-fn assert_never_complete(script: impl Fn(&ReceivedRequest) -> Vec<Step> + Send + Sync + 'static) {
-    let scene =
-        Scene::new(
-            move |turn, received| {
-                if turn == 0 { then(part(received, 1..=3), [Step::Close]) } else { script(received) }
-            },
-        );
-    let (head, body) = scene.ask("twice", "");
-    assert_eq!((head.status, body), (200, Err(Broken(events(1..=3)))));
+/// Interrupts a stream after three events and has the other server answer its resumption by `script`; asserts that the client gets the
+/// three events and a truncated body.
+fn assert_truncated_when_continued_by(
+    script: impl Fn(&ReceivedRequest) -> Vec<Step> + Send + Sync + 'static,
+) {
+    let fixture = Fixture::new(move |earlier_requests, received| {
+        if earlier_requests == 0 {
+            append_steps(unfinished_stream(received, 1..=3), [Step::Close])
+        } else {
+            script(received)
+        }
+    });
+    let (head, body) = fixture.send_request("twice", "");
+    assert_eq!((head.status, body), (200, Err(TruncatedBody(events(1..=3)))));
 }
 
 #[test]
-fn stream_whose_rest_is_rejected_does_not_look_complete() {
-    assert_never_complete(|received| {
-        vec![Step::Write(complete_response(404, &format!("{}{STAMP}", id(received.id())), b"what?"))]
+fn stream_whose_continuation_is_rejected_is_truncated() {
+    assert_truncated_when_continued_by(|received| {
+        vec![Step::Write(complete_response(
+            404,
+            &format!("{}{STAMP_HEADER}", id_header(received.id())),
+            b"what?",
+        ))]
     });
 }
 
 #[test]
-fn stream_whose_rest_is_a_complete_response_does_not_look_complete() {
-    assert_never_complete(|received| ok(received, b"all at once"));
+fn stream_continued_by_a_complete_response_is_truncated() {
+    assert_truncated_when_continued_by(|received| ok_response(received, b"all at once"));
 }
 
 #[test]
-fn stream_whose_rest_fails_does_not_look_complete() {
-    assert_never_complete(|received| {
-        vec![Step::Write(complete_response(500, &format!("{}{STAMP}", id(received.id())), b"failed"))]
+fn stream_whose_continuation_fails_is_truncated() {
+    assert_truncated_when_continued_by(|received| {
+        vec![Step::Write(complete_response(
+            500,
+            &format!("{}{STAMP_HEADER}", id_header(received.id())),
+            b"failed",
+        ))]
     });
 }
 
 #[test]
-fn stream_whose_rest_has_another_id_does_not_look_complete() {
-    assert_never_complete(|received| {
+fn stream_whose_continuation_has_another_id_is_truncated() {
+    assert_truncated_when_continued_by(|received| {
         let other = ReceivedRequest {
-            message: system_common::server::renamed(&received.message, "other"),
-            number: 0,
-            on_connection: 0,
+            message: system_common::server::with_request_id(&received.message, "other"),
+            earlier_requests: 0,
+            earlier_on_connection: 0,
         };
-        stream(&other, 4..=6)
+        complete_stream(&other, 4..=6)
     });
 }
 
 #[test]
-fn stream_whose_rest_has_no_stamp_does_not_look_complete() {
-    assert_never_complete(|received| {
-        let head = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n{}\r\n", id(received.id()));
-        vec![Step::Write(head.into_bytes()), chunk(&event(4)), last_chunk()]
+fn stream_whose_continuation_has_no_stamp_is_truncated() {
+    assert_truncated_when_continued_by(|received| {
+        let head =
+            format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n{}\r\n", id_header(received.id()));
+        vec![Step::Write(head.into_bytes()), chunk(&sse_event(4)), last_chunk()]
     });
 }
 
 #[test]
 fn stream_gets_no_more_attempts_than_its_route_allows() {
-    let scene = Scene::new(|turn, received| {
-        let from = 1 + 2 * turn as u64;
-        then(part(received, from..=from + 1), [Step::Close])
+    let fixture = Fixture::new(|earlier_requests, received| {
+        let first_event = 1 + 2 * earlier_requests as u64;
+        append_steps(unfinished_stream(received, first_event..=first_event + 1), [Step::Close])
     });
-    assert_eq!(scene.ask("twice", "").1, Err(Broken(events(1..=4))));
-    assert_eq!(last_event_ids(&scene.servers, 2).len(), 2);
+    assert_eq!(fixture.send_request("twice", "").1, Err(TruncatedBody(events(1..=4))));
+    assert_eq!(last_event_ids(&fixture.servers, 2).len(), 2);
 }
 
 #[test]
-fn client_that_resumes_gets_the_events_after_its_last() {
-    let scene = Scene::new(|_, received| stream(received, 8..=9));
+fn resuming_client_gets_the_events_after_its_last_event_id() {
+    let fixture = Fixture::new(|_, received| complete_stream(received, 8..=9));
     for route in ["again", "once"] {
-        assert_eq!(scene.ask(route, "Last-Event-Id: 7\r\n").1, Ok(events(8..=9)), "{route}");
+        assert_eq!(fixture.send_request(route, "Last-Event-Id: 7\r\n").1, Ok(events(8..=9)), "route {route}");
     }
-    assert_eq!(last_event_ids(&scene.servers, 2), [Some("7".to_owned()), Some("7".to_owned())]);
+    assert_eq!(last_event_ids(&fixture.servers, 2), [Some("7".to_owned()), Some("7".to_owned())]);
 }
 
 #[test]
 fn complete_response_on_a_streaming_route_is_forwarded() {
-    let scene = Scene::new(|_, received| {
+    let fixture = Fixture::new(|_, received| {
         vec![Step::Write(complete_response(
             400,
-            &format!("{}{STAMP}", id(received.id())),
+            &format!("{}{STAMP_HEADER}", id_header(received.id())),
             b"too long a prompt",
         ))]
     });
     for route in ["again", "once"] {
-        let (head, body) = scene.ask(route, "");
+        let (head, body) = fixture.send_request(route, "");
         assert_eq!((head.status, body), (400, Ok(b"too long a prompt".to_vec())));
     }
 }
 
 #[test]
-fn disconnected_client_ends_its_stream_at_the_server() {
+fn stream_of_a_disconnected_client_is_not_resumed() {
     let gate = Arc::new(Gate::default());
-    let held = gate.clone();
-    let scene = Scene::new(move |turn, received| match turn {
-        // Once the client has left there is nobody to write to.
-        0 => then(part(received, 1..=1), [Step::Wait(held.clone())]),
-        _ => stream(received, 1..=2),
+    let server_gate = gate.clone();
+    let fixture = Fixture::new(move |earlier_requests, received| match earlier_requests {
+        // The server waits until the client has disconnected, and writes nothing more.
+        0 => append_steps(unfinished_stream(received, 1..=1), [Step::Wait(server_gate.clone())]),
+        _ => complete_stream(received, 1..=2),
     });
-    let mut client = scene.client();
-    client.write(&asks("r1", "again", ""));
-    client.head();
-    assert_eq!(client.chunk(), Some(event(1).into_bytes()));
+    let mut client = fixture.connect();
+    client.write(&stream_request("r1", "again", ""));
+    client.read_head();
+    assert_eq!(client.read_chunk(), Some(sse_event(1).into_bytes()));
     drop(client);
     gate.open();
-    let mut next = scene.client();
-    next.write(&asks("r2", "again", ""));
-    let head = next.head();
-    assert_eq!(next.try_body(&head), Ok(events(1..=2)));
+    let mut next_client = fixture.connect();
+    next_client.write(&stream_request("r2", "again", ""));
+    let head = next_client.read_head();
+    assert_eq!(next_client.read_body(&head), Ok(events(1..=2)));
     assert_eq!(
-        last_event_ids(&scene.servers, 2),
+        last_event_ids(&fixture.servers, 2),
         [None, None],
-        "nothing is resumed for a disconnected client"
+        "the stream of a disconnected client was resumed"
     );
 }
 
-/// Whether it has begun to answer or not: nobody waits for the rest.
+/// The router closes its connection to the server whether the response has started or not, so that the server can stop its work.
 #[test]
-fn server_is_left_within_half_a_second_of_its_client() {
+fn server_connection_closes_within_500_ms_of_a_client_disconnect() {
     let (sender, closed) = channel();
-    let scene = Scene::new(move |turn, received| match turn {
+    let fixture = Fixture::new(move |earlier_requests, received| match earlier_requests {
         0 => vec![Step::AwaitClose(sender.clone())],
-        _ => then(part(received, 1..=1), [Step::AwaitClose(sender.clone())]),
+        _ => append_steps(unfinished_stream(received, 1..=1), [Step::AwaitClose(sender.clone())]),
     });
-    for (id, has_begun) in [("r1", false), ("r2", true)] {
-        let mut client = scene.client();
-        client.write(&asks(id, "again", ""));
-        last_event_ids(&scene.servers, 1);
-        if has_begun {
-            client.head();
-            assert_eq!(client.chunk(), Some(event(1).into_bytes()));
+    for (id, response_started) in [("r1", false), ("r2", true)] {
+        let mut client = fixture.connect();
+        client.write(&stream_request(id, "again", ""));
+        last_event_ids(&fixture.servers, 1);
+        if response_started {
+            client.read_head();
+            assert_eq!(client.read_chunk(), Some(sse_event(1).into_bytes()));
         }
         drop(client);
-        assert_eq!(closed.recv_timeout(Duration::from_millis(500)), Ok(()), "{id}");
+        assert_eq!(
+            closed.recv_timeout(Duration::from_millis(500)),
+            Ok(()),
+            "the server connection of request {id} was not closed"
+        );
     }
 }
