--- a/system/src/router/attempt.rs
+++ b/system/src/router/attempt.rs
@@ -80,7 +80,7 @@
     pub is_idempotent: bool,
     /// How long the server may send nothing before it is probed.
     pub idle_timeouts: IdleTimeouts,
-    /// The ID of the event after which a stream is resumed; `None` if the client has received no event.
+    /// The ID of the event after which a stream is resumed; `None` if the client has received no event with an ID.
     pub last_event_id: Option<u64>,
     /// The client's deadline, in nanoseconds of [`crate::clock::Clock`]; the attempt times out then.
     pub not_after: Nanos,
@@ -124,7 +124,8 @@
         load: Option<LoadReport>,
     ) -> Option<StreamSender>;
 
-    /// Called when events have been forwarded to the client; `last_event_id` is the ID of the last one.
+    /// Called when events have been forwarded to the client. `last_event_id` is the ID of the last of these events that has an ID; `None`
+    /// if no event has one.
     fn events_forwarded(&self, attempt: AttemptId, last_event_id: Option<u64>);
 
     /// Called exactly once for each attempt, when it has ended.
--- a/system/src/router/client_handler.rs
+++ b/system/src/router/client_handler.rs
@@ -36,8 +36,8 @@
 /// The advertised keep-alive is shorter than the real idle timeout by this margin, so that the router does not close a connection while
 /// a request is in flight on it.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_secs(2);
-/// How long a request waits for a router that has just started to become ready. Usually enough, and a rejection after that still comes
-/// early.
+/// How long a request waits until a router that has just started is ready. Usually long enough; a rejection after this time still comes
+/// early in the request's deadline.
 const READY_TIMEOUT: Duration = Duration::from_millis(150);
 /// The largest value of the priority header, and the least urgent priority.
 const MAX_PRIORITY: u32 = 9;
@@ -64,7 +64,8 @@
         let incoming = self.receive(connection, request, read_by).await?;
         let (guard, response) = self.dispatcher.submit(incoming).ok_or(Rejection::DuplicateRequestId)?;
         connection.request_accepted();
-        // The sender is dropped unused only if the request has vanished from the request table. Whether it was executed is unknown then.
+        // The sender is dropped without a response only if the request was removed from the request table without an outcome. It is
+        // unknown then whether the request was executed.
         match response.await.unwrap_or(ClientResponse::Rejected(Rejection::Dropped)) {
             ClientResponse::Stream(head, chunks) => {
                 Ok(response_body::streaming(head, chunks, connection.clone(), guard))
@@ -187,7 +188,8 @@
     IncomingRequest { id, not_after, route, prompt, last_event_id, forwarded }
 }
 
-/// The headers that are forwarded to servers, without hop-by-hop headers and those that each attempt sets itself.
+/// The headers that are forwarded to servers: without hop-by-hop headers and those that each attempt sets itself. The client's priority
+/// is removed; on a sticky route, the route's priority is sent instead.
 fn forwarded_headers(headers: HeaderMap, route: &Route) -> HeaderMap {
     let mut headers = without_hop_by_hop_headers(headers, &[ATTEMPT_ID]);
     for name in [DEADLINE, EXPECT_INSTANCE, PRIORITY] {
--- a/system/src/router/client_response.rs
+++ b/system/src/router/client_response.rs
@@ -27,7 +27,7 @@
 pub struct CompleteResponse {
     /// Status and headers.
     pub head: ResponseHead,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
--- a/system/src/router/dispatch/balancer_actions.rs
+++ b/system/src/router/dispatch/balancer_actions.rs
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Ends a request whose deadline has passed without the balancer having ended the request.
+    /// Ends a request whose deadline has passed and that the balancer has not ended.
     fn time_out(&mut self, id: RequestId, outputs: &mut Outputs) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.has_ended) else { return };
         let service = request.service;
--- a/system/src/router/dispatch/mod.rs
+++ b/system/src/router/dispatch/mod.rs
@@ -5,8 +5,8 @@
 //! attempts to start or cancel, and responses to send. This module makes no decisions of its own. All calls are made in the process's
 //! single thread, and no borrow of the state is held after a call returns.
 //!
-//! The number of requests in progress is bounded by the limit of client connections, that of connections to servers by the upstream's
-//! pool.
+//! The number of requests in progress is bounded by the limit of client connections; the number of connections to servers is bounded by
+//! the upstream's pool.
 
 mod balancer_actions;
 mod pending_request;
--- a/system/src/router/dispatch/requests.rs
+++ b/system/src/router/dispatch/requests.rs
@@ -25,7 +25,8 @@
 const MIN_IDLE_TIMEOUT_MS: f64 = 100.0;
 /// Upper bound of a rejected request's `Retry-After`, as a fraction of the time left to its latency target.
 const MAX_RETRY_AFTER_FRACTION: f64 = 0.25;
-/// If less than this fraction of its latency target is left, a rejected request won't be served in time by another router either.
+/// If less than this fraction of its latency target is left, a rejected request won't be served in time by another router either, and
+/// [`MAX_RETRY_AFTER_FRACTION`] does not apply.
 const MIN_LEFT_FOR_RETRY_FRACTION: f64 = 0.25;
 /// Lower bound of the `Retry-After` of a rejected request.
 const MIN_RETRY_AFTER: Nanos = 60 * MILLISECOND;
--- a/system/src/router/dispatch/responses.rs
+++ b/system/src/router/dispatch/responses.rs
@@ -60,7 +60,8 @@
         );
     }
 
-    /// Records a server's load from a response. `latency` is the time to the first event of a stream; `None` for a complete response.
+    /// Records a server's load from a response, and passes it to the balancer as the result of a probe. `latency` is the time to the first
+    /// event of a stream; `None` for a complete response.
     fn record_load(
         &mut self,
         attempt: AttemptId,
--- a/system/src/router/dispatch/retry_usage_log.rs
+++ b/system/src/router/dispatch/retry_usage_log.rs
@@ -1,4 +1,5 @@
-//! Logs a service's retry usage, from which operators see how much of the service's retry budget was used.
+//! Logs a service's retry usage, from which operators see how much of the service's retry budget was used. A repeat is a retry after an
+//! attempt that had reached a server.
 
 use ivyhatch_balancer::RetryUsage;
 use ivyhatch_protocol::{Nanos, SECOND};
--- a/system/src/router/dispatch/service.rs
+++ b/system/src/router/dispatch/service.rs
@@ -12,8 +12,8 @@
 
 use super::retry_usage_log::RetryUsageLog;
 
-/// The fraction of its latency target for which a request may be queued before it is sent. Less than a quarter, as a rejection is to be
-/// sent within a quarter of the target.
+/// The longest time for which a request may be queued before it is sent, as a fraction of the request's latency target. Less than a
+/// quarter, as a rejection is to be sent within a quarter of the target.
 const MAX_QUEUE_TIME_FRACTION: f64 = 0.2;
 /// The fraction of a request's value that a late response still has. The configuration has no setting for this.
 pub const LATE_VALUE_SHARE: f64 = 0.5;
@@ -41,7 +41,7 @@
     pub instance: Rc<str>,
     /// Whether the server takes new requests, as last reported to the balancer.
     pub state: BackendState,
-    /// The change count of the zone's evacuation when the server list was last applied.
+    /// How often the evacuation state of the server's zone had changed when the server list was last applied.
     pub evacuation_changes: u64,
 }
 
--- a/system/src/router/dispatch/services.rs
+++ b/system/src/router/dispatch/services.rs
@@ -21,12 +21,12 @@
 
 /// The longest `Retry-After` of a rejected request.
 const MAX_RETRY_AFTER: Nanos = 400 * MILLISECOND;
-/// Upper bound of the routers for each region that a balancer is configured with. With more, a balancer would assume that it sees hardly
-/// any of the requests; the bound is safe because servers report their load.
+/// Upper bound of the number of routers in a balancer's settings, per region. With a larger number, a balancer would assume that it sees
+/// hardly any of the requests; the bound is safe because servers report their load.
 const MAX_ROUTERS_PER_REGION: u32 = 8;
 /// The number of routers in a region that is assumed until a control node has reported the number.
 const DEFAULT_ROUTERS_PER_REGION: u32 = 4;
-/// The fraction of the retry budget's slack that is divided among the known routers.
+/// The fraction of the retry budget's slack, the retries allowed beyond the budget's ratio, that is divided among the known routers.
 const RETRY_SLACK_FRACTION: f64 = 0.6;
 /// The fraction of the retry budget's slack that is divided among the known routers during the first window after a router's start.
 /// Smaller, as all routers may restart twice within one window.
--- a/system/src/router/dispatch/state.rs
+++ b/system/src/router/dispatch/state.rs
@@ -1,4 +1,4 @@
-//! The state behind the dispatcher: services, requests in progress, and timers.
+//! The dispatcher's state: services, requests in progress, and timers.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::rc::Rc;
--- a/system/src/router/headers.rs
+++ b/system/src/router/headers.rs
@@ -8,7 +8,7 @@
 pub const DEADLINE: &str = "ivyhatch-deadline-ms";
 /// The ID of the instance that an attempt is addressed to; another instance answers 421.
 pub const EXPECT_INSTANCE: &str = "ivyhatch-expect-instance";
-/// The ID of the last event that the client has received of a stream that is resumed.
+/// On a request that resumes a stream: the ID of the last event of the stream that the client has received.
 pub const LAST_EVENT_ID: &str = "last-event-id";
 /// The priority of a request; 0 is the most urgent.
 pub const PRIORITY: &str = "priority";
@@ -27,7 +27,7 @@
 /// How long the sender of the header keeps an idle connection open.
 pub const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// The trimmed value of a header that may occur once at most; `None` if the header is missing, occurs twice or is no text.
+/// The trimmed value of a header that may occur once at most; `None` if the header is missing, occurs twice or is not ASCII text.
 pub fn single<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let mut values = headers.get_all(name).iter();
     let value = values.next().filter(|_| values.next().is_none())?;
--- a/system/src/router/mod.rs
+++ b/system/src/router/mod.rs
@@ -42,9 +42,10 @@
 use upstream::Upstream;
 use watch_session::WatchSession;
 
-/// How long connections are accepted after SIGTERM: clients cache the directory's responses for some seconds. Together with
-/// [`CLOSING_DURATION`] this ends 200 ms before three seconds; the 200 ms cover signal delivery and scheduling delay of a busy process.
-/// A request that arrives after three seconds still has to be answered completely, and its stream may outlast the process.
+/// Time from SIGTERM until idle connections are closed. Requests are accepted until then, as clients cache the directory's responses for
+/// some seconds. After [`CLOSING_DURATION`] more, 2.8 s after SIGTERM, no new connections are accepted. This must happen within three
+/// seconds, as a request that arrives later still has to be answered completely, and its stream may outlast the process. The remaining
+/// 200 ms cover signal delivery and scheduling delay of a busy process.
 const DRAIN_DURATION: Duration = Duration::from_millis(2700);
 /// How long new connections are accepted after idle connections are closed: a client's connect may be in flight at that moment.
 const CLOSING_DURATION: Duration = Duration::from_millis(100);
--- a/system/src/router/rejection.rs
+++ b/system/src/router/rejection.rs
@@ -25,7 +25,7 @@
     /// The router has no configuration or no server list yet.
     #[error("this router does not know its configuration yet")]
     NotReady,
-    /// A request with this ID is in progress. Servers would treat a second one as another attempt of the first.
+    /// A request with this ID is in progress. Servers would treat a second request as another attempt of the first.
     #[error("an open request has this id")]
     DuplicateRequestId,
     /// The balancer rejected the request; it was never executed.
--- a/system/src/router/upstream/mod.rs
+++ b/system/src/router/upstream/mod.rs
@@ -44,7 +44,7 @@
     clock: Clock,
 }
 
-/// A request and its response on one connection.
+/// The result of sending a request and reading its response on one connection.
 struct Exchange {
     outcome: AttemptOutcome,
     /// How long the server keeps the idle connection open; `None` if the connection can't be reused.
@@ -251,8 +251,9 @@
         }
     }
 
-    /// Awaits a future that resolves when the server sends something. After `idle_timeout` of silence the server is probed with a new
-    /// connection, and again after twice the time. Returns `None` if a probe fails and the request may be retried at another server.
+    /// Awaits a future that resolves when the server sends something. If the request may be retried at another server, the server is
+    /// probed with a new connection after `idle_timeout` of silence; the time until the next probe doubles after each probe. Returns
+    /// `None` if a probe fails.
     async fn await_unless_unreachable<F: Future>(
         &self,
         spec: &AttemptSpec,
--- a/system/src/router/upstream/pool.rs
+++ b/system/src/router/upstream/pool.rs
@@ -32,7 +32,7 @@
 const CONNECT_MARGIN: Duration = Duration::from_millis(120);
 /// Round trips in the connect timeout for a region whose shortest round trip is known.
 const CONNECT_ROUND_TRIPS: u32 = 4;
-/// A connection is not reused within this time after a response, so that stray bytes behind the response or a close are noticed first.
+/// A connection is not reused within this time after a response, so that a close, or stray bytes after the response, are noticed first.
 const MIN_IDLE_TIME: Nanos = 2 * MILLISECOND;
 /// How long an idle connection is assumed to stay open if the server sent no `Keep-Alive` header.
 pub const DEFAULT_KEEP_ALIVE: Nanos = 4 * SECOND;
--- a/system/src/router/watch_session.rs
+++ b/system/src/router/watch_session.rs
@@ -30,9 +30,11 @@
 const SESSION_IDLE_TIMEOUT: Duration = Duration::from_millis(1800);
 /// A tick that is late by this much is logged. As all tasks share one thread, no other task ran in that time either.
 const STALL_THRESHOLD: Duration = Duration::from_millis(50);
-/// Routes and services of a change that are parsed before the task yields. Parsing them takes a tenth of a millisecond of a whole core.
+/// Number of routes and services of a change that are parsed before the task yields. Parsing this many takes 0.1 ms on a core that runs
+/// nothing else.
 const ITEMS_PER_TURN: usize = 50;
-/// Control nodes accept watch sessions at the first of the peer ports plus this offset; the first is for messages between them.
+/// Control nodes accept watch sessions on the first of the peer ports plus this offset; the first port itself is for messages between
+/// control nodes.
 const WATCH_PORT_OFFSET: u16 = 1;
 
 struct Host {
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Passes the whole server list to the dispatcher. The router becomes ready once a configuration has been applied as well.
+    /// Passes the complete server list to the dispatcher. The router becomes ready once a configuration has been applied as well.
     fn update_servers(self: &Rc<Self>) {
         let watch_client = self.watch_client.borrow();
         let servers = watch_client.server_list().servers(self.clock.now()).collect();
