--- a/system/src/control/admin_api.rs
+++ b/system/src/control/admin_api.rs
@@ -20,7 +20,8 @@
 /// A request that the state machine has not answered within this time gets a 503.
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Cancels a request when it is dropped: when its connection ends, or it times out, before the state machine has answered it.
+/// Cancels a request when dropped, unless the state machine has answered the request. Dropped early if the operator's connection ends or
+/// the request times out.
 struct CancelOnDrop {
     host: Rc<Host>,
     request: RequestId,
--- a/system/src/control/call_statistics.rs
+++ b/system/src/control/call_statistics.rs
@@ -95,7 +95,7 @@
         self.has_changed = true;
     }
 
-    /// Returns the totals as fields of a log line, or `None` if no call was counted since the last time.
+    /// Returns the totals as fields of a log line, or `None` if no call was counted since they were last taken.
     pub fn take_log_fields(&mut self) -> Option<String> {
         if !std::mem::take(&mut self.has_changed) {
             return None;
--- a/system/src/control/coordination_api.rs
+++ b/system/src/control/coordination_api.rs
@@ -106,7 +106,8 @@
     expected_revision: Option<u64>,
 }
 
-/// Cancels a call when it is dropped: when its connection ends before the state machine has answered it.
+/// Cancels a call when dropped, unless the state machine has answered the call. Dropped early if the caller's connection ends or the
+/// call times out.
 struct CancelOnDrop {
     host: Rc<Host>,
     call: RequestId,
--- a/system/src/control/directory_api.rs
+++ b/system/src/control/directory_api.rs
@@ -6,7 +6,8 @@
 use super::host::Host;
 use crate::http_server::{self, HttpRequest, HttpResponse};
 
-/// Upper bound of the time for which clients may cache a response, in seconds. A router that is lost stays in their caches until then.
+/// Upper bound of the time for which clients may cache a response, in seconds. A router that has failed stays in the clients'
+/// caches for up to this time.
 const MAX_TTL_SECONDS: f64 = 2.0;
 
 /// Responds to `GET /-/resolve` with the addresses of the routers for a zone or region.
--- a/system/src/control/mod.rs
+++ b/system/src/control/mod.rs
@@ -112,7 +112,7 @@
     let mut node_config = node_config::node_config(&settings, opened.is_some());
     let (disk, stored, durable_tokens) = match opened {
         Some(opened) => {
-            // If a log file was set aside, this is not the node's first start, whatever the settings say.
+            // If an unusable log file was set aside, this is not the node's first start, whatever the settings say.
             node_config.first_start &= !opened.history_lost;
             (Some(opened.disk), opened.stored, Some(opened.durable_tokens))
         }
--- a/system/src/http_server.rs
+++ b/system/src/http_server.rs
@@ -1,4 +1,5 @@
-//! A small HTTP server for the interfaces of the control role and for readiness: receives complete requests and sends JSON responses.
+//! A small HTTP server for the interfaces of the control role and the router's readiness endpoint: receives complete requests and sends
+//! JSON or plain-text responses.
 //!
 //! One task accepts connections, and one task serves each connection. The number of connections is limited only by the process's
 //! descriptors, as the callers are operators, applications and the directory's clients. The task of a connection ends with the
@@ -43,7 +44,7 @@
     pub query: Vec<(String, String)>,
     /// All headers of the request.
     pub headers: HeaderMap,
-    /// The whole body, of up to [`MAX_BODY_BYTES`].
+    /// The complete body, of up to [`MAX_BODY_BYTES`].
     pub body: Bytes,
 }
 
@@ -53,7 +54,7 @@
         self.query.iter().find(|(parameter, _)| parameter == name).map(|(_, value)| value.as_str())
     }
 
-    /// The trimmed value of a header; `None` if the header is missing or is no text.
+    /// The trimmed value of a header; `None` if the header is missing or is not ASCII text.
     pub fn header(&self, name: &HeaderName) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok()).map(str::trim)
     }
--- a/system/src/load_exchange.rs
+++ b/system/src/load_exchange.rs
@@ -1,7 +1,7 @@
 //! The UDP sockets by which routers share the load that they have placed on model servers; see [`ivyhatch_protocol::load_exchange`].
 //!
-//! A router sends a report ten times a second to the nearest control node with an open session, which answers immediately. Each process
-//! receives datagrams only on its own port, and ignores those that it can't decode.
+//! A router sends a report ten times a second to the nearest control node with an open session; the control node answers immediately.
+//! Each process receives datagrams only on its own port, and ignores datagrams that it can't decode.
 
 use std::cell::RefCell;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Sends a datagram if this is possible without waiting. A datagram that is not sent is replaced by the next one.
+    /// Sends a datagram if this is possible without waiting. A datagram that is not sent is lost; the next one replaces
+    /// its content.
     fn send(&self, datagram: &[u8], to: SocketAddrV4) {
         let _ = self.socket.try_send_to(datagram, to.into());
     }
@@ -86,7 +87,8 @@
 }
 
 /// Runs the router's side of the load exchange; never returns. Each report has the loads that `local_loads` returns, and is sent to the
-/// node that `nearest_control_node` returns. `on_summary` is called with the loads of all other routers.
+/// node that `nearest_control_node` returns. Each summary of the loads in the control node's region is passed to `on_summary`, together
+/// with the last received loads in other regions; both are the loads of all other routers.
 pub async fn run_router(
     socket: LoadSocket,
     nearest_control_node: impl Fn() -> Option<NodeId>,
--- a/system/src/transport/mod.rs
+++ b/system/src/transport/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A connection carries messages in one direction or in both. Delivery is at most once: messages sent while a connection is down are
 //! lost, and the state machines retry. Send queues are bounded in bytes: the connection of a peer that does not read is closed. Large
-//! messages are sent as fragments, behind all small messages and rate limited, so that they delay neither heartbeats nor requests.
+//! messages are sent as fragments, after all small messages and at a limited rate, so that they delay neither heartbeats nor requests.
 //!
 //! - [`socket`]: listening sockets, connects, and socket options
 //! - [`writer`]: the send queue of a connection
--- a/system/src/transport/reader.rs
+++ b/system/src/transport/reader.rs
@@ -17,7 +17,7 @@
 /// Why a connection has ended.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectionError {
-    /// The socket failed, or the peer closed it.
+    /// The socket failed, or the peer closed the connection.
     #[error("{0}")]
     Socket(#[from] io::Error),
     /// The peer sent bytes that are not a frame of this protocol.
--- a/system/src/transport/writer.rs
+++ b/system/src/transport/writer.rs
@@ -22,7 +22,7 @@
 const MAX_BATCH_BYTES: usize = 64 * 1024;
 /// The rate of bulk on a connection: half of a link of 10 Mbit/s, so that the other half is left for requests.
 const BULK_BYTES_PER_SECOND: f64 = 640.0 * 1024.0;
-/// The rate of bulk is raised so that the queued bulk takes no longer than this.
+/// The rate of bulk is raised if writing all queued bulk would take longer than this.
 const BULK_DRAIN_TARGET: Duration = Duration::from_millis(1000);
 /// After a pause, as much bulk as the rate allows in this time may be written at once.
 const BULK_BURST: Duration = Duration::from_millis(100);
@@ -32,7 +32,9 @@
 /// connections at once would fill the link and delay all other traffic of the machine.
 pub struct BulkPacer {
     bytes_per_second: f64,
+    /// The queued bulk of all connections, in bytes.
     queued: Cell<usize>,
+    /// When the next write of bulk may begin.
     next_at: Cell<Instant>,
 }
 
