--- a/system/src/control/mod.rs
+++ b/system/src/control/mod.rs
@@ -51,13 +51,13 @@
     fn bind(settings: &Settings) -> Result<Self, RoleError> {
         let admin = settings.listen_address("control", |listen| listen.control)?;
         let directory = settings.listen_address("directory", |listen| listen.directory)?;
-        let inner = |offset: u16| SocketAddrV4::new(settings.ip, settings.peer_ports.0 + offset);
+        let peer_address = |offset: u16| SocketAddrV4::new(settings.ip, settings.peer_ports.0 + offset);
         let bind = |address| socket::listen(address).map_err(|source| RoleError::Listen { address, source });
         Ok(Self {
             admin: bind(admin)?,
             directory: bind(directory)?,
-            peers: bind(inner(0))?,
-            watches: bind(inner(1))?,
+            peers: bind(peer_address(0))?,
+            watches: bind(peer_address(1))?,
         })
     }
 }
--- a/system/src/load_exchange_tests.rs
+++ b/system/src/load_exchange_tests.rs
@@ -81,7 +81,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn role_goes_on_without_the_exchange_where_there_is_no_port_for_it() {
+async fn role_runs_without_the_load_exchange_if_the_peer_ports_lack_its_port() {
     expect_that!(LoadSocket::bind_control(&settings(FIRST_PORT + 1)).await.is_none(), eq(true));
     expect_that!(LoadSocket::bind_router(&settings(FIRST_PORT + 2)).await.is_none(), eq(true));
 }
--- a/system/src/router/client_handler.rs
+++ b/system/src/router/client_handler.rs
@@ -22,7 +22,7 @@
 use super::client_response::ClientResponse;
 use super::dispatch::{Dispatcher, IncomingRequest};
 use super::headers::{
-    ATTEMPT_ID, DEADLINE, EXPECT_INSTANCE, KEEP_ALIVE, LAST_EVENT_ID, MODEL, PRIORITY, PROMPT_PREFIX,
+    DEADLINE, EXPECT_INSTANCE, KEEP_ALIVE, LAST_EVENT_ID, MODEL, PRIORITY, PROMPT_PREFIX, REQUEST_ID,
     TOKEN_COUNTS, single,
 };
 use super::rejection::Rejection;
@@ -87,7 +87,7 @@
         if connection.has_duplicate_content_length() {
             return Err(Rejection::InvalidHeader("content-length"));
         }
-        let id = single(&head.headers, ATTEMPT_ID).ok_or(Rejection::InvalidHeader(ATTEMPT_ID))?;
+        let id = single(&head.headers, REQUEST_ID).ok_or(Rejection::InvalidHeader(REQUEST_ID))?;
         let id = Rc::from(id);
         let host = single(&head.headers, "host")
             .or_else(|| head.uri.host())
@@ -191,7 +191,7 @@
 /// The headers that are forwarded to servers: without hop-by-hop headers and those that each attempt sets itself. The client's priority
 /// is removed; on a sticky route, the route's priority is sent instead.
 fn forwarded_headers(headers: HeaderMap, route: &Route) -> HeaderMap {
-    let mut headers = without_hop_by_hop_headers(headers, &[ATTEMPT_ID]);
+    let mut headers = without_hop_by_hop_headers(headers, &[REQUEST_ID]);
     for name in [DEADLINE, EXPECT_INSTANCE, PRIORITY] {
         headers.remove(name);
     }
--- a/system/src/router/dispatch/mod.rs
+++ b/system/src/router/dispatch/mod.rs
@@ -172,7 +172,7 @@
     }
 
     /// Records the load that all other routers have placed on model servers.
-    pub fn record_others_loads(&self, loads: Vec<ServerLoad>) {
+    pub fn record_other_routers_loads(&self, loads: Vec<ServerLoad>) {
         let now = self.clock.now();
         let loads: HashMap<u32, ServerLoad> = loads.into_iter().map(|load| (load.server, load)).collect();
         for service in self.state.borrow().services.values() {
--- a/system/src/router/dispatch/server_list.rs
+++ b/system/src/router/dispatch/server_list.rs
@@ -116,8 +116,9 @@
                 is_last_resort: evacuation.active && !is_quorum_reachable,
             },
         );
-        let known = self.servers.get(&id);
-        let was_evacuated = known.is_some_and(|known| known.evacuation_changes != evacuation.change_count);
+        let previous = self.servers.get(&id);
+        let was_evacuated =
+            previous.is_some_and(|previous| previous.evacuation_changes != evacuation.change_count);
         if was_evacuated && !evacuation.active {
             // The server received no requests during the evacuation, and may have lost its caches.
             placement.restart_slow_start(now, id);
@@ -136,8 +137,8 @@
         let is_evacuated = listed.evacuation.active && is_quorum_reachable;
         let is_draining = server.draining || server.lifetime_remaining_ms.is_some() || is_evacuated;
         let state = if is_draining { BackendState::Draining } else { BackendState::InService };
-        let known = self.servers.get(&id);
-        if known.is_none_or(|known| known.state != state || known.endpoint != endpoint) {
+        let previous = self.servers.get(&id);
+        if previous.is_none_or(|previous| previous.state != state || previous.endpoint != endpoint) {
             if is_draining {
                 change.drained.push(id);
             }
--- a/system/src/router/headers.rs
+++ b/system/src/router/headers.rs
@@ -3,7 +3,7 @@
 use hyper::header::{HeaderMap, HeaderName};
 
 /// The request ID, chosen by the client; servers echo it in the response.
-pub const ATTEMPT_ID: &str = "ivyhatch-attempt-id";
+pub const REQUEST_ID: &str = "ivyhatch-attempt-id";
 /// How much longer the client waits for the end of the response, in milliseconds.
 pub const DEADLINE: &str = "ivyhatch-deadline-ms";
 /// The ID of the instance that an attempt is addressed to; another instance answers 421.
--- a/system/src/router/mod.rs
+++ b/system/src/router/mod.rs
@@ -128,7 +128,7 @@
         socket,
         || watch_session.nearest_control_node(),
         || dispatcher.local_loads(),
-        |loads| dispatcher.record_others_loads(loads),
+        |loads| dispatcher.record_other_routers_loads(loads),
     )
     .await;
 }
--- a/system/src/router/readiness.rs
+++ b/system/src/router/readiness.rs
@@ -13,8 +13,8 @@
     dispatcher: &Dispatcher,
     phase: &watch::Receiver<DrainPhase>,
 ) -> HttpResponse {
-    let is_known = request.method == Method::GET && request.path() == ["-", "readyz"];
-    if !is_known {
+    let is_readiness_request = request.method == Method::GET && request.path() == ["-", "readyz"];
+    if !is_readiness_request {
         return http_server::error(StatusCode::NOT_FOUND, "this address answers GET /-/readyz");
     }
     if *phase.borrow() != DrainPhase::Serving {
--- a/system/src/router/upstream/mod.rs
+++ b/system/src/router/upstream/mod.rs
@@ -28,7 +28,7 @@
 
 use super::attempt::{AttemptObserver, AttemptOutcome, AttemptSpec, ServerKey};
 use super::client_response::{CompleteResponse, ResponseHead};
-use super::headers::{ATTEMPT_ID, DEADLINE, EXPECT_INSTANCE, LAST_EVENT_ID};
+use super::headers::{DEADLINE, EXPECT_INSTANCE, LAST_EVENT_ID, REQUEST_ID};
 use crate::clock::Clock;
 use pool::{Connection, ConnectionPool, DEFAULT_KEEP_ALIVE};
 use response::{ResponseContext, ResponseKind, failure_outcome};
@@ -225,7 +225,7 @@
         let load = response::load(&head.headers);
         let keep_alive = response::keep_alive(&head.headers);
         let status = head.status;
-        let head = ResponseHead { status, headers: without_hop_by_hop_headers(head.headers, &[ATTEMPT_ID]) };
+        let head = ResponseHead { status, headers: without_hop_by_hop_headers(head.headers, &[REQUEST_ID]) };
         match kind {
             ResponseKind::Invalid => Exchange::failed(Outcome::InvalidResponse),
             // The request may have been executed, but the client would conclude from the status that it was not.
--- a/system/src/router/upstream/pool.rs
+++ b/system/src/router/upstream/pool.rs
@@ -198,8 +198,8 @@
     }
 
     fn connect_timeout(&self, region: u32) -> Duration {
-        let known = self.round_trips.borrow().get(&region).copied();
-        known.map_or(CONNECT_TIMEOUT, |round_trip| {
+        let shortest = self.round_trips.borrow().get(&region).copied();
+        shortest.map_or(CONNECT_TIMEOUT, |round_trip| {
             (round_trip * CONNECT_ROUND_TRIPS + CONNECT_MARGIN).min(CONNECT_TIMEOUT)
         })
     }
@@ -233,9 +233,12 @@
 
     fn drop_oldest(&self) {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.values_mut().filter(|kept| !kept.is_empty()).min_by_key(|kept| kept[0].since);
-        if let Some(kept) = oldest {
-            kept.remove(0);
+        let oldest = idle
+            .values_mut()
+            .filter(|connections| !connections.is_empty())
+            .min_by_key(|connections| connections[0].since);
+        if let Some(connections) = oldest {
+            connections.remove(0);
         }
     }
 }
--- a/system/src/router/upstream/response.rs
+++ b/system/src/router/upstream/response.rs
@@ -10,7 +10,7 @@
 
 use super::pool::DEFAULT_KEEP_ALIVE;
 use crate::router::attempt::AttemptSpec;
-use crate::router::headers::{ATTEMPT_ID, KEEP_ALIVE, NOT_EXECUTED, SERVER_LOAD, SERVER_STAMP};
+use crate::router::headers::{KEEP_ALIVE, NOT_EXECUTED, REQUEST_ID, SERVER_LOAD, SERVER_STAMP};
 
 /// Statuses from which a client concludes that its request was not executed and never will be.
 const NOT_EXECUTED_STATUSES: [StatusCode; 4] = [
@@ -81,10 +81,10 @@
 /// request's ID. A response without an ID certainly belongs to the request only if it is the first response on its connection.
 fn belongs_to(headers: &HeaderMap, request_id: &str, may_lack_id: bool) -> bool {
     // If a server restarted its response in the middle of a header line, these headers occur twice, and the first ones are damaged.
-    if is_repeated(headers, ATTEMPT_ID) || is_repeated(headers, &SERVER_STAMP) {
+    if is_repeated(headers, REQUEST_ID) || is_repeated(headers, &SERVER_STAMP) {
         return false;
     }
-    match headers.get(ATTEMPT_ID).and_then(|id| id.to_str().ok()) {
+    match headers.get(REQUEST_ID).and_then(|id| id.to_str().ok()) {
         Some(id) => id == request_id,
         None => may_lack_id,
     }
