--- a/system/src/regions.rs
+++ b/system/src/regions.rs
@@ -29,8 +29,8 @@
         self.names.len() as u32
     }
 
-    /// The index of a zone's region. Zones that the settings do not name share the index after the last region, which is no route's home
-    /// region.
+    /// The index of a zone's region. A zone that the settings do not name counts as a region with the zone's name. All unknown regions
+    /// share the index after the last region, which is no route's home region.
     pub fn index_of_zone(&self, zone: &str) -> u32 {
         let region = self.by_zone.get(zone).map_or(zone, String::as_str);
         self.position(region).unwrap_or(self.names.len()) as u32
