--- a/system/src/control/mod.rs
+++ b/system/src/control/mod.rs
@@ -51,13 +51,13 @@
     fn bind(settings: &Settings) -> Result<Self, RoleError> {
         let admin = settings.listen_address("control", |listen| listen.control)?;
         let directory = settings.listen_address("directory", |listen| listen.directory)?;
-        let inner = |offset: u16| SocketAddrV4::new(settings.ip, settings.peer_ports.0 + offset);
+        let peer_address = |offset: u16| SocketAddrV4::new(settings.ip, settings.peer_ports.0 + offset);
         let bind = |address| socket::listen(address).map_err(|source| RoleError::Listen { address, source });
         Ok(Self {
             admin: bind(admin)?,
             directory: bind(directory)?,
-            peers: bind(inner(0))?,
-            watches: bind(inner(1))?,
+            peers: bind(peer_address(0))?,
+            watches: bind(peer_address(1))?,
         })
     }
 }
@@ -112,7 +112,7 @@
     let mut node_config = node_config::node_config(&settings, opened.is_some());
     let (disk, stored, durable_tokens) = match opened {
         Some(opened) => {
-            // If a log file was set aside, this is not the node's first start, whatever the settings say.
+            // If an unusable log file was set aside, this is not the node's first start, whatever the settings say.
             node_config.first_start &= !opened.history_lost;
             (Some(opened.disk), opened.stored, Some(opened.durable_tokens))
         }
--- a/system/src/router/upstream/mod.rs
+++ b/system/src/router/upstream/mod.rs
@@ -28,7 +28,7 @@
 
 use super::attempt::{AttemptObserver, AttemptOutcome, AttemptSpec, ServerKey};
 use super::client_response::{CompleteResponse, ResponseHead};
-use super::headers::{ATTEMPT_ID, DEADLINE, EXPECT_INSTANCE, LAST_EVENT_ID};
+use super::headers::{DEADLINE, EXPECT_INSTANCE, LAST_EVENT_ID, REQUEST_ID};
 use crate::clock::Clock;
 use pool::{Connection, ConnectionPool, DEFAULT_KEEP_ALIVE};
 use response::{ResponseContext, ResponseKind, failure_outcome};
@@ -44,7 +44,7 @@
     clock: Clock,
 }
 
-/// A request and its response on one connection.
+/// The result of sending a request and reading its response on one connection.
 struct Exchange {
     outcome: AttemptOutcome,
     /// How long the server keeps the idle connection open; `None` if the connection can't be reused.
@@ -225,7 +225,7 @@
         let load = response::load(&head.headers);
         let keep_alive = response::keep_alive(&head.headers);
         let status = head.status;
-        let head = ResponseHead { status, headers: without_hop_by_hop_headers(head.headers, &[ATTEMPT_ID]) };
+        let head = ResponseHead { status, headers: without_hop_by_hop_headers(head.headers, &[REQUEST_ID]) };
         match kind {
             ResponseKind::Invalid => Exchange::failed(Outcome::InvalidResponse),
             // The request may have been executed, but the client would conclude from the status that it was not.
@@ -251,8 +251,9 @@
         }
     }
 
-    /// Awaits a future that resolves when the server sends something. After `idle_timeout` of silence the server is probed with a new
-    /// connection, and again after twice the time. Returns `None` if a probe fails and the request may be retried at another server.
+    /// Awaits a future that resolves when the server sends something. If the request may be retried at another server, the server is
+    /// probed with a new connection after `idle_timeout` of silence; the time until the next probe doubles after each probe. Returns
+    /// `None` if a probe fails.
     async fn await_unless_unreachable<F: Future>(
         &self,
         spec: &AttemptSpec,
--- a/system/src/router/upstream/pool.rs
+++ b/system/src/router/upstream/pool.rs
@@ -32,7 +32,7 @@
 const CONNECT_MARGIN: Duration = Duration::from_millis(120);
 /// Round trips in the connect timeout for a region whose shortest round trip is known.
 const CONNECT_ROUND_TRIPS: u32 = 4;
-/// A connection is not reused within this time after a response, so that stray bytes behind the response or a close are noticed first.
+/// A connection is not reused within this time after a response, so that a close, or stray bytes after the response, are noticed first.
 const MIN_IDLE_TIME: Nanos = 2 * MILLISECOND;
 /// How long an idle connection is assumed to stay open if the server sent no `Keep-Alive` header.
 pub const DEFAULT_KEEP_ALIVE: Nanos = 4 * SECOND;
@@ -198,8 +198,8 @@
     }
 
     fn connect_timeout(&self, region: u32) -> Duration {
-        let known = self.round_trips.borrow().get(&region).copied();
-        known.map_or(CONNECT_TIMEOUT, |round_trip| {
+        let shortest = self.round_trips.borrow().get(&region).copied();
+        shortest.map_or(CONNECT_TIMEOUT, |round_trip| {
             (round_trip * CONNECT_ROUND_TRIPS + CONNECT_MARGIN).min(CONNECT_TIMEOUT)
         })
     }
@@ -233,9 +233,12 @@
 
     fn drop_oldest(&self) {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.values_mut().filter(|kept| !kept.is_empty()).min_by_key(|kept| kept[0].since);
-        if let Some(kept) = oldest {
-            kept.remove(0);
+        let oldest = idle
+            .values_mut()
+            .filter(|connections| !connections.is_empty())
+            .min_by_key(|connections| connections[0].since);
+        if let Some(connections) = oldest {
+            connections.remove(0);
         }
     }
 }
