--- a/cli/tests/soak/applications.rs
+++ b/cli/tests/soak/applications.rs
@@ -21,31 +21,31 @@
 /// A caller turns to another node after this long without an answer, beside what a watch waits for.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// A put without a clear answer is sent again for this long.
-const PUT_RETRIES: Duration = Duration::from_secs(6);
+const PUT_RETRY_TIME: Duration = Duration::from_secs(6);
 const WATCH_WAIT_MS: u64 = 800;
-const LONGEST_PAUSE: Duration = Duration::from_millis(150);
+const MAX_PAUSE: Duration = Duration::from_millis(150);
 /// For how long a watch may go on from a revision: the default of the settings.
-const HISTORY: Duration = Duration::from_secs(20);
-const LOCKS: [&str; 2] = ["l0", "l1"];
-const NUMBERS: [&str; 2] = ["n0", "n1"];
-const CELLS: [&str; 4] = ["g.a", "g.b", "h.a", "h.b"];
-const GROUPS: [&str; 2] = ["g.", "h."];
-const HOLDS_MS: [u64; 4] = [150, 500, 1200, 2500];
-const KINDS: [Kind; 10] = [
-    Kind::Locks,
-    Kind::Locks,
-    Kind::Locks,
-    Kind::Locks,
-    Kind::Numbers,
-    Kind::Numbers,
-    Kind::Cells,
-    Kind::Cells,
-    Kind::Watch,
-    Kind::Watch,
+const HISTORY_RETENTION: Duration = Duration::from_secs(20);
+const LOCK_NAMES: [&str; 2] = ["l0", "l1"];
+const NUMBER_NAMES: [&str; 2] = ["n0", "n1"];
+const CELL_NAMES: [&str; 4] = ["g.a", "g.b", "h.a", "h.b"];
+const CELL_GROUPS: [&str; 2] = ["g.", "h."];
+const HOLD_TIMES_MS: [u64; 4] = [150, 500, 1200, 2500];
+const APPLICATION_KINDS: [ApplicationKind; 10] = [
+    ApplicationKind::Locks,
+    ApplicationKind::Locks,
+    ApplicationKind::Locks,
+    ApplicationKind::Locks,
+    ApplicationKind::Numbers,
+    ApplicationKind::Numbers,
+    ApplicationKind::Cells,
+    ApplicationKind::Cells,
+    ApplicationKind::Watch,
+    ApplicationKind::Watch,
 ];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Kind {
+enum ApplicationKind {
     Locks,
     Numbers,
     Cells,
@@ -62,9 +62,9 @@
     cluster: Arc<TestCluster>,
     recorder: Arc<Recorder>,
     oracle: Mutex<CoordinationOracle>,
-    epoch: Instant,
-    clear: AtomicU64,
-    unclear: AtomicU64,
+    started_at: Instant,
+    definite: AtomicU64,
+    indefinite: AtomicU64,
     stop: AtomicBool,
 }
 
@@ -74,51 +74,51 @@
         let shared = Arc::new(Shared {
             cluster: cluster.clone(),
             recorder: recorder.clone(),
-            oracle: Mutex::new(CoordinationOracle::new(HISTORY.as_nanos() as Nanos)),
-            epoch: Instant::now(),
-            clear: AtomicU64::new(0),
-            unclear: AtomicU64::new(0),
+            oracle: Mutex::new(CoordinationOracle::new(HISTORY_RETENTION.as_nanos() as Nanos)),
+            started_at: Instant::now(),
+            definite: AtomicU64::new(0),
+            indefinite: AtomicU64::new(0),
             stop: AtomicBool::new(false),
         });
         let start = |(number, kind)| {
-            let random = StdRng::seed_from_u64((!seed << 8) + number as u64);
-            let (connection, held) = (None, None);
+            let rng = StdRng::seed_from_u64((!seed << 8) + number as u64);
+            let (connection, held_lock) = (None, None);
             let application = Application {
                 number,
                 kind,
-                random,
+                rng,
                 shared: shared.clone(),
                 connection,
-                held,
-                watched: 0,
-                puts: 0,
+                held_lock,
+                watched_revision: 0,
+                put_count: 0,
             };
             thread::spawn(move || application.run())
         };
-        let threads = KINDS.into_iter().enumerate().map(start).collect();
+        let threads = APPLICATION_KINDS.into_iter().enumerate().map(start).collect();
         Self { shared, threads }
     }
 
     /// The numbers of calls with a clear answer, and without, since the last time.
     pub fn take_counts(&self) -> (u64, u64) {
-        (self.shared.clear.swap(0, Ordering::SeqCst), self.shared.unclear.swap(0, Ordering::SeqCst))
+        (self.shared.definite.swap(0, Ordering::SeqCst), self.shared.indefinite.swap(0, Ordering::SeqCst))
     }
 
     /// Ends all callers, and checks the whole history.
     pub fn stop(self) {
         self.shared.stop.store(true, Ordering::SeqCst);
         self.threads.into_iter().for_each(|thread| thread.join().expect("an application ends"));
-        self.shared.check(|oracle| oracle.check_history());
+        self.shared.check_oracle(|oracle| oracle.check_history());
     }
 }
 
 impl Shared {
     fn now(&self) -> Nanos {
         // Never 0: that is before all that is known.
-        self.epoch.elapsed().as_nanos() as Nanos + 1
+        self.started_at.elapsed().as_nanos() as Nanos + 1
     }
 
-    fn check(
+    fn check_oracle(
         &self,
         check: impl FnOnce(&mut CoordinationOracle) -> Result<(), ivyhatch_simulation::oracle::CheckFailure>,
     ) {
@@ -128,88 +128,88 @@
     }
 }
 
-struct Held {
+struct HeldLock {
     name: &'static str,
     fence: u64,
-    ends_at: Instant,
+    expires_at: Instant,
 }
 
 struct Application {
     number: usize,
-    kind: Kind,
-    random: StdRng,
+    kind: ApplicationKind,
+    rng: StdRng,
     shared: Arc<Shared>,
     connection: Option<(u8, Client)>,
-    held: Option<Held>,
-    watched: u64,
-    puts: u64,
+    held_lock: Option<HeldLock>,
+    watched_revision: u64,
+    put_count: u64,
 }
 
 impl Application {
     fn run(mut self) {
         while !self.shared.stop.load(Ordering::SeqCst) {
             match self.kind {
-                Kind::Locks => self.use_lock(),
-                Kind::Numbers => {
-                    let name = (*NUMBERS.choose(&mut self.random).unwrap()).to_owned();
+                ApplicationKind::Locks => self.use_lock(),
+                ApplicationKind::Numbers => {
+                    let name = (*NUMBER_NAMES.choose(&mut self.rng).unwrap()).to_owned();
                     self.call(&Call::NextNumber { name }, None);
                 }
-                Kind::Cells => self.use_cell(),
-                Kind::Watch => self.watch(),
+                ApplicationKind::Cells => self.use_cell(),
+                ApplicationKind::Watch => self.watch(),
             }
-            if self.kind != Kind::Watch {
-                thread::park_timeout(LONGEST_PAUSE.mul_f64(self.random.random_range(0.0..1.0)));
+            if self.kind != ApplicationKind::Watch {
+                thread::park_timeout(MAX_PAUSE.mul_f64(self.rng.random_range(0.0..1.0)));
             }
         }
     }
 
     fn use_lock(&mut self) {
         let holder = format!("a{}", self.number);
-        let hold_ms = *HOLDS_MS.choose(&mut self.random).unwrap();
-        self.held.take_if(|held| Instant::now() >= held.ends_at);
+        let hold_ms = *HOLD_TIMES_MS.choose(&mut self.rng).unwrap();
+        self.held_lock.take_if(|held_lock| Instant::now() >= held_lock.expires_at);
         let sent_at = Instant::now();
-        let until = sent_at + Duration::from_millis(hold_ms);
-        let Some(Held { name, fence, .. }) = self.held else {
-            let name = *LOCKS.choose(&mut self.random).unwrap();
+        let expires_at = sent_at + Duration::from_millis(hold_ms);
+        let Some(HeldLock { name, fence, .. }) = self.held_lock else {
+            let name = *LOCK_NAMES.choose(&mut self.rng).unwrap();
             let call = Call::AcquireLock { name: name.to_owned(), holder, hold_ms };
             if let Some(CallOutcome::Applied(Reply::LockAcquired { fence })) = self.call(&call, None) {
-                self.held = Some(Held { name, fence, ends_at: until });
+                self.held_lock = Some(HeldLock { name, fence, expires_at });
             }
             return;
         };
         let name = name.to_owned();
-        if self.random.random_bool(0.5) {
-            self.held = None;
+        if self.rng.random_bool(0.5) {
+            self.held_lock = None;
             self.call(&Call::ReleaseLock { name, holder, fence }, None);
             return;
         }
         let outcome = self.call(&Call::RenewLock { name, holder, fence, hold_ms }, None);
-        self.held.take_if(|held| Instant::now() >= held.ends_at);
+        self.held_lock.take_if(|held_lock| Instant::now() >= held_lock.expires_at);
         match outcome {
             Some(CallOutcome::Applied(_)) => {
-                if let Some(held) = &mut self.held {
-                    held.ends_at = held.ends_at.max(until);
+                if let Some(held_lock) = &mut self.held_lock {
+                    held_lock.expires_at = held_lock.expires_at.max(expires_at);
                 }
             }
-            Some(_) => self.held = None,
+            Some(_) => self.held_lock = None,
             None => {}
         }
     }
 
     fn use_cell(&mut self) {
-        let name = (*CELLS.choose(&mut self.random).unwrap()).to_owned();
+        let name = (*CELL_NAMES.choose(&mut self.rng).unwrap()).to_owned();
         let read = self.call(&Call::ReadCell { name: name.clone() }, None);
-        let known = match read {
+        let current_revision = match read {
             Some(CallOutcome::Applied(Reply::Cell { revision, .. })) => revision,
             Some(CallOutcome::Refused(Refusal::NoSuchCell)) => 0,
             _ => return,
         };
-        self.puts += 1;
-        let value = format!("{}-{}", self.number, self.puts);
-        let expected_revision = self.random.random_bool(0.7).then_some(known);
+        self.put_count += 1;
+        let value = format!("{}-{}", self.number, self.put_count);
+        let expected_revision = self.rng.random_bool(0.7).then_some(current_revision);
         let call = Call::PutCell { name, value, expected_revision };
         let first_sent_at = self.shared.now();
-        let end = Instant::now() + PUT_RETRIES;
+        let end = Instant::now() + PUT_RETRY_TIME;
         // Sent again unchanged until the answer is clear.
         while self.call(&call, Some(first_sent_at)).is_none()
             && Instant::now() < end
@@ -220,14 +220,14 @@
     }
 
     fn watch(&mut self) {
-        let group = GROUPS[self.number % GROUPS.len()].to_owned();
-        let call = Call::WatchGroup { group, after: self.watched, wait_ms: WATCH_WAIT_MS };
+        let group = CELL_GROUPS[self.number % CELL_GROUPS.len()].to_owned();
+        let call = Call::WatchGroup { group, after: self.watched_revision, wait_ms: WATCH_WAIT_MS };
         match self.call(&call, None) {
-            Some(CallOutcome::Applied(Reply::Events { revision, .. })) => self.watched = revision,
-            Some(_) => self.watched = 0,
+            Some(CallOutcome::Applied(Reply::Events { revision, .. })) => self.watched_revision = revision,
+            Some(_) => self.watched_revision = 0,
             None => thread::park_timeout(Duration::from_millis(40)),
         }
-        if self.watched == 0 {
+        if self.watched_revision == 0 {
             thread::park_timeout(Duration::from_millis(40));
         }
     }
@@ -240,22 +240,22 @@
         self.shared.oracle.lock().unwrap().attempt_sent(&sent);
         let outcome = self.round_trip(call).unwrap_or(CallOutcome::Unknown);
         let now = self.shared.now();
-        self.shared.check(|oracle| oracle.outcome_received(now, &sent, &outcome));
-        let is_clear = !matches!(outcome, CallOutcome::Unknown | CallOutcome::NotStarted(_));
-        let counter = if is_clear { &self.shared.clear } else { &self.shared.unclear };
+        self.shared.check_oracle(|oracle| oracle.outcome_received(now, &sent, &outcome));
+        let is_definite = !matches!(outcome, CallOutcome::Unknown | CallOutcome::NotStarted(_));
+        let counter = if is_definite { &self.shared.definite } else { &self.shared.indefinite };
         counter.fetch_add(1, Ordering::SeqCst);
-        if !is_clear {
+        if !is_definite {
             // It turns to another node.
             self.connection = None;
         }
-        is_clear.then_some(outcome)
+        is_definite.then_some(outcome)
     }
 
     fn round_trip(&mut self, call: &Call) -> Option<CallOutcome> {
         let (host, mut client) = match self.connection.take() {
             Some(kept) => kept,
             None => {
-                let host = *CONTROL_HOSTS.choose(&mut self.random).unwrap();
+                let host = *CONTROL_HOSTS.choose(&mut self.rng).unwrap();
                 let Some(client) = Client::try_connect(self.shared.cluster.address(host, CONTROL_PORT))
                 else {
                     return Some(CallOutcome::NotStarted(NotStarted::NoQuorum));
@@ -269,7 +269,7 @@
         let body = client.read_body(&head).ok()?;
         self.connection = Some((host, client));
         let body = serde_json::from_slice(&body).unwrap_or(Value::Null);
-        Some(outcome_of(call, head.status, &body))
+        Some(parse_outcome(call, head.status, &body))
     }
 }
 
@@ -305,11 +305,11 @@
 }
 
 /// What an answer says of a call.
-fn outcome_of(call: &Call, status: u16, body: &Value) -> CallOutcome {
+fn parse_outcome(call: &Call, status: u16, body: &Value) -> CallOutcome {
     let number = |field: &str| body[field].as_u64().unwrap_or_default();
     let refused = CallOutcome::Refused;
     match (status, call) {
-        (200, call) => CallOutcome::Applied(reply_of(call, body)),
+        (200, call) => CallOutcome::Applied(parse_reply(call, body)),
         (409, Call::AcquireLock { .. }) => refused(Refusal::LockHeld),
         (409, _) => refused(Refusal::LockLost),
         (412, _) => refused(Refusal::RevisionConflict { revision: number("rev") }),
@@ -322,7 +322,7 @@
     }
 }
 
-fn reply_of(call: &Call, body: &Value) -> Reply {
+fn parse_reply(call: &Call, body: &Value) -> Reply {
     let number = |value: &Value| value.as_u64().unwrap_or_default();
     let text = |value: &Value| value.as_str().unwrap_or_default().to_owned();
     let event = |event: &Value| CellEvent {
--- a/cli/tests/soak/clients.rs
+++ b/cli/tests/soak/clients.rs
@@ -16,14 +16,14 @@
 pub const MEAN_PAUSES: [Duration; 3] =
     [Duration::from_millis(60), Duration::from_millis(250), Duration::from_millis(1000)];
 /// The pause after a connect that failed.
-const CONNECT_PAUSE: Duration = Duration::from_millis(30);
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(30);
 /// The part of the requests that go to a service whose requests may run once only.
-const UNSAFE_PART: f64 = 0.3;
+const UNSAFE_FRACTION: f64 = 0.3;
 /// The part of the requests after which a client leaves its connection by itself.
-const LEAVE_PART: f64 = 0.02;
+const DISCONNECT_FRACTION: f64 = 0.02;
 
 /// What all clients share.
-pub struct Shared {
+pub struct ClientState {
     /// The routers' hosts and addresses.
     pub routers: Vec<(u8, SocketAddr)>,
     pub recorder: Arc<Recorder>,
@@ -33,55 +33,56 @@
 }
 
 /// Starts a client that goes on until it is to stop.
-pub fn start(shared: &Arc<Shared>, seed: u64) -> JoinHandle<()> {
-    let shared = shared.clone();
-    let client = move || LoadClient { random: StdRng::seed_from_u64(seed), shared, connection: None }.run();
+pub fn start(state: &Arc<ClientState>, seed: u64) -> JoinHandle<()> {
+    let state = state.clone();
+    let client = move || LoadClient { rng: StdRng::seed_from_u64(seed), state, connection: None }.run();
     thread::Builder::new().stack_size(256 * 1024).spawn(client).unwrap()
 }
 
 struct LoadClient {
-    random: StdRng,
-    shared: Arc<Shared>,
+    rng: StdRng,
+    state: Arc<ClientState>,
     connection: Option<(u8, Client)>,
 }
 
 impl LoadClient {
     fn run(mut self) {
-        while !self.shared.stop.load(Ordering::SeqCst) {
-            let began = Instant::now();
-            let pause = self.one_request();
-            let pause = pause.mul_f64(self.random.random_range(0.0..2.0));
-            thread::park_timeout(pause.saturating_sub(began.elapsed() / 4));
+        while !self.state.stop.load(Ordering::SeqCst) {
+            let started_at = Instant::now();
+            let pause = self.send_one_request();
+            let pause = pause.mul_f64(self.rng.random_range(0.0..2.0));
+            thread::park_timeout(pause.saturating_sub(started_at.elapsed() / 4));
         }
     }
 
     /// Sends one request and takes its answer; returns the mean pause before the next one.
-    fn one_request(&mut self) -> Duration {
-        let service = if self.random.random_bool(UNSAFE_PART) { Service::Unsafe } else { Service::Safe };
-        let id = self.shared.next_id.fetch_add(1, Ordering::SeqCst);
-        let kept = self.connection.take();
-        let router = kept.as_ref().map_or_else(|| self.draw_router(), |(host, _)| *host);
-        self.shared.recorder.sent(id, service, router);
-        let Some(mut client) = kept.map(|(_, client)| client).or_else(|| self.connect(router)) else {
-            self.shared.recorder.ended(id, Ending::NotConnected);
-            return CONNECT_PAUSE;
+    fn send_one_request(&mut self) -> Duration {
+        let service = if self.rng.random_bool(UNSAFE_FRACTION) { Service::Unsafe } else { Service::Safe };
+        let id = self.state.next_id.fetch_add(1, Ordering::SeqCst);
+        let open_connection = self.connection.take();
+        let router = open_connection.as_ref().map_or_else(|| self.choose_router(), |(host, _)| *host);
+        self.state.recorder.request_sent(id, service, router);
+        let Some(mut client) = open_connection.map(|(_, client)| client).or_else(|| self.connect(router))
+        else {
+            self.state.recorder.request_ended(id, Ending::NotConnected);
+            return CONNECT_RETRY_DELAY;
         };
         let ending = round_trip(&mut client, id, service);
         let is_open = matches!(ending, Ending::Answered { .. });
-        self.shared.recorder.ended(id, ending);
+        self.state.recorder.request_ended(id, ending);
         // It goes on using the connection until that is gone, also where the router asks it to close.
-        if is_open && !self.random.random_bool(LEAVE_PART) {
+        if is_open && !self.rng.random_bool(DISCONNECT_FRACTION) {
             self.connection = Some((router, client));
         }
-        self.shared.mean_pause
+        self.state.mean_pause
     }
 
-    fn draw_router(&mut self) -> u8 {
-        self.shared.routers[self.random.random_range(0..self.shared.routers.len())].0
+    fn choose_router(&mut self) -> u8 {
+        self.state.routers[self.rng.random_range(0..self.state.routers.len())].0
     }
 
     fn connect(&self, router: u8) -> Option<Client> {
-        let (_, address) = self.shared.routers.iter().find(|(host, _)| *host == router)?;
+        let (_, address) = self.state.routers.iter().find(|(host, _)| *host == router)?;
         Client::try_connect(*address)
     }
 }
@@ -99,12 +100,12 @@
     if status != 200 {
         return Ending::Answered { status };
     }
-    let mixed = |problem: String| Ending::Mixed { status, problem };
+    let mismatched = |problem: String| Ending::Mixed { status, problem };
     if head.header("ivyhatch-server-stamp").is_none() {
-        return mixed("no stamp".to_owned());
+        return mismatched("no stamp".to_owned());
     }
     if body != id.as_bytes() || head.header("ivyhatch-attempt-id") != Some(&id) {
-        return mixed(format!("the answer to {}", String::from_utf8_lossy(&body)));
+        return mismatched(format!("the answer to {}", String::from_utf8_lossy(&body)));
     }
     Ending::Answered { status }
 }
--- a/cli/tests/soak/operator.rs
+++ b/cli/tests/soak/operator.rs
@@ -16,15 +16,15 @@
 const OK: u16 = 200;
 const PRECONDITION_FAILED: u16 = 412;
 /// How long the operator sends an order before it is left unclear.
-const ORDER_LIMIT: Duration = Duration::from_secs(5);
-const ORDER_PAUSE: Duration = Duration::from_millis(50);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(5);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// What became of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Answer {
+enum ChangeOutcome {
     Acknowledged,
-    Refused,
-    Unclear,
+    Rejected,
+    Unknown,
 }
 
 /// The operator, and the versions that it knows of.
@@ -32,9 +32,9 @@
     cluster: Arc<TestCluster>,
     recorder: Arc<Recorder>,
     /// The newest version that is known to be in force.
-    current: u64,
-    last_revision: u64,
-    pub acknowledged: usize,
+    current_revision: u64,
+    last_sent_revision: u64,
+    pub acknowledged_count: usize,
 }
 
 impl Operator {
@@ -42,63 +42,67 @@
     pub fn start(cluster: &Arc<TestCluster>, recorder: &Arc<Recorder>) -> Self {
         cluster.put_configuration(CONTROL_HOSTS[0], 0, &configuration(1));
         let (cluster, recorder) = (cluster.clone(), recorder.clone());
-        Self { cluster, recorder, current: 1, last_revision: 1, acknowledged: 1 }
+        Self { cluster, recorder, current_revision: 1, last_sent_revision: 1, acknowledged_count: 1 }
     }
 
     /// Sends changes, one after another, until the other end of `stop` is dropped.
-    pub fn run(mut self, mut random: StdRng, longest_pause: Duration, stop: &Receiver<()>) -> Self {
+    pub fn run(mut self, mut rng: StdRng, max_pause: Duration, stop: &Receiver<()>) -> Self {
         loop {
-            let pause = longest_pause.mul_f64(random.random_range(0.0..1.0));
+            let pause = max_pause.mul_f64(rng.random_range(0.0..1.0));
             if stop.recv_timeout(pause) != Err(RecvTimeoutError::Timeout) {
                 return self;
             }
-            self.change(&mut random);
+            self.send_change(&mut rng);
         }
     }
 
     /// Sends one change, or two at once on the same version.
-    fn change(&mut self, random: &mut StdRng) {
-        let count = random.random_range(1..=2);
-        let base = self.current;
-        let orders: Vec<(u64, u8)> = (0..count)
+    fn send_change(&mut self, rng: &mut StdRng) {
+        let count = rng.random_range(1..=2);
+        let base = self.current_revision;
+        let changes: Vec<(u64, u8)> = (0..count)
             .map(|_| {
-                self.last_revision += random.random_range(1..5);
-                (self.last_revision, *CONTROL_HOSTS.choose(random).unwrap())
+                self.last_sent_revision += rng.random_range(1..5);
+                (self.last_sent_revision, *CONTROL_HOSTS.choose(rng).unwrap())
             })
             .collect();
-        let answers = self.send_at_once(base, &orders);
-        let acknowledged: Vec<u64> = answers
+        let outcomes = self.send_concurrently(base, &changes);
+        let acknowledged: Vec<u64> = outcomes
             .iter()
-            .filter(|(_, answer)| *answer == Answer::Acknowledged)
+            .filter(|(_, outcome)| *outcome == ChangeOutcome::Acknowledged)
             .map(|(revision, _)| *revision)
             .collect();
         if acknowledged.len() > 1 {
             self.recorder.report(format!("CONFIG: {acknowledged:?} were all acknowledged on {base}"));
         }
-        self.acknowledged += acknowledged.len();
+        self.acknowledged_count += acknowledged.len();
         match acknowledged.first() {
-            Some(revision) => self.current = *revision,
+            Some(revision) => self.current_revision = *revision,
             // Another order may have been taken without a clear answer.
-            None => self.read_back(Duration::from_secs(3)),
+            None => self.verify_configuration(Duration::from_secs(3)),
         }
     }
 
     /// Reads the configuration; reports one that is older than what was acknowledged, or is none that was sent.
-    pub fn read_back(&mut self, limit: Duration) {
-        let end = Instant::now() + limit;
-        while Instant::now() < end {
+    pub fn verify_configuration(&mut self, timeout: Duration) {
+        let deadline = Instant::now() + timeout;
+        while Instant::now() < deadline {
             for host in CONTROL_HOSTS {
-                let Some(read) = self.cluster.configuration(host) else { continue };
-                let revision = read["revision"].as_u64().unwrap_or(0);
-                if revision < self.current || revision > self.last_revision || read != configuration(revision)
+                let Some(configured) = self.cluster.configuration(host) else { continue };
+                let revision = configured["revision"].as_u64().unwrap_or(0);
+                if revision < self.current_revision
+                    || revision > self.last_sent_revision
+                    || configured != configuration(revision)
                 {
-                    self.recorder
-                        .report(format!("CONFIG: {} acknowledged, {host} answers {read}", self.current));
+                    self.recorder.report(format!(
+                        "CONFIG: {} acknowledged, {host} answers {configured}",
+                        self.current_revision
+                    ));
                 }
-                self.current = self.current.max(revision);
+                self.current_revision = self.current_revision.max(revision);
                 return;
             }
-            thread::park_timeout(ORDER_PAUSE);
+            thread::park_timeout(RETRY_DELAY);
         }
     }
 
@@ -107,30 +111,30 @@
         CONTROL_HOSTS.iter().any(|host| self.cluster.configuration(*host).is_some())
     }
 
-    fn send_at_once(&self, base: u64, orders: &[(u64, u8)]) -> Vec<(u64, Answer)> {
+    fn send_concurrently(&self, base: u64, changes: &[(u64, u8)]) -> Vec<(u64, ChangeOutcome)> {
         thread::scope(|scope| {
-            let sent: Vec<_> = orders
+            let sent: Vec<_> = changes
                 .iter()
                 .map(|(revision, host)| (*revision, scope.spawn(|| self.send(base, *revision, *host))))
                 .collect();
-            sent.into_iter().map(|(revision, answer)| (revision, answer.join().unwrap())).collect()
+            sent.into_iter().map(|(revision, outcome)| (revision, outcome.join().unwrap())).collect()
         })
     }
 
     /// Sends a change to one control node after another until an answer is clear.
-    fn send(&self, base: u64, revision: u64, first_host: u8) -> Answer {
+    fn send(&self, base: u64, revision: u64, first_host: u8) -> ChangeOutcome {
         let body = configuration(revision).to_string();
-        let begin = CONTROL_HOSTS.iter().position(|host| *host == first_host).unwrap_or(0);
-        let end = Instant::now() + ORDER_LIMIT;
-        for host in CONTROL_HOSTS.iter().cycle().skip(begin) {
+        let first_index = CONTROL_HOSTS.iter().position(|host| *host == first_host).unwrap_or(0);
+        let deadline = Instant::now() + CHANGE_TIMEOUT;
+        for host in CONTROL_HOSTS.iter().cycle().skip(first_index) {
             match call(self.cluster.address(*host, CONTROL_PORT), "PUT", "/-/config", Some(base), &body) {
-                Some((OK, _)) => return Answer::Acknowledged,
-                Some((PRECONDITION_FAILED, _)) => return Answer::Refused,
-                _ if Instant::now() > end => return Answer::Unclear,
-                _ => thread::park_timeout(ORDER_PAUSE),
+                Some((OK, _)) => return ChangeOutcome::Acknowledged,
+                Some((PRECONDITION_FAILED, _)) => return ChangeOutcome::Rejected,
+                _ if Instant::now() > deadline => return ChangeOutcome::Unknown,
+                _ => thread::park_timeout(RETRY_DELAY),
             }
         }
-        Answer::Unclear
+        ChangeOutcome::Unknown
     }
 }
 
--- a/cli/tests/soak/recorder.rs
+++ b/cli/tests/soak/recorder.rs
@@ -8,7 +8,7 @@
 use crate::system_common::RetryBudget;
 
 /// The retry budget of a run.
-pub const BUDGET: RetryBudget = RetryBudget { ratio: 0.2, slack: 58.0 };
+pub const RETRY_BUDGET: RetryBudget = RetryBudget { ratio: 0.2, slack: 58.0 };
 const BUDGET_WINDOW: Duration = Duration::from_secs(10);
 
 /// A service behind the routers.
@@ -63,8 +63,8 @@
 /// A time in which a router was disrupted without a plan.
 struct Disruption {
     router: u8,
-    since: Instant,
-    until: Option<Instant>,
+    started_at: Instant,
+    ended_at: Option<Instant>,
 }
 
 /// Something that must not happen.
@@ -112,7 +112,7 @@
 
 impl Recorder {
     /// A client is about to send a request to a router.
-    pub fn sent(&self, id: u64, service: Service, router: u8) {
+    pub fn request_sent(&self, id: u64, service: Service, router: u8) {
         let request = Request {
             service,
             router,
@@ -126,7 +126,7 @@
     }
 
     /// A client's try has ended.
-    pub fn ended(&self, id: u64, ending: Ending) {
+    pub fn request_ended(&self, id: u64, ending: Ending) {
         let mut records = self.records.lock().unwrap();
         if let Ending::Mixed { status, problem } = &ending {
             let text = format!("MIXED: request {id} was answered {status}: {problem}");
@@ -138,45 +138,49 @@
     }
 
     /// A request reached a server of a service. `runs` says whether the server begins to work on it.
-    pub fn arrived(&self, id: Option<u64>, at: Service, runs: bool) {
+    pub fn request_arrived(&self, id: Option<u64>, server_service: Service, runs: bool) {
         let mut records = self.records.lock().unwrap();
         let Some(request) = id.and_then(|id| records.requests.get_mut(&id)) else {
-            records.violations.push(Violation(format!("UNASKED: {id:?} reached a server of {at:?}")));
+            records
+                .violations
+                .push(Violation(format!("UNASKED: {id:?} reached a server of {server_service:?}")));
             return;
         };
         request.arrivals += 1;
         request.runs += u64::from(runs);
         let (is_repeat, runs, service) = (request.arrivals > 1, request.runs, request.service);
         if is_repeat {
-            records.repeats.push((at, Instant::now()));
+            records.repeats.push((server_service, Instant::now()));
         }
         if runs > 1 && service == Service::Unsafe {
             records.violations.push(Violation(format!("TWICE: request {id:?} ran {runs} times")));
         }
-        if service != at {
-            records.violations.push(Violation(format!("ROUTE: {id:?} of {service:?} reached {at:?}")));
+        if service != server_service {
+            records
+                .violations
+                .push(Violation(format!("ROUTE: {id:?} of {service:?} reached {server_service:?}")));
         }
     }
 
     /// A server broke off its work on a request.
-    pub fn broken_off(&self, id: u64) {
+    pub fn execution_interrupted(&self, id: u64) {
         if let Some(request) = self.records.lock().unwrap().requests.get_mut(&id) {
             request.was_broken_off = true;
         }
     }
 
     /// A router is disrupted without a plan from now on: killed, or frozen.
-    pub fn disruption_began(&self, router: u8) {
-        let disruption = Disruption { router, since: Instant::now(), until: None };
+    pub fn disruption_started(&self, router: u8) {
+        let disruption = Disruption { router, started_at: Instant::now(), ended_at: None };
         self.records.lock().unwrap().disruptions.push(disruption);
     }
 
     /// A router runs again.
     pub fn disruption_ended(&self, router: u8) {
         let mut records = self.records.lock().unwrap();
-        let open = records.disruptions.iter_mut().filter(|disruption| disruption.router == router);
-        open.filter(|disruption| disruption.until.is_none()).for_each(|disruption| {
-            disruption.until = Some(Instant::now());
+        let of_router = records.disruptions.iter_mut().filter(|disruption| disruption.router == router);
+        of_router.filter(|disruption| disruption.ended_at.is_none()).for_each(|disruption| {
+            disruption.ended_at = Some(Instant::now());
         });
     }
 
@@ -196,7 +200,7 @@
 
     /// How near any service came to its retry budget.
     pub fn budget_use(&self) -> BudgetUse {
-        largest_use(&self.records.lock().unwrap())
+        largest_budget_use(&self.records.lock().unwrap())
     }
 
     pub fn totals(&self) -> Totals {
@@ -214,7 +218,7 @@
     }
 
     /// The part of the requests sent since a moment that were served; none where there were none.
-    pub fn served_part_since(&self, since: Instant) -> Option<f64> {
+    pub fn served_fraction_since(&self, since: Instant) -> Option<f64> {
         let records = self.records.lock().unwrap();
         let recent: Vec<&Request> = records
             .requests
@@ -235,12 +239,12 @@
         return Some(Violation(format!("REFUSED: request {id} has run, and was answered {ending:?}")));
     }
     let is_lost = matches!(ending, Ending::Unanswered | Ending::Cut) && request.arrivals > 0;
-    let meets_disruption = |disruption: &Disruption| {
+    let overlaps_disruption = |disruption: &Disruption| {
         disruption.router == request.router
-            && disruption.since <= *ended_at
-            && disruption.until.is_none_or(|until| request.sent_at <= until)
+            && disruption.started_at <= *ended_at
+            && disruption.ended_at.is_none_or(|end| request.sent_at <= end)
     };
-    if is_lost && !request.was_broken_off && !disruptions.iter().any(meets_disruption) {
+    if is_lost && !request.was_broken_off && !disruptions.iter().any(overlaps_disruption) {
         let text = format!(
             "LOST: request {id} reached a server and was not answered by {}: {request:?}",
             request.router
@@ -250,7 +254,7 @@
     None
 }
 
-fn largest_use(records: &Records) -> BudgetUse {
+fn largest_budget_use(records: &Records) -> BudgetUse {
     let mut largest = BudgetUse::default();
     for service in Service::ALL {
         let mut sent: Vec<Instant> = records
@@ -260,19 +264,23 @@
             .map(|request| request.sent_at)
             .collect();
         sent.sort_unstable();
-        let mut repeats: Vec<Instant> =
-            records.repeats.iter().filter(|(at, _)| *at == service).map(|(_, at)| *at).collect();
+        let mut repeats: Vec<Instant> = records
+            .repeats
+            .iter()
+            .filter(|(server_service, _)| *server_service == service)
+            .map(|(_, at)| *at)
+            .collect();
         repeats.sort_unstable();
-        for begin in &repeats {
-            let in_window = |times: &[Instant], from: Instant| {
+        for window_start in &repeats {
+            let count_in_window = |times: &[Instant], from: Instant| {
                 times.partition_point(|at| *at < from + BUDGET_WINDOW)
                     - times.partition_point(|at| *at < from)
             };
             let earlier = [Duration::ZERO, BUDGET_WINDOW / 2, BUDGET_WINDOW];
-            let requests = earlier.into_iter().filter_map(|back| begin.checked_sub(back));
-            let requests = requests.map(|from| in_window(&sent, from)).max().unwrap_or(0);
-            let repeats = in_window(&repeats, *begin);
-            let share = repeats as f64 / (BUDGET.ratio * requests as f64 + BUDGET.slack);
+            let requests = earlier.into_iter().filter_map(|back| window_start.checked_sub(back));
+            let requests = requests.map(|from| count_in_window(&sent, from)).max().unwrap_or(0);
+            let repeats = count_in_window(&repeats, *window_start);
+            let share = repeats as f64 / (RETRY_BUDGET.ratio * requests as f64 + RETRY_BUDGET.slack);
             if share > largest.share {
                 largest = BudgetUse { share, repeats, requests };
             }
--- a/cli/tests/soak/servers.rs
+++ b/cli/tests/soak/servers.rs
@@ -19,38 +19,38 @@
 }
 
 /// An address at which one instance follows another.
-struct Address {
+struct ServerAddress {
     instance: Mutex<Instance>,
     changed: Condvar,
     service: Service,
     name: String,
-    work: Duration,
+    work_time: Duration,
     recorder: Arc<Recorder>,
 }
 
 /// A handle on an address, and the scripted server that listens there.
 pub struct Server {
     server: server::Server,
-    address: Arc<Address>,
+    address: Arc<ServerAddress>,
 }
 
 impl Server {
     pub fn start(
         ip: Ipv4Addr,
         (name, service, zone): (&str, Service, &str),
-        work: Duration,
+        work_time: Duration,
         recorder: &Arc<Recorder>,
     ) -> Self {
-        let address = Arc::new(Address {
+        let address = Arc::new(ServerAddress {
             instance: Mutex::new(Instance::Serving(1)),
             changed: Condvar::new(),
             service,
             name: name.to_owned(),
-            work,
+            work_time,
             recorder: recorder.clone(),
         });
         let served = address.clone();
-        let script = move |received: &ReceivedRequest| served.answer(received);
+        let script = move |received: &ReceivedRequest| served.respond(received);
         Self { server: server::Server::new(ip, (name, service.name(), zone), script), address }
     }
 
@@ -74,38 +74,38 @@
     /// Its entry in the platform's instance list, of the present instance.
     pub fn instance_entry(&self) -> Value {
         let (Instance::Serving(number) | Instance::Crashed(number)) = *self.address.instance.lock().unwrap();
-        let mut listed = self.server.instance_entry();
-        listed["id"] = json!(self.address.instance_id(number));
-        listed["slots"] = json!(64);
-        listed
+        let mut entry = self.server.instance_entry();
+        entry["id"] = json!(self.address.instance_id(number));
+        entry["slots"] = json!(64);
+        entry
     }
 
     /// Drops the copies of requests that the scripted server keeps for tests: the recorder has what counts.
-    pub fn forget_requests(&self) {
+    pub fn discard_requests(&self) {
         self.server.take_requests();
     }
 }
 
-impl Address {
+impl ServerAddress {
     fn instance_id(&self, number: u32) -> String {
         format!("{}-{number}", self.name)
     }
 
     /// Takes a request to its end; the connection breaks where the instance has crashed, or does so meanwhile.
-    fn answer(&self, received: &ReceivedRequest) -> Vec<Step> {
+    fn respond(&self, received: &ReceivedRequest) -> Vec<Step> {
         let Instance::Serving(number) = *self.instance.lock().unwrap() else { return vec![Step::Close] };
         let request = u64::from_str_radix(received.id(), 16).ok();
         if received.message.value("ivyhatch-expect-instance") != Some(&*self.instance_id(number)) {
-            self.recorder.arrived(request, self.service, false);
+            self.recorder.request_arrived(request, self.service, false);
             return vec![Step::Write(complete_response(421, &id_header(received.id()), b""))];
         }
-        self.recorder.arrived(request, self.service, true);
+        self.recorder.request_arrived(request, self.service, true);
         let instance = self.instance.lock().unwrap();
-        let is_same = |instance: &mut Instance| *instance == Instance::Serving(number);
-        let (instance, _) = self.changed.wait_timeout_while(instance, self.work, is_same).unwrap();
+        let is_unchanged = |instance: &mut Instance| *instance == Instance::Serving(number);
+        let (instance, _) = self.changed.wait_timeout_while(instance, self.work_time, is_unchanged).unwrap();
         if *instance != Instance::Serving(number) {
             drop(instance);
-            request.into_iter().for_each(|request| self.recorder.broken_off(request));
+            request.into_iter().for_each(|request| self.recorder.execution_interrupted(request));
             return vec![Step::Close];
         }
         drop(instance);
--- a/cli/tests/system_common/calls.rs
+++ b/cli/tests/system_common/calls.rs
@@ -29,11 +29,11 @@
 }
 
 /// A route whose paths begin with its name; `more` goes over the usual fields.
-pub fn route(name: &str, more: &Value) -> Value {
+pub fn route(name: &str, fields: &Value) -> Value {
     let mut route = json!({"name": name, "host": "h.example", "path_prefix": format!("/{name}/"), "route_kind": "safe",
         "timeout_ms": 8000, "target_ms": 2000, "priority": 0, "service": "s", "max_tries": 2, "sticky": false,
         "resumable": false, "gap_aim_ms": 1000, "home_regions": []});
-    for (field, value) in more.as_object().expect("fields") {
+    for (field, value) in fields.as_object().expect("fields") {
         route[field] = value.clone();
     }
     route
@@ -119,10 +119,8 @@
         let mut headers = Vec::new();
         loop {
             let line = self.read_line()?;
-            let Some((name, value)) = line.split_once(':') else {
-                return Some(ResponseHead { status, headers });
-            };
-            headers.push((name.to_owned(), value.trim().to_owned()));
+            let Some((k, v)) = line.split_once(':') else { return Some(ResponseHead { status, headers }) };
+            headers.push((k.to_owned(), v.trim().to_owned()));
         }
     }
 
--- a/cli/tests/system_common/faults.rs
+++ b/cli/tests/system_common/faults.rs
@@ -170,7 +170,7 @@
     pub fn start(&self, ip: Ipv4Addr, count: usize) -> Vec<Value> {
         let start = |number| {
             let listener = TcpListener::bind((ip, 0)).expect("an address");
-            let at = listener.local_addr().expect("an address");
+            let address = listener.local_addr().expect("an address");
             let servers = self.clone();
             thread::spawn(move || {
                 for (connection, stream) in listener.incoming().flatten().enumerate() {
@@ -179,7 +179,7 @@
                     thread::spawn(move || servers.serve_connection(stream, connection % 2 == 0));
                 }
             });
-            json!({"service": "s", "address": at.to_string(), "zone": "za", "revision": "v1", "slots": 64, "state": "ready",
+            json!({"service": "s", "address": address.to_string(), "zone": "za", "revision": "v1", "slots": 64, "state": "ready",
                 "cold_left_ms": 0, "id": format!("i-{number:03}")})
         };
         (0..count).map(start).collect()
@@ -235,18 +235,18 @@
         }
         read_up_to(stream, &mut received, usize::MAX)?;
         let id = request_id(&received).expect("a whole request has an id");
-        let reply = (self.respond)(&id);
-        self.record_request(&received, &id, &reply, plan, pending);
-        let (first, then) = split_for_fault(&reply.bytes, plan, pending);
+        let response = (self.respond)(&id);
+        self.record_request(&received, &id, &response, plan, pending);
+        let (first, rest) = split_for_fault(&response.bytes, plan, pending);
         // A refusal is one once its head is whole.
-        if reply.is_rejection
-            && first.len() + then.as_ref().map_or(0, |(_, rest)| rest.len()) >= head_length(&reply.bytes)
+        if response.is_rejection
+            && first.len() + rest.as_ref().map_or(0, |(_, rest)| rest.len()) >= head_length(&response.bytes)
         {
             self.request_log().rejections += 1;
             self.update_record(&received, |record| record.rejections += 1);
         }
         stream.write_all(&first).ok()?;
-        match then {
+        match rest {
             None => Some(true),
             Some((Fault::Delay, rest)) => {
                 thread::sleep(MESSAGE_DELAY);
@@ -261,20 +261,20 @@
         &self,
         received: &[u8],
         id: &str,
-        reply: &ScriptedResponse,
+        response: &ScriptedResponse,
         plan: Option<PlannedFault>,
         pending: &PendingDuplicate,
     ) {
         let mut request_log = self.request_log();
-        let response_head = head_length(&reply.bytes);
+        let response_head = head_length(&response.bytes);
         request_log.last_exchange =
-            Some(ExchangeLengths { request: received.len(), response: reply.bytes.len(), response_head });
+            Some(ExchangeLengths { request: received.len(), response: response.bytes.len(), response_head });
         if pending.has_sent_surplus {
             request_log.requests_after_surplus.push(id.to_owned());
         }
         let record = request_log.requests.entry(id.to_owned()).or_default();
         record.arrivals += 1;
-        record.executions += usize::from(!reply.is_rejection);
+        record.executions += usize::from(!response.is_rejection);
         record.after_duplicate |= pending.has_pieces();
         record.faults.extend(plan.filter(|plan| plan.message == MessageKind::Response));
     }
@@ -301,7 +301,7 @@
 
 /// What is written at once, and what comes then: the fault, and the rest that a delay holds up.
 fn split_for_fault(
-    bytes: &[u8],
+    raw: &[u8],
     plan: Option<PlannedFault>,
     pending: &mut PendingDuplicate,
 ) -> (Vec<u8>, Option<(Fault, Vec<u8>)>) {
@@ -309,27 +309,25 @@
     if !pieces.is_empty() {
         pending.has_sent_surplus = true;
         let first = pieces.remove(0);
-        let rest = [pieces.concat(), bytes.to_vec()].concat();
+        let rest = [pieces.concat(), raw.to_vec()].concat();
         return (first, Some((Fault::Delay, rest)));
     }
-    let Some(plan) = plan.filter(|plan| plan.message == MessageKind::Response) else {
-        return (bytes.to_vec(), None);
-    };
-    let (before, behind) = bytes.split_at(plan.offset.min(bytes.len()));
+    let Some(plan) = plan.filter(|p| p.message == MessageKind::Response) else { return (raw.to_vec(), None) };
+    let (before, after) = raw.split_at(plan.offset.min(raw.len()));
     match plan.fault {
         Fault::Close | Fault::Reset | Fault::Stall | Fault::Delay => {
-            (before.to_vec(), Some((plan.fault, behind.to_vec())))
+            (before.to_vec(), Some((plan.fault, after.to_vec())))
         }
         Fault::SplitDuplicate => {
-            pending.pieces = vec![behind.to_vec()];
+            pending.pieces = vec![after.to_vec()];
             pending.has_sent_surplus = !before.is_empty();
-            ([bytes, before].concat(), None)
+            ([raw, before].concat(), None)
         }
         Fault::LateDuplicate => {
-            pending.pieces = vec![before.to_vec(), behind.to_vec()];
-            (bytes.to_vec(), None)
+            pending.pieces = vec![before.to_vec(), after.to_vec()];
+            (raw.to_vec(), None)
         }
-        Fault::Restart => ([before, bytes].concat(), None),
+        Fault::Restart => ([before, raw].concat(), None),
     }
 }
 
@@ -350,8 +348,8 @@
 }
 
 /// Reads until so many bytes have come, or a whole request has. None where the connection ends first.
-fn read_up_to(stream: &mut TcpStream, received: &mut Vec<u8>, most: usize) -> Option<()> {
-    while received.len() < most && !is_complete_request(received) {
+fn read_up_to(stream: &mut TcpStream, received: &mut Vec<u8>, max_length: usize) -> Option<()> {
+    while received.len() < max_length && !is_complete_request(received) {
         let mut byte = [0];
         match stream.read(&mut byte) {
             Ok(0) => return None,
--- a/cli/tests/system_common/mod.rs
+++ b/cli/tests/system_common/mod.rs
@@ -39,10 +39,10 @@
 const NETWORK_LOCK_PORT: u16 = 7700;
 
 /// Waits for a condition; fails the test after [`WAIT_TIMEOUT`].
-pub fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
-    let end = Instant::now() + WAIT_TIMEOUT;
-    while !done() {
-        assert!(Instant::now() < end, "in vain: {what}");
+pub fn wait_until(condition: &str, mut is_met: impl FnMut() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while !is_met() {
+        assert!(Instant::now() < deadline, "in vain: {condition}");
         thread::sleep(Duration::from_millis(10));
     }
 }
@@ -201,8 +201,8 @@
     /// Sends an order until it is acknowledged.
     pub fn call_until_acknowledged(&self, host: u8, method: &str, path: &str, base: Option<u64>, body: &str) {
         let mut last = None;
-        let end = Instant::now() + WAIT_TIMEOUT;
-        while Instant::now() < end {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        while Instant::now() < deadline {
             last = call(self.address(host, CONTROL_PORT), method, path, base, body);
             match &last {
                 Some((200, _)) => return,
@@ -221,9 +221,9 @@
     }
 
     pub fn wait_until_revision(&self, host: u8, revision: u64) {
-        let what = format!("{host} knows version {revision}");
-        wait_until(&what, || {
-            self.configuration(host).is_some_and(|whole| whole["revision"] == json!(revision))
+        let condition = format!("{host} knows version {revision}");
+        wait_until(&condition, || {
+            self.configuration(host).is_some_and(|configuration| configuration["revision"] == json!(revision))
         });
     }
 
--- a/cli/tests/system_server_list.rs
+++ b/cli/tests/system_server_list.rs
@@ -17,24 +17,25 @@
     let servers = ["i-1", "i-2"]
         .map(|id| cluster.start_server((id, "s", "za"), |received| ok_response(received, b"here")));
     let other = cluster.start_server(("i-3", "t", "za"), |received| ok_response(received, b"here"));
-    let mut all = configuration(1, &[("s", json!({})), ("t", json!({"service": "t"}))]);
-    all["services"].as_array_mut().expect("a list").push(json!({"name": "t"}));
-    let _served = cluster.start_system(&[&servers[0], &servers[1], &other], &all);
-    let at = cluster.address(ROUTER_HOST, FRONT_PORT);
-    let read_on = |what: &str| {
+    let mut configuration = configuration(1, &[("s", json!({})), ("t", json!({"service": "t"}))]);
+    configuration["services"].as_array_mut().expect("a list").push(json!({"name": "t"}));
+    let _served = cluster.start_system(&[&servers[0], &servers[1], &other], &configuration);
+    let address = cluster.address(ROUTER_HOST, FRONT_PORT);
+    let wait_for_two_list_reads = |what: &str| {
         let calls = cluster.platform.request_count();
         wait_until(what, || cluster.platform.request_count() >= calls + 4);
     };
-    read_on("the list is read");
+    wait_for_two_list_reads("the list is read");
     cluster.platform.set_repeat_responses(true);
-    let end = Instant::now() + Duration::from_secs(3);
+    let deadline = Instant::now() + Duration::from_secs(3);
     let mut number = 0;
-    while Instant::now() < end {
+    while Instant::now() < deadline {
         number += 1;
         for name in ["s", "t"] {
-            let answer = send_request(at, &get_request(&format!("{name}{number}"), &format!("/{name}/x")));
-            assert_that!(answer.head.status, eq(200), "{name}: {answer:?}");
+            let response =
+                send_request(address, &get_request(&format!("{name}{number}"), &format!("/{name}/x")));
+            assert_that!(response.head.status, eq(200), "{name}: {response:?}");
         }
     }
-    read_on("the list is read on");
+    wait_for_two_list_reads("the list is read on");
 }
--- a/cli/tests/system_settings.rs
+++ b/cli/tests/system_settings.rs
@@ -10,7 +10,7 @@
     CONTROL_HOSTS, CONTROL_PORT, FRONT_PORT, Process, TestCluster, configuration, wait_until,
 };
 
-fn start_error(cluster: &TestCluster, role: &str, settings: &Value) -> String {
+fn failed_start_log(cluster: &TestCluster, role: &str, settings: &Value) -> String {
     let mut process = cluster.start_role(role, 11, settings);
     assert_eq!(process.wait_for_exit().code(), Some(1), "{role}: {}", process.log_output());
     process.log_output()
@@ -23,8 +23,8 @@
         for field in ["node_name", "ip", "zone", "region", "zones", "listen", "inner_ports", "cloud_api"] {
             let mut settings = cluster.settings(11, &CONTROL_HOSTS, true);
             settings.as_object_mut().expect("an object").remove(field);
-            let logged = start_error(&cluster, role, &settings);
-            assert!(logged.contains(field), "{role} {field}: {logged}");
+            let log_text = failed_start_log(&cluster, role, &settings);
+            assert!(log_text.contains(field), "{role} {field}: {log_text}");
         }
     }
 }
@@ -37,8 +37,8 @@
     {
         let mut settings = cluster.settings(11, &CONTROL_HOSTS, true);
         settings[field] = value;
-        let logged = start_error(&cluster, "router", &settings);
-        assert!(logged.contains(field), "{field}: {logged}");
+        let log_text = failed_start_log(&cluster, "router", &settings);
+        assert!(log_text.contains(field), "{field}: {log_text}");
     }
 }
 
@@ -50,8 +50,8 @@
     {
         let mut settings = cluster.settings(11, &CONTROL_HOSTS, true);
         settings["listen"].as_object_mut().expect("an object").remove(field);
-        let logged = start_error(&cluster, role, &settings);
-        assert!(logged.contains(&format!("listen.{field}")), "{role}: {logged}");
+        let log_text = failed_start_log(&cluster, role, &settings);
+        assert!(log_text.contains(&format!("listen.{field}")), "{role}: {log_text}");
     }
 }
 
@@ -59,23 +59,23 @@
 fn address_in_use_is_named() {
     let cluster = TestCluster::new();
     for (role, port) in [("router", FRONT_PORT), ("control", CONTROL_PORT)] {
-        let _taken = TcpListener::bind(cluster.address(11, port)).expect("free");
-        let logged = start_error(&cluster, role, &cluster.settings(11, &CONTROL_HOSTS, true));
-        assert!(logged.contains(&cluster.address(11, port).to_string()), "{role}: {logged}");
+        let _listener = TcpListener::bind(cluster.address(11, port)).expect("free");
+        let log_text = failed_start_log(&cluster, role, &cluster.settings(11, &CONTROL_HOSTS, true));
+        assert!(log_text.contains(&cluster.address(11, port).to_string()), "{role}: {log_text}");
     }
 }
 
 #[test]
 fn role_does_not_start_without_settings_file() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let missing = folder.path().join("missing.json");
-    let broken = folder.path().join("broken.json");
+    let temp_dir = tempfile::tempdir().expect("a folder");
+    let missing = temp_dir.path().join("missing.json");
+    let broken = temp_dir.path().join("broken.json");
     std::fs::write(&broken, "{\"node_name\":").expect("written");
     for role in ["control", "router"] {
         for (settings, named) in
             [(None, "IVYHATCH_SETTINGS"), (Some(&missing), "missing.json"), (Some(&broken), "broken.json")]
         {
-            let mut process = Process::start(role, settings.map(|path| path.as_path()), folder.path());
+            let mut process = Process::start(role, settings.map(|path| path.as_path()), temp_dir.path());
             assert_eq!(process.wait_for_exit().code(), Some(1));
             assert!(process.log_output().contains(named), "{role}: {}", process.log_output());
         }
--- a/cli/tests/system_soak.rs
+++ b/cli/tests/system_soak.rs
@@ -10,20 +10,20 @@
 
 use soak::{Report, Scale, run};
 
-const SEEDS: &str = "SOAK_SEEDS";
-const ROUTERS: &str = "SOAK_ROUTERS";
-const SECONDS: &str = "SOAK_SECONDS";
+const SEEDS_VARIABLE: &str = "SOAK_SEEDS";
+const ROUTERS_VARIABLE: &str = "SOAK_ROUTERS";
+const SECONDS_VARIABLE: &str = "SOAK_SECONDS";
 const DEFAULT_SEEDS: &str = "1-2";
 const DEFAULT_ROUTERS: usize = 10;
 const DEFAULT_SECONDS: u64 = 16;
 
-fn number<T: std::str::FromStr>(variable: &str, default: T) -> T {
+fn variable_or<T: std::str::FromStr>(variable: &str, default: T) -> T {
     env::var(variable).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
 /// The seeds from the first to the last.
 fn seeds() -> std::ops::RangeInclusive<u64> {
-    let text = env::var(SEEDS).unwrap_or_else(|_| DEFAULT_SEEDS.to_owned());
+    let text = env::var(SEEDS_VARIABLE).unwrap_or_else(|_| DEFAULT_SEEDS.to_owned());
     let (first, last) = text.split_once('-').unwrap_or((&text, &text));
     let seed = |text: &str| text.parse().expect("SOAK_SEEDS is FIRST-LAST");
     seed(first)..=seed(last)
@@ -32,10 +32,10 @@
 #[test]
 fn rules_hold_while_signals_restarts_replacements_and_changes_overlap() {
     let scale = Scale {
-        routers: number(ROUTERS, DEFAULT_ROUTERS),
-        clients_of_a_router: 3,
-        disruption: Duration::from_secs(number(SECONDS, DEFAULT_SECONDS)),
-        longest_pause: Duration::from_millis(900),
+        routers: variable_or(ROUTERS_VARIABLE, DEFAULT_ROUTERS),
+        clients_per_router: 3,
+        disruption_time: Duration::from_secs(variable_or(SECONDS_VARIABLE, DEFAULT_SECONDS)),
+        max_pause: Duration::from_millis(900),
     };
     let reports: Vec<Report> = seeds()
         .map(|seed| {
