--- a/cli/tests/soak/applications.rs
+++ b/cli/tests/soak/applications.rs
@@ -168,12 +168,12 @@
         let hold_ms = *HOLD_TIMES_MS.choose(&mut self.rng).unwrap();
         self.held_lock.take_if(|held_lock| Instant::now() >= held_lock.expires_at);
         let sent_at = Instant::now();
-        let expires_at = sent_at + Duration::from_millis(hold_ms);
+        let new_expiry = sent_at + Duration::from_millis(hold_ms);
         let Some(HeldLock { name, fence, .. }) = self.held_lock else {
             let name = *LOCK_NAMES.choose(&mut self.rng).unwrap();
             let call = Call::AcquireLock { name: name.to_owned(), holder, hold_ms };
             if let Some(CallOutcome::Applied(Reply::LockAcquired { fence })) = self.call(&call, None) {
-                self.held_lock = Some(HeldLock { name, fence, expires_at });
+                self.held_lock = Some(HeldLock { name, fence, expires_at: new_expiry });
             }
             return;
         };
@@ -188,7 +188,7 @@
         match outcome {
             Some(CallOutcome::Applied(_)) => {
                 if let Some(held_lock) = &mut self.held_lock {
-                    held_lock.expires_at = held_lock.expires_at.max(expires_at);
+                    held_lock.expires_at = held_lock.expires_at.max(new_expiry);
                 }
             }
             Some(_) => self.held_lock = None,
