--- a/cli/tests/system_common/faults.rs
+++ b/cli/tests/system_common/faults.rs
@@ -1,5 +1,5 @@
-//! Servers that do one thing wrong at one byte of an exchange, and a log of the requests that reached them. The plans are shared by all
-//! servers of a test: whichever exchange comes next is the one that goes wrong.
+//! Servers that inject one fault at one byte of an exchange, and a log of the requests that reached them. All servers of a test share the
+//! planned faults: the next exchange at any of them takes the next fault.
 
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
@@ -10,82 +10,84 @@
 
 use serde_json::{Value, json};
 
-/// Length of each request's id; with it all requests of a test have the same length.
+/// Length of each request id in bytes. It is fixed so that all requests of a test have the same length.
 pub const REQUEST_ID_LENGTH: usize = 8;
-/// How long a delayed message is held up.
+/// How long [`Fault::Delay`] delays the rest of a message.
 const MESSAGE_DELAY: Duration = Duration::from_millis(3);
 
-/// The message at one of whose bytes an exchange goes wrong.
+/// The message of an exchange in which a fault is injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum MessageKind {
     Request,
     Response,
 }
 
-/// What goes wrong.
+/// A fault, injected after `offset` bytes of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Fault {
-    /// The connection is closed.
+    /// The server closes the connection.
     Close,
-    /// The connection is reset.
+    /// The server resets the connection.
     Reset,
-    /// Nothing more is read or written, and the connection stays open.
+    /// The server stops reading and writing, and keeps the connection open.
     Stall,
-    /// The rest is read or written a little later.
+    /// The server reads or writes the rest after [`MESSAGE_DELAY`].
     Delay,
-    /// So many bytes of a second copy of the answer come right behind the first, the rest in the place of the next answer.
+    /// A duplicate of the response is sent in two parts: the first `offset` bytes right after the response, the rest instead of the next
+    /// response on the connection.
     SplitDuplicate,
-    /// The whole second copy comes in the place of the next answer, in two pieces.
+    /// A complete duplicate of the response is sent instead of the next response on the connection, in two parts.
     LateDuplicate,
-    /// So many bytes of the answer come, and then the answer from its beginning.
+    /// After `offset` bytes the response is sent again from its beginning.
     Restart,
 }
 
-/// Where and how one exchange goes wrong.
+/// A fault that is to be injected into one exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct PlannedFault {
-    /// Whether the connection has carried an exchange before.
+    /// Whether the exchange has to follow an earlier one on its connection.
     pub reused_connection: bool,
     pub message: MessageKind,
     pub fault: Fault,
-    /// How many bytes of the message come before it.
+    /// Number of bytes of the message before the fault.
     pub offset: usize,
 }
 
-/// One request as the servers have seen it.
+/// What the servers recorded of one request.
 #[derive(Clone, Debug, Default)]
 pub struct RequestRecord {
-    /// How often it came, whole or with its id at least.
+    /// How often the request arrived, completely or at least with its id.
     pub arrivals: usize,
-    /// How often it was read whole by a server that runs it.
+    /// How often a server received the complete request and executed it.
     pub executions: usize,
-    /// How often it was answered with a whole refusal.
+    /// How often a server answered it with a rejection.
     pub rejections: usize,
-    /// What went wrong with it.
+    /// Faults that were injected into its exchanges.
     pub faults: Vec<PlannedFault>,
-    /// It was answered in the place of a copy of another's answer.
+    /// Whether a duplicate of another response was sent before its response.
     pub after_duplicate: bool,
 }
 
-/// What reached the servers.
+/// The requests that reached the servers, and the faults that are still to be injected.
 #[derive(Default)]
 pub struct RequestLog {
-    /// By id.
+    /// Records by request id.
     pub requests: HashMap<String, RequestRecord>,
-    /// Requests of which at least a byte arrived, known by their ids or not.
+    /// Number of requests of which at least one byte arrived, with or without their ids.
     pub started_requests: usize,
-    /// Whole rejections that were written.
+    /// Number of rejections by all servers.
     pub rejections: usize,
-    /// Requests on a connection that had delivered surplus bytes.
+    /// Ids of requests that arrived on a connection after surplus bytes had been sent on it.
     pub requests_after_surplus: Vec<String>,
     new_connection_faults: Vec<PlannedFault>,
     reused_connection_faults: Vec<PlannedFault>,
+    /// Connections that are kept open and no longer read.
     stalled_connections: Vec<TcpStream>,
     last_exchange: Option<ExchangeLengths>,
 }
 
 impl RequestLog {
-    /// Plans that no exchange has carried out yet.
+    /// Number of planned faults that have not been injected yet.
     pub fn remaining_faults(&self) -> usize {
         self.new_connection_faults.len() + self.reused_connection_faults.len()
     }
@@ -95,7 +97,7 @@
     }
 }
 
-/// The lengths of an exchange's messages.
+/// Lengths of the messages of an exchange, in bytes.
 #[derive(Clone, Copy, Debug)]
 pub struct ExchangeLengths {
     pub request: usize,
@@ -103,17 +105,17 @@
     pub response_head: usize,
 }
 
-/// A message that a server answers with; `refuses` where it says that the request did not run.
+/// A server's response; `is_rejection` if it states that the request was not executed.
 #[derive(Clone)]
 pub struct ScriptedResponse {
     pub bytes: Vec<u8>,
     pub is_rejection: bool,
 }
 
-/// Makes the answer to the request with this id.
+/// Builds the response to the request with this id.
 pub type ResponseFn = fn(&str) -> ScriptedResponse;
 
-/// Servers of service `s` that share a request log and plans.
+/// Servers of service `s` that share a request log and the planned faults.
 #[derive(Clone)]
 pub struct FaultyServers {
     request_log: Arc<Mutex<RequestLog>>,
@@ -126,19 +128,19 @@
     }
 
     pub fn request_log(&self) -> MutexGuard<'_, RequestLog> {
-        self.request_log.lock().expect("no server has panicked")
+        self.request_log.lock().expect("no server thread has panicked with the lock held")
     }
 
-    /// Adds plans for every byte of the exchange that was recorded last.
+    /// Plans each of these faults at every byte of the last recorded exchange, on new and on reused connections. Returns their number.
     pub fn plan_faults(&self, faults: &[(MessageKind, Fault)]) -> usize {
         let mut request_log = self.request_log();
         let recorded = request_log.last_exchange.expect("an exchange was recorded");
         let mut count = 0;
         for (message, fault) in faults {
             let end = match (message, fault) {
-                // A request that has come whole goes wrong in its answer.
+                // A fault after the complete request is planned as one before the response.
                 (MessageKind::Request, _) => recorded.request,
-                // Within the body the difference is not visible.
+                // The receiver can't tell a restart within the body from a body of these bytes.
                 (MessageKind::Response, Fault::Restart) => recorded.response_head,
                 (MessageKind::Response, _) => recorded.response + 1,
             };
@@ -161,21 +163,21 @@
         count
     }
 
-    /// The exchange that was recorded last.
+    /// Message lengths of the last recorded exchange; `None` before the first.
     pub fn last_exchange(&self) -> Option<ExchangeLengths> {
         self.request_log().last_exchange
     }
 
-    /// Starts so many servers; returns their lines in the platform's list.
+    /// Starts `count` servers; returns their entries for the platform's instance list.
     pub fn start(&self, ip: Ipv4Addr, count: usize) -> Vec<Value> {
         let start = |number| {
-            let listener = TcpListener::bind((ip, 0)).expect("an address");
-            let address = listener.local_addr().expect("an address");
+            let listener = TcpListener::bind((ip, 0)).expect("a free port");
+            let address = listener.local_addr().expect("the address of the listener");
             let servers = self.clone();
             thread::spawn(move || {
                 for (connection, stream) in listener.incoming().flatten().enumerate() {
                     let servers = servers.clone();
-                    // Every other connection begins well, so that there are kept ones.
+                    // The first exchange of every other connection has no fault, so that there are connections to reuse.
                     thread::spawn(move || servers.serve_connection(stream, connection % 2 == 0));
                 }
             });
@@ -206,7 +208,7 @@
                 return;
             }
             is_reused = true;
-            // With nothing left for kept connections, fresh ones are wanted.
+            // Once all faults for reused connections are injected, the router has to open new ones.
             if self.request_log().needs_new_connections() && !pending.has_pieces() {
                 let _ = stream.shutdown(Shutdown::Both);
                 return;
@@ -214,7 +216,7 @@
         }
     }
 
-    /// One exchange. None where the connection has ended; else whether anything more is read from it.
+    /// Runs one exchange. `None` if the connection has ended, otherwise whether the server reads further requests from it.
     fn exchange(
         &self,
         stream: &mut TcpStream,
@@ -234,11 +236,12 @@
             }
         }
         read_up_to(stream, &mut received, usize::MAX)?;
-        let id = request_id(&received).expect("a whole request has an id");
+        let id = request_id(&received)
+            .expect("a complete request has an id of REQUEST_ID_LENGTH bytes in its path");
         let response = (self.respond)(&id);
         self.record_request(&received, &id, &response, plan, pending);
         let (first, rest) = split_for_fault(&response.bytes, plan, pending);
-        // A refusal is one once its head is whole.
+        // A rejection counts if its head is complete. Bytes after a fault count too, although only a delay writes them.
         if response.is_rejection
             && first.len() + rest.as_ref().map_or(0, |(_, rest)| rest.len()) >= head_length(&response.bytes)
         {
@@ -286,7 +289,7 @@
     }
 }
 
-/// Bytes of a second copy that come in the place of the next answer.
+/// Parts of a duplicate response that are to be sent before the next response on a connection.
 #[derive(Default)]
 struct PendingDuplicate {
     pieces: Vec<Vec<u8>>,
@@ -299,7 +302,8 @@
     }
 }
 
-/// What is written at once, and what comes then: the fault, and the rest that a delay holds up.
+/// Splits a response into the bytes that are written at once and, if a fault follows them, the fault and the remaining bytes, which only a
+/// delay writes.
 fn split_for_fault(
     raw: &[u8],
     plan: Option<PlannedFault>,
@@ -331,7 +335,7 @@
     }
 }
 
-/// Ends an exchange. None where the connection has ended, else that it is held and not read.
+/// Ends an exchange with a fault: `Some(false)` if the connection stays open without being read, `None` if it ends.
 fn end_exchange(stream: &TcpStream, fault: Fault) -> Option<bool> {
     match fault {
         Fault::Stall => Some(false),
@@ -347,7 +351,7 @@
     }
 }
 
-/// Reads until so many bytes have come, or a whole request has. None where the connection ends first.
+/// Reads until `max_length` bytes or a complete request have arrived. `None` if the connection ends before.
 fn read_up_to(stream: &mut TcpStream, received: &mut Vec<u8>, max_length: usize) -> Option<()> {
     while received.len() < max_length && !is_complete_request(received) {
         let mut byte = [0];
@@ -361,7 +365,7 @@
     Some(())
 }
 
-/// Length of a message's head, or of what there is of it.
+/// Length of a message's head with its empty line, or of all bytes if the head is incomplete.
 pub fn head_length(bytes: &[u8]) -> usize {
     bytes.windows(4).position(|four| four == b"\r\n\r\n").map_or(bytes.len(), |at| at + 4)
 }
@@ -376,7 +380,7 @@
     body.len() >= length.and_then(|text| text.trim().parse().ok()).unwrap_or(0)
 }
 
-/// The id of a request, which ends its path.
+/// The id of a request: the last segment of its path. `None` if it has not arrived completely.
 fn request_id(received: &[u8]) -> Option<String> {
     let text = String::from_utf8_lossy(received);
     let path = text.split(' ').nth(1)?;
--- a/cli/tests/system_common/platform.rs
+++ b/cli/tests/system_common/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of servers, in pages of two.
+//! A test double of the platform API, which lists server instances in pages of two.
 
 use std::io::{BufReader, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -9,11 +9,12 @@
 use serde_json::{Value, json};
 
 const PAGE_SIZE: usize = 2;
-/// How page tokens begin, and how they do in a query.
+/// Prefix of page tokens, with characters that have to be escaped in a query.
 const PAGE_TOKEN_PREFIX: &str = "p&=+ %-";
+/// The query parameter with the escaped prefix.
 const PAGE_TOKEN_QUERY: &str = "page_token=p%26%3D%2B%20%25-";
 
-/// The instance list, and how often it was requested.
+/// The instance list, and the number of requests for it.
 pub struct FakePlatform {
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
@@ -28,6 +29,7 @@
 }
 
 impl FakePlatform {
+    /// Starts the platform API on a free port, with an empty instance list.
     pub fn start(ip: Ipv4Addr) -> Self {
         let listener = TcpListener::bind((ip, 0)).unwrap();
         let (address, state) = (listener.local_addr().unwrap(), Arc::<Mutex<State>>::default());
@@ -42,7 +44,7 @@
                     while let Some(message) = read_message(&mut reader) {
                         let mut state = state.lock().unwrap();
                         let response = respond(&mut state, &message.start_line);
-                        // The copy comes in the place of the answer, which follows it.
+                        // The duplicate of the previous response is sent before the response to this request.
                         let duplicate = std::mem::replace(&mut previous, response.clone());
                         let text = if state.repeats_responses { duplicate + &response } else { response };
                         drop(state);
@@ -56,26 +58,27 @@
         Self { address, state }
     }
 
-    /// From now on it lists these.
+    /// Replaces the instance list.
     pub fn set_instances(&self, instances: Vec<Value>) {
         self.state.lock().unwrap().instances = instances;
     }
 
-    /// Changes what it lists.
+    /// Changes entries of the instance list.
     pub fn update_instances(&self, change: impl FnOnce(&mut Vec<Value>)) {
         change(&mut self.state.lock().unwrap().instances);
     }
 
-    /// Whether it answers 429 from now on.
+    /// Sets whether all requests are answered with status 429.
     pub fn set_rate_limited(&self, is_rate_limited: bool) {
         self.state.lock().unwrap().is_rate_limited = is_rate_limited;
     }
 
-    /// Whether from now on each answer comes once more before the next one on its connection.
+    /// Sets whether each response is sent once more before the next response on its connection.
     pub fn set_repeat_responses(&self, repeats_responses: bool) {
         self.state.lock().unwrap().repeats_responses = repeats_responses;
     }
 
+    /// Number of requests since the start, including those answered with status 429.
     pub fn request_count(&self) -> u32 {
         self.state.lock().unwrap().request_count
     }
--- a/cli/tests/system_common/server.rs
+++ b/cli/tests/system_common/server.rs
@@ -1,4 +1,4 @@
-//! A server that responds to each request by a test's script.
+//! A server that responds to each request as the script of a test says.
 
 use std::io::{BufReader, Read, Write};
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -16,32 +16,35 @@
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
     pub message: Message,
-    /// The number of earlier requests to this server.
+    /// Number of earlier requests to this server.
     pub earlier_requests: usize,
-    /// The number of earlier requests on its connection.
+    /// Number of earlier requests on the same connection.
     pub earlier_on_connection: usize,
 }
 
 impl ReceivedRequest {
+    /// The request id; empty if the request has none.
     pub fn id(&self) -> &str {
         self.message.value("ivyhatch-attempt-id").unwrap_or("")
     }
 }
 
-/// A step of a script.
+/// A step of a script, by which a server responds to a request.
 #[derive(Clone)]
 pub enum Step {
+    /// Writes bytes to the connection.
     Write(Vec<u8>),
+    /// Waits until a test opens the gate.
     Wait(Arc<Gate>),
-    /// Waits until the router closes the connection, and reports it.
+    /// Waits until the router closes the connection, and notifies the test.
     AwaitClose(Sender<()>),
-    /// Ends the connection.
+    /// Closes the connection.
     Close,
-    /// Ends the connection with a reset.
+    /// Closes the connection with a TCP reset.
     Reset,
 }
 
-/// A scripted server, and the requests that it received.
+/// A scripted server, and the requests that it has received.
 pub struct Server {
     pub address: SocketAddr,
     pub id: String,
@@ -51,6 +54,7 @@
 }
 
 impl Server {
+    /// Starts a server on a free port. It performs the steps that `script` returns for each request.
     pub fn new(
         ip: Ipv4Addr,
         (id, service, zone): (&str, &str, &str),
@@ -69,23 +73,23 @@
         Self { address, id: id.to_owned(), service: service.to_owned(), zone: zone.to_owned(), received }
     }
 
-    /// Its entry in the platform's instance list.
+    /// The server's entry in the platform's instance list.
     pub fn instance_entry(&self) -> Value {
         json!({"service": self.service, "address": self.address.to_string(), "zone": self.zone, "revision": "v1", "slots": 8,
             "state": "ready", "cold_left_ms": 0, "id": self.id})
     }
 
-    /// The next request.
+    /// Takes the next request; waits for it at most [`WAIT_TIMEOUT`].
     pub fn next_request(&self) -> ReceivedRequest {
-        self.received.recv_timeout(WAIT_TIMEOUT).expect("a request reaches the server")
+        self.received.recv_timeout(WAIT_TIMEOUT).expect("a request reaches the server within WAIT_TIMEOUT")
     }
 
-    /// The requests that the test has not taken yet.
+    /// Takes all requests that the test has not taken yet.
     pub fn take_requests(&self) -> Vec<ReceivedRequest> {
         self.received.try_iter().collect()
     }
 
-    /// The number of requests that the test has not taken yet; takes them.
+    /// Takes all requests that the test has not taken yet, and returns their number.
     pub fn take_request_count(&self) -> usize {
         self.take_requests().len()
     }
@@ -137,6 +141,7 @@
     }
 }
 
+/// The server's stamp. A router forwards a successful response only if it has one.
 pub const STAMP_HEADER: &str = "Ivyhatch-Server-Stamp: st.1\r\n";
 
 /// The bytes of a complete response; `headers` are complete lines.
@@ -147,12 +152,12 @@
     bytes
 }
 
-/// The header with this id.
+/// The header line with this request id.
 pub fn id_header(id: &str) -> String {
     format!("Ivyhatch-Attempt-Id: {id}\r\n")
 }
 
-/// A request under another id.
+/// A copy of a request with another request id.
 pub fn with_request_id(message: &Message, id: &str) -> Message {
     let mut message = message.clone();
     let named =
@@ -161,17 +166,17 @@
     message
 }
 
-/// A sound answer to a request.
+/// A successful response with the request's id and a stamp.
 pub fn ok_response(received: &ReceivedRequest, body: &[u8]) -> Vec<Step> {
     vec![Step::Write(complete_response(200, &format!("{}{STAMP_HEADER}", id_header(received.id())), body))]
 }
 
-/// A server that is full.
+/// A rejection by an overloaded server, which states that the request was not executed.
 pub fn overloaded_response() -> Vec<Step> {
     vec![Step::Write(complete_response(503, "Ivyhatch-Not-Executed: 1\r\n", b"full"))]
 }
 
-/// The head of a stream.
+/// Writes the head of an event stream in chunks.
 pub fn stream_head(received: &ReceivedRequest) -> Step {
     let id = id_header(received.id());
     let text = format!(
@@ -180,29 +185,29 @@
     Step::Write(text.into_bytes())
 }
 
-/// An event's text.
+/// Text of a server-sent event with this id.
 pub fn sse_event(number: u64) -> String {
     format!("id: {number}\ndata: word {number}\n\n")
 }
 
-/// A piece of a stream.
+/// Writes one chunk of a stream.
 pub fn chunk(text: &str) -> Step {
     Step::Write(format!("{:x}\r\n{text}\r\n", text.len()).into_bytes())
 }
 
-/// The end of a stream.
+/// Writes the empty chunk that ends a stream.
 pub fn last_chunk() -> Step {
     Step::Write(b"0\r\n\r\n".to_vec())
 }
 
-/// A complete stream of these events.
+/// Writes a complete stream of the events with these ids.
 pub fn complete_stream(received: &ReceivedRequest, events: std::ops::RangeInclusive<u64>) -> Vec<Step> {
     let events = events.map(|number| chunk(&sse_event(number)));
     std::iter::once(stream_head(received)).chain(events).chain([last_chunk()]).collect()
 }
 
 impl super::TestCluster {
-    /// Two servers of service `s` in the router's zone. `does` gets the number of earlier requests to either of them.
+    /// Starts two servers of service `s` in the router's zone. `script` gets the number of earlier requests to both servers together.
     pub fn start_server_pair(
         &self,
         script: impl Fn(usize, &ReceivedRequest) -> Vec<Step> + Send + Sync + 'static,
--- a/cli/tests/system_common/transcript.rs
+++ b/cli/tests/system_common/transcript.rs
@@ -6,10 +6,11 @@
 use super::TestCluster;
 use super::calls::{Client, Response};
 
-/// Headers whose values differ from run to run.
+/// Headers whose values differ between runs.
 const VARIABLE_HEADERS: [&str; 2] = ["content-length", "date"];
 
-/// Exchanges in their order. Each has its status, the names of its headers, the values of the constant ones, and its body.
+/// Responses in the order in which they were added, each with its status, its header names, the values of the headers that are the same in
+/// each run, and its body.
 #[derive(Default)]
 pub struct Transcript {
     text: String,
@@ -17,25 +18,25 @@
 }
 
 impl Transcript {
-    /// A transcript in which the cluster's network is written as `127.x.y`.
+    /// Creates a transcript in which `127.x.y` stands for the cluster's network.
     pub fn for_cluster(cluster: &TestCluster) -> Self {
         let address = cluster.ip(0).to_string();
-        let network = address.strip_suffix('0').expect("host 0").to_owned();
+        let network = address.strip_suffix('0').expect("the address of host 0 ends in 0").to_owned();
         Self { text: String::new(), placeholders: vec![(network, "127.x.y.".to_owned())] }
     }
 
-    /// From now on writes a placeholder for this text, rather than one that was given earlier for a part of it.
+    /// Replaces `text` by a placeholder in all responses that are added later, before the placeholders that were added earlier.
     pub fn add_placeholder(&mut self, text: &str, placeholder: &str) {
         self.placeholders.insert(0, (text.to_owned(), placeholder.to_owned()));
     }
 
-    /// Sends a request on a connection of its own and adds its answer.
+    /// Sends a request on a new connection and adds its response.
     pub fn send_request(&mut self, title: &str, address: SocketAddr, request: &[u8]) {
         let response = Client::connect(address).send_request(request);
         self.add_response(title, &response);
     }
 
-    /// Adds an answer.
+    /// Adds a response.
     pub fn add_response(&mut self, title: &str, response: &Response) {
         let mut headers: Vec<(String, &str)> = response
             .head
@@ -48,22 +49,23 @@
         let constant = headers.iter().filter(|(name, _)| !VARIABLE_HEADERS.contains(&name.as_str()));
         let mut text = format!("## {title}\nstatus {}\nheaders {}\n", response.head.status, names.join(" "));
         for (name, value) in constant {
-            writeln!(text, "{name}: {value}").expect("text can be written");
+            writeln!(text, "{name}: {value}").expect("writing to a string succeeds");
         }
-        writeln!(text, "\n{}\n", String::from_utf8_lossy(&response.body)).expect("text can be written");
+        writeln!(text, "\n{}\n", String::from_utf8_lossy(&response.body))
+            .expect("writing to a string succeeds");
         for (from, to) in &self.placeholders {
             text = text.replace(from, to);
         }
         self.text += &text;
     }
 
-    /// The whole transcript.
+    /// Text of the responses that have been added so far.
     pub fn text(&self) -> &str {
         &self.text
     }
 }
 
-/// The bytes of an operator's request; `headers` are whole lines.
+/// The bytes of an operator's request; `headers` are complete lines.
 pub fn operator_request(method: &str, path: &str, headers: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     format!(
