--- a/cli/tests/soak/applications.rs
+++ b/cli/tests/soak/applications.rs
@@ -1,5 +1,5 @@
-//! Applications that take locks and numbers, put, read and watch cells at the control nodes, on connections that they keep until the process
-//! at the other end is gone. The simulation's oracle checks what they see.
+//! Applications that take locks and numbers, and put, read and watch cells at the control nodes. Each reuses its connection until a call has
+//! no definite outcome. The simulation's oracle checks the outcomes.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -18,19 +18,23 @@
 use crate::system_common::calls::Client;
 use crate::system_common::{CONTROL_HOSTS, CONTROL_PORT, TestCluster};
 
-/// A caller turns to another node after this long without an answer, beside what a watch waits for.
+/// Longest wait for a response, in addition to the time that a watch waits for events. After it a caller connects again to a random node.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// A put without a clear answer is sent again for this long.
+/// How long a put without a definite outcome is sent again.
 const PUT_RETRY_TIME: Duration = Duration::from_secs(6);
+/// How long a control node waits for an event before it answers a watch.
 const WATCH_WAIT_MS: u64 = 800;
+/// Longest pause between two calls of an application.
 const MAX_PAUSE: Duration = Duration::from_millis(150);
-/// For how long a watch may go on from a revision: the default of the settings.
+/// How long a watch can continue from a revision: the default in the settings.
 const HISTORY_RETENTION: Duration = Duration::from_secs(20);
 const LOCK_NAMES: [&str; 2] = ["l0", "l1"];
 const NUMBER_NAMES: [&str; 2] = ["n0", "n1"];
 const CELL_NAMES: [&str; 4] = ["g.a", "g.b", "h.a", "h.b"];
 const CELL_GROUPS: [&str; 2] = ["g.", "h."];
+/// Times for which locks are requested.
 const HOLD_TIMES_MS: [u64; 4] = [150, 500, 1200, 2500];
+/// Kinds of the applications of a run, one entry for each.
 const APPLICATION_KINDS: [ApplicationKind; 10] = [
     ApplicationKind::Locks,
     ApplicationKind::Locks,
@@ -45,6 +49,7 @@
 ];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// What an application does.
 enum ApplicationKind {
     Locks,
     Numbers,
@@ -52,7 +57,7 @@
     Watch,
 }
 
-/// The calls of a run, and what has to hold of them.
+/// The running applications, and the checks of their calls.
 pub struct Applications {
     shared: Arc<Shared>,
     threads: Vec<JoinHandle<()>>,
@@ -62,6 +67,7 @@
     cluster: Arc<TestCluster>,
     recorder: Arc<Recorder>,
     oracle: Mutex<CoordinationOracle>,
+    /// Origin of the times that the oracle gets.
     started_at: Instant,
     definite: AtomicU64,
     indefinite: AtomicU64,
@@ -69,7 +75,7 @@
 }
 
 impl Applications {
-    /// Starts all callers.
+    /// Starts a thread for each application.
     pub fn start(cluster: &Arc<TestCluster>, recorder: &Arc<Recorder>, seed: u64) -> Self {
         let shared = Arc::new(Shared {
             cluster: cluster.clone(),
@@ -99,25 +105,27 @@
         Self { shared, threads }
     }
 
-    /// The numbers of calls with a clear answer, and without, since the last time.
+    /// Numbers of calls with a definite outcome and of other calls, since the last call of this function.
     pub fn take_counts(&self) -> (u64, u64) {
         (self.shared.definite.swap(0, Ordering::SeqCst), self.shared.indefinite.swap(0, Ordering::SeqCst))
     }
 
-    /// Ends all callers, and checks the whole history.
+    /// Stops all applications and checks the complete history of their calls.
     pub fn stop(self) {
         self.shared.stop.store(true, Ordering::SeqCst);
-        self.threads.into_iter().for_each(|thread| thread.join().expect("an application ends"));
+        self.threads.into_iter().for_each(|thread| thread.join().expect("application threads do not panic"));
         self.shared.check_oracle(|oracle| oracle.check_history());
     }
 }
 
 impl Shared {
+    /// Time since the start of the run.
     fn now(&self) -> Nanos {
-        // Never 0: that is before all that is known.
+        // Never 0: to the oracle that is a time before all recorded events.
         self.started_at.elapsed().as_nanos() as Nanos + 1
     }
 
+    /// Runs a check of the oracle and reports its failure as a violation.
     fn check_oracle(
         &self,
         check: impl FnOnce(&mut CoordinationOracle) -> Result<(), ivyhatch_simulation::oracle::CheckFailure>,
@@ -128,19 +136,25 @@
     }
 }
 
+/// A lock that an application holds.
 struct HeldLock {
     name: &'static str,
+    /// Fencing token of the acquisition.
     fence: u64,
+    /// When the lock expires at the earliest, counted from the sending of the call.
     expires_at: Instant,
 }
 
 struct Application {
+    /// Index in [`APPLICATION_KINDS`], which names the caller to the oracle.
     number: usize,
     kind: ApplicationKind,
     rng: StdRng,
     shared: Arc<Shared>,
+    /// The connection that the next call reuses, and the host of its control node.
     connection: Option<(u8, Client)>,
     held_lock: Option<HeldLock>,
+    /// Revision from which the next watch continues; 0 at first and after a rejected watch.
     watched_revision: u64,
     put_count: u64,
 }
@@ -163,6 +177,7 @@
         }
     }
 
+    /// Acquires a lock, or renews or releases the lock that the application holds.
     fn use_lock(&mut self) {
         let holder = format!("a{}", self.number);
         let hold_ms = *HOLD_TIMES_MS.choose(&mut self.rng).unwrap();
@@ -196,6 +211,7 @@
         }
     }
 
+    /// Reads a cell and puts a new value, in most cases only if the cell has not changed since.
     fn use_cell(&mut self) {
         let name = (*CELL_NAMES.choose(&mut self.rng).unwrap()).to_owned();
         let read = self.call(&Call::ReadCell { name: name.clone() }, None);
@@ -210,7 +226,7 @@
         let call = Call::PutCell { name, value, expected_revision };
         let first_sent_at = self.shared.now();
         let end = Instant::now() + PUT_RETRY_TIME;
-        // Sent again unchanged until the answer is clear.
+        // The put is sent again unchanged until its outcome is definite.
         while self.call(&call, Some(first_sent_at)).is_none()
             && Instant::now() < end
             && !self.shared.stop.load(Ordering::SeqCst)
@@ -219,6 +235,7 @@
         }
     }
 
+    /// Waits for events of a group of cells, from the last revision that the application has seen.
     fn watch(&mut self) {
         let group = CELL_GROUPS[self.number % CELL_GROUPS.len()].to_owned();
         let call = Call::WatchGroup { group, after: self.watched_revision, wait_ms: WATCH_WAIT_MS };
@@ -232,7 +249,7 @@
         }
     }
 
-    /// Makes one try of a call; `None` without a clear answer that something was decided.
+    /// Makes one attempt of a call, and has the oracle check its outcome. `None` if the call was not started or its outcome is unknown.
     fn call(&mut self, call: &Call, first_sent_at: Option<Nanos>) -> Option<CallOutcome> {
         let sent_at = self.shared.now();
         let first_sent_at = first_sent_at.unwrap_or(sent_at);
@@ -245,12 +262,13 @@
         let counter = if is_definite { &self.shared.definite } else { &self.shared.indefinite };
         counter.fetch_add(1, Ordering::SeqCst);
         if !is_definite {
-            // It turns to another node.
+            // The next attempt connects to a random node.
             self.connection = None;
         }
         is_definite.then_some(outcome)
     }
 
+    /// Sends a call and reads its response. `None` if no complete response arrives in time.
     fn round_trip(&mut self, call: &Call) -> Option<CallOutcome> {
         let (host, mut client) = match self.connection.take() {
             Some(kept) => kept,
@@ -273,7 +291,7 @@
     }
 }
 
-/// The bytes of a call.
+/// The bytes of the HTTP request for a call.
 fn request(call: &Call) -> Vec<u8> {
     let (method, path, body) = match call {
         Call::AcquireLock { name, holder, hold_ms } => {
@@ -304,7 +322,7 @@
         .into_bytes()
 }
 
-/// What an answer says of a call.
+/// The outcome of a call according to its HTTP response.
 fn parse_outcome(call: &Call, status: u16, body: &Value) -> CallOutcome {
     let number = |field: &str| body[field].as_u64().unwrap_or_default();
     let refused = CallOutcome::Refused;
@@ -322,6 +340,7 @@
     }
 }
 
+/// The reply to an applied call, from the body of its response.
 fn parse_reply(call: &Call, body: &Value) -> Reply {
     let number = |value: &Value| value.as_u64().unwrap_or_default();
     let text = |value: &Value| value.as_str().unwrap_or_default().to_owned();
--- a/cli/tests/soak/clients.rs
+++ b/cli/tests/soak/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that keep their connections for as long as these last, whatever becomes of the routers.
+//! Clients that reuse their connections until these end, whatever happens to the routers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,27 +12,29 @@
 use super::recorder::{Ending, Recorder, Service};
 use crate::system_common::calls::{Client, request};
 
-/// The mean pauses of the clients of a run between an answer and the next request; one of them is drawn for each run.
+/// Mean pauses between a response and the client's next request. One of them is drawn for each run.
 pub const MEAN_PAUSES: [Duration; 3] =
     [Duration::from_millis(60), Duration::from_millis(250), Duration::from_millis(1000)];
-/// The pause after a connect that failed.
+/// Mean pause after a failed attempt to connect.
 const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(30);
-/// The part of the requests that go to a service whose requests may run once only.
+/// Fraction of the requests that go to the service whose requests must not be executed more than once.
 const UNSAFE_FRACTION: f64 = 0.3;
-/// The part of the requests after which a client leaves its connection by itself.
+/// Fraction of the requests after which a client closes its connection.
 const DISCONNECT_FRACTION: f64 = 0.02;
 
-/// What all clients share.
+/// State that all clients of a run share.
 pub struct ClientState {
     /// The routers' hosts and addresses.
     pub routers: Vec<(u8, SocketAddr)>,
     pub recorder: Arc<Recorder>,
+    /// Id of the next request, unique within the run.
     pub next_id: AtomicU64,
     pub mean_pause: Duration,
+    /// Tells the clients to stop.
     pub stop: AtomicBool,
 }
 
-/// Starts a client that goes on until it is to stop.
+/// Starts a client that sends requests until `stop` is set.
 pub fn start(state: &Arc<ClientState>, seed: u64) -> JoinHandle<()> {
     let state = state.clone();
     let client = move || LoadClient { rng: StdRng::seed_from_u64(seed), state, connection: None }.run();
@@ -55,7 +57,7 @@
         }
     }
 
-    /// Sends one request and takes its answer; returns the mean pause before the next one.
+    /// Sends one request and reads its response. Returns the mean pause before the next request.
     fn send_one_request(&mut self) -> Duration {
         let service = if self.rng.random_bool(UNSAFE_FRACTION) { Service::Unsafe } else { Service::Safe };
         let id = self.state.next_id.fetch_add(1, Ordering::SeqCst);
@@ -70,7 +72,7 @@
         let ending = round_trip(&mut client, id, service);
         let is_open = matches!(ending, Ending::Answered { .. });
         self.state.recorder.request_ended(id, ending);
-        // It goes on using the connection until that is gone, also where the router asks it to close.
+        // The connection is reused even if the router asks the client to close it.
         if is_open && !self.rng.random_bool(DISCONNECT_FRACTION) {
             self.connection = Some((router, client));
         }
@@ -87,6 +89,7 @@
     }
 }
 
+/// Sends a request on a connection, and checks that the response is complete and belongs to the request.
 fn round_trip(client: &mut Client, id: u64, service: Service) -> Ending {
     let id = format!("{id:x}");
     let method = if service == Service::Safe { "GET" } else { "POST" };
--- a/cli/tests/soak/machines.rs
+++ b/cli/tests/soak/machines.rs
@@ -1,4 +1,4 @@
-//! The processes of a run, and the signals that they get: in series, and before the last ones have been dealt with.
+//! The processes of a run, and the signals that are sent to them in series, also before the effects of earlier signals are over.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -9,27 +9,27 @@
 use super::recorder::Recorder;
 use crate::system_common::{CONTROL_HOSTS, Process, TestCluster};
 
-/// A process that gets SIGTERM ends within this; its settings give it 8 seconds.
+/// Longest time from SIGTERM to the exit of a process. The settings allow it 8 seconds (`grace_s`).
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(9);
 
-/// What is to happen to a process next.
+/// State of a process, with the next action on it.
 enum MachineState {
     Running,
-    /// It got SIGTERM.
+    /// SIGTERM was sent; the process has to exit within [`SHUTDOWN_TIMEOUT`].
     Terminating {
         since: Instant,
     },
-    /// It is stopped, and goes on then.
+    /// SIGSTOP was sent; SIGCONT follows at `until`.
     Frozen {
         until: Instant,
     },
-    /// It was killed or has ended, and starts again then.
+    /// The process was killed or has exited; it is started again at `until`.
     Down {
         until: Instant,
     },
 }
 
-/// A machine with one process.
+/// A machine that runs one process.
 struct Machine {
     host: u8,
     role: &'static str,
@@ -42,11 +42,12 @@
     cluster: Arc<TestCluster>,
     recorder: Arc<Recorder>,
     machines: Vec<Machine>,
+    /// Number of signals sent, without SIGCONT.
     pub signals: usize,
 }
 
 impl Machines {
-    /// Starts three control nodes, for the first time, and these routers.
+    /// Starts the three control nodes as a new deployment, and routers on these hosts.
     pub fn start(cluster: &Arc<TestCluster>, recorder: &Arc<Recorder>, routers: &[u8]) -> Self {
         let machine = |role, host, process| Machine { host, role, process, state: MachineState::Running };
         let control = CONTROL_HOSTS
@@ -57,7 +58,7 @@
         Self { cluster: cluster.clone(), recorder: recorder.clone(), machines, signals: 0 }
     }
 
-    /// SIGTERM to up to so many routers, also where others are ending.
+    /// Sends SIGTERM to at most `count` running routers, even if others are shutting down.
     pub fn terminate_routers(&mut self, rng: &mut StdRng, count: usize) {
         for index in self.sample_running("router", rng, count) {
             self.signal(index, "TERM");
@@ -65,7 +66,7 @@
         }
     }
 
-    /// SIGKILL to a part of the routers at once.
+    /// Sends SIGKILL to a fraction of the routers at once. Frozen routers and those that are shutting down may be among them.
     pub fn kill_routers(&mut self, rng: &mut StdRng, fraction: f64) {
         let count = (fraction * self.machine_count("router") as f64) as usize;
         for index in self.sample_up("router", rng, count) {
@@ -73,21 +74,21 @@
         }
     }
 
-    /// SIGHUP to some routers, in whatever state they are.
+    /// Sends SIGHUP to at most `count` running routers, which makes them reload their settings.
     pub fn reload_routers(&mut self, rng: &mut StdRng, count: usize) {
         for index in self.sample_running("router", rng, count) {
             self.signal(index, "HUP");
         }
     }
 
-    /// Some routers stand still for a while.
+    /// Stops at most `count` running routers for a random time.
     pub fn freeze_routers(&mut self, rng: &mut StdRng, count: usize) {
         for index in self.sample_running("router", rng, count) {
             self.freeze(index, rng);
         }
     }
 
-    /// One control node is killed, frozen or terminated, if all are running.
+    /// Kills, freezes or terminates one control node if all of them are running.
     pub fn disrupt_control(&mut self, rng: &mut StdRng) {
         let live = self.sample_running("control", rng, CONTROL_HOSTS.len());
         let Some(index) = live.first().copied().filter(|_| live.len() == CONTROL_HOSTS.len()) else { return };
@@ -101,14 +102,14 @@
         }
     }
 
-    /// Deals with what is due: processes that have ended, and those that are to go on or start again.
+    /// Handles processes that have exited or should have, and continues or restarts those whose pause is over.
     pub fn perform_due_actions(&mut self, rng: &mut StdRng) {
         for index in 0..self.machines.len() {
             self.perform_due_action(index, rng);
         }
     }
 
-    /// Lets all go on that are to, and waits until all run.
+    /// Continues and restarts processes when they are due, and waits until all processes run or the timeout is over.
     pub fn restore(&mut self, rng: &mut StdRng, timeout: Duration) {
         let deadline = Instant::now() + timeout;
         while Instant::now() < deadline
@@ -119,7 +120,7 @@
         }
     }
 
-    /// What no log of any process may hold.
+    /// Reports log lines that no process may write: panics, and retries that the retry budget did not allow.
     pub fn check_logs(&self) {
         for machine in &self.machines {
             let logged = machine.process.log_output();
@@ -196,18 +197,19 @@
         self.machines.iter().filter(|machine| machine.role == role).count()
     }
 
-    /// Machines of a role that are not down.
+    /// Draws at most `count` machines of a role whose processes have not been killed and have not exited.
     fn sample_up(&self, role: &str, rng: &mut StdRng, count: usize) -> Vec<usize> {
         let is_up = |machine: &Machine| !matches!(machine.state, MachineState::Down { .. });
         self.sample_where(rng, count, |machine| machine.role == role && is_up(machine))
     }
 
-    /// Machines of a role that run and have got no signal that is still to be dealt with.
+    /// Draws at most `count` machines of a role whose processes run and are neither frozen nor shutting down.
     fn sample_running(&self, role: &str, rng: &mut StdRng, count: usize) -> Vec<usize> {
         let is_running = |machine: &Machine| matches!(machine.state, MachineState::Running);
         self.sample_where(rng, count, |machine| machine.role == role && is_running(machine))
     }
 
+    /// Draws at most `count` machines that meet a condition; returns their indices.
     fn sample_where(
         &self,
         rng: &mut StdRng,
--- a/cli/tests/soak/mod.rs
+++ b/cli/tests/soak/mod.rs
@@ -1,4 +1,5 @@
-//! A soak: real processes under load whose signals, restarts, replaced servers and changes come in series and overlap, drawn from a seed.
+//! A soak test: processes under load, with overlapping series of signals, restarts, server replacements and configuration changes that are
+//! drawn from a seed.
 
 mod applications;
 mod clients;
@@ -27,42 +28,49 @@
 use recorder::{BudgetUse, Recorder, Service, Totals, Violation};
 use servers::Server;
 
-/// Where servers listen, each at a port of its own.
+/// Host number of all servers, each of which has its own port.
 const SERVER_HOST: u8 = 15;
 const SERVERS_PER_SERVICE: usize = 18;
+/// How long a server works on each request.
 const SERVER_WORK_TIME: Duration = Duration::from_millis(15);
+/// Zones of the servers, in turn.
 const ZONES: [&str; 3] = ["za", "zb", "zc"];
-/// How long the platform's list goes on showing an instance that has crashed, at most.
+/// Longest time for which the platform's list still shows an instance that has crashed.
 const MAX_LIST_LAG_MS: u64 = 4000;
-/// The part of the servers that are replaced together.
+/// Range of the fraction of all servers that are replaced together.
 const REPLACED_FRACTIONS: Range<f64> = 0.1..0.8;
-/// The pause between two checks of what is due.
+/// Pause between two checks for scheduled actions that are due.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How long clients go on once all disruptions are over, and the last part of that in which they must be served.
+/// How long clients and applications go on after the last disruption.
 const RECOVERY_TIME: Duration = Duration::from_secs(8);
+/// Last part of [`RECOVERY_TIME`], in which requests must be served and calls be answered again.
 const RECOVERY_CHECK_TIME: Duration = Duration::from_secs(3);
+/// Smallest fraction of the requests that must be served, and of the calls that must have a definite outcome, in [`RECOVERY_CHECK_TIME`].
 const MIN_SERVED_FRACTION: f64 = 0.9;
-/// Processes that were stopped, and their configuration, are back by then.
+/// Longest wait for the stopped processes, and then for the configuration, after the last disruption.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The size and the length of a run.
+/// Size and length of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Scale {
     pub routers: usize,
     pub clients_per_router: usize,
+    /// How long disruptions go on.
     pub disruption_time: Duration,
-    /// The longest pause between two disruptions.
+    /// Longest pause between two disruptions, and between two configuration changes.
     pub max_pause: Duration,
 }
 
-/// Calls of applications with a clear answer, and without.
+/// Numbers of application calls by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CallCounts {
+    /// Calls that were applied or rejected.
     pub definite: u64,
+    /// Calls that were not started, and calls whose outcome is unknown.
     pub indefinite: u64,
 }
 
-/// What came of a run.
+/// The result of a run.
 pub struct Report {
     pub seed: u64,
     pub scale: Scale,
@@ -96,19 +104,20 @@
     }
 }
 
-/// The parts of a run.
+/// The state of a run.
 struct Soak {
     rng: StdRng,
     cluster: Arc<TestCluster>,
     machines: Machines,
     servers: Vec<Server>,
-    /// Addresses at which another instance takes over, and those that the platform's list is to show, and when.
+    /// When another instance takes over the address of a server, and the server's index.
     scheduled_replacements: Vec<(Instant, usize)>,
+    /// When the platform's list is updated to the current instances.
     scheduled_list_updates: Vec<Instant>,
     replaced_servers: usize,
 }
 
-/// Plays one seed.
+/// Runs the soak test with one seed.
 pub fn run(seed: u64, scale: Scale) -> Report {
     let recorder = Arc::new(Recorder::default());
     let cluster = Arc::new(TestCluster::with_retry_budget(recorder::RETRY_BUDGET).enable_coordination());
@@ -118,7 +127,7 @@
         routers,
         recorder: recorder.clone(),
         next_id: AtomicU64::new(1),
-        mean_pause: *clients::MEAN_PAUSES.choose(&mut soak.rng).expect("pauses"),
+        mean_pause: *clients::MEAN_PAUSES.choose(&mut soak.rng).expect("MEAN_PAUSES is not empty"),
         stop: AtomicBool::new(false),
     });
     let clients: Vec<_> = (0..scale.routers * scale.clients_per_router)
@@ -134,7 +143,7 @@
     let calls = soak.check_recovery(&recorder, &applications);
     applications.stop();
     client_state.stop.store(true, Ordering::SeqCst);
-    clients.into_iter().for_each(|client| client.join().expect("a client ends"));
+    clients.into_iter().for_each(|client| client.join().expect("client threads do not panic"));
     soak.machines.check_logs();
     let budget = recorder.budget_use();
     if budget.share > 1.0 {
@@ -153,20 +162,22 @@
     }
 }
 
-/// The operator at work.
+/// The thread of the operator.
 struct OperatorThread {
+    /// Stops the operator when dropped.
     stop: Sender<()>,
     thread: JoinHandle<Operator>,
 }
 
 impl OperatorThread {
+    /// Stops the operator and waits for its last change.
     fn stop(self) -> Operator {
         drop(self.stop);
-        self.thread.join().expect("the operator ends")
+        self.thread.join().expect("the operator thread does not panic")
     }
 }
 
-/// The operator changes the configuration while the rest goes on.
+/// Starts an operator that changes the configuration until it is stopped.
 fn spawn_operator(operator: Operator, seed: u64, scale: Scale) -> OperatorThread {
     let (stop, stopped) = channel();
     let rng = StdRng::seed_from_u64(!seed);
@@ -179,7 +190,7 @@
 }
 
 impl Soak {
-    /// The parts of a run, and its operator, once all routers are ready.
+    /// Starts servers, control nodes and routers. Returns the run and its operator once all routers are ready.
     fn start(
         seed: u64,
         scale: Scale,
@@ -212,7 +223,7 @@
         (soak, operator)
     }
 
-    /// Disruptions that overlap.
+    /// Starts disruptions at random times, whether or not earlier ones are over, for the time that `scale` gives.
     fn disrupt(&mut self, scale: Scale) {
         let end = Instant::now() + scale.disruption_time;
         let mut next_at = Instant::now() + Duration::from_secs(1);
@@ -226,6 +237,7 @@
         }
     }
 
+    /// Starts one disruption of a random kind.
     fn start_disruption(&mut self, scale: Scale) {
         let router_count = self.rng.random_range(1..=scale.routers.div_ceil(4));
         match self.rng.random_range(0..9) {
@@ -241,7 +253,8 @@
         }
     }
 
-    /// A part of all servers crash; other instances take their addresses, and the platform's list follows later.
+    /// Crashes a random fraction of all servers, and schedules the instances that take over their addresses within a second, and the later
+    /// update of the platform's list.
     fn replace_servers(&mut self) {
         let fraction = self.rng.random_range(REPLACED_FRACTIONS);
         let now = Instant::now();
@@ -257,6 +270,7 @@
         self.scheduled_list_updates.push(now + lag);
     }
 
+    /// Performs the scheduled actions that are due on processes and servers.
     fn perform_due_actions(&mut self) {
         let now = Instant::now();
         self.machines.perform_due_actions(&mut self.rng);
@@ -275,7 +289,7 @@
         }
     }
 
-    /// All disruptions end, and all processes run again.
+    /// Ends all disruptions and waits until all processes run again or [`SETTLE_TIMEOUT`] is over.
     fn end_disruptions(&mut self) {
         self.scheduled_replacements.iter().for_each(|(_, index)| self.servers[*index].replace());
         self.scheduled_replacements.clear();
@@ -283,7 +297,7 @@
         self.machines.restore(&mut self.rng, SETTLE_TIMEOUT);
     }
 
-    /// Clients must be served again, and applications be answered. Returns the calls of the whole run.
+    /// Checks that requests are served and calls of applications answered again. Returns the calls of the complete run.
     fn check_recovery(&mut self, recorder: &Recorder, applications: &Applications) -> CallCounts {
         let end = Instant::now() + RECOVERY_TIME;
         self.perform_due_actions_until(end - RECOVERY_CHECK_TIME);
--- a/cli/tests/soak/operator.rs
+++ b/cli/tests/soak/operator.rs
@@ -1,4 +1,4 @@
-//! An operator who changes the configuration, one change after another and two at a time, and what must hold of that.
+//! An operator that sends one or two configuration changes at a time, and checks that acknowledged changes persist.
 
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
@@ -15,11 +15,12 @@
 
 const OK: u16 = 200;
 const PRECONDITION_FAILED: u16 = 412;
-/// How long the operator sends an order before it is left unclear.
+/// How long the operator repeats a change before its outcome counts as unknown.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Pause between two attempts.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What became of a change.
+/// The outcome of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ChangeOutcome {
     Acknowledged,
@@ -27,25 +28,27 @@
     Unknown,
 }
 
-/// The operator, and the versions that it knows of.
+/// The operator, and the revisions that it has sent and seen.
 pub struct Operator {
     cluster: Arc<TestCluster>,
     recorder: Arc<Recorder>,
-    /// The newest version that is known to be in force.
+    /// Newest revision that was acknowledged or read.
     current_revision: u64,
+    /// Highest revision that was sent.
     last_sent_revision: u64,
+    /// Number of acknowledged changes, with the first configuration.
     pub acknowledged_count: usize,
 }
 
 impl Operator {
-    /// Has a first configuration acknowledged.
+    /// Puts the first configuration, and waits until it is acknowledged.
     pub fn start(cluster: &Arc<TestCluster>, recorder: &Arc<Recorder>) -> Self {
         cluster.put_configuration(CONTROL_HOSTS[0], 0, &configuration(1));
         let (cluster, recorder) = (cluster.clone(), recorder.clone());
         Self { cluster, recorder, current_revision: 1, last_sent_revision: 1, acknowledged_count: 1 }
     }
 
-    /// Sends changes, one after another, until the other end of `stop` is dropped.
+    /// Sends changes until the sender of `stop` is dropped.
     pub fn run(mut self, mut rng: StdRng, max_pause: Duration, stop: &Receiver<()>) -> Self {
         loop {
             let pause = max_pause.mul_f64(rng.random_range(0.0..1.0));
@@ -56,7 +59,7 @@
         }
     }
 
-    /// Sends one change, or two at once on the same version.
+    /// Sends one change, or two concurrent changes of the same revision, of which at most one may be acknowledged.
     fn send_change(&mut self, rng: &mut StdRng) {
         let count = rng.random_range(1..=2);
         let base = self.current_revision;
@@ -78,12 +81,13 @@
         self.acknowledged_count += acknowledged.len();
         match acknowledged.first() {
             Some(revision) => self.current_revision = *revision,
-            // Another order may have been taken without a clear answer.
+            // A change may have been accepted although its outcome is unknown.
             None => self.verify_configuration(Duration::from_secs(3)),
         }
     }
 
-    /// Reads the configuration; reports one that is older than what was acknowledged, or is none that was sent.
+    /// Reads the configuration from the first control node that returns one. Reports a configuration that is older than the newest acknowledged
+    /// one, or that was never sent.
     pub fn verify_configuration(&mut self, timeout: Duration) {
         let deadline = Instant::now() + timeout;
         while Instant::now() < deadline {
@@ -106,11 +110,12 @@
         }
     }
 
-    /// Whether the configuration can be read.
+    /// Whether any control node returns the configuration.
     pub fn is_readable(&self) -> bool {
         CONTROL_HOSTS.iter().any(|host| self.cluster.configuration(*host).is_some())
     }
 
+    /// Sends changes, each with its first host, at the same time. Returns the outcome of each revision.
     fn send_concurrently(&self, base: u64, changes: &[(u64, u8)]) -> Vec<(u64, ChangeOutcome)> {
         thread::scope(|scope| {
             let sent: Vec<_> = changes
@@ -121,7 +126,7 @@
         })
     }
 
-    /// Sends a change to one control node after another until an answer is clear.
+    /// Sends a change to one control node after another until one acknowledges or rejects it.
     fn send(&self, base: u64, revision: u64, first_host: u8) -> ChangeOutcome {
         let body = configuration(revision).to_string();
         let first_index = CONTROL_HOSTS.iter().position(|host| *host == first_host).unwrap_or(0);
@@ -138,7 +143,7 @@
     }
 }
 
-/// The configuration with this revision: a route to each service, and one whose timeout shows the revision.
+/// The configuration with this revision: a route to each service, and a route whose timeout depends on the revision.
 fn configuration(revision: u64) -> Value {
     let routes: Vec<Value> = Service::ALL
         .iter()
--- a/cli/tests/soak/recorder.rs
+++ b/cli/tests/soak/recorder.rs
@@ -1,4 +1,4 @@
-//! What clients and servers saw of each request, and what must hold of it.
+//! Records what clients and servers observe of each request, and checks the rules that must hold.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -9,21 +9,22 @@
 
 /// The retry budget of a run.
 pub const RETRY_BUDGET: RetryBudget = RetryBudget { ratio: 0.2, slack: 58.0 };
+/// Time window of the retry budget, as in the settings.
 const BUDGET_WINDOW: Duration = Duration::from_secs(10);
 
-/// A service behind the routers.
+/// A service that clients reach through the routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Service {
-    /// Its requests may run more than once.
+    /// Requests may be executed more than once.
     Safe,
-    /// Its requests may run once at most.
+    /// Requests must not be executed more than once.
     Unsafe,
 }
 
 impl Service {
     pub const ALL: [Self; 2] = [Self::Safe, Self::Unsafe];
 
-    /// Its name in the configuration, and that of its route.
+    /// Name of the service and of its route in the configuration.
     pub fn name(self) -> &'static str {
         match self {
             Self::Safe => "safe",
@@ -32,42 +33,45 @@
     }
 }
 
-/// How a client's try ended.
+/// How a client's request ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// A whole answer, with this status.
+    /// With a complete response that has this status.
     Answered { status: u16 },
-    /// A whole answer that is not the answer to this request, or lacks the server's stamp.
+    /// With a complete response that belongs to another request or lacks the server's stamp.
     Mixed { status: u16, problem: String },
-    /// The connection ended within the answer.
+    /// The connection ended, or the response timed out, within the body of the response.
     Cut,
-    /// The connection ended without an answer, or none came in time.
+    /// The connection ended, or the response timed out, before the end of the response's head.
     Unanswered,
-    /// There was no connection.
+    /// The client could not connect to the router.
     NotConnected,
 }
 
-/// A client's try.
+/// A client's request.
 #[derive(Debug)]
 struct Request {
     service: Service,
     router: u8,
     sent_at: Instant,
     ending: Option<(Ending, Instant)>,
+    /// How often the request reached a server.
     arrivals: u64,
+    /// How often a server began to execute the request.
     runs: u64,
-    /// A server broke one of its runs off.
+    /// Whether a server crashed while it executed the request.
     was_broken_off: bool,
 }
 
-/// A time in which a router was disrupted without a plan.
+/// A period in which a router was killed or frozen.
 struct Disruption {
     router: u8,
     started_at: Instant,
+    /// `None` until the router runs again.
     ended_at: Option<Instant>,
 }
 
-/// Something that must not happen.
+/// A violated rule, as text.
 #[derive(Clone, Debug)]
 pub struct Violation(pub String);
 
@@ -80,6 +84,7 @@
 /// The largest share of a retry budget that was used in any window.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BudgetUse {
+    /// `repeats` relative to the retries that the budget allows for `requests`; more than 1 is a violation.
     pub share: f64,
     pub repeats: usize,
     pub requests: usize,
@@ -88,7 +93,7 @@
 #[derive(Default)]
 struct Records {
     requests: HashMap<u64, Request>,
-    /// When a request arrived beyond its first arrival.
+    /// Service and time of each arrival of a request after its first one.
     repeats: Vec<(Service, Instant)>,
     disruptions: Vec<Disruption>,
     violations: Vec<Violation>,
@@ -100,7 +105,7 @@
     records: Mutex<Records>,
 }
 
-/// Totals of a run.
+/// Numbers of requests of a run by outcome, and of repeated arrivals.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Totals {
     pub requests: usize,
@@ -111,7 +116,7 @@
 }
 
 impl Recorder {
-    /// A client is about to send a request to a router.
+    /// Records that a client is about to send a request to a router.
     pub fn request_sent(&self, id: u64, service: Service, router: u8) {
         let request = Request {
             service,
@@ -125,7 +130,7 @@
         self.records.lock().unwrap().requests.insert(id, request);
     }
 
-    /// A client's try has ended.
+    /// Records how a client's request ended.
     pub fn request_ended(&self, id: u64, ending: Ending) {
         let mut records = self.records.lock().unwrap();
         if let Ending::Mixed { status, problem } = &ending {
@@ -137,7 +142,7 @@
         }
     }
 
-    /// A request reached a server of a service. `runs` says whether the server begins to work on it.
+    /// Records that a request reached a server of a service. `runs` says whether the server begins to execute it.
     pub fn request_arrived(&self, id: Option<u64>, server_service: Service, runs: bool) {
         let mut records = self.records.lock().unwrap();
         let Some(request) = id.and_then(|id| records.requests.get_mut(&id)) else {
@@ -162,20 +167,20 @@
         }
     }
 
-    /// A server broke off its work on a request.
+    /// Records that a server crashed while it executed a request.
     pub fn execution_interrupted(&self, id: u64) {
         if let Some(request) = self.records.lock().unwrap().requests.get_mut(&id) {
             request.was_broken_off = true;
         }
     }
 
-    /// A router is disrupted without a plan from now on: killed, or frozen.
+    /// Records that a router is killed or frozen.
     pub fn disruption_started(&self, router: u8) {
         let disruption = Disruption { router, started_at: Instant::now(), ended_at: None };
         self.records.lock().unwrap().disruptions.push(disruption);
     }
 
-    /// A router runs again.
+    /// Records that a router runs again.
     pub fn disruption_ended(&self, router: u8) {
         let mut records = self.records.lock().unwrap();
         let of_router = records.disruptions.iter_mut().filter(|disruption| disruption.router == router);
@@ -184,11 +189,12 @@
         });
     }
 
+    /// Records a violation that another part of the run has found.
     pub fn report(&self, violation: String) {
         self.records.lock().unwrap().violations.push(Violation(violation));
     }
 
-    /// All that must not have happened, once the run is over.
+    /// All violations, including those that can be found only after the run.
     pub fn violations(&self) -> Vec<Violation> {
         let records = self.records.lock().unwrap();
         let mut violations = records.violations.clone();
@@ -198,11 +204,12 @@
         violations
     }
 
-    /// How near any service came to its retry budget.
+    /// The largest share of its retry budget that any service used.
     pub fn budget_use(&self) -> BudgetUse {
         largest_budget_use(&self.records.lock().unwrap())
     }
 
+    /// The totals so far.
     pub fn totals(&self) -> Totals {
         let records = self.records.lock().unwrap();
         let mut totals = Totals { requests: records.requests.len(), ..Totals::default() };
@@ -217,7 +224,7 @@
         totals
     }
 
-    /// The part of the requests sent since a moment that were served; none where there were none.
+    /// Fraction of the ended requests sent since then that were answered with status 200; `None` without such requests.
     pub fn served_fraction_since(&self, since: Instant) -> Option<f64> {
         let records = self.records.lock().unwrap();
         let recent: Vec<&Request> = records
@@ -232,6 +239,8 @@
     }
 }
 
+/// The rule that a request violates, if any: after the execution of an unsafe request its status must not deny the execution, and a request
+/// that reached a server must be answered unless the server crashed or the router was killed or frozen meanwhile.
 fn request_violation(id: u64, request: &Request, disruptions: &[Disruption]) -> Option<Violation> {
     let (ending, ended_at) = request.ending.as_ref()?;
     let is_refusal = matches!(ending, Ending::Answered { status: 408 | 421 | 429 | 503 });
@@ -254,6 +263,8 @@
     None
 }
 
+/// The largest use of a retry budget in any window that begins with a repeated arrival. The number of requests is the largest of three
+/// windows: the same one, one that begins half a window earlier, and the preceding one.
 fn largest_budget_use(records: &Records) -> BudgetUse {
     let mut largest = BudgetUse::default();
     for service in Service::ALL {
--- a/cli/tests/soak/servers.rs
+++ b/cli/tests/soak/servers.rs
@@ -1,4 +1,4 @@
-//! Servers whose instances crash and are replaced at their addresses.
+//! Servers whose instances crash and are replaced by others at the same addresses.
 
 use std::net::Ipv4Addr;
 use std::sync::{Arc, Condvar, Mutex};
@@ -9,32 +9,35 @@
 use super::recorder::{Recorder, Service};
 use crate::system_common::server::{self, ReceivedRequest, Step, complete_response, id_header, ok_response};
 
-/// What listens at an address.
+/// The instance at an address, by its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Instance {
-    /// An instance with this number serves.
+    /// The instance serves requests.
     Serving(u32),
-    /// The instance has crashed; connections break.
+    /// The instance has crashed; its connections are closed.
     Crashed(u32),
 }
 
-/// An address at which one instance follows another.
+/// An address that is taken over by one instance after another.
 struct ServerAddress {
     instance: Mutex<Instance>,
+    /// Notified when `instance` changes.
     changed: Condvar,
     service: Service,
     name: String,
+    /// How long an instance works on each request.
     work_time: Duration,
     recorder: Arc<Recorder>,
 }
 
-/// A handle on an address, and the scripted server that listens there.
+/// An address, and the scripted server that listens on it for all instances.
 pub struct Server {
     server: server::Server,
     address: Arc<ServerAddress>,
 }
 
 impl Server {
+    /// Starts the first instance of a service in a zone.
     pub fn start(
         ip: Ipv4Addr,
         (name, service, zone): (&str, Service, &str),
@@ -54,7 +57,7 @@
         Self { server: server::Server::new(ip, (name, service.name(), zone), script), address }
     }
 
-    /// The instance crashes, and breaks off what it does.
+    /// Crashes the instance, which interrupts the requests that it works on.
     pub fn crash(&self) {
         let mut instance = self.address.instance.lock().unwrap();
         if let Instance::Serving(number) = *instance {
@@ -63,7 +66,7 @@
         self.address.changed.notify_all();
     }
 
-    /// Another instance takes the address.
+    /// Starts another instance at the address.
     pub fn replace(&self) {
         let mut instance = self.address.instance.lock().unwrap();
         let (Instance::Serving(number) | Instance::Crashed(number)) = *instance;
@@ -71,7 +74,7 @@
         self.address.changed.notify_all();
     }
 
-    /// Its entry in the platform's instance list, of the present instance.
+    /// Entry of the current instance in the platform's instance list, even if it has crashed.
     pub fn instance_entry(&self) -> Value {
         let (Instance::Serving(number) | Instance::Crashed(number)) = *self.address.instance.lock().unwrap();
         let mut entry = self.server.instance_entry();
@@ -80,7 +83,7 @@
         entry
     }
 
-    /// Drops the copies of requests that the scripted server keeps for tests: the recorder has what counts.
+    /// Drops the copies of requests that the scripted server keeps, which the soak test does not need.
     pub fn discard_requests(&self) {
         self.server.take_requests();
     }
@@ -91,7 +94,8 @@
         format!("{}-{number}", self.name)
     }
 
-    /// Takes a request to its end; the connection breaks where the instance has crashed, or does so meanwhile.
+    /// Responds to a request after [`Self::work_time`]. The connection is closed if the instance has crashed or crashes meanwhile; a request
+    /// for another instance is rejected with status 421.
     fn respond(&self, received: &ReceivedRequest) -> Vec<Step> {
         let Instance::Serving(number) = *self.instance.lock().unwrap() else { return vec![Step::Close] };
         let request = u64::from_str_radix(received.id(), 16).ok();
--- a/cli/tests/system_server_list.rs
+++ b/cli/tests/system_server_list.rs
@@ -1,4 +1,4 @@
-//! The platform's instance list as control nodes read it, page by page, from a faulty platform.
+//! Control nodes read the platform's instance list page by page, also from a platform that sends duplicate responses.
 
 mod system_common;
 
@@ -10,7 +10,8 @@
 use system_common::server::ok_response;
 use system_common::{FRONT_PORT, ROUTER_HOST, TestCluster, configuration, wait_until};
 
-/// A list of two pages, of which the second comes again in the place of the next reading's first: no server is taken for gone.
+/// A duplicate of the last page arrives instead of the first page of the next read. If a control node took it for the first page, the servers
+/// on the missing pages would be removed.
 #[test]
 fn late_duplicate_of_the_last_page_is_not_taken_for_the_first() {
     let cluster = TestCluster::new();
@@ -18,14 +19,14 @@
         .map(|id| cluster.start_server((id, "s", "za"), |received| ok_response(received, b"here")));
     let other = cluster.start_server(("i-3", "t", "za"), |received| ok_response(received, b"here"));
     let mut configuration = configuration(1, &[("s", json!({})), ("t", json!({"service": "t"}))]);
-    configuration["services"].as_array_mut().expect("a list").push(json!({"name": "t"}));
+    configuration["services"].as_array_mut().expect("services are a list").push(json!({"name": "t"}));
     let _served = cluster.start_system(&[&servers[0], &servers[1], &other], &configuration);
     let address = cluster.address(ROUTER_HOST, FRONT_PORT);
     let wait_for_two_list_reads = |what: &str| {
         let calls = cluster.platform.request_count();
         wait_until(what, || cluster.platform.request_count() >= calls + 4);
     };
-    wait_for_two_list_reads("the list is read");
+    wait_for_two_list_reads("the instance list is read twice");
     cluster.platform.set_repeat_responses(true);
     let deadline = Instant::now() + Duration::from_secs(3);
     let mut number = 0;
@@ -37,5 +38,5 @@
             assert_that!(response.head.status, eq(200), "{name}: {response:?}");
         }
     }
-    wait_for_two_list_reads("the list is read on");
+    wait_for_two_list_reads("the instance list is read twice after the duplicates");
 }
--- a/cli/tests/system_soak.rs
+++ b/cli/tests/system_soak.rs
@@ -1,4 +1,4 @@
-//! The system as real processes under overlapping disruptions, for a few seeds in CI and for many by hand:
+//! Runs the system as processes under overlapping disruptions, with a few seeds in CI and with many by hand:
 //!
 //! `SOAK_SEEDS=1-50 SOAK_ROUTERS=40 cargo test --release -p ivyhatch --test system_soak -- --nocapture`
 
@@ -10,22 +10,26 @@
 
 use soak::{Report, Scale, run};
 
+/// Range of seeds, as `FIRST-LAST` or one number.
 const SEEDS_VARIABLE: &str = "SOAK_SEEDS";
+/// Number of routers.
 const ROUTERS_VARIABLE: &str = "SOAK_ROUTERS";
+/// Number of seconds for which disruptions go on.
 const SECONDS_VARIABLE: &str = "SOAK_SECONDS";
 const DEFAULT_SEEDS: &str = "1-2";
 const DEFAULT_ROUTERS: usize = 10;
 const DEFAULT_SECONDS: u64 = 16;
 
+/// The value of an environment variable; the default if it is unset or invalid.
 fn variable_or<T: std::str::FromStr>(variable: &str, default: T) -> T {
     env::var(variable).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// The seeds from the first to the last.
+/// The seeds to run.
 fn seeds() -> std::ops::RangeInclusive<u64> {
     let text = env::var(SEEDS_VARIABLE).unwrap_or_else(|_| DEFAULT_SEEDS.to_owned());
     let (first, last) = text.split_once('-').unwrap_or((&text, &text));
-    let seed = |text: &str| text.parse().expect("SOAK_SEEDS is FIRST-LAST");
+    let seed = |text: &str| text.parse().expect("SOAK_SEEDS is FIRST-LAST or one number");
     seed(first)..=seed(last)
 }
 
