--- a/cli/tests/soak/applications.rs
+++ b/cli/tests/soak/applications.rs
@@ -225,10 +225,10 @@
         let expected_revision = self.rng.random_bool(0.7).then_some(current_revision);
         let call = Call::PutCell { name, value, expected_revision };
         let first_sent_at = self.shared.now();
-        let end = Instant::now() + PUT_RETRY_TIME;
+        let deadline = Instant::now() + PUT_RETRY_TIME;
         // The put is sent again unchanged until its outcome is definite.
         while self.call(&call, Some(first_sent_at)).is_none()
-            && Instant::now() < end
+            && Instant::now() < deadline
             && !self.shared.stop.load(Ordering::SeqCst)
         {
             thread::park_timeout(Duration::from_millis(40));
@@ -253,11 +253,11 @@
     fn call(&mut self, call: &Call, first_sent_at: Option<Nanos>) -> Option<CallOutcome> {
         let sent_at = self.shared.now();
         let first_sent_at = first_sent_at.unwrap_or(sent_at);
-        let sent = CallAttempt { caller: self.number, call: call.clone(), sent_at, first_sent_at };
-        self.shared.oracle.lock().unwrap().attempt_sent(&sent);
+        let attempt = CallAttempt { caller: self.number, call: call.clone(), sent_at, first_sent_at };
+        self.shared.oracle.lock().unwrap().attempt_sent(&attempt);
         let outcome = self.round_trip(call).unwrap_or(CallOutcome::Unknown);
         let now = self.shared.now();
-        self.shared.check_oracle(|oracle| oracle.outcome_received(now, &sent, &outcome));
+        self.shared.check_oracle(|oracle| oracle.outcome_received(now, &attempt, &outcome));
         let is_definite = !matches!(outcome, CallOutcome::Unknown | CallOutcome::NotStarted(_));
         let counter = if is_definite { &self.shared.definite } else { &self.shared.indefinite };
         counter.fetch_add(1, Ordering::SeqCst);
@@ -271,7 +271,7 @@
     /// Sends a call and reads its response. `None` if no complete response arrives in time.
     fn round_trip(&mut self, call: &Call) -> Option<CallOutcome> {
         let (host, mut client) = match self.connection.take() {
-            Some(kept) => kept,
+            Some(open) => open,
             None => {
                 let host = *CONTROL_HOSTS.choose(&mut self.rng).unwrap();
                 let Some(client) = Client::try_connect(self.shared.cluster.address(host, CONTROL_PORT))
--- a/cli/tests/soak/machines.rs
+++ b/cli/tests/soak/machines.rs
@@ -123,12 +123,12 @@
     /// Reports log lines that no process may write: panics, and retries that the retry budget did not allow.
     pub fn check_logs(&self) {
         for machine in &self.machines {
-            let logged = machine.process.log_output();
+            let log = machine.process.log_output();
             let is_violation = |line: &&str| {
                 line.contains("panicked")
                     || (line.contains("event=retry_usage") && !line.contains(" unpaid=0 "))
             };
-            for line in logged.lines().filter(is_violation) {
+            for line in log.lines().filter(is_violation) {
                 self.recorder.report(format!("LOG of {} {}: {line}", machine.role, machine.host));
             }
         }
@@ -216,9 +216,9 @@
         count: usize,
         is_eligible: impl Fn(&Machine) -> bool,
     ) -> Vec<usize> {
-        let all: Vec<usize> =
+        let eligible: Vec<usize> =
             (0..self.machines.len()).filter(|index| is_eligible(&self.machines[*index])).collect();
-        all.sample(rng, count).copied().collect()
+        eligible.sample(rng, count).copied().collect()
     }
 }
 
--- a/cli/tests/soak/operator.rs
+++ b/cli/tests/soak/operator.rs
@@ -118,11 +118,11 @@
     /// Sends changes, each with its first host, at the same time. Returns the outcome of each revision.
     fn send_concurrently(&self, base: u64, changes: &[(u64, u8)]) -> Vec<(u64, ChangeOutcome)> {
         thread::scope(|scope| {
-            let sent: Vec<_> = changes
+            let threads: Vec<_> = changes
                 .iter()
                 .map(|(revision, host)| (*revision, scope.spawn(|| self.send(base, *revision, *host))))
                 .collect();
-            sent.into_iter().map(|(revision, outcome)| (revision, outcome.join().unwrap())).collect()
+            threads.into_iter().map(|(revision, thread)| (revision, thread.join().unwrap())).collect()
         })
     }
 
@@ -148,8 +148,8 @@
     let routes: Vec<Value> = Service::ALL
         .iter()
         .map(|service| {
-            let kind = service.name();
-            route(kind, &json!({"route_kind": kind, "service": kind, "target_ms": 400, "timeout_ms": 5000}))
+            let name = service.name();
+            route(name, &json!({"route_kind": name, "service": name, "target_ms": 400, "timeout_ms": 5000}))
         })
         .chain([route("other", &json!({"service": "safe", "timeout_ms": 1000 + revision}))])
         .collect();
--- a/cli/tests/soak/servers.rs
+++ b/cli/tests/soak/servers.rs
@@ -52,8 +52,8 @@
             work_time,
             recorder: recorder.clone(),
         });
-        let served = address.clone();
-        let script = move |received: &ReceivedRequest| served.respond(received);
+        let script_address = address.clone();
+        let script = move |received: &ReceivedRequest| script_address.respond(received);
         Self { server: server::Server::new(ip, (name, service.name(), zone), script), address }
     }
 
--- a/cli/tests/system_common/faults.rs
+++ b/cli/tests/system_common/faults.rs
@@ -134,15 +134,15 @@
     /// Plans each of these faults at every byte of the last recorded exchange, on new and on reused connections. Returns their number.
     pub fn plan_faults(&self, faults: &[(MessageKind, Fault)]) -> usize {
         let mut request_log = self.request_log();
-        let recorded = request_log.last_exchange.expect("an exchange was recorded");
+        let lengths = request_log.last_exchange.expect("an exchange was recorded");
         let mut count = 0;
         for (message, fault) in faults {
             let end = match (message, fault) {
                 // A fault after the complete request is planned as one before the response.
-                (MessageKind::Request, _) => recorded.request,
+                (MessageKind::Request, _) => lengths.request,
                 // The receiver can't tell a restart within the body from a body of these bytes.
-                (MessageKind::Response, Fault::Restart) => recorded.response_head,
-                (MessageKind::Response, _) => recorded.response + 1,
+                (MessageKind::Response, Fault::Restart) => lengths.response_head,
+                (MessageKind::Response, _) => lengths.response + 1,
             };
             for offset in 0..end {
                 request_log.new_connection_faults.push(PlannedFault {
@@ -367,11 +367,11 @@
 
 /// Length of a message's head with its empty line, or of all bytes if the head is incomplete.
 pub fn head_length(bytes: &[u8]) -> usize {
-    bytes.windows(4).position(|four| four == b"\r\n\r\n").map_or(bytes.len(), |at| at + 4)
+    bytes.windows(4).position(|window| window == b"\r\n\r\n").map_or(bytes.len(), |position| position + 4)
 }
 
 fn is_complete_request(received: &[u8]) -> bool {
-    if !received.windows(4).any(|four| four == b"\r\n\r\n") {
+    if !received.windows(4).any(|window| window == b"\r\n\r\n") {
         return false;
     }
     let (head, body) = received.split_at(head_length(received));
--- a/cli/tests/system_common/mod.rs
+++ b/cli/tests/system_common/mod.rs
@@ -99,8 +99,8 @@
     pub fn with_retry_budget(retry_budget: RetryBudget) -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let (network, network_lock) = loop {
-            let number = std::process::id().wrapping_mul(61) + NEXT.fetch_add(1, Ordering::SeqCst) * 7;
-            let network = ((number / 250 % 250) as u8 + 1, (number % 250) as u8 + 1);
+            let network_index = std::process::id().wrapping_mul(61) + NEXT.fetch_add(1, Ordering::SeqCst) * 7;
+            let network = ((network_index / 250 % 250) as u8 + 1, (network_index % 250) as u8 + 1);
             if let Ok(network_lock) =
                 TcpListener::bind((Ipv4Addr::new(127, network.0, network.1, 1), NETWORK_LOCK_PORT))
             {
@@ -270,7 +270,7 @@
 
 /// A configuration of one service, `s`, and these routes to it. The paths of a route begin with its name.
 pub fn configuration(revision: u64, routes: &[(&str, Value)]) -> Value {
-    let routes: Vec<Value> = routes.iter().map(|(name, more)| route(name, more)).collect();
+    let routes: Vec<Value> = routes.iter().map(|(name, fields)| route(name, fields)).collect();
     json!({"revision": revision, "routes": routes, "services": [{"name": "s", "health_path": "/healthz", "max_conns": 100}]})
 }
 
--- a/cli/tests/system_common/platform.rs
+++ b/cli/tests/system_common/platform.rs
@@ -33,10 +33,10 @@
     pub fn start(ip: Ipv4Addr) -> Self {
         let listener = TcpListener::bind((ip, 0)).unwrap();
         let (address, state) = (listener.local_addr().unwrap(), Arc::<Mutex<State>>::default());
-        let served = state.clone();
+        let shared_state = state.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let state = served.clone();
+                let state = shared_state.clone();
                 thread::spawn(move || {
                     let mut writer = stream.try_clone().unwrap();
                     let mut reader = BufReader::new(stream);
@@ -84,15 +84,15 @@
     }
 }
 
-fn respond(state: &mut State, line: &str) -> String {
+fn respond(state: &mut State, request_line: &str) -> String {
     state.request_count += 1;
-    let path = line.split(' ').nth(1).unwrap_or("");
+    let path = request_line.split(' ').nth(1).unwrap_or("");
     if state.is_rate_limited || !path.starts_with("/instances") {
         return "HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n\r\n".to_owned();
     }
-    let from = path.split(PAGE_TOKEN_QUERY).nth(1).and_then(|text| text.parse().ok()).unwrap_or(0);
-    let rest = state.instances.get(from..).unwrap_or_default();
-    let next = (rest.len() > PAGE_SIZE).then(|| format!("{PAGE_TOKEN_PREFIX}{}", from + PAGE_SIZE));
+    let first = path.split(PAGE_TOKEN_QUERY).nth(1).and_then(|text| text.parse().ok()).unwrap_or(0);
+    let rest = state.instances.get(first..).unwrap_or_default();
+    let next = (rest.len() > PAGE_SIZE).then(|| format!("{PAGE_TOKEN_PREFIX}{}", first + PAGE_SIZE));
     let body = json!({"instances": &rest[..rest.len().min(PAGE_SIZE)], "next_token": next}).to_string();
     format!(
         "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}",
--- a/cli/tests/system_server_list.rs
+++ b/cli/tests/system_server_list.rs
@@ -22,9 +22,9 @@
     configuration["services"].as_array_mut().expect("services are a list").push(json!({"name": "t"}));
     let _served = cluster.start_system(&[&servers[0], &servers[1], &other], &configuration);
     let address = cluster.address(ROUTER_HOST, FRONT_PORT);
-    let wait_for_two_list_reads = |what: &str| {
-        let calls = cluster.platform.request_count();
-        wait_until(what, || cluster.platform.request_count() >= calls + 4);
+    let wait_for_two_list_reads = |condition: &str| {
+        let requests_before = cluster.platform.request_count();
+        wait_until(condition, || cluster.platform.request_count() >= requests_before + 4);
     };
     wait_for_two_list_reads("the instance list is read twice");
     cluster.platform.set_repeat_responses(true);
--- a/cli/tests/system_settings.rs
+++ b/cli/tests/system_settings.rs
@@ -73,12 +73,12 @@
     let broken = temp_dir.path().join("broken.json");
     std::fs::write(&broken, "{\"node_name\":").expect("the file can be written");
     for role in ["control", "router"] {
-        for (settings, named) in
+        for (settings, logged_name) in
             [(None, "IVYHATCH_SETTINGS"), (Some(&missing), "missing.json"), (Some(&broken), "broken.json")]
         {
             let mut process = Process::start(role, settings.map(|path| path.as_path()), temp_dir.path());
             assert_eq!(process.wait_for_exit().code(), Some(1));
-            assert!(process.log_output().contains(named), "{role}: {}", process.log_output());
+            assert!(process.log_output().contains(logged_name), "{role}: {}", process.log_output());
         }
     }
 }
@@ -91,7 +91,7 @@
         settings.as_object_mut().expect("settings are an object").remove(field);
     }
     settings["tolerate"] = json!({"machines": 0});
-    settings["later"] = json!({"than": ["this"]});
+    settings["unknown_field"] = json!({"nested": ["value"]});
     let _control = cluster.start_role("control", 11, &settings);
     cluster.put_configuration(11, 0, &configuration(1, &[("a", json!({}))]));
 }
