--- a/cli/tests/soak/applications.rs
+++ b/cli/tests/soak/applications.rs
@@ -48,8 +48,8 @@
     ApplicationKind::Watch,
 ];
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 /// What an application does.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ApplicationKind {
     Locks,
     Numbers,
--- a/cli/tests/soak/machines.rs
+++ b/cli/tests/soak/machines.rs
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Reports log lines that no process may write: panics, and retries that the retry budget did not allow.
+    /// Reports log lines that no process may write: panics, and retries that exceed the retry budget (`unpaid`).
     pub fn check_logs(&self) {
         for machine in &self.machines {
             let log = machine.process.log_output();
--- a/cli/tests/system_common/calls.rs
+++ b/cli/tests/system_common/calls.rs
@@ -62,7 +62,7 @@
 }
 
 impl ResponseHead {
-    /// Value of the first header with this name, in upper or lower case.
+    /// Value of the first header with this name, ignoring case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut named = self.headers.iter().filter(|(field, _)| field.eq_ignore_ascii_case(name));
         named.next().map(|(_, value)| value.as_str())
--- a/cli/tests/system_common/faults.rs
+++ b/cli/tests/system_common/faults.rs
@@ -33,10 +33,10 @@
     Stall,
     /// The server reads or writes the rest after [`MESSAGE_DELAY`].
     Delay,
-    /// A duplicate of the response is sent in two parts: the first `offset` bytes right after the response, the rest instead of the next
+    /// A duplicate of the response is sent in two parts: the first `offset` bytes right after the response, the rest right before the next
     /// response on the connection.
     SplitDuplicate,
-    /// A complete duplicate of the response is sent instead of the next response on the connection, in two parts.
+    /// A complete duplicate of the response is sent in two parts right before the next response on the connection.
     LateDuplicate,
     /// After `offset` bytes the response is sent again from its beginning.
     Restart,
@@ -140,7 +140,7 @@
             let end = match (message, fault) {
                 // A fault after the complete request is planned as one before the response.
                 (MessageKind::Request, _) => lengths.request,
-                // The receiver can't tell a restart within the body from a body of these bytes.
+                // The receiver can't tell a restart within the body from a body that contains these bytes.
                 (MessageKind::Response, Fault::Restart) => lengths.response_head,
                 (MessageKind::Response, _) => lengths.response + 1,
             };
--- a/cli/tests/system_server_list.rs
+++ b/cli/tests/system_server_list.rs
@@ -22,6 +22,7 @@
     configuration["services"].as_array_mut().expect("services are a list").push(json!({"name": "t"}));
     let _served = cluster.start_system(&[&servers[0], &servers[1], &other], &configuration);
     let address = cluster.address(ROUTER_HOST, FRONT_PORT);
+    // Three instances make two pages, so that two reads of the list take four requests.
     let wait_for_two_list_reads = |condition: &str| {
         let requests_before = cluster.platform.request_count();
         wait_until(condition, || cluster.platform.request_count() >= requests_before + 4);
