--- a/balancer/src/api/attempt.rs
+++ b/balancer/src/api/attempt.rs
@@ -53,7 +53,7 @@
         self == Self::Misdirected || self.never_reached_server()
     }
 
-    /// Whether no part of the attempt reached any server, so that one more attempt adds no arrival.
+    /// Whether no part of the attempt reached any server. The next attempt then does not count as a repeat.
     pub(crate) fn never_reached_server(self) -> bool {
         matches!(self, Self::ConnectFailed | Self::NotSent)
     }
--- a/balancer/src/api/event.rs
+++ b/balancer/src/api/event.rs
@@ -35,7 +35,8 @@
         /// The listed members.
         members: Vec<Member>,
     },
-    /// A call to discovery failed, or its watch broke.
+    /// A call to discovery failed, or the subscription of [`Action::Watch`](super::Action::Watch) was
+    /// interrupted.
     DiscoveryFailed,
     /// A request arrived; the balancer must give one final answer to it.
     Request(Arrival),
--- a/balancer/src/api/settings.rs
+++ b/balancer/src/api/settings.rs
@@ -19,7 +19,8 @@
 pub enum Idempotency {
     /// The request may be repeated at any backend.
     Idempotent,
-    /// Backends of one `scope` drop a repeat within `window` of the first send that may have run.
+    /// Backends of one `scope` drop a repeat within `window` of the send of the first attempt that may have
+    /// run.
     Keyed {
         /// The backends that share the keys they have seen.
         scope: IdempotencyScope,
@@ -108,17 +109,18 @@
     pub probes: bool,
     /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Longest retry-after that clients honour, in nanoseconds; 0 if none is passed on to them.
+    /// Longest retry-after that clients honour, in nanoseconds; 0 if clients are sent no retry-after.
     pub max_retry_after: Nanos,
 }
 
-/// The parameters of the four rules that a node must comply with.
+/// The parameters of the four rules that a node must comply with: final answers in time, use of a recent
+/// list of backends, no attempts at drained backends, and slow start.
 #[derive(Clone, Copy, Debug)]
 pub struct RuleSettings {
     /// A final answer is still accepted this long after the client's deadline, in nanoseconds.
     pub answer_grace: Nanos,
-    /// A node that has not polled discovery for this long, in nanoseconds, counts as notified of the list as
-    /// of that time.
+    /// Longest time between two polls of discovery, in nanoseconds. Once this long has passed without a poll,
+    /// the node counts as notified of the list as it was at the end of that time.
     pub max_poll_interval: Nanos,
     /// Attempts at a draining backend must have ended this long after the drain notice, in nanoseconds.
     pub drain_grace: Nanos,
@@ -154,7 +156,7 @@
     pub weights: Weights,
     /// How the node receives load reports.
     pub reports: LoadReporting,
-    /// The cost of one probe per request as a share of the goal; 0 if probes cost nothing.
+    /// The cost of one probe per request as a share of the site's goal; 0 if probes cost nothing.
     pub probe_cost: f64,
     /// The limits that the site sets.
     pub limits: Limits,
--- a/balancer/src/latency_model.rs
+++ b/balancer/src/latency_model.rs
@@ -73,7 +73,7 @@
     }
 
     fn learn_from_response(&mut self, sample: &LatencySample, ratio: f64) {
-        // Compared to a latency that is not known yet, every backend would look slow for seconds.
+        // Compared to an estimate of too few samples, every backend would look slow for seconds.
         let is_model_known = self.update_latency_model(sample.class, sample.load_at_send, ratio);
         let Some(backend) = self.backends.get_mut(&sample.backend) else { return };
         if is_model_known {
@@ -89,9 +89,9 @@
     }
 
     /// Corrects the class's idle latency if the backend was idle at the send, and otherwise the latency per
-    /// request of load, weighted by its share of the expected latency: a single load cannot distinguish the
-    /// two. `ratio` is the latency of the sample relative to the expected one. Returns whether the corrected
-    /// estimate was already well known.
+    /// request of load, weighted by its share of the expected latency: samples at a single load cannot
+    /// distinguish the two. `ratio` is the latency of the sample relative to the expected one. Returns
+    /// whether the corrected estimate already had `MIN_LATENCY_SAMPLES` samples.
     fn update_latency_model(&mut self, class: usize, load: f64, ratio: f64) -> bool {
         let load_weight = self.load_sample_weight(class, load, ratio);
         let view = &mut self.classes[class];
--- a/balancer/src/latency_model_tests.rs
+++ b/balancer/src/latency_model_tests.rs
@@ -34,7 +34,7 @@
     assert!(after < 1.5 * before, "load limit {before} before, {after} after quick responses at light load");
 }
 
-/// On day 7 of the real score, responses took 10 ms and some were delayed by a tenth of a second. A backend
+/// On day 7 of a scored run, responses took 10 ms and some were delayed by a tenth of a second. A backend
 /// whose slowness exceeded six then received no requests, so that no response could show its recovery.
 #[test]
 fn idle_backend_of_high_measured_slowness_gets_one_request() {
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -1,4 +1,5 @@
-//! The load-balancing core: the decisions of one node as a deterministic state machine without I/O.
+//! The load-balancing core: the decisions of one node as a deterministic state machine without I/O. A node is
+//! one instance of the load balancer; several nodes may share the same backends.
 //!
 //! An embedder owns a [`Balancer`], passes [`Event`]s with the current time to [`Balancer::handle`], and
 //! carries out the [`Action`]s that the call appends. The core has no clock, no sockets and no threads; the
@@ -6,8 +7,9 @@
 //! requests are queued, retried or rejected, which backends are ejected or in slow start, and when the
 //! embedder must send a probe or query discovery.
 //!
-//! `api/` is the interface, `policy/` has all decisions, and `state/` is the state of a node; the other
-//! modules update the state by the events.
+//! `api/` is the interface, `policy/` makes all decisions, and `state/` is the state of a node; the other
+//! modules hold the estimators, the pending queue, the membership, the retry budget, and the log lines and
+//! snapshots for operators.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/balancer/src/membership.rs
+++ b/balancer/src/membership.rs
@@ -26,7 +26,8 @@
         self.backends.retain(|_, backend| is_kept(backend));
         self.index_backends();
         self.select_subsets(subset_size);
-        // `MIN_LOAD_LIMIT`, which overloads no backend, for this node's even share of the home backends.
+        // The initial window admits `MIN_LOAD_LIMIT` requests, which overload no backend, for each backend in
+        // this node's even share of the home zone.
         let home = self.settings.home.0 as usize;
         let even_share = MIN_LOAD_LIMIT * self.zones[home].in_service / self.nodes_per_zone();
         self.zones[home].window.raise_initial_size(even_share);
@@ -57,8 +58,8 @@
         }
         let backend = self.backends.entry(member.backend).or_insert_with(|| Backend::new(member));
         if backend.member.online_since != member.online_since {
-            // The backend has restarted: estimates of the previous process are discarded, but attempts at it
-            // are still in flight.
+            // The backend has restarted: estimates of the previous process are discarded, but attempts that
+            // were sent to that process are still in flight.
             let in_flight = backend.in_flight;
             *backend = Backend { in_flight, ..Backend::new(member) };
         }
--- a/balancer/src/pending_queue.rs
+++ b/balancer/src/pending_queue.rs
@@ -6,7 +6,7 @@
 
 use crate::api::{Nanos, RequestId};
 
-/// The time at which a queued request is due, its insertion sequence number, and the request.
+/// The latency target or the expiry of a queued request, its insertion sequence number, and the request.
 type Due = (Nanos, u64, RequestId);
 
 /// Requests of equal value per unit of work: those of a class that are within their tenants' quotas, or those
--- a/balancer/src/policy/admission.rs
+++ b/balancer/src/policy/admission.rs
@@ -41,8 +41,8 @@
         if request.attempts.is_empty() { ADMISSION_SHARE } else { RETRY_ADMISSION_SHARE }
     }
 
-    /// Whether the backend has none of this node's requests in flight, or reports spare cores. Even a request
-    /// with little time left then takes no capacity from other requests.
+    /// Whether the backend has none of this node's requests in flight, or reports spare cores. A send to an
+    /// idle backend takes no capacity from other requests, even if the request has little time left.
     fn is_idle(&self, slowness: f64, backend: &Backend) -> bool {
         let is_unused = backend.in_flight == 0 && slowness < MAX_IDLE_SLOWNESS;
         let reports_spare = backend.utilisation.is_fresh(self.now, UTILISATION_MAX_AGE)
--- a/balancer/src/policy/arrival.rs
+++ b/balancer/src/policy/arrival.rs
@@ -7,7 +7,7 @@
 
 impl Balancer {
     /// Handles an arrival. A request past its latency target, or one that the backends cannot serve in time,
-    /// is rejected before it costs them any work; otherwise retries of late requests would sustain
+    /// is rejected before it costs the backends any work; otherwise retries of late requests would sustain
     /// congestion.
     pub(super) fn on_arrival(&mut self, arrival: Arrival, actions: &mut Vec<Action>) {
         let id = arrival.request;
--- a/balancer/src/policy/backend_choice.rs
+++ b/balancer/src/policy/backend_choice.rs
@@ -65,9 +65,9 @@
         }
     }
 
-    /// Cost of a send to this backend: own load with many nodes, else latency in nanoseconds. Failures
-    /// increase the cost, because a backend that fails fast must not look idle; their effect decays, so that
-    /// the backend is tried again.
+    /// Cost of a send to this backend: with many nodes, the load from this node's requests in flight; with
+    /// few nodes, the expected latency in nanoseconds. Failures increase the cost, because a backend that
+    /// fails fast must not look idle; the effect of failures decays, so that the backend is tried again.
     fn send_cost(&self, request: &Request, backend: &Backend, jitter: f64) -> f64 {
         let failure_rate = backend.failure_rate.decayed(self.now, SLOWNESS_DECAY_TIME_CONSTANT);
         let was_tried = request.attempts.iter().any(|attempt| attempt.backend == backend.member.backend);
--- a/balancer/src/policy/backend_load.rs
+++ b/balancer/src/policy/backend_load.rs
@@ -7,7 +7,7 @@
 impl Backend {
     /// Load in requests per unit of weight. With few nodes: this node's requests in flight, multiplied by the
     /// number of nodes that share the zone and are assumed to send as much. With many nodes: the larger of
-    /// this node's own load and the load by the list of backends, which covers all nodes.
+    /// this node's own load and the load given by the list of backends, which covers all nodes.
     pub(crate) fn load(&self, nodes_per_zone: f64) -> f64 {
         let own = f64::from(self.in_flight) / self.weight();
         match self.listed_load {
--- a/balancer/src/policy/concurrency_window.rs
+++ b/balancer/src/policy/concurrency_window.rs
@@ -54,8 +54,8 @@
 }
 
 impl Balancer {
-    /// Whether the zone's window has room for the request, and the backend's even share of the window as
-    /// well. `time_left` and the latencies are in nanoseconds.
+    /// Whether the request fits into the zone's window, and into the part of the window that one backend may
+    /// hold. `time_left` is in nanoseconds.
     pub(super) fn fits_window(
         &self,
         request: &Request,
@@ -79,7 +79,8 @@
                     <= self.latency_budget_share(request) * time_left)
     }
 
-    /// Share of a window that the request may use, reduced for each class that is more valuable than its own.
+    /// Share of a window that the request may use, reduced for each class that is more valuable than its own
+    /// and for a request over its tenant's quota.
     fn window_share(&self, request: &Request) -> f64 {
         let value = self.classes[request.class].value_density;
         let more_valuable = self.classes.iter().filter(|class| class.value_density > value).count();
@@ -109,8 +110,8 @@
         self.congestion.baseline().map_or(MAX_CONGESTION_THRESHOLD, threshold_for)
     }
 
-    /// Records attempts as late once their latency target has passed: by the time they end, the congestion
-    /// that they indicate is old.
+    /// Records attempts in flight as late once their latency target has passed: by the time a late attempt
+    /// ends, the congestion that it indicates is old.
     pub(super) fn record_overdue_attempts(&mut self) {
         for attempt in self.take_overdue_attempts() {
             self.update_window(attempt.zone, attempt.class, attempt.sent_at, Outcome::TimedOut);
--- a/balancer/src/policy/discovery.rs
+++ b/balancer/src/policy/discovery.rs
@@ -29,7 +29,7 @@
     }
 
     /// Derives loads and utilisations from the live weights of a list. All nodes receive the same weights,
-    /// and receive them late.
+    /// with a delay.
     fn apply_live_weights(&mut self) {
         let interval_s =
             self.list_received_at.map_or(1.0, |at| self.now.saturating_sub(at) as f64 / SECOND as f64);
--- a/balancer/src/policy/load_probes.rs
+++ b/balancer/src/policy/load_probes.rs
@@ -62,8 +62,8 @@
     pub(super) fn update_probe_priorities(&mut self) {
         let Some(mut scheduler) = self.probe_scheduler.take() else { return };
         scheduler.resize_subset(self.now);
-        // The work of probes stays a small part of the work of requests, even if the configured probe cost is
-        // low.
+        // The work of probes must remain a small part of the work of requests, even if the configured probe
+        // cost is low.
         let idle_latency = self.classes.iter().map(|class| class.idle_latency).fold(f64::INFINITY, f64::min);
         scheduler.set_probes_per_request(MAX_PROBE_WORK_SHARE * idle_latency / PROBE_WORK as f64);
         let best_zone = self.overflow_zones.first().copied();
--- a/balancer/src/policy/mod.rs
+++ b/balancer/src/policy/mod.rs
@@ -78,9 +78,9 @@
             .max(MILLISECOND)
     }
 
-    /// Requests a timer only while a queued request, a poll of discovery or a probe needs one: at full size,
-    /// a timer that always ran cost more than all requests together, and full-size runs were aborted as too
-    /// slow.
+    /// Requests a timer only while a queued request, a poll of discovery or a probe needs one: in simulations
+    /// of a full-size deployment, a timer that always ran cost more than all requests together, and the runs
+    /// were aborted as too slow.
     fn arm_timer(&mut self, actions: &mut Vec<Action>) {
         let queue_at = (!self.pending.is_empty()).then(|| self.now + self.housekeeping_interval());
         let poll_at = self.poll_at.map(|at| at.max(self.now + MILLISECOND));
--- a/balancer/src/policy/overflow.rs
+++ b/balancer/src/policy/overflow.rs
@@ -82,8 +82,8 @@
         self.update_overflow_share();
     }
 
-    /// Adjusts the overflow share, which is used with many nodes, by the step that evens out the loads over
-    /// the arrivals expected until the next loads are received.
+    /// Adjusts the overflow share, which is used with many nodes, so that the loads of the zones even out
+    /// over the arrivals expected until the next loads are received.
     pub(super) fn update_overflow_share(&mut self) {
         let home = self.settings.home.0 as usize;
         let backends = self.zones[home].in_service.max(1.0);
@@ -92,7 +92,7 @@
             .max(MIN_EXPECTED_ARRIVALS);
         let target_load = SHARED_OVERFLOW_THRESHOLD / (1.0 - SHARED_OVERFLOW_THRESHOLD);
         let best = self.overflow_zones.first().filter(|_| self.qualified_zones > 0);
-        // Crossing zones has a cost: the other zone must be lower by at least one request per core.
+        // Crossing zones has a cost: the other zone's load must be lower by at least one request per core.
         let limit = best
             .map_or(f64::INFINITY, |zone| (self.zones[zone.0 as usize].load_per_core + 1.0).max(target_load));
         let view = &mut self.zones[home];
--- a/balancer/src/policy/priorities.rs
+++ b/balancer/src/policy/priorities.rs
@@ -35,7 +35,9 @@
         self.update_load_limits(&rates);
     }
 
-    /// The value of a class is the configured one, with an addition for the worst-served class as configured.
+    /// Updates the value of a unit of each class's work: the configured value of a request relative to the
+    /// value offered per second by all classes, with an addition for the worst-served class by
+    /// `worst_class_weight`.
     fn update_value_densities(&mut self, rates: &[ClassRates]) {
         let worst_class_weight = self.settings.worst_class_weight.min(1.0);
         let offered_value: f64 =
@@ -51,9 +53,9 @@
         }
     }
 
-    /// Updates the load limit of each class to at most a part of the next more valuable one's limit.
-    /// Otherwise less valuable classes with a wide latency target would fill the backends beyond the limit of
-    /// a valuable class with a tight target.
+    /// Updates the load limit of each class, which is at most `LOWER_PRIORITY_SHARE` of the limit of the next
+    /// more valuable class. Otherwise less valuable classes with a long latency target would fill the
+    /// backends beyond the limit of a valuable class with a short target.
     fn update_load_limits(&mut self, rates: &[ClassRates]) {
         let mut limit = f64::INFINITY;
         let by_value = self.classes_by_value();
--- a/balancer/src/policy/retry_budget.rs
+++ b/balancer/src/policy/retry_budget.rs
@@ -73,7 +73,8 @@
         bucket.pay(token_cost);
     }
 
-    /// Counts an attempt that is sent, and pays for it if the budget is shared.
+    /// Counts the attempt that is being sent if it is a repeat, and pays for the repeat if the budget is
+    /// shared.
     pub(super) fn pay_for_send(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id).filter(|request| request.next_is_repeat()) else { return };
         let was_misdirected = request.last_outcome() == Some(Outcome::Misdirected);
@@ -85,8 +86,8 @@
         }
     }
 
-    /// Whether the next attempt is free with many nodes: the only attempt so far was never run and has cost
-    /// little. Nodes that share a budget have no free retries.
+    /// Whether the next attempt needs no retry tokens: with many nodes, if the only attempt so far was never
+    /// run and so has cost little. Nodes that share a budget have no free retries.
     fn is_free_retry(&self, request: &Request) -> bool {
         let was_never_run = request.attempts.len() == 1 && !request.attempts[0].may_have_run();
         was_never_run && self.has_many_nodes()
@@ -97,8 +98,9 @@
             && self.backends.values().any(|backend| self.permits_send(request, backend))
     }
 
-    /// Retry tokens that one more attempt costs: none if the last attempt did not reach any server. An
-    /// attempt that another instance at the address answered did reach a server, so the next one is a repeat.
+    /// Retry tokens that one more attempt costs: 0 if the class has its own limit of attempts and the last
+    /// attempt did not reach any server, else 1. An attempt that another instance at the address answered did
+    /// reach a server, so the next one is a repeat.
     fn retry_token_cost(&self, request: &Request) -> f64 {
         let has_own_bound = self.settings.classes[request.class].max_attempts.is_some();
         if has_own_bound && !request.next_is_repeat() { 0.0 } else { 1.0 }
--- a/balancer/src/policy/send_rules.rs
+++ b/balancer/src/policy/send_rules.rs
@@ -6,8 +6,8 @@
 use crate::state::{Backend, Balancer, Request, RequestPhase};
 
 impl Balancer {
-    /// Whether this request may be sent to this backend now. The drain grace is kept with a margin: nothing
-    /// is sent once the drain notice has been received.
+    /// Whether this request may be sent to this backend now. The rule on draining backends is met with a
+    /// margin: a backend is sent nothing once its drain notice has been received.
     pub(super) fn permits_send(&self, request: &Request, backend: &Backend) -> bool {
         backend.is_in_service()
             && self.permits_attempt(request)
--- a/balancer/src/policy/slow_start.rs
+++ b/balancer/src/policy/slow_start.rs
@@ -22,7 +22,7 @@
             return true;
         }
         let zone = self.zones.get(backend.member.zone.0 as usize).copied().unwrap_or_default();
-        // Only nodes with the backend in their subset send to it, and they divide the budget.
+        // Only nodes with the backend in their subset send to it, and these nodes divide the budget.
         if self.has_many_nodes() && backend.subset_rank > zone.subset_cutoff {
             return false;
         }
@@ -54,9 +54,9 @@
             * subset_factor
     }
 
-    /// Decides pseudo-randomly whether a budget of less than one request is spent: if it always were, the
-    /// first sends of many nodes would exceed it together. On average at least one node of a zone tries, as
-    /// no other node may report on the backend.
+    /// Decides pseudo-randomly whether a request is sent although the budget is less than that request: if
+    /// every node sent one, the first sends of many nodes would together exceed the budget of the backend. On
+    /// average at least one node of a zone sends, as there may be no report on the backend without a send.
     fn is_drawn_for_slow_start(&self, backend: &Backend, requests_in_budget: f64) -> bool {
         let window_number = self.now / self.settings.rules.overload_window.max(1);
         let seed = backend.subset_rank ^ window_number.wrapping_mul(SPLITMIX_INCREMENT);
--- a/balancer/src/policy/tuning.rs
+++ b/balancer/src/policy/tuning.rs
@@ -66,7 +66,7 @@
 pub(crate) const MIN_LATENCY_RATIO_WEIGHT: f64 = 0.1;
 /// The slowness of an unused backend decays with this time constant, so that the backend is tried again.
 pub(crate) const SLOWNESS_DECAY_TIME_CONSTANT: Nanos = 3 * SECOND;
-/// Samples over which a latency is averaged; slow compared to the faults of a day.
+/// Samples over which a latency is averaged; the average changes slowly compared to the faults of a day.
 pub(crate) const MAX_LATENCY_SAMPLES: f64 = 400.0;
 /// Samples after which a latency estimate is good enough to compare backends with it.
 pub(crate) const MIN_LATENCY_SAMPLES: f64 = 30.0;
@@ -76,11 +76,11 @@
 /// recorded.
 pub(crate) const LATENCY_RISE_WEIGHT: f64 = 0.4;
 pub(crate) const LATENCY_RISE_SAMPLES: f64 = 50.0;
-/// Load of an idle backend in the expected latency, in requests of this node; small, as the load of the other
-/// nodes grows with this node's own.
+/// Load that is assumed of a backend without any request of this node, in requests per unit of weight; small,
+/// as the load of the other nodes grows with this node's own.
 pub(crate) const IDLE_LOAD: f64 = 0.7;
 /// Minimum weight of a slow sample in the latency per request of load: an estimate that has become too low to
-/// be noticed can recover.
+/// matter in the expected latency can recover.
 pub(crate) const MIN_LOAD_SAMPLE_WEIGHT: f64 = 0.1;
 /// A sample counts as at most this multiple of the expected latency: a single expensive request is chance.
 pub(crate) const MAX_LATENCY_RATIO: f64 = 6.0;
@@ -101,8 +101,8 @@
 /// With many nodes sharing the backends, no backend counts as faster than this fraction of the mean latency.
 pub(crate) const MIN_SHARED_SLOWNESS: f64 = 0.5;
 /// Up to this many backends are examined individually for a request. Of a larger zone only a sample is
-/// examined, and totals over all backends are recomputed with the overflow zones. The best of 32 backends
-/// drawn at random is among the best tenth of all in 97 of 100 draws.
+/// examined, and totals over all backends are recomputed only at the refresh interval. The best of 32
+/// backends drawn at random is among the best tenth of all in 97 of 100 draws.
 pub(crate) const MAX_SCANNED_BACKENDS: usize = 128;
 pub(crate) const PICK_SAMPLE_SIZE: usize = 32;
 /// With more nodes per zone than this, this node's own requests in flight say nothing about a backend's load:
@@ -121,7 +121,8 @@
 pub(crate) const MIN_LOAD_LIMIT: f64 = 4.0;
 /// A send is admitted if its expected latency fits into this share of the time left until its target.
 pub(crate) const ADMISSION_SHARE: f64 = 0.6;
-/// Like `ADMISSION_SHARE`, for a retry by the node: its time is nearly over, and half of its work is done.
+/// Like `ADMISSION_SHARE`, for a retry by the node: the time of the request is nearly over, and half of the
+/// work for it is done.
 pub(crate) const RETRY_ADMISSION_SHARE: f64 = 1.0;
 /// An idle backend no slower than this takes a request even if the expected latency exceeds the target.
 pub(crate) const MAX_IDLE_SLOWNESS: f64 = 1.1;
@@ -140,9 +141,10 @@
 pub(crate) const LOWER_PRIORITY_SHARE: f64 = 0.8;
 /// Requests per second from which on a class counts in the load limits.
 pub(crate) const MIN_CLASS_RATE: f64 = 0.1;
-/// Factor on a tenant's quota: a node sees few requests of a tenant, so half as many again may be chance.
+/// Factor on a tenant's quota: a node sees few requests of a tenant, so an excess of half the quota may be
+/// chance.
 pub(crate) const QUOTA_TOLERANCE: f64 = 1.5;
-/// Requests that find no backend before a pass over the queue ends.
+/// Number of requests that may find no backend in one pass over the queue; one more ends the pass.
 pub(crate) const MAX_DISPATCH_MISSES: u32 = 8;
 
 // Retries.
@@ -182,7 +184,7 @@
 /// first.
 pub(crate) const BASE_REJECTION_BACKOFF: Nanos = 100 * MILLISECOND;
 pub(crate) const MAX_REJECTION_DOUBLINGS: u32 = 4;
-/// Maximum share of the listed backends that are ejected (panic threshold).
+/// Maximum share of the backends in service that are ejected (panic threshold).
 pub(crate) const MAX_EJECTED_SHARE: f64 = 0.5;
 
 // Concurrency windows.
@@ -193,8 +195,8 @@
 pub(crate) const MAX_CONGESTION_THRESHOLD: f64 = 0.71;
 pub(crate) const CONGESTION_RISE: f64 = 1.25;
 /// Factor on a window at congestion. A higher one reacts too slowly: congestion builds up within seconds, and
-/// a response that indicates it takes one second (G on a calm day was 0.51 with a factor of 0.7, and 0.58
-/// with 0.5).
+/// a response that indicates it takes one second (the goal value G of a calm day was 0.51 with a factor of
+/// 0.7, and 0.58 with 0.5).
 pub(crate) const WINDOW_DECREASE_FACTOR: f64 = 0.5;
 /// Relative growth of a window that is too small, per round of responses, before and after the first
 /// congestion. Additive growth by 1 would be too fast: ten nodes that share a server and each add one request
@@ -240,7 +242,7 @@
 
 // Probes for load reports.
 
-/// Maximum share of the goal that the cost of probes may reach.
+/// Maximum cost of probes as a share of the site's goal.
 pub(crate) const MAX_PROBE_COST_SHARE: f64 = 0.002;
 /// Maximum work of probes as a share of the work of requests, and the upper estimate of the work of one
 /// probe.
--- a/balancer/src/retry_budget/shared.rs
+++ b/balancer/src/retry_budget/shared.rs
@@ -2,15 +2,16 @@
 //!
 //! The budget limits the retries of all nodes together: in each window there may be no more retries than a
 //! ratio of the requests of that window, or of the window before if that had more, plus a slack. No node
-//! knows what the others send, so each keeps to a part of the budget. The parts add up to no more than the
-//! whole, whatever the nodes do:
+//! knows what the others send, so each stays within a part of the budget. The parts add up to no more than
+//! the complete budget, whatever the nodes do:
 //!
 //! - A request earns half of the ratio, which may be spent for one window. What all nodes spend in a window was
 //!   earned in that window or in the one before: half of the ratio of both, and so no more than the ratio of the
 //!   larger.
 //! - Each node has its share of the slack. Slack that has been spent is available again one window later.
-//! - A process that has just started has a smaller share for one window, because its predecessor may have spent
-//!   its own share. The embedder sets shares that add up to the slack with as many starts as it expects.
+//! - A process that has just started has a smaller share of the slack for one window, because the previous
+//!   process of the node may have spent its own share. The embedder sets the shares such that they add up to
+//!   no more than the slack with as many starts as the embedder expects.
 
 use std::collections::VecDeque;
 
--- a/balancer/src/served_capacity.rs
+++ b/balancer/src/served_capacity.rs
@@ -27,9 +27,9 @@
 }
 
 impl Balancer {
-    /// Measures each zone; the parts measured by all nodes add up to one capacity. The measured value falls
-    /// slowly: little is served in congestion, and backends that are warming up are needed to end the
-    /// congestion.
+    /// Updates the work served per unit of used capacity in each zone; the values of all nodes add up to the
+    /// work that one unit of capacity serves. The measured value falls slowly: little is served in
+    /// congestion, and backends that are warming up are needed to end the congestion.
     pub(crate) fn measure_served_capacity(&mut self) {
         let interval = 1 + self.backends.len() / BACKENDS_PER_SKIP;
         self.refresh_count += 1;
--- a/balancer/src/state/balancer.rs
+++ b/balancer/src/state/balancer.rs
@@ -100,8 +100,8 @@
 }
 
 impl Balancer {
-    /// Creates a node that has only its settings and no backends. `seed` determines its random decisions and
-    /// should differ between nodes; `now` is the current time of the embedder's clock.
+    /// Creates a node without backends. `seed` determines the node's random decisions and should differ
+    /// between nodes; `now` is the current time of the embedder's clock.
     ///
     /// # Errors
     ///
@@ -172,7 +172,8 @@
         order
     }
 
-    /// Number of nodes that share the backends of a zone and whose load is assumed to move with this node's.
+    /// Number of nodes that share the backends of a zone, this one included. Their loads are assumed to rise
+    /// and fall together.
     pub(crate) fn nodes_per_zone(&self) -> f64 {
         (f64::from(self.settings.nodes) / f64::from(self.settings.zones)).max(1.0)
     }
--- a/balancer/src/state/congestion.rs
+++ b/balancer/src/state/congestion.rs
@@ -3,12 +3,12 @@
 use crate::api::{Nanos, SECOND};
 use crate::estimators::Ewma;
 
-/// About one or two latency targets: congestion builds up within seconds and grows with what is sent
-/// meanwhile.
+/// About one or two latency targets: congestion builds up within seconds and grows with the requests that are
+/// sent meanwhile.
 const CONGESTION_TIME_CONSTANT: Nanos = SECOND;
 
-/// Latency of all backends as a fraction of its target. With little traffic, the responses of a single
-/// backend are too few for a signal; those of all backends suffice.
+/// Latency of the responses of all backends as a fraction of the latency target. With little traffic, the
+/// responses of a single backend are too few for a signal; those of all backends suffice.
 #[derive(Clone, Copy)]
 pub(crate) struct CongestionSignal {
     latency_fraction: Ewma,
--- a/balancer/src/state/request.rs
+++ b/balancer/src/state/request.rs
@@ -54,16 +54,18 @@
     pub(crate) expected_work: f64,
     /// The work that the request counts as in a slow-start budget, in nanoseconds on a standard core.
     pub(crate) slow_start_work: f64,
+    /// When the latency target of the request passes.
     pub(crate) target_at: Nanos,
     /// When a request that was never sent leaves the queue: a later rejection would make its client wait in
     /// vain.
     pub(crate) queue_until: Nanos,
+    /// When the client stops waiting.
     pub(crate) not_after: Nanos,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) phase: RequestPhase,
     /// Set while the request is in the pending queue.
     pub(crate) queue_entry: Option<QueueEntry>,
-    /// Over the tenant's quota, and of less value.
+    /// The request exceeds its tenant's quota, and therefore has less value.
     pub(crate) over_quota: bool,
 }
 
--- a/balancer/src/zone_utilisation.rs
+++ b/balancer/src/zone_utilisation.rs
@@ -1,4 +1,4 @@
-//! Cached reported utilisation of each zone, so that no decision has to iterate over all backends.
+//! The reported utilisation of each zone, cached so that not every decision iterates over all backends.
 
 use crate::api::{BackendId, Nanos, ZoneId};
 use crate::policy::tuning::{MAX_SCANNED_BACKENDS, REFRESH_INTERVAL, UTILISATION_MAX_AGE};
