--- a/load-probing/src/budget.rs
+++ b/load-probing/src/budget.rs
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Adds the share of one request.
+    /// Adds the tokens of one request, up to the maximum.
     pub fn on_request(&mut self) {
         self.saved_probes = (self.saved_probes + self.probes_per_request).min(self.max_saved_probes);
     }
--- a/load-probing/src/limits.rs
+++ b/load-probing/src/limits.rs
@@ -71,7 +71,7 @@
             return fail("max_saved_probes", "must lie between 1 and 1000");
         }
         if self.max_in_flight == 0 || self.max_in_flight_per_group == 0 {
-            return fail("max_in_flight", "must be at least 1");
+            return fail("max_in_flight", "the total and the limit per group must each be at least 1");
         }
         let is_misordered = !self.intervals.is_sorted_by(|a, b| a >= b);
         if is_misordered || self.intervals.iter().any(|&interval| interval < MILLISECOND) {
@@ -81,7 +81,7 @@
             return fail("subset_size", "min must be at least 1 and at most max");
         }
         if self.report_ttl == 0 || self.lost_after == 0 {
-            return fail("report_ttl, lost_after", "must be above 0");
+            return fail("report_ttl, lost_after", "must each be above 0");
         }
         Ok(())
     }
--- a/load-probing/src/scheduler.rs
+++ b/load-probing/src/scheduler.rs
@@ -104,7 +104,7 @@
         self.budget.set_probes_per_request(self.probes_per_request);
     }
 
-    /// Adds the share of one request to the budget; must be called for each request.
+    /// Adds the probes that one request pays for to the budget; must be called for each request.
     pub fn on_request(&mut self, now: Nanos) {
         self.budget.on_request();
         let added_rate = self.probes_per_request * SECOND as f64 / RATE_TIME_CONSTANT as f64;
--- a/load-probing/src/target.rs
+++ b/load-probing/src/target.rs
@@ -5,7 +5,7 @@
 /// How much a fresh report of a server may affect decisions, in ascending order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
-    /// Hardly any effect: the server is in none of the situations below.
+    /// Hardly any effect: none of the other priorities applies.
     #[default]
     Idle,
     /// The server's zone receives requests, and its load is far from any threshold.
@@ -34,8 +34,8 @@
     Cancelled,
 }
 
-/// The longest interval of an unreachable server, unless its ordinary interval is longer: a zone that was
-/// partitioned for some seconds is noticed soon after it recovers.
+/// The longest interval of an unreachable server, unless its ordinary interval is longer: the recovery of a
+/// zone that was partitioned for some seconds is then noticed soon.
 const MAX_BACKOFF: Nanos = 4 * SECOND;
 /// Number of doublings after which the backoff certainly exceeds [`MAX_BACKOFF`].
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
