--- a/balancer/src/membership.rs
+++ b/balancer/src/membership.rs
@@ -29,8 +29,8 @@
         // The initial window admits `MIN_LOAD_LIMIT` requests, which overload no backend, for each backend in
         // this node's even share of the home zone.
         let home = self.settings.home.0 as usize;
-        let even_share = MIN_LOAD_LIMIT * self.zones[home].in_service / self.nodes_per_zone();
-        self.zones[home].window.raise_initial_size(even_share);
+        let initial_size = MIN_LOAD_LIMIT * self.zones[home].in_service / self.nodes_per_zone();
+        self.zones[home].window.raise_initial_size(initial_size);
         self.update_probe_candidates();
     }
 
--- a/balancer/src/pending_queue.rs
+++ b/balancer/src/pending_queue.rs
@@ -7,7 +7,7 @@
 use crate::api::{Nanos, RequestId};
 
 /// The latency target or the expiry of a queued request, its insertion sequence number, and the request.
-type Due = (Nanos, u64, RequestId);
+type IndexEntry = (Nanos, u64, RequestId);
 
 /// Requests of equal value per unit of work: those of a class that are within their tenants' quotas, or those
 /// over them.
@@ -66,8 +66,8 @@
 pub(crate) struct PendingQueue {
     next_sequence: u64,
     by_band: Vec<BTreeSet<RequestId>>,
-    by_target: Vec<BTreeSet<Due>>,
-    by_expiry: BTreeSet<Due>,
+    by_target: Vec<BTreeSet<IndexEntry>>,
+    by_expiry: BTreeSet<IndexEntry>,
 }
 
 impl PendingQueue {
@@ -127,7 +127,7 @@
     }
 }
 
-fn collect_by(order: &BTreeSet<Due>, by: Nanos, due: &mut BTreeSet<(u64, RequestId)>) {
+fn collect_by(order: &BTreeSet<IndexEntry>, by: Nanos, due: &mut BTreeSet<(u64, RequestId)>) {
     let due_entries = order.iter().take_while(|(at, ..)| *at <= by);
     due.extend(due_entries.map(|&(_, sequence, id)| (sequence, id)));
 }
--- a/balancer/src/policy/arrival.rs
+++ b/balancer/src/policy/arrival.rs
@@ -45,14 +45,14 @@
         let slow_start_work = expected_work.max(view.mean_work);
         let timeout = arrival.not_after.saturating_sub(self.now);
         let first_sent_at = self.first_sent_at(arrival, class, timeout);
-        let settings = &self.settings.classes[class];
-        let max_queue_time = settings.max_queue_time.unwrap_or(timeout / 2).min(timeout);
+        let class_settings = &self.settings.classes[class];
+        let max_queue_time = class_settings.max_queue_time.unwrap_or(timeout / 2).min(timeout);
         Request {
             id: arrival.request,
             class,
             expected_work,
             slow_start_work,
-            target_at: arrival.not_after.min(first_sent_at + settings.latency_target),
+            target_at: arrival.not_after.min(first_sent_at + class_settings.latency_target),
             queue_until: self.now + max_queue_time,
             not_after: arrival.not_after,
             attempts: Vec::new(),
--- a/balancer/src/policy/discovery.rs
+++ b/balancer/src/policy/discovery.rs
@@ -10,7 +10,7 @@
 /// Sum of the listed loads of a zone's backends.
 #[derive(Clone, Copy, Default)]
 struct ListedLoads {
-    backends: f64,
+    backend_count: f64,
     load: f64,
 }
 
@@ -40,13 +40,13 @@
         for backend in self.backends.values_mut().filter(|backend| backend.is_in_service()) {
             let Some(zone) = by_zone.get_mut(backend.member.zone.0 as usize) else { continue };
             let Some(load) = backend.listed_load else { continue };
-            zone.backends += 1.0;
+            zone.backend_count += 1.0;
             zone.load += load;
             let utilisation = load / (1.0 + load);
             backend.utilisation.update(self.now, utilisation, UTILISATION_TIME_CONSTANT, MIN_REPORT_WEIGHT);
         }
         for (zone, listed) in self.zones.iter_mut().zip(&by_zone) {
-            zone.load_per_core = listed.load / f64::max(listed.backends, 1.0);
+            zone.load_per_core = listed.load / f64::max(listed.backend_count, 1.0);
         }
         self.cached_zone_utilisation.iter().for_each(|utilisation| utilisation.set(None));
         self.update_overflow_share();
--- a/balancer/src/policy/dispatch.rs
+++ b/balancer/src/policy/dispatch.rs
@@ -19,8 +19,8 @@
 
     /// Sends the request to this backend. Returns false if the send rules forbid it.
     pub(super) fn send(&mut self, id: RequestId, to: BackendId, actions: &mut Vec<Action>) -> bool {
-        let candidates = self.requests.get(&id).zip(self.backends.get(&to));
-        if !candidates.is_some_and(|(request, backend)| self.permits_send(request, backend)) {
+        let request_and_backend = self.requests.get(&id).zip(self.backends.get(&to));
+        if !request_and_backend.is_some_and(|(request, backend)| self.permits_send(request, backend)) {
             return false;
         }
         self.set_phase(id, RequestPhase::Open);
--- a/balancer/src/policy/overflow.rs
+++ b/balancer/src/policy/overflow.rs
@@ -86,9 +86,9 @@
     /// over the arrivals expected until the next loads are received.
     pub(super) fn update_overflow_share(&mut self) {
         let home = self.settings.home.0 as usize;
-        let backends = self.zones[home].in_service.max(1.0);
+        let home_backends = self.zones[home].in_service.max(1.0);
         let expected_arrivals = (self.arrival_rate() * self.nodes_per_zone() * 2.0 * self.list_interval_s
-            / backends)
+            / home_backends)
             .max(MIN_EXPECTED_ARRIVALS);
         let target_load = SHARED_OVERFLOW_THRESHOLD / (1.0 - SHARED_OVERFLOW_THRESHOLD);
         let best = self.overflow_zones.first().filter(|_| self.qualified_zones > 0);
--- a/balancer/src/policy/priorities.rs
+++ b/balancer/src/policy/priorities.rs
@@ -7,7 +7,7 @@
 use crate::state::Balancer;
 
 /// Lower bound of divisors, so that no class gets an infinite value.
-const EPSILON: f64 = 1e-9;
+const MIN_DIVISOR: f64 = 1e-9;
 
 /// Requests per second of a class.
 #[derive(Clone, Copy)]
@@ -44,9 +44,9 @@
             rates.iter().zip(&self.settings.classes).map(|(rate, class)| rate.arrivals * class.value).sum();
         let worst_served_share = rates.iter().map(|rate| rate.served_share()).fold(1.0, f64::min);
         for ((view, class), rate) in self.classes.iter_mut().zip(&self.settings.classes).zip(rates) {
-            let mut value = (1.0 - worst_class_weight) * class.value / offered_value.max(EPSILON);
+            let mut value = (1.0 - worst_class_weight) * class.value / offered_value.max(MIN_DIVISOR);
             if rate.served_share() <= worst_served_share {
-                value += worst_class_weight / rate.arrivals.max(EPSILON);
+                value += worst_class_weight / rate.arrivals.max(MIN_DIVISOR);
             }
             view.value_density =
                 if self.settings.value_per_work { value } else { value / view.idle_latency.max(1.0) };
@@ -80,7 +80,7 @@
             return 0.0;
         }
         let nodes = f64::from(self.settings.nodes);
-        let within_quota = quota / nodes / arrivals.per_second(self.now).max(EPSILON);
+        let within_quota = quota / nodes / arrivals.per_second(self.now).max(MIN_DIVISOR);
         (1.0 - QUOTA_TOLERANCE * within_quota).max(0.0)
     }
 }
--- a/balancer/src/policy/retry_budget.rs
+++ b/balancer/src/policy/retry_budget.rs
@@ -102,8 +102,8 @@
     /// attempt did not reach any server, else 1. An attempt that another instance at the address answered did
     /// reach a server, so the next one is a repeat.
     fn retry_token_cost(&self, request: &Request) -> f64 {
-        let has_own_bound = self.settings.classes[request.class].max_attempts.is_some();
-        if has_own_bound && !request.next_is_repeat() { 0.0 } else { 1.0 }
+        let has_own_limit = self.settings.classes[request.class].max_attempts.is_some();
+        if has_own_limit && !request.next_is_repeat() { 0.0 } else { 1.0 }
     }
 
     fn is_too_late_to_retry(&self, request: &Request) -> bool {
--- a/balancer/src/policy/zone_scoring.rs
+++ b/balancer/src/policy/zone_scoring.rs
@@ -14,7 +14,7 @@
 }
 
 /// Score of a zone without reports: it qualifies with the lowest score, so that a send can reveal its load.
-const UNSEEN_SCORE: f64 = -1.0;
+const NO_REPORTS_SCORE: f64 = -1.0;
 
 impl Balancer {
     /// Utilisation of a zone: smoothed reports, scaled up by this node's growth in requests in flight since
@@ -93,7 +93,7 @@
 
     fn score_zone(&self, zone: ZoneId, max_utilisation: f64, max_latency: f64) -> ZoneScore {
         let Some(utilisation) = self.utilisation(zone) else {
-            return ZoneScore { qualifies: !self.is_unreachable(zone), score: UNSEEN_SCORE, zone };
+            return ZoneScore { qualifies: !self.is_unreachable(zone), score: NO_REPORTS_SCORE, zone };
         };
         let headroom = 1.0 - utilisation;
         let latency = self.zones[zone.0 as usize].min_latency.unwrap_or(max_latency);
