--- a/balancer/src/policy/discovery.rs
+++ b/balancer/src/policy/discovery.rs
@@ -10,7 +10,7 @@
 /// Sum of the listed loads of a zone's backends.
 #[derive(Clone, Copy, Default)]
 struct ListedLoads {
-    backends: f64,
+    backend_count: f64,
     load: f64,
 }
 
@@ -29,7 +29,7 @@
     }
 
     /// Derives loads and utilisations from the live weights of a list. All nodes receive the same weights,
-    /// and receive them late.
+    /// with a delay.
     fn apply_live_weights(&mut self) {
         let interval_s =
             self.list_received_at.map_or(1.0, |at| self.now.saturating_sub(at) as f64 / SECOND as f64);
@@ -40,13 +40,13 @@
         for backend in self.backends.values_mut().filter(|backend| backend.is_in_service()) {
             let Some(zone) = by_zone.get_mut(backend.member.zone.0 as usize) else { continue };
             let Some(load) = backend.listed_load else { continue };
-            zone.backends += 1.0;
+            zone.backend_count += 1.0;
             zone.load += load;
             let utilisation = load / (1.0 + load);
             backend.utilisation.update(self.now, utilisation, UTILISATION_TIME_CONSTANT, MIN_REPORT_WEIGHT);
         }
         for (zone, listed) in self.zones.iter_mut().zip(&by_zone) {
-            zone.load_per_core = listed.load / f64::max(listed.backends, 1.0);
+            zone.load_per_core = listed.load / f64::max(listed.backend_count, 1.0);
         }
         self.cached_zone_utilisation.iter().for_each(|utilisation| utilisation.set(None));
         self.update_overflow_share();
--- a/balancer/src/policy/priorities.rs
+++ b/balancer/src/policy/priorities.rs
@@ -7,7 +7,7 @@
 use crate::state::Balancer;
 
 /// Lower bound of divisors, so that no class gets an infinite value.
-const EPSILON: f64 = 1e-9;
+const MIN_DIVISOR: f64 = 1e-9;
 
 /// Requests per second of a class.
 #[derive(Clone, Copy)]
@@ -35,25 +35,27 @@
         self.update_load_limits(&rates);
     }
 
-    /// The value of a class is the configured one, with an addition for the worst-served class as configured.
+    /// Updates the value of a unit of each class's work: the configured value of a request relative to the
+    /// value offered per second by all classes, with an addition for the worst-served class by
+    /// `worst_class_weight`.
     fn update_value_densities(&mut self, rates: &[ClassRates]) {
         let worst_class_weight = self.settings.worst_class_weight.min(1.0);
         let offered_value: f64 =
             rates.iter().zip(&self.settings.classes).map(|(rate, class)| rate.arrivals * class.value).sum();
         let worst_served_share = rates.iter().map(|rate| rate.served_share()).fold(1.0, f64::min);
         for ((view, class), rate) in self.classes.iter_mut().zip(&self.settings.classes).zip(rates) {
-            let mut value = (1.0 - worst_class_weight) * class.value / offered_value.max(EPSILON);
+            let mut value = (1.0 - worst_class_weight) * class.value / offered_value.max(MIN_DIVISOR);
             if rate.served_share() <= worst_served_share {
-                value += worst_class_weight / rate.arrivals.max(EPSILON);
+                value += worst_class_weight / rate.arrivals.max(MIN_DIVISOR);
             }
             view.value_density =
                 if self.settings.value_per_work { value } else { value / view.idle_latency.max(1.0) };
         }
     }
 
-    /// Updates the load limit of each class to at most a part of the next more valuable one's limit.
-    /// Otherwise less valuable classes with a wide latency target would fill the backends beyond the limit of
-    /// a valuable class with a tight target.
+    /// Updates the load limit of each class, which is at most `LOWER_PRIORITY_SHARE` of the limit of the next
+    /// more valuable class. Otherwise less valuable classes with a long latency target would fill the
+    /// backends beyond the limit of a valuable class with a short target.
     fn update_load_limits(&mut self, rates: &[ClassRates]) {
         let mut limit = f64::INFINITY;
         let by_value = self.classes_by_value();
@@ -78,7 +80,7 @@
             return 0.0;
         }
         let nodes = f64::from(self.settings.nodes);
-        let within_quota = quota / nodes / arrivals.per_second(self.now).max(EPSILON);
+        let within_quota = quota / nodes / arrivals.per_second(self.now).max(MIN_DIVISOR);
         (1.0 - QUOTA_TOLERANCE * within_quota).max(0.0)
     }
 }
