--- a/cli/tests/golden_http/control.rs
+++ b/cli/tests/golden_http/control.rs
@@ -349,7 +349,7 @@
         let expected_addresses = json!([cluster.address(host, FRONT_PORT).to_string()]);
         let is_resolved = || {
             cluster
-                .directory(CONTROL_HOSTS[0], region)
+                .resolve_routers(CONTROL_HOSTS[0], region)
                 .is_some_and(|response| response["addresses"] == expected_addresses)
         };
         wait_until("the directory resolves the region to its router", is_resolved);
--- a/cli/tests/system_exchange_faults.rs
+++ b/cli/tests/system_exchange_faults.rs
@@ -487,11 +487,7 @@
     let (request_log, complete) = (fixture.servers.request_log(), complete.lock().unwrap());
     let outcomes = fixture.outcomes.lock().unwrap();
     for (id, outcome) in outcomes.iter() {
-        assert_that!(
-            outcome.status,
-            any!(eq(200), eq(408), eq(502), eq(NO_RESPONSE)),
-            "request {id}: {outcome:?}"
-        );
+        assert_that!(outcome.status, any!(eq(200), eq(408), eq(502), eq(NO_RESPONSE)), "{id}: {outcome:?}");
         if outcome.status != 200 && !complete.contains(id) {
             assert_that!(
                 request_log.requests.contains_key(id),
