--- a/cli/tests/soak/clients.rs
+++ b/cli/tests/soak/clients.rs
@@ -30,7 +30,7 @@
     /// Id of the next request, unique within the run.
     pub next_id: AtomicU64,
     pub mean_pause: Duration,
-    /// Tells the clients to stop.
+    /// Signals the clients to stop.
     pub stop: AtomicBool,
 }
 
--- a/cli/tests/system_common/faults.rs
+++ b/cli/tests/system_common/faults.rs
@@ -142,7 +142,7 @@
             let end = match (message, fault) {
                 // A fault after the complete request is planned as one before the response.
                 (MessageKind::Request, _) => lengths.request,
-                // The receiver can't tell a restart within the body from a body that contains these bytes.
+                // The receiver can't distinguish a restart within the body from a body that contains these bytes.
                 (MessageKind::Response, Fault::Restart) => lengths.response_head,
                 (MessageKind::Response, _) => lengths.response + 1,
             };
--- a/cli/tests/system_common/mod.rs
+++ b/cli/tests/system_common/mod.rs
@@ -28,7 +28,7 @@
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 /// Port on which a control node serves operators and applications.
 pub const CONTROL_PORT: u16 = 8166;
-/// Port on which a control node tells clients the addresses of routers.
+/// Port on which a control node serves the directory, from which clients get the addresses of routers.
 pub const DIRECTORY_PORT: u16 = 8164;
 /// Port on which a router serves clients.
 pub const FRONT_PORT: u16 = 8161;
