--- a/coordination/src/cell.rs
+++ b/coordination/src/cell.rs
@@ -26,6 +26,7 @@
     /// The last revision of each group.
     group_revisions: BTreeMap<String, u64>,
     history: History,
+    /// The total size of the names and values of the cells, in bytes.
     bytes: usize,
 }
 
@@ -86,7 +87,7 @@
         current.map(|cell| cell.revision).or_else(|| self.history.revision_of(name, value))
     }
 
-    /// Decides on a put. `sequence` is the sequence number of the change that the put would be committed as.
+    /// Decides on a put. `sequence` is the sequence number of the change that would commit the put.
     pub(crate) fn put(
         &mut self,
         now: Nanos,
@@ -95,7 +96,8 @@
         value: &str,
         expected_revision: Option<u64>,
     ) -> Decision {
-        // A retried put has taken effect already, even if its value has been overwritten since: it must not conflict with itself.
+        // No two puts of a cell have the same value, so this is a retry of a put that has taken effect, even if the value has been
+        // overwritten since. The retry must not conflict with the first attempt.
         if let Some(revision) = self.revision_of(name, value) {
             return Decision::reply(Reply::CellPut { revision });
         }
--- a/coordination/src/history.rs
+++ b/coordination/src/history.rs
@@ -40,7 +40,9 @@
     groups: BTreeMap<String, BTreeMap<u64, CellEvent>>,
     /// The revision of each put, by cell name and value.
     revisions: HashMap<(String, String), u64>,
+    /// The first slot that has not been used yet.
     next_new_slot: u16,
+    /// The total size of the names and values of the puts, in bytes.
     bytes: usize,
 }
 
@@ -85,7 +87,7 @@
     }
 
     /// Records a put, in the slot of the oldest put if that has expired, else in a new slot. Returns the register to write. The caller
-    /// has to check [`History::has_capacity`] before.
+    /// has to check [`History::has_capacity`] first.
     pub(crate) fn record(&mut self, now: Nanos, sequence: u64, event: CellEvent) -> RegisterChanges {
         let slot = self.allocate_slot(now);
         let register = EventRegister { sequence, event: event.clone() };
--- a/coordination/src/lock.rs
+++ b/coordination/src/lock.rs
@@ -104,8 +104,8 @@
         Decision::propose(self.hold(now, name, register, hold_ms, previous_expiry), Reply::LockRenewed)
     }
 
-    /// Holds a lock for `hold_ms` from now on, and at least until `previous_expiry`: calls may be reordered, and the holder counts by the
-    /// call with the later expiry. Returns the register to write.
+    /// Holds a lock for `hold_ms` from now on, and at least until `previous_expiry`: calls may be reordered, and the holder relies on the
+    /// latest expiry that any of its calls has obtained. Returns the register to write.
     fn hold(
         &mut self,
         now: Nanos,
--- a/protocol/src/compression.rs
+++ b/protocol/src/compression.rs
@@ -16,7 +16,7 @@
 //!
 //! The last sequence ends after its literals.
 
-/// The minimum length of a match, in bytes. A reference would be no shorter than the literals of a shorter match.
+/// The minimum length of a match, in bytes. A reference to a shorter match would save no bytes.
 const MIN_MATCH_BYTES: usize = 4;
 /// The maximum distance of a match, in bytes; it is encoded in 16 bits.
 const MAX_DISTANCE: usize = u16::MAX as usize;
--- a/protocol/src/frame/decoder.rs
+++ b/protocol/src/frame/decoder.rs
@@ -8,8 +8,8 @@
 use crate::compression::{CompressionError, decompress};
 use crate::hash::checksum;
 
-/// The number of consumed bytes above which they are removed from the buffer. Removal moves the remaining bytes, so
-/// it is done seldom.
+/// The number of consumed bytes in the buffer above which these bytes are removed. Removal moves the remaining bytes,
+/// so it is not done for every frame.
 const MAX_CONSUMED_BYTES: usize = 64 * 1024;
 
 /// Decodes the messages of one connection from chunks of bytes of any size.
--- a/protocol/src/load_exchange.rs
+++ b/protocol/src/load_exchange.rs
@@ -2,10 +2,10 @@
 //!
 //! A router reports its load on each server to one control node. The control node answers with the load of all other
 //! routers on the servers of the control node's region, and less often with their load on servers of other regions.
-//! Control nodes send each other the sums over the routers that report to them: to a node of another region the load
-//! on the servers of the receiver's region, and less often that on the servers of the sender's region. A datagram
-//! replaces the previous one of the same kind from the same sender; if one is lost, the receiver's data are stale until
-//! the next one arrives.
+//! Control nodes send each other the sums over the routers that report to them. A node of another region receives the
+//! sums for the servers of its own region and, less often, the sums for the servers of the sender's region. A datagram
+//! replaces the previous one of the same kind from the same sender; if a datagram is lost, the receiver's data are
+//! stale until the next one arrives.
 
 use speedy::{Readable, Writable};
 
@@ -28,8 +28,8 @@
 }
 
 impl ServerLoad {
-    /// The load of these queued prompt tokens, rounded up to whole units, and requests in flight. Both are capped at
-    /// [`u16::MAX`].
+    /// Creates the load from a number of queued prompt tokens, rounded up to whole units, and a number of requests in
+    /// flight. Units and requests are capped at [`u16::MAX`].
     pub fn new(server: u32, queued_tokens: u64, in_flight: u32) -> Self {
         let queued_units = queued_tokens.div_ceil(TOKENS_PER_UNIT).min(u64::from(u16::MAX)) as u16;
         Self { server, queued_units, in_flight: in_flight.min(u32::from(u16::MAX)) as u16 }
--- a/protocol/src/peer/admin.rs
+++ b/protocol/src/peer/admin.rs
@@ -30,8 +30,8 @@
         zone: String,
         /// Whether the zone is to be evacuated from now on.
         active: bool,
-        /// The change count of the zone that was known to the node which received the request from the operator. A
-        /// request with a lower count than that of the zone is not applied: its sender has timed out, and the zone has
+        /// The change count of the zone, as known to the node that received the request from the operator. A request
+        /// with a lower count than the zone's current one is not applied: its sender has timed out, and the zone has
         /// changed since.
         change_count: u64,
     },
--- a/protocol/src/peer/consensus.rs
+++ b/protocol/src/peer/consensus.rs
@@ -32,7 +32,7 @@
     /// The highest ballot that the acceptor has promised. Prepare and accept requests with a lower ballot are
     /// rejected.
     pub promised: Ballot,
-    /// The value that the acceptor has accepted last; `None` for none.
+    /// The value that the acceptor has accepted last; `None` if it has accepted none.
     pub accepted: Option<AcceptedValue>,
 }
 
@@ -42,7 +42,7 @@
     /// The highest ballot that the acceptor has promised.
     pub promised: Ballot,
     /// The update from the receiver's committed version to the version that the acceptor has accepted last; `None`
-    /// for none.
+    /// if it has accepted none.
     pub accepted: Option<StateUpdate>,
 }
 
@@ -60,7 +60,7 @@
     LegacyPromise {
         /// The promised ballot.
         ballot: Ballot,
-        /// The value that the voter has accepted last, under a lower ballot; `None` for none.
+        /// The value that the voter has accepted last, under a lower ballot; `None` if there is none.
         accepted: Option<AcceptedValue>,
     },
     /// [`ConsensusMessage::Accept`] of a release before registers.
--- a/protocol/src/peer/heartbeat.rs
+++ b/protocol/src/peer/heartbeat.rs
@@ -8,7 +8,7 @@
 
 /// A control node's periodic report to all other control nodes.
 ///
-/// A receiver keeps the sender's latest heartbeat: within one incarnation that with the highest sequence, and a
+/// A receiver keeps the sender's latest heartbeat: within one incarnation the one with the highest sequence. A
 /// heartbeat of another incarnation replaces it. The receiver fetches all state of which the sender has a newer
 /// version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
--- a/protocol/src/registers/mod.rs
+++ b/protocol/src/registers/mod.rs
@@ -1,7 +1,7 @@
 //! The contents of a partition of the control state: a map of registers.
 //!
-//! Each register has a key, a value, and the number of the change that wrote it last. By these numbers a replica sends
-//! only those registers that the receiver lacks: see [`StateUpdate`].
+//! Each register has a key, a value, and the number of the change that wrote it last. These numbers show which
+//! registers a receiver lacks, so that a replica sends only those: see [`StateUpdate`].
 
 mod key;
 mod map;
--- a/protocol/src/settings/bounds.rs
+++ b/protocol/src/settings/bounds.rs
@@ -23,7 +23,7 @@
     /// Retries within the window that all routers together may send in excess of the ratio.
     #[serde(rename = "budget_slack")]
     pub retry_budget_slack: f64,
-    /// The request rate of a server during its warm-up, as a multiple of
+    /// The maximum request rate of a server during its warm-up, as a multiple of
     /// [`crate::configuration::Service::warm_up_rate_per_s`].
     #[serde(rename = "cold_excess")]
     pub warm_up_rate_factor: f64,
--- a/protocol/src/watch/endpoints.rs
+++ b/protocol/src/watch/endpoints.rs
@@ -17,7 +17,8 @@
     Draining,
 }
 
-/// A router, as registered with control nodes and listed by the directory.
+/// A router, as registered with control nodes, and as listed by the directory, which clients query for the addresses of
+/// routers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Readable, Writable)]
 pub struct Router {
     /// The router's machine.
--- a/protocol/src/watch/mod.rs
+++ b/protocol/src/watch/mod.rs
@@ -44,8 +44,8 @@
         /// The router's readiness.
         state: RouterState,
     },
-    /// Requests once everything that is newer than `position`. Sent if the primary has not delivered an update in
-    /// time.
+    /// A single request for everything that is newer than `position`. Sent if the primary has not delivered an update
+    /// in time.
     Fetch {
         /// The versions that the watcher has.
         position: Position,
--- a/routing/src/event_stream.rs
+++ b/routing/src/event_stream.rs
@@ -35,13 +35,15 @@
 /// Incremental parser that splits the bytes of a stream into events.
 #[derive(Debug, Default)]
 pub struct EventStreamParser {
+    /// The bytes received after the last complete event.
     incomplete: Vec<u8>,
+    /// The id of the last event that has one, or of the event after which the stream is resumed.
     last_id: Option<u64>,
 }
 
 impl EventStreamParser {
-    /// Creates a parser for a stream that is resumed after the event with the id `last_id`, or that starts from the beginning if it is
-    /// `None`.
+    /// Creates a parser for a stream that is resumed after the event with the id `last_id`, or that starts from the beginning if
+    /// `last_id` is `None`.
     pub fn resume_after(last_id: Option<u64>) -> Self {
         Self { incomplete: Vec::new(), last_id }
     }
--- a/routing/src/lib.rs
+++ b/routing/src/lib.rs
@@ -6,7 +6,7 @@
 //! the balancer the placement advice that depends on regions, prompts and other routers, which are unknown to the balancer.
 //!
 //! - [`watch_client`]: the router's watch on the control plane
-//! - [`router_share`]: the router's index among all routers, by which common limits are divided
+//! - [`router_share`]: the number of routers and this router's index, which determine its share of limits common to all routers
 //! - [`route_table`]: routes by host and path prefix
 //! - [`placement`]: the servers that a request may be sent to (home regions, slow start, back-off), and its expected latency there
 //! - [`time_to_first_token`], [`load_report`]: the latency and the reported load of a model server
--- a/routing/src/placement/advisor.rs
+++ b/routing/src/placement/advisor.rs
@@ -8,7 +8,7 @@
 
 use super::service_placement::Placement;
 
-/// A placement shared between the load balancer, which queries it as its advisor, and the host, which updates it.
+/// A placement shared between the load balancer, which queries it as its advisor, and the router process, which updates it.
 #[derive(Clone)]
 pub struct SharedPlacement(pub Rc<RefCell<Placement>>);
 
--- a/routing/src/placement/backoff.rs
+++ b/routing/src/placement/backoff.rs
@@ -1,4 +1,4 @@
-//! Exponential back-off for connects to a server.
+//! Exponential back-off for connection attempts to a server.
 
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
@@ -19,7 +19,7 @@
         now < self.until
     }
 
-    /// Whether a connect has failed since the last response from the server, or the server was replaced.
+    /// Whether a connection attempt has failed since the last response from the server, or the server was replaced.
     pub(super) fn has_failed(&self) -> bool {
         self.consecutive_failures > 0
     }
@@ -39,7 +39,8 @@
         *self = Self::default();
     }
 
-    /// Records that a request is sent. After a failure, only one request at a time is sent to the server until it has responded.
+    /// Records that a request is sent. After a failure, at most one request per [`INITIAL_BACKOFF`] is sent to the server until the
+    /// server has responded.
     pub(super) fn record_send(&mut self, now: Nanos) {
         if self.has_failed() {
             self.until = self.until.max(now + INITIAL_BACKOFF);
--- a/routing/src/placement/region_reachability.rs
+++ b/routing/src/placement/region_reachability.rs
@@ -1,9 +1,9 @@
 //! Whether a region is reachable at all. Without this, a router that is partitioned from a region would have to detect the failure of
-//! each of the region's servers by a connect of its own, and a request would use up its deadline on several of these connects.
+//! each of the region's servers by a separate connection attempt, and a request would use up its deadline on several of these attempts.
 
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
-/// The number of servers of a region that fail without a response from any in between, from which on the region counts as unreachable.
+/// Number of failed servers at which a region counts as unreachable, if none of the region's servers has responded in between.
 const MAX_FAILED_SERVERS: u32 = 4;
 /// Minimum time between two probes of an unreachable region. A probe is an ordinary request that is sent there.
 const PROBE_INTERVAL: Nanos = 250 * MILLISECOND;
@@ -22,7 +22,7 @@
         self.failed_servers < MAX_FAILED_SERVERS || now >= self.next_probe_at
     }
 
-    /// Records the first failed connect to a server since its last response.
+    /// Records the first failed connection attempt to a server since the server's last response.
     pub(super) fn record_server_failure(&mut self, now: Nanos) {
         self.failed_servers += 1;
         self.next_probe_at = now + PROBE_INTERVAL;
--- a/routing/src/placement/request.rs
+++ b/routing/src/placement/request.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Attempt {
     pub(super) backend: BackendId,
-    /// The estimated number of tokens that the server has to prefill, as of when the request was sent.
+    /// The number of tokens that the server has to prefill, as estimated when the request was sent.
     pub(super) uncached_tokens: u32,
     /// Whether the response has begun.
     pub(super) has_begun: bool,
--- a/routing/src/placement/service_placement.rs
+++ b/routing/src/placement/service_placement.rs
@@ -1,4 +1,4 @@
-//! The placement of one service: its servers, its requests, and the rules that decide which server may get which request.
+//! The placement of one service: its servers, its requests, and the rules that decide which server may receive which request.
 
 use std::collections::HashMap;
 
@@ -17,15 +17,15 @@
 use super::server::{ListedServer, Server};
 use super::slow_start::{self, SlowStartLimit};
 
-/// The maximum ratio of the expected latency to the latency target at a server that has requests. A request above it is sent to
-/// another server or rejected.
+/// The maximum ratio of the expected latency to the latency target, for servers that are not idle. A request that would exceed the
+/// ratio is sent to another server or rejected.
 const MAX_LATENCY_TARGET_RATIO: f64 = 1.25;
 /// Weight of the time to prefill shared segments that another server has cached, relative to queueing time: this prefill delays the
 /// other requests at the server as well.
 const REPEATED_PREFILL_WEIGHT: f64 = 4.0;
 
-/// Penalty in nanoseconds on the expected latency at a server that has not responded since a failed connect: the request would
-/// probably have to be retried at another server.
+/// Penalty in nanoseconds on the expected latency at a server that has not responded since a failed connection attempt: the request
+/// would probably have to be retried at another server.
 const FAILED_SERVER_PENALTY_NS: f64 = 250.0 * MILLISECOND as f64;
 
 /// Penalty in nanoseconds on the expected latency at a server without an idle connection: a new connection costs a round trip, and
@@ -78,8 +78,8 @@
         self.settings = settings;
     }
 
-    /// Sets the time when the router's process started. For one rate window after it, the router sends nothing to servers in slow
-    /// start: the requests of its previous process may still count in that window, and both processes have the same share.
+    /// Sets the time when the router's process started. For one rate window after that time, the router sends nothing to servers in
+    /// slow start: requests of the router's previous process may still count in that window, and both processes have the same share.
     pub fn set_started_at(&mut self, started_at: Nanos) {
         self.started_at = started_at;
     }
@@ -139,7 +139,7 @@
         }
     }
 
-    /// The load that this router has at the servers, to be reported to the other routers. Servers without requests are left out.
+    /// The load of this router on the servers, to be reported to the other routers. Servers without requests are left out.
     pub fn local_loads(&self) -> Vec<ServerLoad> {
         let loaded = self.servers.values().filter(|server| server.queue.in_flight() > 0);
         let load = |server: &Server| {
@@ -148,8 +148,8 @@
         loaded.map(load).collect()
     }
 
-    /// Records the total load that the other routers have at the servers. `loads` is keyed by [`ServerLoad::server`]; a server that is
-    /// missing in it has no load of other routers.
+    /// Records the total load of the other routers on the servers. `loads` is keyed by [`ServerLoad::server`]; a server without an
+    /// entry has no load from other routers.
     pub fn record_peer_loads(&mut self, now: Nanos, loads: &HashMap<u32, ServerLoad>) {
         for server in self.servers.values_mut() {
             let load = loads.get(&server.load_key()).copied().unwrap_or_default();
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Records a failed connect to a server.
+    /// Records a failed connection attempt to a server.
     pub fn record_connect_failure(&mut self, now: Nanos, id: BackendId) {
         if let Some(server) = self.servers.get_mut(&id) {
             let had_failed = server.backoff.has_failed();
@@ -264,7 +264,8 @@
     }
 
     /// The cost of sending a request to a model server, in nanoseconds: the expected time to the first token, plus the weighted cost
-    /// of prefilling again what another server has cached, plus the penalties for a failed server and for a new connection.
+    /// of prefilling again what another server has cached, plus the penalties for a failed server and for a new connection. `None` if
+    /// the server is unknown or the service runs no model.
     pub(super) fn expected_delay(&self, now: Nanos, id: RequestId, backend: BackendId) -> Option<f64> {
         let server = self.servers.get(&backend).filter(|_| self.settings.is_model)?;
         let uncached_tokens = self.uncached_tokens(now, id, backend);
@@ -283,7 +284,7 @@
         self.requests.get(&id).is_none_or(|request| request.allows_region(self.home_region))
     }
 
-    /// Whether any server in the request's regions, except those of last resort, has not failed.
+    /// Whether the request's regions have a server that has not failed and is not a last resort.
     fn has_regular_server(&self, request: &PlacedRequest) -> bool {
         let is_usable = |server: &Server| {
             !server.is_last_resort && !server.backoff.has_failed() && request.allows_region(server.region)
@@ -323,7 +324,8 @@
             return 0;
         };
         let uncached_by_own_requests = server.cache.uncached_tokens(now, &request.prompt);
-        // Other routers prefer the same server for this prefix, so it is cached there also if this router has not sent it.
+        // All routers prefer the same server of a region for a prefix, so the server is assumed to have cached the prefix even if this
+        // router has not sent the prefix there.
         if request.preferred.contains(server.region, backend) {
             uncached_by_own_requests.min(request.prompt.unshared_tokens())
         } else {
--- a/routing/src/placement/slow_start.rs
+++ b/routing/src/placement/slow_start.rs
@@ -16,7 +16,7 @@
 pub struct SlowStartLimit {
     /// Requests per second to one server, in total over all routers; 0 means no limit.
     pub requests_per_second: f64,
-    /// The duration of a server's slow start after the evacuation of its zone has been withdrawn.
+    /// The duration of a server's slow start after the evacuation of its zone has ended.
     pub duration: Nanos,
 }
 
--- a/routing/src/prefix_cache.rs
+++ b/routing/src/prefix_cache.rs
@@ -9,7 +9,7 @@
 
 /// The number of segments per server above which the least recently used half is evicted.
 const MAX_SEGMENTS: usize = 4096;
-/// A segment that has not been used for this time is assumed to be evicted by the server.
+/// Time since a segment was last used after which the server is assumed to have evicted it.
 const SEGMENT_LIFETIME: Nanos = 90 * SECOND;
 
 /// The segments that a server has presumably cached, derived from this router's own requests to it.
@@ -46,7 +46,8 @@
         let (_, median, _) = used_at.select_nth_unstable(middle);
         let median = *median;
         self.last_used_at.retain(|_, used_at| *used_at > median || *used_at == now);
-        // The segments of one prompt are equally recent, and may alone exceed the limit: then the whole estimate is dropped.
+        // The segments used at `now` are all kept, and a prompt may have any number of them: if twice the limit is still exceeded, the
+        // whole estimate is dropped.
         if self.last_used_at.len() > 2 * MAX_SEGMENTS {
             self.last_used_at.clear();
         }
--- a/routing/src/prompt.rs
+++ b/routing/src/prompt.rs
@@ -39,7 +39,8 @@
         Self { segments, tokens, max_output_tokens }
     }
 
-    /// The number of tokens of the last segment, which is not shared with other requests; without segments, of the whole prompt.
+    /// The number of tokens that are not shared with other requests: those of the last segment, or of the whole prompt if it has no
+    /// segments.
     pub fn unshared_tokens(&self) -> u32 {
         self.segments.last().map_or(self.tokens, |segment| segment.tokens)
     }
--- a/routing/src/route_table.rs
+++ b/routing/src/route_table.rs
@@ -1,4 +1,4 @@
-//! The routes, services and limits in force, and the route of a request by host and longest path prefix.
+//! The routes, services and limits in force, and the lookup of a request's route by host and longest path prefix.
 //!
 //! A change is applied item by item, so that a small change to a large configuration is cheap. Most of the cost of a large change is
 //! parsing: a [`PreparedChange`] parses its items in advance, a few at a time, so that the router is not blocked. The parsed change is
@@ -142,8 +142,9 @@
         }
     }
 
-    /// The route of a request: among the routes of the host, the one with the longest prefix of the path. `host` is the value of the
-    /// `Host` field, with or without a port, in upper or lower case (RFC 9110, sections 7.2 and 4.2.3).
+    /// The route of a request: among the routes of the host, the one with the longest path prefix that `path` begins with; `None` if
+    /// there is none. `host` is the value of the `Host` field, with or without a port, in upper or lower case (RFC 9110, sections 7.2
+    /// and 4.2.3).
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         let name = without_port(host);
         let prefixes = match self.by_host.get(name) {
@@ -184,7 +185,7 @@
 }
 
 /// The service to which a request of this route is sent. If the route is split, the service is selected by `draw`, a random number
-/// from 0 to 1, in proportion to the weights; a service of weight 0 is never selected.
+/// from 0 to 1, in proportion to the weights; a service of weight 0 is never selected. `None` if the route has no service to select.
 pub fn select_service(route: &Route, draw: f64) -> Option<&str> {
     if route.split.is_empty() {
         return route.service.as_deref();
--- a/routing/src/router_share.rs
+++ b/routing/src/router_share.rs
@@ -1,4 +1,4 @@
-//! This router's index among all routers, by which limits common to all routers are divided.
+//! The number of routers and this router's index among them, which determine its share of limits common to all routers.
 
 /// The number of routers that share the servers, and this router's index among them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/routing/src/time_to_first_token.rs
+++ b/routing/src/time_to_first_token.rs
@@ -1,12 +1,12 @@
-//! The expected time to the first token (TTFT) at a model server, estimated from what a router can observe: its own requests at the
-//! server whose responses have not begun, the load that the server and the other routers report, and the times to earlier first tokens.
+//! The expected time to the first token (TTFT) at a model server, estimated from what a router can observe: its own requests to the
+//! server that have no response yet, the load that the server and the other routers report, and the TTFTs of earlier requests.
 //!
 //! An engine prefills prompts one after another, and decodes for all running requests at the same time. The model is linear:
 //!
 //! TTFT = base latency + (queued tokens + own uncached tokens) / prefill rate
 //!
-//! The base latency is that of the shortest prompt. It is kept per region, since it includes the network round trip. The base latency
-//! and the prefill rate are learned from samples by exponential moving averages.
+//! The base latency is the TTFT of a very short prompt at an idle server. It is kept per region, since it includes the network round
+//! trip. The base latency and the prefill rate are learned from samples by exponential moving averages.
 
 use ivyhatch_protocol::{MILLISECOND, Nanos};
 
@@ -17,7 +17,8 @@
 /// Bounds of the learned prefill rate, in tokens per millisecond.
 const MIN_TOKENS_PER_MS: f64 = 5.0;
 const MAX_TOKENS_PER_MS: f64 = 5000.0;
-/// The minimum number of uncached tokens of a prompt to learn the rate from; for a shorter prompt base latency dominates the time.
+/// The minimum number of uncached tokens of a prompt from which the prefill rate is learned; for a shorter prompt, the base latency
+/// dominates the TTFT.
 const MIN_TOKENS_FOR_RATE: u32 = 1500;
 /// Weights of a sample above and below the learned rate. A slow sample may be due to queueing; a fast sample has no such cause, so
 /// it weighs more.
@@ -34,7 +35,7 @@
 const MEAN_WEIGHT: f64 = 0.1;
 /// The weight of a load report falls linearly from 1 on receipt to 0 after this time.
 const LOAD_REPORT_LIFETIME: Nanos = 600 * MILLISECOND;
-/// The load that other routers have at a server is taken into account for this time after it was reported.
+/// Time after a report of other routers' load on a server during which the report is taken into account.
 const PEER_LOAD_LIFETIME: Nanos = 500 * MILLISECOND;
 /// Upper bound of the utilisation that is derived from a load report.
 const MAX_REPORTED_UTILISATION: f64 = 1.2;
@@ -98,9 +99,9 @@
 /// A router's estimate of the queue of one model server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServerQueue {
-    /// Uncached tokens of this router's requests at the server whose responses have not begun.
+    /// Uncached prompt tokens of this router's requests to the server that have no response yet.
     queued_tokens: f64,
-    /// This router's requests at the server that have not ended.
+    /// The number of this router's requests to the server that have not ended.
     in_flight: u32,
     /// Mean queueing time of a prompt, in nanoseconds.
     mean_wait_ns: f64,
@@ -109,7 +110,7 @@
     peer_load: PeerLoad,
 }
 
-/// The load that the other routers have at a server, as last reported.
+/// The load of the other routers on a server, as last reported.
 #[derive(Clone, Copy, Debug, Default)]
 struct PeerLoad {
     queued_tokens: f64,
@@ -123,7 +124,7 @@
         Some(now.saturating_sub(self.reported_at)).filter(|age| *age < PEER_LOAD_LIFETIME)
     }
 
-    /// The estimated number of reported tokens that are still queued: the engine has prefilled since the report.
+    /// The estimated number of reported tokens that are still queued at `now`: the engine has prefilled some of them since the report.
     fn queued_tokens_at(&self, now: Nanos, model: &PrefillModel) -> f64 {
         let Some(age) = self.age(now) else { return 0.0 };
         (self.queued_tokens - age as f64 * model.tokens_per_ns).max(0.0)
@@ -146,12 +147,12 @@
         model.base_latency(region) + (queued_tokens + f64::from(uncached_tokens)) / model.tokens_per_ns
     }
 
-    /// The number of this router's requests at the server that have not ended.
+    /// The number of this router's requests to the server that have not ended.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Whether no router is known to have a request at the server.
+    /// Whether no router is known to have a request in flight to the server.
     pub fn is_idle(&self, now: Nanos) -> bool {
         self.in_flight == 0 && (self.peer_load.in_flight == 0 || self.peer_load.age(now).is_none())
     }
@@ -168,7 +169,7 @@
         self.queued_tokens = (self.queued_tokens - f64::from(uncached_tokens)).max(0.0);
     }
 
-    /// Records that a request of this router at the server has ended.
+    /// Records that a request of this router to the server has ended.
     pub fn record_request_end(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if self.in_flight == 0 {
@@ -176,12 +177,12 @@
         }
     }
 
-    /// Records the total load that the other routers have at the server.
+    /// Records the total load of the other routers on the server.
     pub fn record_peer_load(&mut self, now: Nanos, queued_tokens: u64, in_flight: u32) {
         self.peer_load = PeerLoad { queued_tokens: queued_tokens as f64, in_flight, reported_at: now };
     }
 
-    /// Uncached prompt tokens of this router's requests at the server whose responses have not begun.
+    /// Uncached prompt tokens of this router's requests to the server that have no response yet.
     pub fn queued_tokens(&self) -> u64 {
         self.queued_tokens as u64
     }
--- a/routing/src/watch_client/connections.rs
+++ b/routing/src/watch_client/connections.rs
@@ -205,7 +205,7 @@
 
     /// All known control nodes, the most preferred first. The order differs between routers, so that the routers are spread over the
     /// control nodes. If all nodes are in back-off, the node whose back-off ends first comes first, because a network partition may
-    /// have healed since it was last tried.
+    /// have healed since the last connection attempt to that node.
     fn preferred(&self) -> Vec<NodeId> {
         let mut nodes: Vec<NodeId> = self.known_control_nodes.iter().copied().collect();
         nodes.sort_unstable_by_key(|node| {
--- a/routing/src/watch_client/fetch.rs
+++ b/routing/src/watch_client/fetch.rs
@@ -1,4 +1,4 @@
-//! Fetches updates that the primary control node does not deliver in time from other control nodes.
+//! Selects the control nodes from which to fetch updates that the primary control node has not delivered in time.
 
 use ivyhatch_protocol::ids::NodeId;
 use ivyhatch_protocol::{MILLISECOND, Nanos};
@@ -11,8 +11,8 @@
 /// Minimum time between two fetches from the same node.
 const FETCH_INTERVAL: Nanos = 2 * FETCH_DELAY;
 
-/// The control nodes to fetch missing updates from now. Empty while fragments of a large message are arriving: a second copy of the
-/// message would delay both.
+/// Returns the control nodes to which a fetch of missing updates has to be sent now. Empty while fragments of a large message are
+/// arriving: a second copy of the message would delay both.
 pub(super) fn due_fetches(connections: &mut Connections, state: &ReplicatedState, now: Nanos) -> Vec<NodeId> {
     if connections.open().any(|(_, connection)| now < connection.last_fragment_at + FETCH_DELAY) {
         return Vec::new();
--- a/routing/src/watch_client/mod.rs
+++ b/routing/src/watch_client/mod.rs
@@ -4,7 +4,8 @@
 //! change is transferred once, and yet the loss of a control node, or a network partition around it, delays changes only by a fraction
 //! of a second. Updates older than the replicated state are ignored: within one incarnation of the process no version decreases.
 //!
-//! The state machine does no I/O: [`WatchClient::handle`] takes the time and an [`Input`] and appends [`Output`]s for its host.
+//! The state machine does no I/O: [`WatchClient::handle`] takes the time and an [`Input`], and appends [`Output`]s for the embedder,
+//! which is the router process or a simulation of it.
 
 mod connections;
 mod fetch;
@@ -33,7 +34,7 @@
 pub use quorum_contact::QuorumContact;
 pub use replicated_state::EvacuationState;
 
-/// The host sends a tick every 100 ms. A gap of at least this time between two inputs means that the router process was stalled.
+/// The embedder sends a tick every 100 ms. A gap of at least this time between two inputs means that the router process was stalled.
 const STALL_THRESHOLD: Nanos = 300 * MILLISECOND;
 /// Time after a stall of the router process during which no control node counts as silent: the messages that arrived during the
 /// stall have to be read first.
@@ -42,13 +43,13 @@
 /// An input of a watch client.
 #[derive(Debug)]
 pub enum Input {
-    /// Time has passed. The host has to send it about every 100 ms.
+    /// Time has passed. The embedder has to send this input about every 100 ms.
     Tick,
     /// A connection to a control node has been opened.
     Connected {
         /// The control node.
         node: NodeId,
-        /// The time that the connect took.
+        /// The time that it took to open the connection.
         round_trip: Nanos,
     },
     /// A connection to a control node has ended, or could not be opened.
@@ -63,7 +64,7 @@
     State(RouterState),
 }
 
-/// An action that the host of a watch client has to take.
+/// An action that the embedder of a watch client has to take.
 #[derive(Debug, PartialEq)]
 pub enum Output {
     /// Keep connections to these control nodes and close all others.
@@ -115,8 +116,8 @@
         }
     }
 
-    /// Processes one input and appends the actions for the host to `outputs`. A `now` before that of an earlier input is replaced by the
-    /// earlier time.
+    /// Processes one input and appends the actions for the embedder to `outputs`. If `now` is before the time of a previous input, the
+    /// time of that input is used instead.
     pub fn handle(&mut self, now: Nanos, input: Input, outputs: &mut Vec<Output>) {
         if now >= self.now + STALL_THRESHOLD && !self.connections.is_empty() {
             self.stall_recovery_until = now + STALL_RECOVERY_TIME;
--- a/routing/src/watch_client/primary.rs
+++ b/routing/src/watch_client/primary.rs
@@ -27,8 +27,8 @@
     }
 
     /// Replaces a primary that is silent or has lost its quorum by the nearest responsive node, preferring nodes with a quorum. A healthy
-    /// primary is not replaced by a node with only a shorter round trip, but by a healthy node in a nearer zone or region. If no node
-    /// is responsive, the current primary is kept. Returns the change, if any.
+    /// primary is replaced only by a healthy node in a nearer zone or region; a shorter round trip alone is no reason to replace it. If
+    /// no node is responsive, the current primary is kept. Returns the change, if any.
     pub(super) fn reselect(&mut self, connections: &Connections, now: Nanos) -> Option<PrimaryChange> {
         let current = self.node.and_then(|node| connections.get(node));
         let is_healthy = |connection: &Connection| is_responsive(connection, now) && connection.has_quorum;
--- a/routing/src/watch_client/quorum_contact.rs
+++ b/routing/src/watch_client/quorum_contact.rs
@@ -6,7 +6,7 @@
 
 /// A control node counts as reachable for this time after its last message: two heartbeat intervals.
 const MAX_MESSAGE_AGE: Nanos = 2 * HEARTBEAT_INTERVAL;
-/// Contact counts as lost after this time: changes may have been committed since then without the router's knowledge.
+/// Time without contact after which the contact counts as lost: changes may have been committed since without the router's knowledge.
 const CONTACT_TIMEOUT: Nanos = 400 * MILLISECOND;
 
 /// Whether a control node that is in contact with a quorum is reachable.
--- a/wal/src/compaction.rs
+++ b/wal/src/compaction.rs
@@ -71,8 +71,8 @@
         Ok(AppendOutcome { compaction_error: self.compact_if_due(snapshot).err() })
     }
 
-    /// Retries a failed append. First by a rewrite, because the present file may be unusable; if that fails, by another
-    /// append, because the disk may have no space for a second file.
+    /// Retries a failed append: first by a rewrite, because the current file may be unusable; if the rewrite fails, by
+    /// another append, because the disk may have no space for a second file.
     fn retry(&mut self, records: &[Vec<u8>], snapshot: impl Fn() -> Vec<Vec<u8>>) -> Result<(), WalError> {
         let Err(error) = self.rewrite(&snapshot()) else { return Ok(()) };
         if self.wal.append(records).is_err() {
--- a/wal/src/format/mod.rs
+++ b/wal/src/format/mod.rs
@@ -1,16 +1,16 @@
 //! The file format of a log, in version 2.
 //!
-//! A file is a file header, followed by blocks. All numbers are unsigned, 32 bits and little-endian; lengths
-//! are in bytes; checksums are [`ivyhatch_protocol::hash::checksum`].
+//! A file is a file header, followed by blocks. All numbers are unsigned, 32 bits and little-endian; offsets and
+//! lengths are in bytes; checksums are [`ivyhatch_protocol::hash::checksum`].
 //!
-//! | file header | |
+//! | offset in the file header | field |
 //! | --- | --- |
 //! | 0 | magic number, `IVHR` |
 //! | 4 | format version |
 //! | 8 | length of the blocks that were durable before the file was renamed to the log's name |
 //! | 12 | checksum of bytes 0 to 11 |
 //!
-//! | block | |
+//! | offset in a block | field |
 //! | --- | --- |
 //! | 0 | magic number, `IVHL` |
 //! | 4 | number of the block in its file, from 0 |
--- a/wal/src/lib.rs
+++ b/wal/src/lib.rs
@@ -4,9 +4,9 @@
 //! # Crash model
 //!
 //! The process may be killed, and the machine may lose power, at any moment. A power loss may keep or lose,
-//! independently of each other, every name that was changed since the last sync of its directory and every write
-//! since the last sync of its file; a lost write may be kept in part or leave zeros. A crash never changes synced
-//! bytes; if they do change, the disk is damaged, which checksums detect.
+//! independently of each other, every file name that was created, renamed or removed since the last sync of its
+//! directory, and every write since the last sync of its file; a lost write may be kept in part or leave zeros. A
+//! crash never changes synced bytes; if they do change, the disk is damaged, which checksums detect.
 //!
 //! # Durability
 //!
@@ -32,8 +32,8 @@
 //! - `wal`: an open log
 //! - `compaction`: a log that is rewritten when it has grown long
 //! - `format`: the file format
-//! - `storage`: the file operations that a log needs, as a trait, so that tests can lose names and bytes one by
-//!   one
+//! - `storage`: the file operations that a log needs, as a trait, so that tests can simulate the loss of single file
+//!   names and writes
 //! - `directory`: the implementation of these operations on a file system
 //! - `error`: why a log can't be opened or written
 
--- a/wal/src/wal.rs
+++ b/wal/src/wal.rs
@@ -11,7 +11,7 @@
 };
 use crate::storage::Storage;
 
-/// The maximum number of set-aside files. Another one replaces the last of them.
+/// The maximum number of set-aside files. If all of their names are taken, the last one is replaced.
 const MAX_SET_ASIDE: u32 = 4;
 
 /// Whether the file under the log's name can be written to.
