--- a/protocol/src/configuration/validate.rs
+++ b/protocol/src/configuration/validate.rs
@@ -83,8 +83,8 @@
 
 fn check_weights(route: &Route) -> Result<(), ConfigurationError> {
     let weights: Vec<f64> = route.targets().iter().map(|(_, weight)| *weight).collect();
-    let is_each_valid = weights.iter().all(|weight| weight.is_finite() && *weight >= 0.0);
-    if !is_each_valid || weights.iter().sum::<f64>() <= 0.0 {
+    let are_all_valid = weights.iter().all(|weight| weight.is_finite() && *weight >= 0.0);
+    if !are_all_valid || weights.iter().sum::<f64>() <= 0.0 {
         return Err(ConfigurationError::ZeroWeight { route: route.name.clone() });
     }
     Ok(())
--- a/protocol/src/peer/heartbeat.rs
+++ b/protocol/src/peer/heartbeat.rs
@@ -61,8 +61,8 @@
     /// The number of the last committed change of each partition that the sender has.
     pub fn committed_changes(&self) -> impl Iterator<Item = (PartitionId, u64)> {
         let control = PartitionId::control().zip(self.committed.iter().copied());
-        let behind_mark = self.committed.iter().skip(PartitionId::control().count() + 1).copied();
-        control.chain(PartitionId::coordination().zip(behind_mark))
+        let after_mark = self.committed.iter().skip(PartitionId::control().count() + 1).copied();
+        control.chain(PartitionId::coordination().zip(after_mark))
     }
 
     /// Whether the sender supports consensus messages that carry registers.
--- a/routing/src/placement/request.rs
+++ b/routing/src/placement/request.rs
@@ -18,7 +18,7 @@
     /// The number of tokens that the server has to prefill, as estimated when the request was sent.
     pub(super) uncached_tokens: u32,
     /// Whether the response has begun.
-    pub(super) has_begun: bool,
+    pub(super) responded: bool,
 }
 
 /// A request of a service.
--- a/routing/src/placement/service_placement.rs
+++ b/routing/src/placement/service_placement.rs
@@ -167,8 +167,8 @@
     /// Records that a request's response has begun, `elapsed` after the request was sent. Further calls for the same attempt are ignored.
     pub fn record_first_token(&mut self, now: Nanos, id: RequestId, elapsed: Nanos) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(attempt) = request.attempt.as_mut().filter(|attempt| !attempt.has_begun) else { return };
-        attempt.has_begun = true;
+        let Some(attempt) = request.attempt.as_mut().filter(|attempt| !attempt.responded) else { return };
+        attempt.responded = true;
         let tokens = attempt.uncached_tokens;
         if let Some(server) = self.servers.get_mut(&attempt.backend) {
             server.queue.record_prefill_end(tokens);
@@ -209,7 +209,7 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = request.attempt.take() else { return };
         if let Some(server) = self.servers.get_mut(&attempt.backend) {
-            if !attempt.has_begun {
+            if !attempt.responded {
                 server.queue.record_prefill_end(attempt.uncached_tokens);
             }
             server.queue.record_request_end();
@@ -247,7 +247,7 @@
         self.reachability.region_mut(server.region).record_send(now);
         if let Some(request) = self.requests.get_mut(&id) {
             server.queue.record_send(uncached_tokens);
-            request.attempt = Some(Attempt { backend, uncached_tokens, has_begun: false });
+            request.attempt = Some(Attempt { backend, uncached_tokens, responded: false });
         }
     }
 
--- a/routing/src/watch_client/connections.rs
+++ b/routing/src/watch_client/connections.rs
@@ -49,7 +49,7 @@
     /// The router's share of common limits, as last reported by the node.
     pub(super) router_share: RouterShare,
     /// The time of the last fetch of missing updates from this node.
-    pub(super) requested_at: Nanos,
+    pub(super) last_fetch_at: Nanos,
     /// The time since which the node's position has been ahead of the router's; `None` if it is not ahead.
     pub(super) ahead_since: Option<Nanos>,
     /// The time when the last fragment of a large message was received.
--- a/routing/src/watch_client/fetch.rs
+++ b/routing/src/watch_client/fetch.rs
@@ -24,8 +24,8 @@
             continue;
         }
         let ahead_since = *connection.ahead_since.get_or_insert(now);
-        if now >= ahead_since + FETCH_DELAY && now >= connection.requested_at + FETCH_INTERVAL {
-            connection.requested_at = now;
+        if now >= ahead_since + FETCH_DELAY && now >= connection.last_fetch_at + FETCH_INTERVAL {
+            connection.last_fetch_at = now;
             due.push(node);
         }
     }
--- a/wal/src/format/decoder.rs
+++ b/wal/src/format/decoder.rs
@@ -137,7 +137,8 @@
 fn has_block_after(bytes: &[u8], offset: usize, layout: BlockLayout) -> bool {
     let magic = BLOCK_MAGIC.to_le_bytes();
     let last = bytes.len().saturating_sub(layout.header_length());
-    let is_block = |at: usize| bytes[at..].starts_with(&magic) && decode_block(bytes, at, layout).is_some();
+    let is_block =
+        |start: usize| bytes[start..].starts_with(&magic) && decode_block(bytes, start, layout).is_some();
     (offset + 1..=last).any(is_block)
 }
 
