--- a/protocol/src/peer/heartbeat.rs
+++ b/protocol/src/peer/heartbeat.rs
@@ -8,7 +8,7 @@
 
 /// A control node's periodic report to all other control nodes.
 ///
-/// A receiver keeps the sender's latest heartbeat: within one incarnation that with the highest sequence, and a
+/// A receiver keeps the sender's latest heartbeat: within one incarnation the one with the highest sequence. A
 /// heartbeat of another incarnation replaces it. The receiver fetches all state of which the sender has a newer
 /// version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
@@ -61,8 +61,8 @@
     /// The number of the last committed change of each partition that the sender has.
     pub fn committed_changes(&self) -> impl Iterator<Item = (PartitionId, u64)> {
         let control = PartitionId::control().zip(self.committed.iter().copied());
-        let behind_mark = self.committed.iter().skip(PartitionId::control().count() + 1).copied();
-        control.chain(PartitionId::coordination().zip(behind_mark))
+        let after_mark = self.committed.iter().skip(PartitionId::control().count() + 1).copied();
+        control.chain(PartitionId::coordination().zip(after_mark))
     }
 
     /// Whether the sender supports consensus messages that carry registers.
--- a/routing/src/watch_client/connections.rs
+++ b/routing/src/watch_client/connections.rs
@@ -49,7 +49,7 @@
     /// The router's share of common limits, as last reported by the node.
     pub(super) router_share: RouterShare,
     /// The time of the last fetch of missing updates from this node.
-    pub(super) requested_at: Nanos,
+    pub(super) last_fetch_at: Nanos,
     /// The time since which the node's position has been ahead of the router's; `None` if it is not ahead.
     pub(super) ahead_since: Option<Nanos>,
     /// The time when the last fragment of a large message was received.
@@ -205,7 +205,7 @@
 
     /// All known control nodes, the most preferred first. The order differs between routers, so that the routers are spread over the
     /// control nodes. If all nodes are in back-off, the node whose back-off ends first comes first, because a network partition may
-    /// have healed since it was last tried.
+    /// have healed since the last connection attempt to that node.
     fn preferred(&self) -> Vec<NodeId> {
         let mut nodes: Vec<NodeId> = self.known_control_nodes.iter().copied().collect();
         nodes.sort_unstable_by_key(|node| {
