--- a/cli/tests/coordination_commands.rs
+++ b/cli/tests/coordination_commands.rs
@@ -68,7 +68,7 @@
     let first_token: u64 = token.parse().expect("FENCE holds the fencing token, a number");
     // The lock is free as soon as the command has ended, also for a process with another holder name.
     let mut holder =
-        command(&cluster, &["lock", "run", "l", "--hold-ms", "600", "--wait-s", "20", "--", "sleep", "2"]);
+        command(&cluster, &["lock", "run", "l", "--hold-ms", "2000", "--wait-s", "20", "--", "sleep", "7"]);
     let mut holder = holder.spawn().expect("the ivyhatch program can be run");
     wait_until("the other process holds the lock", || {
         result(&cluster, &["lock", "run", "l", "--", "true"]).0 == Some(4)
