--- a/scripts/names.sh
+++ b/scripts/names.sh
@@ -5,7 +5,7 @@
 cd "$(dirname "$0")/.."
 finished=(coordination routing agent protocol wal admin-protocol load-probing balancer node node-settings config system lab socket-lab simulator-adapter simulation control experiments cli)
 # Whole words, also as a part of a snake_case name. docs/glossary.md has the standard term for each.
-withdrawn='told|tells?|heard|hears?|unheard|hearsay|heed[a-z]*|deposed|whoever|mates|fellows|kin|ledger|sparing|touched|mishaps?|troubles?|beats?|life|lives|errands?|tally|spoilt|ill|sick|thrown_out|kept_apart|mended?|mends|passed_over|brookfield|badgerpost|wirehost|planted|taps?|lots?|founders?|rivals?|believe[sd]?|lately|news|reckoned|bearable|forgets|hunted|owes'
+withdrawn='told|tells?|heard|hears?|unheard|hearsay|heed[a-z]*|deposed|whoever|mates|fellows|kin|ledger|sparing|touched|mishaps?|troubles?|beats?|life|lives|errands?|tally|spoilt|ill|sick|thrown_out|kept_apart|mended?|mends|passed_over|brookfield|badgerpost|wirehost|planted|taps?|lots?|founders?|rivals?|believe[sd]?|lately|news|reckoned|bearable|forgets|hunted|owes|unclear|outright|vanished|trusts|founded|stood|woke|disturbs|mute|dealt|rested'
 folders=("$@")
 [ ${#folders[@]} -gt 0 ] || folders=("${finished[@]+"${finished[@]}"}")
 [ ${#folders[@]} -gt 0 ] || { echo "names: no crate is listed as finished"; exit 0; }
